--- a/crates/control/src/lib.rs
+++ b/crates/admin/src/lib.rs
@@ -6,7 +6,7 @@
 //! clock that never runs backwards.
 //!
 //! ```
-//! use control::{Call, Drain, Stay, LAST_ANSWER_MS, LEAVE_MS};
+//! use admin::{Call, Drain, Stay, LAST_ANSWER_MS, LEAVE_MS};
 //!
 //! let mut drain = Drain::default();
 //! assert_eq!(Call::read(b"DRAIN\r\n"), Ok(Call::Drain));
--- a/src/state.rs
+++ b/crates/balancer/src/state.rs
@@ -1,5 +1,5 @@
 //! What a balancer keeps in mind: running figures, and plain records of servers and requests. Nothing here
-//! decides; that is all in `src/choice.rs`.
+//! decides; that is all in `crates/balancer/src/choice.rs`.
 
 use std::collections::VecDeque;
 
--- a/crates/membership/src/lib.rs
+++ b/crates/endpoint-discovery/src/lib.rs
@@ -8,7 +8,7 @@
 //! Times are milliseconds of Unix time, as the starts of servers are.
 //!
 //! ```
-//! use membership::{Action, Authority, Event, Host, List, Membership, State, Trust, Word};
+//! use endpoint_discovery::{Action, Authority, Event, Host, List, Membership, State, Trust, Word};
 //!
 //! let mut membership = Membership::new(vec![Trust::roster("roster"), Trust::advisor("consul")]);
 //! let mut actions = Vec::new();
--- a/crates/membership/src/note.rs
+++ b/crates/endpoint-discovery/src/note.rs
@@ -5,7 +5,7 @@
 use crate::host::State;
 use crate::rules::Verdict;
 
-/// A line for the operators. The operators' page (`docs/membership/operate.md`) explains each.
+/// A line for the operators. The operators' page (`docs/endpoint-discovery/operate.md`) explains each.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Note {
     /// Sources disagree on a server.
--- a/crates/membership/src/rules.rs
+++ b/crates/endpoint-discovery/src/rules.rs
@@ -1,4 +1,4 @@
-//! The table: what the sources' words make of a server. `docs/membership/design.md` has it as a table; this is it as
+//! The table: what the sources' words make of a server. `docs/endpoint-discovery/design.md` has it as a table; this is it as
 //! code, and `tests/table.rs` holds one against the other, cell by cell.
 
 use crate::host::State;
--- a/crates/membership/tests/common/mod.rs
+++ b/crates/endpoint-discovery/tests/common/mod.rs
@@ -3,7 +3,7 @@
 
 use std::collections::BTreeMap;
 
-use membership::*;
+use endpoint_discovery::*;
 
 pub const ROSTER: SourceId = 0;
 pub const CONSUL: SourceId = 1;
--- a/crates/membership/tests/properties.rs
+++ b/crates/endpoint-discovery/tests/properties.rs
@@ -3,7 +3,7 @@
 mod common;
 use common::*;
 
-use membership::*;
+use endpoint_discovery::*;
 use proptest::prelude::*;
 
 const SERVERS: usize = 5;
--- a/crates/membership/tests/sources.rs
+++ b/crates/endpoint-discovery/tests/sources.rs
@@ -3,7 +3,7 @@
 mod common;
 use common::*;
 
-use membership::*;
+use endpoint_discovery::*;
 
 fn advised(servers: usize) -> Play {
     let mut play = Play::new(Trust::advisor("consul"));
--- a/crates/membership/tests/table.rs
+++ b/crates/endpoint-discovery/tests/table.rs
@@ -1,6 +1,6 @@
-//! The table of `docs/membership/design.md`, cell by cell.
+//! The table of `docs/endpoint-discovery/design.md`, cell by cell.
 
-use membership::{merge, Age, Said, State, Verdict};
+use endpoint_discovery::{merge, Age, Said, State, Verdict};
 
 const WORDS: [Option<State>; 4] = [None, Some(State::Ready), Some(State::Draining), Some(State::Gone)];
 const AGES: [Age; 3] = [Age::Fresh, Age::Held, Age::Aged];
--- a/crates/passage/src/lib.rs
+++ b/crates/flow-control/src/lib.rs
@@ -5,7 +5,7 @@
 //! socket or a clock; times are milliseconds of any clock that never runs backwards.
 //!
 //! ```
-//! use passage::{Pace, Room};
+//! use flow_control::{Pace, Room};
 //!
 //! let room = Room::new(1024);
 //! let share = room.take(1000).expect("it is empty");
--- a/crates/gossip/src/ring.rs
+++ b/crates/gossip/src/ring.rs
@@ -1,7 +1,7 @@
 //! Who listens to whom: each node is heard by the next node in each of some rings, in which all nodes stand in another
 //! order, so that the same few nodes are never each other's only ears (Rapid's expander of K rings).
 
-use spread::mix;
+use stable_hash::mix;
 
 use crate::wire::MemberId;
 
--- a/crates/gossip/src/table.rs
+++ b/crates/gossip/src/table.rs
@@ -2,7 +2,7 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use spread::mix;
+use stable_hash::mix;
 
 use crate::kinds::{PeerId, State};
 use crate::verdict::Case;
--- a/crates/gossip/tests/drawn.rs
+++ b/crates/gossip/tests/drawn.rs
@@ -45,7 +45,7 @@
     (0..6).for_each(|node| fleet.world.pause(node, 10_000.0));
     fleet.split(|node| if node < 6 { node } else { 6 });
     fleet.run(9_990.0);
-    fleet.all_links(emulator::Link { loss: 0.6, ..emulator::Link::default() });
+    fleet.all_links(simulation::Link { loss: 0.6, ..simulation::Link::default() });
     fleet.run(30_000.0);
     let gone = fleet.gone_since(before).into_iter();
     gone.filter(|(_, _, name)| ["n6", "n7", "n8"].contains(&name.as_str())).count()
@@ -69,7 +69,7 @@
     let said = |seed| {
         let bounds = bounds(seed, 16);
         let mut fleet = Fleet::started(seed, bounds.nodes);
-        fleet.play(&emulator::draw(seed, bounds));
+        fleet.play(&simulation::draw(seed, bounds));
         format!("{:?}{:?}", fleet.said(), fleet.world.totals())
     };
     assert_eq!(said(5), said(5));
--- a/crates/gossip/tests/hard.rs
+++ b/crates/gossip/tests/hard.rs
@@ -1,6 +1,6 @@
 //! The hard cases, each by itself, in virtual time.
 
-use emulator::{Clock, Link, Trouble};
+use simulation::{Clock, Link, Trouble};
 use gossip::{Event, Health, Note, Refused, Seal, State};
 use testkit::nodes::{Fleet, KEY};
 
--- a/crates/lease/src/kinds.rs
+++ b/crates/lease/src/kinds.rs
@@ -2,7 +2,7 @@
 
 use std::fmt;
 
-use spread::mix;
+use stable_hash::mix;
 
 /// A node, by a number that its name comes to.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
--- a/crates/lease/src/node.rs
+++ b/crates/lease/src/node.rs
@@ -4,7 +4,7 @@
 use std::marker::PhantomData;
 
 use fastrand::Rng;
-use spread::mix;
+use stable_hash::mix;
 
 use crate::claims::{Claim, MOST_KEEPERS};
 use crate::council::Council;
--- a/crates/lease/tests/world.rs
+++ b/crates/lease/tests/world.rs
@@ -1,6 +1,6 @@
 //! Leases in virtual time: drawn troubles, the hard cases each by itself, and mistakes that are made on purpose.
 
-use emulator::{Clock, Link, Trouble};
+use simulation::{Clock, Link, Trouble};
 use lease::{ChangeError, Event, NodeId, Planted, Shard, Standing};
 use testkit::owners::{id, trial, File, Fleet, AGAIN, LEASE, SHARDS};
 
--- a/crates/measure/src/bin/allocations.rs
+++ b/crates/measure/src/bin/allocations.rs
@@ -6,9 +6,9 @@
 use std::sync::mpsc;
 use std::thread;
 
-use silverthread::net::config::Config;
-use silverthread::net::driver::Driver;
-use silverthread::net::front::clients::{self, FrontOptions, Phase};
+use silverthread::node::config::Config;
+use silverthread::node::driver::Driver;
+use silverthread::node::downstream::clients::{self, FrontOptions, Phase};
 use testkit::{config, list, read, settings, Client, Reply, Server};
 use tokio::sync::{oneshot, watch};
 use tokio::task::LocalSet;
--- a/crates/measure/src/cold.rs
+++ b/crates/measure/src/cold.rs
@@ -9,7 +9,7 @@
     RequestId, ServerEntry, ServerId, Settings,
 };
 
-use crate::agenda::Agenda;
+use crate::event_queue::Agenda;
 use crate::system::count;
 
 const AIM_MS: f64 = 400.0;
--- a/crates/measure/src/detectors.rs
+++ b/crates/measure/src/detectors.rs
@@ -4,7 +4,7 @@
 
 use std::collections::BTreeMap;
 
-use emulator::{Link, NodeId, Outbox, Process, World};
+use simulation::{Link, NodeId, Outbox, Process, World};
 use fastrand::Rng;
 use testkit::nodes::Fleet;
 
--- a/crates/measure/src/following.rs
+++ b/crates/measure/src/following.rs
@@ -4,7 +4,7 @@
 use std::time::{Duration, Instant};
 
 use consul::{Event, Mapping, Query, Watch, WatchSettings};
-use membership::{Authority, Host, List, Membership, State, Trust, Word};
+use endpoint_discovery::{Authority, Host, List, Membership, State, Trust, Word};
 use testkit::consul::{Consul, Instance};
 use testkit::{config, list, settings, until, Discovery, Load, Node, Reply, Server, Watch as Open};
 
@@ -179,8 +179,8 @@
     ] {
         let list = List { authority: Authority::Fresh, history: 0, words, left: vec![] };
         let event = match source {
-            Some(source) => membership::Event::Listed { source, list },
-            None => membership::Event::Lost { source: 1 },
+            Some(source) => endpoint_discovery::Event::Listed { source, list },
+            None => endpoint_discovery::Event::Lost { source: 1 },
         };
         let (before, start, mut actions) = (ALLOCATOR.stats(), Instant::now(), Vec::new());
         membership.handle(now, event, &mut actions);
--- a/crates/measure/src/main.rs
+++ b/crates/measure/src/main.rs
@@ -2,18 +2,18 @@
 //! measures what it compares within one run, in turn, so that a machine that is slower today is so for both. `all`
 //! plays every subject, and `--brief` behind the name plays it for a moment, to see that it still runs.
 
-mod agenda;
 mod cold;
 mod connections;
 mod decisions;
 mod detectors;
+mod event_queue;
 mod following;
 mod members;
+mod outlier_detection;
 mod owners;
 mod proxy;
-mod spread;
+mod stable_hash;
 mod system;
-mod word;
 
 use std::alloc::System;
 use std::process::ExitCode;
@@ -42,8 +42,8 @@
     ("owners-drawn", owners::drawn),
     ("owners-sizes", owners::sizes),
     ("owners-model", owners::model),
-    ("spread", spread::measure),
-    ("word", word::measure),
+    ("spread", stable_hash::measure),
+    ("word", outlier_detection::measure),
     ("cold", cold::measure),
     ("membership", following::measure),
     ("membership-path", following::requests),
--- a/crates/measure/src/members.rs
+++ b/crates/measure/src/members.rs
@@ -8,7 +8,7 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-use emulator::{draw, Bounds, Link, Trouble};
+use simulation::{draw, Bounds, Link, Trouble};
 use gossip::{Planted, State};
 use testkit::nodes::judge::{bounds, excuses, trial};
 use testkit::nodes::{Fleet as Virtual, Said};
--- a/crates/measure/src/word.rs
+++ b/crates/measure/src/outlier_detection.rs
@@ -3,14 +3,14 @@
 
 use std::collections::HashMap;
 
-use duties::{Event as Said, Kind, NodeKey, ServerKey, Word};
+use outlier_detection::{Event as Said, Kind, NodeKey, ServerKey, Word};
 use fastrand::Rng;
 use silverthread::{
     Action, Availability, Balancer, Class, Effect, Ending, Event, Listing, Outcome, Report, Request,
     RequestId, ServerEntry, ServerId, Settings,
 };
 
-use crate::agenda::Agenda;
+use crate::event_queue::Agenda;
 use crate::system::count;
 
 const AIM_MS: f64 = 200.0;
@@ -115,7 +115,7 @@
             (settings.nodes, settings.me) = (nodes, me);
             let mut balancer = Balancer::new(settings, seed * 1_000 + me as u64).expect("sound");
             balancer.handle(0.0, Event::Servers(Listing::Full(entries())), &mut Vec::new());
-            let mut word = Word::new(0.0, duties::Settings::default(), rng.f64()).expect("sound");
+            let mut word = Word::new(0.0, outlier_detection::Settings::default(), rng.f64()).expect("sound");
             word.handle(0.0, Said::Servers(&keys), &mut Vec::new());
             word.handle(0.0, Said::Nodes(nodes), &mut Vec::new());
             Node { balancer, word, open: HashMap::new() }
@@ -174,16 +174,16 @@
         self.nodes[node].word.handle(self.agenda.now, event, &mut actions);
         for action in actions {
             match action {
-                duties::Action::Tell(bytes) => {
+                outlier_detection::Action::Tell(bytes) => {
                     for other in (0..self.nodes.len()).filter(|other| *other != node) {
                         self.word(other, Said::Said(NodeKey(node as u64), &bytes));
                     }
                 }
-                duties::Action::Hint(server, weight) => {
+                outlier_detection::Action::Hint(server, weight) => {
                     let server = ServerId(server.0 as usize - 100);
                     self.feed(node, Event::Hint { server, weight });
                 }
-                duties::Action::WakeAt(_) => {}
+                outlier_detection::Action::WakeAt(_) => {}
             }
         }
     }
--- a/crates/measure/src/spread.rs
+++ b/crates/measure/src/stable_hash.rs
@@ -26,7 +26,7 @@
 }
 
 const WAYS: [(&str, Mix); 4] = [
-    ("spread::mix", spread::mix),
+    ("stable_hash::mix", stable_hash::mix),
     ("fastrand", |x| fastrand::Rng::with_seed(x).u64(..)),
     ("std's hasher", std_hasher),
     ("BLAKE3", blake3_first),
--- a/crates/duties/src/lib.rs
+++ b/crates/outlier-detection/src/lib.rs
@@ -5,7 +5,7 @@
 //! never about more than a part of all servers: beyond that it is the reporter who is suspect.
 //!
 //! No I/O and no clock: events and time go in, actions come out. Times are milliseconds of the node's own clock since boot. See
-//! `docs/duties/design.md`.
+//! `docs/outlier-detection/design.md`.
 
 mod tally;
 mod wire;
--- a/crates/duties/tests/word.rs
+++ b/crates/outlier-detection/tests/word.rs
@@ -1,6 +1,6 @@
 //! Word among many nodes in virtual time: who is spared, who is not believed, and how one that is well comes back.
 
-use duties::{Action, Event, Kind, NodeKey, ServerKey, Settings, Word};
+use outlier_detection::{Action, Event, Kind, NodeKey, ServerKey, Settings, Word};
 use fastrand::Rng;
 
 const SERVERS: u64 = 20;
@@ -87,7 +87,7 @@
         for action in actions {
             match action {
                 Action::Tell(bytes) => {
-                    assert!(bytes.len() <= duties::MOST_REPORT);
+                    assert!(bytes.len() <= outlier_detection::MOST_REPORT);
                     said.push((node, bytes));
                 }
                 Action::Hint(server, weight) => self.weights[node][(server.0 / 7) as usize] = weight,
--- a/crates/emulator/src/lib.rs
+++ b/crates/simulation/src/lib.rs
@@ -6,7 +6,7 @@
 //! numbers of its own.
 //!
 //! ```
-//! use emulator::{Outbox, Process, Trouble, World};
+//! use simulation::{Outbox, Process, Trouble, World};
 //!
 //! /// Speaks to another once a second, where there is one, and counts what it hears.
 //! struct Counter(Option<usize>, u32);
--- a/crates/spread/src/lib.rs
+++ b/crates/stable-hash/src/lib.rs
@@ -3,7 +3,7 @@
 /// The finalizer of SplitMix64 (Steele, Lea, Flood 2014): every bit that goes in changes every bit that comes out.
 ///
 /// ```
-/// assert_eq!(spread::mix(0), 0xe220_a839_7b1d_cdaf);
+/// assert_eq!(stable_hash::mix(0), 0xe220_a839_7b1d_cdaf);
 /// ```
 #[must_use]
 pub fn mix(mut x: u64) -> u64 {
--- a/crates/testkit/src/bin/consul-stand-in.rs
+++ b/crates/testkit/src/bin/fake-consul.rs
@@ -1,4 +1,4 @@
-//! The Consul stand-in by itself, for trying things: `cargo run -p testkit --bin consul-stand-in -- 127.0.0.1:8500`.
+//! The Consul stand-in by itself, for trying things: `cargo run -p testkit --bin fake-consul -- 127.0.0.1:8500`.
 //!
 //! It takes registrations by the agent API, and faults as lines on standard input: `lag 500`, `vanish`, `back`,
 //! `status 500`, `never`, `leader off`, `sound`.
@@ -14,7 +14,7 @@
     let consul = match consul.and_then(|at| Consul::start_at(at).map_err(|error| error.to_string())) {
         Ok(consul) => consul,
         Err(error) => {
-            eprintln!("consul-stand-in: {address}: {error}");
+            eprintln!("fake-consul: {address}: {error}");
             std::process::exit(2);
         }
     };
--- a/crates/testkit/src/fleet.rs
+++ b/crates/testkit/src/fleet.rs
@@ -8,7 +8,7 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-use emulator::{Script, Trouble};
+use simulation::{Script, Trouble};
 use rustix::process::Signal;
 use tempfile::TempDir;
 
--- a/crates/testkit/src/lib.rs
+++ b/crates/testkit/src/lib.rs
@@ -31,7 +31,7 @@
 mod socket;
 
 pub use discovery::{entry, list, Discovery, Watch};
-pub use emulator::{draw, Bounds, Link, Script, Trouble};
+pub use simulation::{draw, Bounds, Link, Script, Trouble};
 pub use fleet::{Fleet, Member, Members};
 pub use load::{Load, Totals};
 pub use message::{answer, post, read, Message};
--- a/crates/testkit/src/nodes/judge.rs
+++ b/crates/testkit/src/nodes/judge.rs
@@ -1,7 +1,7 @@
 //! Trials under drawn troubles, and a judge that knows the script and what the nodes said, and nothing of how they decide.
 use std::collections::{BTreeMap, BTreeSet};
 
-use emulator::{draw, Bounds, NodeId, Script, Trouble};
+use simulation::{draw, Bounds, NodeId, Script, Trouble};
 use gossip::{Planted, State};
 
 use super::{Fleet, Said};
--- a/crates/testkit/src/nodes/mod.rs
+++ b/crates/testkit/src/nodes/mod.rs
@@ -3,7 +3,7 @@
 pub mod judge;
 use std::collections::BTreeMap;
 
-use emulator::{Clock, Link, NodeId, Outbox, Process, Script, Trouble, World};
+use simulation::{Clock, Link, NodeId, Outbox, Process, Script, Trouble, World};
 use gossip::{Action, Change, Event, Gossip, Health, Note, Planted, Seal, Settings, State};
 
 /// What a node said, and when by the world's time.
--- a/crates/testkit/src/owners.rs
+++ b/crates/testkit/src/owners.rs
@@ -4,7 +4,7 @@
 use std::collections::BTreeMap;
 use std::rc::Rc;
 
-use emulator::{draw, Bounds, Clock, Outbox, Process, Trouble, World};
+use simulation::{draw, Bounds, Clock, Outbox, Process, Trouble, World};
 use lease::{
     Action, Change, ChangeError, Event, Fence, Leases, NodeId, Note, Planted, Settings, Shard, Standing,
 };
--- a/crates/testkit/src/relay.rs
+++ b/crates/testkit/src/relay.rs
@@ -10,7 +10,7 @@
 use std::thread::JoinHandle;
 use std::time::{Duration, Instant};
 
-use emulator::{Done, Line, Link, Trouble};
+use simulation::{Done, Line, Link, Trouble};
 use tokio::net::UdpSocket;
 use tokio::sync::oneshot;
 
--- a/examples/demo.rs
+++ b/examples/demo.rs
@@ -6,9 +6,9 @@
 use std::thread;
 use std::time::Duration;
 
-use silverthread::net::config::Config;
-use silverthread::net::operate::operators::Operators;
-use silverthread::net::{run, Extras};
+use silverthread::node::config::Config;
+use silverthread::node::admin::operators::Operators;
+use silverthread::node::{run, Extras};
 use testkit::consul::{Consul, Instance};
 use testkit::{config, list, settings, Discovery, Load, Reply, Server};
 
--- a/src/bin/silverthread-benchlink.rs
+++ b/src/bin/silverthread-simulator-adapter.rs
@@ -5,7 +5,7 @@
 use std::panic::{self, AssertUnwindSafe};
 use std::process::ExitCode;
 
-use silverthread::wire::{one_line, Dialect, Line, Member, WireError};
+use silverthread::simulator::{one_line, Dialect, Line, Member, WireError};
 use silverthread::{Action, Balancer};
 
 /// One instance: its balancer and the names only it has been told.
@@ -106,7 +106,7 @@
 
     fn note(&mut self, what: &str, why: &str) {
         if self.passed_over.insert(what.to_owned()) {
-            eprintln!("silverthread-benchlink: {why}: {}", one_line(what));
+            eprintln!("silverthread-simulator-adapter: {why}: {}", one_line(what));
         }
     }
 }
@@ -122,7 +122,7 @@
             Ok(0) => return ExitCode::SUCCESS,
             Ok(_) => {}
             Err(error) => {
-                eprintln!("silverthread-benchlink: line {number}: {error}");
+                eprintln!("silverthread-simulator-adapter: line {number}: {error}");
                 return ExitCode::FAILURE;
             }
         }
@@ -134,14 +134,14 @@
             Ok(Step::EndOfBatch) => {
                 let written = output.write_all(host.reply.as_bytes()).and_then(|()| output.flush());
                 if let Err(error) = written {
-                    eprintln!("silverthread-benchlink: line {number}: cannot reply: {error}");
+                    eprintln!("silverthread-simulator-adapter: line {number}: cannot reply: {error}");
                     return ExitCode::FAILURE;
                 }
                 host.reply.clear();
             }
             Err(error) => {
                 let message = line.split(' ').next().unwrap_or_default();
-                eprintln!("silverthread-benchlink: line {number}: {message}: {error}");
+                eprintln!("silverthread-simulator-adapter: line {number}: {message}: {error}");
                 return ExitCode::FAILURE;
             }
         }
--- a/src/main.rs
+++ b/src/main.rs
@@ -5,11 +5,11 @@
 use std::process::ExitCode;
 
 use clap::{Parser, Subcommand};
-use silverthread::net::fleet::FleetError;
-use silverthread::net::operate::ask;
-use silverthread::net::operate::operators::Operators;
-use silverthread::net::{config::Config, run, Extras, NodeError};
-use silverthread::wire::one_line;
+use silverthread::node::cluster::FleetError;
+use silverthread::node::admin::ask;
+use silverthread::node::admin::operators::Operators;
+use silverthread::node::{config::Config, run, Extras, NodeError};
+use silverthread::simulator::one_line;
 
 /// The variable that names the operators' file where the command line does not.
 const VARIABLE: &str = "SILVERTHREAD_CONFIG";
--- a/src/net/operate/calls.rs
+++ b/src/node/admin/calls.rs
@@ -5,15 +5,15 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use control::{render, Call, MOST_LINE};
+use admin::{render, Call, MOST_LINE};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpStream};
 use tokio::task::AbortHandle;
 
-use crate::net::driver::Driver;
-use crate::net::fleet::Fleet;
-use crate::net::front::clients::{FrontOptions, Phase, ACCEPT_AGAIN};
-use crate::net::operate::log;
+use crate::node::driver::Driver;
+use crate::node::cluster::Fleet;
+use crate::node::downstream::clients::{FrontOptions, Phase, ACCEPT_AGAIN};
+use crate::node::admin::log;
 
 /// How long a caller may take over its line and its answer: many times what one needs, and callers that finish nothing
 /// hold a descriptor no longer.
--- a/src/net/operate/mod.rs
+++ b/src/node/admin/mod.rs
@@ -1,7 +1,7 @@
 //! What operators see and say: their file, their calls, a new reading of the files, the log.
 
 pub mod ask;
-pub(in crate::net) mod calls;
-pub(in crate::net) mod log;
+pub(in crate::node) mod calls;
+pub(in crate::node) mod log;
 pub mod operators;
-pub(in crate::net) mod reload;
+pub(in crate::node) mod reload;
--- a/src/net/operate/operators.rs
+++ b/src/node/admin/operators.rs
@@ -11,15 +11,15 @@
 use std::str::FromStr;
 
 use consul::{Api, Consistency, Mapping, Named, Place, Query, State, WatchSettings};
-use membership::{Damping, MatchBy, Trust};
+use endpoint_discovery::{Damping, MatchBy, Trust};
 use pool::{Address, Route, MOST_ADDRESSES, ORDINARY_PREFERENCE};
 use serde::{Deserialize, Deserializer};
 use toml::Spanned;
 
-use crate::net::back::addresses::{AllSaid, Said};
-use crate::net::back::servers::Bounds;
-use crate::net::fleet::{Instances, Keeping};
-use crate::net::sources::consul::ConsulSource;
+use crate::node::upstream::addresses::{AllSaid, Said};
+use crate::node::upstream::servers::Bounds;
+use crate::node::cluster::{Instances, Keeping};
+use crate::node::discovery::consul::ConsulSource;
 
 /// The largest file: the addresses of as many servers as it may name.
 const MOST_FILE: u64 = 4 * 1024 * 1024;
@@ -45,7 +45,7 @@
     /// Who keeps leases for them.
     pub leases: Option<Keeping>,
     /// How they tell each other of bad servers.
-    pub word: Option<duties::Settings>,
+    pub word: Option<outlier_detection::Settings>,
 }
 
 /// The sources of the merged view.
@@ -506,9 +506,9 @@
 }
 
 impl RawWord {
-    fn check(raw: Spanned<Self>) -> Result<duties::Settings, Wrong> {
-        let (ordinary, said) = (duties::Settings::default(), raw.get_ref());
-        let settings = duties::Settings {
+    fn check(raw: Spanned<Self>) -> Result<outlier_detection::Settings, Wrong> {
+        let (ordinary, said) = (outlier_detection::Settings::default(), raw.get_ref());
+        let settings = outlier_detection::Settings {
             turn_ms: said.turn_ms.unwrap_or(ordinary.turn_ms),
             half_life_ms: said.half_life_ms.unwrap_or(ordinary.half_life_ms),
             reporters: said.reporters.unwrap_or(ordinary.reporters),
--- a/src/net/operate/reload.rs
+++ b/src/node/admin/reload.rs
@@ -11,11 +11,11 @@
 use tokio::signal::unix::Signal;
 use tokio::sync::watch;
 
-use crate::net::config::Config;
-use crate::net::fleet::Fleet;
-use crate::net::operate::log;
-use crate::net::operate::operators::Operators;
-use crate::net::sources::Sources;
+use crate::node::config::Config;
+use crate::node::cluster::Fleet;
+use crate::node::admin::log;
+use crate::node::admin::operators::Operators;
+use crate::node::discovery::Sources;
 
 /// Reads the file again at each signal and tells where discovery answers now. A file that cannot be used is logged
 /// and the configuration held stands: a slip of the pen must not end a node that serves.
--- a/src/net/fleet/duty.rs
+++ b/src/node/cluster/duty.rs
@@ -14,7 +14,7 @@
 use tokio::net::TcpStream;
 
 use super::{boot_ms, Fleet};
-use crate::net::operate::log;
+use crate::node::admin::log;
 
 const NAME: &str = "fleet-log";
 /// How often.
--- a/src/net/fleet/leases.rs
+++ b/src/node/cluster/leases.rs
@@ -11,8 +11,8 @@
 use lease::{Action, Change, Event, Fence, Leases, NodeId, Note, Permit, Settings, Shard, Standing};
 
 use super::{boot_ms, figure_lines, Fleet};
-use crate::net::clock::Alarm;
-use crate::net::operate::log;
+use crate::node::clock::Alarm;
+use crate::node::admin::log;
 
 /// What the operators' file says of leases.
 #[derive(Clone, Debug, PartialEq)]
--- a/src/net/fleet/mod.rs
+++ b/src/node/cluster/mod.rs
@@ -22,10 +22,10 @@
 
 pub use leases::Keeping;
 
-use crate::net::clock::Alarm;
-use crate::net::config::Config;
-use crate::net::driver::Driver;
-use crate::net::operate::log;
+use crate::node::clock::Alarm;
+use crate::node::config::Config;
+use crate::node::driver::Driver;
+use crate::node::admin::log;
 
 /// Datagrams that are read a second, whoever sends them: three times what a node of any fleet is sent while all of them
 /// start at once, and less than a hundredth of a core. What comes beyond waits in the socket, and is lost there once that
@@ -191,7 +191,7 @@
         config: &Config,
         instances: Option<&Instances>,
         keeping: Option<&Keeping>,
-        said: Option<&duties::Settings>,
+        said: Option<&outlier_detection::Settings>,
         driver: &Rc<Driver>,
     ) -> Result<Option<Rc<Self>>, FleetError> {
         let Some(instances) = instances else { return Ok(None) };
@@ -311,7 +311,7 @@
                         self.end_leases();
                     }
                 }
-                Action::Word { from, bytes, .. } if duties::is_report(&bytes) => {
+                Action::Word { from, bytes, .. } if outlier_detection::is_report(&bytes) => {
                     self.heard_word(from, &bytes);
                 }
                 Action::Word { from, process, bytes } => {
--- a/src/net/fleet/record.rs
+++ b/src/node/cluster/record.rs
@@ -9,7 +9,7 @@
 use lease::{read_record, write_record, Event, Fence, MOST_RECORD};
 
 use super::Fleet;
-use crate::net::operate::log;
+use crate::node::admin::log;
 
 /// How long a disk that failed is left alone.
 const AGAIN: Duration = Duration::from_secs(1);
--- a/src/net/fleet/word.rs
+++ b/src/node/cluster/word.rs
@@ -6,14 +6,14 @@
 use std::fmt::Write;
 use std::rc::{Rc, Weak};
 
-use duties::{Action, Event, Hint, Kind, NodeKey, ServerKey, Settings, Word};
+use outlier_detection::{Action, Event, Hint, Kind, NodeKey, ServerKey, Settings, Word};
 use gossip::{Event as Gossiped, MemberId, State};
 
 use super::{boot_ms, figure_lines, Fleet};
-use crate::net::clock::Alarm;
-use crate::net::driver::Driver;
-use crate::net::operate::log;
-use crate::{Ending, ServerId};
+use crate::node::clock::Alarm;
+use crate::node::driver::Driver;
+use crate::node::admin::log;
+use balancer::{Ending, ServerId};
 
 /// A node's part in it.
 pub struct Part {
--- a/src/net/config.rs
+++ b/src/node/config.rs
@@ -9,8 +9,8 @@
 use serde::Deserialize;
 use serde_json::Value;
 
-use crate::wire::{read_settings, WireError};
-use crate::{Discovery, Settings};
+use crate::simulator::{read_settings, WireError};
+use balancer::{Discovery, Settings};
 
 /// The variable that names the configuration file.
 const VARIABLE: &str = "ROUTER_CONFIG";
--- a/src/net/sources/consul.rs
+++ b/src/node/discovery/consul.rs
@@ -14,12 +14,12 @@
 use hyper::body::Incoming;
 use hyper::header::{HeaderValue, ACCEPT, HOST};
 use hyper::{Request, Response};
-use membership::{Authority, Host, List, SourceId, State, Trust, Word};
+use endpoint_discovery::{Authority, Host, List, SourceId, State, Trust, Word};
 use socket2::{SockRef, TcpKeepalive};
 
-use crate::net::operate::log;
-use crate::net::sources::connection::Connection;
-use crate::net::sources::members::ServerMembers;
+use crate::node::admin::log;
+use crate::node::discovery::connection::Connection;
+use crate::node::discovery::members::ServerMembers;
 
 /// How long a connection to an agent may take: it is near.
 const CONNECTING: Duration = Duration::from_secs(2);
@@ -56,7 +56,7 @@
                 Action::HangUp => exchange.hang_up(),
                 Action::WakeAt(at) => wake_at_ms = at,
                 Action::Tell(news) => members.feed(listed(source, news)),
-                Action::Lost => members.feed(membership::Event::Lost { source }),
+                Action::Lost => members.feed(endpoint_discovery::Event::Lost { source }),
                 Action::Trouble { agent, trouble } => exchange.log(agent, &trouble),
             }
         }
@@ -85,13 +85,13 @@
 }
 
 /// What Consul tells, in the view's words.
-fn listed(source: SourceId, news: News) -> membership::Event {
+fn listed(source: SourceId, news: News) -> endpoint_discovery::Event {
     let authority = if news.fresh { Authority::Fresh } else { Authority::Stale };
     let index = news.index;
     let words = news.words.iter().map(|said| word(said, index)).collect();
     let left = news.left.into_iter().map(|key| (key, index)).collect();
     let list = List { authority, history: news.history, words, left };
-    membership::Event::Listed { source, list }
+    endpoint_discovery::Event::Listed { source, list }
 }
 
 fn word(said: &Said, index: u64) -> Word {
--- a/src/net/sources/discovery.rs
+++ b/src/node/discovery/endpoint_list.rs
@@ -13,11 +13,11 @@
 use hyper::{Request, StatusCode};
 use tokio::sync::watch;
 
-use crate::net::config::HostList;
-use crate::net::operate::log;
-use crate::net::sources::connection::Connection;
-use crate::net::sources::members::ServerMembers;
-use crate::LONGEST_RESUBSCRIBE_MS;
+use crate::node::config::HostList;
+use crate::node::admin::log;
+use crate::node::discovery::connection::Connection;
+use crate::node::discovery::members::ServerMembers;
+use balancer::LONGEST_RESUBSCRIBE_MS;
 
 /// A change counts as told this long after discovery had it and could be reached.
 pub const COUNTS_AS_TOLD: Duration = Duration::from_secs(6);
--- a/src/net/sources/members.rs
+++ b/src/node/discovery/members.rs
@@ -5,13 +5,13 @@
 use std::collections::HashSet;
 use std::rc::Rc;
 
-use membership::{Action, Authority, Event, Host, List, Membership, SourceId, State, Trust, Word};
+use endpoint_discovery::{Action, Authority, Event, Host, List, Membership, SourceId, State, Trust, Word};
 
-use crate::net::clock::Alarm;
-use crate::net::config::HostList;
-use crate::net::driver::Driver;
-use crate::net::operate::log;
-use crate::net::sources::roster;
+use crate::node::clock::Alarm;
+use crate::node::config::HostList;
+use crate::node::driver::Driver;
+use crate::node::admin::log;
+use crate::node::discovery::roster;
 
 /// The roster's place among the sources.
 const ROSTER: SourceId = 0;
--- a/src/net/sources/mod.rs
+++ b/src/node/discovery/mod.rs
@@ -5,17 +5,17 @@
 pub mod consul;
 pub mod discovery;
 pub mod members;
-pub(in crate::net) mod roster;
+pub(in crate::node) mod roster;
 
 use std::cell::RefCell;
 use std::collections::HashMap;
 use std::rc::Rc;
 
-use membership::{Event, SourceId};
+use endpoint_discovery::{Event, SourceId};
 use tokio::task::AbortHandle;
 
-use crate::net::driver::Driver;
-use crate::net::operate::log;
+use crate::node::driver::Driver;
+use crate::node::admin::log;
 use consul::ConsulSource;
 use members::ServerMembers;
 
--- a/src/net/sources/roster.rs
+++ b/src/node/discovery/roster.rs
@@ -1,11 +1,11 @@
 //! The roster: the list of servers as the platform's discovery words it.
 
-use membership::{Host, State};
+use endpoint_discovery::{Host, State};
 use serde::Deserialize;
 use serde_json::Value;
 
-use crate::net::config::HostList;
-use crate::net::operate::log;
+use crate::node::config::HostList;
+use crate::node::admin::log;
 
 #[derive(Deserialize)]
 #[serde(rename_all = "camelCase")]
--- a/src/net/front/clients.rs
+++ b/src/node/downstream/clients.rs
@@ -9,7 +9,7 @@
 use std::time::{Duration, Instant};
 
 use bytes::{Bytes, BytesMut};
-use control::{Drain, End, Stay, Taken as Counted};
+use admin::{Drain, End, Stay, Taken as Counted};
 use http_body_util::BodyExt;
 use hyper::body::{Body, Incoming};
 use hyper::header::{self, HeaderMap, HeaderName, HeaderValue};
@@ -18,21 +18,21 @@
 use hyper::service::service_fn;
 use hyper::{Method, Request, Response, StatusCode};
 use hyper_util::rt::TokioIo;
-use passage::{Pace, Room, Share};
+use flow_control::{Pace, Room, Share};
 use socket2::SockRef;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::watch;
 
-use crate::net::back::answers::{MOST_BODY, MOST_HELD, MOST_PASSED};
-use crate::net::back::{Message, RequestBody, ResponseBody, Served};
-use crate::net::config::Limits;
-use crate::net::driver::{Answer, Driver};
-use crate::net::front::connections::{ConnectionGuard, ConnectionTable, Stage, TrackedConnection};
-use crate::net::front::passing::{passing, Feeder, Outgoing, Passed, Upload};
-use crate::net::front::socket::Socket;
-use crate::net::operate::log;
-use crate::Effect;
+use crate::node::upstream::answers::{MOST_BODY, MOST_HELD, MOST_PASSED};
+use crate::node::upstream::{Message, RequestBody, ResponseBody, Served};
+use crate::node::config::Limits;
+use crate::node::driver::{Answer, Driver};
+use crate::node::downstream::connections::{ConnectionGuard, ConnectionTable, Stage, TrackedConnection};
+use crate::node::downstream::passing::{passing, Feeder, Outgoing, Passed, Upload};
+use crate::node::downstream::socket::Socket;
+use crate::node::admin::log;
+use balancer::Effect;
 
 /// The most of a message's head that is read, and of a body that is read at a time.
 const BUFFER: usize = 32 * 1024;
--- a/src/net/front/connections.rs
+++ b/src/node/downstream/connections.rs
@@ -5,7 +5,7 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-use control::Stay;
+use admin::Stay;
 use tokio::sync::Notify;
 
 /// How long a client may take over a request's head, from its first byte (of the first on a connection: from
--- a/src/net/front/mod.rs
+++ b/src/node/downstream/mod.rs
@@ -3,6 +3,6 @@
 pub mod clients;
 mod connections;
 mod framing;
-pub(in crate::net) mod inherited;
-pub(in crate::net) mod passing;
+pub(in crate::node) mod inherited;
+pub(in crate::node) mod passing;
 mod socket;
--- a/src/net/front/passing.rs
+++ b/src/node/downstream/passing.rs
@@ -9,7 +9,7 @@
 use bytes::Bytes;
 use http_body::{Body, Frame, SizeHint};
 use http_body_util::Full;
-use passage::Pace;
+use flow_control::Pace;
 use pool::Broke;
 use tokio::sync::mpsc;
 use tokio::time::Instant;
--- a/src/net/front/socket.rs
+++ b/src/node/downstream/socket.rs
@@ -15,8 +15,8 @@
 use tokio::net::TcpStream;
 use tokio::time::Sleep;
 
-use crate::net::front::connections::{ConnectionGuard, Stage, TrackedConnection};
-use crate::net::front::framing::Framing;
+use crate::node::downstream::connections::{ConnectionGuard, Stage, TrackedConnection};
+use crate::node::downstream::framing::Framing;
 
 /// The most that is read ahead of hyper, which does not look whether a client is there while it holds bytes of its next
 /// request. Clients ask one thing at a time; one that sends more than this is watched without being read.
--- a/src/net/driver.rs
+++ b/src/node/driver.rs
@@ -6,20 +6,20 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-use control::{Figures, Now};
-use membership::{Host, State};
+use admin::{Figures, Now};
+use endpoint_discovery::{Host, State};
 use tokio::sync::{oneshot, Notify};
 use tokio::task::AbortHandle;
 
-use crate::net::back::addresses::AllSaid;
-use crate::net::back::servers::{Bounds, Servers, Underway};
-use crate::net::back::{Ended, Message, RequestBody, Served};
-use crate::net::clock::Clock;
-use crate::net::config::{Config, ConfigError, Names};
-use crate::net::operate::log;
-use crate::net::sources::roster;
-use crate::wire::WireError;
-use crate::{
+use crate::node::upstream::addresses::AllSaid;
+use crate::node::upstream::servers::{Bounds, Servers, Underway};
+use crate::node::upstream::{Ended, Message, RequestBody, Served};
+use crate::node::clock::Clock;
+use crate::node::config::{Config, ConfigError, Names};
+use crate::node::admin::log;
+use crate::node::discovery::roster;
+use crate::simulator::WireError;
+use balancer::{
     Action, Availability, Balancer, Class, Effect, Ending, Event, Listing, Outcome, Request, RequestId,
     ServerEntry, ServerId,
 };
@@ -103,7 +103,7 @@
 
 /// What all nodes know a server by in this life of it: one that is replaced under its name is another.
 fn key_of(host: &Host) -> u64 {
-    crate::wire::spread(&host.id) ^ spread::mix(host.started_at_ms.to_bits())
+    crate::simulator::spread(&host.id) ^ stable_hash::mix(host.started_at_ms.to_bits())
 }
 
 /// Owns the balancer. See the module's page.
@@ -345,7 +345,7 @@
     fn entry(&self, server: ServerId, host: &Host) -> ServerEntry {
         ServerEntry {
             server,
-            place: crate::wire::spread(&host.id),
+            place: crate::simulator::spread(&host.id),
             availability: availability(host.state),
             started_at: Some(host.started_at_ms).filter(|t| *t > 0.0),
             cell: host.cell.unwrap_or(0),
--- a/src/net/mod.rs
+++ b/src/node/mod.rs
@@ -1,18 +1,18 @@
 //! The node: one program on real sockets round the decision module, as one thread.
 //!
-//! The folders follow a request's way: [`front`] takes it, [`back`] carries attempts to the servers, and [`sources`]
+//! The folders follow a request's way: [`downstream`] takes it, [`upstream`] carries attempts to the servers, and [`discovery`]
 //! says who the servers are. All they see reaches [`driver`] as an event, and it carries out what the balancer decides.
-//! Nothing here decides anything of a request: no health, no retries, no choice of a server. [`operate`] is the
+//! Nothing here decides anything of a request: no health, no retries, no choice of a server. [`admin`] is the
 //! operators' side; what their file turns on stands beside the rest, and without it none of that runs.
 
-pub mod back;
+pub mod admin;
 mod clock;
+pub mod cluster;
 pub mod config;
+pub mod discovery;
 pub mod driver;
-pub mod fleet;
-pub mod front;
-pub mod operate;
-pub mod sources;
+pub mod downstream;
+pub mod upstream;
 
 use std::io;
 use std::path::PathBuf;
@@ -26,13 +26,13 @@
 
 use config::{Config, ConfigError};
 use driver::Driver;
-use fleet::{Fleet, FleetError};
-use front::clients::{self, FrontOptions, Phase};
-use front::inherited;
-use operate::operators::Operators;
-use operate::{calls, log, reload};
-use sources::members::ServerMembers;
-use sources::{discovery, Sources};
+use self::admin::operators::Operators;
+use self::admin::{calls, log, reload};
+use self::cluster::{Fleet, FleetError};
+use self::discovery::members::ServerMembers;
+use self::discovery::{endpoint_list, Sources};
+use self::downstream::clients::{self, FrontOptions, Phase};
+use self::downstream::inherited;
 
 /// A node that is told to stop is ended no sooner than the longest deadline, `LONGEST_WAIT` at the most, and 700 ms. All
 /// is answered this long after the deadline: what is left is for writing the last answers, all at once at the worst, on
@@ -127,7 +127,7 @@
     let known = Some(config.known.generation).filter(|_| !config.known.instances.is_empty());
     let (moves, addresses) = watch::channel(config.discovery);
     let (members, sources) = membership(&driver, &config, &extras.operators);
-    tokio::task::spawn_local(discovery::follow(members, addresses, config.push, config.drain_grace, known));
+    tokio::task::spawn_local(endpoint_list::follow(members, addresses, config.push, config.drain_grace, known));
     let (instances, leases) = (extras.operators.instances.as_ref(), extras.operators.leases.as_ref());
     let word = extras.operators.word.as_ref();
     let fleet = Fleet::start(&config, instances, leases, word, &driver).await.map_err(NodeError::Fleet)?;
--- a/src/net/back/addresses.rs
+++ b/src/node/upstream/addresses.rs
@@ -3,7 +3,7 @@
 use std::collections::HashMap;
 use std::net::SocketAddr;
 
-use membership::Host;
+use endpoint_discovery::Host;
 use pool::{Address, Route};
 
 /// What the operators' file says of a server's addresses.
--- a/src/net/back/answers.rs
+++ b/src/node/upstream/answers.rs
@@ -3,8 +3,8 @@
 use hyper::header::HeaderValue;
 use hyper::StatusCode;
 
-use crate::net::operate::log;
-use crate::{Ending, Report};
+use crate::node::admin::log;
+use balancer::{Ending, Report};
 
 /// The largest body of a message that is held without a look at what else is.
 pub const MOST_BODY: usize = 64 * 1024;
--- a/src/net/back/http1/exchange.rs
+++ b/src/node/upstream/http1/exchange.rs
@@ -15,17 +15,17 @@
 use hyper::http::response::Parts;
 use hyper::{Request, Response, Version};
 use hyper_util::rt::TokioIo;
-use passage::{answer_stall_ms, Pace};
+use flow_control::{answer_stall_ms, Pace};
 use pool::{Broke, Closed};
 
 use super::metered::{Metered, Traffic, SEND_STALL};
 use super::sending::Sending;
-use crate::net::back::answers::{ending, read_report, MOST_BODY, MOST_PASSED};
-use crate::net::back::stream::Stream;
-use crate::net::back::{Broken, Ended, Message, ResponseBody, Served};
-use crate::net::front::passing::{passing, Cut, Feeder, Passing};
-use crate::net::operate::log;
-use crate::Ending;
+use crate::node::upstream::answers::{ending, read_report, MOST_BODY, MOST_PASSED};
+use crate::node::upstream::stream::Stream;
+use crate::node::upstream::{Broken, Ended, Message, ResponseBody, Served};
+use crate::node::downstream::passing::{passing, Cut, Feeder, Passing};
+use crate::node::admin::log;
+use balancer::Ending;
 
 /// The most of a message's head that is read, and of a body that is read at a time.
 const BUFFER: usize = 32 * 1024;
@@ -60,7 +60,7 @@
         Ok(Self { sender, connection: Some(Box::pin(connection)), traffic })
     }
 
-    /// See [`back::Conn::look`](crate::net::back::Conn::look). Guards against a connection that was closed since its
+    /// See [`upstream::Conn::look`](crate::node::upstream::Conn::look). Guards against a connection that was closed since its
     /// last exchange (what is written to it would end as a reset), and against one that holds more than the answer
     /// before.
     pub fn look(&mut self) -> Option<Closed> {
--- a/src/net/back/http1/metered.rs
+++ b/src/node/upstream/http1/metered.rs
@@ -8,13 +8,13 @@
 use std::task::{Context, Poll};
 use std::time::Duration;
 
-use control::Counter;
+use admin::Counter;
 use pool::{Broke, Sent};
 use tokio::io::{AsyncRead, AsyncWrite, ReadBuf};
 use tokio::sync::Notify;
 
-use crate::net::back::answers::MOST_BODY;
-use crate::net::back::stream::{News, Stream};
+use crate::node::upstream::answers::MOST_BODY;
+use crate::node::upstream::stream::{News, Stream};
 
 /// The most that comes ahead of and with an answer: its head, its body and some 1xx.
 const MOST_ANSWER: usize = 4 * MOST_BODY;
--- a/src/net/back/http1/sending.rs
+++ b/src/node/upstream/http1/sending.rs
@@ -8,8 +8,8 @@
 use http_body::{Body, Frame, SizeHint};
 
 use super::metered::Traffic;
-use crate::net::back::{Message, RequestBody};
-use crate::net::front::passing::{Next, Passing, Unfinished};
+use crate::node::upstream::{Message, RequestBody};
+use crate::node::downstream::passing::{Next, Passing, Unfinished};
 
 /// The body as one attempt sends it. What follows the beginning is taken once it is asked for, and then no other attempt
 /// can have it.
--- a/src/net/back/mod.rs
+++ b/src/node/upstream/mod.rs
@@ -3,8 +3,8 @@
 //! A protocol is a file of its own with a `Conn` that dials, looks whether it is fit for use, and makes one exchange at
 //! a time; [`Conn`] is whichever it is. Dropping an exchange midway, and with it the connection, closes it.
 
-pub(in crate::net) mod addresses;
-pub(in crate::net) mod answers;
+pub(in crate::node) mod addresses;
+pub(in crate::node) mod answers;
 mod http1;
 pub mod servers;
 mod stream;
@@ -15,13 +15,13 @@
 use std::time::{Duration, Instant};
 
 use bytes::Bytes;
-use control::Counter;
+use admin::Counter;
 use hyper::header::{HeaderMap, HeaderValue};
 use hyper::{Method, StatusCode, Uri};
 use pool::{Address, Broke, Closed, Sent};
 
-use crate::net::front::passing::{Passing, Upload};
-use crate::{Ending, Report};
+use crate::node::downstream::passing::{Passing, Upload};
+use balancer::{Ending, Report};
 use stream::Stream;
 
 /// What goes to a server, the same with each attempt but for the deadline.
--- a/src/net/back/servers.rs
+++ b/src/node/upstream/servers.rs
@@ -10,7 +10,7 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-use membership::{Host, State};
+use endpoint_discovery::{Host, State};
 use pool::{
     judge, Action, Address, Age, Closed, ConnId, DialId, Holders, Limits, Next, Pool, Route, RouteId,
     ServerKey, Taken, Ticket, Why,
@@ -18,12 +18,12 @@
 use tokio::sync::oneshot;
 use tokio::task::AbortHandle;
 
-use crate::net::back::addresses::{routes, AllSaid};
-use crate::net::back::{Conn, Ended, Message, Served};
-use crate::net::clock::{Alarm, Clock};
-use crate::net::config::Config;
-use crate::net::operate::log;
-use crate::{Ending, ServerId};
+use crate::node::upstream::addresses::{routes, AllSaid};
+use crate::node::upstream::{Conn, Ended, Message, Served};
+use crate::node::clock::{Alarm, Clock};
+use crate::node::config::Config;
+use crate::node::admin::log;
+use balancer::{Ending, ServerId};
 
 /// Turns of one attempt. Each takes away an idle connection that has ended or an address that has broken, so this many
 /// are a server that closes what it accepts, again and again.
--- a/src/net/back/servers/tests.rs
+++ b/src/node/upstream/servers/tests.rs
@@ -2,7 +2,7 @@
 use std::pin::pin;
 use std::task::{Context, Waker};
 
-use crate::net::back::RequestBody;
+use crate::node::upstream::RequestBody;
 use bytes::Bytes;
 use hyper::{HeaderMap, Method, Uri};
 
@@ -12,7 +12,7 @@
         uri: Uri::from_static("/api"),
         headers: HeaderMap::new(),
         body: RequestBody::Whole(Bytes::new()),
-        sent: control::Counter::default(),
+        sent: admin::Counter::default(),
         until: std::cell::Cell::default(),
     })
 }
@@ -131,7 +131,7 @@
         let servers = servers(SocketAddr::from(([127, 0, 0, 1], 1)));
         let _ = servers.say(AllSaid::from([(
             "s-0".to_owned(),
-            crate::net::back::addresses::Said { routes: listed, only: true },
+            crate::node::upstream::addresses::Said { routes: listed, only: true },
         )]));
         servers.update(&[(ServerId(0), &Host::named("s-0"))]);
         // More than the system takes for a connection whose other end reads nothing.
--- a/src/wire.rs
+++ b/src/simulator.rs
@@ -5,7 +5,7 @@
 
 use serde_json::Value;
 
-use crate::interface::*;
+use balancer::*;
 
 /// What is wrong with a line.
 #[derive(Clone, Debug, PartialEq, Eq)]
--- a/tests/close_range.rs
+++ b/tests/close_range.rs
@@ -7,9 +7,9 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-use silverthread::net::config::Config;
-use silverthread::net::driver::Driver;
-use silverthread::net::front::clients::{serve, FrontOptions, Phase};
+use silverthread::node::config::Config;
+use silverthread::node::driver::Driver;
+use silverthread::node::downstream::clients::{serve, FrontOptions, Phase};
 use testkit::*;
 use tokio::sync::watch;
 
--- a/tests/hsq.rs
+++ b/tests/hsq.rs
@@ -208,7 +208,7 @@
 
 #[test]
 fn the_policy_keeps_its_size() {
-    let text = include_str!("../src/choice.rs");
+    let text = include_str!("../crates/balancer/src/choice.rs");
     let lines = text.lines().filter(|l| !l.trim().is_empty()).count();
     assert!(lines <= 1_200, "{lines} lines");
     let widest = text.lines().map(|l| l.chars().count()).max().expect("lines");
@@ -290,7 +290,7 @@
             actions = node.report(id, attempt, 20.0 + random.f64() * 200.0, ending, held);
         }
     }
-    silverthread::wire::spread(&all)
+    silverthread::simulator::spread(&all)
 }
 
 /// Where the list is short every server is looked at, and the choices are those that were recorded before long lists were
--- a/tests/leases.rs
+++ b/tests/leases.rs
@@ -3,7 +3,7 @@
 use std::path::Path;
 use std::time::{Duration, Instant};
 
-use silverthread::net::operate::operators::Operators;
+use silverthread::node::admin::operators::Operators;
 use testkit::{program, until, write_config, Fleet, Link, Load, Node, Register, Trouble};
 
 /// Short, so that a test of several cases takes seconds.
--- a/tests/watches.rs
+++ b/tests/watches.rs
@@ -5,7 +5,7 @@
 use std::sync::{Arc, Barrier};
 use std::time::{Duration, Instant};
 
-use silverthread::net::sources::discovery::COUNTS_AS_TOLD;
+use silverthread::node::discovery::endpoint_list::COUNTS_AS_TOLD;
 use testkit::*;
 
 const HEAD: &str = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
--- a/tests/wire.rs
+++ b/tests/wire.rs
@@ -6,7 +6,7 @@
 const BOOT: &str = r#"BOOT node=node-1 seed=7 facts={"classes": [{"deadline_ms": 800.0, "promise_ms": 400.0, "effect": "retryable", "name": "a"}], "n_instances": 1, "stats": {"fields": ["waiting", "active"], "source": "inline"}}"#;
 
 fn benchlink(input: &str) -> Output {
-    let mut child = Command::new(env!("CARGO_BIN_EXE_silverthread-benchlink"))
+    let mut child = Command::new(env!("CARGO_BIN_EXE_silverthread-simulator-adapter"))
         .stdin(Stdio::piped())
         .stdout(Stdio::piped())
         .stderr(Stdio::piped())
--- a/tests/word.rs
+++ b/tests/word.rs
@@ -173,7 +173,7 @@
     assert!(node.call("HINTS\n").starts_with("400 this node takes no word of servers"));
     let read = |text: &str| {
         let path = std::path::Path::new("file");
-        silverthread::net::operate::operators::Operators::parse(path, text)
+        silverthread::node::admin::operators::Operators::parse(path, text)
             .map(|_| ())
             .expect_err("it makes no sense")
     };
