--- a/src/node/discovery/mod.rs
+++ b/src/node/discovery/mod.rs
@@ -3,7 +3,7 @@
 
 mod connection;
 pub mod consul;
-pub mod discovery;
+pub mod endpoint_list;
 pub mod members;
 pub(in crate::node) mod roster;
 
