--- a/crates/admin/src/call.rs
+++ b/crates/admin/src/call.rs
@@ -38,10 +38,17 @@
 
 impl NodeName {
     fn read(name: &[u8]) -> Option<Self> {
-        let is_name = (1..=MOST_NAME).contains(&name.len()) && name.iter().all(u8::is_ascii_graphic);
+        let is_name =
+            (1..=MOST_NAME).contains(&name.len()) && name.iter().all(u8::is_ascii_graphic);
         let mut bytes = [0; MOST_NAME];
-        bytes.get_mut(..name.len()).filter(|_| is_name)?.copy_from_slice(name);
-        Some(Self { bytes, length: name.len() })
+        bytes
+            .get_mut(..name.len())
+            .filter(|_| is_name)?
+            .copy_from_slice(name);
+        Some(Self {
+            bytes,
+            length: name.len(),
+        })
     }
 
     /// As text.
@@ -71,9 +78,9 @@
 impl fmt::Display for BadCall {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Self::Unknown => {
-                f.write_str("unknown call: READY, STATS, DRAIN, UNDRAIN, MEMBERS, OWNERS and GIVE are known")
-            }
+            Self::Unknown => f.write_str(
+                "unknown call: READY, STATS, DRAIN, UNDRAIN, MEMBERS, OWNERS and GIVE are known",
+            ),
             Self::Give => f.write_str("GIVE takes the number of a shard and the name of a node"),
             Self::TooLong => write!(f, "a call has {MOST_LINE} bytes at the most"),
         }
@@ -121,18 +128,45 @@
     #[test]
     fn calls_are_lines_however_they_end() {
         for end in ["", "\n", "\r\n", " \r\n"] {
-            assert_eq!(Call::read(format!("READY{end}").as_bytes()), Ok(Call::Ready));
-            assert_eq!(Call::read(format!("UNDRAIN{end}").as_bytes()), Ok(Call::Undrain));
+            assert_eq!(
+                Call::read(format!("READY{end}").as_bytes()),
+                Ok(Call::Ready)
+            );
+            assert_eq!(
+                Call::read(format!("UNDRAIN{end}").as_bytes()),
+                Ok(Call::Undrain)
+            );
         }
-        for wrong in ["", "\n", "ready\n", "DRAIN n0\n", "DRAIN\nUNDRAIN\n", "STATS\0"] {
-            assert_eq!(Call::read(wrong.as_bytes()), Err(BadCall::Unknown), "{wrong:?}");
+        for wrong in [
+            "",
+            "\n",
+            "ready\n",
+            "DRAIN n0\n",
+            "DRAIN\nUNDRAIN\n",
+            "STATS\0",
+        ] {
+            assert_eq!(
+                Call::read(wrong.as_bytes()),
+                Err(BadCall::Unknown),
+                "{wrong:?}"
+            );
         }
         assert_eq!(Call::read(&[b' '; MOST_LINE + 1]), Err(BadCall::TooLong));
         let given = Call::read(b"GIVE 7 n1\n")
             .map(|call| matches!(call, Call::Give(7, name) if name.as_str() == "n1"));
         assert_eq!(given, Ok(true));
-        for wrong in ["GIVE 7\n", "GIVE 256 n1\n", "GIVE x n1\n", "GIVE 7 n1 n2\n", "GIVE 7 \n"] {
-            assert_eq!(Call::read(wrong.as_bytes()), Err(BadCall::Give), "{wrong:?}");
+        for wrong in [
+            "GIVE 7\n",
+            "GIVE 256 n1\n",
+            "GIVE x n1\n",
+            "GIVE 7 n1 n2\n",
+            "GIVE 7 \n",
+        ] {
+            assert_eq!(
+                Call::read(wrong.as_bytes()),
+                Err(BadCall::Give),
+                "{wrong:?}"
+            );
         }
     }
 
--- a/crates/admin/src/drain.rs
+++ b/crates/admin/src/drain.rs
@@ -66,9 +66,16 @@
         assert_eq!((drain.admits(), drain.stay(50.0)), (false, Stay::Any));
         assert_eq!(drain.stay(50.0 + LAST_ANSWER_MS), Stay::OneMore);
         drain.begin(50.0 + LAST_ANSWER_MS);
-        assert_eq!(drain.stay(50.0 + LEAVE_MS), Stay::Leave, "a second word does not begin it anew");
+        assert_eq!(
+            drain.stay(50.0 + LEAVE_MS),
+            Stay::Leave,
+            "a second word does not begin it anew"
+        );
         drain.end();
-        assert_eq!((drain.admits(), drain.stay(50.0 + LEAVE_MS)), (true, Stay::Any));
+        assert_eq!(
+            (drain.admits(), drain.stay(50.0 + LEAVE_MS)),
+            (true, Stay::Any)
+        );
     }
 
     proptest! {
--- a/crates/admin/src/figures.rs
+++ b/crates/admin/src/figures.rs
@@ -59,7 +59,12 @@
 impl Figures {
     /// Counts for the classes of these names.
     pub fn new(names: impl IntoIterator<Item = String>) -> Self {
-        let of = |name| Rc::new(OfClass { name, ..OfClass::default() });
+        let of = |name| {
+            Rc::new(OfClass {
+                name,
+                ..OfClass::default()
+            })
+        };
         Self(names.into_iter().map(of).collect())
     }
 
@@ -96,7 +101,11 @@
     #[must_use]
     pub fn add_up(&self) -> bool {
         let ended = |of: &OfClass| {
-            of.served.get() + of.refused.get() + of.failed.get() + of.abandoned.get() + of.open.get()
+            of.served.get()
+                + of.refused.get()
+                + of.failed.get()
+                + of.abandoned.get()
+                + of.open.get()
         };
         self.0.iter().all(|of| of.taken.get() == ended(of))
     }
@@ -158,7 +167,11 @@
     }
     line(format_args!("in_flight"), figures.open(), 'g');
     line(format_args!("servers_known"), now.servers_known as u64, 'g');
-    line(format_args!("servers_excluded"), now.servers_excluded as u64, 'g');
+    line(
+        format_args!("servers_excluded"),
+        now.servers_excluded as u64,
+        'g',
+    );
     text
 }
 
@@ -176,7 +189,13 @@
         drop(figures.take(0));
         figures.attempts(0).add();
         let _open = figures.take(1);
-        let text = render(&figures, Now { servers_known: 12, servers_excluded: 2 });
+        let text = render(
+            &figures,
+            Now {
+                servers_known: 12,
+                servers_excluded: 2,
+            },
+        );
         let wanted = "edge_router.served.avail-read:1|c\nedge_router.refused.avail-read:0|c\n\
             edge_router.failed.avail-read:0|c\nedge_router.attempts.avail-read:1|c\n\
             edge_router.served.hold-place:0|c\nedge_router.refused.hold-place:1|c\n\
--- a/crates/balancer/src/choice.rs
+++ b/crates/balancer/src/choice.rs
@@ -155,16 +155,25 @@
     /// A balancer that knows no server yet. The error names the first setting that makes no sense.
     pub fn new(settings: Settings, seed: u64) -> Result<Self, SettingsError> {
         settings.validate()?;
-        let aim = settings.classes.iter().map(|c| c.aim_ms).sum::<f64>() / settings.classes.len() as f64;
+        let aim =
+            settings.classes.iter().map(|c| c.aim_ms).sum::<f64>() / settings.classes.len() as f64;
         let free = settings.max_attempts as f64;
-        let own = ResendBudget { free, per_request: RETRY_SHARE, span_ms: RETRY_SPAN * aim };
+        let own = ResendBudget {
+            free,
+            per_request: RETRY_SHARE,
+            span_ms: RETRY_SPAN * aim,
+        };
         let cheap = SAMPLE as f64 * settings.probe_price <= PROBE_COST;
         Ok(Self {
             random: fastrand::Rng::with_seed(seed),
             subset: SAMPLE,
             budget: settings.resends.unwrap_or(own),
             // Guards against a first answer that decides alone how long a class takes.
-            classes: settings.classes.iter().map(|class| usual_share(class.aim_ms / aim)).collect(),
+            classes: settings
+                .classes
+                .iter()
+                .map(|class| usual_share(class.aim_ms / aim))
+                .collect(),
             sent_on: vec![Mean::default(); settings.classes.len()],
             kinds: vec![Pace::default(); settings.kinds],
             of_kinds: vec![0.0; settings.kinds.max(1)],
@@ -190,8 +199,17 @@
                 self.actions.push(Action::Subscribe);
             }
             Event::Timer(timer) => self.timer(RequestId(timer >> 3), timer & 7),
-            Event::Probed { server, elapsed_ms, ending, report } => {
-                self.probed(server.0, elapsed_ms, report.filter(|_| ending == Ending::Served));
+            Event::Probed {
+                server,
+                elapsed_ms,
+                ending,
+                report,
+            } => {
+                self.probed(
+                    server.0,
+                    elapsed_ms,
+                    report.filter(|_| ending == Ending::Served),
+                );
             }
             Event::Hint { server, weight } => {
                 if let Some(server) = self.servers.get_mut(&server.0) {
@@ -213,7 +231,11 @@
     #[must_use]
     pub fn servers_excluded(&self, now: f64) -> usize {
         let listed = |s: &&Server| s.entry.availability != Availability::Gone;
-        self.servers.values().filter(listed).filter(|s| !s.is_ready() || s.is_out(now)).count()
+        self.servers
+            .values()
+            .filter(listed)
+            .filter(|s| !s.is_ready() || s.is_out(now))
+            .count()
     }
 
     fn listing(&mut self, listing: Listing) {
@@ -224,7 +246,8 @@
             Listing::Failed => return self.resubscribe(),
         };
         if std::mem::take(&mut self.failed_calls) > 0 {
-            self.actions.push(Action::Note("the list of servers comes again".into()));
+            self.actions
+                .push(Action::Note("the list of servers comes again".into()));
         }
         let subscribe = self.settings.discovery == Discovery::Subscribe;
         if subscribe && !std::mem::replace(&mut self.subscribed, true) {
@@ -242,7 +265,15 @@
                 old => {
                     // What was learned of a process does not hold for its successor.
                     let (out, threshold) = (old.map_or(0, |old| old.out), self.random.f64());
-                    self.servers.insert(at, Server { threshold, entry, out, ..Server::default() });
+                    self.servers.insert(
+                        at,
+                        Server {
+                            threshold,
+                            entry,
+                            out,
+                            ..Server::default()
+                        },
+                    );
                 }
             }
         }
@@ -250,7 +281,9 @@
         // Guards against every node connecting to every server. Nodes start evenly along the ring and keep to
         // the first servers from there that may be used; a change of the list moves few of them.
         let ready = self.servers.iter().filter(|(_, server)| server.is_ready());
-        let mut ring: Vec<_> = ready.map(|(at, server)| (server.entry.place, *at)).collect();
+        let mut ring: Vec<_> = ready
+            .map(|(at, server)| (server.entry.place, *at))
+            .collect();
         ring.sort_unstable();
         let start = self.settings.me * ring.len() / self.settings.nodes;
         ring.rotate_left(start);
@@ -335,13 +368,17 @@
     /// Guards against a lost subscription: without one the node would send to servers long gone.
     fn resubscribe(&mut self) {
         if self.failed_calls == 0 {
-            self.actions.push(Action::Note("the list of servers does not come".into()));
+            self.actions
+                .push(Action::Note("the list of servers does not come".into()));
         }
         self.subscribing = true;
         let most = (self.settings.ask_within_ms * RESUBSCRIBE_MOST).min(LONGEST_RESUBSCRIBE_MS);
         let after_ms = most / 2_f64.powi(4 - self.failed_calls) * (0.5 + 0.5 * self.random.f64());
         self.failed_calls = (self.failed_calls + 1).min(4);
-        self.actions.push(Action::SetTimer { timer: RESUBSCRIBE, after_ms });
+        self.actions.push(Action::SetTimer {
+            timer: RESUBSCRIBE,
+            after_ms,
+        });
     }
 
     /// A report overwrites the count of its server alone.
@@ -355,10 +392,15 @@
     /// The server with the lowest count among the eligible, ties broken at random.
     fn pick(&mut self, held: &mut Held, aim: f64) -> Option<usize> {
         let mut candidates = self.candidates(held);
-        let least =
-            |c: &[Candidate], of: fn(&Candidate) -> f64| c.iter().map(of).fold(f64::INFINITY, f64::min);
+        let least = |c: &[Candidate], of: fn(&Candidate) -> f64| {
+            c.iter().map(of).fold(f64::INFINITY, f64::min)
+        };
         // Guards against refusals all at once: the fewer requests in half an aim, the less is known.
-        let sure = if self.probing { 0.0 } else { (2.0 * self.gap.mean / self.aim).min(1.0) };
+        let sure = if self.probing {
+            0.0
+        } else {
+            (2.0 * self.gap.mean / self.aim).min(1.0)
+        };
         let draw = self.random.f64().powf(sure);
         held.has_room_in(least(&candidates, |c| c.wait) * draw - aim);
         candidates.retain(|c| c.wait * draw <= aim || c.untested || c.cold);
@@ -405,7 +447,9 @@
         }
         let (now, half_life, nodes) = (self.now, self.half_life, self.settings.nodes as f64);
         let effect = self.settings.classes[held.class].effect;
-        let all = self.all.or(now, MEMORY * self.aim, (self.aim / 4.0, 1.0), PRIOR);
+        let all = self
+            .all
+            .or(now, MEMORY * self.aim, (self.aim / 4.0, 1.0), PRIOR);
         let kinds = self.kinds.iter().filter(|_| !self.probing);
         let mut paces = std::mem::take(&mut self.paces);
         paces.clear();
@@ -415,12 +459,20 @@
         let size = |s: &Server| of_kind(s).1 / of_kind(s).0;
         let window = now - self.settings.tip_after_ms;
         let served = self.served.after(window);
-        let most = if self.probing { self.subset } else { self.ring.len() };
+        let most = if self.probing {
+            self.subset
+        } else {
+            self.ring.len()
+        };
         let whom = if pool.is_empty() { &self.ring } else { &pool };
         let subset = || whom.iter().take(most).filter_map(|at| self.servers.get(at));
         let total: f64 = match pool.is_empty() {
             true => subset().map(size).sum(),
-            false => kinds.iter().zip(&self.of_kinds).map(|(of, ready)| ready * of.1 / of.0).sum(),
+            false => kinds
+                .iter()
+                .zip(&self.of_kinds)
+                .map(|(of, ready)| ready * of.1 / of.0)
+                .sum(),
         };
         let counts = subset().filter_map(|s| Some(s.count? / size(s)));
         let mean = counts.clone().sum::<f64>() / counts.count().max(1) as f64;
@@ -428,12 +480,25 @@
         let home = held.ran.map(|first| &held.attempts[first].entry);
         let (mut found, mut candidates) = (0, std::mem::take(&mut self.candidates));
         candidates.clear();
-        for at in if held.heard.is_empty() { whom } else { &held.heard }.iter().copied() {
-            let Some(server) = self.servers.get_mut(&at).filter(|s| s.is_ready()) else { continue };
+        for at in if held.heard.is_empty() {
+            whom
+        } else {
+            &held.heard
+        }
+        .iter()
+        .copied()
+        {
+            let Some(server) = self.servers.get_mut(&at).filter(|s| s.is_ready()) else {
+                continue;
+            };
             if !home.is_none_or(|home| effect.may_move(home, &server.entry)) {
                 continue;
             }
-            let of = if self.probing { all } else { server.pace.or(now, half_life, of_kind(server), PRIOR) };
+            let of = if self.probing {
+                all
+            } else {
+                server.pace.or(now, half_life, of_kind(server), PRIOR)
+            };
             let (pace, size) = (of.0 / of.1, size(server));
             let count = *server.count.get_or_insert(mean * size);
             let warmth = warmth(&self.settings, now, server);
@@ -448,7 +513,10 @@
                 }
             }
             // Guards against servers that turn away one tenant, or class, alone.
-            let full = server.full_for.iter().any(|f| f.0 == held.whom && f.1 > now);
+            let full = server
+                .full_for
+                .iter()
+                .any(|f| f.0 == held.whom && f.1 > now);
             // Guards against a bad server that each node would have to find out by itself.
             let spared = server.spared > 0.0 && self.random.f64() < server.spared;
             let out = server.is_out(now) || spared;
@@ -460,9 +528,17 @@
             let idle_long = server.out == 0 && now - server.pace.at > self.aim * nodes / TRIALS;
             candidates.push(Candidate {
                 server: at,
-                wait: if self.probing { count + 1.0 } else { server.out as f64 + 1.0 } * pace,
+                wait: if self.probing {
+                    count + 1.0
+                } else {
+                    server.out as f64 + 1.0
+                } * pace,
                 rank: if self.probing { count } else { count * pace },
-                untested: if self.probing { count == 0.0 } else { self.informed && (room || idle_long) },
+                untested: if self.probing {
+                    count == 0.0
+                } else {
+                    self.informed && (room || idle_long)
+                },
                 healthy: !full && !out,
                 near: server.entry.zone == self.settings.zone,
                 met: server.met || warmth.is_some(),
@@ -476,7 +552,9 @@
             }
         }
         prefer(&mut candidates, |c| c.healthy);
-        prefer(&mut candidates, |c| held.attempts.iter().all(|a| a.server != c.server));
+        prefer(&mut candidates, |c| {
+            held.attempts.iter().all(|a| a.server != c.server)
+        });
         candidates.truncate(most);
         (self.pool, self.paces) = (pool, paces);
         candidates
@@ -489,7 +567,11 @@
         };
         let held = Held {
             class: request.class,
-            whom: if self.settings.quotas_per_s.len() > 1 { request.tenant } else { request.class },
+            whom: if self.settings.quotas_per_s.len() > 1 {
+                request.tenant
+            } else {
+                request.class
+            },
             lane: request.item.filter(|_| class.in_order),
             taken_at: now,
             gives_up_at: now + request.budget_ms,
@@ -552,7 +634,11 @@
             }
         }
         let first = held.attempts.is_empty();
-        let aim = if first || self.probing { self.worthwhile(&held) } else { f64::INFINITY };
+        let aim = if first || self.probing {
+            self.worthwhile(&held)
+        } else {
+            f64::INFINITY
+        };
         let spare = first || self.spare_resends() >= 1.0;
         let mut server = spare.then(|| self.pick(&mut held, aim)).flatten();
         if first {
@@ -578,17 +664,24 @@
     fn ask(&mut self, at: usize, id: RequestId) {
         let server = self.servers.get_mut(&at).expect("listed");
         if server.asked.is_empty() {
-            self.actions.push(Action::Probe { server: ServerId(at) });
+            self.actions.push(Action::Probe {
+                server: ServerId(at),
+            });
         }
         server.asked.push(id);
     }
 
     fn set(&mut self, id: RequestId, kind: u64, after_ms: f64) {
-        self.actions.push(Action::SetTimer { timer: id.0 << 3 | kind, after_ms });
+        self.actions.push(Action::SetTimer {
+            timer: id.0 << 3 | kind,
+            after_ms,
+        });
     }
 
     fn probed(&mut self, at: usize, elapsed_ms: f64, report: Option<Report>) {
-        let Some(server) = self.servers.get_mut(&at) else { return };
+        let Some(server) = self.servers.get_mut(&at) else {
+            return;
+        };
         let waiting = std::mem::take(&mut server.asked);
         let Some(report) = report else { return };
         self.report(at, Some(report));
@@ -597,10 +690,16 @@
             self.probing = false; // Its probes wait as requests do: they tell too late.
         }
         for id in waiting {
-            let Some(mut held) = self.held.remove(&id) else { continue };
+            let Some(mut held) = self.held.remove(&id) else {
+                continue;
+            };
             let due = |a: &Attempt| a.expected.max(ASK_PART * self.aim);
             let late = |a: &Attempt| a.open && a.server == at && self.now - a.sent_at >= due(a);
-            let overdue = held.attempts.iter().position(late).filter(|_| self.settings.cancel);
+            let overdue = held
+                .attempts
+                .iter()
+                .position(late)
+                .filter(|_| self.settings.cancel);
             if held.asked.contains(&at) {
                 held.heard.push(at);
                 if held.heard.len() == held.asked.len() {
@@ -611,8 +710,13 @@
                 // Guards against answers that are lost, whatever the cause: it holds nothing, so it will not
                 // answer any more, and the connection it came by may be dead.
                 if report.in_flight.is_some_and(|n| n < 0.5) {
-                    self.actions.push(Action::Cancel { request: id, attempt });
-                    self.actions.push(Action::Close { server: ServerId(at) });
+                    self.actions.push(Action::Cancel {
+                        request: id,
+                        attempt,
+                    });
+                    self.actions.push(Action::Close {
+                        server: ServerId(at),
+                    });
                 } else {
                     self.set(id, OVERDUE, self.aim * AGAIN);
                 }
@@ -623,9 +727,19 @@
 
     /// Forgets keys that have rested and that nobody waits for; all rest equally long, so they come in order.
     fn wake_lanes(&mut self) {
-        while self.resting.front().is_some_and(|(until, _)| *until <= self.now) {
-            let Some((_, key)) = self.resting.pop_front() else { return };
-            if self.lanes.get(&key).is_some_and(|l| l.queue.is_empty() && l.rests_until <= self.now) {
+        while self
+            .resting
+            .front()
+            .is_some_and(|(until, _)| *until <= self.now)
+        {
+            let Some((_, key)) = self.resting.pop_front() else {
+                return;
+            };
+            if self
+                .lanes
+                .get(&key)
+                .is_some_and(|l| l.queue.is_empty() && l.rests_until <= self.now)
+            {
                 self.lanes.remove(&key);
             }
         }
@@ -633,7 +747,9 @@
 
     /// A request is over, with no attempt out: the next one of its key may run.
     fn over(&mut self, id: RequestId, key: Option<&str>) {
-        let Some(lane) = key.and_then(|key| self.lanes.get_mut(key)) else { return };
+        let Some(lane) = key.and_then(|key| self.lanes.get_mut(key)) else {
+            return;
+        };
         let was = lane.queue.front().copied();
         lane.queue.retain(|waits| *waits != id);
         let rest = lane.rests_until - self.now;
@@ -641,7 +757,9 @@
             self.lanes.remove(key.unwrap_or_default());
             return;
         }
-        let Some(next) = lane.queue.front().copied().filter(|_| was == Some(id)) else { return };
+        let Some(next) = lane.queue.front().copied().filter(|_| was == Some(id)) else {
+            return;
+        };
         if rest > 0.0 {
             return self.set(next, TURN, rest);
         }
@@ -650,11 +768,17 @@
     }
 
     fn timer(&mut self, id: RequestId, kind: u64) {
-        let Some(held) = self.held.remove(&id) else { return };
+        let Some(held) = self.held.remove(&id) else {
+            return;
+        };
         let lane = held.lane.as_deref().and_then(|key| self.lanes.get(key));
         let turn = lane.is_some_and(|l| l.queue.front() == Some(&id) && l.rests_until <= self.now);
         let (unsent, asking) = (held.attempts.is_empty(), !held.asked.is_empty());
-        let overdue = held.attempts.iter().find(|a| a.open).filter(|_| !held.answered && !asking);
+        let overdue = held
+            .attempts
+            .iter()
+            .find(|a| a.open)
+            .filter(|_| !held.answered && !asking);
         match kind {
             WAITED if unsent => return self.leave(id, held),
             TURN if unsent && !asking && turn => return self.place(id, held),
@@ -668,7 +792,8 @@
     /// Guards the budget of further attempts: how many more it allows.
     fn spare_resends(&mut self) -> f64 {
         let since = self.now - self.budget.span_ms;
-        let allowed = self.budget.free + self.budget.per_request * self.taken.after(since + EDGE_MS);
+        let allowed =
+            self.budget.free + self.budget.per_request * self.taken.after(since + EDGE_MS);
         allowed - self.resent.after(since - EDGE_MS)
     }
 
@@ -684,8 +809,13 @@
         let worth = if best > 0.0 { own / best } else { 1.0 };
         // Guards against queues that grow for as long as a node takes to hear of them: what is cold cannot
         // take its part of the work yet, and the others have it at once.
-        let warm = if self.informed || self.probing { 1.0 } else { self.warm };
-        let part = warm * AIM_PART[usize::from(self.probing)] * (LEAST_AIM + (1.0 - LEAST_AIM) * worth);
+        let warm = if self.informed || self.probing {
+            1.0
+        } else {
+            self.warm
+        };
+        let part =
+            warm * AIM_PART[usize::from(self.probing)] * (LEAST_AIM + (1.0 - LEAST_AIM) * worth);
         if self.probing {
             let aim = held.taken_at + self.settings.classes[held.class].aim_ms;
             return (aim.min(held.gives_up_at) - self.now) * part;
@@ -700,7 +830,10 @@
         // A distant aim must not let low worth fill the queues in which worthier classes would be late.
         let worthier = (0..self.classes.len()).filter(|k| *k == held.class || density(*k) > own);
         let aim = |k: usize| self.settings.classes[k].aim_ms / self.classes[k].mean;
-        worthier.map(aim).fold(held.gives_up_at - self.now, f64::min) * part
+        worthier
+            .map(aim)
+            .fold(held.gives_up_at - self.now, f64::min)
+            * part
     }
 
     fn send(&mut self, id: RequestId, held: &mut Held, at: usize) {
@@ -708,22 +841,35 @@
         // Guards against idle connections that are dropped unseen. A few are used, to see when that ends.
         let mut idle = server.met && server.out == 0 && self.now - server.used_at > self.aim;
         if idle && self.lost[1].mean > self.lost[0].mean + LOST_MORE && self.random.f64() > GAIN {
-            self.actions.push(Action::Close { server: ServerId(at) });
+            self.actions.push(Action::Close {
+                server: ServerId(at),
+            });
             idle = false;
         }
         server.used_at = self.now;
         server.out += 1;
         server.count = server.count.map(|count| count + 1.0);
-        if server.entry.started_at.is_some_and(|at| self.now - at < self.settings.cold_ms) {
+        if server
+            .entry
+            .started_at
+            .is_some_and(|at| self.now - at < self.settings.cold_ms)
+        {
             server.cold_sends.push(self.now);
         }
         if !held.attempts.is_empty() {
             self.resent.push(self.now);
         }
-        let depth = server.count.filter(|_| self.probing).unwrap_or(server.out as f64);
+        let depth = server
+            .count
+            .filter(|_| self.probing)
+            .unwrap_or(server.out as f64);
         held.asked.clear();
         // What an answer takes where so many requests are, by what all servers have shown.
-        let deep = if self.probing { depth / self.all.depth.mean.max(1.0) } else { 1.0 };
+        let deep = if self.probing {
+            depth / self.all.depth.mean.max(1.0)
+        } else {
+            1.0
+        };
         let expected = self.all.latency.mean * deep;
         let entry = server.entry.clone();
         held.attempts.push(Attempt {
@@ -736,7 +882,10 @@
             open: true,
         });
         held.ran = held.ran.or(Some(held.attempts.len() - 1));
-        self.actions.push(Action::Send { request: id, server: ServerId(at) });
+        self.actions.push(Action::Send {
+            request: id,
+            server: ServerId(at),
+        });
         if self.probing && self.settings.cancel && expected > 0.0 && self.may_repeat(held) {
             let usual = self.classes[held.class];
             self.set(id, OVERDUE, (usual.mean + usual.deviation) * expected);
@@ -745,7 +894,9 @@
 
     fn outcome(&mut self, outcome: &Outcome) {
         let (id, tried) = (outcome.request, outcome.attempt);
-        let Some(mut held) = self.held.remove(&id) else { return };
+        let Some(mut held) = self.held.remove(&id) else {
+            return;
+        };
         if !held.attempts.get(tried).is_some_and(|a| a.open) {
             self.held.insert(id, held);
             return;
@@ -760,10 +911,19 @@
         if held.ran == Some(tried) && !outcome.ending.may_have_run() {
             held.ran = None;
         }
-        let may_run = matches!(outcome.ending, Ending::TimedOut | Ending::Reset | Ending::Cancelled);
-        if let Some(lane) = held.lane.as_deref().filter(|_| may_run).and_then(|key| self.lanes.get_mut(key)) {
+        let may_run = matches!(
+            outcome.ending,
+            Ending::TimedOut | Ending::Reset | Ending::Cancelled
+        );
+        if let Some(lane) = held
+            .lane
+            .as_deref()
+            .filter(|_| may_run)
+            .and_then(|key| self.lanes.get_mut(key))
+        {
             lane.rests_until = self.now + self.settings.key_quiet_ms;
-            self.resting.extend(held.lane.clone().map(|key| (lane.rests_until, key)));
+            self.resting
+                .extend(held.lane.clone().map(|key| (lane.rests_until, key)));
         }
         held.answered |= outcome.complete;
         self.place(id, held);
@@ -771,7 +931,11 @@
 
     /// Guards against answers after the client's time: what remains must do for asking and for the answer.
     fn too_late(&self, held: &Held) -> bool {
-        let asking = if self.probing { 3.0 * ASK_PART * self.aim } else { 0.0 };
+        let asking = if self.probing {
+            3.0 * ASK_PART * self.aim
+        } else {
+            0.0
+        };
         self.now + asking >= held.gives_up_at
     }
 
@@ -780,7 +944,9 @@
         let first = held.ran.map(|i| held.attempts[i].sent_at);
         let allowed = match (first, self.settings.classes[held.class].effect) {
             (None, _) | (_, Effect::Safe) => true,
-            (Some(sent), Effect::Keyed { window_ms, .. }) => self.now - sent < window_ms * WINDOW_PART,
+            (Some(sent), Effect::Keyed { window_ms, .. }) => {
+                self.now - sent < window_ms * WINDOW_PART
+            }
             (Some(_), Effect::Unsafe) => false,
         };
         allowed && held.attempts.len() < self.settings.max_attempts
@@ -794,10 +960,14 @@
             self.held.insert(request, held);
             return;
         }
-        let harmless = held.ran.is_none() || self.settings.classes[held.class].effect.may_be_refused();
+        let harmless =
+            held.ran.is_none() || self.settings.classes[held.class].effect.may_be_refused();
         match (held.answered, harmless) {
             (true, _) => {}
-            (false, true) => self.actions.push(Action::Refuse { request, after_ms: held.room_in }),
+            (false, true) => self.actions.push(Action::Refuse {
+                request,
+                after_ms: held.room_in,
+            }),
             (false, false) => self.actions.push(Action::Fail { request }),
         }
         self.over(request, held.lane.as_deref());
@@ -808,11 +978,14 @@
     }
 
     fn client_gone(&mut self, request: RequestId) {
-        let Some(mut held) = self.held.remove(&request) else { return };
+        let Some(mut held) = self.held.remove(&request) else {
+            return;
+        };
         held.answered = true;
         if self.settings.cancel {
             let open = held.attempts.iter().enumerate().filter(|(_, a)| a.open);
-            self.actions.extend(open.map(|(attempt, _)| Action::Cancel { request, attempt }));
+            self.actions
+                .extend(open.map(|(attempt, _)| Action::Cancel { request, attempt }));
         }
         self.leave(request, held);
     }
@@ -829,8 +1002,16 @@
             let lost = matches!(outcome.ending, Ending::TimedOut | Ending::Cancelled);
             self.lost[usize::from(attempt.idle)].add(f64::from(u8::from(lost)), GAIN);
         }
-        server.spoilt = if outcome.ending == Ending::Spoilt { server.spoilt + 1 } else { 0 };
-        server.broken = if outcome.ending == Ending::Reset { server.broken + 1 } else { 0 };
+        server.spoilt = if outcome.ending == Ending::Spoilt {
+            server.spoilt + 1
+        } else {
+            0
+        };
+        server.broken = if outcome.ending == Ending::Reset {
+            server.broken + 1
+        } else {
+            0
+        };
         // Guards against taking a connection that fell silent for a server that hangs or is crowded: that one
         // has answered what was sent later.
         let overtaken = server.answered_sent_at > attempt.sent_at;
@@ -859,8 +1040,11 @@
             if expected > 0.0 && self.all.seen(now, MEMORY * self.aim) >= 1.0 / GAIN {
                 self.classes[class].add(elapsed / expected, GAIN / 4.0);
             }
-            self.all.add(now, MEMORY * self.aim, elapsed, depth, GAIN / 4.0);
-            server.pace.add(now, half_life, elapsed / usual.mean, depth, GAIN);
+            self.all
+                .add(now, MEMORY * self.aim, elapsed, depth, GAIN / 4.0);
+            server
+                .pace
+                .add(now, half_life, elapsed / usual.mean, depth, GAIN);
             if let Some(kind) = self.kinds.get_mut(server.entry.kind) {
                 kind.add(now, half_life, elapsed / usual.mean, depth, GAIN / 4.0);
             }
@@ -873,12 +1057,18 @@
             self.served.push(now);
             server.answered_sent_at = server.answered_sent_at.max(attempt.sent_at);
             if server.ejected_until.take().is_some() {
-                self.actions.push(Action::Note(format!("server {at} is back")));
+                self.actions
+                    .push(Action::Note(format!("server {at} is back")));
             }
         } else if failed && server.ejected_until.is_none_or(|until| until <= now) {
             // Guards against servers that fail quickly, hang or cannot be reached: counts alone favour them.
-            if server.ejected_until.replace(now + EJECT * self.aim).is_none() {
-                self.actions.push(Action::Note(format!("server {at} is taken out")));
+            if server
+                .ejected_until
+                .replace(now + EJECT * self.aim)
+                .is_none()
+            {
+                self.actions
+                    .push(Action::Note(format!("server {at} is taken out")));
             }
         }
     }
@@ -894,7 +1084,11 @@
 /// goes by: half of an answer's time is taken to be its own work, in proportion to its aim, and half what all
 /// of them wait.
 fn usual_share(aim: f64) -> Mean {
-    Mean { mean: (1.0 + aim) / 2.0, deviation: 1.0, seen: 1.0 / GAIN }
+    Mean {
+        mean: (1.0 + aim) / 2.0,
+        deviation: 1.0,
+        seen: 1.0 / GAIN,
+    }
 }
 
 /// Leaves those that fit, if there are any.
--- a/crates/balancer/src/interface.rs
+++ b/crates/balancer/src/interface.rs
@@ -44,16 +44,30 @@
     /// Whether a refusal is true of a request that may have run: its repeat has no second effect anywhere.
     #[must_use]
     pub fn may_be_refused(self) -> bool {
-        matches!(self, Self::Safe | Self::Keyed { group: Group::All, .. })
+        matches!(
+            self,
+            Self::Safe
+                | Self::Keyed {
+                    group: Group::All,
+                    ..
+                }
+        )
     }
 
     /// Whether a request that may have run on `first` may be sent to `other` without a second effect.
     #[must_use]
     pub fn may_move(self, first: &ServerEntry, other: &ServerEntry) -> bool {
         match self {
-            Self::Safe | Self::Keyed { group: Group::All, .. } => true,
-            Self::Keyed { group: Group::Zone, .. } => first.zone == other.zone,
-            Self::Keyed { group: Group::Cell, .. } => first.cell == other.cell,
+            Self::Safe
+            | Self::Keyed {
+                group: Group::All, ..
+            } => true,
+            Self::Keyed {
+                group: Group::Zone, ..
+            } => first.zone == other.zone,
+            Self::Keyed {
+                group: Group::Cell, ..
+            } => first.cell == other.cell,
             Self::Unsafe => false,
         }
     }
@@ -78,7 +92,13 @@
     /// A class of worth one whose requests may run in any order.
     #[must_use]
     pub fn new(aim_ms: f64, deadline_ms: f64, effect: Effect) -> Self {
-        Self { aim_ms, deadline_ms, effect, worth: 1.0, in_order: false }
+        Self {
+            aim_ms,
+            deadline_ms,
+            effect,
+            worth: 1.0,
+            in_order: false,
+        }
     }
 }
 
@@ -195,7 +215,13 @@
     ///
     /// Names the first setting that does not.
     pub fn validate(&self) -> Result<(), SettingsError> {
-        let need = |ok: bool, key: &'static str| if ok { Ok(()) } else { Err(SettingsError { key }) };
+        let need = |ok: bool, key: &'static str| {
+            if ok {
+                Ok(())
+            } else {
+                Err(SettingsError { key })
+            }
+        };
         let some = |x: f64| x.is_finite() && x > 0.0;
         let zero_up = |x: f64| x.is_finite() && x >= 0.0;
         need(!self.classes.is_empty(), "classes")?;
@@ -207,7 +233,10 @@
                 need(zero_up(window_ms), "classes[].window_ms")?;
             }
         }
-        need(self.quotas_per_s.iter().all(|q| zero_up(*q)), "quotas_per_s")?;
+        need(
+            self.quotas_per_s.iter().all(|q| zero_up(*q)),
+            "quotas_per_s",
+        )?;
         need(self.nodes > 0, "nodes")?;
         need(some(self.ask_within_ms), "ask_within_ms")?;
         need(self.max_attempts > 0, "max_attempts")?;
@@ -283,7 +312,15 @@
     /// A server of the first zone, cell and kind that started long ago.
     #[must_use]
     pub fn new(server: ServerId, availability: Availability) -> Self {
-        Self { server, place: server.0 as u64, availability, started_at: None, cell: 0, zone: 0, kind: 0 }
+        Self {
+            server,
+            place: server.0 as u64,
+            availability,
+            started_at: None,
+            cell: 0,
+            zone: 0,
+            kind: 0,
+        }
     }
 }
 
@@ -319,7 +356,13 @@
     /// A first try of the first tenant.
     #[must_use]
     pub fn new(id: RequestId, class: usize, budget_ms: f64) -> Self {
-        Self { id, class, tenant: 0, item: None, budget_ms }
+        Self {
+            id,
+            class,
+            tenant: 0,
+            item: None,
+            budget_ms,
+        }
     }
 }
 
--- a/crates/balancer/src/state.rs
+++ b/crates/balancer/src/state.rs
@@ -46,8 +46,12 @@
     /// Mean latency and depth, the own outcomes weighed against what is known beyond them.
     pub fn or(&self, now: f64, half_life: f64, prior: (f64, f64), prior_weight: f64) -> (f64, f64) {
         let weight = self.seen(now, half_life);
-        let mix = |own: f64, prior: f64| (own * weight + prior * prior_weight) / (weight + prior_weight);
-        (mix(self.latency.mean, prior.0), mix(self.depth.mean, prior.1))
+        let mix =
+            |own: f64, prior: f64| (own * weight + prior * prior_weight) / (weight + prior_weight);
+        (
+            mix(self.latency.mean, prior.0),
+            mix(self.depth.mean, prior.1),
+        )
     }
 }
 
@@ -105,7 +109,8 @@
 
     /// Whether it is taken out, or on a trial that has not ended.
     pub fn is_out(&self, now: f64) -> bool {
-        self.ejected_until.is_some_and(|until| until > now || self.out > 0)
+        self.ejected_until
+            .is_some_and(|until| until > now || self.out > 0)
     }
 
     /// Whether nothing can be heard of it any more. Guards against a node that remembers every server there ever
--- a/crates/consul/src/elements.rs
+++ b/crates/consul/src/elements.rs
@@ -71,11 +71,18 @@
             match self.at {
                 At::Text(depth) => {
                     // Most bytes are here: they are passed over in a loop of their own.
-                    let Some(stop) = piece[i..].iter().position(|byte| matches!(byte, b'"' | b'\\')) else {
+                    let Some(stop) = piece[i..]
+                        .iter()
+                        .position(|byte| matches!(byte, b'"' | b'\\'))
+                    else {
                         break;
                     };
                     i += stop;
-                    self.at = if piece[i] == b'"' { At::Within(depth) } else { At::Escape(depth) };
+                    self.at = if piece[i] == b'"' {
+                        At::Within(depth)
+                    } else {
+                        At::Escape(depth)
+                    };
                 }
                 At::Escape(depth) => self.at = At::Text(depth),
                 At::Within(depth) => match byte {
@@ -149,7 +156,9 @@
     fn cut(pieces: &[&[u8]]) -> Result<Vec<String>, NotAnArray> {
         let (mut elements, mut all) = (Elements::default(), Vec::new());
         for piece in pieces {
-            elements.push(piece, |element| all.push(String::from_utf8_lossy(element).into_owned()))?;
+            elements.push(piece, |element| {
+                all.push(String::from_utf8_lossy(element).into_owned())
+            })?;
         }
         elements.end()?;
         Ok(all)
@@ -159,24 +168,49 @@
     fn elements_are_the_same_wherever_the_pieces_are_cut() {
         let text = br#" [ {"a": "],}\"\\", "b": [1, {}]} , 7,"x, y" , [ ] ] "#;
         let whole = cut(&[text]).expect("an array");
-        assert_eq!(whole, [r#"{"a": "],}\"\\", "b": [1, {}]}"#, "7", r#""x, y""#, "[ ]"]);
+        assert_eq!(
+            whole,
+            [r#"{"a": "],}\"\\", "b": [1, {}]}"#, "7", r#""x, y""#, "[ ]"]
+        );
         for first in 0..text.len() {
             for second in first..text.len() {
                 let pieces = [&text[..first], &text[first..second], &text[second..]];
-                assert_eq!(cut(&pieces), Ok(whole.clone()), "cut at {first} and {second}");
+                assert_eq!(
+                    cut(&pieces),
+                    Ok(whole.clone()),
+                    "cut at {first} and {second}"
+                );
             }
         }
         let end = text.iter().rposition(|byte| *byte == b']').expect("an end");
         for short in 0..=end {
-            assert_eq!(cut(&[&text[..short]]), Err(NotAnArray::Cut), "the first {short} bytes");
+            assert_eq!(
+                cut(&[&text[..short]]),
+                Err(NotAnArray::Cut),
+                "the first {short} bytes"
+            );
         }
         assert_eq!(cut(&[b"[]"]), Ok(vec![]));
     }
 
     #[test]
     fn what_is_no_array_is_refused() {
-        for text in ["{}", "null", "[,]", "[1,]", "[1,,2]", "]", "x", "[}", "\u{feff}[]"] {
-            assert_eq!(cut(&[text.as_bytes()]), Err(NotAnArray::Malformed), "{text}");
+        for text in [
+            "{}",
+            "null",
+            "[,]",
+            "[1,]",
+            "[1,,2]",
+            "]",
+            "x",
+            "[}",
+            "\u{feff}[]",
+        ] {
+            assert_eq!(
+                cut(&[text.as_bytes()]),
+                Err(NotAnArray::Malformed),
+                "{text}"
+            );
         }
         assert_eq!(cut(&[b"[] []"]), Err(NotAnArray::Behind));
         let large = format!("[\"{}\"]", "x".repeat(MOST_ELEMENT));
--- a/crates/consul/src/head.rs
+++ b/crates/consul/src/head.rs
@@ -24,7 +24,12 @@
         let mut head = Self::default();
         for (name, value) in headers {
             let value = value.trim();
-            let number = || value.parse::<f64>().ok().filter(|x| x.is_finite() && *x >= 0.0);
+            let number = || {
+                value
+                    .parse::<f64>()
+                    .ok()
+                    .filter(|x| x.is_finite() && *x >= 0.0)
+            };
             match name.to_ascii_lowercase().as_str() {
                 "x-consul-index" => head.index = value.parse().ok(),
                 "x-consul-knownleader" => head.known_leader = value.parse().ok(),
@@ -41,7 +46,8 @@
     #[must_use]
     pub fn is_stale(&self, most_ms: f64) -> bool {
         let cached_for = self.age_s.filter(|_| self.cached).unwrap_or(0.0) * 1e3;
-        self.known_leader == Some(false) || self.last_contact_ms.unwrap_or(0.0) + cached_for > most_ms
+        self.known_leader == Some(false)
+            || self.last_contact_ms.unwrap_or(0.0) + cached_for > most_ms
     }
 }
 
@@ -53,12 +59,19 @@
     fn an_answer_without_a_leader_or_of_too_long_ago_is_stale() {
         let stale = |headers: &[(&str, &str)]| Head::read(headers).is_stale(5_000.0);
         assert!(!stale(&[]));
-        assert!(!stale(&[("X-Consul-KnownLeader", "true"), ("X-Consul-LastContact", "5000")]));
+        assert!(!stale(&[
+            ("X-Consul-KnownLeader", "true"),
+            ("X-Consul-LastContact", "5000")
+        ]));
         assert!(stale(&[("X-Consul-KnownLeader", "false")]));
         assert!(stale(&[("x-consul-lastcontact", "5001")]));
         assert!(stale(&[("X-Cache", "HIT"), ("Age", "6")]));
         assert!(!stale(&[("X-Cache", "MISS"), ("Age", "6")]));
-        assert!(stale(&[("X-Cache", "HIT"), ("Age", "3"), ("X-Consul-LastContact", "3000")]));
+        assert!(stale(&[
+            ("X-Cache", "HIT"),
+            ("Age", "3"),
+            ("X-Consul-LastContact", "3000")
+        ]));
     }
 
     #[test]
@@ -70,6 +83,9 @@
             ("Age", "1e999"),
         ]);
         assert_eq!(head, Head::default());
-        assert_eq!(Head::read(&[("x-consul-index", " 18446744073709551615 ")]).index, Some(u64::MAX));
+        assert_eq!(
+            Head::read(&[("x-consul-index", " 18446744073709551615 ")]).index,
+            Some(u64::MAX)
+        );
     }
 }
--- a/crates/consul/src/instance.rs
+++ b/crates/consul/src/instance.rs
@@ -175,12 +175,18 @@
         let malformed = |error: serde_json::Error| Malformed(error.to_string());
         match api {
             Api::Health => Self::from_health(serde_json::from_slice(element).map_err(malformed)?),
-            Api::Catalog => serde_json::from_slice(element).map(Self::from_catalog).map_err(malformed),
+            Api::Catalog => serde_json::from_slice(element)
+                .map(Self::from_catalog)
+                .map_err(malformed),
         }
     }
 
     fn from_health(raw: RawHealth) -> Result<Self, Malformed> {
-        let checks = raw.checks.unwrap_or_default().into_iter().map(RawCheck::read);
+        let checks = raw
+            .checks
+            .unwrap_or_default()
+            .into_iter()
+            .map(RawCheck::read);
         Ok(Self {
             node: raw.node.node,
             node_address: raw.node.address,
@@ -217,14 +223,19 @@
     /// What its checks say together: the gravest.
     #[must_use]
     pub fn status(&self) -> Status {
-        self.checks.iter().map(|check| check.status).max().unwrap_or(Status::Passing)
+        self.checks
+            .iter()
+            .map(|check| check.status)
+            .max()
+            .unwrap_or(Status::Passing)
     }
 }
 
 impl RawCheck {
     /// Maintenance mode is a critical check of a reserved id.
     fn read(self) -> Result<Check, Malformed> {
-        let is_reserved = self.id == "_node_maintenance" || self.id.starts_with("_service_maintenance");
+        let is_reserved =
+            self.id == "_node_maintenance" || self.id.starts_with("_service_maintenance");
         let status = match self.status.as_str() {
             "passing" => Status::Passing,
             "warning" => Status::Warning,
@@ -233,12 +244,18 @@
             "maintenance" => Status::Maintenance,
             other => return Err(Malformed(format!("a check's status is {other:?}"))),
         };
-        Ok(Check { id: self.id, status })
+        Ok(Check {
+            id: self.id,
+            status,
+        })
     }
 }
 
 fn tagged(raw: Option<HashMap<String, RawAddress>>) -> HashMap<String, (String, u16)> {
-    raw.unwrap_or_default().into_iter().map(|(tag, at)| (tag, (at.address, at.port))).collect()
+    raw.unwrap_or_default()
+        .into_iter()
+        .map(|(tag, at)| (tag, (at.address, at.port)))
+        .collect()
 }
 
 fn weights(raw: Option<RawWeights>) -> (f64, f64) {
--- a/crates/consul/src/mapping.rs
+++ b/crates/consul/src/mapping.rs
@@ -38,7 +38,11 @@
 
 impl fmt::Display for BadPlace {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "{:?} is none of `service-id`, `node`, `meta:KEY`, `node-meta:KEY`, `tag:PREFIX`", self.0)
+        write!(
+            f,
+            "{:?} is none of `service-id`, `node`, `meta:KEY`, `node-meta:KEY`, `tag:PREFIX`",
+            self.0
+        )
     }
 }
 
@@ -66,7 +70,10 @@
             Self::Node => Some(instance.node.as_str()),
             Self::Meta(key) => instance.meta.get(key).map(String::as_str),
             Self::NodeMeta(key) => instance.node_meta.get(key).map(String::as_str),
-            Self::Tag(prefix) => instance.tags.iter().find_map(|tag| tag.strip_prefix(prefix.as_str())),
+            Self::Tag(prefix) => instance
+                .tags
+                .iter()
+                .find_map(|tag| tag.strip_prefix(prefix.as_str())),
         };
         value.filter(|value| !value.is_empty())
     }
@@ -173,7 +180,11 @@
     /// What names the server is missing.
     pub fn read(&self, instance: &Instance) -> Result<Said, Unusable> {
         let status = instance.status();
-        let by_checks = if status == Status::Passing { instance.weights.0 } else { instance.weights.1 };
+        let by_checks = if status == Status::Passing {
+            instance.weights.0
+        } else {
+            instance.weights.1
+        };
         let facts = Facts {
             address: self.address(instance),
             others: self.others(instance),
@@ -187,20 +198,38 @@
             Named::Id(place) => place.of(instance).map(str::to_owned),
             Named::Address => facts.address.map(|address| address.to_string()),
         };
-        let key = key.ok_or_else(|| Unusable { id: instance.id.clone() })?;
-        Ok(Said { key, state: self.state(instance, status), facts, registered: instance.index })
+        let key = key.ok_or_else(|| Unusable {
+            id: instance.id.clone(),
+        })?;
+        Ok(Said {
+            key,
+            state: self.state(instance, status),
+            facts,
+            registered: instance.index,
+        })
     }
 
     /// The gravest of what its checks, its tags and its meta data make it.
     fn state(&self, instance: &Instance, status: Status) -> State {
         let by_checks = self.states[status as usize];
-        let tags = self.tags.iter().filter(|(tag, _)| instance.tags.contains(tag)).map(|(_, state)| *state);
-        let meta = self.meta.iter().filter(|(key, value, _)| instance.meta.get(key) == Some(value));
-        tags.chain(meta.map(|(_, _, state)| *state)).fold(by_checks, State::max)
+        let tags = self
+            .tags
+            .iter()
+            .filter(|(tag, _)| instance.tags.contains(tag))
+            .map(|(_, state)| *state);
+        let meta = self
+            .meta
+            .iter()
+            .filter(|(key, value, _)| instance.meta.get(key) == Some(value));
+        tags.chain(meta.map(|(_, _, state)| *state))
+            .fold(by_checks, State::max)
     }
 
     fn address(&self, instance: &Instance) -> Option<SocketAddr> {
-        let tagged = self.tagged_address.as_ref().and_then(|tag| instance.tagged.get(tag));
+        let tagged = self
+            .tagged_address
+            .as_ref()
+            .and_then(|tag| instance.tagged.get(tag));
         let (address, port) = match tagged {
             Some((address, port)) => (address, *port),
             None if instance.address.is_empty() => (&instance.node_address, instance.port),
@@ -210,8 +239,13 @@
     }
 
     fn others(&self, instance: &Instance) -> Vec<SocketAddr> {
-        let tagged = self.also_tagged.iter().filter_map(|tag| instance.tagged.get(tag));
-        tagged.filter_map(|(address, port)| socket(address, *port)).collect()
+        let tagged = self
+            .also_tagged
+            .iter()
+            .filter_map(|tag| instance.tagged.get(tag));
+        tagged
+            .filter_map(|(address, port)| socket(address, *port))
+            .collect()
     }
 }
 
--- a/crates/consul/src/query.rs
+++ b/crates/consul/src/query.rs
@@ -75,7 +75,11 @@
         if index > 0 {
             let _ = write!(path, "index={index}&wait={}s&", self.wait_s); // A string takes all.
         }
-        let named = [("dc", &self.datacenter), ("ns", &self.namespace), ("partition", &self.partition)];
+        let named = [
+            ("dc", &self.datacenter),
+            ("ns", &self.namespace),
+            ("partition", &self.partition),
+        ];
         let named = named.into_iter().chain([("filter", &self.filter)]);
         for (name, value) in named.filter_map(|(name, value)| Some((name, value.as_ref()?))) {
             let _ = write!(path, "{name}={}&", encode(value));
@@ -146,13 +150,23 @@
             (Consistency::Consistent, "/v1/health/service/a?consistent"),
             (Consistency::Cached, "/v1/health/service/a?cached"),
         ] {
-            assert_eq!(Query { consistency, ..Query::health("a") }.path(0), path);
+            assert_eq!(
+                Query {
+                    consistency,
+                    ..Query::health("a")
+                }
+                .path(0),
+                path
+            );
         }
     }
 
     #[test]
     fn the_jitter_that_consul_adds_is_waited_for() {
-        let query = Query { wait_s: 160, ..Query::health("a") };
+        let query = Query {
+            wait_s: 160,
+            ..Query::health("a")
+        };
         assert!((query.longest_wait_ms() - 170_000.0).abs() < 1e-6);
     }
 }
--- a/crates/consul/src/watch.rs
+++ b/crates/consul/src/watch.rs
@@ -59,7 +59,13 @@
     /// Settings with the ordinary figures.
     #[must_use]
     pub fn new(query: Query, mapping: Mapping, agents: usize) -> Self {
-        Self { query, mapping, agents: agents.max(1), most_age_ms: 5_000.0, pace_ms: 100.0 }
+        Self {
+            query,
+            mapping,
+            agents: agents.max(1),
+            most_age_ms: 5_000.0,
+            pace_ms: 100.0,
+        }
     }
 }
 
@@ -244,8 +250,15 @@
     fn ask(&mut self, now: f64, actions: &mut Vec<Action>) {
         self.phase = Phase::Asked(now);
         self.allowance -= 1.0;
-        actions.push(Action::Ask { agent: self.agent, path: self.settings.query.path(self.index) });
-        let wait = if self.index > 0 { self.settings.query.longest_wait_ms() } else { 0.0 };
+        actions.push(Action::Ask {
+            agent: self.agent,
+            path: self.settings.query.path(self.index),
+        });
+        let wait = if self.index > 0 {
+            self.settings.query.longest_wait_ms()
+        } else {
+            0.0
+        };
         actions.push(Action::WakeAt(now + wait + GRACE_MS));
     }
 
@@ -259,18 +272,29 @@
     ) {
         if status != 200 {
             actions.push(Action::HangUp);
-            let trouble =
-                if status == 401 || status == 403 { Trouble::Forbidden } else { Trouble::Status(status) };
+            let trouble = if status == 401 || status == 403 {
+                Trouble::Forbidden
+            } else {
+                Trouble::Status(status)
+            };
             return self.fail(now, trouble, actions);
         }
         self.world.begin();
         let (head, elements) = (Head::read(headers), Elements::default());
-        self.phase = Phase::Reading(Reading { asked_at, begun_at: now, head, elements, bytes: 0 });
+        self.phase = Phase::Reading(Reading {
+            asked_at,
+            begun_at: now,
+            head,
+            elements,
+            bytes: 0,
+        });
         actions.push(Action::WakeAt(now + STALL_MS));
     }
 
     fn body(&mut self, now: f64, piece: &[u8], actions: &mut Vec<Action>) {
-        let Phase::Reading(reading) = &mut self.phase else { return };
+        let Phase::Reading(reading) = &mut self.phase else {
+            return;
+        };
         let (world, settings, mut fits) = (&mut self.world, &self.settings, true);
         reading.bytes += piece.len();
         let until = (now + STALL_MS).min(reading.begun_at + LONGEST_READ_MS);
@@ -293,12 +317,18 @@
     }
 
     fn end(&mut self, now: f64, actions: &mut Vec<Action>) {
-        let Phase::Reading(reading) = std::mem::replace(&mut self.phase, Phase::Resting) else { return };
+        let Phase::Reading(reading) = std::mem::replace(&mut self.phase, Phase::Resting) else {
+            return;
+        };
         if let Err(error) = reading.elements.end() {
             return self.fail(now, Trouble::Answer(error.to_string()), actions);
         }
         if let Some((count, error)) = self.world.malformed() {
-            self.trouble(now, Trouble::Instances(format!("{error} ({count} of them)")), actions);
+            self.trouble(
+                now,
+                Trouble::Instances(format!("{error} ({count} of them)")),
+                actions,
+            );
         }
         if self.world.unusable() > 0 {
             self.trouble(now, Trouble::Nameless(self.world.unusable()), actions);
@@ -323,7 +353,8 @@
         self.stale_row = if stale { self.stale_row + 1 } else { 0 };
         if self.stale_row >= STALE_ROW && self.settings.agents > 1 {
             // It is asked for all that it has: what it has may be no newer, and is of now.
-            (self.stale_row, self.agent, self.index) = (0, (self.agent + 1) % self.settings.agents, 0);
+            (self.stale_row, self.agent, self.index) =
+                (0, (self.agent + 1) % self.settings.agents, 0);
         }
         actions.push(Action::WakeAt(now + self.pause(now, idle || stale)));
     }
@@ -342,7 +373,11 @@
     /// How long to wait until the next query.
     fn pause(&mut self, now: f64, idle: bool) -> f64 {
         let pace = self.settings.pace_ms;
-        self.pause_ms = if idle { (self.pause_ms * 2.0).min(LONGEST_PAUSE_MS) } else { pace };
+        self.pause_ms = if idle {
+            (self.pause_ms * 2.0).min(LONGEST_PAUSE_MS)
+        } else {
+            pace
+        };
         let regained = (now - self.allowed_at) / pace;
         self.allowance = (self.allowance + regained.max(0.0)).min(BURST);
         self.allowed_at = now;
@@ -370,7 +405,8 @@
             if !std::mem::replace(&mut self.is_lost, true) {
                 actions.push(Action::Lost);
             }
-            let doubled = BACKOFF_MS[0] * 2_f64.powi((self.failures - agents).min(MOST_DOUBLINGS) as i32);
+            let doubled =
+                BACKOFF_MS[0] * 2_f64.powi((self.failures - agents).min(MOST_DOUBLINGS) as i32);
             doubled.min(BACKOFF_MS[1]) * (0.5 + 0.5 * self.random.f64())
         };
         actions.push(Action::WakeAt(now + wait));
@@ -381,7 +417,10 @@
         let this = (self.agent, std::mem::discriminant(&trouble));
         let before = self.troubled.insert(this, now);
         if before.is_none_or(|before| now - before > QUIET_MS) {
-            actions.push(Action::Trouble { agent: self.agent, trouble });
+            actions.push(Action::Trouble {
+                agent: self.agent,
+                trouble,
+            });
         }
     }
 }
--- a/crates/consul/tests/instances.rs
+++ b/crates/consul/tests/instances.rs
@@ -45,17 +45,37 @@
 #[test]
 fn an_instance_of_the_health_api() {
     let said = read(&health("passing"), &mapping());
-    assert_eq!((said.key.as_str(), said.state, said.registered), ("s-1", State::Ready, 12));
+    assert_eq!(
+        (said.key.as_str(), said.state, said.registered),
+        ("s-1", State::Ready, 12)
+    );
     assert_eq!(said.facts.address, "10.1.10.13:8443".parse().ok());
     assert_eq!(said.facts.zone.as_deref(), Some("b"));
     assert_eq!(said.facts.kind.as_deref(), Some("m2"));
-    assert_eq!((said.facts.cell, said.facts.started_at_ms), (Some(3), Some(1.7e12)));
+    assert_eq!(
+        (said.facts.cell, said.facts.started_at_ms),
+        (Some(3), Some(1.7e12))
+    );
     assert_eq!(said.facts.weight.to_bits(), 10_f64.to_bits());
-    assert_eq!(read(&health("warning"), &mapping()).facts.weight.to_bits(), 0_f64.to_bits());
-    for (place, weight) in [("meta:cell", 3_f64), ("meta:zone", 10_f64), ("meta:absent", 10_f64)] {
-        let mapping = Mapping { weight: place.parse().ok(), ..mapping() };
+    assert_eq!(
+        read(&health("warning"), &mapping()).facts.weight.to_bits(),
+        0_f64.to_bits()
+    );
+    for (place, weight) in [
+        ("meta:cell", 3_f64),
+        ("meta:zone", 10_f64),
+        ("meta:absent", 10_f64),
+    ] {
+        let mapping = Mapping {
+            weight: place.parse().ok(),
+            ..mapping()
+        };
         let read = read(&health("passing"), &mapping).facts.weight;
-        assert_eq!(read.to_bits(), weight.to_bits(), "{place}: what is no figure is passed over");
+        assert_eq!(
+            read.to_bits(),
+            weight.to_bits(),
+            "{place}: what is no figure is passed over"
+        );
     }
 }
 
@@ -63,23 +83,48 @@
 fn an_instance_of_the_catalogue() {
     let instance = Instance::read(Api::Catalog, CATALOG.as_bytes()).expect("an instance");
     let said = read(&instance, &mapping());
-    assert_eq!((said.key.as_str(), said.state, said.registered), ("s-1", State::Ready, 52));
-    assert_eq!(said.facts.address, "192.168.10.10:5000".parse().ok(), "the node's, where it has none");
+    assert_eq!(
+        (said.key.as_str(), said.state, said.registered),
+        ("s-1", State::Ready, 52)
+    );
+    assert_eq!(
+        said.facts.address,
+        "192.168.10.10:5000".parse().ok(),
+        "the node's, where it has none"
+    );
     assert_eq!(instance.node_meta["rack"], "r7");
 }
 
 #[test]
 fn tagged_addresses_are_the_servers_where_the_file_says_so() {
-    for (tag, address) in
-        [("lan", "10.1.10.14:8000"), ("lan_ipv6", "[2001:db8::7]:8001"), ("wan", "10.1.10.13:8443")]
-    {
-        let mapping = Mapping { tagged_address: Some(tag.into()), named: Named::Address, ..mapping() };
+    for (tag, address) in [
+        ("lan", "10.1.10.14:8000"),
+        ("lan_ipv6", "[2001:db8::7]:8001"),
+        ("wan", "10.1.10.13:8443"),
+    ] {
+        let mapping = Mapping {
+            tagged_address: Some(tag.into()),
+            named: Named::Address,
+            ..mapping()
+        };
         assert_eq!(read(&health("passing"), &mapping).key, address);
     }
     let also_tagged = vec!["lan_ipv6".into(), "wan_ipv6".into(), "lan".into()];
-    let others = read(&health("passing"), &Mapping { also_tagged, ..mapping() }).facts.others;
+    let others = read(
+        &health("passing"),
+        &Mapping {
+            also_tagged,
+            ..mapping()
+        },
+    )
+    .facts
+    .others;
     let others: Vec<_> = others.iter().map(ToString::to_string).collect();
-    assert_eq!(others, ["[2001:db8::7]:8001", "10.1.10.14:8000"], "those that it has");
+    assert_eq!(
+        others,
+        ["[2001:db8::7]:8001", "10.1.10.14:8000"],
+        "those that it has"
+    );
 }
 
 /// Each status of a check against what the file makes of it.
@@ -94,25 +139,41 @@
     for (status, state) in ordinary {
         assert_eq!(read(&health(status), &mapping()).state, state, "{status}");
     }
-    let strict =
-        Mapping { states: [State::Ready, State::Draining, State::Draining, State::Gone], ..mapping() };
-    for (status, state) in ordinary.into_iter().zip(strict.states).map(|((status, _), state)| (status, state))
+    let strict = Mapping {
+        states: [State::Ready, State::Draining, State::Draining, State::Gone],
+        ..mapping()
+    };
+    for (status, state) in ordinary
+        .into_iter()
+        .zip(strict.states)
+        .map(|((status, _), state)| (status, state))
     {
         assert_eq!(read(&health(status), &strict).state, state, "{status}");
     }
-    let by_tag = Mapping { tags: vec![("primary".into(), State::Draining)], ..mapping() };
+    let by_tag = Mapping {
+        tags: vec![("primary".into(), State::Draining)],
+        ..mapping()
+    };
     assert_eq!(read(&health("passing"), &by_tag).state, State::Draining);
     assert_eq!(read(&health("critical"), &by_tag).state, State::Gone);
-    let by_meta = Mapping { meta: vec![("zone".into(), "b".into(), State::Draining)], ..mapping() };
+    let by_meta = Mapping {
+        meta: vec![("zone".into(), "b".into(), State::Draining)],
+        ..mapping()
+    };
     assert_eq!(read(&health("passing"), &by_meta).state, State::Draining);
-    let other = Mapping { meta: vec![("zone".into(), "c".into(), State::Draining)], ..mapping() };
+    let other = Mapping {
+        meta: vec![("zone".into(), "c".into(), State::Draining)],
+        ..mapping()
+    };
     assert_eq!(read(&health("passing"), &other).state, State::Ready);
 }
 
 #[test]
 fn maintenance_mode_is_told_from_a_failing_check() {
     for id in ["_node_maintenance", "_service_maintenance:holds-1"] {
-        let text = HEALTH.replace("service:holds", id).replace("STATUS", "critical");
+        let text = HEALTH
+            .replace("service:holds", id)
+            .replace("STATUS", "critical");
         let instance = Instance::read(Api::Health, text.as_bytes()).expect("an instance");
         assert_eq!(instance.status(), Status::Maintenance, "{id}");
         assert_eq!(read(&instance, &mapping()).state, State::Draining);
@@ -121,11 +182,22 @@
 
 #[test]
 fn what_names_no_server_is_unusable() {
-    let nowhere = Mapping { named: Named::Id(Place::Meta("absent".into())), ..mapping() };
-    assert_eq!(nowhere.read(&health("passing")).expect_err("no name").id, "holds-1");
-    let named = HEALTH.replace("10.1.10.13", "holds.example").replace("STATUS", "passing");
+    let nowhere = Mapping {
+        named: Named::Id(Place::Meta("absent".into())),
+        ..mapping()
+    };
+    assert_eq!(
+        nowhere.read(&health("passing")).expect_err("no name").id,
+        "holds-1"
+    );
+    let named = HEALTH
+        .replace("10.1.10.13", "holds.example")
+        .replace("STATUS", "passing");
     let instance = Instance::read(Api::Health, named.as_bytes()).expect("an instance");
-    let by_address = Mapping { named: Named::Address, ..mapping() };
+    let by_address = Mapping {
+        named: Named::Address,
+        ..mapping()
+    };
     assert!(by_address.read(&instance).is_err(), "no name look-ups");
     assert_eq!(read(&instance, &mapping()).facts.address, None);
 }
--- a/crates/consul/tests/noise.rs
+++ b/crates/consul/tests/noise.rs
@@ -6,7 +6,10 @@
 const SOUND: &str = r#"[{"Node":{"Node":"n","Address":"10.0.0.1"},"Service":{"ID":"a","Port":80,"Weights":{"Passing":1,"Warning":1},"Meta":{"k":"v"}},"Checks":[{"CheckID":"c","Status":"passing"}]}]"#;
 
 fn watch() -> Watch {
-    let mut watch = Watch::new(WatchSettings::new(Query::health("holds"), Mapping::default(), 2), 3);
+    let mut watch = Watch::new(
+        WatchSettings::new(Query::health("holds"), Mapping::default(), 2),
+        3,
+    );
     watch.handle(0.0, Event::Due, &mut Vec::new());
     watch
 }
--- a/crates/consul/tests/watch.rs
+++ b/crates/consul/tests/watch.rs
@@ -23,7 +23,11 @@
 impl Play {
     fn new(agents: usize) -> Self {
         let settings = WatchSettings::new(Query::health("holds"), Mapping::default(), agents);
-        let mut play = Self { watch: Watch::new(settings, 1), now: 0.0, actions: Vec::new() };
+        let mut play = Self {
+            watch: Watch::new(settings, 1),
+            now: 0.0,
+            actions: Vec::new(),
+        };
         play.feed(Event::Due);
         play
     }
@@ -65,12 +69,25 @@
 
     /// A whole answer; what came of its end is left in `actions`.
     fn answer(&mut self, index: u64, body: &str) {
-        self.answer_with(&[("X-Consul-Index", &index.to_string()), ("X-Consul-KnownLeader", "true")], body);
+        self.answer_with(
+            &[
+                ("X-Consul-Index", &index.to_string()),
+                ("X-Consul-KnownLeader", "true"),
+            ],
+            body,
+        );
     }
 
     fn answer_with(&mut self, headers: &[(&str, &str)], body: &str) {
         self.actions.clear();
-        for event in [Event::Head { status: 200, headers }, Event::Body(body.as_bytes()), Event::End] {
+        for event in [
+            Event::Head {
+                status: 200,
+                headers,
+            },
+            Event::Body(body.as_bytes()),
+            Event::End,
+        ] {
             self.watch.handle(self.now, event, &mut self.actions);
         }
     }
@@ -94,19 +111,45 @@
 fn each_answer_is_waited_for_with_the_index_of_the_one_before() {
     let mut play = Play::new(1);
     assert_eq!(play.asked(), (0, "/v1/health/service/holds".into()));
-    play.answer(41, &list(&[instance("a", "passing"), instance("b", "warning")]));
-    assert_eq!((play.news().words.len(), play.news().index, play.news().fresh), (2, 41, true));
+    play.answer(
+        41,
+        &list(&[instance("a", "passing"), instance("b", "warning")]),
+    );
+    assert_eq!(
+        (
+            play.news().words.len(),
+            play.news().index,
+            play.news().fresh
+        ),
+        (2, 41, true)
+    );
     play.wake();
     assert_eq!(play.asked().1, "/v1/health/service/holds?index=41&wait=60s");
-    assert!((play.wake_at() - play.now - 63_750.0 - 5_000.0).abs() < 1.0, "Consul's jitter is waited for");
+    assert!(
+        (play.wake_at() - play.now - 63_750.0 - 5_000.0).abs() < 1.0,
+        "Consul's jitter is waited for"
+    );
     play.now += 30_000.0;
-    play.answer(43, &list(&[instance("a", "critical"), instance("b", "warning")]));
+    play.answer(
+        43,
+        &list(&[instance("a", "critical"), instance("b", "warning")]),
+    );
     let news = play.news();
-    assert_eq!((news.words.len(), news.words[0].key.as_str(), news.words[0].state), (1, "a", State::Gone));
+    assert_eq!(
+        (
+            news.words.len(),
+            news.words[0].key.as_str(),
+            news.words[0].state
+        ),
+        (1, "a", State::Gone)
+    );
     play.wake();
     play.now += 30_000.0;
     play.answer(44, &list(&[instance("b", "warning")]));
-    assert_eq!((play.news().words.len(), play.news().left.as_slice()), (0, ["a".to_owned()].as_slice()));
+    assert_eq!(
+        (play.news().words.len(), play.news().left.as_slice()),
+        (0, ["a".to_owned()].as_slice())
+    );
 }
 
 #[test]
@@ -141,7 +184,10 @@
 fn a_content_that_changes_under_one_index_is_a_new_history() {
     let mut play = Play::new(1);
     for turn in 0..4 {
-        play.answer(41, &list(&[instance("a", ["passing", "critical"][turn % 2])]));
+        play.answer(
+            41,
+            &list(&[instance("a", ["passing", "critical"][turn % 2])]),
+        );
         assert_eq!(play.news().history, turn as u64);
         play.wake();
     }
@@ -156,7 +202,11 @@
     assert_eq!((play.news().history, play.news().words.len()), (0, 1));
     play.wake();
     play.answer(43, &list(&[]));
-    assert_eq!((play.news().history, play.news().left.len()), (1, 1), "doubted, and told");
+    assert_eq!(
+        (play.news().history, play.news().left.len()),
+        (1, 1),
+        "doubted, and told"
+    );
 }
 
 /// Guards against a loop that asks as fast as it is answered.
@@ -166,11 +216,17 @@
         let mut play = Play::new(1);
         let mut asked = 0;
         while play.now < 60_000.0 {
-            play.answer_with(&[("X-Consul-Index", index)], &list(&[instance("a", "passing")]));
+            play.answer_with(
+                &[("X-Consul-Index", index)],
+                &list(&[instance("a", "passing")]),
+            );
             play.wake();
             asked += 1;
         }
-        assert!((20..50).contains(&asked), "{asked} times in a minute with index {index}");
+        assert!(
+            (20..50).contains(&asked),
+            "{asked} times in a minute with index {index}"
+        );
     }
 }
 
@@ -185,7 +241,10 @@
         play.wake();
         asked += 1;
     }
-    assert!((90..=110).contains(&asked), "{asked} in ten seconds at a pace of 100 ms");
+    assert!(
+        (90..=110).contains(&asked),
+        "{asked} in ten seconds at a pace of 100 ms"
+    );
 }
 
 /// A change after a quiet while is asked for at once.
@@ -205,11 +264,17 @@
 
 #[test]
 fn what_has_no_leader_or_is_of_long_ago_is_stale_and_another_agent_is_asked() {
-    for header in [("X-Consul-KnownLeader", "false"), ("X-Consul-LastContact", "60000")] {
+    for header in [
+        ("X-Consul-KnownLeader", "false"),
+        ("X-Consul-LastContact", "60000"),
+    ] {
         let mut play = Play::new(2);
         for turn in 0..3 {
             assert_eq!(play.asked().0, 0, "turn {turn}");
-            play.answer_with(&[("X-Consul-Index", "41"), header], &list(&[instance("a", "passing")]));
+            play.answer_with(
+                &[("X-Consul-Index", "41"), header],
+                &list(&[instance("a", "passing")]),
+            );
             assert!(!play.news().fresh);
             play.wake();
         }
@@ -227,7 +292,11 @@
     for agent in [0, 1, 2] {
         assert_eq!(play.asked().0, agent);
         play.feed(Event::Broken("refused".into()));
-        assert_eq!(play.is_lost(), agent == 2, "lost once every agent has failed");
+        assert_eq!(
+            play.is_lost(),
+            agent == 2,
+            "lost once every agent has failed"
+        );
         lost += usize::from(play.is_lost());
         play.wake();
     }
@@ -240,9 +309,16 @@
         play.wake();
     }
     assert_eq!(lost, 1, "told once");
-    assert!(waits.iter().all(|wait| (125.0..=30_000.0).contains(wait)), "{waits:?}");
-    assert!(waits[30..].iter().all(|wait| *wait >= 15_000.0), "{waits:?}");
-    let spread: std::collections::HashSet<_> = waits[30..].iter().map(|wait| *wait as u64).collect();
+    assert!(
+        waits.iter().all(|wait| (125.0..=30_000.0).contains(wait)),
+        "{waits:?}"
+    );
+    assert!(
+        waits[30..].iter().all(|wait| *wait >= 15_000.0),
+        "{waits:?}"
+    );
+    let spread: std::collections::HashSet<_> =
+        waits[30..].iter().map(|wait| *wait as u64).collect();
     assert!(spread.len() > 5, "with jitter");
     // One that answers again is asked for all, and what it says is told.
     play.answer(41, &list(&[instance("a", "passing")]));
@@ -262,7 +338,10 @@
         play.wake();
     }
     assert_eq!(told, 2);
-    play.feed(Event::Head { status: 403, headers: &[] });
+    play.feed(Event::Head {
+        status: 403,
+        headers: &[],
+    });
     assert_eq!(play.troubles(), [&Trouble::Forbidden], "of another kind");
     play.wake();
     for _ in 0..2 {
@@ -281,7 +360,10 @@
         let (mut play, mut told) = (Play::new(1), 0);
         for turn in 0..100 {
             let index = if turn % 2 == 0 { first } else { second };
-            play.answer(index, &list(&[instance("a", ["passing", "critical"][turn % 2])]));
+            play.answer(
+                index,
+                &list(&[instance("a", ["passing", "critical"][turn % 2])]),
+            );
             told += play.troubles().len();
             play.wake();
         }
@@ -295,11 +377,17 @@
         let mut play = Play::new(1);
         play.answer(41, &list(&[instance("a", "passing")]));
         play.wake();
-        play.feed(Event::Head { status, headers: &[("X-Consul-Index", "50")] });
+        play.feed(Event::Head {
+            status,
+            headers: &[("X-Consul-Index", "50")],
+        });
         assert!(play.actions.contains(&Action::HangUp) && play.is_lost());
         play.feed(Event::Body(b"[]"));
         play.feed(Event::End);
-        assert!(play.actions.is_empty(), "what is given up counts for nothing");
+        assert!(
+            play.actions.is_empty(),
+            "what is given up counts for nothing"
+        );
         assert_eq!(play.watch.instances(), 1);
     }
 }
@@ -310,13 +398,26 @@
     for at in 0..body.len() {
         for in_order in [true, false] {
             let mut play = Play::new(1);
-            play.answer(41, &list(&[instance("a", "passing"), instance("c", "passing")]));
+            play.answer(
+                41,
+                &list(&[instance("a", "passing"), instance("c", "passing")]),
+            );
             play.wake();
-            play.feed(Event::Head { status: 200, headers: &[("X-Consul-Index", "50")] });
+            play.feed(Event::Head {
+                status: 200,
+                headers: &[("X-Consul-Index", "50")],
+            });
             play.feed(Event::Body(&body.as_bytes()[..at]));
-            play.feed(if in_order { Event::End } else { Event::Broken("reset".into()) });
+            play.feed(if in_order {
+                Event::End
+            } else {
+                Event::Broken("reset".into())
+            });
             assert!(play.is_lost(), "cut at {at}");
-            assert!(!play.actions.iter().any(|action| matches!(action, Action::Tell(_))));
+            assert!(!play
+                .actions
+                .iter()
+                .any(|action| matches!(action, Action::Tell(_))));
             play.wake();
             play.answer(51, &body);
             assert_eq!((play.news().words.len(), play.news().left.len()), (2, 1));
@@ -335,18 +436,27 @@
     assert!(play.actions.contains(&Action::HangUp));
     assert_eq!(play.troubles(), [&Trouble::Silent]);
     play.wake();
-    play.feed(Event::Head { status: 200, headers: &[] });
+    play.feed(Event::Head {
+        status: 200,
+        headers: &[],
+    });
     let begun = play.now;
     play.feed(Event::Body(b"["));
     play.wake();
-    assert_eq!((play.now - begun, play.actions.contains(&Action::HangUp)), (5_000.0, true));
+    assert_eq!(
+        (play.now - begun, play.actions.contains(&Action::HangUp)),
+        (5_000.0, true)
+    );
 }
 
 /// Guards against a source that looks fresh while its answer trickles in for ever.
 #[test]
 fn an_answer_that_trickles_is_given_up() {
     let mut play = Play::new(1);
-    play.feed(Event::Head { status: 200, headers: &[] });
+    play.feed(Event::Head {
+        status: 200,
+        headers: &[],
+    });
     let mut pieces = 0;
     loop {
         let woken = play.wake_at();
@@ -366,7 +476,10 @@
 #[test]
 fn an_answer_without_an_end_is_given_up() {
     let mut play = Play::new(1);
-    play.feed(Event::Head { status: 200, headers: &[("X-Consul-Index", "1")] });
+    play.feed(Event::Head {
+        status: 200,
+        headers: &[("X-Consul-Index", "1")],
+    });
     play.feed(Event::Body(b"["));
     let mut fed = 0;
     let piece = format!("{},", instance("a", "passing")).repeat(100);
@@ -394,21 +507,35 @@
     ];
     for odd in odd {
         let mut play = Play::new(1);
-        play.answer(40, &list(&[instance("a", "passing"), instance("b", "passing")]));
+        play.answer(
+            40,
+            &list(&[instance("a", "passing"), instance("b", "passing")]),
+        );
         play.wake();
         play.answer(41, &list(&[odd.to_owned(), instance("a", "critical")]));
         let news = play.news();
         assert!(!news.fresh, "what could not be read may be a server: {odd}");
         assert_eq!((news.words.len(), news.words[0].key.as_str()), (1, "a"));
-        assert!(matches!(play.troubles()[..], [Trouble::Instances(_)]), "{:?}", play.troubles());
+        assert!(
+            matches!(play.troubles()[..], [Trouble::Instances(_)]),
+            "{:?}",
+            play.troubles()
+        );
     }
 }
 
 #[test]
 fn instances_that_name_no_server_are_told_of_and_take_nothing_away() {
-    let mapping = Mapping { named: consul::Named::Address, ..Mapping::default() };
+    let mapping = Mapping {
+        named: consul::Named::Address,
+        ..Mapping::default()
+    };
     let settings = WatchSettings::new(Query::health("holds"), mapping, 1);
-    let mut play = Play { watch: Watch::new(settings, 1), now: 0.0, actions: Vec::new() };
+    let mut play = Play {
+        watch: Watch::new(settings, 1),
+        now: 0.0,
+        actions: Vec::new(),
+    };
     play.feed(Event::Due);
     let by_name = instance("b", "passing").replace("10.0.0.1", "host.example");
     for index in [41, 42] {
@@ -425,17 +552,26 @@
 #[test]
 fn of_two_registrations_of_one_server_the_later_speaks() {
     let at = |status: &str, index: u64| {
-        instance("a", status).replace("\"Port\":80", &format!("\"Port\":80,\"ModifyIndex\":{index}"))
+        instance("a", status).replace(
+            "\"Port\":80",
+            &format!("\"Port\":80,\"ModifyIndex\":{index}"),
+        )
     };
     for (first, second, state) in [
         (at("critical", 5), at("passing", 9), State::Ready),
         (at("passing", 5), at("critical", 9), State::Gone),
         (at("passing", 5), at("critical", 5), State::Gone),
     ] {
-        for body in [list(&[first.clone(), second.clone()]), list(&[second, first])] {
+        for body in [
+            list(&[first.clone(), second.clone()]),
+            list(&[second, first]),
+        ] {
             let mut play = Play::new(1);
             play.answer(41, &body);
-            assert_eq!((play.news().words.len(), play.news().words[0].state), (1, state));
+            assert_eq!(
+                (play.news().words.len(), play.news().words[0].state),
+                (1, state)
+            );
         }
     }
 }
@@ -443,7 +579,9 @@
 #[test]
 fn five_thousand_instances_of_which_one_changes() {
     let mut play = Play::new(1);
-    let mut all: Vec<_> = (0..5_000).map(|n| instance(&format!("s-{n}"), "passing")).collect();
+    let mut all: Vec<_> = (0..5_000)
+        .map(|n| instance(&format!("s-{n}"), "passing"))
+        .collect();
     play.answer(1, &list(&all));
     assert_eq!(play.news().words.len(), 5_000);
     for turn in 0..20 {
--- a/crates/endpoint-discovery/src/note.rs
+++ b/crates/endpoint-discovery/src/note.rs
@@ -85,21 +85,36 @@
         match self {
             Self::Disagreement { id, said, verdict } => {
                 write!(f, "view: {id:?} is {verdict}:")?;
-                said.iter().try_for_each(|(source, state)| write!(f, " {source} says {},", word(*state)))?;
+                said.iter().try_for_each(|(source, state)| {
+                    write!(f, " {source} says {},", word(*state))
+                })?;
                 write!(f, " and the rules decide")
             }
-            Self::MoreDisagreements(count) => write!(f, "view: sources disagree on {count} more servers"),
-            Self::Withdrawal { source, of: (count, all) } => {
-                write!(f, "view: {source} withdraws {count} of {all} servers; not believed yet")
+            Self::MoreDisagreements(count) => {
+                write!(f, "view: sources disagree on {count} more servers")
+            }
+            Self::Withdrawal {
+                source,
+                of: (count, all),
+            } => {
+                write!(
+                    f,
+                    "view: {source} withdraws {count} of {all} servers; not believed yet"
+                )
+            }
+            Self::WithdrawalOver { source } => {
+                write!(f, "view: the withdrawal by {source} is settled")
             }
-            Self::WithdrawalOver { source } => write!(f, "view: the withdrawal by {source} is settled"),
             Self::LastStanding { servers } => {
                 write!(f, "view: no server would be left; {servers} that one source removed are served by")
             }
             Self::LastStandingOver => write!(f, "view: servers are left again"),
             Self::Fresh { source } => write!(f, "view: {source} is in touch"),
             Self::Held { source } => {
-                write!(f, "view: {source} is out of touch or stale; its last word is held")
+                write!(
+                    f,
+                    "view: {source} is out of touch or stale; its last word is held"
+                )
             }
             Self::Aged { source } => {
                 write!(
@@ -108,7 +123,11 @@
                 )
             }
             Self::TooMany { source } => {
-                write!(f, "view: {source} names more than {} servers", crate::host::MOST_SERVERS)
+                write!(
+                    f,
+                    "view: {source} names more than {} servers",
+                    crate::host::MOST_SERVERS
+                )
             }
         }
     }
--- a/crates/endpoint-discovery/src/rules.rs
+++ b/crates/endpoint-discovery/src/rules.rs
@@ -56,7 +56,11 @@
 
 impl Said {
     fn weight(self) -> Weight {
-        let present = if self.names { Weight::Names } else { Weight::Agrees };
+        let present = if self.names {
+            Weight::Names
+        } else {
+            Weight::Agrees
+        };
         match self.state {
             None => Weight::Silent,
             Some(State::Ready) => present,
@@ -84,11 +88,14 @@
 #[must_use]
 pub fn merge(words: &[Said]) -> Verdict {
     let weighs = |weight: Weight| words.iter().any(|said| said.weight() == weight);
-    let removed_by_name = words.iter().any(|said| said.names && said.weight() == Weight::Removes);
+    let removed_by_name = words
+        .iter()
+        .any(|said| said.names && said.weight() == Weight::Removes);
     let named = words.iter().any(|said| said.names && said.is_present());
     // Guards against a source that takes all servers away by itself: what another calls ready is kept in mind.
-    let vouches =
-        |said: &Said| said.age != Age::Aged && matches!(said.weight(), Weight::Names | Weight::Agrees);
+    let vouches = |said: &Said| {
+        said.age != Age::Aged && matches!(said.weight(), Weight::Names | Weight::Agrees)
+    };
     let vouched = words.iter().any(vouches) && !weighs(Weight::Drains);
     if removed_by_name {
         Verdict::Removed { vouched }
--- a/crates/endpoint-discovery/src/source.rs
+++ b/crates/endpoint-discovery/src/source.rs
@@ -86,7 +86,11 @@
             panics_alone: true,
             doubts_new_history: true,
             hold_ms: 60_000.0,
-            damping: Some(Damping { first_ms: 2_000.0, most_ms: 60_000.0, half_life_ms: 60_000.0 }),
+            damping: Some(Damping {
+                first_ms: 2_000.0,
+                most_ms: 60_000.0,
+                half_life_ms: 60_000.0,
+            }),
             ..Self::roster(name)
         }
     }
@@ -221,7 +225,9 @@
 
     /// When the version of the effective word was first heard.
     pub fn heard_at(&self, key: &str) -> f64 {
-        self.records.get(key).map_or(f64::NEG_INFINITY, |record| record.heard_at)
+        self.records
+            .get(key)
+            .map_or(f64::NEG_INFINITY, |record| record.heard_at)
     }
 
     /// Keys whose latest word is not the effective one.
@@ -245,19 +251,41 @@
         }
         for mut word in list.words {
             // A weight of zero is a drain by another name: what is there ends, and nothing new begins.
-            if word.state == State::Ready && word.host.as_ref().is_some_and(|host| host.weight <= 0.0) {
+            if word.state == State::Ready
+                && word.host.as_ref().is_some_and(|host| host.weight <= 0.0)
+            {
                 word.state = State::Draining;
             }
-            let heard = Heard { now, order: (list.history, word.index), fresh };
+            let heard = Heard {
+                now,
+                order: (list.history, word.index),
+                fresh,
+            };
             self.word(heard, word, affected, notes);
         }
         for (key, index) in list.left {
-            let heard = Heard { now, order: (list.history, index), fresh };
-            self.word(heard, Word { key, state: State::Gone, index, host: None }, affected, notes);
+            let heard = Heard {
+                now,
+                order: (list.history, index),
+                fresh,
+            };
+            self.word(
+                heard,
+                Word {
+                    key,
+                    state: State::Gone,
+                    index,
+                    host: None,
+                },
+                affected,
+                notes,
+            );
         }
         if fresh {
             if !std::mem::replace(&mut self.fresh, true) && self.out_since > f64::NEG_INFINITY {
-                notes.push(Note::Fresh { source: self.trust.name.clone() });
+                notes.push(Note::Fresh {
+                    source: self.trust.name.clone(),
+                });
             }
             // Fresh or held makes no difference to what a word amounts to; aged does, for every server.
             if std::mem::take(&mut self.aged) {
@@ -272,7 +300,9 @@
     pub fn hold(&mut self, now: f64, notes: &mut Vec<Note>) {
         if std::mem::replace(&mut self.fresh, false) || self.out_since == f64::NEG_INFINITY {
             self.out_since = now;
-            notes.push(Note::Held { source: self.trust.name.clone() });
+            notes.push(Note::Held {
+                source: self.trust.name.clone(),
+            });
         }
     }
 
@@ -308,19 +338,40 @@
         }
     }
 
-    fn first_word(&mut self, heard: Heard, word: Word, affected: &mut Affected, notes: &mut Vec<Note>) {
+    fn first_word(
+        &mut self,
+        heard: Heard,
+        word: Word,
+        affected: &mut Affected,
+        notes: &mut Vec<Note>,
+    ) {
         if self.records.len() >= MOST_SERVERS {
             if !std::mem::replace(&mut self.overfull, true) {
-                notes.push(Note::TooMany { source: self.trust.name.clone() });
+                notes.push(Note::TooMany {
+                    source: self.trust.name.clone(),
+                });
             }
             return;
         }
         let Heard { now, order, fresh } = heard;
-        let latest = Latest { state: word.state, order, since: now, fresh };
+        let latest = Latest {
+            state: word.state,
+            order,
+            since: now,
+            fresh,
+        };
         // Where nothing was known nothing is lost by a word, however old, unless it takes away what others name.
         let effective = Some(word.state).filter(|state| *state != State::Gone);
         let (key, host) = (word.key, word.host);
-        let record = Record { latest, effective, order, heard_at: now, flaps: 0.0, flapped_at: now, host };
+        let record = Record {
+            latest,
+            effective,
+            order,
+            heard_at: now,
+            flaps: 0.0,
+            flapped_at: now,
+            host,
+        };
         self.ready += usize::from(word.state == State::Ready);
         if effective.is_none() {
             self.pending.insert(key.clone());
@@ -342,12 +393,17 @@
         let window = now - self.trust.panic_window_ms;
         let records = &self.records;
         self.withdrawn.retain(|(at, key)| {
-            *at > window && records.get(key).is_some_and(|record| record.effective == Some(State::Gone))
+            *at > window
+                && records
+                    .get(key)
+                    .is_some_and(|record| record.effective == Some(State::Gone))
         });
         let panic = self.panics();
         let mut next: Option<f64> = None;
         for key in std::mem::take(&mut self.pending) {
-            let Some(record) = self.records.get(&key) else { continue };
+            let Some(record) = self.records.get(&key) else {
+                continue;
+            };
             let doubted = panic && (self.trust.panics_alone || vouched.contains(&key));
             match self.belief(record, doubted) {
                 Belief::At(at) if at <= now => {
@@ -368,12 +424,17 @@
             self.in_panic = panic;
             let source = self.trust.name.clone();
             notes.push(match panic {
-                true => Note::Withdrawal { source, of: self.withdrawals() },
+                true => Note::Withdrawal {
+                    source,
+                    of: self.withdrawals(),
+                },
                 false => Note::WithdrawalOver { source },
             });
         }
         self.bury(affected);
-        next.into_iter().chain(self.ageing(now, affected, notes)).reduce(f64::min)
+        next.into_iter()
+            .chain(self.ageing(now, affected, notes))
+            .reduce(f64::min)
     }
 
     fn ageing(&mut self, now: f64, affected: &mut Affected, notes: &mut Vec<Note>) -> Option<f64> {
@@ -385,7 +446,9 @@
             return Some(at).filter(|at| at.is_finite());
         }
         self.aged = true;
-        notes.push(Note::Aged { source: self.trust.name.clone() });
+        notes.push(Note::Aged {
+            source: self.trust.name.clone(),
+        });
         affected.extend(self.keys());
         None
     }
@@ -394,7 +457,8 @@
     fn wanted(&self) -> impl Iterator<Item = &Record> {
         let records = self.pending.iter().filter_map(|key| self.records.get(key));
         records.filter(|record| {
-            record.latest.state == State::Gone && matches!(record.effective, None | Some(State::Ready))
+            record.latest.state == State::Gone
+                && matches!(record.effective, None | Some(State::Ready))
         })
     }
 
@@ -404,7 +468,10 @@
 
     /// Servers that are withdrawn within the window or would be, and how many there were.
     fn withdrawals(&self) -> (usize, usize) {
-        let unknown = self.wanted().filter(|record| record.effective.is_none()).count();
+        let unknown = self
+            .wanted()
+            .filter(|record| record.effective.is_none())
+            .count();
         let gone = self.withdrawn.len() + self.wanted_withdrawals();
         (gone, self.ready + self.withdrawn.len() + unknown)
     }
@@ -417,7 +484,12 @@
     }
 
     fn belief(&self, record: &Record, doubted: bool) -> Belief {
-        let Latest { state, order, since, fresh } = record.latest;
+        let Latest {
+            state,
+            order,
+            since,
+            fresh,
+        } = record.latest;
         if state == State::Draining {
             return Belief::At(f64::NEG_INFINITY); // A drain never waits.
         }
@@ -425,7 +497,12 @@
             return Belief::Waits;
         }
         let is_new_history = order.0 != record.order.0 && self.trust.doubts_new_history;
-        let confirmed = since + if is_new_history { self.trust.confirm_ms } else { 0.0 };
+        let confirmed = since
+            + if is_new_history {
+                self.trust.confirm_ms
+            } else {
+                0.0
+            };
         Belief::At(match (record.effective, state) {
             (None | Some(State::Ready), State::Gone) if doubted => since + self.trust.confirm_ms,
             (_, State::Ready) => confirmed.max(since + self.kept_out(record, since)),
@@ -435,7 +512,9 @@
 
     /// How long a server that comes back at `since` is kept out.
     fn kept_out(&self, record: &Record, since: f64) -> f64 {
-        let Some(damping) = self.trust.damping else { return 0.0 };
+        let Some(damping) = self.trust.damping else {
+            return 0.0;
+        };
         let flaps = record.flaps_at(since, damping.half_life_ms);
         if flaps < FORGIVEN_FLAPS {
             return 0.0; // Once is no flap.
@@ -444,8 +523,13 @@
     }
 
     fn believe(&mut self, now: f64, key: &str) {
-        let half_life = self.trust.damping.map_or(f64::INFINITY, |damping| damping.half_life_ms);
-        let Some(record) = self.records.get_mut(key) else { return };
+        let half_life = self
+            .trust
+            .damping
+            .map_or(f64::INFINITY, |damping| damping.half_life_ms);
+        let Some(record) = self.records.get_mut(key) else {
+            return;
+        };
         let before = record.effective;
         let latest = record.latest;
         if before == Some(State::Ready) {
@@ -470,9 +554,12 @@
     /// Forgets the servers that left first, beyond the bound.
     fn bury(&mut self, affected: &mut Affected) {
         while self.tombstones.len() > MOST_TOMBSTONES {
-            let Some(key) = self.tombstones.pop_front() else { return };
-            let is_gone =
-                |record: &Record| record.effective == Some(State::Gone) && record.latest.state == State::Gone;
+            let Some(key) = self.tombstones.pop_front() else {
+                return;
+            };
+            let is_gone = |record: &Record| {
+                record.effective == Some(State::Gone) && record.latest.state == State::Gone
+            };
             if self.records.get(&key).is_some_and(is_gone) && !self.tombstones.contains(&key) {
                 self.records.remove(&key);
                 self.overfull = false;
--- a/crates/endpoint-discovery/src/view.rs
+++ b/crates/endpoint-discovery/src/view.rs
@@ -91,7 +91,10 @@
     /// One more source, of which nothing is known yet. A source of the same name that was forgotten is followed again
     /// in its place, so that sources that come and go do not grow the view.
     pub fn add(&mut self, trust: Trust) -> SourceId {
-        let same = self.sources.iter().position(|held| held.trust.name == trust.name && held.is_forgotten());
+        let same = self
+            .sources
+            .iter()
+            .position(|held| held.trust.name == trust.name && held.is_forgotten());
         match same {
             Some(at) => {
                 self.sources[at] = Source::new(trust);
@@ -132,7 +135,9 @@
                 None
             }
         };
-        let mut ids = source.map(|source| self.ids_of(source, affected)).unwrap_or_default();
+        let mut ids = source
+            .map(|source| self.ids_of(source, affected))
+            .unwrap_or_default();
         let mut next: Option<f64> = None;
         for source in 0..self.sources.len() {
             let mut affected = Affected::new();
@@ -159,7 +164,10 @@
             return Affected::new();
         }
         let others = || {
-            self.sources.iter().enumerate().filter(|(at, other)| *at != source && other.age() != Age::Aged)
+            self.sources
+                .iter()
+                .enumerate()
+                .filter(|(at, other)| *at != source && other.age() != Age::Aged)
         };
         let is_vouched = |id: &&String| {
             others().any(|(_, other)| {
@@ -171,7 +179,9 @@
 
     /// All servers of the view.
     pub fn hosts(&self) -> impl Iterator<Item = &Host> {
-        self.servers.values().filter_map(|server| server.told.as_ref())
+        self.servers
+            .values()
+            .filter_map(|server| server.told.as_ref())
     }
 
     /// How old a source's word is; `None`: there is no such source.
@@ -182,12 +192,22 @@
 
     /// The ids of the servers that a source's keys stand for; keeps in mind where they are.
     fn ids_of(&mut self, source: SourceId, keys: Affected) -> BTreeSet<String> {
-        let Some(held) = self.sources.get(source) else { return BTreeSet::new() };
+        let Some(held) = self.sources.get(source) else {
+            return BTreeSet::new();
+        };
         if held.trust.match_by == MatchBy::Address {
-            return keys.iter().filter_map(|key| self.at.get(key)).flatten().cloned().collect();
+            return keys
+                .iter()
+                .filter_map(|key| self.at.get(key))
+                .flatten()
+                .cloned()
+                .collect();
         }
         for id in &keys {
-            let address = self.facts(id).and_then(|host| host.address).map(|address| address.to_string());
+            let address = self
+                .facts(id)
+                .and_then(|host| host.address)
+                .map(|address| address.to_string());
             if self.addresses.get(id) == address.as_ref() {
                 continue;
             }
@@ -200,7 +220,10 @@
                 }
             }
             if let Some(address) = address {
-                self.at.entry(address.clone()).or_default().insert(id.clone());
+                self.at
+                    .entry(address.clone())
+                    .or_default()
+                    .insert(id.clone());
                 self.addresses.insert(id.clone(), address);
             }
         }
@@ -210,7 +233,10 @@
     /// What is known of a server: by the naming source that tells its latest start, or else the first; what that
     /// one does not say, by the others.
     fn facts(&self, id: &str) -> Option<Host> {
-        let by_id = self.sources.iter().filter(|source| source.trust.match_by == MatchBy::Id);
+        let by_id = self
+            .sources
+            .iter()
+            .filter(|source| source.trust.match_by == MatchBy::Id);
         let accounts = by_id.filter_map(|source| {
             let host = source.host(id)?;
             let is_present = source.state(id).is_some_and(|state| state != State::Gone);
@@ -218,10 +244,15 @@
         });
         let mut accounts: Vec<_> = accounts.collect();
         // The sort is stable: among equals the first source knows best.
-        accounts.sort_by(|(names, present, host), (other_names, other_present, other)| {
-            let starts = other.started_at_ms.total_cmp(&host.started_at_ms);
-            other_names.cmp(names).then(other_present.cmp(present)).then(starts)
-        });
+        accounts.sort_by(
+            |(names, present, host), (other_names, other_present, other)| {
+                let starts = other.started_at_ms.total_cmp(&host.started_at_ms);
+                other_names
+                    .cmp(names)
+                    .then(other_present.cmp(present))
+                    .then(starts)
+            },
+        );
         let mut accounts = accounts.into_iter().map(|(_, _, host)| host);
         let mut facts = accounts.next()?.clone();
         accounts.for_each(|other| facts.fill_from(other));
@@ -247,8 +278,14 @@
 
     /// When a server last started, as far as any source knows.
     fn started_at_ms(&self, id: &str, facts: Option<&Host>) -> f64 {
-        let others = self.sources.iter().filter_map(|source| source.host(self.key_at(source, id)?));
-        others.chain(facts).map(|host| host.started_at_ms).fold(0.0, f64::max)
+        let others = self
+            .sources
+            .iter()
+            .filter_map(|source| source.host(self.key_at(source, id)?));
+        others
+            .chain(facts)
+            .map(|host| host.started_at_ms)
+            .fold(0.0, f64::max)
     }
 
     fn update(&mut self, ids: BTreeSet<String>, notes: &mut Vec<Note>) -> Vec<Host> {
@@ -261,7 +298,9 @@
         if last_standing != self.last_standing {
             self.last_standing = last_standing;
             notes.push(match last_standing {
-                true => Note::LastStanding { servers: self.standing.len() },
+                true => Note::LastStanding {
+                    servers: self.standing.len(),
+                },
                 false => Note::LastStandingOver,
             });
             for id in self.standing.clone() {
@@ -287,7 +326,11 @@
     fn judge(&mut self, id: &str, changed: &mut Vec<Host>, disagreements: &mut Vec<Note>) {
         let facts = self.facts(id);
         let started_at_ms = self.started_at_ms(id, facts.as_ref());
-        let said: Vec<_> = self.sources.iter().map(|source| self.said(source, id, started_at_ms)).collect();
+        let said: Vec<_> = self
+            .sources
+            .iter()
+            .map(|source| self.said(source, id, started_at_ms))
+            .collect();
         let verdict = merge(&said);
         let words: Vec<_> = said.iter().map(|said| said.state).collect();
         let server = self.servers.entry(id.to_owned()).or_default();
@@ -298,7 +341,11 @@
             if stated.any(|state| Some(state) != first) {
                 let names = self.sources.iter().map(|source| source.trust.name.clone());
                 let said = names.zip(words.iter().copied()).collect();
-                disagreements.push(Note::Disagreement { id: id.to_owned(), said, verdict });
+                disagreements.push(Note::Disagreement {
+                    id: id.to_owned(),
+                    said,
+                    verdict,
+                });
             }
             server.said.clone_from(&words);
         }
@@ -310,8 +357,15 @@
             self.standing.remove(id);
         }
         self.tell(id, changed);
-        let is_over = words.iter().all(|state| state.is_none_or(|state| state == State::Gone));
-        if is_over && self.servers.get(id).is_some_and(|server| server.told.is_none()) {
+        let is_over = words
+            .iter()
+            .all(|state| state.is_none_or(|state| state == State::Gone));
+        if is_over
+            && self
+                .servers
+                .get(id)
+                .is_some_and(|server| server.told.is_none())
+        {
             self.servers.remove(id);
         }
     }
@@ -319,7 +373,9 @@
     /// Tells what has changed of a server since it was last told.
     fn tell(&mut self, id: &str, changed: &mut Vec<Host>) {
         let facts = self.facts(id);
-        let Some(server) = self.servers.get_mut(id) else { return };
+        let Some(server) = self.servers.get_mut(id) else {
+            return;
+        };
         let state = match server.verdict {
             Some(Verdict::Ready) => State::Ready,
             Some(Verdict::Removed { vouched: true }) if self.last_standing => State::Ready,
@@ -334,7 +390,10 @@
         if told == server.told {
             return;
         }
-        let gone = server.told.take().map(|host| Host { state: State::Gone, ..host });
+        let gone = server.told.take().map(|host| Host {
+            state: State::Gone,
+            ..host
+        });
         server.told.clone_from(&told);
         changed.extend(told.or(gone));
     }
--- a/crates/endpoint-discovery/tests/common/mod.rs
+++ b/crates/endpoint-discovery/tests/common/mod.rs
@@ -71,7 +71,15 @@
         history: u64,
         words: Vec<Word>,
     ) -> Vec<Host> {
-        self.feed(Event::Listed { source, list: List { authority, history, words, left: vec![] } })
+        self.feed(Event::Listed {
+            source,
+            list: List {
+                authority,
+                history,
+                words,
+                left: vec![],
+            },
+        })
     }
 
     pub fn say(&mut self, source: SourceId, words: Vec<Word>) -> Vec<Host> {
@@ -85,7 +93,12 @@
         keys: impl IntoIterator<Item = String>,
     ) -> Vec<Host> {
         let left = keys.into_iter().map(|key| (key, index)).collect();
-        let list = List { authority: Authority::Fresh, history: 0, words: vec![], left };
+        let list = List {
+            authority: Authority::Fresh,
+            history: 0,
+            words: vec![],
+            left,
+        };
         self.feed(Event::Listed { source, list })
     }
 
@@ -95,24 +108,39 @@
     }
 
     pub fn ready(&self) -> usize {
-        self.driver.values().filter(|host| host.state == State::Ready).count()
+        self.driver
+            .values()
+            .filter(|host| host.state == State::Ready)
+            .count()
     }
 }
 
 pub fn host(id: &str) -> Host {
-    Host { address: Some(address(id)), ..Host::named(id) }
+    Host {
+        address: Some(address(id)),
+        ..Host::named(id)
+    }
 }
 
 /// An address made of the number in an id.
 pub fn address(id: &str) -> std::net::SocketAddr {
-    let number: u16 = id.trim_start_matches(|c: char| !c.is_ascii_digit()).parse().expect("a number");
+    let number: u16 = id
+        .trim_start_matches(|c: char| !c.is_ascii_digit())
+        .parse()
+        .expect("a number");
     ([10, 0, 0, 1], 1_000 + number).into()
 }
 
 pub fn word(id: &str, state: State, index: u64) -> Word {
-    Word { key: id.into(), state, index, host: Some(host(id)) }
+    Word {
+        key: id.into(),
+        state,
+        index,
+        host: Some(host(id)),
+    }
 }
 
 pub fn words(ids: std::ops::Range<usize>, state: State, index: u64) -> Vec<Word> {
-    ids.map(|id| word(&format!("s-{id}"), state, index)).collect()
+    ids.map(|id| word(&format!("s-{id}"), state, index))
+        .collect()
 }
--- a/crates/endpoint-discovery/tests/properties.rs
+++ b/crates/endpoint-discovery/tests/properties.rs
@@ -45,10 +45,15 @@
 fn do_it(play: &mut Play, source: SourceId, index: u64, deed: Deed) {
     match deed {
         Deed::Say(authority, history, some) => {
-            let words = some.into_iter().map(|(id, state)| word(&format!("s-{id}"), state, index)).collect();
+            let words = some
+                .into_iter()
+                .map(|(id, state)| word(&format!("s-{id}"), state, index))
+                .collect();
             play.list(source, authority, history, words);
         }
-        Deed::Leave(ids) => drop(play.leave(source, index, ids.into_iter().map(|id| format!("s-{id}")))),
+        Deed::Leave(ids) => {
+            drop(play.leave(source, index, ids.into_iter().map(|id| format!("s-{id}"))))
+        }
         Deed::Lose => drop(play.feed(Event::Lost { source })),
         Deed::Pass(ms) => play.pass(ms),
     }
--- a/crates/endpoint-discovery/tests/table.rs
+++ b/crates/endpoint-discovery/tests/table.rs
@@ -2,7 +2,12 @@
 
 use endpoint_discovery::{merge, Age, Said, State, Verdict};
 
-const WORDS: [Option<State>; 4] = [None, Some(State::Ready), Some(State::Draining), Some(State::Gone)];
+const WORDS: [Option<State>; 4] = [
+    None,
+    Some(State::Ready),
+    Some(State::Draining),
+    Some(State::Gone),
+];
 const AGES: [Age; 3] = [Age::Fresh, Age::Held, Age::Aged];
 
 /// Rows: the roster's word. Columns: the other's word (nothing, ready, draining, gone), fresh or held.
@@ -28,11 +33,24 @@
 
 fn check(table: &[&str; 4], other: impl Fn(Option<State>) -> Said, roster_age: Age) {
     for (row, roster) in table.iter().zip(WORDS) {
-        let roster = Said { state: roster, age: roster_age, names: true, outlived: false };
+        let roster = Said {
+            state: roster,
+            age: roster_age,
+            names: true,
+            outlived: false,
+        };
         for (want, word) in row.chars().zip(WORDS) {
             let other = other(word);
-            assert_eq!(letter(merge(&[roster, other])), want, "{roster:?} beside {other:?}");
-            assert_eq!(letter(merge(&[other, roster])), want, "the order of sources decides nothing");
+            assert_eq!(
+                letter(merge(&[roster, other])),
+                want,
+                "{roster:?} beside {other:?}"
+            );
+            assert_eq!(
+                letter(merge(&[other, roster])),
+                want,
+                "the order of sources decides nothing"
+            );
         }
     }
 }
@@ -42,11 +60,24 @@
     for roster_age in [Age::Fresh, Age::Held] {
         for age in AGES {
             let said = |names: bool, outlived: bool| {
-                move |state: Option<State>| Said { state, age, names, outlived }
+                move |state: Option<State>| Said {
+                    state,
+                    age,
+                    names,
+                    outlived,
+                }
             };
             let is_aged = age == Age::Aged;
-            check(if is_aged { &ADVISOR_AGED } else { &ADVISOR }, said(false, false), roster_age);
-            check(if is_aged { &NAMING_AGED } else { &NAMING }, said(true, false), roster_age);
+            check(
+                if is_aged { &ADVISOR_AGED } else { &ADVISOR },
+                said(false, false),
+                roster_age,
+            );
+            check(
+                if is_aged { &NAMING_AGED } else { &NAMING },
+                said(true, false),
+                roster_age,
+            );
             if !is_aged {
                 check(&ADVISOR_OUTLIVED, said(false, true), roster_age);
             }
@@ -59,8 +90,23 @@
 fn held_is_as_good_as_fresh() {
     for (a, b) in WORDS.into_iter().flat_map(|a| WORDS.map(|b| (a, b))) {
         for (names, outlived) in [(false, false), (false, true), (true, false), (true, true)] {
-            let roster = Said { state: a, age: Age::Fresh, names: true, outlived: false };
-            let at = |age| merge(&[roster, Said { state: b, age, names, outlived }]);
+            let roster = Said {
+                state: a,
+                age: Age::Fresh,
+                names: true,
+                outlived: false,
+            };
+            let at = |age| {
+                merge(&[
+                    roster,
+                    Said {
+                        state: b,
+                        age,
+                        names,
+                        outlived,
+                    },
+                ])
+            };
             assert_eq!(at(Age::Fresh), at(Age::Held), "{a:?}, {b:?}");
         }
     }
@@ -69,10 +115,19 @@
 /// With three sources, too: no word of ready makes up for a drain, and none but a naming source names.
 #[test]
 fn any_further_source_can_drain_and_none_can_undo_it() {
-    let said = |state, names| Said { state: Some(state), age: Age::Fresh, names, outlived: false };
+    let said = |state, names| Said {
+        state: Some(state),
+        age: Age::Fresh,
+        names,
+        outlived: false,
+    };
     for word in WORDS.into_iter().flatten() {
         for names in [false, true] {
-            let all = [said(State::Ready, true), said(State::Draining, false), said(word, names)];
+            let all = [
+                said(State::Ready, true),
+                said(State::Draining, false),
+                said(word, names),
+            ];
             assert_ne!(merge(&all), Verdict::Ready, "{word:?}");
             let all = [said(State::Ready, false), said(word, false)];
             assert_eq!(merge(&all), Verdict::Unnamed);
--- a/crates/flow-control/src/pace.rs
+++ b/crates/flow-control/src/pace.rs
@@ -40,7 +40,10 @@
     #[must_use]
     pub fn begin(now_ms: f64, given_ms: f64, bytes_per_ms: f64) -> Self {
         assert!(bytes_per_ms > 0.0, "a pace is above zero");
-        Self { due_ms: now_ms + given_ms, bytes_per_ms }
+        Self {
+            due_ms: now_ms + given_ms,
+            bytes_per_ms,
+        }
     }
 
     /// Of a body that a client sends.
--- a/crates/flow-control/src/room.rs
+++ b/crates/flow-control/src/room.rs
@@ -20,8 +20,13 @@
     #[must_use]
     pub fn take(&self, bytes: usize) -> Option<Share> {
         let less = |left: usize| left.checked_sub(bytes);
-        self.0.fetch_update(Ordering::Relaxed, Ordering::Relaxed, less).ok()?;
-        Some(Share { room: self.clone(), bytes })
+        self.0
+            .fetch_update(Ordering::Relaxed, Ordering::Relaxed, less)
+            .ok()?;
+        Some(Share {
+            room: self.clone(),
+            bytes,
+        })
     }
 
     /// How many bytes are left.
@@ -48,7 +53,9 @@
     /// Takes more; `false`: there is no more, and it stays as it was.
     #[must_use]
     pub fn grow(&mut self, bytes: usize) -> bool {
-        let Some(mut more) = self.room.take(bytes) else { return false };
+        let Some(mut more) = self.room.take(bytes) else {
+            return false;
+        };
         self.bytes += std::mem::take(&mut more.bytes);
         true
     }
--- a/crates/gossip/src/core.rs
+++ b/crates/gossip/src/core.rs
@@ -121,7 +121,12 @@
 
 impl Budget {
     fn new(now: f64, most: f64, per_s: f64) -> Self {
-        Self { left: most, at: now, most, per_s }
+        Self {
+            left: most,
+            at: now,
+            most,
+            per_s,
+        }
     }
 
     /// Takes one, if there is one.
@@ -253,7 +258,10 @@
             Event::Datagram { from, bytes } => self.datagram(from, bytes),
             Event::Due => {}
             Event::Peers(peers) => self.set_peers(&peers),
-            Event::Timings { probe_ms, suspect_ms } => {
+            Event::Timings {
+                probe_ms,
+                suspect_ms,
+            } => {
                 (self.settings.probe_ms, self.settings.suspect_ms) = (probe_ms, suspect_ms);
             }
             Event::Leave => self.leave(),
@@ -362,8 +370,8 @@
 
     fn datagram(&mut self, from: PeerId, bytes: &[u8]) {
         let opened = open(&self.settings.seal, bytes);
-        let taken =
-            opened.and_then(|(head, records)| self.admit(from, head, &records).map(|()| (head, records)));
+        let taken = opened
+            .and_then(|(head, records)| self.admit(from, head, &records).map(|()| (head, records)));
         match taken {
             Ok((head, records)) => {
                 self.figures.received.0 += 1;
@@ -377,7 +385,9 @@
     /// Whether a datagram is one of this life, and has not come before.
     fn admit(&mut self, from: PeerId, head: Head, records: &[Record]) -> Result<(), Refused> {
         let own = self.settings.process;
-        let Some(peer) = self.peers.get_mut(&from) else { return Err(Refused::Stranger) };
+        let Some(peer) = self.peers.get_mut(&from) else {
+            return Err(Refused::Stranger);
+        };
         if head.from == own {
             peer.is_self = true;
             return Err(Refused::OtherLife);
@@ -386,7 +396,11 @@
             // It does not know this process, or takes it for the one before: it is told. Nothing that it says is taken,
             // as anybody may have kept it from earlier.
             self.answer_stranger(from, head);
-            return if head.to == 0 { Ok(()) } else { Err(Refused::OtherLife) };
+            return if head.to == 0 {
+                Ok(())
+            } else {
+                Err(Refused::OtherLife)
+            };
         }
         if peer.past.contains(&head.from) {
             return Err(Refused::OtherLife);
@@ -407,14 +421,29 @@
 
     fn answer_stranger(&mut self, from: PeerId, head: Head) {
         let now = self.now;
-        let Some(peer) = self.peers.get_mut(&from) else { return };
-        if peer.answered_ms.is_some_and(|at| now - at < ANSWER_AGAIN_MS) {
+        let Some(peer) = self.peers.get_mut(&from) else {
+            return;
+        };
+        if peer
+            .answered_ms
+            .is_some_and(|at| now - at < ANSWER_AGAIN_MS)
+        {
             return;
         }
         peer.answered_ms = Some(now);
         let introduce = peer.process != head.from;
         let hello = self.hello();
-        self.send_to(from, Some(head.from), &[Record::Ack { number: head.number, introduce }, hello]);
+        self.send_to(
+            from,
+            Some(head.from),
+            &[
+                Record::Ack {
+                    number: head.number,
+                    introduce,
+                },
+                hello,
+            ],
+        );
     }
 
     /// A process that is new at an address, and knows this one: so what it says was made in this life. `false`: it does
@@ -425,7 +454,14 @@
             _ => None,
         });
         let Some((incarnation, name)) = said else {
-            self.send_to(from, Some(head.from), &[Record::Ack { number: head.number, introduce: true }]);
+            self.send_to(
+                from,
+                Some(head.from),
+                &[Record::Ack {
+                    number: head.number,
+                    introduce: true,
+                }],
+            );
             return false;
         };
         let id = MemberId::of(&name);
@@ -433,7 +469,10 @@
             self.rival(incarnation, head.from, true);
             return false;
         }
-        let held = self.table.get(id).map(|held| (held.incarnation, held.process));
+        let held = self
+            .table
+            .get(id)
+            .map(|held| (held.incarnation, held.process));
         if held.is_some_and(|(at, process)| {
             incarnation < at || (incarnation == at && process != head.from && process != 0)
         }) {
@@ -444,7 +483,11 @@
             return false;
         }
         if held.is_none()
-            && !self.admit_member(id, Entry::new(name, incarnation, head.from, self.now), &Cause::Heard)
+            && !self.admit_member(
+                id,
+                Entry::new(name, incarnation, head.from, self.now),
+                &Cause::Heard,
+            )
         {
             return false;
         }
@@ -455,7 +498,9 @@
 
     /// An address has this process, of this node.
     fn bind(&mut self, from: PeerId, process: u64, id: MemberId) {
-        let Some(peer) = self.peers.get_mut(&from) else { return };
+        let Some(peer) = self.peers.get_mut(&from) else {
+            return;
+        };
         let before = peer.member.replace(id).filter(|before| *before != id);
         if peer.process != process {
             if peer.process != 0 {
@@ -491,14 +536,24 @@
         }
         self.is_stale = true;
         let (name, incarnation, to) = change;
-        self.out.push(Action::Changed(Change { name, from: None, to, incarnation, cause: cause.clone() }));
+        self.out.push(Action::Changed(Change {
+            name,
+            from: None,
+            to,
+            incarnation,
+            cause: cause.clone(),
+        }));
         true
     }
 
     /// A node that had gone is remembered no more: one that speaks there is met anew. Its process and what it said last are
     /// kept, so that nothing of that is taken again.
     fn forgotten(&mut self, id: MemberId) {
-        for peer in self.peers.values_mut().filter(|peer| peer.member == Some(id)) {
+        for peer in self
+            .peers
+            .values_mut()
+            .filter(|peer| peer.member == Some(id))
+        {
             peer.member = None;
         }
     }
@@ -508,7 +563,9 @@
         if !is_known {
             return; // It has been answered; what it says is taken once it knows this process.
         }
-        let Some(peer) = self.peers.get_mut(&from) else { return };
+        let Some(peer) = self.peers.get_mut(&from) else {
+            return;
+        };
         // Only who knows a process by name numbers what it sends there; an answer may yet say otherwise.
         peer.knows_me |= head.number > 0;
         let Some(id) = peer.member else { return };
@@ -518,7 +575,11 @@
         }
         self.dismiss(id);
         self.answer_for(id);
-        let by = self.table.get(id).map(|entry| entry.name.clone()).unwrap_or_default();
+        let by = self
+            .table
+            .get(id)
+            .map(|entry| entry.name.clone())
+            .unwrap_or_default();
         for record in records {
             self.record(from, id, &by, head, record);
         }
@@ -530,33 +591,59 @@
 
     /// Somebody asked about a node that is heard now.
     fn answer_for(&mut self, id: MemberId) {
-        let Some(check) = self.checks.remove(&id) else { return };
-        let held = self.table.get(id).filter(|entry| entry.is_there() && entry.doomed.is_none());
-        let Some(incarnation) = held.map(|entry| entry.incarnation) else { return };
-        check.askers.into_iter().for_each(|at| self.send(at, &[Record::Vote(id, incarnation, true)]));
+        let Some(check) = self.checks.remove(&id) else {
+            return;
+        };
+        let held = self
+            .table
+            .get(id)
+            .filter(|entry| entry.is_there() && entry.doomed.is_none());
+        let Some(incarnation) = held.map(|entry| entry.incarnation) else {
+            return;
+        };
+        check
+            .askers
+            .into_iter()
+            .for_each(|at| self.send(at, &[Record::Vote(id, incarnation, true)]));
     }
 
     fn record(&mut self, from: PeerId, id: MemberId, by: &str, head: Head, record: Record) {
         let told = || Cause::Told { by: by.to_owned() };
         match record {
-            Record::Hello { incarnation, .. } => self.alive(id, incarnation, head.from, &Cause::Heard),
+            Record::Hello { incarnation, .. } => {
+                self.alive(id, incarnation, head.from, &Cause::Heard)
+            }
             Record::Ping { answer, observer } => {
                 if let Some(entry) = self.table.get_mut(id).filter(|_| observer) {
                     entry.counted_ms = Some(self.now);
                 }
                 if answer {
-                    self.send(from, &[Record::Ack { number: head.number, introduce: false }]);
+                    self.send(
+                        from,
+                        &[Record::Ack {
+                            number: head.number,
+                            introduce: false,
+                        }],
+                    );
                 }
             }
             Record::Ack { introduce, .. } => self.acked(from, id, introduce),
-            Record::Alive { incarnation, process, name } => {
+            Record::Alive {
+                incarnation,
+                process,
+                name,
+            } => {
                 let of = MemberId::of(&name);
                 if of == self.id {
                     self.rival(incarnation, process, false);
                 } else if self.table.get(of).is_some() {
                     self.alive(of, incarnation, process, &told());
                 } else {
-                    self.admit_member(of, Entry::new(name, incarnation, process, self.now), &told());
+                    self.admit_member(
+                        of,
+                        Entry::new(name, incarnation, process, self.now),
+                        &told(),
+                    );
                 }
             }
             Record::Gone(of, incarnation, ago) => self.gone(of, incarnation, ago, by),
@@ -570,7 +657,11 @@
                 }
             }
             Record::Parts(theirs) => self.sync(from, &theirs),
-            Record::Word(bytes) => self.out.push(Action::Word { from: id, process: head.from, bytes }),
+            Record::Word(bytes) => self.out.push(Action::Word {
+                from: id,
+                process: head.from,
+                bytes,
+            }),
         }
     }
 
@@ -587,24 +678,34 @@
     }
 
     fn acked(&mut self, from: PeerId, id: MemberId, introduce: bool) {
-        let Some(peer) = self.peers.get_mut(&from) else { return };
+        let Some(peer) = self.peers.get_mut(&from) else {
+            return;
+        };
         let knew = std::mem::replace(&mut peer.knows_me, !introduce);
         if let Some(entry) = self.table.get_mut(id) {
             entry.acked_ms = Some(self.now);
         }
         if introduce || !knew {
             // So that both know each other at once, and not with the next round.
-            self.send(from, &[Record::Ping { answer: introduce, observer: false }]);
+            self.send(
+                from,
+                &[Record::Ping {
+                    answer: introduce,
+                    observer: false,
+                }],
+            );
         }
         self.try_return();
     }
 
     /// Somebody says that a node is there in an incarnation.
     fn alive(&mut self, id: MemberId, incarnation: u64, process: u64, cause: &Cause) {
-        let Some(entry) = self.table.get(id) else { return };
+        let Some(entry) = self.table.get(id) else {
+            return;
+        };
         let (before, at, same) = (entry.state, entry.incarnation, entry.process == process);
-        let is_later =
-            incarnation > at || (self.is_planted(Planted::SameIncarnationWins) && incarnation == at);
+        let is_later = incarnation > at
+            || (self.is_planted(Planted::SameIncarnationWins) && incarnation == at);
         if self.is_planted(Planted::RefutationIgnored) && before == State::Gone && same {
             return;
         }
@@ -628,9 +729,17 @@
     }
 
     fn say(&mut self, id: MemberId, from: Option<State>, cause: Cause) {
-        let Some(entry) = self.table.get(id) else { return };
+        let Some(entry) = self.table.get(id) else {
+            return;
+        };
         let to = self.state_of(id, entry);
-        let change = Change { name: entry.name.clone(), from, to, incarnation: entry.incarnation, cause };
+        let change = Change {
+            name: entry.name.clone(),
+            from,
+            to,
+            incarnation: entry.incarnation,
+            cause,
+        };
         self.out.push(Action::Changed(change));
     }
 
@@ -639,7 +748,9 @@
             return self.self_gone(incarnation, by);
         }
         let (now, suspect) = (self.now, self.settings.suspect_ms);
-        let Some(entry) = self.table.get_mut(id) else { return };
+        let Some(entry) = self.table.get_mut(id) else {
+            return;
+        };
         if incarnation < entry.incarnation {
             // Who believes that has missed something.
             return self.table.tell(id);
@@ -669,14 +780,25 @@
             _ => self.settings.probe_ms,
         };
         let slot = entry.slot.filter(|_| is_heard);
-        let doom = Doom { due_ms: now + hold, incarnation, by: by.to_owned(), verdict_ms };
+        let doom = Doom {
+            due_ms: now + hold,
+            incarnation,
+            by: by.to_owned(),
+            verdict_ms,
+        };
         entry.doomed = Some(Box::new(doom));
         self.doomed.push(id);
         self.table.tell(id);
         if let Some(slot) = slot {
             self.send(
                 slot,
-                &[Record::Gone(id, incarnation, ago), Record::Ping { answer: true, observer: false }],
+                &[
+                    Record::Gone(id, incarnation, ago),
+                    Record::Ping {
+                        answer: true,
+                        observer: false,
+                    },
+                ],
             );
         }
     }
@@ -695,7 +817,9 @@
         if id == self.id {
             return self.self_gone(incarnation, by);
         }
-        let Some(entry) = self.table.get(id) else { return };
+        let Some(entry) = self.table.get(id) else {
+            return;
+        };
         let before = self.state_of(id, entry);
         if incarnation < entry.incarnation || entry.state == State::Left {
             return;
@@ -711,17 +835,21 @@
         let own = self.incarnation();
         match self.own {
             Own::Leaving => {}
-            Own::Superseded(theirs) if incarnation >= theirs => self.own = Own::Gone(incarnation, self.now),
+            Own::Superseded(theirs) if incarnation >= theirs => {
+                self.own = Own::Gone(incarnation, self.now)
+            }
             Own::Superseded(_) => {}
             Own::Gone(at, since) => self.own = Own::Gone(at.max(incarnation), since),
             Own::There if incarnation > own && self.is_joining() => {
                 // It is an earlier process that is gone, whose clock was ahead.
                 self.jumps += 1;
-                self.table.set(self.id, self.now, State::Alive, incarnation + 1);
+                self.table
+                    .set(self.id, self.now, State::Alive, incarnation + 1);
             }
             Own::There if incarnation >= own => {
                 self.own = Own::Gone(incarnation, self.now);
-                self.out.push(Action::Note(Note::SelfGone { by: by.to_owned() }));
+                self.out
+                    .push(Action::Note(Note::SelfGone { by: by.to_owned() }));
                 self.set_health(Health::Isolated);
                 // It may come back once they answer: the sooner they are asked the fewer believe the word.
                 self.ping_observers(true);
@@ -733,12 +861,17 @@
 
     /// Comes back once most of its observers answer it: one that is heard by a few alone would come and go for ever.
     fn try_return(&mut self) {
-        let Own::Gone(at, since) = self.own else { return };
-        self.returned.retain(|returned| self.now - returned < HOLD_WINDOW_MS);
+        let Own::Gone(at, since) = self.own else {
+            return;
+        };
+        self.returned
+            .retain(|returned| self.now - returned < HOLD_WINDOW_MS);
         let often = self.returned.len() as i32;
         // One that has been answered for longer than any verdict takes was never silent: what it hears is the word of the
         // other side of a split, and nothing to wait for.
-        let was_silent = self.answered_since.is_none_or(|at| since - at < 2.0 * self.settings.suspect_ms);
+        let was_silent = self
+            .answered_since
+            .is_none_or(|at| since - at < 2.0 * self.settings.suspect_ms);
         let hold = match often {
             0 | 1 => 0.0,
             _ if !was_silent => 0.0,
@@ -785,7 +918,8 @@
         if self.is_joining() && self.own != Own::Leaving {
             // A process before it, whose clock was ahead; or one that goes on beside it, which gives way.
             self.jumps += 1;
-            self.table.set(self.id, self.now, State::Alive, incarnation + 1);
+            self.table
+                .set(self.id, self.now, State::Alive, incarnation + 1);
             if is_heard {
                 self.note_rival(incarnation, false);
             }
@@ -805,7 +939,11 @@
     fn note_rival(&mut self, theirs: u64, yields: bool) {
         if yields || self.now - self.rival_noted > HOLD_WINDOW_MS {
             self.rival_noted = self.now;
-            self.out.push(Action::Note(Note::Rival { theirs, own: self.incarnation(), yields }));
+            self.out.push(Action::Note(Note::Rival {
+                theirs,
+                own: self.incarnation(),
+                yields,
+            }));
         }
     }
 
@@ -815,12 +953,17 @@
         self.table.set(self.id, self.now, State::Left, incarnation);
         self.floods = Budget::new(self.now, FLOODS, FLOODS_PER_S);
         let mut to = self.neighbours();
-        let others: Vec<_> =
-            self.peers.iter().filter(|(_, peer)| peer.process != 0).map(|(at, _)| *at).collect();
+        let others: Vec<_> = self
+            .peers
+            .iter()
+            .filter(|(_, peer)| peer.process != 0)
+            .map(|(at, _)| *at)
+            .collect();
         to.extend((0..others.len().min(CONTACTS)).map(|_| others[self.rng.usize(..others.len())]));
         to.sort_unstable();
         to.dedup();
-        to.into_iter().for_each(|at| self.send(at, &[Record::Left(self.id, incarnation)]));
+        to.into_iter()
+            .for_each(|at| self.send(at, &[Record::Left(self.id, incarnation)]));
     }
 
     // ---- silence and verdicts ----
@@ -830,10 +973,17 @@
         // One that has just come under its ears may not know it yet.
         let watched = entry.watched_ms?;
         let is_known = entry.counted_ms.is_some_and(|counted| counted >= watched);
-        let listening = if is_known { watched } else { watched + self.settings.suspect_ms };
+        let listening = if is_known {
+            watched
+        } else {
+            watched + self.settings.suspect_ms
+        };
         let heard = entry.heard_ms.unwrap_or(f64::NEG_INFINITY);
-        let ears =
-            if self.is_planted(Planted::PauseAtFaceValue) { f64::NEG_INFINITY } else { self.ears_from };
+        let ears = if self.is_planted(Planted::PauseAtFaceValue) {
+            f64::NEG_INFINITY
+        } else {
+            self.ears_from
+        };
         Some(self.now - heard.max(listening).max(ears))
     }
 
@@ -853,7 +1003,9 @@
 
     /// A node is heard: nothing that was held against it stands.
     fn dismiss(&mut self, id: MemberId) {
-        let Some(entry) = self.table.get_mut(id) else { return };
+        let Some(entry) = self.table.get_mut(id) else {
+            return;
+        };
         if entry.case.take().is_some() {
             self.say(id, Some(State::Suspect), Cause::Heard);
         }
@@ -862,8 +1014,12 @@
     fn judge(&mut self) {
         let hears = self.hears_somebody();
         for id in self.subjects.clone() {
-            let Some(entry) = self.table.get(id).filter(|entry| entry.is_there()) else { continue };
-            let Some(silence) = self.silence(entry) else { continue };
+            let Some(entry) = self.table.get(id).filter(|entry| entry.is_there()) else {
+                continue;
+            };
+            let Some(silence) = self.silence(entry) else {
+                continue;
+            };
             if silence < self.settings.suspect_ms {
                 self.dismiss(id);
                 continue;
@@ -883,7 +1039,9 @@
 
     fn look_into(&mut self, id: MemberId, silence: f64) {
         let (now, fresh) = (self.now, self.probes(VOTE_PROBES));
-        let Some(mut case) = self.table.get_mut(id).and_then(|entry| entry.case.take()) else { return };
+        let Some(mut case) = self.table.get_mut(id).and_then(|entry| entry.case.take()) else {
+            return;
+        };
         let judges = self.panel(id, &mut case);
         let fresh = fresh.max(case.pause_ms + self.settings.probe_ms);
         case.forget(now, fresh);
@@ -894,28 +1052,48 @@
         let believed = self.is_planted(Planted::DeafBelieved);
         if believed || (is_late && is_gone(count, judges, unheard, self.settings.suspect_ms)) {
             self.figures.verdicts += 1;
-            let Some(incarnation) = self.table.get(id).map(|entry| entry.incarnation) else { return };
+            let Some(incarnation) = self.table.get(id).map(|entry| entry.incarnation) else {
+                return;
+            };
             if let Some(entry) = self.table.get_mut(id) {
                 entry.case = Some(case); // What it was is said with the change.
             }
-            let cause = Cause::Agreed { ms: silence, silent: count.silent, hear: count.hear };
+            let cause = Cause::Agreed {
+                ms: silence,
+                silent: count.silent,
+                hear: count.hear,
+            };
             return self.set_gone(id, incarnation, now, cause);
         }
         if now >= case.next_ask_ms {
             // Where others hear it, this one alone is cut off from it, and asks less and less.
             let longest = self.probes(ASK_PROBES);
-            case.pause_ms =
-                if count.hear >= 2 { (case.pause_ms * 2.0).min(longest) } else { self.settings.probe_ms };
+            case.pause_ms = if count.hear >= 2 {
+                (case.pause_ms * 2.0).min(longest)
+            } else {
+                self.settings.probe_ms
+            };
             case.next_ask_ms = now + case.pause_ms;
             let incarnation = self.table.get(id).map_or(0, |entry| entry.incarnation);
-            let mut slots: Vec<_> =
-                case.panel.iter().filter_map(|(of, _)| self.table.get(*of)?.slot).collect();
+            let mut slots: Vec<_> = case
+                .panel
+                .iter()
+                .filter_map(|(of, _)| self.table.get(*of)?.slot)
+                .collect();
             slots.extend(self.witnesses(id));
             slots.sort_unstable();
             slots.dedup();
-            slots.into_iter().for_each(|slot| self.send(slot, &[Record::Ask(id, incarnation)]));
+            slots
+                .into_iter()
+                .for_each(|slot| self.send(slot, &[Record::Ask(id, incarnation)]));
             if let Some(slot) = self.table.get(id).and_then(|entry| entry.slot) {
-                self.send(slot, &[Record::Ping { answer: true, observer: false }]);
+                self.send(
+                    slot,
+                    &[Record::Ping {
+                        answer: true,
+                        observer: false,
+                    }],
+                );
             }
         }
         if let Some(entry) = self.table.get_mut(id) {
@@ -926,34 +1104,55 @@
     /// Some of all that are heard, drawn anew each time.
     fn witnesses(&mut self, id: MemberId) -> Vec<PeerId> {
         let heard = self.heard(id);
-        let drawn: Vec<_> =
-            (0..heard.len().min(WITNESSES)).map(|_| heard[self.rng.usize(..heard.len())]).collect();
+        let drawn: Vec<_> = (0..heard.len().min(WITNESSES))
+            .map(|_| heard[self.rng.usize(..heard.len())])
+            .collect();
         self.slots(&drawn)
     }
 
     /// Others that are there and have been heard lately, without one.
     fn heard(&self, without: MemberId) -> Vec<MemberId> {
         let is_heard = |(of, entry): &(MemberId, &Entry)| {
-            *of != without && entry.is_there() && entry.heard_within(self.now, self.settings.suspect_ms)
+            *of != without
+                && entry.is_there()
+                && entry.heard_within(self.now, self.settings.suspect_ms)
         };
-        self.table.iter().filter(is_heard).map(|(of, _)| of).collect()
+        self.table
+            .iter()
+            .filter(is_heard)
+            .map(|(of, _)| of)
+            .collect()
     }
 
     /// Who is asked about a node: its other observers, and for those that do not answer others that are heard. Tells how
     /// many judges there are, with this node.
     fn panel(&mut self, id: MemberId, case: &mut Case) -> usize {
         let (now, patience) = (self.now, self.probes(PATIENCE_PROBES));
-        let is_there =
-            |of: MemberId| self.table.get(of).is_some_and(|entry| entry.is_there() && entry.slot.is_some());
-        let mute = |(of, asked): &(MemberId, f64)| now - asked >= patience && !case.votes.contains_key(of);
-        case.mute.extend(case.panel.iter().filter(|asked| mute(asked)).map(|(of, _)| *of));
-        case.panel.retain(|(of, _)| is_there(*of) && !case.mute.contains(of));
+        let is_there = |of: MemberId| {
+            self.table
+                .get(of)
+                .is_some_and(|entry| entry.is_there() && entry.slot.is_some())
+        };
+        let mute =
+            |(of, asked): &(MemberId, f64)| now - asked >= patience && !case.votes.contains_key(of);
+        case.mute.extend(
+            case.panel
+                .iter()
+                .filter(|asked| mute(asked))
+                .map(|(of, _)| *of),
+        );
+        case.panel
+            .retain(|(of, _)| is_there(*of) && !case.mute.contains(of));
         let others = self.table.there().saturating_sub(2);
         let wanted = self.settings.observers.min(others);
         let mut candidates = self.observers_of(id);
         let heard = self.heard(id);
-        candidates.extend((0..heard.len().min(2 * wanted)).map(|_| heard[self.rng.usize(..heard.len())]));
-        if candidates.iter().all(|of| *of == self.id || *of == id || case.mute.contains(of)) {
+        candidates
+            .extend((0..heard.len().min(2 * wanted)).map(|_| heard[self.rng.usize(..heard.len())]));
+        if candidates
+            .iter()
+            .all(|of| *of == self.id || *of == id || case.mute.contains(of))
+        {
             // All that are there have been asked: who did not answer once may now.
             case.mute.clear();
         }
@@ -964,7 +1163,8 @@
             }
         }
         let panel = &case.panel;
-        case.votes.retain(|of, _| panel.iter().any(|(held, _)| held == of));
+        case.votes
+            .retain(|of, _| panel.iter().any(|(held, _)| held == of));
         wanted + 1
     }
 
@@ -972,9 +1172,17 @@
     fn asked(&mut self, from: PeerId, id: MemberId, incarnation: u64) {
         let (now, suspect) = (self.now, self.settings.suspect_ms);
         if id == self.id {
-            return self.send(from, &[Record::Ping { answer: false, observer: false }]);
+            return self.send(
+                from,
+                &[Record::Ping {
+                    answer: false,
+                    observer: false,
+                }],
+            );
         }
-        let Some(entry) = self.table.get(id) else { return };
+        let Some(entry) = self.table.get(id) else {
+            return;
+        };
         if entry.incarnation > incarnation || !entry.is_there() {
             if let Some(record) = self.table.record(id, self.now) {
                 self.send(from, &[record]);
@@ -983,7 +1191,9 @@
         }
         let is_heard = entry.heard_within(now, suspect) && entry.doomed.is_none();
         let patience = self.probes(PATIENCE_PROBES);
-        let listens = self.silence(entry).is_some_and(|silence| silence >= suspect);
+        let listens = self
+            .silence(entry)
+            .is_some_and(|silence| silence >= suspect);
         if let Some(entry) = self.table.get_mut(id) {
             entry.accused_until_ms = now + patience;
         }
@@ -1000,9 +1210,12 @@
 
     /// Tries to reach a node that it does not listen to; `true` once it has tried for long enough in vain.
     fn has_checked(&mut self, asker: PeerId, id: MemberId) -> bool {
-        let Some(slot) = self.table.get(id).and_then(|entry| entry.slot) else { return false };
+        let Some(slot) = self.table.get(id).and_then(|entry| entry.slot) else {
+            return false;
+        };
         let now = self.now;
-        self.checks.retain(|_, check| now - check.last_ms < CHECK_HELD_MS);
+        self.checks
+            .retain(|_, check| now - check.last_ms < CHECK_HELD_MS);
         if !self.checks.contains_key(&id) && self.checks.len() >= MOST_CHECKS {
             return false;
         }
@@ -1017,14 +1230,23 @@
         let since_ms = check.since_ms;
         if now - check.last_ms >= CHECK_AGAIN_MS {
             check.last_ms = now;
-            self.send(slot, &[Record::Ping { answer: true, observer: false }]);
+            self.send(
+                slot,
+                &[Record::Ping {
+                    answer: true,
+                    observer: false,
+                }],
+            );
         }
         now - since_ms >= self.probes(CHECK_PROBES)
     }
 
     fn vote(&mut self, by: MemberId, id: MemberId, incarnation: u64, hears: bool) {
         let now = self.now;
-        let entry = self.table.get_mut(id).filter(|entry| entry.incarnation == incarnation);
+        let entry = self
+            .table
+            .get_mut(id)
+            .filter(|entry| entry.incarnation == incarnation);
         if let Some(case) = entry.and_then(|entry| entry.case.as_mut()) {
             case.vote(now, by, hears);
         }
@@ -1050,7 +1272,11 @@
         if self.own != Own::Leaving {
             self.contact();
         }
-        self.answered_since = if self.is_answered() { self.answered_since.or(Some(self.now)) } else { None };
+        self.answered_since = if self.is_answered() {
+            self.answered_since.or(Some(self.now))
+        } else {
+            None
+        };
         self.try_return();
         self.take_pulse();
         if self.tick % SWEEP_TICKS == 0 {
@@ -1061,13 +1287,25 @@
 
     fn ping_observers(&mut self, answer: bool) {
         let slots = self.slots(&self.observers);
-        slots.into_iter().for_each(|slot| self.send(slot, &[Record::Ping { answer, observer: true }]));
+        slots.into_iter().for_each(|slot| {
+            self.send(
+                slot,
+                &[Record::Ping {
+                    answer,
+                    observer: true,
+                }],
+            )
+        });
     }
 
     /// Makes the rings anew.
     fn arrange(&mut self) {
-        let there: Vec<_> =
-            self.table.iter().filter(|(_, entry)| entry.is_there()).map(|(id, _)| id).collect();
+        let there: Vec<_> = self
+            .table
+            .iter()
+            .filter(|(_, entry)| entry.is_there())
+            .map(|(id, _)| id)
+            .collect();
         self.rings = Rings::new(&there, self.settings.observers);
         self.observers = self.observers_of(self.id);
         self.subjects = if self.table.there() <= self.settings.observers + 1 {
@@ -1100,7 +1338,9 @@
     }
 
     fn slots(&self, of: &[MemberId]) -> Vec<PeerId> {
-        of.iter().filter_map(|id| self.table.get(*id)?.slot).collect()
+        of.iter()
+            .filter_map(|id| self.table.get(*id)?.slot)
+            .collect()
     }
 
     fn neighbours(&self) -> Vec<PeerId> {
@@ -1115,21 +1355,33 @@
     fn contact(&mut self) {
         let mut new = Vec::new();
         if self.has_untried {
-            let untried =
-                |(_, peer): &(&PeerId, &Peer)| peer.process == 0 && !peer.is_self && peer.tries < FIRST_TRIES;
+            let untried = |(_, peer): &(&PeerId, &Peer)| {
+                peer.process == 0 && !peer.is_self && peer.tries < FIRST_TRIES
+            };
             let all: Vec<_> = self.peers.iter().filter(untried).collect();
             self.has_untried = !all.is_empty();
-            let again = |peer: &Peer| peer.tried_ms.is_none_or(|tried| self.now - tried >= FIRST_AGAIN_MS);
-            new.extend(all.into_iter().filter(|(_, peer)| again(peer)).map(|(at, _)| *at));
+            let again = |peer: &Peer| {
+                peer.tried_ms
+                    .is_none_or(|tried| self.now - tried >= FIRST_AGAIN_MS)
+            };
+            new.extend(
+                all.into_iter()
+                    .filter(|(_, peer)| again(peer))
+                    .map(|(at, _)| *at),
+            );
         }
         let mut tried: Vec<_> = if new.len() > CONTACTS {
-            (0..CONTACTS).map(|_| new[self.rng.usize(..new.len())]).collect()
+            (0..CONTACTS)
+                .map(|_| new[self.rng.usize(..new.len())])
+                .collect()
         } else {
             new
         };
         if self.tick % TICKS_A_PROBE == 0 {
             let unsure = |peer: &Peer, table: &Table| {
-                peer.member.and_then(|id| table.get(id)).is_none_or(|entry| !entry.is_there())
+                peer.member
+                    .and_then(|id| table.get(id))
+                    .is_none_or(|entry| !entry.is_there())
             };
             tried.extend(self.next_peer(1, unsure));
             tried.extend(self.next_peer(1, unsure));
@@ -1146,14 +1398,30 @@
                 peer.tried_ms = Some(self.now);
                 peer.tries += 1;
             }
-            self.send(at, &[Record::Ping { answer: true, observer: false }, digest.clone()]);
+            self.send(
+                at,
+                &[
+                    Record::Ping {
+                        answer: true,
+                        observer: false,
+                    },
+                    digest.clone(),
+                ],
+            );
         }
     }
 
     /// The next address behind the one that was looked at last.
-    fn next_peer(&mut self, cursor: usize, wanted: impl Fn(&Peer, &Table) -> bool) -> Option<PeerId> {
+    fn next_peer(
+        &mut self,
+        cursor: usize,
+        wanted: impl Fn(&Peer, &Table) -> bool,
+    ) -> Option<PeerId> {
         let after = self.cursors[cursor];
-        let all = self.peers.range(after + 1..).chain(self.peers.range(..=after));
+        let all = self
+            .peers
+            .range(after + 1..)
+            .chain(self.peers.range(..=after));
         for (at, peer) in all.take(MOST_LOOKS) {
             self.cursors[cursor] = *at;
             if !peer.is_self && wanted(peer, &self.table) {
@@ -1166,9 +1434,18 @@
     /// Word of ends that its own ears speak against is believed after a while.
     fn doom(&mut self) {
         for id in std::mem::take(&mut self.doomed) {
-            let Some(entry) = self.table.get(id) else { continue };
-            let Some(doom) = entry.doomed.clone() else { continue };
-            let Doom { due_ms, incarnation, by, verdict_ms } = *doom;
+            let Some(entry) = self.table.get(id) else {
+                continue;
+            };
+            let Some(doom) = entry.doomed.clone() else {
+                continue;
+            };
+            let Doom {
+                due_ms,
+                incarnation,
+                by,
+                verdict_ms,
+            } = *doom;
             if self.now < due_ms {
                 self.doomed.push(id);
             } else if entry.is_there() && entry.incarnation <= incarnation {
@@ -1180,7 +1457,9 @@
     /// One that is gone here speaks: it is told, and with it all that went when the two sides parted.
     fn heal(&mut self, from: PeerId) {
         let now = self.now;
-        let Some(peer) = self.peers.get_mut(&from) else { return };
+        let Some(peer) = self.peers.get_mut(&from) else {
+            return;
+        };
         // Two that take each other for gone would answer each other without end.
         if peer.told_ms.is_some_and(|at| now - at < TOLD_AGAIN_MS) {
             return;
@@ -1191,10 +1470,17 @@
             return;
         }
         self.last_heal = self.now;
-        let mut gone: Vec<_> = self.table.iter().filter(|(_, entry)| entry.state == State::Gone).collect();
+        let mut gone: Vec<_> = self
+            .table
+            .iter()
+            .filter(|(_, entry)| entry.state == State::Gone)
+            .collect();
         gone.sort_by(|(_, a), (_, b)| b.since_ms.total_cmp(&a.since_ms));
         let gone: Vec<_> = gone.into_iter().map(|(id, _)| id).collect();
-        let records: Vec<_> = gone.into_iter().filter_map(|id| self.table.record(id, now)).collect();
+        let records: Vec<_> = gone
+            .into_iter()
+            .filter_map(|id| self.table.record(id, now))
+            .collect();
         let mut rest = records.as_slice();
         for _ in 0..HEAL_DATAGRAMS {
             if rest.is_empty() {
@@ -1208,7 +1494,9 @@
     fn take_pulse(&mut self) {
         let others = self.peers.values().filter(|peer| !peer.is_self).count();
         let heard = |id: &&MemberId| {
-            self.table.get(**id).is_some_and(|entry| entry.heard_within(self.now, self.probes(HEARD_PROBES)))
+            self.table
+                .get(**id)
+                .is_some_and(|entry| entry.heard_within(self.now, self.probes(HEARD_PROBES)))
         };
         let answered = |id: &&MemberId| {
             let acked = self.table.get(**id).and_then(|entry| entry.acked_ms);
@@ -1220,8 +1508,14 @@
             _ if of - count <= 1 => 1.0,
             _ => count as f64 / of as f64,
         };
-        let hears = part(self.subjects.iter().filter(heard).count(), self.subjects.len());
-        let is_heard = part(self.observers.iter().filter(answered).count(), self.observers.len());
+        let hears = part(
+            self.subjects.iter().filter(heard).count(),
+            self.subjects.len(),
+        );
+        let is_heard = part(
+            self.observers.iter().filter(answered).count(),
+            self.observers.len(),
+        );
         let worse = hears.min(is_heard);
         let now = match self.own {
             _ if others == 0 => Health::Well,
@@ -1247,9 +1541,18 @@
     }
 
     fn set_peers(&mut self, peers: &[PeerId]) {
-        let gone: Vec<_> = self.peers.keys().filter(|at| !peers.contains(at)).copied().collect();
+        let gone: Vec<_> = self
+            .peers
+            .keys()
+            .filter(|at| !peers.contains(at))
+            .copied()
+            .collect();
         for at in gone {
-            if let Some(entry) = self.peers.remove(&at).and_then(|peer| self.table.get_mut(peer.member?)) {
+            if let Some(entry) = self
+                .peers
+                .remove(&at)
+                .and_then(|peer| self.table.get_mut(peer.member?))
+            {
                 entry.slot = entry.slot.filter(|slot| *slot != at);
             }
         }
@@ -1262,7 +1565,10 @@
     // ---- what goes out ----
 
     fn hello(&self) -> Record {
-        Record::Hello { incarnation: self.incarnation(), name: self.settings.name.clone() }
+        Record::Hello {
+            incarnation: self.incarnation(),
+            name: self.settings.name.clone(),
+        }
     }
 
     /// What is new goes to all neighbours at once, as long as that has not been often of late.
@@ -1270,7 +1576,9 @@
         if !self.table.has_untold() || !self.floods.take(self.now) {
             return;
         }
-        self.neighbours().into_iter().for_each(|at| self.send(at, &[]));
+        self.neighbours()
+            .into_iter()
+            .for_each(|at| self.send(at, &[]));
     }
 
     fn send(&mut self, to: PeerId, records: &[Record]) {
@@ -1282,13 +1590,23 @@
         let hello = self.hello();
         let seal = self.settings.seal.clone();
         let from = self.settings.process;
-        let Some(peer) = self.peers.get_mut(&to).filter(|peer| !peer.is_self) else { return 0 };
+        let Some(peer) = self.peers.get_mut(&to).filter(|peer| !peer.is_self) else {
+            return 0;
+        };
         let head = match process.filter(|process| *process != peer.process) {
             // One that is not known here: it only has to see that this is for it. Nothing else has this number.
-            Some(process) => Head { from, to: process, number: 0 },
+            Some(process) => Head {
+                from,
+                to: process,
+                number: 0,
+            },
             None => {
                 peer.number = peer.number.wrapping_add(1);
-                Head { from, to: peer.process, number: peer.number }
+                Head {
+                    from,
+                    to: peer.process,
+                    number: peer.number,
+                }
             }
         };
         let introduces = head.to == 0 || !peer.knows_me || process.is_some();
@@ -1301,7 +1619,10 @@
         if let Some(record) = gone.and_then(|id| self.table.record(id, self.now)) {
             writer.push(&record);
         }
-        let sent = records.iter().take_while(|record| writer.push(record)).count();
+        let sent = records
+            .iter()
+            .take_while(|record| writer.push(record))
+            .count();
         if head.to != 0 && head.to == peer_process(&self.peers, to) {
             self.table.fill(self.now, |record| writer.push(record));
         }
--- a/crates/gossip/src/kinds.rs
+++ b/crates/gossip/src/kinds.rs
@@ -225,7 +225,10 @@
             Self::Told { by } => write!(f, "{by} says so"),
             Self::Silent { ms } => write!(f, "it has not been heard for {ms:.0} ms"),
             Self::Agreed { ms, silent, hear } => {
-                write!(f, "{silent} do not hear it and {hear} do, after {ms:.0} ms of silence here")
+                write!(
+                    f,
+                    "{silent} do not hear it and {hear} do, after {ms:.0} ms of silence here"
+                )
             }
         }
     }
@@ -248,8 +251,16 @@
 
 impl fmt::Display for Change {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let Self { name, from, to, incarnation, cause } = self;
-        let was = from.map(|from| format!(" (was {from})")).unwrap_or_default();
+        let Self {
+            name,
+            from,
+            to,
+            incarnation,
+            cause,
+        } = self;
+        let was = from
+            .map(|from| format!(" (was {from})"))
+            .unwrap_or_default();
         write!(f, "{name} is {to}{was}, incarnation {incarnation}: {cause}")
     }
 }
@@ -289,16 +300,36 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             Self::Woke { ms } => {
-                write!(f, "this process stood still for {ms:.0} ms; it accuses nobody of silence then")
+                write!(
+                    f,
+                    "this process stood still for {ms:.0} ms; it accuses nobody of silence then"
+                )
             }
             Self::SelfGone { by } => write!(f, "this node is gone to the others, as {by} says"),
-            Self::Returns { incarnation } => write!(f, "this node comes back as incarnation {incarnation}"),
-            Self::Rival { theirs, own, yields } => {
-                let end = if *yields { "this one gives way" } else { "this one goes on" };
-                write!(f, "two processes have this node's name: incarnation {theirs} beside {own}; {end}")
+            Self::Returns { incarnation } => {
+                write!(f, "this node comes back as incarnation {incarnation}")
+            }
+            Self::Rival {
+                theirs,
+                own,
+                yields,
+            } => {
+                let end = if *yields {
+                    "this one gives way"
+                } else {
+                    "this one goes on"
+                };
+                write!(
+                    f,
+                    "two processes have this node's name: incarnation {theirs} beside {own}; {end}"
+                )
             }
             Self::Full => {
-                write!(f, "there are more than {} nodes; newcomers are turned away", crate::MOST_MEMBERS)
+                write!(
+                    f,
+                    "there are more than {} nodes; newcomers are turned away",
+                    crate::MOST_MEMBERS
+                )
             }
         }
     }
--- a/crates/gossip/src/ring.rs
+++ b/crates/gossip/src/ring.rs
@@ -34,7 +34,10 @@
             places.sort_by_cached_key(|id| (place(*id, ring), *id));
             places
         };
-        Self { rings: (0..rings).map(ring).collect(), is_distinct: members.len() <= MOST_DISTINCT }
+        Self {
+            rings: (0..rings).map(ring).collect(),
+            is_distinct: members.len() <= MOST_DISTINCT,
+        }
     }
 
     /// Who listens to a node: the next in each ring, whether it is itself in the rings or not.
@@ -42,7 +45,8 @@
     pub fn observers(&self, of: MemberId) -> Vec<MemberId> {
         let mut found = Vec::with_capacity(self.rings.len());
         for (ring, places) in self.rings.iter().enumerate() {
-            let at = places.partition_point(|held| (place(*held, ring), *held) < (place(of, ring), of));
+            let at =
+                places.partition_point(|held| (place(*held, ring), *held) < (place(of, ring), of));
             let after = places[at..].iter().chain(&places[..at]).copied();
             let fits = |id: &MemberId| *id != of && !(self.is_distinct && found.contains(id));
             found.extend(after.clone().find(fits));
@@ -61,7 +65,8 @@
             found.extend(all.filter(|id| *id != of && self.observers(*id).contains(&of)));
         } else {
             for (ring, places) in self.rings.iter().enumerate() {
-                let at = places.partition_point(|held| (place(*held, ring), *held) < (place(of, ring), of));
+                let at = places
+                    .partition_point(|held| (place(*held, ring), *held) < (place(of, ring), of));
                 let before = places[..at].iter().rev().chain(places[at..].iter().rev());
                 found.extend(before.copied().find(|id| *id != of));
             }
@@ -83,10 +88,17 @@
             let rings = Rings::new(&members[..count], 6);
             for id in &members[..count] {
                 let observers = rings.observers(*id);
-                assert!(!observers.contains(id) && observers.len() >= least, "{observers:?}");
-                assert!(observers.iter().all(|observer| rings.subjects(*observer).contains(id)));
+                assert!(
+                    !observers.contains(id) && observers.len() >= least,
+                    "{observers:?}"
+                );
+                assert!(observers
+                    .iter()
+                    .all(|observer| rings.subjects(*observer).contains(id)));
                 let subjects = rings.subjects(*id);
-                assert!(subjects.iter().all(|subject| rings.observers(*subject).contains(id)));
+                assert!(subjects
+                    .iter()
+                    .all(|subject| rings.observers(*subject).contains(id)));
             }
         }
         assert_eq!(Rings::new(&members[..1], 8).observers(members[0]), []);
--- a/crates/gossip/src/table.rs
+++ b/crates/gossip/src/table.rs
@@ -156,7 +156,9 @@
     }
 
     fn forget(&mut self, id: MemberId) {
-        let Some(entry) = self.entries.remove(&id) else { return };
+        let Some(entry) = self.entries.remove(&id) else {
+            return;
+        };
         self.there -= usize::from(entry.is_there());
         self.digests[part(id)] ^= digest_of(id, &entry);
         if let Some(sends) = entry.sends {
@@ -166,7 +168,9 @@
 
     /// Changes what is known of a node, and has it told.
     pub fn set(&mut self, id: MemberId, now: f64, state: State, incarnation: u64) {
-        let Some(entry) = self.entries.get_mut(&id) else { return };
+        let Some(entry) = self.entries.get_mut(&id) else {
+            return;
+        };
         self.there -= usize::from(entry.is_there());
         self.digests[part(id)] ^= digest_of(id, entry);
         if entry.state != state {
@@ -185,7 +189,11 @@
     /// The same for word of an end, which does not say of which process: in a later incarnation it need not be the one that
     /// is held here.
     pub fn end(&mut self, id: MemberId, now: f64, state: State, incarnation: u64) {
-        if let Some(entry) = self.entries.get_mut(&id).filter(|entry| entry.incarnation < incarnation) {
+        if let Some(entry) = self
+            .entries
+            .get_mut(&id)
+            .filter(|entry| entry.incarnation < incarnation)
+        {
             entry.process = 0;
         }
         self.set(id, now, state, incarnation);
@@ -197,7 +205,9 @@
     }
 
     fn tell_from(&mut self, id: MemberId, told: u32) {
-        let Some(entry) = self.entries.get_mut(&id) else { return };
+        let Some(entry) = self.entries.get_mut(&id) else {
+            return;
+        };
         if let Some(sends) = entry.sends.replace(told) {
             self.queue.remove(&(sends, id));
         }
@@ -216,7 +226,8 @@
     pub fn record(&self, id: MemberId, now: f64) -> Option<Record> {
         let entry = self.entries.get(&id)?;
         // Quarters of a second, as the datagrams have it.
-        let ago = |verdict_ms: f64| ((now - verdict_ms) / 250.0).clamp(0.0, f64::from(u8::MAX)) as u8;
+        let ago =
+            |verdict_ms: f64| ((now - verdict_ms) / 250.0).clamp(0.0, f64::from(u8::MAX)) as u8;
         Some(match entry.state {
             State::Gone => Record::Gone(id, entry.incarnation, ago(entry.verdict_ms)),
             State::Left => Record::Left(id, entry.incarnation),
@@ -237,7 +248,9 @@
         let often = self.often();
         let mut told = Vec::new();
         for (sends, id) in &self.queue {
-            let Some(record) = self.record(*id, now) else { continue };
+            let Some(record) = self.record(*id, now) else {
+                continue;
+            };
             if !push(&record) {
                 break;
             }
@@ -256,13 +269,20 @@
     }
 
     /// What is known where another's parts differ, in an order of chance.
-    pub fn where_it_differs(&self, theirs: &[u16; PARTS], now: f64, rng: &mut fastrand::Rng) -> Vec<Record> {
+    pub fn where_it_differs(
+        &self,
+        theirs: &[u16; PARTS],
+        now: f64,
+        rng: &mut fastrand::Rng,
+    ) -> Vec<Record> {
         let own = self.parts();
         let differs = |id: &&MemberId| own[part(**id)] != theirs[part(**id)];
         let mut ids: Vec<_> = self.entries.keys().filter(differs).copied().collect();
         rng.shuffle(&mut ids);
         ids.truncate(MOST_TOLD);
-        ids.into_iter().filter_map(|id| self.record(id, now)).collect()
+        ids.into_iter()
+            .filter_map(|id| self.record(id, now))
+            .collect()
     }
 
     /// Forgets those that went long ago, and tells which.
--- a/crates/gossip/src/tests.rs
+++ b/crates/gossip/src/tests.rs
@@ -31,10 +31,11 @@
     fn handle(&mut self, event: Event<'_>) {
         let mut actions = Vec::new();
         self.gossip.handle(self.now, event, &mut actions);
-        self.notes.extend(actions.into_iter().filter_map(|action| match action {
-            Action::Note(note) => Some(note),
-            _ => None,
-        }));
+        self.notes
+            .extend(actions.into_iter().filter_map(|action| match action {
+                Action::Note(note) => Some(note),
+                _ => None,
+            }));
     }
 
     fn run(&mut self, ms: f64) {
@@ -52,10 +53,22 @@
     }
 
     fn hear_numbered(&mut self, peer: usize, number: u32, records: &[Record]) {
-        let mut writer = Writer::new(&seal(), Head { from: 1_000 + peer as u64, to: OWN, number });
-        records.iter().for_each(|record| assert!(writer.push(record), "it fits"));
+        let mut writer = Writer::new(
+            &seal(),
+            Head {
+                from: 1_000 + peer as u64,
+                to: OWN,
+                number,
+            },
+        );
+        records
+            .iter()
+            .for_each(|record| assert!(writer.push(record), "it fits"));
         let bytes = writer.seal(&seal());
-        self.handle(Event::Datagram { from: peer, bytes: &bytes });
+        self.handle(Event::Datagram {
+            from: peer,
+            bytes: &bytes,
+        });
     }
 
     fn meet(&mut self, peer: usize) {
@@ -63,11 +76,17 @@
     }
 
     fn state(&self, name: &str) -> Option<State> {
-        self.gossip.members().find(|member| member.name == name).map(|member| member.state)
+        self.gossip
+            .members()
+            .find(|member| member.name == name)
+            .map(|member| member.state)
     }
 
     fn refused(&self, why: Refused) -> u64 {
-        let at = Refused::ALL.iter().position(|one| *one == why).expect("one of them");
+        let at = Refused::ALL
+            .iter()
+            .position(|one| *one == why)
+            .expect("one of them");
         self.gossip.figures().refused[at]
     }
 }
@@ -77,11 +96,18 @@
 }
 
 fn hello(peer: usize, incarnation: u64) -> Record {
-    Record::Hello { incarnation, name: format!("p{peer}") }
+    Record::Hello {
+        incarnation,
+        name: format!("p{peer}"),
+    }
 }
 
 fn alive(name: &str, incarnation: u64) -> Record {
-    Record::Alive { incarnation, process: 3, name: name.into() }
+    Record::Alive {
+        incarnation,
+        process: 3,
+        name: name.into(),
+    }
 }
 
 /// Guards against a node that grows with whatever names it is told, and against one that turns everybody away for ever.
@@ -93,13 +119,28 @@
         node.hear(0, &[alive(&format!("n{n}"), 1)]);
     }
     assert_eq!(node.gossip.members().count(), MOST_MEMBERS);
-    assert_eq!(node.refused(Refused::Full), 502, "with this node and the peer");
-    assert_eq!(node.notes.iter().filter(|note| **note == Note::Full).count(), 1, "it says so once");
+    assert_eq!(
+        node.refused(Refused::Full),
+        502,
+        "with this node and the peer"
+    );
+    assert_eq!(
+        node.notes
+            .iter()
+            .filter(|note| **note == Note::Full)
+            .count(),
+        1,
+        "it says so once"
+    );
     node.meet(1);
     assert_eq!(node.state("p1"), None, "a newcomer is turned away");
     node.hear(0, &[Record::Left(MemberId::of("n3"), 1)]);
     node.hear(1, &[hello(1, 9)]);
-    assert_eq!((node.state("p1"), node.state("n3")), (Some(State::Alive), None), "one that left makes room");
+    assert_eq!(
+        (node.state("p1"), node.state("n3")),
+        (Some(State::Alive), None),
+        "one that left makes room"
+    );
     assert_eq!(node.gossip.members().count(), MOST_MEMBERS);
 }
 
@@ -111,12 +152,26 @@
     node.meet(1);
     node.hear(0, &[Record::Left(MemberId::of("p1"), 9)]);
     assert_eq!(node.state("p1"), Some(State::Left));
-    node.hear(1, &[Record::Ping { answer: true, observer: false }]);
-    assert_eq!(node.state("p1"), Some(State::Left), "in the same incarnation it does not come back");
+    node.hear(
+        1,
+        &[Record::Ping {
+            answer: true,
+            observer: false,
+        }],
+    );
+    assert_eq!(
+        node.state("p1"),
+        Some(State::Left),
+        "in the same incarnation it does not come back"
+    );
     node.run(HOUR + 120_000.0);
     assert_eq!(node.state("p1"), None, "it is forgotten");
     node.hear_numbered(1, 1, &[hello(1, 9)]);
-    assert_eq!(node.refused(Refused::Replayed), 1, "what was said before is not taken again");
+    assert_eq!(
+        node.refused(Refused::Replayed),
+        1,
+        "what was said before is not taken again"
+    );
     assert_eq!(node.state("p1"), None);
     node.hear(1, &[hello(1, 10)]);
     assert_eq!(node.state("p1"), Some(State::Alive));
@@ -132,8 +187,17 @@
         node.hear(0, &[Record::Gone(MemberId::of("me"), incarnation, 0)]);
         node.hear(0, &[Record::Left(MemberId::of("p0"), incarnation)]);
     }
-    assert_eq!((node.state("other"), node.state("p0")), (None, Some(State::Alive)), "they are not read");
-    let own = |node: &Node| node.gossip.members().find(|member| member.is_self).map(|own| own.incarnation);
+    assert_eq!(
+        (node.state("other"), node.state("p0")),
+        (None, Some(State::Alive)),
+        "they are not read"
+    );
+    let own = |node: &Node| {
+        node.gossip
+            .members()
+            .find(|member| member.is_self)
+            .map(|own| own.incarnation)
+    };
     assert_eq!(own(&node), Some(5));
     for _ in 0..20 {
         node.hear(0, &[alive("me", 1 << 62)]);
@@ -154,7 +218,15 @@
     // The last falls silent; the others are heard, and answer no question for a long time.
     let gone = MemberId::of("p3");
     for _ in 0..80 {
-        (0..3).for_each(|peer| node.hear(peer, &[Record::Ping { answer: false, observer: true }]));
+        (0..3).for_each(|peer| {
+            node.hear(
+                peer,
+                &[Record::Ping {
+                    answer: false,
+                    observer: true,
+                }],
+            )
+        });
         node.run(250.0);
     }
     assert_eq!(node.state("p3"), Some(State::Suspect), "nobody agrees");
--- a/crates/gossip/src/verdict.rs
+++ b/crates/gossip/src/verdict.rs
@@ -49,8 +49,15 @@
     pub fn count(&self, now: f64, fresh_ms: f64) -> Count {
         let fresh = self.votes.values().filter(|(at, _)| now - at <= fresh_ms);
         let hear = fresh.clone().filter(|(_, hears)| *hears).count();
-        let others = self.hearers.values().filter(|at| now - **at <= fresh_ms).count();
-        Count { silent: 1 + fresh.count() - hear, hear: hear + others }
+        let others = self
+            .hearers
+            .values()
+            .filter(|at| now - **at <= fresh_ms)
+            .count();
+        Count {
+            silent: 1 + fresh.count() - hear,
+            hear: hear + others,
+        }
     }
 
     /// Somebody answers. Who was not asked to judge is believed that it hears, and nothing else.
@@ -96,7 +103,13 @@
         assert!(!gone(5, 2, 7), "two of seven hear it");
         assert!(!gone(4, 0, 7), "three have not answered");
         assert!(!gone(3, 1, 4), "one of four hears it");
-        assert!(!gone(1, 0, 1) && !is_gone(Count { silent: 1, hear: 0 }, 1, 1e9, 2_500.0), "never alone");
-        assert!(is_gone(Count { silent: 2, hear: 0 }, 7, 5_000.0, 2_500.0), "most do not answer at all");
+        assert!(
+            !gone(1, 0, 1) && !is_gone(Count { silent: 1, hear: 0 }, 1, 1e9, 2_500.0),
+            "never alone"
+        );
+        assert!(
+            is_gone(Count { silent: 2, hear: 0 }, 7, 5_000.0, 2_500.0),
+            "most do not answer at all"
+        );
     }
 }
--- a/crates/gossip/src/wire.rs
+++ b/crates/gossip/src/wire.rs
@@ -66,7 +66,9 @@
 impl fmt::Debug for Seal {
     /// Says nothing of the key.
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        f.debug_struct("Seal").field("fleet", &self.fleet).finish_non_exhaustive()
+        f.debug_struct("Seal")
+            .field("fleet", &self.fleet)
+            .finish_non_exhaustive()
     }
 }
 
@@ -78,7 +80,10 @@
         material.extend_from_slice(fleet.as_bytes());
         material.extend_from_slice(key);
         let MemberId(hash) = MemberId::of(fleet);
-        Self { fleet: hash as u32, key: blake3::derive_key(CONTEXT, &material) }
+        Self {
+            fleet: hash as u32,
+            key: blake3::derive_key(CONTEXT, &material),
+        }
     }
 
     fn of(&self, bytes: &[u8]) -> [u8; SEAL] {
@@ -184,7 +189,11 @@
                 to.push(u8::from(*introduce));
                 ACK
             }
-            Self::Alive { incarnation, process, name } => {
+            Self::Alive {
+                incarnation,
+                process,
+                name,
+            } => {
                 to.extend_from_slice(&incarnation.to_le_bytes());
                 to.extend_from_slice(&process.to_le_bytes());
                 to.extend_from_slice(name.as_bytes());
@@ -213,7 +222,9 @@
                 DIGEST
             }
             Self::Parts(parts) => {
-                parts.iter().for_each(|part| to.extend_from_slice(&part.to_le_bytes()));
+                parts
+                    .iter()
+                    .for_each(|part| to.extend_from_slice(&part.to_le_bytes()));
                 PARTS_KIND
             }
             Self::Word(bytes) => {
@@ -230,16 +241,31 @@
     fn read(kind: u8, body: &[u8]) -> Option<Self> {
         let mut body = Body(body);
         Some(match kind {
-            HELLO => Self::Hello { incarnation: body.incarnation()?, name: body.name()? },
+            HELLO => Self::Hello {
+                incarnation: body.incarnation()?,
+                name: body.name()?,
+            },
             PING => {
                 let flags = body.u8()?;
-                Self::Ping { answer: flags & 1 == 1, observer: flags & 2 == 2 }
-            }
-            ACK => Self::Ack { number: body.u32()?, introduce: body.flag()? },
-            ALIVE => {
-                Self::Alive { incarnation: body.incarnation()?, process: body.u64()?, name: body.name()? }
+                Self::Ping {
+                    answer: flags & 1 == 1,
+                    observer: flags & 2 == 2,
+                }
             }
-            GONE => Self::Gone(MemberId(body.u64()?), body.incarnation()?, body.u8().unwrap_or(0)),
+            ACK => Self::Ack {
+                number: body.u32()?,
+                introduce: body.flag()?,
+            },
+            ALIVE => Self::Alive {
+                incarnation: body.incarnation()?,
+                process: body.u64()?,
+                name: body.name()?,
+            },
+            GONE => Self::Gone(
+                MemberId(body.u64()?),
+                body.incarnation()?,
+                body.u8().unwrap_or(0),
+            ),
             LEFT => Self::Left(MemberId(body.u64()?), body.incarnation()?),
             ASK => Self::Ask(MemberId(body.u64()?), body.incarnation()?),
             VOTE => Self::Vote(MemberId(body.u64()?), body.incarnation()?, body.flag()?),
@@ -269,7 +295,8 @@
     }
 
     fn incarnation(&mut self) -> Option<u64> {
-        self.u64().filter(|incarnation| *incarnation <= MOST_INCARNATION)
+        self.u64()
+            .filter(|incarnation| *incarnation <= MOST_INCARNATION)
     }
 
     fn u32(&mut self) -> Option<u32> {
@@ -281,7 +308,10 @@
     }
 
     fn name(&mut self) -> Option<String> {
-        std::str::from_utf8(self.0).ok().filter(|name| is_name(name)).map(str::to_owned)
+        std::str::from_utf8(self.0)
+            .ok()
+            .filter(|name| is_name(name))
+            .map(str::to_owned)
     }
 }
 
@@ -405,7 +435,9 @@
     }
     let mut head = Body(&said[5..]);
     let read = (head.u64(), head.u64(), head.u32());
-    let (Some(from), Some(to), Some(number)) = read else { return Err(Refused::Malformed) };
+    let (Some(from), Some(to), Some(number)) = read else {
+        return Err(Refused::Malformed);
+    };
     let mut records = Vec::new();
     let mut rest = head.0;
     while let [kind, length, after @ ..] = rest {
@@ -429,13 +461,21 @@
     /// Takes a number that has not come before. `false`: it has, or may have. The first is always taken.
     pub fn take(&mut self, number: u32) -> bool {
         if self.seen == 0 || number > self.highest {
-            let by = if self.seen == 0 { 64 } else { number - self.highest };
+            let by = if self.seen == 0 {
+                64
+            } else {
+                number - self.highest
+            };
             self.seen = if by >= 64 { 1 } else { (self.seen << by) | 1 };
             self.highest = number;
             return true;
         }
         let behind = self.highest - number;
-        let bit = if behind >= 64 { return false } else { 1_u64 << behind };
+        let bit = if behind >= 64 {
+            return false;
+        } else {
+            1_u64 << behind
+        };
         let is_new = self.seen & bit == 0;
         self.seen |= bit;
         is_new
@@ -451,11 +491,18 @@
         let at = || 0..=MOST_INCARNATION;
         let id = || (any::<u64>().prop_map(MemberId), at());
         prop_oneof![
-            (at(), "[!-~]{1,64}").prop_map(|(incarnation, name)| Record::Hello { incarnation, name }),
+            (at(), "[!-~]{1,64}")
+                .prop_map(|(incarnation, name)| Record::Hello { incarnation, name }),
             any::<(bool, bool)>().prop_map(|(answer, observer)| Record::Ping { answer, observer }),
-            (any::<u32>(), any::<bool>()).prop_map(|(number, introduce)| Record::Ack { number, introduce }),
-            (at(), any::<u64>(), "[!-~]{1,64}")
-                .prop_map(|(incarnation, process, name)| { Record::Alive { incarnation, process, name } }),
+            (any::<u32>(), any::<bool>())
+                .prop_map(|(number, introduce)| Record::Ack { number, introduce }),
+            (at(), any::<u64>(), "[!-~]{1,64}").prop_map(|(incarnation, process, name)| {
+                Record::Alive {
+                    incarnation,
+                    process,
+                    name,
+                }
+            }),
             (id(), any::<u8>()).prop_map(|((id, at), ago)| Record::Gone(id, at, ago)),
             id().prop_map(|(id, at)| Record::Left(id, at)),
             id().prop_map(|(id, at)| Record::Ask(id, at)),
@@ -514,18 +561,47 @@
     /// Guards against a fleet that stops to talk while half of it has a later version.
     #[test]
     fn what_a_later_version_adds_is_passed_over() {
-        let mut writer = Writer::new(&seal(), Head { from: 1, to: 2, number: 3 });
-        writer.push(&Record::Ping { answer: true, observer: false });
-        writer.bytes.extend_from_slice(&[200, 3, 1, 2, 3, PING, 4, 1, 9, 9, 9]);
+        let mut writer = Writer::new(
+            &seal(),
+            Head {
+                from: 1,
+                to: 2,
+                number: 3,
+            },
+        );
+        writer.push(&Record::Ping {
+            answer: true,
+            observer: false,
+        });
+        writer
+            .bytes
+            .extend_from_slice(&[200, 3, 1, 2, 3, PING, 4, 1, 9, 9, 9]);
         let (_, records) = open(&seal(), &writer.seal(&seal())).expect("sound");
-        let ping = Record::Ping { answer: true, observer: false };
+        let ping = Record::Ping {
+            answer: true,
+            observer: false,
+        };
         assert_eq!(records, [ping.clone(), ping]);
     }
 
     #[test]
     fn other_keys_and_fleets_are_told_apart() {
-        let bytes = Writer::new(&seal(), Head { from: 1, to: 2, number: 3 }).seal(&seal());
-        assert_eq!(open(&Seal::new("holds", b"another key of 16"), &bytes), Err(Refused::Seal));
-        assert_eq!(open(&Seal::new("other", b"0123456789abcdef"), &bytes), Err(Refused::Fleet));
+        let bytes = Writer::new(
+            &seal(),
+            Head {
+                from: 1,
+                to: 2,
+                number: 3,
+            },
+        )
+        .seal(&seal());
+        assert_eq!(
+            open(&Seal::new("holds", b"another key of 16"), &bytes),
+            Err(Refused::Seal)
+        );
+        assert_eq!(
+            open(&Seal::new("other", b"0123456789abcdef"), &bytes),
+            Err(Refused::Fleet)
+        );
     }
 }
--- a/crates/gossip/tests/drawn.rs
+++ b/crates/gossip/tests/drawn.rs
@@ -45,15 +45,23 @@
     (0..6).for_each(|node| fleet.world.pause(node, 10_000.0));
     fleet.split(|node| if node < 6 { node } else { 6 });
     fleet.run(9_990.0);
-    fleet.all_links(simulation::Link { loss: 0.6, ..simulation::Link::default() });
+    fleet.all_links(simulation::Link {
+        loss: 0.6,
+        ..simulation::Link::default()
+    });
     fleet.run(30_000.0);
     let gone = fleet.gone_since(before).into_iter();
-    gone.filter(|(_, _, name)| ["n6", "n7", "n8"].contains(&name.as_str())).count()
+    gone.filter(|(_, _, name)| ["n6", "n7", "n8"].contains(&name.as_str()))
+        .count()
 }
 
 #[test]
 fn a_pause_that_is_taken_at_face_value_is_found() {
-    let all = |planted| (0..20).map(|seed| gone_when_most_wake(seed, planted)).sum::<usize>();
+    let all = |planted| {
+        (0..20)
+            .map(|seed| gone_when_most_wake(seed, planted))
+            .sum::<usize>()
+    };
     assert_eq!(all(Planted::None), 0);
     assert!(all(Planted::PauseAtFaceValue) > 0);
 }
