--- a/crates/gossip/tests/hard.rs
+++ b/crates/gossip/tests/hard.rs
@@ -1,7 +1,7 @@
 //! The hard cases, each by itself, in virtual time.
 
-use simulation::{Clock, Link, Trouble};
 use gossip::{Event, Health, Note, Refused, Seal, State};
+use simulation::{Clock, Link, Trouble};
 use testkit::nodes::{Fleet, KEY};
 
 /// Within this all see that a node was killed, in milliseconds.
@@ -21,12 +21,21 @@
 /// Goes on until all but one hold a node for gone, and tells how long it took.
 fn gone_to_all(fleet: &mut Fleet, node: usize, within: f64) -> f64 {
     let start = fleet.world.now_ms();
-    let others: Vec<_> = (0..fleet.names.len()).filter(|of| *of != node && fleet.world.is_up(*of)).collect();
-    while !others.iter().all(|of| fleet.state(*of, node) == Some(State::Gone)) {
+    let others: Vec<_> = (0..fleet.names.len())
+        .filter(|of| *of != node && fleet.world.is_up(*of))
+        .collect();
+    while !others
+        .iter()
+        .all(|of| fleet.state(*of, node) == Some(State::Gone))
+    {
         fleet.run(50.0);
         let passed = fleet.world.now_ms() - start;
         let holds: Vec<_> = others.iter().map(|of| fleet.state(*of, node)).collect();
-        assert!(passed < within, "seed {}: n{node} is {holds:?} after {passed} ms", fleet.seed);
+        assert!(
+            passed < within,
+            "seed {}: n{node} is {holds:?} after {passed} ms",
+            fleet.seed
+        );
     }
     fleet.world.now_ms() - start
 }
@@ -49,10 +58,15 @@
         gone_to_all(&mut fleet, 0, SEEN);
         fleet.start(0);
         fleet.agree_within(BACK);
-        fleet.world.with(0, |node, now, out| node.act(now, Event::Leave, out));
+        fleet
+            .world
+            .with(0, |node, now, out| node.act(now, Event::Leave, out));
         fleet.kill(0);
         fleet.run(500.0);
-        assert!((1..nodes).all(|of| fleet.state(of, 0) == Some(State::Left)), "it said goodbye");
+        assert!(
+            (1..nodes).all(|of| fleet.state(of, 0) == Some(State::Left)),
+            "it said goodbye"
+        );
     }
 }
 
@@ -61,7 +75,10 @@
     let mut fleet = Fleet::started(1, 2);
     fleet.kill(0);
     fleet.run(60_000.0);
-    assert_eq!((fleet.state(1, 0), fleet.health(1)), (Some(State::Suspect), Health::Isolated));
+    assert_eq!(
+        (fleet.state(1, 0), fleet.health(1)),
+        (Some(State::Suspect), Health::Isolated)
+    );
 }
 
 #[test]
@@ -85,14 +102,28 @@
         let before = fleet.world.now_ms();
         fleet.world.pause(3, ms);
         let others_see = gone_to_all(&mut fleet, 3, SEEN);
-        assert!(others_see >= SUSPECT, "not before the suspicion time: {others_see}");
+        assert!(
+            others_see >= SUSPECT,
+            "not before the suspicion time: {others_see}"
+        );
         fleet.world.run_until(before + ms);
         fleet.agree_within(BACK);
         fleet.run(5_000.0);
-        assert!(fleet.gone_since(before).iter().all(|(by, _, name)| *by != 3 && name == "n3"));
+        assert!(fleet
+            .gone_since(before)
+            .iter()
+            .all(|(by, _, name)| *by != 3 && name == "n3"));
         let notes = fleet.notes(3);
-        assert!(notes.iter().any(|note| matches!(note, Note::Woke { .. })), "{notes:?}");
-        assert!(notes.iter().any(|note| matches!(note, Note::Returns { .. })), "{notes:?}");
+        assert!(
+            notes.iter().any(|note| matches!(note, Note::Woke { .. })),
+            "{notes:?}"
+        );
+        assert!(
+            notes
+                .iter()
+                .any(|note| matches!(note, Note::Returns { .. })),
+            "{notes:?}"
+        );
     }
 }
 
@@ -104,7 +135,11 @@
         fleet.world.pause(3, 4_500.0);
         fleet.run(7_500.0);
     }
-    let returns = fleet.notes(3).iter().filter(|note| matches!(note, Note::Returns { .. })).count();
+    let returns = fleet
+        .notes(3)
+        .iter()
+        .filter(|note| matches!(note, Note::Returns { .. }))
+        .count();
     assert!((3..=16).contains(&returns), "{returns} of 24 times");
     let last = fleet.world.now_ms();
     fleet.run(31_000.0);
@@ -124,15 +159,31 @@
         fleet.agree_within(BACK);
         fleet.run(3_000.0);
         let called = fleet.gone_since(before);
-        assert!(called.iter().all(|(by, _, name)| *by != 3 && name == "n3"), "seed {seed}: {called:?}");
-        *(if called.is_empty() { &mut spared } else { &mut gone }) += 1;
+        assert!(
+            called.iter().all(|(by, _, name)| *by != 3 && name == "n3"),
+            "seed {seed}: {called:?}"
+        );
+        *(if called.is_empty() {
+            &mut spared
+        } else {
+            &mut gone
+        }) += 1;
     }
-    assert!(gone > 0 && spared > 0, "both sides of it are played: {gone} {spared}");
+    assert!(
+        gone > 0 && spared > 0,
+        "both sides of it are played: {gone} {spared}"
+    );
 }
 
 #[test]
 fn a_third_that_is_paused_at_the_same_moment_accuses_nobody() {
-    for (seed, ms) in [(1, 500.0), (2, 1_000.0), (3, 3_000.0), (4, 10_000.0), (5, 60_000.0)] {
+    for (seed, ms) in [
+        (1, 500.0),
+        (2, 1_000.0),
+        (3, 3_000.0),
+        (4, 10_000.0),
+        (5, 60_000.0),
+    ] {
         let mut fleet = Fleet::started(seed, 12);
         let before = fleet.world.now_ms();
         (0..4).for_each(|node| fleet.world.pause(node, ms));
@@ -141,11 +192,25 @@
         fleet.run(5_000.0);
         let gone = fleet.gone_since(before);
         assert!(
-            !gone.iter().any(|(_, _, name)| !["n0", "n1", "n2", "n3"].contains(&name.as_str())),
+            !gone
+                .iter()
+                .any(|(_, _, name)| !["n0", "n1", "n2", "n3"].contains(&name.as_str())),
             "{gone:?}"
         );
-        let verdicts = |node| fleet.world.process(node).expect("it runs").gossip.figures().verdicts;
-        assert_eq!((0..4).map(verdicts).sum::<u64>(), 0, "who wakes up has no say");
+        let verdicts = |node| {
+            fleet
+                .world
+                .process(node)
+                .expect("it runs")
+                .gossip
+                .figures()
+                .verdicts
+        };
+        assert_eq!(
+            (0..4).map(verdicts).sum::<u64>(),
+            0,
+            "who wakes up has no say"
+        );
         assert!(ms > SUSPECT || gone.is_empty(), "{gone:?}");
     }
 }
@@ -161,7 +226,13 @@
         // From before the first doubt to after the last word of it.
         fleet.run(2_300.0 + 30.0 * seed as f64);
         let paused = 1 + seed as usize % 6;
-        let verdicts = fleet.world.process(paused).expect("it runs").gossip.figures().verdicts;
+        let verdicts = fleet
+            .world
+            .process(paused)
+            .expect("it runs")
+            .gossip
+            .figures()
+            .verdicts;
         match fleet.state(paused, 0) {
             Some(State::Alive) => probing += 1,
             Some(State::Suspect) => asking += 1,
@@ -170,15 +241,24 @@
         }
         fleet.world.pause(paused, 2_000.0);
         let start = fleet.world.now_ms();
-        while !(1..7).filter(|of| *of != paused).all(|of| fleet.state(of, 0) == Some(State::Gone)) {
+        while !(1..7)
+            .filter(|of| *of != paused)
+            .all(|of| fleet.state(of, 0) == Some(State::Gone))
+        {
             fleet.run(50.0);
             assert!(fleet.world.now_ms() - start < SEEN, "seed {seed}");
         }
         fleet.run(5_000.0);
         fleet.agree_within(BACK);
-        assert!(fleet.gone_since(before).iter().all(|(_, _, name)| name == "n0"));
+        assert!(fleet
+            .gone_since(before)
+            .iter()
+            .all(|(_, _, name)| name == "n0"));
     }
-    assert!(probing > 0 && asking > 0 && telling > 0, "each is played: {probing} {asking} {telling}");
+    assert!(
+        probing > 0 && asking > 0 && telling > 0,
+        "each is played: {probing} {asking} {telling}"
+    );
 }
 
 #[test]
@@ -186,7 +266,9 @@
     let mut fleet = Fleet::started(1, 7);
     let before = fleet.world.now_ms();
     for second in 0..60 {
-        (0..7).filter(|node| (node + second) % 2 == 0).for_each(|node| fleet.world.pause(node, 200.0));
+        (0..7)
+            .filter(|node| (node + second) % 2 == 0)
+            .for_each(|node| fleet.world.pause(node, 200.0));
         fleet.run(1_000.0);
     }
     assert_none_gone(&fleet, before);
@@ -198,7 +280,10 @@
     for (seed, loss) in [(1, 0.1), (2, 0.3), (3, 0.5)] {
         for nodes in [5, 9, 30] {
             let mut fleet = Fleet::new(seed, nodes);
-            fleet.all_links(Link { loss, ..Link::default() });
+            fleet.all_links(Link {
+                loss,
+                ..Link::default()
+            });
             fleet.start_all(1_000.0);
             fleet.run(20_000.0);
             let before = fleet.world.now_ms();
@@ -214,12 +299,31 @@
 fn bursts_delays_doubles_and_changes_are_borne() {
     let link = Link::default;
     let cases = [
-        Link { burst: (0.002, 2_000.0), ..link() },
-        Link { delay_ms: 1_200.0, ..link() },
-        Link { jitter_ms: 3_000.0, ..link() },
-        Link { twice: 0.5, ..link() },
-        Link { corrupt: 0.1, ..link() },
-        Link { replay: 0.5, jitter_ms: 500.0, ..link() },
+        Link {
+            burst: (0.002, 2_000.0),
+            ..link()
+        },
+        Link {
+            delay_ms: 1_200.0,
+            ..link()
+        },
+        Link {
+            jitter_ms: 3_000.0,
+            ..link()
+        },
+        Link {
+            twice: 0.5,
+            ..link()
+        },
+        Link {
+            corrupt: 0.1,
+            ..link()
+        },
+        Link {
+            replay: 0.5,
+            jitter_ms: 500.0,
+            ..link()
+        },
     ];
     for (seed, held) in (1..).zip(cases) {
         let mut fleet = Fleet::started(seed, 7);
@@ -231,14 +335,33 @@
         let done = fleet.world.totals().done;
         assert_eq!(held.burst.0 > 0.0, done.lost > 100, "{held:?}: {done:?}");
         assert_eq!(held.twice > 0.0, done.doubled > 100, "{held:?}: {done:?}");
-        assert_eq!(held.corrupt > 0.0, done.corrupted > 100, "{held:?}: {done:?}");
+        assert_eq!(
+            held.corrupt > 0.0,
+            done.corrupted > 100,
+            "{held:?}: {done:?}"
+        );
         assert_eq!(held.replay > 0.0, done.replayed > 100, "{held:?}: {done:?}");
         let refused = |why: Refused| {
-            let at = Refused::ALL.iter().position(|one| *one == why).expect("it is one of them");
-            fleet.world.process(0).expect("it runs").gossip.figures().refused[at]
+            let at = Refused::ALL
+                .iter()
+                .position(|one| *one == why)
+                .expect("it is one of them");
+            fleet
+                .world
+                .process(0)
+                .expect("it runs")
+                .gossip
+                .figures()
+                .refused[at]
         };
-        assert!(held.corrupt == 0.0 || refused(Refused::Seal) > 10, "changed bytes are found");
-        assert!(held.twice == 0.0 || refused(Refused::Replayed) > 100, "doubles are found");
+        assert!(
+            held.corrupt == 0.0 || refused(Refused::Seal) > 10,
+            "changed bytes are found"
+        );
+        assert!(
+            held.twice == 0.0 || refused(Refused::Replayed) > 100,
+            "doubles are found"
+        );
         fleet.heal();
         fleet.agree_within(HEALED);
     }
@@ -249,7 +372,10 @@
 fn nobody_is_gone_where_nothing_comes_whole() {
     let mut fleet = Fleet::started(1, 7);
     let before = fleet.world.now_ms();
-    fleet.all_links(Link { corrupt: 1.0, ..Link::default() });
+    fleet.all_links(Link {
+        corrupt: 1.0,
+        ..Link::default()
+    });
     fleet.run(60_000.0);
     assert_none_gone(&fleet, before);
     assert!((0..7).all(|node| fleet.health(node) == Health::Isolated));
@@ -260,7 +386,10 @@
 #[test]
 fn what_an_earlier_life_said_is_not_taken() {
     let mut fleet = Fleet::started(1, 5);
-    fleet.all_links(Link { replay: 0.5, ..Link::default() });
+    fleet.all_links(Link {
+        replay: 0.5,
+        ..Link::default()
+    });
     for _ in 0..6 {
         fleet.run(3_000.0);
         fleet.kill(2);
@@ -272,10 +401,33 @@
     fleet.kill(2);
     gone_to_all(&mut fleet, 2, SEEN);
     fleet.run(60_000.0);
-    assert!([0, 1, 3, 4].iter().all(|of| fleet.state(*of, 2) == Some(State::Gone)), "it stays so");
-    let refused = |of: usize| fleet.world.process(of).expect("it runs").gossip.figures().refused;
-    let other_life = Refused::ALL.iter().position(|one| *one == Refused::OtherLife).expect("one of them");
-    assert!([0, 1, 3, 4].iter().map(|of| refused(*of)[other_life]).sum::<u64>() > 20, "some was played");
+    assert!(
+        [0, 1, 3, 4]
+            .iter()
+            .all(|of| fleet.state(*of, 2) == Some(State::Gone)),
+        "it stays so"
+    );
+    let refused = |of: usize| {
+        fleet
+            .world
+            .process(of)
+            .expect("it runs")
+            .gossip
+            .figures()
+            .refused
+    };
+    let other_life = Refused::ALL
+        .iter()
+        .position(|one| *one == Refused::OtherLife)
+        .expect("one of them");
+    assert!(
+        [0, 1, 3, 4]
+            .iter()
+            .map(|of| refused(*of)[other_life])
+            .sum::<u64>()
+            > 20,
+        "some was played"
+    );
 }
 
 #[test]
@@ -287,7 +439,10 @@
         fleet.run(60_000.0);
         assert_none_gone(&fleet, before);
         assert_eq!(fleet.health(0), Health::Isolated);
-        assert!((1..nodes).all(|of| fleet.state(of, 0) == Some(State::Alive)), "it is heard");
+        assert!(
+            (1..nodes).all(|of| fleet.state(of, 0) == Some(State::Alive)),
+            "it is heard"
+        );
         fleet.heal();
         fleet.agree_within(HEALED);
     }
@@ -301,11 +456,23 @@
         (1..nodes).for_each(|to| fleet.cut(0, to));
         gone_to_all(&mut fleet, 0, SEEN);
         fleet.run(10_000.0);
-        assert!(fleet.notes(0).iter().any(|note| matches!(note, Note::SelfGone { .. })));
-        assert_eq!((fleet.health(0), fleet.state(0, 0)), (Health::Isolated, Some(State::Gone)));
+        assert!(fleet
+            .notes(0)
+            .iter()
+            .any(|note| matches!(note, Note::SelfGone { .. })));
+        assert_eq!(
+            (fleet.health(0), fleet.state(0, 0)),
+            (Health::Isolated, Some(State::Gone))
+        );
         fleet.run(60_000.0);
-        assert!(fleet.gone_since(before).iter().all(|(_, _, name)| name == "n0"));
-        assert!((1..nodes).all(|of| fleet.state(of, 0) == Some(State::Gone)), "it stays so");
+        assert!(fleet
+            .gone_since(before)
+            .iter()
+            .all(|(_, _, name)| name == "n0"));
+        assert!(
+            (1..nodes).all(|of| fleet.state(of, 0) == Some(State::Gone)),
+            "it stays so"
+        );
         fleet.heal();
         fleet.agree_within(HEALED);
     }
@@ -319,7 +486,9 @@
             fleet.cut(0, 1);
             fleet.cut(1, 0);
         }),
-        ("one hears the other and not the reverse", |fleet| fleet.cut(0, 1)),
+        ("one hears the other and not the reverse", |fleet| {
+            fleet.cut(0, 1)
+        }),
         ("each is cut off from the next, one way", |fleet| {
             (0..9).for_each(|node| fleet.cut(node, (node + 1) % 9));
         }),
@@ -370,15 +539,35 @@
     for (seed, loss) in [(1, 0.6), (2, 0.75), (3, 0.85), (4, 0.9), (5, 0.95)] {
         let mut fleet = Fleet::started(seed, 9);
         let before = fleet.world.now_ms();
-        let link = Link { loss, ..Link::default() };
+        let link = Link {
+            loss,
+            ..Link::default()
+        };
         for other in 1..9 {
-            fleet.world.apply(&Trouble::Link { from: 0, to: other, link: link.clone() });
-            fleet.world.apply(&Trouble::Link { from: other, to: 0, link: link.clone() });
+            fleet.world.apply(&Trouble::Link {
+                from: 0,
+                to: other,
+                link: link.clone(),
+            });
+            fleet.world.apply(&Trouble::Link {
+                from: other,
+                to: 0,
+                link: link.clone(),
+            });
         }
         fleet.run(600_000.0);
         let gone = fleet.gone_since(before);
-        assert!(gone.iter().all(|(_, _, name)| name == "n0"), "loss {loss}: {gone:?}");
-        let returns = fleet.world.process(0).expect("it runs").gossip.figures().refutations;
+        assert!(
+            gone.iter().all(|(_, _, name)| name == "n0"),
+            "loss {loss}: {gone:?}"
+        );
+        let returns = fleet
+            .world
+            .process(0)
+            .expect("it runs")
+            .gossip
+            .figures()
+            .refutations;
         most = most.max(returns);
         // Two at once, and then after pauses that double: 0, 0, 2, 4, 8, 16 and 30 s.
         assert!(returns <= 20, "loss {loss}: {returns} times in ten minutes");
@@ -389,16 +578,24 @@
 #[test]
 fn sides_of_a_split_go_on_and_agree_once_it_is_healed() {
     type Side = fn(usize) -> usize;
-    let sides: [Side; 3] = [|node| node % 2, |node| usize::from(node == 0), |node| node % 3];
+    let sides: [Side; 3] = [
+        |node| node % 2,
+        |node| usize::from(node == 0),
+        |node| node % 3,
+    ];
     for (seed, side) in (1..).zip(sides) {
         for nodes in [8, 9, 30] {
             let mut fleet = Fleet::started(seed, nodes);
             fleet.split(side);
             fleet.run(20_000.0);
             for of in 1..nodes {
-                let is_right =
-                    |node: usize| (fleet.state(of, node) == Some(State::Alive)) == (side(of) == side(node));
-                assert!((0..nodes).all(is_right), "seed {seed}: each side holds its own for there: {of}");
+                let is_right = |node: usize| {
+                    (fleet.state(of, node) == Some(State::Alive)) == (side(of) == side(node))
+                };
+                assert!(
+                    (0..nodes).all(is_right),
+                    "seed {seed}: each side holds its own for there: {of}"
+                );
             }
             fleet.heal();
             fleet.agree_within(HEALED);
@@ -417,7 +614,9 @@
         // What is gone to one side starts again on the other, and one says goodbye to its own side alone.
         fleet.run(6_000.0);
         fleet.start(4);
-        fleet.world.with(5, |node, now, out| node.act(now, Event::Leave, out));
+        fleet
+            .world
+            .with(5, |node, now, out| node.act(now, Event::Leave, out));
         fleet.kill(5);
         fleet.run(4_000.0);
         fleet.heal();
@@ -436,9 +635,13 @@
     let before = fleet.world.now_ms();
     fleet.run(10_000.0);
     assert_none_gone(&fleet, before);
-    (0..300).filter(|node| node % 10 < 7).for_each(|node| fleet.kill(node));
+    (0..300)
+        .filter(|node| node % 10 < 7)
+        .for_each(|node| fleet.kill(node));
     fleet.agree_within(60_000.0);
-    (0..300).filter(|node| node % 10 < 7).for_each(|node| fleet.start(node));
+    (0..300)
+        .filter(|node| node % 10 < 7)
+        .for_each(|node| fleet.start(node));
     fleet.agree_within(15_000.0);
 }
 
@@ -453,7 +656,10 @@
         fleet.run(5_500.0);
     }
     fleet.agree_within(BACK);
-    assert!(fleet.gone_since(before).iter().all(|(_, _, name)| name == "n2"));
+    assert!(fleet
+        .gone_since(before)
+        .iter()
+        .all(|(_, _, name)| name == "n2"));
 }
 
 /// A clock that was set back between two lives makes the later one's incarnation lower.
@@ -482,13 +688,24 @@
     fleet.run(60_000.0);
     for node in [1, 5] {
         let notes = fleet.notes(node);
-        assert!(notes.iter().any(|note| matches!(note, Note::Rival { .. })), "n{node}: {notes:?}");
+        assert!(
+            notes.iter().any(|note| matches!(note, Note::Rival { .. })),
+            "n{node}: {notes:?}"
+        );
     }
     for of in [0, 2, 3, 4] {
         let view = fleet.view(of);
-        assert!(["n0", "n1", "n2", "n3", "n4"].iter().all(|name| view[*name].0 == State::Alive), "{view:?}");
+        assert!(
+            ["n0", "n1", "n2", "n3", "n4"]
+                .iter()
+                .all(|name| view[*name].0 == State::Alive),
+            "{view:?}"
+        );
     }
-    assert!(fleet.gone_since(before).iter().all(|(_, _, name)| name == "n1"));
+    assert!(fleet
+        .gone_since(before)
+        .iter()
+        .all(|(_, _, name)| name == "n1"));
     assert!(fleet.gone_since(before + 20_000.0).is_empty(), "it settles");
 }
 
@@ -497,7 +714,10 @@
     let mut fleet = Fleet::new(6, 8);
     for (node, clock) in fleet.clocks.iter_mut().enumerate() {
         let drift = [0.01, -0.01][node % 2];
-        *clock = Clock { offset_ms: 86_400_000.0 * (1 + node) as f64, drift };
+        *clock = Clock {
+            offset_ms: 86_400_000.0 * (1 + node) as f64,
+            drift,
+        };
     }
     fleet.start_all(1_000.0);
     fleet.agree_within(3_000.0);
@@ -518,15 +738,44 @@
     for of in 0..4 {
         let view = fleet.view(of);
         assert_eq!(view.len(), 4, "{view:?}");
-        let refused = fleet.world.process(of).expect("it runs").gossip.figures().refused;
-        let count = |why: Refused| refused[Refused::ALL.iter().position(|one| *one == why).expect("one")];
+        let refused = fleet
+            .world
+            .process(of)
+            .expect("it runs")
+            .gossip
+            .figures()
+            .refused;
+        let count = |why: Refused| {
+            refused[Refused::ALL
+                .iter()
+                .position(|one| *one == why)
+                .expect("one")]
+        };
         assert!(count(Refused::Seal) > 0 && count(Refused::Fleet) > 0);
     }
     let mut rng = fastrand::Rng::with_seed(9);
     for _ in 0..20_000 {
         let bytes: Vec<u8> = (0..rng.usize(..400)).map(|_| rng.u8(..)).collect();
-        fleet.world.with(0, |node, now, out| node.act(now, Event::Datagram { from: 1, bytes: &bytes }, out));
-        fleet.world.with(0, |node, now, out| node.act(now, Event::Datagram { from: 99, bytes: &bytes }, out));
+        fleet.world.with(0, |node, now, out| {
+            node.act(
+                now,
+                Event::Datagram {
+                    from: 1,
+                    bytes: &bytes,
+                },
+                out,
+            )
+        });
+        fleet.world.with(0, |node, now, out| {
+            node.act(
+                now,
+                Event::Datagram {
+                    from: 99,
+                    bytes: &bytes,
+                },
+                out,
+            )
+        });
     }
     assert_eq!(fleet.view(0).len(), 4);
     assert_none_gone(&fleet, 0.0);
@@ -545,5 +794,8 @@
     fleet.world.apply(&Trouble::Kill { node: 3 });
     gone_to_all(&mut fleet, 3, SEEN);
     let longest = fleet.world.totals().longest;
-    assert!(longest <= gossip::MOST_DATAGRAM && longest > 200, "{longest}");
+    assert!(
+        longest <= gossip::MOST_DATAGRAM && longest > 200,
+        "{longest}"
+    );
 }
--- a/crates/lease/src/claims.rs
+++ b/crates/lease/src/claims.rs
@@ -65,7 +65,9 @@
     pub fn refused(&mut self, keeper: usize, quorum: Quorum) -> bool {
         self.refused[keeper] = true;
         let is_lost = |set: u16| {
-            let refused = (0..MOST_KEEPERS).filter(|at| is_in(set, *at) && self.refused[*at]).count();
+            let refused = (0..MOST_KEEPERS)
+                .filter(|at| is_in(set, *at) && self.refused[*at])
+                .count();
             set.count_ones() as usize - refused < most_of(set)
         };
         match quorum {
@@ -79,8 +81,13 @@
     pub fn until_ms(&self, quorum: Quorum) -> f64 {
         let most = |set: u16| {
             let mut until = [f64::NEG_INFINITY; MOST_KEEPERS];
-            let granted = (0..MOST_KEEPERS).filter(|at| is_in(set, *at)).map(|at| self.until_ms[at]);
-            until.iter_mut().zip(granted).for_each(|(to, granted)| *to = granted);
+            let granted = (0..MOST_KEEPERS)
+                .filter(|at| is_in(set, *at))
+                .map(|at| self.until_ms[at]);
+            until
+                .iter_mut()
+                .zip(granted)
+                .for_each(|(to, granted)| *to = granted);
             until.sort_unstable_by(|a, b| b.total_cmp(a));
             until[most_of(set) - 1]
         };
@@ -117,9 +124,16 @@
         claim.granted(2, 700.0);
         assert_eq!(claim.until_ms(THREE), 700.0);
         claim.granted(1, 800.0);
-        assert_eq!((claim.until_ms(THREE), claim.until_ms(Quorum::Most(0b11111))), (800.0, 700.0));
+        assert_eq!(
+            (claim.until_ms(THREE), claim.until_ms(Quorum::Most(0b11111))),
+            (800.0, 700.0)
+        );
         claim.granted(1, 100.0);
-        assert_eq!(claim.until_ms(THREE), 800.0, "an answer that comes late takes nothing back");
+        assert_eq!(
+            claim.until_ms(THREE),
+            800.0,
+            "an answer that comes late takes nothing back"
+        );
         assert!(!claim.refused(0, THREE) && !claim.refused(0, THREE) && claim.refused(2, THREE));
     }
 
@@ -128,12 +142,23 @@
     fn two_sets_that_both_decide_have_to_grant_both() {
         let both = Quorum::Both(0b0111, 0b1011);
         let mut claim = Claim::new(0.0, Fence(1), false);
-        [(0, 900.0), (2, 800.0)].into_iter().for_each(|(keeper, until)| claim.granted(keeper, until));
-        assert_eq!((claim.until_ms(THREE), claim.until_ms(both)), (800.0, f64::NEG_INFINITY));
+        [(0, 900.0), (2, 800.0)]
+            .into_iter()
+            .for_each(|(keeper, until)| claim.granted(keeper, until));
+        assert_eq!(
+            (claim.until_ms(THREE), claim.until_ms(both)),
+            (800.0, f64::NEG_INFINITY)
+        );
         claim.granted(3, 700.0);
-        assert_eq!((claim.until_ms(both), claim.until_ms(Quorum::Nobody)), (700.0, f64::NEG_INFINITY));
+        assert_eq!(
+            (claim.until_ms(both), claim.until_ms(Quorum::Nobody)),
+            (700.0, f64::NEG_INFINITY)
+        );
         assert!(!claim.refused(1, both) && claim.refused(2, both));
         let moved = claim.moved(&[Some(3), None, Some(0)]);
-        assert_eq!((moved.until_ms(THREE), moved.until_ms(Quorum::Most(0b101))), (700.0, 700.0));
+        assert_eq!(
+            (moved.until_ms(THREE), moved.until_ms(Quorum::Most(0b101))),
+            (700.0, 700.0)
+        );
     }
 }
--- a/crates/lease/src/council.rs
+++ b/crates/lease/src/council.rs
@@ -57,7 +57,10 @@
         Self {
             now: mask(&all, &settings.keepers),
             before: mask(&all, &settings.before),
-            sets: Sets { now: settings.fingerprint(), before: settings.fingerprint_before() },
+            sets: Sets {
+                now: settings.fingerprint(),
+                before: settings.fingerprint_before(),
+            },
             all,
             decides,
             since_ms: now,
@@ -86,7 +89,10 @@
 
     /// The sets that a question is asked under.
     pub fn sets(&self) -> Sets {
-        Sets { before: if self.is_alone() { 0 } else { self.sets.before }, ..self.sets }
+        Sets {
+            before: if self.is_alone() { 0 } else { self.sets.before },
+            ..self.sets
+        }
     }
 
     /// Whether a keeper that goes by this set grants to who goes by those: by its own, or by the next together with it.
@@ -95,13 +101,23 @@
     }
 
     /// What this node can tell one that goes by those sets; none: nothing that helps it.
-    pub fn stand(&self, now: f64, longest_ms: f64, me: NodeId, by: Sets, highest: Fence) -> Option<Stand> {
+    pub fn stand(
+        &self,
+        now: f64,
+        longest_ms: f64,
+        me: NodeId,
+        by: Sets,
+        highest: Fence,
+    ) -> Option<Stand> {
         let is_same = by.now == self.sets.now;
         let is_of_before = mask(&self.all, &[me]) & self.before != 0;
-        let is_sealed =
-            is_same && by.before == self.sets.before && is_of_before && now >= self.since_ms + longest_ms;
+        let is_sealed = is_same
+            && by.before == self.sets.before
+            && is_of_before
+            && now >= self.since_ms + longest_ms;
         let is_alone = is_same && self.is_alone();
-        let is_next = (is_same && self.is_known()) || (by.before == self.sets.now && self.is_alone());
+        let is_next =
+            (is_same && self.is_known()) || (by.before == self.sets.now && self.is_alone());
         (is_sealed || is_alone || is_next).then_some(Stand {
             set: by.now,
             is_sealed,
@@ -138,7 +154,11 @@
 
     fn settings(set: u32, keepers: &[u64], before: &[u64]) -> Settings {
         let ids = |of: &[u64]| of.iter().copied().map(NodeId).collect::<Vec<_>>();
-        Settings { set, before: ids(before), ..Settings::new(NodeId(1), 1, ids(keepers)) }
+        Settings {
+            set,
+            before: ids(before),
+            ..Settings::new(NodeId(1), 1, ids(keepers))
+        }
     }
 
     fn stands(of: &Council, now: f64, me: u64, by: &Council) -> Option<Stand> {
@@ -167,9 +187,16 @@
         );
         // One whose file names others before is not told that those are sealed.
         let other = Council::new(0.0, &settings(2, &[1, 2, 4], &[1, 2, 5]), true);
-        assert_eq!(stands(&new, 150.0, 2, &other).map(|stand| stand.is_sealed), Some(false));
+        assert_eq!(
+            stands(&new, 150.0, 2, &other).map(|stand| stand.is_sealed),
+            Some(false)
+        );
         let sealed = stands(&new, 150.0, 2, &new).expect("it knows");
-        assert!(!new.hear(NodeId(2), sealed) && !new.hear(NodeId(2), sealed) && !new.hear(NodeId(4), sealed));
+        assert!(
+            !new.hear(NodeId(2), sealed)
+                && !new.hear(NodeId(2), sealed)
+                && !new.hear(NodeId(4), sealed)
+        );
         assert!(new.hear(NodeId(3), sealed) && new.quorum() == Quorum::Most(0b1011));
     }
 
@@ -180,14 +207,34 @@
         let unsure = Council::new(0.0, &settings(2, &[1, 2, 4], &[1, 2, 3]), false);
         let mut second = Council::new(0.0, &settings(3, &[1, 4, 5], &[1, 2, 4]), false);
         assert_eq!(second.quorum(), Quorum::Nobody);
-        assert_eq!(stands(&unsure, 10.0, 1, &second), None, "it does not know either");
-        assert_eq!(stands(&first, 10.0, 1, &second), None, "that is not the set before");
+        assert_eq!(
+            stands(&unsure, 10.0, 1, &second),
+            None,
+            "it does not know either"
+        );
+        assert_eq!(
+            stands(&first, 10.0, 1, &second),
+            None,
+            "that is not the set before"
+        );
         // Those that have sealed the set before say nothing of earlier ones.
-        let sealed = Stand { is_next: false, ..stands(&second, 200.0, 1, &second).expect("sealed") };
-        [1, 2, 4].into_iter().for_each(|from| assert!(!second.hear(NodeId(from), sealed)));
+        let sealed = Stand {
+            is_next: false,
+            ..stands(&second, 200.0, 1, &second).expect("sealed")
+        };
+        [1, 2, 4]
+            .into_iter()
+            .for_each(|from| assert!(!second.hear(NodeId(from), sealed)));
         assert_eq!(second.quorum(), Quorum::Nobody);
         let mut sure = unsure.clone();
-        assert!(sure.hear(NodeId(7), Stand { set: sure.sets().now, is_alone: true, ..sealed }));
+        assert!(sure.hear(
+            NodeId(7),
+            Stand {
+                set: sure.sets().now,
+                is_alone: true,
+                ..sealed
+            }
+        ));
         let next = stands(&sure, 300.0, 1, &second).expect("it knows");
         assert!(second.hear(NodeId(1), next), "all have sealed it");
     }
--- a/crates/lease/src/kinds.rs
+++ b/crates/lease/src/kinds.rs
@@ -111,15 +111,28 @@
 impl fmt::Display for SettingsError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Self::Keepers(count) => write!(f, "{count} keepers: there have to be 3, 5 or 7, each named once"),
-            Self::Before => write!(f, "the keepers before are those of the set before: `set` is 2 or more"),
+            Self::Keepers(count) => write!(
+                f,
+                "{count} keepers: there have to be 3, 5 or 7, each named once"
+            ),
+            Self::Before => write!(
+                f,
+                "the keepers before are those of the set before: `set` is 2 or more"
+            ),
             Self::Shards(count) => {
-                write!(f, "{count} shards: there have to be 1 to {}", Settings::MOST_SHARDS)
+                write!(
+                    f,
+                    "{count} shards: there have to be 1 to {}",
+                    Settings::MOST_SHARDS
+                )
             }
             Self::Times => {
                 let (least, most) = (Settings::LEAST_LEASE_MS, Settings::MOST_LEASE_MS);
                 let drift = Settings::MOST_DRIFT;
-                write!(f, "a lease lasts {least} to {most} ms, and a drift is 0 to {drift}")
+                write!(
+                    f,
+                    "a lease lasts {least} to {most} ms, and a drift is 0 to {drift}"
+                )
             }
         }
     }
@@ -197,9 +210,17 @@
     fn fingerprint_of(&self, set: u32, keepers: &[NodeId]) -> u64 {
         let keepers = sorted(keepers);
         let numbers = keepers.iter().map(|keeper| keeper.0);
-        let rest = [u64::from(set), u64::from(self.shards), self.lease_ms.to_bits(), self.drift.to_bits()];
+        let rest = [
+            u64::from(set),
+            u64::from(self.shards),
+            self.lease_ms.to_bits(),
+            self.drift.to_bits(),
+        ];
         // 0 stands for none.
-        numbers.chain(rest).fold(0, |all, number| mix(all ^ number)).max(1)
+        numbers
+            .chain(rest)
+            .fold(0, |all, number| mix(all ^ number))
+            .max(1)
     }
 
     /// For how long a keeper may have granted, by its own clock, which may be the faster one.
@@ -250,11 +271,19 @@
 impl fmt::Display for ChangeError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Self::SameNumber(set) => write!(f, "set {set} has other keepers: others need the next number"),
+            Self::SameNumber(set) => write!(
+                f,
+                "set {set} has other keepers: others need the next number"
+            ),
             Self::NotNext { has, wanted } => {
-                write!(f, "set {wanted} does not follow {has}: keepers change one set after the other")
+                write!(
+                    f,
+                    "set {wanted} does not follow {has}: keepers change one set after the other"
+                )
+            }
+            Self::Unsettled(set) => {
+                write!(f, "set {set} does not decide alone yet, an earlier one may")
             }
-            Self::Unsettled(set) => write!(f, "set {set} does not decide alone yet, an earlier one may"),
             Self::NotBefore => write!(f, "`before` has to name the keepers that this node goes by"),
             Self::Settings(error) => error.fmt(f),
         }
@@ -332,7 +361,10 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             Self::Won => write!(f, "is owned here: most keepers granted it"),
-            Self::Unheard => write!(f, "is owned here no more: most keepers did not renew it in time"),
+            Self::Unheard => write!(
+                f,
+                "is owned here no more: most keepers did not renew it in time"
+            ),
             Self::Given(_) => write!(f, "is owned here no more: it was given away"),
             Self::Released => write!(f, "is owned here no more: it was let go"),
         }
--- a/crates/lease/src/node.rs
+++ b/crates/lease/src/node.rs
@@ -10,8 +10,8 @@
 use crate::council::Council;
 use crate::keeper::Keeper;
 use crate::kinds::{
-    sorted, Action, Change, ChangeError, Event, Fence, Figures, NodeId, Note, Owner, Planted, Settings,
-    SettingsError, Shard, Standing,
+    sorted, Action, Change, ChangeError, Event, Fence, Figures, NodeId, Note, Owner, Planted,
+    Settings, SettingsError, Shard, Standing,
 };
 use crate::wire::{Held, Sets, Stand, Wanted, Word, MOST_EFFECT, MOST_HELD, MOST_WANTED};
 
@@ -195,7 +195,10 @@
         }
         let council = Council::new(now, &settings, false);
         let mut rng = Rng::with_seed(settings.seed);
-        let keeper = council.all.contains(&settings.me).then(|| Keeper::new(now, &settings));
+        let keeper = council
+            .all
+            .contains(&settings.me)
+            .then(|| Keeper::new(now, &settings));
         let slot = Slot {
             known: Fence(0),
             owner: None,
@@ -243,7 +246,11 @@
         self.now = self.now.max(now);
         self.lapse();
         match event {
-            Event::Word { from, process, bytes } => match Word::read(bytes) {
+            Event::Word {
+                from,
+                process,
+                bytes,
+            } => match Word::read(bytes) {
                 Some(word) => self.word((from, process), word),
                 None => self.figures.malformed += 1,
             },
@@ -272,7 +279,12 @@
         let own = self.slots.get(usize::from(shard))?.own.as_ref()?;
         let until_ms = own.until_ms(self.council.quorum());
         let holds = now.max(self.now) < until_ms;
-        holds.then_some(Permit { shard, fence: own.fence, until_ms, of: PhantomData })
+        holds.then_some(Permit {
+            shard,
+            fence: own.fence,
+            until_ms,
+            of: PhantomData,
+        })
     }
 
     /// Who owns what, as far as this node knows.
@@ -326,7 +338,11 @@
         let (is_alone, same) = (self.council.is_alone(), sorted(&self.settings.keepers));
         if set == has && same == sorted(keepers) {
             let is_same = sorted(before) == sorted(&self.settings.before);
-            return if is_same || is_alone { Ok(false) } else { Err(ChangeError::Unsettled(has)) };
+            return if is_same || is_alone {
+                Ok(false)
+            } else {
+                Err(ChangeError::Unsettled(has))
+            };
         }
         if set == has {
             return Err(ChangeError::SameNumber(set));
@@ -340,8 +356,12 @@
         if sorted(before) != same {
             return Err(ChangeError::NotBefore);
         }
-        let settings =
-            Settings { set, keepers: keepers.to_vec(), before: before.to_vec(), ..self.settings.clone() };
+        let settings = Settings {
+            set,
+            keepers: keepers.to_vec(),
+            before: before.to_vec(),
+            ..self.settings.clone()
+        };
         settings.check().map_err(ChangeError::Settings)?;
         self.now = self.now.max(now);
         self.follow(settings);
@@ -375,21 +395,37 @@
     /// Whether it is a keeper that grants.
     #[must_use]
     pub fn grants(&self) -> bool {
-        self.keeper.as_ref().is_some_and(|keeper| !keeper.is_silent(self.now))
+        self.keeper
+            .as_ref()
+            .is_some_and(|keeper| !keeper.is_silent(self.now))
     }
 
     /// The highest fence that this node has granted or heard of: what a keeper writes down where there is a disk.
     #[must_use]
     pub fn highest(&self) -> Fence {
-        let known = self.slots.iter().map(|slot| slot.known).max().unwrap_or_default();
-        self.keeper.as_ref().map_or(known, |keeper| keeper.highest().max(known))
+        let known = self
+            .slots
+            .iter()
+            .map(|slot| slot.known)
+            .max()
+            .unwrap_or_default();
+        self.keeper
+            .as_ref()
+            .map_or(known, |keeper| keeper.highest().max(known))
     }
 
     /// All that decides what it does next, but for what chances it will draw: for a search through states.
     #[cfg(feature = "planted")]
     pub fn state(&self, to: &mut impl std::hash::Hasher) {
         use std::hash::Hash;
-        let parts = (&self.council, &self.keeper, &self.slots, &self.asks, self.leaving, self.heard_ms);
+        let parts = (
+            &self.council,
+            &self.keeper,
+            &self.slots,
+            &self.asks,
+            self.leaving,
+            self.heard_ms,
+        );
         format!("{parts:?}").hash(to);
     }
 
@@ -397,7 +433,11 @@
     #[cfg(feature = "planted")]
     #[must_use]
     pub fn who_word(&self) -> Vec<u8> {
-        Word::Who { sets: self.council.sets(), since: 0 }.write()
+        Word::Who {
+            sets: self.council.sets(),
+            since: 0,
+        }
+        .write()
     }
 
     fn part(&self, of_a_lease: f64) -> f64 {
@@ -412,14 +452,26 @@
             self.heard_ms = self.now;
         }
         match (word, keeper) {
-            (Word::Want { sets, ask, ttl_ms, shards }, _) => self.wanted(from, sets, ask, ttl_ms, &shards),
+            (
+                Word::Want {
+                    sets,
+                    ask,
+                    ttl_ms,
+                    shards,
+                },
+                _,
+            ) => self.wanted(from, sets, ask, ttl_ms, &shards),
             (Word::Release { shards }, _) => {
                 if let Some(own) = &mut self.keeper {
-                    shards.iter().for_each(|(shard, fence)| own.release(*shard, from, *fence));
+                    shards
+                        .iter()
+                        .for_each(|(shard, fence)| own.release(*shard, from, *fence));
                 }
             }
             (Word::Take { shard, fence }, _) => self.taken(shard, fence),
-            (Word::Offer { shard, fence }, _) if !self.leaving && self.standing == Standing::Well => {
+            (Word::Offer { shard, fence }, _)
+                if !self.leaving && self.standing == Standing::Well =>
+            {
                 self.send(from.0, &Word::Ready { shard, fence });
             }
             (Word::Ready { shard, fence }, _) => self.is_ready(from.0, shard, fence),
@@ -437,7 +489,14 @@
                 }
             }
             (Word::Stands(stand), _) => self.stands(from.0, stand),
-            (Word::Effect { shard, fence, bytes }, _) => self.effect(from.0, shard, fence, bytes),
+            (
+                Word::Effect {
+                    shard,
+                    fence,
+                    bytes,
+                },
+                _,
+            ) => self.effect(from.0, shard, fence, bytes),
             (Word::Granted { ask, shards }, Some(keeper)) => self.granted(keeper, ask, &shards),
             (Word::Refused { shards }, Some(keeper)) => {
                 shards.iter().for_each(|held| self.refused(keeper, *held));
@@ -450,7 +509,10 @@
             }
             (Word::OtherSet(set), Some(_)) if self.now - self.noted_ms >= NOTE_MS => {
                 self.noted_ms = self.now;
-                self.out.push(Action::Note(Note::OtherSet { keeper: from.0, set }));
+                self.out.push(Action::Note(Note::OtherSet {
+                    keeper: from.0,
+                    set,
+                }));
             }
             _ => {}
         }
@@ -466,7 +528,9 @@
     // ---- as a keeper ----
 
     fn wanted(&mut self, by: (NodeId, u64), sets: Sets, ask: u32, ttl_ms: u16, shards: &[Wanted]) {
-        let Some(keeper) = &mut self.keeper else { return };
+        let Some(keeper) = &mut self.keeper else {
+            return;
+        };
         if !self.council.serves(sets) {
             let number = self.settings.set;
             return self.send(by.0, &Word::OtherSet(number));
@@ -486,13 +550,28 @@
         self.figures.grants += granted.len() as u64;
         self.figures.refusals += refused.len() as u64;
         if !granted.is_empty() {
-            self.send(by.0, &Word::Granted { ask, shards: granted });
+            self.send(
+                by.0,
+                &Word::Granted {
+                    ask,
+                    shards: granted,
+                },
+            );
         }
-        refused.chunks(MOST_HELD).for_each(|held| self.send(by.0, &Word::Refused { shards: held.to_vec() }));
+        refused.chunks(MOST_HELD).for_each(|held| {
+            self.send(
+                by.0,
+                &Word::Refused {
+                    shards: held.to_vec(),
+                },
+            )
+        });
     }
 
     fn who(&mut self, by: NodeId, sets: Sets, since: u64) {
-        let Some(keeper) = &mut self.keeper else { return };
+        let Some(keeper) = &mut self.keeper else {
+            return;
+        };
         if !self.council.serves(sets) {
             let number = self.settings.set;
             return self.send(by, &Word::OtherSet(number));
@@ -508,12 +587,15 @@
 
     fn stand(&self, by: Sets) -> Option<Stand> {
         let (me, longest) = (self.settings.me, self.settings.longest_ms());
-        self.council.stand(self.now, longest, me, by, self.highest())
+        self.council
+            .stand(self.now, longest, me, by, self.highest())
     }
 
     fn stands(&mut self, from: NodeId, stand: Stand) {
         // What was owned by an earlier set alone is not above this.
-        self.slots.iter_mut().for_each(|slot| slot.known = slot.known.max(stand.highest));
+        self.slots
+            .iter_mut()
+            .for_each(|slot| slot.known = slot.known.max(stand.highest));
         if self.council.hear(from, stand) {
             let highest = self.highest();
             if let Some(keeper) = &mut self.keeper {
@@ -534,26 +616,48 @@
         }
         let other = self.rng.usize(..self.candidates.len().max(1));
         let other = self.candidates.get(other).copied();
-        let others: Vec<_> = self.council.all.iter().copied().chain(other).filter(|to| *to != me).collect();
-        others.into_iter().for_each(|to| self.send(to, &Word::Decides { sets }));
+        let others: Vec<_> = self
+            .council
+            .all
+            .iter()
+            .copied()
+            .chain(other)
+            .filter(|to| *to != me)
+            .collect();
+        others
+            .into_iter()
+            .for_each(|to| self.send(to, &Word::Decides { sets }));
     }
 
     // ---- what is done for all ----
 
     fn tell(&mut self, shard: Shard, bytes: &[u8]) {
         let me = self.settings.me;
-        let Some(fence) = self.permit(self.now, shard).map(|permit| permit.fence()) else { return };
+        let Some(fence) = self.permit(self.now, shard).map(|permit| permit.fence()) else {
+            return;
+        };
         if bytes.len() > MOST_EFFECT {
             return;
         }
         self.effect(me, shard, fence, bytes.to_vec());
-        let word = Word::Effect { shard, fence, bytes: bytes.to_vec() };
-        let others: Vec<_> = self.candidates.iter().copied().filter(|node| *node != me).collect();
+        let word = Word::Effect {
+            shard,
+            fence,
+            bytes: bytes.to_vec(),
+        };
+        let others: Vec<_> = self
+            .candidates
+            .iter()
+            .copied()
+            .filter(|node| *node != me)
+            .collect();
         others.into_iter().for_each(|to| self.send(to, &word));
     }
 
     fn effect(&mut self, from: NodeId, shard: Shard, fence: Fence, bytes: Vec<u8>) {
-        let Some(slot) = self.slots.get_mut(usize::from(shard)) else { return };
+        let Some(slot) = self.slots.get_mut(usize::from(shard)) else {
+            return;
+        };
         if fence < slot.done {
             self.figures.stale += 1;
             return;
@@ -561,7 +665,12 @@
         slot.done = fence;
         slot.known = slot.known.max(fence);
         self.figures.effects += 1;
-        self.out.push(Action::Effect { from, shard, fence, bytes });
+        self.out.push(Action::Effect {
+            from,
+            shard,
+            fence,
+            bytes,
+        });
     }
 
     // ---- as one that asks ----
@@ -573,7 +682,9 @@
             let to = self.council.all[keeper];
             if to == self.settings.me {
                 for wanted in shards {
-                    let Some(memory) = &mut self.keeper else { continue };
+                    let Some(memory) = &mut self.keeper else {
+                        continue;
+                    };
                     if memory.is_silent(self.now) {
                         continue;
                     }
@@ -592,30 +703,57 @@
                 if self.asks.len() >= MOST_ASKS {
                     self.asks.pop_front();
                 }
-                self.asks.push_back(Ask { number: self.next_ask, keeper, sent_ms: self.now, ttl_ms });
+                self.asks.push_back(Ask {
+                    number: self.next_ask,
+                    keeper,
+                    sent_ms: self.now,
+                    ttl_ms,
+                });
                 let (sets, ask) = (self.council.sets(), self.next_ask);
                 // No longer than the longest lease, 10 s.
-                let word = Word::Want { sets, ask, ttl_ms: ttl_ms as u16, shards: some.to_vec() };
+                let word = Word::Want {
+                    sets,
+                    ask,
+                    ttl_ms: ttl_ms as u16,
+                    shards: some.to_vec(),
+                };
                 self.send(to, &word);
             }
         }
     }
 
     fn granted(&mut self, keeper: usize, number: u32, shards: &[(Shard, Fence)]) {
-        let ask = self.asks.iter().find(|ask| ask.number == number && ask.keeper == keeper).copied();
-        let Some(Ask { sent_ms, ttl_ms, .. }) = ask else { return };
+        let ask = self
+            .asks
+            .iter()
+            .find(|ask| ask.number == number && ask.keeper == keeper)
+            .copied();
+        let Some(Ask {
+            sent_ms, ttl_ms, ..
+        }) = ask
+        else {
+            return;
+        };
         // As the word had it.
         let ttl_ms = ttl_ms.trunc();
-        shards.iter().for_each(|(shard, fence)| self.grant(keeper, *shard, *fence, sent_ms, ttl_ms));
+        shards
+            .iter()
+            .for_each(|(shard, fence)| self.grant(keeper, *shard, *fence, sent_ms, ttl_ms));
     }
 
     /// A keeper has granted what was asked at a time.
     fn grant(&mut self, keeper: usize, shard: Shard, fence: Fence, sent_ms: f64, ttl_ms: f64) {
         let (now, quorum) = (self.now, self.council.quorum());
-        let from = if self.settings.planted == Planted::FromAnswer { now } else { sent_ms };
+        let from = if self.settings.planted == Planted::FromAnswer {
+            now
+        } else {
+            sent_ms
+        };
         // By the slower clock of the two the time is shorter.
         let until_ms = from + ttl_ms / (1.0 + self.settings.drift);
-        let Some(slot) = self.slots.get_mut(usize::from(shard)) else { return };
+        let Some(slot) = self.slots.get_mut(usize::from(shard)) else {
+            return;
+        };
         if let Some(own) = slot.own.as_mut().filter(|own| own.fence == fence) {
             own.granted(keeper, until_ms);
             if self.council.all[keeper] != self.settings.me {
@@ -623,7 +761,9 @@
             }
             return;
         }
-        let Some(claim) = slot.claim.as_mut().filter(|claim| claim.fence == fence) else { return };
+        let Some(claim) = slot.claim.as_mut().filter(|claim| claim.fence == fence) else {
+            return;
+        };
         claim.granted(keeper, until_ms);
         if claim.until_ms(quorum) <= now {
             return;
@@ -643,7 +783,9 @@
 
     fn refused(&mut self, keeper: usize, held: Held) {
         let (now, quorum, me) = (self.now, self.council.quorum(), self.settings.me);
-        let Some(slot) = self.slots.get_mut(usize::from(held.shard)) else { return };
+        let Some(slot) = self.slots.get_mut(usize::from(held.shard)) else {
+            return;
+        };
         slot.known = slot.known.max(held.highest);
         let other = held.owner.filter(|owner| *owner != me);
         if let Some(claim) = &mut slot.claim {
@@ -656,8 +798,12 @@
             slot.claim = None;
             // Those who share the grants try again at different times; who finds an owner waits for its end.
             let again = self.rng.f64() * self.settings.lease_ms * OFFER;
-            slot.try_at_ms =
-                now + if other.is_some() { f64::from(held.left_ms).min(again) } else { again / 4.0 };
+            slot.try_at_ms = now
+                + if other.is_some() {
+                    f64::from(held.left_ms).min(again)
+                } else {
+                    again / 4.0
+                };
             if slot.own.is_none() {
                 if other.is_some() {
                     (slot.owner, slot.free_ms) = (other, None);
@@ -667,7 +813,11 @@
             return;
         }
         // A keeper that has forgotten this ownership takes it back under a new number alone.
-        let is_forgotten = slot.own.as_ref().is_some_and(|own| held.highest >= own.fence) && other.is_none();
+        let is_forgotten = slot
+            .own
+            .as_ref()
+            .is_some_and(|own| held.highest >= own.fence)
+            && other.is_none();
         if is_forgotten && now >= slot.try_at_ms {
             slot.begin(now, false);
             slot.try_at_ms = now + self.settings.lease_ms;
@@ -680,7 +830,12 @@
             let to = self.council.all[keeper];
             match &mut self.keeper {
                 Some(memory) if to == own.0 => memory.release(shard, own, fence),
-                _ => self.send(to, &Word::Release { shards: vec![(shard, fence)] }),
+                _ => self.send(
+                    to,
+                    &Word::Release {
+                        shards: vec![(shard, fence)],
+                    },
+                ),
             }
         }
     }
@@ -689,7 +844,9 @@
         self.seen[keeper] = version;
         for held in shards {
             let now = self.now;
-            let Some(slot) = self.slots.get_mut(usize::from(held.shard)) else { continue };
+            let Some(slot) = self.slots.get_mut(usize::from(held.shard)) else {
+                continue;
+            };
             slot.known = slot.known.max(held.highest);
             if slot.own.is_some() {
                 continue;
@@ -711,7 +868,10 @@
         }
         if shards.len() >= MOST_HELD {
             // There is more.
-            let word = Word::Who { sets: self.council.sets(), since: version };
+            let word = Word::Who {
+                sets: self.council.sets(),
+                since: version,
+            };
             let to = self.council.all[keeper];
             self.send(to, &word);
         }
@@ -720,7 +880,9 @@
     /// The owner gives a shard to this node.
     fn taken(&mut self, shard: Shard, fence: Fence) {
         let (now, leaving) = (self.now, self.leaving);
-        let Some(slot) = self.slots.get_mut(usize::from(shard)) else { return };
+        let Some(slot) = self.slots.get_mut(usize::from(shard)) else {
+            return;
+        };
         if leaving || !self.council.is_known() || slot.own.is_some() || slot.known > fence {
             return;
         }
@@ -735,14 +897,17 @@
     fn lapse(&mut self) {
         let (now, quorum) = (self.now, self.council.quorum());
         for (shard, slot) in self.slots.iter_mut().enumerate() {
-            let Some(own) = slot.own.as_ref().filter(|own| own.until_ms(quorum) <= now) else { continue };
+            let Some(own) = slot.own.as_ref().filter(|own| own.until_ms(quorum) <= now) else {
+                continue;
+            };
             let fence = own.fence;
             slot.own = None;
             slot.owner = None;
             slot.since_ms = now;
             slot.free_ms = Some(now);
             self.figures.unheard += 1;
-            self.out.push(Action::Changed(shard as Shard, fence, Change::Unheard));
+            self.out
+                .push(Action::Changed(shard as Shard, fence, Change::Unheard));
         }
     }
 
@@ -772,16 +937,28 @@
         let to = self.council.all[self.polled];
         let since = self.seen[self.polled];
         if to != self.settings.me {
-            return self.send(to, &Word::Who { sets: self.council.sets(), since });
+            return self.send(
+                to,
+                &Word::Who {
+                    sets: self.council.sets(),
+                    since,
+                },
+            );
         }
-        if let Some(memory) = self.keeper.as_mut().filter(|memory| !memory.is_silent(self.now)) {
+        if let Some(memory) = self
+            .keeper
+            .as_mut()
+            .filter(|memory| !memory.is_silent(self.now))
+        {
             let (version, shards) = memory.since(self.now, since, usize::MAX);
             self.table(self.polled, version, &shards);
         }
     }
 
     fn keep(&mut self) {
-        let Some(keeper) = &mut self.keeper else { return };
+        let Some(keeper) = &mut self.keeper else {
+            return;
+        };
         if let Some(fence) = keeper.reserves() {
             self.out.push(Action::Reserve(fence));
         }
@@ -793,19 +970,34 @@
         }
         if self.now >= self.next_learn {
             self.next_learn = self.now + LEARN_MS;
-            let word = Word::Highest { set: self.council.sets().now };
+            let word = Word::Highest {
+                set: self.council.sets().now,
+            };
             let me = self.settings.me;
-            let others: Vec<_> = self.council.all.iter().copied().filter(|keeper| *keeper != me).collect();
-            others.into_iter().for_each(|keeper| self.send(keeper, &word));
+            let others: Vec<_> = self
+                .council
+                .all
+                .iter()
+                .copied()
+                .filter(|keeper| *keeper != me)
+                .collect();
+            others
+                .into_iter()
+                .for_each(|keeper| self.send(keeper, &word));
         }
     }
 
     /// Begins to ask for what is free and is this node's turn, and gives up what came to nothing.
     fn claim(&mut self) {
         let (now, offer) = (self.now, self.part(OFFER));
-        let is_deaf =
-            now - self.heard_ms >= DEAF_MS || self.standing == Standing::Isolated || !self.council.is_known();
-        let last = if self.standing == Standing::Well { 0.0 } else { LAST_MS };
+        let is_deaf = now - self.heard_ms >= DEAF_MS
+            || self.standing == Standing::Isolated
+            || !self.council.is_known();
+        let last = if self.standing == Standing::Well {
+            0.0
+        } else {
+            LAST_MS
+        };
         let mut lost = Vec::new();
         for (shard, slot) in self.slots.iter_mut().enumerate() {
             // Who owns it goes on to ask: keepers that have granted the new number renew the old one no more.
@@ -817,12 +1009,19 @@
                 continue;
             }
             let turn = slot.free_ms.zip(slot.rank.filter(|rank| *rank < RANKS));
-            let is_turn = turn.is_some_and(|(free, rank)| now >= free + last + rank as f64 * RANK_MS);
-            if !is_deaf && slot.own.is_none() && slot.claim.is_none() && is_turn && now >= slot.try_at_ms {
+            let is_turn =
+                turn.is_some_and(|(free, rank)| now >= free + last + rank as f64 * RANK_MS);
+            if !is_deaf
+                && slot.own.is_none()
+                && slot.claim.is_none()
+                && is_turn
+                && now >= slot.try_at_ms
+            {
                 slot.begin(now, false);
             }
         }
-        lost.into_iter().for_each(|(shard, fence)| self.release(shard, fence));
+        lost.into_iter()
+            .for_each(|(shard, fence)| self.release(shard, fence));
     }
 
     /// Asks for what has not been asked for yet, or not for a while: for a whole lease what is owned and answered for, as it
@@ -831,13 +1030,24 @@
         let (now, again, low) = (self.now, self.part(AGAIN), self.part(LOW));
         let (mut new, mut owned) = (Vec::new(), Vec::new());
         for (shard, slot) in self.slots.iter_mut().enumerate() {
-            let Some(claim) = slot.claim.as_mut().filter(|claim| now - claim.asked_ms >= again) else {
+            let Some(claim) = slot
+                .claim
+                .as_mut()
+                .filter(|claim| now - claim.asked_ms >= again)
+            else {
                 continue;
             };
             claim.asked_ms = now;
-            let is_heard = slot.own.as_ref().is_some_and(|own| now - own.answered_ms < low);
+            let is_heard = slot
+                .own
+                .as_ref()
+                .is_some_and(|own| now - own.answered_ms < low);
             let of = if is_heard { &mut owned } else { &mut new };
-            of.push(Wanted { shard: shard as Shard, fence: claim.fence, given: claim.given });
+            of.push(Wanted {
+                shard: shard as Shard,
+                fence: claim.fence,
+                given: claim.given,
+            });
         }
         for (ttl, wanted) in [(OFFER, new), (1.0, owned)] {
             if !wanted.is_empty() {
@@ -856,8 +1066,16 @@
             let passed = now - own.asked_ms;
             if passed >= renew || (left < low && passed >= again) {
                 own.asked_ms = now;
-                let wanted = Wanted { shard: shard as Shard, fence: own.fence, given: false };
-                let of = if now - own.answered_ms < low { &mut whole } else { &mut short };
+                let wanted = Wanted {
+                    shard: shard as Shard,
+                    fence: own.fence,
+                    given: false,
+                };
+                let of = if now - own.answered_ms < low {
+                    &mut whole
+                } else {
+                    &mut short
+                };
                 of.push(wanted);
             }
         }
@@ -906,18 +1124,28 @@
     /// Asks a node whether it takes a shard: one that does not hear would leave it without an owner.
     fn offer(&mut self, shard: Shard, to: NodeId) {
         let now = self.now;
-        let Some(slot) = self.slots.get_mut(usize::from(shard)).filter(|_| to != self.settings.me) else {
+        let Some(slot) = self
+            .slots
+            .get_mut(usize::from(shard))
+            .filter(|_| to != self.settings.me)
+        else {
+            return;
+        };
+        let Some(fence) = slot.own.as_ref().map(|own| own.fence) else {
             return;
         };
-        let Some(fence) = slot.own.as_ref().map(|own| own.fence) else { return };
         slot.offered = Some((to, now));
         self.send(to, &Word::Offer { shard, fence });
     }
 
     fn is_ready(&mut self, from: NodeId, shard: Shard, fence: Fence) {
         let now = self.now;
-        let Some(slot) = self.slots.get_mut(usize::from(shard)) else { return };
-        let is_offered = slot.offered.is_some_and(|(to, at)| to == from && now - at < OFFERED_MS);
+        let Some(slot) = self.slots.get_mut(usize::from(shard)) else {
+            return;
+        };
+        let is_offered = slot
+            .offered
+            .is_some_and(|(to, at)| to == from && now - at < OFFERED_MS);
         if is_offered && slot.own.as_ref().is_some_and(|own| own.fence == fence) {
             slot.offered = None;
             self.give(shard, from);
@@ -927,16 +1155,32 @@
     /// Gives a shard away: from here on this process does not act on it.
     fn give(&mut self, shard: Shard, to: NodeId) {
         let now = self.now;
-        let Some(slot) = self.slots.get_mut(usize::from(shard)).filter(|_| to != self.settings.me) else {
+        let Some(slot) = self
+            .slots
+            .get_mut(usize::from(shard))
+            .filter(|_| to != self.settings.me)
+        else {
             return;
         };
         slot.claim = None;
         let Some(own) = slot.own.take() else { return };
         (slot.owner, slot.since_ms, slot.free_ms) = (Some(to), now, None);
         self.figures.given += 1;
-        self.out.push(Action::Changed(shard, own.fence, Change::Given(to)));
-        slot.given = Some(Given { to, fence: own.fence, at_ms: now, said_ms: now });
-        self.send(to, &Word::Take { shard, fence: own.fence });
+        self.out
+            .push(Action::Changed(shard, own.fence, Change::Given(to)));
+        slot.given = Some(Given {
+            to,
+            fence: own.fence,
+            at_ms: now,
+            said_ms: now,
+        });
+        self.send(
+            to,
+            &Word::Take {
+                shard,
+                fence: own.fence,
+            },
+        );
         self.release(shard, own.fence);
     }
 
@@ -945,7 +1189,9 @@
         let (now, again, for_ms) = (self.now, self.part(AGAIN), self.part(LOW));
         let mut said = Vec::new();
         for (shard, slot) in self.slots.iter_mut().enumerate() {
-            let Some(given) = slot.given.as_mut() else { continue };
+            let Some(given) = slot.given.as_mut() else {
+                continue;
+            };
             if slot.known > given.fence || now - given.at_ms >= for_ms {
                 slot.given = None;
             } else if now - given.said_ms >= again {
@@ -964,7 +1210,12 @@
         let me = self.settings.me;
         for shard in 0..self.settings.shards {
             let draw = |node: &NodeId| mix(node.0 ^ mix(u64::from(shard) + 1));
-            let next = self.candidates.iter().copied().filter(|node| *node != me).max_by_key(draw);
+            let next = self
+                .candidates
+                .iter()
+                .copied()
+                .filter(|node| *node != me)
+                .max_by_key(draw);
             match next {
                 Some(next) => self.give(shard, next),
                 None => self.let_go(shard),
@@ -978,7 +1229,8 @@
         let Some(own) = slot.own.take() else { return };
         (slot.owner, slot.since_ms) = (None, now);
         self.figures.given += 1;
-        self.out.push(Action::Changed(shard, own.fence, Change::Released));
+        self.out
+            .push(Action::Changed(shard, own.fence, Change::Released));
         self.release(shard, own.fence);
     }
 }
@@ -994,13 +1246,22 @@
     }
 
     fn node(set: u32, keepers: &[u64], before: &[u64]) -> Leases {
-        let settings = Settings { set, before: ids(before), shards: 1, ..Settings::new(ME, 1, ids(keepers)) };
+        let settings = Settings {
+            set,
+            before: ids(before),
+            shards: 1,
+            ..Settings::new(ME, 1, ids(keepers))
+        };
         Leases::new(0.0, settings).expect("sound")
     }
 
     fn hears(node: &mut Leases, now: f64, from: u64, word: &Word) -> Vec<(NodeId, Word)> {
         let mut actions = Vec::new();
-        let event = Event::Word { from: NodeId(from), process: from, bytes: &word.write() };
+        let event = Event::Word {
+            from: NodeId(from),
+            process: from,
+            bytes: &word.write(),
+        };
         node.handle(now, event, &mut actions);
         said(actions)
     }
@@ -1017,7 +1278,10 @@
     fn granted(asked: &[(NodeId, Word)], by: u64) -> Option<Word> {
         asked.iter().find_map(|(to, word)| match word {
             Word::Want { ask, shards, .. } if *to == NodeId(by) => {
-                let shards = shards.iter().map(|wanted| (wanted.shard, wanted.fence)).collect();
+                let shards = shards
+                    .iter()
+                    .map(|wanted| (wanted.shard, wanted.fence))
+                    .collect();
                 Some(Word::Granted { ask: *ask, shards })
             }
             _ => None,
@@ -1028,8 +1292,21 @@
     fn owns(node: &mut Leases, by: &[u64]) -> bool {
         let mut actions = Vec::new();
         node.handle(1.0, Event::Candidates(&[ME], Standing::Well), &mut actions);
-        let held = Held { shard: 0, highest: Fence(5), owner: None, left_ms: 0 };
-        let mut asked = hears(node, 100.0, by[0], &Word::Table { version: 1, shards: vec![held] });
+        let held = Held {
+            shard: 0,
+            highest: Fence(5),
+            owner: None,
+            left_ms: 0,
+        };
+        let mut asked = hears(
+            node,
+            100.0,
+            by[0],
+            &Word::Table {
+                version: 1,
+                shards: vec![held],
+            },
+        );
         node.handle(200.0, Event::Due, &mut actions);
         asked.extend(said(actions));
         for keeper in by {
@@ -1044,12 +1321,24 @@
     fn what_was_granted_holds_for_who_granted_it_when_keepers_change() {
         let mut kept = node(1, &[1, 2, 3], &[]);
         assert!(owns(&mut kept, &[1, 2]));
-        assert_eq!(kept.change(220.0, 2, &ids(&[0, 1, 2]), &ids(&[1, 2, 3])), Ok(true));
-        assert!(kept.permit(220.0, 0).is_some(), "1 and 2 are most of both sets");
+        assert_eq!(
+            kept.change(220.0, 2, &ids(&[0, 1, 2]), &ids(&[1, 2, 3])),
+            Ok(true)
+        );
+        assert!(
+            kept.permit(220.0, 0).is_some(),
+            "1 and 2 are most of both sets"
+        );
         let mut lost = node(1, &[1, 2, 3], &[]);
         assert!(owns(&mut lost, &[1, 2]));
-        assert_eq!(lost.change(220.0, 2, &ids(&[0, 4, 1]), &ids(&[1, 2, 3])), Ok(true));
-        assert!(lost.permit(220.0, 0).is_none(), "of the new set only 1 has granted it");
+        assert_eq!(
+            lost.change(220.0, 2, &ids(&[0, 4, 1]), &ids(&[1, 2, 3])),
+            Ok(true)
+        );
+        assert!(
+            lost.permit(220.0, 0).is_none(),
+            "of the new set only 1 has granted it"
+        );
     }
 
     /// One that stood still and is asked first thing when it wakes has no leave, though nothing has told it so.
@@ -1059,27 +1348,46 @@
         assert!(owns(&mut node, &[1, 2]));
         let until = node.permit(210.0, 0).expect("it owns it").until_ms();
         assert!(until < 200.0 + 625.0, "from when it asked: {until}");
-        let held = |now| node.permit(now, 0).is_some_and(|permit| permit.holds_at(now));
+        let held = |now| {
+            node.permit(now, 0)
+                .is_some_and(|permit| permit.holds_at(now))
+        };
         assert!(held(until - 1.0) && !held(until) && !held(60_000.0));
-        assert!(node.permit(until, 0).is_none() && node.owners(60_000.0).all(|owner| owner.left_ms == 0.0));
+        assert!(
+            node.permit(until, 0).is_none()
+                && node.owners(60_000.0).all(|owner| owner.left_ms == 0.0)
+        );
     }
 
     /// Guards against numbers that go back where new keepers have never heard of the old ones' grants.
     #[test]
     fn the_new_set_goes_on_above_what_the_old_one_granted() {
         let mut node = node(1, &[1, 2, 3], &[]);
-        assert_eq!(node.change(10.0, 2, &ids(&[9, 4, 5]), &ids(&[1, 2, 3])), Ok(true));
+        assert_eq!(
+            node.change(10.0, 2, &ids(&[9, 4, 5]), &ids(&[1, 2, 3])),
+            Ok(true)
+        );
         let set = node.council.sets().now;
         let stand = |highest| {
             let highest = Fence(highest);
-            Word::Stands(Stand { set, is_sealed: true, is_alone: false, is_next: false, highest })
+            Word::Stands(Stand {
+                set,
+                is_sealed: true,
+                is_alone: false,
+                is_next: false,
+                highest,
+            })
         };
         hears(&mut node, 20.0, 1, &stand(70));
         assert_eq!(node.set(), (2, false));
         hears(&mut node, 20.0, 2, &stand(900));
         assert_eq!(node.set(), (2, true));
         assert_eq!(node.slots[0].known, Fence(900), "it asks above that");
-        assert_eq!(node.keeper.as_ref().map(Keeper::highest), Some(Fence(900)), "and grants above that");
+        assert_eq!(
+            node.keeper.as_ref().map(Keeper::highest),
+            Some(Fence(900)),
+            "and grants above that"
+        );
     }
 
     /// Who does not know how far a change is asks for nothing, whatever is offered: it would be in others' way.
@@ -1087,16 +1395,43 @@
     fn one_that_does_not_know_who_decides_asks_for_nothing() {
         for before in [&[][..], &[1, 2, 4]] {
             let mut node = node(2, &[1, 2, 3], before);
-            let asked = hears(&mut node, 10.0, 1, &Word::Take { shard: 0, fence: Fence(7) });
-            let wants = asked.iter().filter(|(_, word)| matches!(word, Word::Want { .. })).count();
+            let asked = hears(
+                &mut node,
+                10.0,
+                1,
+                &Word::Take {
+                    shard: 0,
+                    fence: Fence(7),
+                },
+            );
+            let wants = asked
+                .iter()
+                .filter(|(_, word)| matches!(word, Word::Want { .. }))
+                .count();
             assert_eq!(wants > 0, before.is_empty());
             let mut actions = Vec::new();
             node.handle(20.0, Event::Candidates(&[ME], Standing::Well), &mut actions);
-            let held = Held { shard: 0, highest: Fence(9), owner: None, left_ms: 0 };
-            let mut asked = hears(&mut node, 3_000.0, 1, &Word::Table { version: 1, shards: vec![held] });
+            let held = Held {
+                shard: 0,
+                highest: Fence(9),
+                owner: None,
+                left_ms: 0,
+            };
+            let mut asked = hears(
+                &mut node,
+                3_000.0,
+                1,
+                &Word::Table {
+                    version: 1,
+                    shards: vec![held],
+                },
+            );
             node.handle(3_100.0, Event::Due, &mut actions);
             asked.extend(said(actions));
-            let wants = asked.iter().filter(|(_, word)| matches!(word, Word::Want { .. })).count();
+            let wants = asked
+                .iter()
+                .filter(|(_, word)| matches!(word, Word::Want { .. }))
+                .count();
             assert_eq!(wants > 0, before.is_empty());
         }
     }
@@ -1113,8 +1448,20 @@
             let word = granted(&asked, keeper).expect("renewed");
             hears(&mut node, 610.0, keeper, &word);
         }
-        let ahead = Held { shard: 0, highest: Fence(40), owner: None, left_ms: 0 };
-        let mut asked = hears(&mut node, 700.0, 3, &Word::Refused { shards: vec![ahead] });
+        let ahead = Held {
+            shard: 0,
+            highest: Fence(40),
+            owner: None,
+            left_ms: 0,
+        };
+        let mut asked = hears(
+            &mut node,
+            700.0,
+            3,
+            &Word::Refused {
+                shards: vec![ahead],
+            },
+        );
         let mut actions = Vec::new();
         node.handle(760.0, Event::Due, &mut actions);
         asked.extend(said(actions));
@@ -1133,14 +1480,31 @@
     #[test]
     fn a_refusal_of_the_old_number_is_none_of_the_new_one() {
         let (mut node, asked) = renumbers();
-        assert_eq!(asks_for(&asked, 41), [2_500; 3], "for a whole lease: it is in nobody's way");
-        let own = Held { shard: 0, highest: Fence(41), owner: Some(ME), left_ms: 2_000 };
+        assert_eq!(
+            asks_for(&asked, 41),
+            [2_500; 3],
+            "for a whole lease: it is in nobody's way"
+        );
+        let own = Held {
+            shard: 0,
+            highest: Fence(41),
+            owner: Some(ME),
+            left_ms: 2_000,
+        };
         [1, 2].into_iter().for_each(|keeper| {
-            hears(&mut node, 770.0, keeper, &Word::Refused { shards: vec![own] });
+            hears(
+                &mut node,
+                770.0,
+                keeper,
+                &Word::Refused { shards: vec![own] },
+            );
         });
         let mut actions = Vec::new();
         node.handle(1_100.0, Event::Due, &mut actions);
-        assert!(!asks_for(&said(actions), 41).is_empty(), "it goes on to ask");
+        assert!(
+            !asks_for(&said(actions), 41).is_empty(),
+            "it goes on to ask"
+        );
     }
 
     /// One that is heard and hears nothing would keep a shard from others for a whole lease after its own is over.
@@ -1150,6 +1514,9 @@
         let mut actions = Vec::new();
         node.handle(610.0 + 1_400.0, Event::Due, &mut actions);
         let asked = asks_for(&said(actions), 41);
-        assert!(!asked.is_empty() && asked.iter().all(|ttl| *ttl == 625), "{asked:?}");
+        assert!(
+            !asked.is_empty() && asked.iter().all(|ttl| *ttl == 625),
+            "{asked:?}"
+        );
     }
 }
--- a/crates/lease/src/record.rs
+++ b/crates/lease/src/record.rs
@@ -52,9 +52,16 @@
     let sealed = blake3::hash(format!("{said}\n").as_bytes());
     let seal = blake3::Hash::from_hex(seal).map_err(|_| RecordError::Damaged)?;
     let (head, reserved) = said.split_once('\n').ok_or(RecordError::Damaged)?;
-    let by = head.strip_prefix(HEAD).and_then(|rest| rest.strip_prefix(' ')).ok_or(RecordError::Damaged)?;
-    let reserved = reserved.strip_prefix("reserved ").and_then(|number| number.parse().ok());
-    let reserved = reserved.filter(|_| seal == sealed).ok_or(RecordError::Damaged)?;
+    let by = head
+        .strip_prefix(HEAD)
+        .and_then(|rest| rest.strip_prefix(' '))
+        .ok_or(RecordError::Damaged)?;
+    let reserved = reserved
+        .strip_prefix("reserved ")
+        .and_then(|number| number.parse().ok());
+    let reserved = reserved
+        .filter(|_| seal == sealed)
+        .ok_or(RecordError::Damaged)?;
     if by != node {
         return Err(RecordError::OfAnother);
     }
--- a/crates/lease/src/wire.rs
+++ b/crates/lease/src/wire.rs
@@ -52,9 +52,17 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Word {
     /// May the sender own these, for so long, from when it asked?
-    Want { sets: Sets, ask: u32, ttl_ms: u16, shards: Vec<Wanted> },
+    Want {
+        sets: Sets,
+        ask: u32,
+        ttl_ms: u16,
+        shards: Vec<Wanted>,
+    },
     /// It may.
-    Granted { ask: u32, shards: Vec<(Shard, Fence)> },
+    Granted {
+        ask: u32,
+        shards: Vec<(Shard, Fence)>,
+    },
     /// It may not: how they stand.
     Refused { shards: Vec<Held> },
     /// The sender owns these no more.
@@ -76,7 +84,11 @@
     /// This is how the sender stands to that set.
     Stands(Stand),
     /// The sender's effect on behalf of the fleet, as the owner of a shard.
-    Effect { shard: Shard, fence: Fence, bytes: Vec<u8> },
+    Effect {
+        shard: Shard,
+        fence: Fence,
+        bytes: Vec<u8>,
+    },
     /// This.
     HighestIs(Fence),
     /// The receiver has another set than the sender, which has this number.
@@ -109,7 +121,12 @@
     pub fn write(&self) -> Vec<u8> {
         let mut to = Vec::with_capacity(MOST_WORD);
         match self {
-            Self::Want { sets, ask, ttl_ms, shards } => {
+            Self::Want {
+                sets,
+                ask,
+                ttl_ms,
+                shards,
+            } => {
                 put_sets(&mut to, [1, 13], sets);
                 to.put_u32_le(*ask);
                 to.put_u16_le(*ttl_ms);
@@ -175,10 +192,19 @@
                 to.push(16);
                 to.put_u64_le(stand.set);
                 let flags = [stand.is_sealed, stand.is_alone, stand.is_next];
-                to.push(flags.iter().rev().fold(0, |all, flag| all << 1 | u8::from(*flag)));
+                to.push(
+                    flags
+                        .iter()
+                        .rev()
+                        .fold(0, |all, flag| all << 1 | u8::from(*flag)),
+                );
                 to.put_u64_le(stand.highest.0);
             }
-            Self::Effect { shard, fence, bytes } => {
+            Self::Effect {
+                shard,
+                fence,
+                bytes,
+            } => {
                 to.extend_from_slice(&[17, *shard]);
                 to.put_u64_le(fence.0);
                 to.extend_from_slice(bytes);
@@ -197,19 +223,41 @@
                 let (ask, ttl_ms) = (body.u32()?, body.u16()?);
                 let shards = body.all(|body| {
                     let (shard, given) = (body.u8()?, body.u8()? == 1);
-                    Some(Wanted { shard, given, fence: Fence(body.u64()?) })
+                    Some(Wanted {
+                        shard,
+                        given,
+                        fence: Fence(body.u64()?),
+                    })
                 })?;
-                Self::Want { sets, ask, ttl_ms, shards }
+                Self::Want {
+                    sets,
+                    ask,
+                    ttl_ms,
+                    shards,
+                }
             }
-            2 => Self::Granted { ask: body.u32()?, shards: body.all(Body::fence)? },
-            3 => Self::Refused { shards: body.all(Body::held)? },
-            4 => Self::Release { shards: body.all(Body::fence)? },
+            2 => Self::Granted {
+                ask: body.u32()?,
+                shards: body.all(Body::fence)?,
+            },
+            3 => Self::Refused {
+                shards: body.all(Body::held)?,
+            },
+            4 => Self::Release {
+                shards: body.all(Body::fence)?,
+            },
             5 => {
                 let (shard, fence) = body.fence()?;
                 Self::Take { shard, fence }
             }
-            6 | 14 => Self::Who { sets: body.sets(*kind == 14)?, since: body.u64()? },
-            7 => Self::Table { version: body.u64()?, shards: body.all(Body::held)? },
+            6 | 14 => Self::Who {
+                sets: body.sets(*kind == 14)?,
+                since: body.u64()?,
+            },
+            7 => Self::Table {
+                version: body.u64()?,
+                shards: body.all(Body::held)?,
+            },
             8 => Self::Highest { set: body.u64()? },
             9 => Self::HighestIs(Fence(body.u64()?)),
             10 => Self::OtherSet(body.u32()?),
@@ -221,15 +269,27 @@
                 let (shard, fence) = body.fence()?;
                 Self::Ready { shard, fence }
             }
-            15 => Self::Decides { sets: body.sets(true)? },
+            15 => Self::Decides {
+                sets: body.sets(true)?,
+            },
             16 => {
                 let (set, flags, highest) = (body.u64()?, body.u8()?, Fence(body.u64()?));
                 let [is_sealed, is_alone, is_next] = [1, 2, 4].map(|flag| flags & flag != 0);
-                Self::Stands(Stand { set, is_sealed, is_alone, is_next, highest })
+                Self::Stands(Stand {
+                    set,
+                    is_sealed,
+                    is_alone,
+                    is_next,
+                    highest,
+                })
             }
             17 => {
                 let (shard, fence) = body.fence()?;
-                Self::Effect { shard, fence, bytes: body.0.to_vec() }
+                Self::Effect {
+                    shard,
+                    fence,
+                    bytes: body.0.to_vec(),
+                }
             }
             _ => return None,
         })
@@ -262,13 +322,21 @@
 
     fn sets(&mut self, with_before: bool) -> Option<Sets> {
         let now = self.u64()?;
-        Some(Sets { now, before: if with_before { self.u64()? } else { 0 } })
+        Some(Sets {
+            now,
+            before: if with_before { self.u64()? } else { 0 },
+        })
     }
 
     fn held(&mut self) -> Option<Held> {
         let (shard, highest) = self.fence()?;
         let owner = Some(self.u64()?).filter(|owner| *owner != 0).map(NodeId);
-        Some(Held { shard, highest, owner, left_ms: self.u16()? })
+        Some(Held {
+            shard,
+            highest,
+            owner,
+            left_ms: self.u16()?,
+        })
     }
 
     fn all<T>(&mut self, mut one: impl FnMut(&mut Self) -> Option<T>) -> Option<Vec<T>> {
@@ -293,40 +361,76 @@
         let one = (any::<u8>(), any::<u64>(), any::<u64>(), any::<u16>());
         let one = one.prop_map(|(shard, highest, owner, left_ms)| {
             let owner = Some(NodeId(owner)).filter(|owner| owner.0 != 0);
-            Held { shard, highest: Fence(highest), owner, left_ms }
+            Held {
+                shard,
+                highest: Fence(highest),
+                owner,
+                left_ms,
+            }
         });
         proptest::collection::vec(one, 0..=MOST_HELD)
     }
 
     fn sets() -> impl Strategy<Value = Sets> {
-        (any::<u64>(), prop_oneof![Just(0), any::<u64>()]).prop_map(|(now, before)| Sets { now, before })
+        (any::<u64>(), prop_oneof![Just(0), any::<u64>()])
+            .prop_map(|(now, before)| Sets { now, before })
     }
 
     fn word() -> impl Strategy<Value = Word> {
         let wanted = fences().prop_map(|all| {
-            let one = |(shard, fence)| Wanted { shard, fence, given: shard % 2 == 0 };
+            let one = |(shard, fence)| Wanted {
+                shard,
+                fence,
+                given: shard % 2 == 0,
+            };
             all.into_iter().map(one).collect()
         });
         prop_oneof![
-            (sets(), any::<(u32, u16)>(), wanted).prop_map(|(sets, (ask, ttl_ms), shards)| Word::Want {
-                sets,
-                ask,
-                ttl_ms,
-                shards
+            (sets(), any::<(u32, u16)>(), wanted).prop_map(|(sets, (ask, ttl_ms), shards)| {
+                Word::Want {
+                    sets,
+                    ask,
+                    ttl_ms,
+                    shards,
+                }
             }),
             (any::<u32>(), fences()).prop_map(|(ask, shards)| Word::Granted { ask, shards }),
             held().prop_map(|shards| Word::Refused { shards }),
             fences().prop_map(|shards| Word::Release { shards }),
-            any::<(u8, u64)>().prop_map(|(shard, fence)| Word::Take { shard, fence: Fence(fence) }),
-            any::<(u8, u64)>().prop_map(|(shard, fence)| Word::Offer { shard, fence: Fence(fence) }),
-            any::<(u8, u64)>().prop_map(|(shard, fence)| Word::Ready { shard, fence: Fence(fence) }),
+            any::<(u8, u64)>().prop_map(|(shard, fence)| Word::Take {
+                shard,
+                fence: Fence(fence)
+            }),
+            any::<(u8, u64)>().prop_map(|(shard, fence)| Word::Offer {
+                shard,
+                fence: Fence(fence)
+            }),
+            any::<(u8, u64)>().prop_map(|(shard, fence)| Word::Ready {
+                shard,
+                fence: Fence(fence)
+            }),
             (sets(), any::<u64>()).prop_map(|(sets, since)| Word::Who { sets, since }),
             sets().prop_map(|sets| Word::Decides { sets }),
-            any::<(u64, bool, bool, bool, u64)>().prop_map(|(set, is_sealed, is_alone, is_next, highest)| {
-                Word::Stands(Stand { set, is_sealed, is_alone, is_next, highest: Fence(highest) })
-            }),
-            (any::<(u8, u64)>(), proptest::collection::vec(any::<u8>(), 0..=MOST_EFFECT))
-                .prop_map(|((shard, fence), bytes)| Word::Effect { shard, fence: Fence(fence), bytes }),
+            any::<(u64, bool, bool, bool, u64)>().prop_map(
+                |(set, is_sealed, is_alone, is_next, highest)| {
+                    Word::Stands(Stand {
+                        set,
+                        is_sealed,
+                        is_alone,
+                        is_next,
+                        highest: Fence(highest),
+                    })
+                }
+            ),
+            (
+                any::<(u8, u64)>(),
+                proptest::collection::vec(any::<u8>(), 0..=MOST_EFFECT)
+            )
+                .prop_map(|((shard, fence), bytes)| Word::Effect {
+                    shard,
+                    fence: Fence(fence),
+                    bytes
+                }),
             (any::<u64>(), held()).prop_map(|(version, shards)| Word::Table { version, shards }),
             any::<u64>().prop_map(|set| Word::Highest { set }),
             any::<u64>().prop_map(|fence| Word::HighestIs(Fence(fence))),
--- a/crates/lease/tests/model.rs
+++ b/crates/lease/tests/model.rs
@@ -14,11 +14,17 @@
 #[test]
 fn no_order_of_events_makes_two_owners() {
     let mut hands = 0;
-    for (is_owned, bounds) in
-        [(false, [8, 0, 0, 0]), (true, [5, 1, 0, 0]), (true, [6, 0, 1, 0]), (true, [3, 1, 0, 1])]
-    {
+    for (is_owned, bounds) in [
+        (false, [8, 0, 0, 0]),
+        (true, [5, 1, 0, 0]),
+        (true, [6, 0, 1, 0]),
+        (true, [3, 1, 0, 1]),
+    ] {
         let found = played(Planted::None, is_owned, bounds);
-        assert!(found.is_whole && found.broken.is_none(), "{bounds:?}: {found:?}");
+        assert!(
+            found.is_whole && found.broken.is_none(),
+            "{bounds:?}: {found:?}"
+        );
         hands += usize::from(found.changed_hands);
     }
     assert!(hands > 0, "owners follow each other in some of them");
--- a/crates/lease/tests/world.rs
+++ b/crates/lease/tests/world.rs
@@ -1,28 +1,40 @@
 //! Leases in virtual time: drawn troubles, the hard cases each by itself, and mistakes that are made on purpose.
 
-use simulation::{Clock, Link, Trouble};
 use lease::{ChangeError, Event, NodeId, Planted, Shard, Standing};
+use simulation::{Clock, Link, Trouble};
 use testkit::owners::{id, trial, File, Fleet, AGAIN, LEASE, SHARDS};
 
 #[test]
 fn drawn_troubles_never_make_two_owners_and_all_is_owned_after_them() {
     let (mut won, mut refused) = (0, 0);
     for seed in 0..300 {
-        let (one_won, one_refused) = trial(seed, Planted::None).unwrap_or_else(|error| panic!("{error}"));
+        let (one_won, one_refused) =
+            trial(seed, Planted::None).unwrap_or_else(|error| panic!("{error}"));
         won += one_won;
         refused += one_refused;
     }
-    assert!(won > 4_000 && refused > 100, "the troubles are some: {won} won, {refused} refused");
+    assert!(
+        won > 4_000 && refused > 100,
+        "the troubles are some: {won} won, {refused} refused"
+    );
 }
 
 fn cut(fleet: &mut Fleet, one: usize, other: usize) {
-    fleet.apply(&Trouble::Cut { from: one, to: other });
-    fleet.apply(&Trouble::Cut { from: other, to: one });
+    fleet.apply(&Trouble::Cut {
+        from: one,
+        to: other,
+    });
+    fleet.apply(&Trouble::Cut {
+        from: other,
+        to: one,
+    });
 }
 
 /// Cuts all links of a node's, both ways.
 fn cut_off(fleet: &mut Fleet, node: usize) {
-    (0..fleet.clocks.len()).filter(|other| *other != node).for_each(|other| cut(fleet, node, other));
+    (0..fleet.clocks.len())
+        .filter(|other| *other != node)
+        .for_each(|other| cut(fleet, node, other));
 }
 
 /// A fleet of seven with three keepers in which a node that is no keeper owns a shard, that node, and the shard.
@@ -57,9 +69,16 @@
 fn slow_owner(planted: Planted) -> Result<(), String> {
     for seed in 0..10 {
         let (mut fleet, owner, _) = owned_by_another(seed, planted);
-        let slow = Link { delay_ms: 580.0, ..Link::default() };
+        let slow = Link {
+            delay_ms: 580.0,
+            ..Link::default()
+        };
         for other in (0..7).filter(|other| *other != owner) {
-            fleet.apply(&Trouble::Link { from: other, to: owner, link: slow.clone() });
+            fleet.apply(&Trouble::Link {
+                from: other,
+                to: owner,
+                link: slow.clone(),
+            });
         }
         fleet.run(10_000.0);
         cut_off(&mut fleet, owner);
@@ -123,7 +142,10 @@
 
 #[test]
 fn an_owner_that_is_stopped_for_any_time_is_replaced_and_never_beside_the_next() {
-    for (seed, ms) in [LEASE - 10.0, LEASE, 2.0 * LEASE, 10.0 * LEASE, 60_000.0].into_iter().enumerate() {
+    for (seed, ms) in [LEASE - 10.0, LEASE, 2.0 * LEASE, 10.0 * LEASE, 60_000.0]
+        .into_iter()
+        .enumerate()
+    {
         // At many points of what it is doing.
         for part in 0..20 {
             let mut fleet = Fleet::started(seed as u64, 7, 3, Planted::None);
@@ -132,7 +154,10 @@
             fleet.world.pause(owner, ms);
             fleet.run(ms.min(AGAIN));
             if ms > AGAIN {
-                assert!(fleet.owner[0].is_some_and(|now| now != owner), "seed {seed}: replaced");
+                assert!(
+                    fleet.owner[0].is_some_and(|now| now != owner),
+                    "seed {seed}: replaced"
+                );
                 fleet.run(ms - AGAIN);
             }
             fleet.run(LEASE);
@@ -147,11 +172,18 @@
     for is_deaf in [true, false] {
         let (mut fleet, owner, shard) = owned_by_another(3, Planted::None);
         for other in (0..7).filter(|other| *other != owner) {
-            let (from, to) = if is_deaf { (other, owner) } else { (owner, other) };
+            let (from, to) = if is_deaf {
+                (other, owner)
+            } else {
+                (owner, other)
+            };
             fleet.apply(&Trouble::Cut { from, to });
         }
         fleet.run(AGAIN);
-        assert!(fleet.owner[usize::from(shard)].is_some_and(|now| now != owner), "deaf: {is_deaf}");
+        assert!(
+            fleet.owner[usize::from(shard)].is_some_and(|now| now != owner),
+            "deaf: {is_deaf}"
+        );
         fleet.judge().unwrap();
     }
 }
@@ -191,11 +223,22 @@
 fn words_that_come_late_doubled_or_not_at_all_make_no_two_owners() {
     for seed in 0..6 {
         let mut fleet = Fleet::started(seed, 7, 5, Planted::None);
-        let link = Link { twice: 0.3, replay: 0.3, loss: 0.1, jitter_ms: 3_000.0, ..Link::default() };
+        let link = Link {
+            twice: 0.3,
+            replay: 0.3,
+            loss: 0.1,
+            jitter_ms: 3_000.0,
+            ..Link::default()
+        };
         fleet.apply(&Trouble::All { link });
         fleet.run(60_000.0);
         // What is on its way arrives a minute later.
-        fleet.apply(&Trouble::All { link: Link { delay_ms: 60_000.0, ..Link::default() } });
+        fleet.apply(&Trouble::All {
+            link: Link {
+                delay_ms: 60_000.0,
+                ..Link::default()
+            },
+        });
         fleet.run(5_000.0);
         fleet.apply(&Trouble::HealAll);
         fleet.run(70_000.0);
@@ -207,7 +250,12 @@
 #[test]
 fn ten_minutes_at_thirty_percent_loss_make_no_two_owners() {
     let mut fleet = Fleet::started(1, 7, 5, Planted::None);
-    fleet.apply(&Trouble::All { link: Link { loss: 0.3, ..Link::default() } });
+    fleet.apply(&Trouble::All {
+        link: Link {
+            loss: 0.3,
+            ..Link::default()
+        },
+    });
     fleet.run(600_000.0);
     fleet.owned_within(AGAIN).unwrap();
     fleet.judge().unwrap();
@@ -227,7 +275,11 @@
     fleet.owned_within(0.0).expect("two of three are enough");
     (0..2).for_each(|keeper| fleet.world.pause(keeper, 20_000.0));
     fleet.run(LEASE + 100.0);
-    assert_eq!(fleet.owner.iter().flatten().count(), 0, "no majority, no owner");
+    assert_eq!(
+        fleet.owner.iter().flatten().count(),
+        0,
+        "no majority, no owner"
+    );
     fleet.run(20_000.0 - LEASE);
     fleet.owned_within(AGAIN).unwrap();
     fleet.judge().unwrap();
@@ -239,7 +291,11 @@
     let mut fleet = Fleet::started(4, 7, 3, Planted::None);
     (1..7).for_each(|node| fleet.world.pause(node, 300_000.0));
     fleet.run(300_000.0 - 10.0);
-    assert_eq!(fleet.owner.iter().flatten().count(), 0, "who wakes up owns nothing");
+    assert_eq!(
+        fleet.owner.iter().flatten().count(),
+        0,
+        "who wakes up owns nothing"
+    );
     fleet.run(LEASE);
     fleet.owned_within(AGAIN).unwrap();
     fleet.judge().unwrap();
@@ -263,7 +319,9 @@
     fleet.without_ms = 0.0;
     let start = fleet.world.now_ms();
     for node in 0..7 {
-        fleet.world.with(node, |node, now, out| node.act(now, Event::Leave, out));
+        fleet
+            .world
+            .with(node, |node, now, out| node.act(now, Event::Leave, out));
         fleet.run(200.0);
         fleet.kill(node);
         fleet.run(300.0);
@@ -280,14 +338,30 @@
 fn a_move_of_which_all_word_is_lost_is_said_again() {
     let (mut fleet, owner, shard) = owned_by_another(8, Planted::None);
     let to = (3..7).find(|node| *node != owner).expect("another");
-    fleet.world.with(owner, |node, now, out| node.act(now, Event::Give(shard, id(to)), out));
+    fleet.world.with(owner, |node, now, out| {
+        node.act(now, Event::Give(shard, id(to)), out)
+    });
     // The offer has come, and the answer is on its way.
     fleet.run(0.9);
     let others: Vec<_> = (0..7).filter(|other| *other != owner).collect();
-    others.iter().for_each(|other| fleet.apply(&Trouble::Cut { from: owner, to: *other }));
+    others.iter().for_each(|other| {
+        fleet.apply(&Trouble::Cut {
+            from: owner,
+            to: *other,
+        })
+    });
     fleet.run(100.0);
-    assert_eq!(fleet.owner[usize::from(shard)], None, "it has let go, and nobody knows");
-    others.iter().for_each(|other| fleet.apply(&Trouble::Mend { from: owner, to: *other }));
+    assert_eq!(
+        fleet.owner[usize::from(shard)],
+        None,
+        "it has let go, and nobody knows"
+    );
+    others.iter().for_each(|other| {
+        fleet.apply(&Trouble::Mend {
+            from: owner,
+            to: *other,
+        })
+    });
     fleet.run(400.0);
     assert_eq!(fleet.owner[usize::from(shard)], Some(to));
     fleet.judge().unwrap();
@@ -298,10 +372,16 @@
     let (mut fleet, owner, shard) = owned_by_another(8, Planted::None);
     let to = (3..7).find(|node| *node != owner).expect("another");
     fleet.without_ms = 0.0;
-    fleet.world.with(owner, |node, now, out| node.act(now, Event::Give(shard, id(to)), out));
+    fleet.world.with(owner, |node, now, out| {
+        node.act(now, Event::Give(shard, id(to)), out)
+    });
     fleet.run(200.0);
     assert_eq!(fleet.owner[usize::from(shard)], Some(to));
-    assert!(fleet.without_ms < 50.0, "{} ms without an owner", fleet.without_ms);
+    assert!(
+        fleet.without_ms < 50.0,
+        "{} ms without an owner",
+        fleet.without_ms
+    );
     fleet.judge().unwrap();
 }
 
@@ -338,10 +418,16 @@
         }
         fleet.run(3.0 * LEASE);
         fleet.owned_within(0.0).unwrap();
-        assert!((0..5).all(|node| fleet.set(node) == Some((2, true))), "order {order:?}");
+        assert!(
+            (0..5).all(|node| fleet.set(node) == Some((2, true))),
+            "order {order:?}"
+        );
         assert!(fleet.highest() > before);
         let part = fleet.without_ms / (fleet.world.now_ms() - 7_500.0) / f64::from(SHARDS);
-        assert!(part < 0.4, "order {order:?}: {part} of the time without an owner");
+        assert!(
+            part < 0.4,
+            "order {order:?}: {part} of the time without an owner"
+        );
         // The one that keeps no more is not needed any more.
         fleet.kill(2);
         fleet.kill(0);
@@ -405,14 +491,36 @@
         assert_eq!(fleet.reload(0), Err(why));
     };
     refused(&after, ChangeError::NotNext { has: 1, wanted: 3 });
-    refused(&File { before: vec![], ..next.clone() }, ChangeError::NotBefore);
-    refused(&File { before: vec![0, 1, 4], ..next.clone() }, ChangeError::NotBefore);
-    refused(&File { set: 1, ..next.clone() }, ChangeError::SameNumber(1));
+    refused(
+        &File {
+            before: vec![],
+            ..next.clone()
+        },
+        ChangeError::NotBefore,
+    );
+    refused(
+        &File {
+            before: vec![0, 1, 4],
+            ..next.clone()
+        },
+        ChangeError::NotBefore,
+    );
+    refused(
+        &File {
+            set: 1,
+            ..next.clone()
+        },
+        ChangeError::SameNumber(1),
+    );
     fleet.files[0] = next.clone();
     assert_eq!((fleet.reload(0), fleet.reload(0)), (Ok(true), Ok(false)));
     fleet.run(100.0);
     fleet.files[0] = after.clone();
-    assert_eq!(fleet.reload(0), Err(ChangeError::Unsettled(2)), "the first set may still decide");
+    assert_eq!(
+        fleet.reload(0),
+        Err(ChangeError::Unsettled(2)),
+        "the first set may still decide"
+    );
     for node in 1..5 {
         fleet.files[node] = next.clone();
         assert_eq!(fleet.reload(node), Ok(true));
@@ -474,9 +582,16 @@
     let mut stale = 0;
     for seed in 0..20 {
         let (mut fleet, owner, _) = owned_by_another(seed, Planted::None);
-        let slow = Link { delay_ms: 8_000.0, ..Link::default() };
+        let slow = Link {
+            delay_ms: 8_000.0,
+            ..Link::default()
+        };
         for other in (0..7).filter(|other| *other != owner) {
-            fleet.apply(&Trouble::Link { from: owner, to: other, link: slow.clone() });
+            fleet.apply(&Trouble::Link {
+                from: owner,
+                to: other,
+                link: slow.clone(),
+            });
         }
         fleet.run(2.0 * LEASE);
         fleet.world.pause(owner, 10_000.0);
@@ -494,7 +609,9 @@
     let (mut fleet, owner, shard) = owned_by_another(6, Planted::None);
     let next = (3..7).find(|node| *node != owner).expect("another");
     (0..3).for_each(|keeper| cut(&mut fleet, next, keeper));
-    fleet.world.with(owner, |node, now, out| node.act(now, Event::Give(shard, id(next)), out));
+    fleet.world.with(owner, |node, now, out| {
+        node.act(now, Event::Give(shard, id(next)), out)
+    });
     fleet.world.pause(owner, 30_000.0);
     for _ in 0..30 {
         fleet.run(1_000.0);
@@ -516,7 +633,10 @@
             let clock = fleet.clocks[owner];
             fleet.world.set_clock(
                 owner,
-                Clock { offset_ms: clock.offset_ms - 300_000.0 * (1.0 + clock.drift), ..clock },
+                Clock {
+                    offset_ms: clock.offset_ms - 300_000.0 * (1.0 + clock.drift),
+                    ..clock
+                },
             );
         }
         // Right before it goes on: whoever is told of it gives it back what it should have.
@@ -538,14 +658,22 @@
         let tell = |fleet: &mut Fleet, candidates: &[NodeId]| {
             (0..8).for_each(|node| {
                 let event = Event::Candidates(candidates, Standing::Well);
-                fleet.world.with(node, |node, now, out| node.act(now, event, out));
+                fleet
+                    .world
+                    .with(node, |node, now, out| node.act(now, event, out));
             });
         };
         // Another one joins each time.
         let new = 3 + seed as usize;
-        let others: Vec<_> = eight.iter().copied().filter(|node| *node != id(new)).collect();
+        let others: Vec<_> = eight
+            .iter()
+            .copied()
+            .filter(|node| *node != id(new))
+            .collect();
         assert_eq!(others.len(), seven.len());
-        (0..8).filter(|node| *node != new).for_each(|node| fleet.start(node));
+        (0..8)
+            .filter(|node| *node != new)
+            .for_each(|node| fleet.start(node));
         fleet.run(100.0);
         tell(&mut fleet, &others);
         fleet.run(LEASE + AGAIN + 60_000.0);
@@ -555,10 +683,21 @@
         fleet.run(100.0);
         tell(&mut fleet, &eight);
         fleet.run(9_000.0);
-        assert_eq!(fleet.owner, before, "nothing moves before it has been there for 10 s");
+        assert_eq!(
+            fleet.owner, before,
+            "nothing moves before it has been there for 10 s"
+        );
         fleet.run(30_000.0);
-        let changed = || before.iter().zip(&fleet.owner).filter(|(before, after)| before != after);
-        assert!(changed().all(|(_, after)| *after == Some(new)), "to it alone");
+        let changed = || {
+            before
+                .iter()
+                .zip(&fleet.owner)
+                .filter(|(before, after)| before != after)
+        };
+        assert!(
+            changed().all(|(_, after)| *after == Some(new)),
+            "to it alone"
+        );
         moved += changed().count();
         rounds += 1;
         fleet.judge().unwrap();
--- a/crates/measure/src/bin/allocations.rs
+++ b/crates/measure/src/bin/allocations.rs
@@ -7,8 +7,8 @@
 use std::thread;
 
 use silverthread::node::config::Config;
-use silverthread::node::driver::Driver;
 use silverthread::node::downstream::clients::{self, FrontOptions, Phase};
+use silverthread::node::driver::Driver;
 use testkit::{config, list, read, settings, Client, Reply, Server};
 use tokio::sync::{oneshot, watch};
 use tokio::task::LocalSet;
@@ -20,14 +20,24 @@
     let [short, long] = RUNS.map(run);
     let each = |long: u64, short: u64| (long - short) as f64 / (RUNS[1] - RUNS[0]) as f64;
     println!("a request on kept connections, on the node's thread, by the difference of {RUNS:?} requests:");
-    println!("allocations {:>8.1}", each(long.count_total, short.count_total));
-    println!("bytes       {:>8.0}", each(long.bytes_total, short.bytes_total));
+    println!(
+        "allocations {:>8.1}",
+        each(long.count_total, short.count_total)
+    );
+    println!(
+        "bytes       {:>8.0}",
+        each(long.bytes_total, short.bytes_total)
+    );
 }
 
 fn run(requests: u64) -> allocation_counter::AllocationInfo {
     let server = Server::start(|_| Reply::ok("rooms: 3\n")).quiet();
     let nowhere = SocketAddr::from(([127, 0, 0, 1], 1));
-    let text = config(nowhere, &list(1, true, &[server.entry("s-0", "ready")]), &settings(15_000));
+    let text = config(
+        nowhere,
+        &list(1, true, &[server.entry("s-0", "ready")]),
+        &settings(15_000),
+    );
     let (tell, told) = mpsc::channel();
     let (end, ended) = oneshot::channel::<()>();
     let node = thread::spawn(move || allocation_counter::measure(|| serve(&text, &tell, ended)));
@@ -41,11 +51,17 @@
 }
 
 fn serve(text: &str, tell: &mpsc::Sender<SocketAddr>, ended: oneshot::Receiver<()>) {
-    let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime");
+    let runtime = tokio::runtime::Builder::new_current_thread()
+        .enable_all()
+        .build()
+        .expect("a runtime");
     LocalSet::new().block_on(&runtime, async {
         let driver = Driver::start(&Config::parse(text).expect("sound")).expect("sound");
-        let listener = tokio::net::TcpListener::bind("127.0.0.1:0").await.expect("a port");
-        tell.send(listener.local_addr().expect("an address")).expect("somebody waits");
+        let listener = tokio::net::TcpListener::bind("127.0.0.1:0")
+            .await
+            .expect("a port");
+        tell.send(listener.local_addr().expect("an address"))
+            .expect("somebody waits");
         let (_phase, phases) = watch::channel(Phase::Serving);
         tokio::select! {
             () = clients::serve(listener, Rc::clone(&driver), FrontOptions::own(phases, 100)) => {}
--- a/crates/measure/src/cold.rs
+++ b/crates/measure/src/cold.rs
@@ -5,8 +5,8 @@
 
 use fastrand::Rng;
 use silverthread::{
-    Action, Availability, Balancer, Class, Effect, Ending, Event, Listing, Outcome, Report, Request,
-    RequestId, ServerEntry, ServerId, Settings,
+    Action, Availability, Balancer, Class, Effect, Ending, Event, Listing, Outcome, Report,
+    Request, RequestId, ServerEntry, ServerId, Settings,
 };
 
 use crate::event_queue::Agenda;
@@ -69,7 +69,8 @@
 
 impl Server {
     fn speed(&self, now: f64) -> f64 {
-        let warmth = |started: f64| COLD_FROM + (1.0 - COLD_FROM) * ((now - started) / COLD_MS).min(1.0);
+        let warmth =
+            |started: f64| COLD_FROM + (1.0 - COLD_FROM) * ((now - started) / COLD_MS).min(1.0);
         self.started.map_or(1.0, warmth)
     }
 
@@ -88,8 +89,12 @@
 
     /// The most that it got in the time in which it may fall.
     fn most(&self) -> usize {
-        let within =
-            |from: &f64| self.sends.iter().filter(|at| (*from..*from + TIP_AFTER_MS).contains(*at)).count();
+        let within = |from: &f64| {
+            self.sends
+                .iter()
+                .filter(|at| (*from..*from + TIP_AFTER_MS).contains(*at))
+                .count()
+        };
         self.sends.iter().map(within).max().unwrap_or(0)
     }
 }
@@ -122,7 +127,10 @@
             settings.cold_ms = if with_budget { COLD_MS } else { 0.0 };
             (settings.tip_multiple, settings.tip_after_ms) = (TIP_MULTIPLE, TIP_AFTER_MS);
             let balancer = Balancer::new(settings, seed * 1_000 + me as u64).expect("sound");
-            Node { balancer, open: HashMap::new() }
+            Node {
+                balancer,
+                open: HashMap::new(),
+            }
         };
         let mut world = Self {
             agenda: Agenda::default(),
@@ -176,25 +184,49 @@
                     self.requests += 1;
                     let id = self.requests;
                     self.played.asked += f64::from(u8::from(Self::counts(now)));
-                    self.nodes[node].open.insert(id, Open { arrived: now, attempts: 0, out: None });
+                    self.nodes[node].open.insert(
+                        id,
+                        Open {
+                            arrived: now,
+                            attempts: 0,
+                            out: None,
+                        },
+                    );
                     self.agenda.push(DEADLINE_MS, Due::Over(node, id));
-                    self.feed(node, Event::Request(Request::new(RequestId(id), 0, DEADLINE_MS)));
+                    self.feed(
+                        node,
+                        Event::Request(Request::new(RequestId(id), 0, DEADLINE_MS)),
+                    );
                 }
                 Due::Timer(node, timer) => self.feed(node, Event::Timer(timer)),
                 Due::Start => {
                     let cold = SERVERS - COLD;
                     self.servers[cold..].iter_mut().for_each(|server| {
-                        *server = Server { started: Some(now), ..Server::default() };
+                        *server = Server {
+                            started: Some(now),
+                            ..Server::default()
+                        };
                     });
                     self.list();
                 }
-                Due::Answer { node, request, attempt, server, sent } => {
-                    let report = Some(self.servers[server].in_flight(now))
-                        .map(|held| Report { in_flight: Some(held), ..Report::default() });
+                Due::Answer {
+                    node,
+                    request,
+                    attempt,
+                    server,
+                    sent,
+                } => {
+                    let report = Some(self.servers[server].in_flight(now)).map(|held| Report {
+                        in_flight: Some(held),
+                        ..Report::default()
+                    });
                     self.ended(node, request, attempt, sent, Ending::Served, report);
                 }
                 Due::Over(node, request) => {
-                    let out = self.nodes[node].open.get(&request).and_then(|open| open.out);
+                    let out = self.nodes[node]
+                        .open
+                        .get(&request)
+                        .and_then(|open| open.out);
                     if let Some((attempt, sent)) = out {
                         self.ended(node, request, attempt, sent, Ending::TimedOut, None);
                     }
@@ -202,8 +234,15 @@
                 }
             }
         }
-        let most = self.servers[SERVERS - COLD..].iter().map(Server::most).max().unwrap_or(0);
-        Played { most, ..self.played }
+        let most = self.servers[SERVERS - COLD..]
+            .iter()
+            .map(Server::most)
+            .max()
+            .unwrap_or(0);
+        Played {
+            most,
+            ..self.played
+        }
     }
 
     fn ended(
@@ -216,7 +255,9 @@
         report: Option<Report>,
     ) {
         let now = self.agenda.now;
-        let Some(open) = self.nodes[node].open.get_mut(&request) else { return };
+        let Some(open) = self.nodes[node].open.get_mut(&request) else {
+            return;
+        };
         if open.out.take_if(|(out, _)| *out == attempt).is_none() {
             return;
         }
@@ -228,7 +269,17 @@
         }
         let request = RequestId(request);
         let elapsed_ms = now - sent;
-        self.feed(node, Event::Outcome(Outcome { request, attempt, elapsed_ms, ending, complete, report }));
+        self.feed(
+            node,
+            Event::Outcome(Outcome {
+                request,
+                attempt,
+                elapsed_ms,
+                ending,
+                complete,
+                report,
+            }),
+        );
     }
 
     fn feed(&mut self, node: usize, event: Event) {
@@ -237,14 +288,22 @@
         for action in actions {
             match action {
                 Action::Send { request, server } => {
-                    let Some(open) = self.nodes[node].open.get_mut(&request.0) else { continue };
+                    let Some(open) = self.nodes[node].open.get_mut(&request.0) else {
+                        continue;
+                    };
                     let attempt = open.attempts;
                     open.attempts += 1;
                     open.out = Some((attempt, now));
                     let server = server.0 % SERVERS;
                     let work = -WORK_MS * self.rng.f64().max(1e-9).ln();
                     let through = self.servers[server].take(now, work);
-                    let answer = Due::Answer { node, request: request.0, attempt, server, sent: now };
+                    let answer = Due::Answer {
+                        node,
+                        request: request.0,
+                        attempt,
+                        server,
+                        sent: now,
+                    };
                     self.agenda.push(through - now + WAY_MS, answer);
                 }
                 Action::Refuse { request, .. } | Action::Fail { request } => {
@@ -253,7 +312,9 @@
                         self.played.refused += f64::from(u8::from(counts));
                     }
                 }
-                Action::SetTimer { timer, after_ms } => self.agenda.push(after_ms, Due::Timer(node, timer)),
+                Action::SetTimer { timer, after_ms } => {
+                    self.agenda.push(after_ms, Due::Timer(node, timer))
+                }
                 _ => {}
             }
         }
@@ -273,7 +334,9 @@
         "{:>6} {:>6} {:>12} {:>12} {:>12} {:>12} {:>8} {:>10}",
         "busy %", "nodes", "refused %", "no budget", "in aim %", "no budget", "most", "no budget"
     );
-    let cases = BUSY.into_iter().flat_map(|busy| [2, 5, 20, 30, 300].map(|nodes| (busy, count(nodes, 2))));
+    let cases = BUSY
+        .into_iter()
+        .flat_map(|busy| [2, 5, 20, 30, 300].map(|nodes| (busy, count(nodes, 2))));
     cases.for_each(|(busy, nodes)| row(busy, nodes));
 }
 
--- a/crates/measure/src/connections.rs
+++ b/crates/measure/src/connections.rs
@@ -25,12 +25,24 @@
         let own = std::env::current_exe().expect("a program");
         let addresses = servers.iter().map(|server| server.address.to_string());
         let mut command = Command::new(own);
-        command.arg(crate::PLAIN_PROXY).args(addresses).stderr(Stdio::piped());
+        command
+            .arg(crate::PLAIN_PROXY)
+            .args(addresses)
+            .stderr(Stdio::piped());
         let mut child = command.spawn().expect("it starts");
         let mut line = String::new();
-        BufReader::new(child.stderr.take().expect("piped")).read_line(&mut line).expect("a line");
-        let address = line.trim_end().rsplit(' ').next().and_then(|at| at.parse().ok());
-        Self { child, address: address.expect("an address") }
+        BufReader::new(child.stderr.take().expect("piped"))
+            .read_line(&mut line)
+            .expect("a line");
+        let address = line
+            .trim_end()
+            .rsplit(' ')
+            .next()
+            .and_then(|at| at.parse().ok());
+        Self {
+            child,
+            address: address.expect("an address"),
+        }
     }
 }
 
@@ -51,7 +63,9 @@
         "{:<12} {:<18} {:>10} {:>8} {:>8} {:>8}",
         "connections", "", "requests/s", "p50 ms", "p99 ms", "CPU us"
     );
-    let sound: Vec<_> = (0..SERVERS).map(|_| Server::start(|_| Reply::ok("rooms: 3\n")).quiet()).collect();
+    let sound: Vec<_> = (0..SERVERS)
+        .map(|_| Server::start(|_| Reply::ok("rooms: 3\n")).quiet())
+        .collect();
     let (node, proxy) = (node(&sound), Proxy::start(&sound));
     for connections in CONNECTIONS {
         let mut all = [(); 2].map(|()| [(); 4].map(|()| Vec::new()));
@@ -64,7 +78,12 @@
         for (what, figures) in [("node", node), ("plain proxy", proxy)] {
             row(connections, what, figures, 0);
         }
-        row(connections, "ratio", [0, 1, 2, 3].map(|at| node[at] / proxy[at]), 3);
+        row(
+            connections,
+            "ratio",
+            [0, 1, 2, 3].map(|at| node[at] / proxy[at]),
+            3,
+        );
     }
 }
 
@@ -76,7 +95,10 @@
         "\nten servers, {CONNECTIONS} connections; {ROUNDS} rounds of {} s each, in turn; medians",
         ROUND.as_secs()
     );
-    println!("{:<20} {:>10} {:>8} {:>8} {:>8}", "", "requests/s", "p50 ms", "p99 ms", "CPU us");
+    println!(
+        "{:<20} {:>10} {:>8} {:>8} {:>8}",
+        "", "requests/s", "p50 ms", "p99 ms", "CPU us"
+    );
     let all_sound: Vec<_> = (0..10).map(|_| sound()).collect();
     let nine: Vec<_> = (0..9).map(|_| sound()).collect();
     let odd = Server::start(|_| {
@@ -91,9 +113,18 @@
             server
         })
         .collect();
-    let nodes = [("TCP", &all_sound), ("one odd", &with_odd), ("Unix", &by_path)];
-    let nodes =
-        nodes.map(|(what, servers)| (what, Node::with(&servers.iter().collect::<Vec<_>>(), 15_000), servers));
+    let nodes = [
+        ("TCP", &all_sound),
+        ("one odd", &with_odd),
+        ("Unix", &by_path),
+    ];
+    let nodes = nodes.map(|(what, servers)| {
+        (
+            what,
+            Node::with(&servers.iter().collect::<Vec<_>>(), 15_000),
+            servers,
+        )
+    });
     let mut all = [(); 3].map(|()| [(); 4].map(|()| Vec::new()));
     let mut shares = Vec::new();
     for _ in 0..count(ROUNDS, 1) {
@@ -101,7 +132,11 @@
             let before: Vec<_> = servers.iter().map(Server::count).collect();
             round(node.address, node.process(), CONNECTIONS, figures);
             if *what == "one odd" {
-                let came: Vec<_> = servers.iter().zip(before).map(|(s, before)| s.count() - before).collect();
+                let came: Vec<_> = servers
+                    .iter()
+                    .zip(before)
+                    .map(|(s, before)| s.count() - before)
+                    .collect();
                 let all: usize = came.iter().sum();
                 shares.push(came[9] as f64 / all as f64);
             }
@@ -112,9 +147,16 @@
         kind_row(what, figures, 0);
     }
     for (what, at) in [("one odd / TCP", 1), ("Unix / TCP", 2)] {
-        kind_row(what, [0, 1, 2, 3].map(|figure| medians[at][figure] / medians[0][figure]), 3);
+        kind_row(
+            what,
+            [0, 1, 2, 3].map(|figure| medians[at][figure] / medians[0][figure]),
+            3,
+        );
     }
-    println!("share of the requests that the odd one has: {:.3}", quantile(&mut shares, 0.5));
+    println!(
+        "share of the requests that the odd one has: {:.3}",
+        quantile(&mut shares, 0.5)
+    );
 }
 
 fn kind_row(what: &str, [rate, p50, p99, cpu]: [f64; 4], digits: usize) {
@@ -127,9 +169,16 @@
 
 fn node(servers: &[Server]) -> (Node, Discovery, testkit::Watch) {
     let discovery = Discovery::start();
-    let entries: Vec<_> =
-        servers.iter().enumerate().map(|(at, s)| s.entry(&format!("s-{at}"), "ready")).collect();
-    let node = Node::start(&config(discovery.address, &list(1, true, &entries), &settings(15_000)));
+    let entries: Vec<_> = servers
+        .iter()
+        .enumerate()
+        .map(|(at, s)| s.entry(&format!("s-{at}"), "ready"))
+        .collect();
+    let node = Node::start(&config(
+        discovery.address,
+        &list(1, true, &entries),
+        &settings(15_000),
+    ));
     let watch = discovery.watch();
     (node, discovery, watch)
 }
--- a/crates/measure/src/decisions.rs
+++ b/crates/measure/src/decisions.rs
@@ -3,8 +3,8 @@
 use std::time::Instant;
 
 use silverthread::{
-    Action, Availability, Balancer, Class, Effect, Ending, Event, Listing, Outcome, Request, RequestId,
-    ServerEntry, ServerId, Settings,
+    Action, Availability, Balancer, Class, Effect, Ending, Event, Listing, Outcome, Request,
+    RequestId, ServerEntry, ServerId, Settings,
 };
 
 use crate::system::{count, quantile};
@@ -32,9 +32,13 @@
         let mut figures = [(); 4].map(|()| Vec::new());
         for seed in 0..count(ROUNDS, 1) {
             let one = round(servers, seed as u64);
-            figures.iter_mut().zip(one).for_each(|(all, one)| all.push(one));
+            figures
+                .iter_mut()
+                .zip(one)
+                .for_each(|(all, one)| all.push(one));
         }
-        let [request, change, bytes, allocations] = figures.each_mut().map(|all| quantile(all, 0.5));
+        let [request, change, bytes, allocations] =
+            figures.each_mut().map(|all| quantile(all, 0.5));
         println!("{servers:>8} {request:>14.2} {change:>14.2} {bytes:>14.0} {allocations:>16.2}");
     }
 }
@@ -60,21 +64,36 @@
         let id = RequestId(self.next);
         self.next += 1;
         self.now += GAP_MS;
-        self.balancer.handle(self.now, Event::Request(Request::new(id, 0, 750.0)), &mut self.actions);
-        let sent = self.actions.iter().any(|action| matches!(action, Action::Send { .. }));
+        self.balancer.handle(
+            self.now,
+            Event::Request(Request::new(id, 0, 750.0)),
+            &mut self.actions,
+        );
+        let sent = self
+            .actions
+            .iter()
+            .any(|action| matches!(action, Action::Send { .. }));
         self.actions.clear();
         if sent {
             let elapsed_ms = 40.0 + (self.next % 80) as f64;
             let ending = Ending::Served;
-            let outcome =
-                Outcome { request: id, attempt: 0, elapsed_ms, ending, complete: true, report: None };
-            self.balancer.handle(self.now, Event::Outcome(outcome), &mut self.actions);
+            let outcome = Outcome {
+                request: id,
+                attempt: 0,
+                elapsed_ms,
+                ending,
+                complete: true,
+                report: None,
+            };
+            self.balancer
+                .handle(self.now, Event::Outcome(outcome), &mut self.actions);
             self.actions.clear();
         }
     }
 
     fn list(&mut self, listing: Listing) {
-        self.balancer.handle(self.now, Event::Servers(listing), &mut self.actions);
+        self.balancer
+            .handle(self.now, Event::Servers(listing), &mut self.actions);
         self.actions.clear();
     }
 }
@@ -83,7 +102,12 @@
     let mut settings = Settings::new(vec![Class::new(300.0, 750.0, Effect::Safe)]);
     (settings.nodes, settings.me, settings.kinds) = (300, 7, 2);
     let balancer = Balancer::new(settings, seed).expect("sound settings");
-    let mut subject = Subject { balancer, now: 1_000.0, next: 0, actions: Vec::with_capacity(8) };
+    let mut subject = Subject {
+        balancer,
+        now: 1_000.0,
+        next: 0,
+        actions: Vec::with_capacity(8),
+    };
     subject.list(Listing::Full((0..servers).map(entry).collect()));
     let requests = count(REQUESTS, 20);
     (0..count(BEFORE, 20)).for_each(|_| subject.request());
@@ -95,10 +119,19 @@
     for change in 0..CHANGES {
         let mut changed = entry(change % servers);
         let drains = change / servers % 2 == 0;
-        changed.availability = if drains { Availability::Draining } else { Availability::Ready };
+        changed.availability = if drains {
+            Availability::Draining
+        } else {
+            Availability::Ready
+        };
         subject.list(Listing::Changes(vec![changed]));
     }
     let changes = start.elapsed().as_secs_f64() * 1e6 / CHANGES as f64;
     let bytes = stats.bytes_allocated as f64;
-    [each(took.as_secs_f64() * 1e6), changes, each(bytes), each(stats.allocations as f64)]
+    [
+        each(took.as_secs_f64() * 1e6),
+        changes,
+        each(bytes),
+        each(stats.allocations as f64),
+    ]
 }
--- a/crates/measure/src/detectors.rs
+++ b/crates/measure/src/detectors.rs
@@ -4,8 +4,8 @@
 
 use std::collections::BTreeMap;
 
-use simulation::{Link, NodeId, Outbox, Process, World};
 use fastrand::Rng;
+use simulation::{Link, NodeId, Outbox, Process, World};
 use testkit::nodes::Fleet;
 
 use crate::members::apart;
@@ -125,13 +125,14 @@
             return;
         }
         let known = &mut self.known[of];
-        let is_later =
-            incarnation > known.incarnation || (incarnation == known.incarnation && state > known.state);
+        let is_later = incarnation > known.incarnation
+            || (incarnation == known.incarnation && state > known.state);
         if is_later {
             if state == GONE && known.state != GONE {
                 self.gone.push((now, of));
             }
-            (known.state, known.incarnation, known.since, known.accusers) = (state, incarnation, now, 0);
+            (known.state, known.incarnation, known.since, known.accusers) =
+                (state, incarnation, now, 0);
             self.news.insert(of, 0);
         } else if state == SUSPECT && incarnation == known.incarnation && known.state == SUSPECT {
             known.accusers += 1;
@@ -150,7 +151,11 @@
                 }
             }
         }
-        let others = self.known.iter().filter(|known| known.state != GONE).count() as f64;
+        let others = self
+            .known
+            .iter()
+            .filter(|known| known.state != GONE)
+            .count() as f64;
         for of in 0..self.known.len() {
             let known = &self.known[of];
             if known.state != SUSPECT {
@@ -186,7 +191,10 @@
     }
 
     fn beat(&mut self, now: f64, out: &mut Outbox) {
-        for of in (0..self.known.len()).filter(|of| *of != self.me).collect::<Vec<_>>() {
+        for of in (0..self.known.len())
+            .filter(|of| *of != self.me)
+            .collect::<Vec<_>>()
+        {
             self.send(out, of, 1, of);
             let known = &mut self.known[of];
             if known.heard == 0.0 {
@@ -205,7 +213,11 @@
 
 impl Process for Plain {
     fn wake(&mut self, now: f64, out: &mut Outbox) {
-        let scale = if self.way == Way::Lifeguard { 1.0 + self.sick } else { 1.0 };
+        let scale = if self.way == Way::Lifeguard {
+            1.0 + self.sick
+        } else {
+            1.0
+        };
         if let (Some((of, at, false)), true) = (self.probing, self.way != Way::Phi) {
             if !self.acked && now - at >= 0.4 * PERIOD_MS * scale {
                 self.probing = Some((of, at, true));
@@ -229,7 +241,9 @@
     }
 
     fn receive(&mut self, now: f64, from: NodeId, bytes: &[u8], out: &mut Outbox) {
-        let number = |at: usize| u32::from_le_bytes([bytes[at], bytes[at + 1], bytes[at + 2], bytes[at + 3]]);
+        let number = |at: usize| {
+            u32::from_le_bytes([bytes[at], bytes[at + 1], bytes[at + 2], bytes[at + 3]])
+        };
         let (kind, about) = (bytes[0], number(1) as NodeId);
         for at in (HEAD..bytes.len()).step_by(18) {
             self.hear(now, number(at) as NodeId, number(at + 4), bytes[at + 8]);
@@ -250,11 +264,14 @@
                 if self.probing.is_some_and(|(of, ..)| of == about) {
                     self.acked = true;
                 }
-                let (asked, rest) =
-                    std::mem::take(&mut self.relays).into_iter().partition(|(of, _)| *of == about);
+                let (asked, rest) = std::mem::take(&mut self.relays)
+                    .into_iter()
+                    .partition(|(of, _)| *of == about);
                 self.relays = rest;
                 let asked: Vec<(NodeId, NodeId)> = asked;
-                asked.into_iter().for_each(|(_, asker)| self.send(out, asker, 2, about));
+                asked
+                    .into_iter()
+                    .for_each(|(_, asker)| self.send(out, asker, 2, about));
             }
             (_, 3) => {
                 if self.relays.len() < 64 {
@@ -315,10 +332,17 @@
     }
     fn gone(&self, since: f64) -> Vec<(NodeId, NodeId, f64)> {
         let of = |by: NodeId| {
-            let gone = self.0.process(by).map(|process| process.gone.clone()).unwrap_or_default();
+            let gone = self
+                .0
+                .process(by)
+                .map(|process| process.gone.clone())
+                .unwrap_or_default();
             gone.into_iter().map(move |(at, node)| (by, node, at - 1e6))
         };
-        (0..self.0.len()).flat_map(of).filter(|(.., at)| *at >= since).collect()
+        (0..self.0.len())
+            .flat_map(of)
+            .filter(|(.., at)| *at >= since)
+            .collect()
     }
 }
 
@@ -379,7 +403,10 @@
         let (bytes, at) = (play.bytes(), play.now());
         play.run(10_000.0);
         row.bytes = (play.bytes() - bytes) as f64 / 10.0 / nodes as f64;
-        play.links(Link { loss: 0.1, ..Link::default() });
+        play.links(Link {
+            loss: 0.1,
+            ..Link::default()
+        });
         let since = play.now().max(at);
         play.kill(1);
         play.run(60_000.0);
@@ -393,15 +420,25 @@
         times.extend((first.len()..nodes - 1).map(|_| f64::INFINITY));
     }
     row.detect = [0.5, 0.999].map(|part| quantile(&mut times, part) / 1e3);
-    let minutes = if nodes > 1_000 { 1.0 } else { count(60, 1) as f64 * if nodes > 100 { 0.1 } else { 1.0 } };
+    let minutes = if nodes > 1_000 {
+        1.0
+    } else {
+        count(60, 1) as f64 * if nodes > 100 { 0.1 } else { 1.0 }
+    };
     for (at, loss) in [0.1, 0.3].into_iter().enumerate() {
         let mut play = started(way, nodes, 77);
-        play.links(Link { loss, ..Link::default() });
+        play.links(Link {
+            loss,
+            ..Link::default()
+        });
         let since = play.now();
         play.run(minutes * 60_000.0);
         // A node that is gone to many is one verdict.
-        let verdicts: std::collections::BTreeSet<_> =
-            play.gone(since).into_iter().map(|(_, node, at)| (node, (at / 30_000.0) as u64)).collect();
+        let verdicts: std::collections::BTreeSet<_> = play
+            .gone(since)
+            .into_iter()
+            .map(|(_, node, at)| (node, (at / 30_000.0) as u64))
+            .collect();
         row.wrong[at] = verdicts.len() as f64 * 60.0 / minutes;
     }
     let mut play = started(way, nodes, 5);
@@ -443,17 +480,28 @@
 
 /// What a part of a table plays.
 fn plays(subject: &str) -> Vec<(usize, (&'static str, Option<Way>))> {
-    let sizes: &[usize] = if subject == "detectors" { &[4, 30, 300] } else { &[3_000] };
+    let sizes: &[usize] = if subject == "detectors" {
+        &[4, 30, 300]
+    } else {
+        &[3_000]
+    };
     let sizes = sizes.iter().filter(|nodes| **nodes <= count(3_000, 4));
     let all = sizes.flat_map(|nodes| WAYS.map(|way| (*nodes, way)));
     // 18 million heartbeats a second are not played.
-    all.filter(|(nodes, (_, way))| *nodes < 3_000 || *way != Some(Way::Phi)).collect()
+    all.filter(|(nodes, (_, way))| *nodes < 3_000 || *way != Some(Way::Phi))
+        .collect()
 }
 
 /// One row of a table.
 pub fn row_of(subject: &str, part: u64) -> String {
     let (nodes, (name, way)) = plays(subject)[part as usize];
-    let Row { bytes, detect: [p50, tail], wrong: [ten, thirty], deaf, pair } = row(way, nodes);
+    let Row {
+        bytes,
+        detect: [p50, tail],
+        wrong: [ten, thirty],
+        deaf,
+        pair,
+    } = row(way, nodes);
     format!(
         "{name:>18} {nodes:>6} {bytes:>9.0} {p50:>10.2} {tail:>11.2} {ten:>14.1} {thirty:>14.1} {deaf:>10} {pair:>10}"
     )
@@ -474,5 +522,7 @@
         "pair: gone"
     );
     let said = apart(subject, plays(subject).len() as u64, 1);
-    said.iter().filter_map(|said| said.lines().last()).for_each(|row| println!("{row}"));
+    said.iter()
+        .filter_map(|said| said.lines().last())
+        .for_each(|row| println!("{row}"));
 }
--- a/crates/measure/src/event_queue.rs
+++ b/crates/measure/src/event_queue.rs
@@ -36,7 +36,11 @@
 
 impl<T> Default for Agenda<T> {
     fn default() -> Self {
-        Self { now: 0.0, serial: 0, due: BinaryHeap::new() }
+        Self {
+            now: 0.0,
+            serial: 0,
+            due: BinaryHeap::new(),
+        }
     }
 }
 
@@ -44,7 +48,8 @@
     /// Something is due so much later.
     pub fn push(&mut self, after_ms: f64, due: T) {
         self.serial += 1;
-        self.due.push(Reverse(At(self.now + after_ms, self.serial, due)));
+        self.due
+            .push(Reverse(At(self.now + after_ms, self.serial, due)));
     }
 
     /// What is due next, if that is before the end; its time is now, then.
--- a/crates/measure/src/following.rs
+++ b/crates/measure/src/following.rs
@@ -42,19 +42,35 @@
 }
 
 fn town(count: usize, with_consul: bool) -> Town {
-    let servers: Vec<_> = (0..count).map(|_| Server::start(|_| Reply::ok("rooms: 3\n")).quiet()).collect();
+    let servers: Vec<_> = (0..count)
+        .map(|_| Server::start(|_| Reply::ok("rooms: 3\n")).quiet())
+        .collect();
     let consul = Consul::start();
     consul.note_nothing();
     for (at, server) in servers.iter().enumerate() {
         consul.register(Instance::new("holds", &name(at), server.address));
     }
     let discovery = Discovery::start();
-    let entries: Vec<_> = servers.iter().enumerate().map(|(at, s)| s.entry(&name(at), "ready")).collect();
-    let text = config(discovery.address, &list(1, true, &entries), &settings(15_000));
+    let entries: Vec<_> = servers
+        .iter()
+        .enumerate()
+        .map(|(at, s)| s.entry(&name(at), "ready"))
+        .collect();
+    let text = config(
+        discovery.address,
+        &list(1, true, &entries),
+        &settings(15_000),
+    );
     let file = operators(&consul);
     let node = Node::start_with(&text, with_consul.then_some(&file));
     let watch = discovery.watch();
-    Town { servers, consul, node, watch, _discovery: discovery }
+    Town {
+        servers,
+        consul,
+        node,
+        watch,
+        _discovery: discovery,
+    }
 }
 
 fn operators(consul: &Consul) -> String {
@@ -72,12 +88,22 @@
     println!("{:<44} {:>8} {:>8}", "", "median", "p99");
     let roster = drains(false, Duration::ZERO);
     row("roster alone, told at once", roster);
-    row("roster alone, told 3 s late (10 drains)", drains(false, Duration::from_secs(3)));
-    row("Consul beside it, told at once", drains(true, Duration::ZERO));
+    row(
+        "roster alone, told 3 s late (10 drains)",
+        drains(false, Duration::from_secs(3)),
+    );
+    row(
+        "Consul beside it, told at once",
+        drains(true, Duration::ZERO),
+    );
 }
 
 fn row(what: &str, mut times: Vec<f64>) {
-    println!("{what:<44} {:>8.2} {:>8.2}", quantile(&mut times, 0.5), quantile(&mut times, 0.99));
+    println!(
+        "{what:<44} {:>8.2} {:>8.2}",
+        quantile(&mut times, 0.5),
+        quantile(&mut times, 0.99)
+    );
 }
 
 fn drains(by_consul: bool, late: Duration) -> Vec<f64> {
@@ -88,14 +114,18 @@
     let mut times = Vec::new();
     for _ in 0..count(changes, 2) {
         let asked = town.servers[1].count();
-        until("the server is asked", || town.servers[1].count() > asked + 20);
+        until("the server is asked", || {
+            town.servers[1].count() > asked + 20
+        });
         let mut say = |town: &mut Town, draining: bool| {
             if by_consul {
                 town.consul.set_maintenance("s-1", draining);
             } else {
                 generation += 1;
-                let entry = town.servers[1].entry("s-1", if draining { "draining" } else { "ready" });
-                town.watch.say(&format!("{}\n", list(generation, false, &[entry])));
+                let entry =
+                    town.servers[1].entry("s-1", if draining { "draining" } else { "ready" });
+                town.watch
+                    .say(&format!("{}\n", list(generation, false, &[entry])));
             }
         };
         let drained = Instant::now();
@@ -119,14 +149,24 @@
             1_000 + at
         )
     };
-    format!("[{}]", (0..MANY).map(instance).collect::<Vec<_>>().join(","))
+    format!(
+        "[{}]",
+        (0..MANY).map(instance).collect::<Vec<_>>().join(",")
+    )
 }
 
 fn answer(watch: &mut Watch, now: f64, index: u64, body: &str) -> usize {
     let mut actions = Vec::new();
     watch.handle(now, Event::Due, &mut actions);
     let index = index.to_string();
-    watch.handle(now, Event::Head { status: 200, headers: &[("X-Consul-Index", &index)] }, &mut actions);
+    watch.handle(
+        now,
+        Event::Head {
+            status: 200,
+            headers: &[("X-Consul-Index", &index)],
+        },
+        &mut actions,
+    );
     for piece in body.as_bytes().chunks(64 * 1024) {
         watch.handle(now, Event::Body(piece), &mut actions);
     }
@@ -140,9 +180,18 @@
 
 /// What reading an answer allocates and takes.
 fn allocations() {
-    let mut watch = Watch::new(WatchSettings::new(Query::health("holds"), Mapping::default(), 1), 1);
-    println!("\nreading an answer of {MANY} instances ({} MB)", body(0).len() / 1_000_000);
-    println!("{:<44} {:>12} {:>10} {:>8}", "", "bytes alloc.", "allocs", "ms");
+    let mut watch = Watch::new(
+        WatchSettings::new(Query::health("holds"), Mapping::default(), 1),
+        1,
+    );
+    println!(
+        "\nreading an answer of {MANY} instances ({} MB)",
+        body(0).len() / 1_000_000
+    );
+    println!(
+        "{:<44} {:>12} {:>10} {:>8}",
+        "", "bytes alloc.", "allocs", "ms"
+    );
     for (what, changed, now) in [
         ("the first", 0, 0.0),
         ("nothing changed", 0, 1e6),
@@ -155,20 +204,31 @@
         answer(&mut watch, now, now as u64 + 1, &body);
         let (took, after) = (start.elapsed(), ALLOCATOR.stats() - before);
         let ms = took.as_secs_f64() * 1e3;
-        println!("{what:<44} {:>12} {:>10} {ms:>8.2}", after.bytes_allocated, after.allocations);
+        println!(
+            "{what:<44} {:>12} {:>10} {ms:>8.2}",
+            after.bytes_allocated, after.allocations
+        );
     }
 }
 
 /// What the merge of so many servers takes.
 fn merging() {
     println!("\nmerging {MANY} servers of two sources");
-    println!("{:<44} {:>12} {:>10} {:>8}", "", "bytes alloc.", "allocs", "ms");
+    println!(
+        "{:<44} {:>12} {:>10} {:>8}",
+        "", "bytes alloc.", "allocs", "ms"
+    );
     let mut membership = Membership::new(vec![Trust::roster("roster"), Trust::advisor("consul")]);
     let host = |at: usize| Host {
         address: Some(([10, 0, 0, 1], 1_000 + at as u16).into()),
         ..Host::named(name(at))
     };
-    let word = |at: usize, state, index| Word { key: name(at), state, index, host: Some(host(at)) };
+    let word = |at: usize, state, index| Word {
+        key: name(at),
+        state,
+        index,
+        host: Some(host(at)),
+    };
     let ready = || (0..MANY).map(|at| word(at, State::Ready, 1)).collect();
     for (now, what, source, words) in [
         (0.0, "the first words of the roster", Some(0), ready()),
@@ -177,7 +237,12 @@
         (3.0, "Consul is out of touch", None, vec![]),
         (4.0, "and in touch again", Some(1), vec![]),
     ] {
-        let list = List { authority: Authority::Fresh, history: 0, words, left: vec![] };
+        let list = List {
+            authority: Authority::Fresh,
+            history: 0,
+            words,
+            left: vec![],
+        };
         let event = match source {
             Some(source) => endpoint_discovery::Event::Listed { source, list },
             None => endpoint_discovery::Event::Lost { source: 1 },
@@ -186,14 +251,20 @@
         membership.handle(now, event, &mut actions);
         let (took, after) = (start.elapsed(), ALLOCATOR.stats() - before);
         let ms = took.as_secs_f64() * 1e3;
-        println!("{what:<44} {:>12} {:>10} {ms:>8.2}", after.bytes_allocated, after.allocations);
+        println!(
+            "{what:<44} {:>12} {:>10} {ms:>8.2}",
+            after.bytes_allocated, after.allocations
+        );
     }
 }
 
 /// A node that follows many instances while they change.
 fn many_instances() {
     println!("\nfollowing {MANY} instances for {} s", FOLLOWING.as_secs());
-    println!("{:<44} {:>8} {:>10} {:>12}", "", "CPU %", "memory MB", "answers/s");
+    println!(
+        "{:<44} {:>8} {:>10} {:>12}",
+        "", "CPU %", "memory MB", "answers/s"
+    );
     let nobody = std::net::SocketAddr::from(([127, 0, 0, 1], 9));
     for (what, with_consul, changes) in [
         ("not followed", false, 0),
@@ -207,7 +278,11 @@
             }
         });
         thread::sleep(time(Duration::from_secs(2)));
-        let (start, before, asked) = (Instant::now(), cpu(town.node.process()), town.consul.asked());
+        let (start, before, asked) = (
+            Instant::now(),
+            cpu(town.node.process()),
+            town.consul.asked(),
+        );
         let mut done = 0;
         while start.elapsed() < time(FOLLOWING) {
             if changes > 0 {
@@ -220,7 +295,8 @@
                 thread::sleep(Duration::from_millis(100));
             }
         }
-        let share = (cpu(town.node.process()) - before).as_secs_f64() / start.elapsed().as_secs_f64();
+        let share =
+            (cpu(town.node.process()) - before).as_secs_f64() / start.elapsed().as_secs_f64();
         let answers = (town.consul.asked() - asked) as f64 / start.elapsed().as_secs_f64();
         println!(
             "{what:<44} {:>8.1} {:>10.1} {answers:>12.1}",
@@ -242,7 +318,10 @@
         "\na request's path, {ROUNDS} rounds of fresh nodes, {} s each, 8 clients, 4 servers",
         ROUND.as_secs_f64()
     );
-    println!("{:<44} {:>10} {:>8} {:>8} {:>10}", "", "requests/s", "p50 ms", "p99 ms", "CPU us");
+    println!(
+        "{:<44} {:>10} {:>8} {:>8} {:>10}",
+        "", "requests/s", "p50 ms", "p99 ms", "CPU us"
+    );
     let kinds = [false, true, false];
     let mut rounds = Vec::new();
     for round in 0..count(ROUNDS, 1) {
@@ -254,18 +333,56 @@
     }
     let median = |of: Of<'_>, part: f64| {
         [0, 1, 2, 3].map(|figure| {
-            quantile(&mut rounds.iter().map(|round| of(round, figure)).collect::<Vec<_>>(), part)
+            quantile(
+                &mut rounds
+                    .iter()
+                    .map(|round| of(round, figure))
+                    .collect::<Vec<_>>(),
+                part,
+            )
         })
     };
     let rows: [(&str, Of<'_>, f64); 8] = [
-        ("without the file, median", &|round, figure| round[0][figure], 0.5),
-        ("Consul is followed, median", &|round, figure| round[1][figure], 0.5),
-        ("with / without, lower quartile", &|round, figure| round[1][figure] / round[0][figure], 0.25),
-        ("with / without, median", &|round, figure| round[1][figure] / round[0][figure], 0.5),
-        ("with / without, upper quartile", &|round, figure| round[1][figure] / round[0][figure], 0.75),
-        ("without / without, lower quartile", &|round, figure| round[2][figure] / round[0][figure], 0.25),
-        ("without / without, median", &|round, figure| round[2][figure] / round[0][figure], 0.5),
-        ("without / without, upper quartile", &|round, figure| round[2][figure] / round[0][figure], 0.75),
+        (
+            "without the file, median",
+            &|round, figure| round[0][figure],
+            0.5,
+        ),
+        (
+            "Consul is followed, median",
+            &|round, figure| round[1][figure],
+            0.5,
+        ),
+        (
+            "with / without, lower quartile",
+            &|round, figure| round[1][figure] / round[0][figure],
+            0.25,
+        ),
+        (
+            "with / without, median",
+            &|round, figure| round[1][figure] / round[0][figure],
+            0.5,
+        ),
+        (
+            "with / without, upper quartile",
+            &|round, figure| round[1][figure] / round[0][figure],
+            0.75,
+        ),
+        (
+            "without / without, lower quartile",
+            &|round, figure| round[2][figure] / round[0][figure],
+            0.25,
+        ),
+        (
+            "without / without, median",
+            &|round, figure| round[2][figure] / round[0][figure],
+            0.5,
+        ),
+        (
+            "without / without, upper quartile",
+            &|round, figure| round[2][figure] / round[0][figure],
+            0.75,
+        ),
     ];
     for (nth, (what, of, part)) in rows.into_iter().enumerate() {
         let [rate, p50, p99, cpu] = median(of, part);
@@ -282,5 +399,10 @@
     let cpu = (cpu(town.node.process()) - before).as_secs_f64();
     assert_eq!(totals.lost, 0, "no request is lost");
     let [p50, p99] = [0.5, 0.99].map(|part| totals.quantile(part).as_secs_f64() * 1e3);
-    [totals.sent as f64 / start.elapsed().as_secs_f64(), p50, p99, cpu * 1e6 / totals.sent as f64]
+    [
+        totals.sent as f64 / start.elapsed().as_secs_f64(),
+        p50,
+        p99,
+        cpu * 1e6 / totals.sent as f64,
+    ]
 }
--- a/crates/measure/src/main.rs
+++ b/crates/measure/src/main.rs
@@ -89,7 +89,9 @@
         members::some(&line.subject, seed, line.seeds);
         return ExitCode::SUCCESS;
     }
-    let wanted = SUBJECTS.iter().filter(|(name, _)| line.subject == "all" || line.subject == *name);
+    let wanted = SUBJECTS
+        .iter()
+        .filter(|(name, _)| line.subject == "all" || line.subject == *name);
     wanted.for_each(|(_, measure)| measure());
     ExitCode::SUCCESS
 }
--- a/crates/measure/src/members.rs
+++ b/crates/measure/src/members.rs
@@ -8,8 +8,8 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-use simulation::{draw, Bounds, Link, Trouble};
 use gossip::{Planted, State};
+use simulation::{draw, Bounds, Link, Trouble};
 use testkit::nodes::judge::{bounds, excuses, trial};
 use testkit::nodes::{Fleet as Virtual, Said};
 use testkit::{Fleet, Load};
@@ -48,7 +48,9 @@
         command.args([subject, "--seed", &from.to_string(), "--seeds", &some]);
         command.args(is_brief().then_some("--brief"));
         let output = command.output().expect("this program runs");
-        said.lock().expect("sound").insert(part, String::from_utf8_lossy(&output.stdout).into_owned());
+        said.lock()
+            .expect("sound")
+            .insert(part, String::from_utf8_lossy(&output.stdout).into_owned());
     });
     said.into_inner().expect("sound").into_values().collect()
 }
@@ -60,7 +62,9 @@
             "members-days" => println!("{}", days_of(part)),
             "members-sizes" => println!("{}", row(&SIZES, part)),
             "members-large" => println!("{}", row(&LARGE, part)),
-            "detectors" | "detectors-large" => println!("{}", crate::detectors::row_of(subject, part)),
+            "detectors" | "detectors-large" => {
+                println!("{}", crate::detectors::row_of(subject, part))
+            }
             "owners-drawn" => println!("{}", crate::owners::trial_of(part)),
             _ => println!("{}", trial_of(part, count == 1)),
         }
@@ -90,7 +94,10 @@
     let went_well = |line: &&str| line.starts_with(AGREED);
     let numbers = |at: usize| {
         let number = move |line: &str| line.split(' ').nth(at)?.parse::<f64>().ok();
-        lines().filter(went_well).filter_map(number).collect::<Vec<_>>()
+        lines()
+            .filter(went_well)
+            .filter_map(number)
+            .collect::<Vec<_>>()
     };
     let (mut agreed, gone) = (numbers(1), numbers(2).iter().sum::<f64>());
     let played = agreed.len();
@@ -117,10 +124,14 @@
     let said = apart("members-days", worlds, 1);
     let sum = |at: usize| {
         let last = said.iter().filter_map(|said| said.lines().last());
-        last.filter_map(|line| line.split(' ').nth(at)?.parse::<f64>().ok()).sum::<f64>()
+        last.filter_map(|line| line.split(' ').nth(at)?.parse::<f64>().ok())
+            .sum::<f64>()
     };
     let [days, paused, wrong] = [0, 1, 2].map(sum);
-    println!("\n{days:.1} node-days at 10 % loss, {paused} pauses of 1 s; {:.0?}", start.elapsed());
+    println!(
+        "\n{days:.1} node-days at 10 % loss, {paused} pauses of 1 s; {:.0?}",
+        start.elapsed()
+    );
     println!("false verdicts: {wrong}");
 }
 
@@ -129,7 +140,10 @@
     let hours = if is_brief() { 0.01 } else { DAYS_HOURS };
     let mut fleet = Virtual::started(seed, DAYS_NODES);
     let mut rng = fastrand::Rng::with_seed(seed);
-    fleet.all_links(Link { loss: 0.1, ..Link::default() });
+    fleet.all_links(Link {
+        loss: 0.1,
+        ..Link::default()
+    });
     let (since, mut paused) = (fleet.world.now_ms(), 0);
     while fleet.world.now_ms() - since < hours * 3_600_000.0 {
         // Each node about once in two minutes.
@@ -137,7 +151,11 @@
         paused += 1;
         fleet.run(120_000.0 / DAYS_NODES as f64);
     }
-    format!("{:.3} {paused} {}", DAYS_NODES as f64 * hours / 24.0, fleet.gone_since(since).len())
+    format!(
+        "{:.3} {paused} {}",
+        DAYS_NODES as f64 * hours / 24.0,
+        fleet.gone_since(since).len()
+    )
 }
 
 /// When which node first held the one that was killed for gone.
@@ -169,8 +187,13 @@
 
 /// What a part of such a table plays: nodes, loss and kills.
 fn plays(sizes: &[(usize, usize)]) -> Vec<(usize, f64, usize)> {
-    let by_loss = |&(nodes, kills): &(usize, usize)| [0.0, 0.1, 0.3].map(|loss| (nodes, loss, kills));
-    sizes.iter().flat_map(by_loss).filter(|(nodes, ..)| *nodes <= count(3_000, 30)).collect()
+    let by_loss =
+        |&(nodes, kills): &(usize, usize)| [0.0, 0.1, 0.3].map(|loss| (nodes, loss, kills));
+    sizes
+        .iter()
+        .flat_map(by_loss)
+        .filter(|(nodes, ..)| *nodes <= count(3_000, 30))
+        .collect()
 }
 
 fn row(sizes: &[(usize, usize)], part: u64) -> String {
@@ -201,7 +224,9 @@
     // The last part is the one of cuts.
     let parts = plays(sizes).len() as u64 + u64::from(subject == "members-large");
     let said = apart(subject, parts, 1);
-    said.iter().filter_map(|said| said.lines().last()).for_each(|row| println!("{row}"));
+    said.iter()
+        .filter_map(|said| said.lines().last())
+        .for_each(|row| println!("{row}"));
 }
 
 /// One that hears nobody, then two that do not hear each other: who is gone to others for it.
@@ -212,8 +237,12 @@
     let since = fleet.world.now_ms();
     (1..nodes).for_each(|from| fleet.cut(from, 0));
     fleet.run(30_000.0);
-    let deaf: BTreeSet<_> =
-        fleet.gone_since(since).into_iter().filter(|(by, ..)| *by != 0).map(|(.., name)| name).collect();
+    let deaf: BTreeSet<_> = fleet
+        .gone_since(since)
+        .into_iter()
+        .filter(|(by, ..)| *by != 0)
+        .map(|(.., name)| name)
+        .collect();
     fleet.heal();
     fleet.run(10_000.0);
     let since = fleet.world.now_ms();
@@ -226,7 +255,10 @@
 
 fn size(nodes: usize, loss: f64, kills: usize) -> String {
     let mut fleet = Virtual::new(nodes as u64, nodes);
-    fleet.all_links(Link { loss, ..Link::default() });
+    fleet.all_links(Link {
+        loss,
+        ..Link::default()
+    });
     fleet.start_all(1_000.0);
     // Until nothing is told any more of the start of all.
     fleet.run(if nodes > 1_000 { 90_000.0 } else { 60_000.0 });
@@ -239,19 +271,27 @@
     let after = fleet.world.totals();
     let wrong = fleet.gone_since(since).len();
     let rate = |count: u64| count as f64 / (quiet / 1e3) / nodes as f64;
-    let (datagrams, bytes) = (rate(after.sent.0 - before.sent.0), rate(after.sent.1 - before.sent.1));
+    let (datagrams, bytes) = (
+        rate(after.sent.0 - before.sent.0),
+        rate(after.sent.1 - before.sent.1),
+    );
     let (mut first, mut all) = (Vec::new(), Vec::new());
     for kill in 0..kills {
         let node = kill % nodes;
         let at = fleet.world.now_ms();
         // One that has just started may not have met it.
-        let known = (0..nodes).filter(|of| *of != node && fleet.state(*of, node).is_some()).count();
+        let known = (0..nodes)
+            .filter(|of| *of != node && fleet.state(*of, node).is_some())
+            .count();
         fleet.kill(node);
         fleet.run(20_000.0);
         let seen = seen(&fleet, &fleet.names[node], at);
         let missing = known.saturating_sub(seen.len());
         first.extend(seen.values().copied().min_by(f64::total_cmp));
-        all.extend(seen.into_values().chain((0..missing).map(|_| f64::INFINITY)));
+        all.extend(
+            seen.into_values()
+                .chain((0..missing).map(|_| f64::INFINITY)),
+        );
         fleet.start(node);
         fleet.run(10_000.0);
     }
@@ -276,21 +316,39 @@
     let (start, mut rounds, mut agreed, mut wrong, mut rightly) =
         (Instant::now(), 0, Vec::new(), Vec::new(), 0);
     while start.elapsed() < minutes {
-        let round_ms = if minutes < Duration::from_secs(1) { 200.0 } else { 30_000.0 };
-        let drawn =
-            Bounds { nodes, from_ms: 0.0, until_ms: round_ms, troubles: 4, pause_ms: 8_000.0, loss: 0.3 };
+        let round_ms = if minutes < Duration::from_secs(1) {
+            200.0
+        } else {
+            30_000.0
+        };
+        let drawn = Bounds {
+            nodes,
+            from_ms: 0.0,
+            until_ms: round_ms,
+            troubles: 4,
+            pause_ms: 8_000.0,
+            loss: 0.3,
+        };
         let mut script = draw(rounds, drawn);
         // Who serves is not killed, so that every request can have its answer.
-        script.0.retain(|(_, trouble)| !matches!(trouble, Trouble::Kill { node } if *node < serving));
+        script
+            .0
+            .retain(|(_, trouble)| !matches!(trouble, Trouble::Kill { node } if *node < serving));
         let (since, before) = (Instant::now(), fleet.gone_lines().len());
         fleet.play(&script);
         fleet.wait(Duration::from_secs(if round_ms < 1_000.0 { 0 } else { 8 }));
         agreed.push(fleet.agree_within(Duration::from_secs(30)).as_secs_f64());
         let excuses = excuses(&script, nodes);
         let lines = fleet.gone_lines();
-        for (by, at, name, why) in lines.into_iter().skip(before).filter(|(_, at, ..)| *at >= since) {
+        for (by, at, name, why) in lines
+            .into_iter()
+            .skip(before)
+            .filter(|(_, at, ..)| *at >= since)
+        {
             let at = (at - since).as_secs_f64() * 1e3;
-            let Some(node) = (0..nodes).find(|node| fleet.name(*node) == name) else { continue };
+            let Some(node) = (0..nodes).find(|node| fleet.name(*node) == name) else {
+                continue;
+            };
             // Processes start and are killed one after the other, so the script runs late by some seconds at the most.
             if excuses.cover(by, node, at, 15_000.0) {
                 rightly += 1;
@@ -305,12 +363,24 @@
     let lost: u64 = totals.iter().map(|totals| totals.lost).sum();
     let served: u64 = totals.iter().map(|totals| totals.of(200)).sum();
     let passed = fleet.passed();
-    println!("\n{nodes} processes, {rounds} rounds of troubles, {:.0?}", start.elapsed());
-    println!("agreed after a round and 8 s: most {:.2} s more", agreed.iter().copied().fold(0.0, f64::max));
+    println!(
+        "\n{nodes} processes, {rounds} rounds of troubles, {:.0?}",
+        start.elapsed()
+    );
+    println!(
+        "agreed after a round and 8 s: most {:.2} s more",
+        agreed.iter().copied().fold(0.0, f64::max)
+    );
     println!("gone rightly: {rightly}; wrongly: {}", wrong.len());
     wrong.iter().take(10).for_each(|line| println!("  {line}"));
-    println!("requests: {sent} sent, {served} served, {lost} lost; the server had {}", fleet.server.count());
-    println!("datagrams: {}, {} bytes, the longest {}", passed.datagrams, passed.bytes, passed.longest);
+    println!(
+        "requests: {sent} sent, {served} served, {lost} lost; the server had {}",
+        fleet.server.count()
+    );
+    println!(
+        "datagrams: {}, {} bytes, the longest {}",
+        passed.datagrams, passed.bytes, passed.longest
+    );
 }
 
 /// What it costs a node: processor time and memory, and the requests' times with it on, off, and under a flood, in turn.
@@ -319,7 +389,8 @@
     println!("\na node that is left alone for {:?}", time(IDLE));
     println!("{:>10} {:>10} {:>8}", "processes", "cpu ms/s", "MB");
     let alone = Fleet::prepare(1, 3, "");
-    let without = testkit::Node::start(&alone.config(0).replace("\"peers\":true", "\"peers\":false"));
+    let without =
+        testkit::Node::start(&alone.config(0).replace("\"peers\":true", "\"peers\":false"));
     idle(1, without.process());
     for nodes in [30, 4] {
         let mut fleet = Fleet::start(count(nodes, 3), 2, "");
@@ -346,14 +417,25 @@
     let nobody = UdpSocket::bind("127.0.0.1:0").expect("a port");
     let ways = [
         ("off", without, None),
-        ("off, flood elsewhere", without, Some(nobody.local_addr().expect("an address"))),
+        (
+            "off, flood elsewhere",
+            without,
+            Some(nobody.local_addr().expect("an address")),
+        ),
         ("on", fleet.node(0), None),
-        ("on, flood elsewhere", fleet.node(0), Some(nobody.local_addr().expect("an address"))),
+        (
+            "on, flood elsewhere",
+            fleet.node(0),
+            Some(nobody.local_addr().expect("an address")),
+        ),
         ("on, flood at it", fleet.node(0), Some(fleet.hears_at(0))),
     ];
     println!("\nrequests of 4 clients with pauses of 2 ms; a flood is {flood_per_s} datagrams a second of a stranger;");
     println!("in turn, medians of {rounds} rounds");
-    println!("{:>24} {:>10} {:>10} {:>12}", "", "p50 us", "p99 us", "cpu us/req");
+    println!(
+        "{:>24} {:>10} {:>10} {:>12}",
+        "", "p50 us", "p99 us", "cpu us/req"
+    );
     let mut times = [(); 5].map(|()| [(); 3].map(|()| Vec::new()));
     for _ in 0..rounds {
         for ((_, node, flooded), times) in ways.iter().zip(&mut times) {
@@ -370,8 +452,15 @@
                 stop.store(true, Ordering::Relaxed);
                 let used = (cpu(node.process()) - before).as_secs_f64() * 1e6;
                 let quantile = |part| totals.quantile(part).as_secs_f64() * 1e6;
-                let row = [quantile(0.5), quantile(0.99), used / totals.sent.max(1) as f64];
-                times.iter_mut().zip(row).for_each(|(all, one)| all.push(one));
+                let row = [
+                    quantile(0.5),
+                    quantile(0.99),
+                    used / totals.sent.max(1) as f64,
+                ];
+                times
+                    .iter_mut()
+                    .zip(row)
+                    .for_each(|(all, one)| all.push(one));
             });
         }
     }
--- a/crates/measure/src/outlier_detection.rs
+++ b/crates/measure/src/outlier_detection.rs
@@ -3,11 +3,11 @@
 
 use std::collections::HashMap;
 
-use outlier_detection::{Event as Said, Kind, NodeKey, ServerKey, Word};
 use fastrand::Rng;
+use outlier_detection::{Event as Said, Kind, NodeKey, ServerKey, Word};
 use silverthread::{
-    Action, Availability, Balancer, Class, Effect, Ending, Event, Listing, Outcome, Report, Request,
-    RequestId, ServerEntry, ServerId, Settings,
+    Action, Availability, Balancer, Class, Effect, Ending, Event, Listing, Outcome, Report,
+    Request, RequestId, ServerEntry, ServerId, Settings,
 };
 
 use crate::event_queue::Agenda;
@@ -41,8 +41,14 @@
     CutOff,
 }
 
-const TROUBLES: [Trouble; 6] =
-    [Trouble::OneBad, Trouble::OneSilent, Trouble::Gray, Trouble::ZoneLost, Trouble::Liar, Trouble::CutOff];
+const TROUBLES: [Trouble; 6] = [
+    Trouble::OneBad,
+    Trouble::OneSilent,
+    Trouble::Gray,
+    Trouble::ZoneLost,
+    Trouble::Liar,
+    Trouble::CutOff,
+];
 
 impl Trouble {
     /// Which servers are bad: attempts there are spent.
@@ -73,12 +79,24 @@
 
 enum Due {
     Arrive(usize),
-    End { node: usize, request: u64, attempt: usize, server: usize, sent: f64, ending: u8 },
+    End {
+        node: usize,
+        request: u64,
+        attempt: usize,
+        server: usize,
+        sent: f64,
+        ending: u8,
+    },
     Timer(usize, u64),
     Turn(usize),
 }
 
-const ENDINGS: [Ending; 4] = [Ending::Served, Ending::Error, Ending::TimedOut, Ending::Unreachable];
+const ENDINGS: [Ending; 4] = [
+    Ending::Served,
+    Ending::Error,
+    Ending::TimedOut,
+    Ending::Unreachable,
+];
 
 /// A request: when it came, its attempts so far, and the one that is out: its number and when it was sent.
 type Open = (f64, usize, Option<(usize, f64)>);
@@ -108,21 +126,44 @@
 impl World {
     fn new(trouble: Trouble, with_word: bool, nodes: usize, seed: u64) -> Self {
         let mut rng = Rng::with_seed(seed);
-        let entries = || (0..SERVERS).map(|at| ServerEntry::new(ServerId(at), Availability::Ready)).collect();
+        let entries = || {
+            (0..SERVERS)
+                .map(|at| ServerEntry::new(ServerId(at), Availability::Ready))
+                .collect()
+        };
         let keys: Vec<_> = (0..SERVERS).map(key).collect();
         let node = |me| {
             let mut settings = Settings::new(vec![Class::new(AIM_MS, DEADLINE_MS, Effect::Safe)]);
             (settings.nodes, settings.me) = (nodes, me);
             let mut balancer = Balancer::new(settings, seed * 1_000 + me as u64).expect("sound");
-            balancer.handle(0.0, Event::Servers(Listing::Full(entries())), &mut Vec::new());
-            let mut word = Word::new(0.0, outlier_detection::Settings::default(), rng.f64()).expect("sound");
+            balancer.handle(
+                0.0,
+                Event::Servers(Listing::Full(entries())),
+                &mut Vec::new(),
+            );
+            let mut word =
+                Word::new(0.0, outlier_detection::Settings::default(), rng.f64()).expect("sound");
             word.handle(0.0, Said::Servers(&keys), &mut Vec::new());
             word.handle(0.0, Said::Nodes(nodes), &mut Vec::new());
-            Node { balancer, word, open: HashMap::new() }
+            Node {
+                balancer,
+                word,
+                open: HashMap::new(),
+            }
         };
         let all = (0..nodes).map(node).collect();
         let (agenda, requests, good, taken, spent) = (Agenda::default(), 0, 0.0, 0, 0);
-        let mut world = Self { trouble, with_word, agenda, nodes: all, rng, requests, good, taken, spent };
+        let mut world = Self {
+            trouble,
+            with_word,
+            agenda,
+            nodes: all,
+            rng,
+            requests,
+            good,
+            taken,
+            spent,
+        };
         for node in 0..nodes {
             let first = world.rng.f64() * 1_000.0 / EACH_PER_S;
             world.agenda.push(first, Due::Arrive(node));
@@ -143,11 +184,28 @@
                     let id = self.requests;
                     self.nodes[node].open.insert(id, (self.agenda.now, 0, None));
                     self.taken += u64::from(self.counts());
-                    self.feed(node, Event::Request(Request::new(RequestId(id), 0, DEADLINE_MS)));
+                    self.feed(
+                        node,
+                        Event::Request(Request::new(RequestId(id), 0, DEADLINE_MS)),
+                    );
                 }
                 Due::Timer(node, timer) => self.feed(node, Event::Timer(timer)),
-                Due::End { node, request, attempt, server, sent, ending } => {
-                    self.end(node, request, attempt, server, sent, ENDINGS[usize::from(ending)]);
+                Due::End {
+                    node,
+                    request,
+                    attempt,
+                    server,
+                    sent,
+                    ending,
+                } => {
+                    self.end(
+                        node,
+                        request,
+                        attempt,
+                        server,
+                        sent,
+                        ENDINGS[usize::from(ending)],
+                    );
                 }
                 Due::Turn(node) => {
                     self.agenda.push(1_000.0, Due::Turn(node));
@@ -161,7 +219,10 @@
                 }
             }
         }
-        (self.good / self.taken as f64, self.spent as f64 / self.taken as f64 * 1_000.0)
+        (
+            self.good / self.taken as f64,
+            self.spent as f64 / self.taken as f64 * 1_000.0,
+        )
     }
 
     /// What counts is from the beginning of the trouble on, its end and what follows among it.
@@ -171,7 +232,9 @@
 
     fn word(&mut self, node: usize, event: Said<'_>) {
         let mut actions = Vec::new();
-        self.nodes[node].word.handle(self.agenda.now, event, &mut actions);
+        self.nodes[node]
+            .word
+            .handle(self.agenda.now, event, &mut actions);
         for action in actions {
             match action {
                 outlier_detection::Action::Tell(bytes) => {
@@ -188,8 +251,18 @@
         }
     }
 
-    fn end(&mut self, node: usize, request: u64, attempt: usize, server: usize, sent: f64, ending: Ending) {
-        let Some(open) = self.nodes[node].open.get_mut(&request) else { return };
+    fn end(
+        &mut self,
+        node: usize,
+        request: u64,
+        attempt: usize,
+        server: usize,
+        sent: f64,
+        ending: Ending,
+    ) {
+        let Some(open) = self.nodes[node].open.get_mut(&request) else {
+            return;
+        };
         if open.2.is_none_or(|(out, ..)| out != attempt) {
             return;
         }
@@ -210,7 +283,10 @@
             };
             self.word(node, Said::Ended(key(server), failed));
         }
-        let report = is_served.then(|| Report { in_flight: Some(1.0), ..Report::default() });
+        let report = is_served.then(|| Report {
+            in_flight: Some(1.0),
+            ..Report::default()
+        });
         let outcome = Outcome {
             request: RequestId(request),
             attempt,
@@ -224,28 +300,46 @@
 
     fn feed(&mut self, node: usize, event: Event) {
         let mut actions = Vec::new();
-        self.nodes[node].balancer.handle(self.agenda.now, event, &mut actions);
+        self.nodes[node]
+            .balancer
+            .handle(self.agenda.now, event, &mut actions);
         for action in actions {
             match action {
                 Action::Send { request, server } => {
                     let (now, at) = (self.agenda.now, server.0);
-                    let Some(open) = self.nodes[node].open.get_mut(&request.0) else { continue };
+                    let Some(open) = self.nodes[node].open.get_mut(&request.0) else {
+                        continue;
+                    };
                     let attempt = open.1;
                     open.1 += 1;
                     open.2 = Some((attempt, now));
                     let left = open.0 + DEADLINE_MS - now;
                     let (ending, after) = self.trouble.end(now, node, at, &mut self.rng);
-                    let (ending, after) =
-                        if after > left { (Ending::TimedOut, left) } else { (ending, after) };
-                    self.spent += u64::from(at < self.trouble.bad() && (BEGIN_MS..END_MS).contains(&now));
+                    let (ending, after) = if after > left {
+                        (Ending::TimedOut, left)
+                    } else {
+                        (ending, after)
+                    };
+                    self.spent +=
+                        u64::from(at < self.trouble.bad() && (BEGIN_MS..END_MS).contains(&now));
                     let ending = ENDINGS.iter().position(|held| *held == ending).unwrap_or(0) as u8;
                     self.agenda.push(
                         after,
-                        Due::End { node, request: request.0, attempt, server: at, sent: now, ending },
+                        Due::End {
+                            node,
+                            request: request.0,
+                            attempt,
+                            server: at,
+                            sent: now,
+                            ending,
+                        },
                     );
                 }
                 Action::Cancel { request, attempt } => {
-                    let out = self.nodes[node].open.get(&request.0).and_then(|open| open.2);
+                    let out = self.nodes[node]
+                        .open
+                        .get(&request.0)
+                        .and_then(|open| open.2);
                     if let Some((_, sent)) = out.filter(|(number, ..)| *number == attempt) {
                         self.cancelled(node, request.0, attempt, sent);
                     }
@@ -253,7 +347,9 @@
                 Action::Refuse { request, .. } | Action::Fail { request } => {
                     self.nodes[node].open.remove(&request.0);
                 }
-                Action::SetTimer { timer, after_ms } => self.agenda.push(after_ms, Due::Timer(node, timer)),
+                Action::SetTimer { timer, after_ms } => {
+                    self.agenda.push(after_ms, Due::Timer(node, timer))
+                }
                 _ => {}
             }
         }
@@ -267,7 +363,14 @@
         let (request, ending) = (RequestId(request), Ending::Cancelled);
         self.feed(
             node,
-            Event::Outcome(Outcome { request, attempt, elapsed_ms, ending, complete: false, report: None }),
+            Event::Outcome(Outcome {
+                request,
+                attempt,
+                elapsed_ms,
+                ending,
+                complete: false,
+                report: None,
+            }),
         );
     }
 }
@@ -279,7 +382,13 @@
     );
     println!(
         "{:>10} {:>6} {:>14} {:>14} {:>16} {:>16} {:>7}",
-        "trouble", "nodes", "in aim alone", "in aim, word", "bad/1000 alone", "bad/1000, word", "ratio"
+        "trouble",
+        "nodes",
+        "in aim alone",
+        "in aim, word",
+        "bad/1000 alone",
+        "bad/1000, word",
+        "ratio"
     );
     for nodes in [30, 300] {
         let nodes = count(nodes, 5);
--- a/crates/measure/src/owners.rs
+++ b/crates/measure/src/owners.rs
@@ -47,7 +47,8 @@
     let lines = || said.iter().flat_map(|said| said.lines());
     let sum = |at: usize| {
         let held = lines().filter(|line| line.starts_with(HELD));
-        held.filter_map(|line| line.split(' ').nth(at)?.parse::<u64>().ok()).sum::<u64>()
+        held.filter_map(|line| line.split(' ').nth(at)?.parse::<u64>().ok())
+            .sum::<u64>()
     };
     let held = lines().filter(|line| line.starts_with(HELD)).count();
     let failed: Vec<_> = lines().filter(|line| line.starts_with("seed ")).collect();
@@ -55,7 +56,11 @@
         "\n{seeds} seeds of drawn troubles, 5 to 8 nodes (one in sixteen 15 to 30), 3 or 5 keepers; {:.0?}",
         start.elapsed()
     );
-    println!("shards won {} times; effects of old owners tried and refused: {}", sum(1), sum(2));
+    println!(
+        "shards won {} times; effects of old owners tried and refused: {}",
+        sum(1),
+        sum(2)
+    );
     println!("went well: {held}; failed: {}", failed.len());
     failed.iter().take(10).for_each(|line| println!("  {line}"));
 }
@@ -63,13 +68,20 @@
 /// Every order of events within bounds, and mistakes that have to be found: see `testkit::model`.
 pub fn model() {
     let most = count(MOST_STATES, 20_000);
-    println!("\nthree keepers, two that ask; steps of a fifth of a lease; at most {most} states each");
+    println!(
+        "\nthree keepers, two that ask; steps of a fifth of a lease; at most {most} states each"
+    );
     println!("bounds: begins with an owner; steps, words held back or doubled, restarts, gifts");
     let all = WHOLE.map(|(is_owned, bounds)| (Planted::None, is_owned, bounds));
     for (planted, is_owned, bounds) in all.into_iter().chain(MISTAKES) {
         let found = search(Bounds::of(planted, is_owned, bounds), most, THREADS);
         let whole = if found.is_whole { "all" } else { "in part" };
-        let Search { states, depth, changed_hands, .. } = found;
+        let Search {
+            states,
+            depth,
+            changed_hands,
+            ..
+        } = found;
         println!("{planted:?} {is_owned} {bounds:?}: {states} states, {whole}, {depth} deep, hands changed: {changed_hands}");
         if let Some((what, way)) = found.broken {
             println!("  {what}: {}", way.join(", "));
@@ -84,7 +96,12 @@
     );
     println!(
         "{:>6} {:>16} {:>16} {:>16} {:>16} {:>20}",
-        "nodes", "keeper words/s", "keeper bytes/s", "other words/s", "other bytes/s", "us cpu/s a node"
+        "nodes",
+        "keeper words/s",
+        "keeper bytes/s",
+        "other words/s",
+        "other bytes/s",
+        "us cpu/s a node"
     );
     for nodes in [5, 30, 300] {
         let nodes = count(nodes, 5);
@@ -92,14 +109,21 @@
         (0..nodes).for_each(|node| fleet.start(node));
         fleet.be_quiet();
         fleet.run(if nodes > 100 { 60_000.0 } else { 30_000.0 });
-        let sent = |fleet: &Virtual| (0..nodes).map(|node| fleet.world.sent_by(node)).collect::<Vec<_>>();
+        let sent = |fleet: &Virtual| {
+            (0..nodes)
+                .map(|node| fleet.world.sent_by(node))
+                .collect::<Vec<_>>()
+        };
         let (before, start, long) = (sent(&fleet), Instant::now(), count(60, 1) as f64);
         fleet.run(long * 1e3);
         let cpu = start.elapsed().as_secs_f64() * 1e6 / long / nodes as f64;
         let after = sent(&fleet);
         let mean = |of: std::ops::Range<usize>, what: fn(&(u64, u64)) -> u64| {
             let count = of.len().max(1) as f64;
-            of.map(|node| what(&after[node]) - what(&before[node])).sum::<u64>() as f64 / count / long
+            of.map(|node| what(&after[node]) - what(&before[node]))
+                .sum::<u64>() as f64
+                / count
+                / long
         };
         println!(
             "{nodes:>6} {:>16.1} {:>16.0} {:>16.1} {:>16.0} {cpu:>20.0}",
@@ -122,12 +146,20 @@
     const SERVING: usize = 6;
     const PATIENCE: Duration = Duration::from_secs(30);
     let register = Register::start();
-    let keepers =
-        if nodes >= 9 { "\"n0\", \"n6\", \"n7\", \"n8\", \"n1\"" } else { "\"n0\", \"n1\", \"n2\"" };
-    let keeping = format!("[leases]\nkeepers = [{keepers}]\nfleet_log = \"{}\"\n", register.address);
+    let keepers = if nodes >= 9 {
+        "\"n0\", \"n6\", \"n7\", \"n8\", \"n1\""
+    } else {
+        "\"n0\", \"n1\", \"n2\""
+    };
+    let keeping = format!(
+        "[leases]\nkeepers = [{keepers}]\nfleet_log = \"{}\"\n",
+        register.address
+    );
     let mut fleet = Fleet::start(nodes, 3, &keeping);
     fleet.agree_within(Duration::from_secs(60));
-    fleet.wait_for("all is owned", Duration::from_secs(60), |fleet| fleet.all_owned(SHARDS));
+    fleet.wait_for("all is owned", Duration::from_secs(60), |fleet| {
+        fleet.all_owned(SHARDS)
+    });
     let serving = SERVING.min(nodes - 1);
     let loads: Vec<_> = (0..serving)
         .map(|node| Load::start(fleet.node(node).address, 1, Duration::from_millis(20)))
@@ -138,9 +170,15 @@
         rounds += 1;
         // Who serves is stopped and cut off, but not killed, so that every request can have its answer.
         let kind = rng.u32(..3);
-        let node = if kind == 1 { rng.usize(serving..nodes) } else { rng.usize(..nodes) };
+        let node = if kind == 1 {
+            rng.usize(serving..nodes)
+        } else {
+            rng.usize(..nodes)
+        };
         // Half of those that are stopped are the one that acts, else hardly any would have a line on its way.
-        let acting = register.last().and_then(|line| (0..nodes).find(|at| fleet.name(*at) == line.node));
+        let acting = register
+            .last()
+            .and_then(|line| (0..nodes).find(|at| fleet.name(*at) == line.node));
         let node = acting.filter(|_| kind == 0 && rng.bool()).unwrap_or(node);
         let own = fleet.owners(node).iter().position(|(_, left)| *left > 0);
         if kind == 0 {
@@ -155,15 +193,21 @@
             _ => {
                 let is_deaf = rng.bool();
                 for other in (0..nodes).filter(|other| *other != node) {
-                    let (from, to) = if is_deaf { (other, node) } else { (node, other) };
+                    let (from, to) = if is_deaf {
+                        (other, node)
+                    } else {
+                        (node, other)
+                    };
                     fleet.apply(&Trouble::Cut { from, to });
                 }
             }
         }
         if let Some(shard) = own {
-            fleet.wait_for("another owns it", PATIENCE, |fleet| match fleet.owner(shard) {
-                Ok(owner) if owner != node => Ok(()),
-                other => Err(format!("{other:?}")),
+            fleet.wait_for("another owns it", PATIENCE, |fleet| {
+                match fleet.owner(shard) {
+                    Ok(owner) if owner != node => Ok(()),
+                    other => Err(format!("{other:?}")),
+                }
             });
             [&mut stopped, &mut killed, &mut cut][kind as usize].push(from.elapsed().as_secs_f64());
         }
@@ -182,8 +226,15 @@
     let totals: Vec<_> = loads.into_iter().map(Load::end).collect();
     let sent: u64 = totals.iter().map(|totals| totals.sent).sum();
     let lost: u64 = totals.iter().map(|totals| totals.lost).sum();
-    println!("\n{nodes} processes, {SHARDS} shards, {rounds} owners in trouble, {:.0?}", start.elapsed());
-    for (name, mut times) in [("stopped", stopped), ("killed", killed), ("cut one way", cut)] {
+    println!(
+        "\n{nodes} processes, {SHARDS} shards, {rounds} owners in trouble, {:.0?}",
+        start.elapsed()
+    );
+    for (name, mut times) in [
+        ("stopped", stopped),
+        ("killed", killed),
+        ("cut one way", cut),
+    ] {
         if !times.is_empty() {
             let n = times.len();
             let [p50, p99, most] = [0.5, 0.99, 1.0].map(|part| quantile(&mut times, part));
@@ -194,7 +245,16 @@
     }
     let log = register.log();
     let refused = register.refused();
-    println!("lines taken: {}; tried by old owners and refused: {refused}", log.len() - refused);
-    println!("wrongly taken: {}", register.wrong().unwrap_or_else(|| "none".into()));
-    println!("requests: {sent} sent, {lost} lost; the server had {}", fleet.server.count());
+    println!(
+        "lines taken: {}; tried by old owners and refused: {refused}",
+        log.len() - refused
+    );
+    println!(
+        "wrongly taken: {}",
+        register.wrong().unwrap_or_else(|| "none".into())
+    );
+    println!(
+        "requests: {sent} sent, {lost} lost; the server had {}",
+        fleet.server.count()
+    );
 }
--- a/crates/measure/src/stable_hash.rs
+++ b/crates/measure/src/stable_hash.rs
@@ -16,7 +16,9 @@
 
 fn blake3_first(x: u64) -> u64 {
     let hash = blake3::hash(&x.to_le_bytes());
-    hash.as_bytes().first_chunk().map_or(0, |bytes| u64::from_le_bytes(*bytes))
+    hash.as_bytes()
+        .first_chunk()
+        .map_or(0, |bytes| u64::from_le_bytes(*bytes))
 }
 
 fn std_hasher(x: u64) -> u64 {
@@ -43,7 +45,9 @@
 
 /// By rendezvous: what the node with the most shards has, as a multiple of the mean.
 fn most(mix: Mix, nodes: usize) -> f64 {
-    let ids: Vec<_> = (0..nodes).map(|node| MemberId::of(&format!("n{node}")).0).collect();
+    let ids: Vec<_> = (0..nodes)
+        .map(|node| MemberId::of(&format!("n{node}")).0)
+        .collect();
     let mut owned = vec![0_u32; nodes];
     for shard in 0..SHARDS {
         let draw = |node: &usize| mix(ids[*node] ^ mix(shard + 1));
--- a/crates/outlier-detection/src/tally.rs
+++ b/crates/outlier-detection/src/tally.rs
@@ -47,6 +47,10 @@
             let of = |kind: Kind| self.failed[kind as usize];
             of(*a).total_cmp(&of(*b))
         });
-        (self.ok, self.failed.iter().sum(), most.unwrap_or(Kind::Error))
+        (
+            self.ok,
+            self.failed.iter().sum(),
+            most.unwrap_or(Kind::Error),
+        )
     }
 }
--- a/crates/outlier-detection/src/wire.rs
+++ b/crates/outlier-detection/src/wire.rs
@@ -90,11 +90,25 @@
         }
         let entries = body.chunks_exact(ENTRY).filter_map(|mut entry| {
             let server = ServerKey(entry.get_u64_le());
-            let (failed, ok, kind, ok_age) = (entry.get_u8(), entry.get_u8(), entry.get_u8(), entry.get_u8());
+            let (failed, ok, kind, ok_age) = (
+                entry.get_u8(),
+                entry.get_u8(),
+                entry.get_u8(),
+                entry.get_u8(),
+            );
             let kind = *Kind::ALL.get(usize::from(kind))?;
-            Some(Entry { server, failed, ok, kind, ok_age })
+            Some(Entry {
+                server,
+                failed,
+                ok,
+                kind,
+                ok_age,
+            })
         });
-        Some(Self { tried, entries: entries.collect() })
+        Some(Self {
+            tried,
+            entries: entries.collect(),
+        })
     }
 }
 
--- a/crates/outlier-detection/src/word.rs
+++ b/crates/outlier-detection/src/word.rs
@@ -91,7 +91,10 @@
     pub fn check(&self) -> Result<(), SettingsError> {
         let need = |ok: bool, key| if ok { Ok(()) } else { Err(SettingsError(key)) };
         need((100.0..=60_000.0).contains(&self.turn_ms), "turn_ms")?;
-        need((1_000.0..=600_000.0).contains(&self.half_life_ms), "half_life_ms")?;
+        need(
+            (1_000.0..=600_000.0).contains(&self.half_life_ms),
+            "half_life_ms",
+        )?;
         need((2..=16).contains(&self.reporters), "reporters")?;
         need((0.1..=1.0).contains(&self.share), "share")?;
         need((0.0001..=0.5).contains(&self.floor), "floor")?;
@@ -290,7 +293,10 @@
     /// What is said of servers against which there is something.
     pub fn hints(&self) -> impl Iterator<Item = Hint> + '_ {
         let now = self.now;
-        let against = self.servers.iter().filter(|(_, server)| server.weight < 1.0 || server.complain > 0);
+        let against = self
+            .servers
+            .iter()
+            .filter(|(_, server)| server.weight < 1.0 || server.complain > 0);
         against.map(move |(key, server)| Hint {
             server: *key,
             kind: server.kind,
@@ -322,8 +328,11 @@
     }
 
     fn said(&mut self, by: NodeKey, report: &Report) {
-        let complaints =
-            report.entries.iter().filter(|entry| entry.failed >= entry.ok && entry.failed > 0).count();
+        let complaints = report
+            .entries
+            .iter()
+            .filter(|entry| entry.failed >= entry.ok && entry.failed > 0)
+            .count();
         // What it says of how many it tried is bounded by what there is.
         let tried = usize::from(report.tried).min(self.servers.len());
         if self.is_void(complaints, tried) {
@@ -341,7 +350,14 @@
             self.spoken_of.insert(entry.server);
             let [failed, ok] = [entry.failed, entry.ok].map(|count| f64::from(count) / 4.0);
             let ok_ms = now - f64::from(entry.ok_age) * 100.0;
-            let said = Said { by, at_ms: now, failed, ok, ok_ms, kind: entry.kind };
+            let said = Said {
+                by,
+                at_ms: now,
+                failed,
+                ok,
+                ok_ms,
+                kind: entry.kind,
+            };
             match server.said.iter_mut().find(|held| held.by == by) {
                 Some(held) => *held = said,
                 None => {
@@ -361,10 +377,19 @@
     /// many that it is likely its own fault.
     fn tell(&mut self) -> bool {
         let (now, half_life) = (self.now, self.settings.half_life_ms);
-        let own: Vec<_> =
-            self.servers.iter().map(|(key, server)| (*key, server.own.at(now, half_life))).collect();
-        let tried = own.iter().filter(|(_, (ok, failed, _))| ok + failed >= LEAST).count();
-        let complaints = own.iter().filter(|(_, (ok, failed, _))| *failed >= LEAST && failed >= ok).count();
+        let own: Vec<_> = self
+            .servers
+            .iter()
+            .map(|(key, server)| (*key, server.own.at(now, half_life)))
+            .collect();
+        let tried = own
+            .iter()
+            .filter(|(_, (ok, failed, _))| ok + failed >= LEAST)
+            .count();
+        let complaints = own
+            .iter()
+            .filter(|(_, (ok, failed, _))| *failed >= LEAST && failed >= ok)
+            .count();
         if self.is_void(complaints, tried) {
             self.figures.void += 1;
             return true;
@@ -385,7 +410,10 @@
         }
         let quarters = |count: f64| (count * 4.0).round().min(f64::from(u8::MAX)) as u8;
         let age = |server: &ServerKey| {
-            let ok_ms = self.servers.get(server).map_or(f64::NEG_INFINITY, |server| server.own.ok_ms());
+            let ok_ms = self
+                .servers
+                .get(server)
+                .map_or(f64::NEG_INFINITY, |server| server.own.ok_ms());
             ((now - ok_ms) / 100.0).min(f64::from(u8::MAX)) as u8
         };
         let entry = |(server, (ok, failed, kind)): (ServerKey, (f64, f64, Kind))| Entry {
@@ -396,7 +424,10 @@
             ok_age: age(&server),
         };
         let entries = said.into_iter().take(MOST_ENTRIES).map(entry).collect();
-        let report = Report { tried: tried.min(usize::from(u16::MAX)) as u16, entries };
+        let report = Report {
+            tried: tried.min(usize::from(u16::MAX)) as u16,
+            entries,
+        };
         self.figures.told += 1;
         self.told_ms = now;
         self.out.push(Action::Tell(report.write()));
@@ -406,21 +437,39 @@
     /// Who is bad by all that is said. What was bad gets its share back in turns alone.
     fn judge(&mut self, is_turn: bool) {
         let own_is_void = self.own_is_void;
-        let Settings { turn_ms, half_life_ms, share, reporters, floor, panic_share } = self.settings;
+        let Settings {
+            turn_ms,
+            half_life_ms,
+            share,
+            reporters,
+            floor,
+            panic_share,
+        } = self.settings;
         let now = self.now;
         let needed = reporters.min(self.nodes.div_ceil(2)).max(2);
         let mut bad = BTreeSet::new();
         for key in &self.spoken_of {
-            let Some(server) = self.servers.get_mut(key) else { continue };
-            server.said.retain(|said| now - said.at_ms < REPORT_TURNS * turn_ms);
-            let (ok, failed, kind) =
-                if own_is_void { (0.0, 0.0, Kind::Error) } else { server.own.at(now, half_life_ms) };
+            let Some(server) = self.servers.get_mut(key) else {
+                continue;
+            };
+            server
+                .said
+                .retain(|said| now - said.at_ms < REPORT_TURNS * turn_ms);
+            let (ok, failed, kind) = if own_is_void {
+                (0.0, 0.0, Kind::Error)
+            } else {
+                server.own.at(now, half_life_ms)
+            };
             let own = [(ok, server.own.ok_ms(), failed, kind)].into_iter();
             let own = own.filter(|(ok, _, failed, _)| ok + failed >= LEAST);
-            let said = server.said.iter().map(|said| (said.ok, said.ok_ms, said.failed, said.kind));
+            let said = server
+                .said
+                .iter()
+                .map(|said| (said.ok, said.ok_ms, said.failed, said.kind));
             let is_new = server.complain == 0 && server.weight >= 1.0;
             let accused_ms = if is_new { now } else { server.accused_ms };
-            let (mut all_ok, mut all_failed, mut complain, mut kinds) = (0.0, 0.0, 0, [0.0; Kind::ALL.len()]);
+            let (mut all_ok, mut all_failed, mut complain, mut kinds) =
+                (0.0, 0.0, 0, [0.0; Kind::ALL.len()]);
             for (ok, ok_ms, failed, kind) in own.chain(said) {
                 complain += usize::from(failed >= ok && failed >= LEAST);
                 let ok = if ok_ms >= accused_ms { ok } else { 0.0 };
@@ -431,7 +480,9 @@
                 (all_ok, all_failed) = (all_ok + ok * part, all_failed + failed * part);
                 kinds[kind as usize] += failed * part;
             }
-            let most = Kind::ALL.into_iter().max_by(|a, b| kinds[*a as usize].total_cmp(&kinds[*b as usize]));
+            let most = Kind::ALL
+                .into_iter()
+                .max_by(|a, b| kinds[*a as usize].total_cmp(&kinds[*b as usize]));
             if (complain > 0) != (server.complain > 0) && server.weight >= 1.0 {
                 server.since_ms = now;
             }
@@ -445,8 +496,17 @@
             }
         }
         // Those that are spared already have hardly anybody left who could complain.
-        let spared = |key: &&ServerKey| self.servers.get(*key).is_some_and(|server| server.weight < SPARED);
-        let spared = self.spoken_of.iter().filter(spared).filter(|key| !bad.contains(*key)).count();
+        let spared = |key: &&ServerKey| {
+            self.servers
+                .get(*key)
+                .is_some_and(|server| server.weight < SPARED)
+        };
+        let spared = self
+            .spoken_of
+            .iter()
+            .filter(spared)
+            .filter(|key| !bad.contains(*key))
+            .count();
         if (bad.len() + spared) as f64 > (panic_share * self.servers.len() as f64).max(1.0) {
             self.figures.panics += 1;
             self.panic_until_ms = now + PANIC_TURNS * turn_ms;
@@ -458,7 +518,9 @@
         let floor = (FLOOR / self.nodes as f64).max(LEAST_FLOOR).min(floor);
         let mut over = Vec::new();
         for key in &self.spoken_of {
-            let Some(server) = self.servers.get_mut(key) else { continue };
+            let Some(server) = self.servers.get_mut(key) else {
+                continue;
+            };
             let before = server.weight;
             if bad.contains(key) {
                 if server.weight > floor && server.held_until_ms <= now {
@@ -474,7 +536,8 @@
             } else if is_panic {
                 server.weight = 1.0;
             } else if is_turn && server.weight < 1.0 && now >= server.held_until_ms {
-                let is_unheard = !server.is_heard && now - server.grown_ms >= UNHEARD_TURNS * turn_ms;
+                let is_unheard =
+                    !server.is_heard && now - server.grown_ms >= UNHEARD_TURNS * turn_ms;
                 if server.is_well && server.is_heard || is_unheard {
                     server.weight = (server.weight * GROWTH).min(1.0);
                     server.grown_ms = now;
@@ -484,7 +547,8 @@
                 server.times = 0;
             }
             let (_, failed, _) = server.own.at(now, half_life_ms);
-            if server.weight >= 1.0 && server.times == 0 && server.said.is_empty() && failed < LEAST {
+            if server.weight >= 1.0 && server.times == 0 && server.said.is_empty() && failed < LEAST
+            {
                 over.push(*key);
             }
             if server.weight != before {
