--- a/crates/outlier-detection/tests/word.rs
+++ b/crates/outlier-detection/tests/word.rs
@@ -1,7 +1,7 @@
 //! Word among many nodes in virtual time: who is spared, who is not believed, and how one that is well comes back.
 
-use outlier_detection::{Action, Event, Kind, NodeKey, ServerKey, Settings, Word};
 use fastrand::Rng;
+use outlier_detection::{Action, Event, Kind, NodeKey, ServerKey, Settings, Word};
 
 const SERVERS: u64 = 20;
 
@@ -34,7 +34,14 @@
         };
         let all = (0..nodes).map(node).collect();
         let weights = vec![vec![1.0; SERVERS as usize]; nodes];
-        Self { nodes: all, rng, now: 0.0, weights, tried: vec![0; SERVERS as usize], lie: None }
+        Self {
+            nodes: all,
+            rng,
+            now: 0.0,
+            weights,
+            tried: vec![0; SERVERS as usize],
+            lie: None,
+        }
     }
 
     /// Each node makes so many attempts a second; `fails` tells how one ends.
@@ -90,7 +97,9 @@
                     assert!(bytes.len() <= outlier_detection::MOST_REPORT);
                     said.push((node, bytes));
                 }
-                Action::Hint(server, weight) => self.weights[node][(server.0 / 7) as usize] = weight,
+                Action::Hint(server, weight) => {
+                    self.weights[node][(server.0 / 7) as usize] = weight
+                }
                 Action::WakeAt(_) => {}
             }
         }
@@ -98,7 +107,10 @@
 
     /// How many nodes spare a server.
     fn spare(&self, server: u64) -> usize {
-        self.weights.iter().filter(|weights| weights[server as usize] < 0.1).count()
+        self.weights
+            .iter()
+            .filter(|weights| weights[server as usize] < 0.1)
+            .count()
     }
 
     fn nobody_spares_any(&self) -> bool {
@@ -115,11 +127,23 @@
         // Three that try it are enough, and what went well before does not hold against them.
         let soon = 2_000.0 + 3_000.0 * SERVERS as f64 / (nodes as f64 * each);
         world.run(soon, each, |_, server| (server == 3).then_some(Kind::Error));
-        assert!(world.spare(3) * 10 >= nodes * 9, "{nodes} nodes: {} spare it", world.spare(3));
+        assert!(
+            world.spare(3) * 10 >= nodes * 9,
+            "{nodes} nodes: {} spare it",
+            world.spare(3)
+        );
         let before = world.tried[3];
-        world.run(20_000.0, each, |_, server| (server == 3).then_some(Kind::Error));
-        let (tried, fair) = (world.tried[3] - before, nodes as f64 * each * 20.0 / SERVERS as f64);
-        assert!((tried as f64) < fair / 5.0, "{nodes} nodes: {tried} attempts of {fair:.0}");
+        world.run(20_000.0, each, |_, server| {
+            (server == 3).then_some(Kind::Error)
+        });
+        let (tried, fair) = (
+            world.tried[3] - before,
+            nodes as f64 * each * 20.0 / SERVERS as f64,
+        );
+        assert!(
+            (tried as f64) < fair / 5.0,
+            "{nodes} nodes: {tried} attempts of {fair:.0}"
+        );
         // It is well again: no second sees a multiple of its fair share, nor all nodes come back at once.
         let mut whole = mean_weight(&world);
         for _ in 0..90 {
@@ -127,12 +151,21 @@
             world.run(1_000.0, each, |_, _| None);
             let tried = (world.tried[3] - before) as f64;
             let fair = nodes as f64 * each / SERVERS as f64;
-            assert!(tried <= 3.0 * fair + 6.0, "{nodes} nodes: {tried} at once, fair is {fair}");
+            assert!(
+                tried <= 3.0 * fair + 6.0,
+                "{nodes} nodes: {tried} at once, fair is {fair}"
+            );
             let now = mean_weight(&world);
-            assert!(now <= 2.0 * whole + 0.02, "{nodes} nodes: from {whole} to {now} in a second");
+            assert!(
+                now <= 2.0 * whole + 0.02,
+                "{nodes} nodes: from {whole} to {now} in a second"
+            );
             whole = now;
         }
-        assert!(whole > 0.95, "{nodes} nodes: {whole} of its share after a minute and a half");
+        assert!(
+            whole > 0.95,
+            "{nodes} nodes: {whole} of its share after a minute and a half"
+        );
     }
 }
 
@@ -178,7 +211,10 @@
     assert_eq!(spared(&hears(&[bad.clone(), bad.clone(), bad])), 1);
     let others = vec![well; 7];
     let word = hears(&[&others[..], &vec![shouted; 3]].concat());
-    assert_eq!((spared(&word), word.hints().map(|hint| hint.reporters).max()), (0, Some(3)));
+    assert_eq!(
+        (spared(&word), word.hints().map(|hint| hint.reporters).max()),
+        (0, Some(3))
+    );
 }
 
 /// What went well before anybody complained says nothing against it; what goes well since does.
@@ -201,7 +237,10 @@
 fn complaints_of_too_many_are_passed_over() {
     let two = report(5, &[(3, 8, 0), (4, 8, 0), (5, 0, 8)]);
     let word = hears(&vec![two; 4]);
-    assert_eq!((spared(&word), word.figures().void, word.figures().heard), (0, 4, 0));
+    assert_eq!(
+        (spared(&word), word.figures().void, word.figures().heard),
+        (0, 4, 0)
+    );
 }
 
 /// What three nodes say of server 3, turn by turn, and what a fourth makes of it.
@@ -212,7 +251,10 @@
 
 impl Listener {
     fn new() -> Self {
-        Self { word: hears(&[]), now: 1_001.0 }
+        Self {
+            word: hears(&[]),
+            now: 1_001.0,
+        }
     }
 
     /// A turn in which they say this, or nothing; and the weight that comes of it.
@@ -221,7 +263,8 @@
         if let Some((failed, ok)) = said {
             let bytes = report(20, &[(3, failed, ok)]);
             for by in 0..3 {
-                self.word.handle(self.now, Event::Said(NodeKey(by), &bytes), &mut Vec::new());
+                self.word
+                    .handle(self.now, Event::Said(NodeKey(by), &bytes), &mut Vec::new());
             }
         }
         self.word.handle(self.now, Event::Due, &mut Vec::new());
@@ -232,10 +275,19 @@
     fn falls(&mut self) -> (usize, usize) {
         let floor = self.turn(Some((8, 0)));
         assert!(floor <= 0.05);
-        let weights: Vec<_> = std::iter::from_fn(|| Some(self.turn(Some((0, 8))))).take(100).collect();
-        let first =
-            |is_so: &dyn Fn(f64) -> bool| weights.iter().position(|w| is_so(*w)).expect("it comes back");
-        (first(&|weight| weight > floor), first(&|weight| weight >= 1.0))
+        let weights: Vec<_> = std::iter::from_fn(|| Some(self.turn(Some((0, 8)))))
+            .take(100)
+            .collect();
+        let first = |is_so: &dyn Fn(f64) -> bool| {
+            weights
+                .iter()
+                .position(|w| is_so(*w))
+                .expect("it comes back")
+        };
+        (
+            first(&|weight| weight > floor),
+            first(&|weight| weight >= 1.0),
+        )
     }
 }
 
@@ -244,9 +296,15 @@
     let mut listener = Listener::new();
     let turns = [(); 5].map(|()| listener.falls());
     let held = turns.map(|(held, _)| held);
-    assert!(held.windows(2).all(|pair| pair[1] >= 2 * pair[0] - 1), "{held:?}");
+    assert!(
+        held.windows(2).all(|pair| pair[1] >= 2 * pair[0] - 1),
+        "{held:?}"
+    );
     assert!(held[0] <= 2 && held[4] >= 24, "{held:?}");
-    assert!(turns.iter().all(|(held, whole)| whole - held >= 5), "bit by bit: {turns:?}");
+    assert!(
+        turns.iter().all(|(held, whole)| whole - held >= 5),
+        "bit by bit: {turns:?}"
+    );
     (0..130).for_each(|_| _ = listener.turn(Some((0, 8))));
     assert!(listener.falls().0 <= 2, "forgiven");
 }
@@ -257,9 +315,15 @@
     let mut listener = Listener::new();
     let floor = listener.turn(Some((8, 0)));
     let weights: Vec<_> = (0..100).map(|_| listener.turn(None)).collect();
-    assert!(weights[..8].iter().all(|weight| *weight == floor), "{weights:?}");
+    assert!(
+        weights[..8].iter().all(|weight| *weight == floor),
+        "{weights:?}"
+    );
     let grown = weights.windows(2).filter(|pair| pair[1] > pair[0]).count();
-    assert!((5..=10).contains(&grown) && weights[99] > floor, "{weights:?}");
+    assert!(
+        (5..=10).contains(&grown) && weights[99] > floor,
+        "{weights:?}"
+    );
     // While as many fail as end well it has shown nothing either.
     let mut listener = Listener::new();
     listener.turn(Some((8, 0)));
@@ -290,9 +354,14 @@
 fn who_is_cut_off_from_half_of_the_servers_poisons_nobody() {
     for cut in [1, 3] {
         let mut world = World::new(30, 2);
-        world.run(40_000.0, 5.0, |node, server| (node < cut && server % 2 == 0).then_some(Kind::Unreachable));
+        world.run(40_000.0, 5.0, |node, server| {
+            (node < cut && server % 2 == 0).then_some(Kind::Unreachable)
+        });
         assert!(world.nobody_spares_any(), "{cut} cut off");
-        assert!(world.nodes[0].figures().void > 10, "it says nothing, as it is likely its own fault");
+        assert!(
+            world.nodes[0].figures().void > 10,
+            "it says nothing, as it is likely its own fault"
+        );
     }
 }
 
@@ -311,14 +380,18 @@
 #[test]
 fn what_only_some_see_is_left_to_them() {
     let mut world = World::new(30, 4);
-    world.run(40_000.0, 5.0, |node, server| (server == 3 && node % 3 == 0).then_some(Kind::Silent));
+    world.run(40_000.0, 5.0, |node, server| {
+        (server == 3 && node % 3 == 0).then_some(Kind::Silent)
+    });
     assert!(world.spare(3) < 3, "{} spare it", world.spare(3));
 }
 
 #[test]
 fn more_bad_servers_than_may_be_are_left_to_each_node() {
     let mut world = World::new(30, 5);
-    world.run(40_000.0, 5.0, |_, server| (server < 12).then_some(Kind::Error));
+    world.run(40_000.0, 5.0, |_, server| {
+        (server < 12).then_some(Kind::Error)
+    });
     assert!(world.nobody_spares_any());
 }
 
@@ -326,7 +399,9 @@
 #[test]
 fn word_does_not_outlive_a_server() {
     let mut world = World::new(5, 6);
-    world.run(20_000.0, 10.0, |_, server| (server == 3).then_some(Kind::Error));
+    world.run(20_000.0, 10.0, |_, server| {
+        (server == 3).then_some(Kind::Error)
+    });
     assert!(world.spare(3) >= 4);
     let mut keys: Vec<_> = (0..SERVERS).map(key).collect();
     keys[3] = ServerKey(1_000_003);
@@ -335,7 +410,9 @@
     assert_eq!(node.hints().count(), 0);
     // What others say of the old one names nobody.
     let before = node.figures().unknown;
-    world.run(60_000.0, 10.0, |node, server| (node > 0 && server == 3).then_some(Kind::Error));
+    world.run(60_000.0, 10.0, |node, server| {
+        (node > 0 && server == 3).then_some(Kind::Error)
+    });
     assert!(world.nodes[0].figures().unknown > before && world.nodes[0].hints().count() == 0);
 }
 
@@ -345,7 +422,9 @@
     let mut world = World::new(12, 7);
     let keys: Vec<_> = (0..SERVERS).map(key).collect();
     for _ in 0..10 {
-        world.run(6_000.0, 5.0, |node, server| (node == 0 && server == 3).then_some(Kind::Error));
+        world.run(6_000.0, 5.0, |node, server| {
+            (node == 0 && server == 3).then_some(Kind::Error)
+        });
         let mut word = Word::new(world.now, Settings::default(), 0.5).expect("sound");
         word.handle(world.now, Event::Servers(&keys), &mut Vec::new());
         world.nodes[0] = word;
--- a/crates/pool/src/address.rs
+++ b/crates/pool/src/address.rs
@@ -48,7 +48,10 @@
             Self::Malformed(text) => write!(f, "{text:?} is neither `IP:PORT` nor `unix:PATH`"),
             Self::Relative(text) => write!(f, "the path of {text:?} does not begin with `/`"),
             Self::TooLong(bytes) => {
-                write!(f, "a Unix socket's path has {MOST_UNIX_PATH} bytes at the most, not {bytes}")
+                write!(
+                    f,
+                    "a Unix socket's path has {MOST_UNIX_PATH} bytes at the most, not {bytes}"
+                )
             }
         }
     }
@@ -72,8 +75,13 @@
             }
             return Ok(Self::Unix(path.into()));
         }
-        let address = text.parse::<SocketAddr>().ok().filter(|address| address.port() > 0);
-        address.map(Self::Ip).ok_or_else(|| BadAddress::Malformed(text.into()))
+        let address = text
+            .parse::<SocketAddr>()
+            .ok()
+            .filter(|address| address.port() > 0);
+        address
+            .map(Self::Ip)
+            .ok_or_else(|| BadAddress::Malformed(text.into()))
     }
 }
 
@@ -99,7 +107,9 @@
 
     /// RFC 6724, section 2.1: the default policy table's precedence; a local socket stands above all.
     fn precedence(&self) -> u8 {
-        let Self::Ip(address) = self else { return u8::MAX };
+        let Self::Ip(address) = self else {
+            return u8::MAX;
+        };
         match address.ip() {
             IpAddr::V4(_) => 35,
             IpAddr::V6(ip) => v6_precedence(ip),
@@ -153,7 +163,11 @@
     /// A route of which nothing is said.
     #[must_use]
     pub fn new(address: Address) -> Self {
-        Self { address, preference: ORDINARY_PREFERENCE, label: None }
+        Self {
+            address,
+            preference: ORDINARY_PREFERENCE,
+            label: None,
+        }
     }
 }
 
@@ -163,16 +177,23 @@
 pub fn order(routes: &[Route]) -> Vec<usize> {
     let mut sorted: Vec<usize> = (0..routes.len()).collect();
     sorted.sort_by_key(|at| {
-        let Route { address, preference, .. } = &routes[*at];
+        let Route {
+            address,
+            preference,
+            ..
+        } = &routes[*at];
         (*preference, u8::MAX - address.precedence(), address.scope())
     });
     let mut ordered: Vec<usize> = Vec::with_capacity(sorted.len());
     while !sorted.is_empty() {
         let preference = routes[sorted[0]].preference;
-        let before = ordered.last().filter(|at| routes[**at].preference == preference);
+        let before = ordered
+            .last()
+            .filter(|at| routes[**at].preference == preference);
         let last = before.map(|at| routes[*at].address.family());
-        let in_turn =
-            |at: &usize| routes[*at].preference == preference && Some(routes[*at].address.family()) != last;
+        let in_turn = |at: &usize| {
+            routes[*at].preference == preference && Some(routes[*at].address.family()) != last
+        };
         let next = sorted.iter().position(in_turn).unwrap_or(0);
         ordered.push(sorted.remove(next));
     }
@@ -184,26 +205,45 @@
     use super::*;
 
     fn route(text: &str, preference: u16) -> Route {
-        Route { preference, ..Route::new(text.parse().expect("an address")) }
+        Route {
+            preference,
+            ..Route::new(text.parse().expect("an address"))
+        }
     }
 
     fn ordered(routes: &[Route]) -> Vec<String> {
-        order(routes).into_iter().map(|at| routes[at].address.to_string()).collect()
+        order(routes)
+            .into_iter()
+            .map(|at| routes[at].address.to_string())
+            .collect()
     }
 
     #[test]
     fn texts_are_addresses_or_say_why_not() {
         for good in ["127.0.0.1:80", "[::1]:80", "unix:/run/holds.sock"] {
-            assert_eq!(good.parse::<Address>().expect("an address").to_string(), good);
+            assert_eq!(
+                good.parse::<Address>().expect("an address").to_string(),
+                good
+            );
         }
-        for bad in
-            ["", "localhost:80", "127.0.0.1", "127.0.0.1:0", "::1:80", "unix:", "unix:run/x", "unix:/a\0b"]
-        {
+        for bad in [
+            "",
+            "localhost:80",
+            "127.0.0.1",
+            "127.0.0.1:0",
+            "::1:80",
+            "unix:",
+            "unix:run/x",
+            "unix:/a\0b",
+        ] {
             assert!(bad.parse::<Address>().is_err(), "{bad}");
         }
         let path = |bytes: usize| format!("unix:/{}", "x".repeat(bytes - 1));
         assert!(path(MOST_UNIX_PATH).parse::<Address>().is_ok());
-        assert_eq!(path(MOST_UNIX_PATH + 1).parse::<Address>(), Err(BadAddress::TooLong(MOST_UNIX_PATH + 1)));
+        assert_eq!(
+            path(MOST_UNIX_PATH + 1).parse::<Address>(),
+            Err(BadAddress::TooLong(MOST_UNIX_PATH + 1))
+        );
     }
 
     #[test]
@@ -217,19 +257,36 @@
         ];
         assert_eq!(
             ordered(&routes),
-            ["10.0.0.2:80", "unix:/run/s", "[2001:db8::1]:80", "10.0.0.1:80", "[fc00::1]:80"]
+            [
+                "10.0.0.2:80",
+                "unix:/run/s",
+                "[2001:db8::1]:80",
+                "10.0.0.1:80",
+                "[fc00::1]:80"
+            ]
         );
     }
 
     #[test]
     fn families_take_turns() {
-        let routes: Vec<_> =
-            ["[2001:db8::1]:1", "[2001:db8::2]:1", "[2001:db8::3]:1", "10.0.0.1:1", "10.0.0.2:1"]
-                .map(|text| route(text, 100))
-                .into();
+        let routes: Vec<_> = [
+            "[2001:db8::1]:1",
+            "[2001:db8::2]:1",
+            "[2001:db8::3]:1",
+            "10.0.0.1:1",
+            "10.0.0.2:1",
+        ]
+        .map(|text| route(text, 100))
+        .into();
         assert_eq!(
             ordered(&routes),
-            ["[2001:db8::1]:1", "10.0.0.1:1", "[2001:db8::2]:1", "10.0.0.2:1", "[2001:db8::3]:1"]
+            [
+                "[2001:db8::1]:1",
+                "10.0.0.1:1",
+                "[2001:db8::2]:1",
+                "10.0.0.2:1",
+                "[2001:db8::3]:1"
+            ]
         );
     }
 
@@ -255,7 +312,14 @@
 
     #[test]
     fn every_route_is_in_the_order_once() {
-        let texts = ["10.0.0.1:1", "[::1]:1", "unix:/a", "unix:/b", "[fe80::1]:1", "10.0.0.1:2"];
+        let texts = [
+            "10.0.0.1:1",
+            "[::1]:1",
+            "unix:/a",
+            "unix:/b",
+            "[fe80::1]:1",
+            "10.0.0.1:2",
+        ];
         for bits in 0..64_u32 {
             let routes: Vec<_> = texts
                 .iter()
--- a/crates/pool/src/holders.rs
+++ b/crates/pool/src/holders.rs
@@ -59,9 +59,16 @@
         moved.insert(server);
         self.release(server, &routes, moved);
         for route in &routes {
-            let holder = self.by_address.get(&route.address).copied().filter(|holder| *holder != server);
+            let holder = self
+                .by_address
+                .get(&route.address)
+                .copied()
+                .filter(|holder| *holder != server);
             if let Some(holder) = holder {
-                let is_later = self.named.get(&holder).is_some_and(|h| h.started_at_ms > started_at_ms);
+                let is_later = self
+                    .named
+                    .get(&holder)
+                    .is_some_and(|h| h.started_at_ms > started_at_ms);
                 if is_later || !is_ready {
                     continue;
                 }
@@ -69,14 +76,24 @@
             }
             self.by_address.insert(route.address.clone(), server);
         }
-        self.named.insert(server, Named { routes, started_at_ms, is_ready });
+        self.named.insert(
+            server,
+            Named {
+                routes,
+                started_at_ms,
+                is_ready,
+            },
+        );
     }
 
     /// Of those that have moved, which others have taken all addresses from.
     #[must_use]
     pub fn settle(&self, moved: BTreeSet<ServerKey>) -> Changed {
         let has_lost_all = |server: &ServerKey| {
-            let is_named_somewhere = self.named.get(server).is_some_and(|named| !named.routes.is_empty());
+            let is_named_somewhere = self
+                .named
+                .get(server)
+                .is_some_and(|named| !named.routes.is_empty());
             is_named_somewhere && self.routes(*server).is_empty()
         };
         let (gone, moved) = moved.into_iter().partition(has_lost_all);
@@ -94,28 +111,39 @@
     /// Where a server is reached: the addresses it is named at, without those that another holds.
     #[must_use]
     pub fn routes(&self, server: ServerKey) -> Vec<Route> {
-        let Some(named) = self.named.get(&server) else { return Vec::new() };
+        let Some(named) = self.named.get(&server) else {
+            return Vec::new();
+        };
         let holds = |route: &&Route| self.by_address.get(&route.address) == Some(&server);
         named.routes.iter().filter(holds).cloned().collect()
     }
 
     /// Gives up what a server holds beyond `keeps`, for others that are named there.
     fn release(&mut self, server: ServerKey, keeps: &[Route], moved: &mut BTreeSet<ServerKey>) {
-        let Some(before) = self.named.get(&server) else { return };
+        let Some(before) = self.named.get(&server) else {
+            return;
+        };
         let left = before.routes.iter().map(|route| &route.address);
-        let left: Vec<_> =
-            left.filter(|address| keeps.iter().all(|k| k.address != **address)).cloned().collect();
+        let left: Vec<_> = left
+            .filter(|address| keeps.iter().all(|k| k.address != **address))
+            .cloned()
+            .collect();
         for address in left {
             if self.by_address.get(&address) != Some(&server) {
                 continue;
             }
             self.by_address.remove(&address);
             let claims = self.named.iter().filter(|(other, named)| {
-                **other != server && named.is_ready && named.routes.iter().any(|r| r.address == address)
+                **other != server
+                    && named.is_ready
+                    && named.routes.iter().any(|r| r.address == address)
             });
             // The one that started last; of several the same at every node.
-            let heir =
-                claims.max_by(|a, b| a.1.started_at_ms.total_cmp(&b.1.started_at_ms).then(b.0.cmp(a.0)));
+            let heir = claims.max_by(|a, b| {
+                a.1.started_at_ms
+                    .total_cmp(&b.1.started_at_ms)
+                    .then(b.0.cmp(a.0))
+            });
             if let Some(heir) = heir.map(|(heir, _)| *heir) {
                 self.by_address.insert(address, heir);
                 moved.insert(heir);
@@ -137,7 +165,13 @@
     }
 
     impl Holders {
-        fn say(&mut self, server: ServerKey, ports: &[u16], started_at_ms: f64, is_ready: bool) -> Changed {
+        fn say(
+            &mut self,
+            server: ServerKey,
+            ports: &[u16],
+            started_at_ms: f64,
+            is_ready: bool,
+        ) -> Changed {
             let mut moved = BTreeSet::new();
             self.name(server, at(ports), started_at_ms, is_ready, &mut moved);
             self.settle(moved)
@@ -154,7 +188,11 @@
         holders.say(A, &[1], 100.0, true);
         assert_eq!(holders.say(B, &[1], 200.0, true).gone, set(&[A]));
         holders.forget(A);
-        assert_eq!(holders.say(A, &[1], 100.0, true).gone, set(&[A]), "it started before B");
+        assert_eq!(
+            holders.say(A, &[1], 100.0, true).gone,
+            set(&[A]),
+            "it started before B"
+        );
         assert_eq!(holders.routes(B), at(&[1]));
     }
 
@@ -172,7 +210,10 @@
         holders.say(A, &[1, 2], 0.0, true);
         let changed = holders.say(B, &[2, 3], 0.0, true);
         assert_eq!((changed.moved, changed.gone), (set(&[A, B]), set(&[])));
-        assert_eq!((holders.routes(A), holders.routes(B)), (at(&[1]), at(&[2, 3])));
+        assert_eq!(
+            (holders.routes(A), holders.routes(B)),
+            (at(&[1]), at(&[2, 3]))
+        );
     }
 
     #[test]
@@ -197,7 +238,13 @@
             let mut moved = BTreeSet::new();
             holders.name(A, at(&[2]), 0.0, true, &mut moved);
             holders.name(B, at(&[1]), started_at_ms, true, &mut moved);
-            assert_eq!(holders.settle(moved), Changed { moved: set(&[A, B]), gone: set(&[]) });
+            assert_eq!(
+                holders.settle(moved),
+                Changed {
+                    moved: set(&[A, B]),
+                    gone: set(&[])
+                }
+            );
             assert_eq!((holders.routes(A), holders.routes(B)), (at(&[2]), at(&[1])));
         }
     }
@@ -208,7 +255,11 @@
         assert_eq!(holders.say(A, &[], 0.0, true).gone, set(&[]));
         assert!(holders.routes(A).is_empty());
         assert_eq!(holders.say(A, &[1], 0.0, true).moved, set(&[A]));
-        assert_eq!(holders.say(A, &[1], 0.0, true), Changed::default(), "nothing is new");
+        assert_eq!(
+            holders.say(A, &[1], 0.0, true),
+            Changed::default(),
+            "nothing is new"
+        );
     }
 
     /// No address has two holders, whatever is said, and each that somebody ready is named at has one.
@@ -222,12 +273,20 @@
                 holders.forget(server);
             } else {
                 let ports: Vec<u16> = (1..6).filter(|_| random.bool()).collect();
-                let changed = holders.say(server, &ports, f64::from(random.u8(..3)), random.u8(..4) > 0);
+                let changed = holders.say(
+                    server,
+                    &ports,
+                    f64::from(random.u8(..3)),
+                    random.u8(..4) > 0,
+                );
                 for gone in changed.gone {
                     holders.forget(gone);
                 }
             }
-            let held: Vec<_> = (0..5).flat_map(|s| holders.routes(ServerKey(s))).map(|r| r.address).collect();
+            let held: Vec<_> = (0..5)
+                .flat_map(|s| holders.routes(ServerKey(s)))
+                .map(|r| r.address)
+                .collect();
             let distinct: std::collections::HashSet<_> = held.iter().collect();
             assert_eq!(held.len(), distinct.len(), "two at one address");
             assert_eq!(
@@ -236,7 +295,10 @@
                 "an address is held by one who is not named there"
             );
             for named in holders.named.values().filter(|named| named.is_ready) {
-                assert!(named.routes.iter().all(|r| holders.by_address.contains_key(&r.address)));
+                assert!(named
+                    .routes
+                    .iter()
+                    .all(|r| holders.by_address.contains_key(&r.address)));
             }
         }
     }
--- a/crates/pool/src/lib.rs
+++ b/crates/pool/src/lib.rs
@@ -41,6 +41,7 @@
 pub use memory::{IdleMemory, Memory};
 pub use odd::Oddness;
 pub use pool::{
-    Action, Closed, ConnId, DialId, Limits, Pool, RouteId, ServerKey, Taken, Ticket, Why, MOST_ADDRESSES,
+    Action, Closed, ConnId, DialId, Limits, Pool, RouteId, ServerKey, Taken, Ticket, Why,
+    MOST_ADDRESSES,
 };
 pub use verdict::{judge, Age, Broke, Next, Sent};
--- a/crates/pool/src/memory.rs
+++ b/crates/pool/src/memory.rs
@@ -83,7 +83,12 @@
     #[must_use]
     pub fn new(most_ms: f64) -> Self {
         let most_ms = most_ms * IDLE_PART;
-        Self { most_ms, learnt_ms: most_ms, learnt_at: 0.0, burst: (f64::NEG_INFINITY, 0, most_ms) }
+        Self {
+            most_ms,
+            learnt_ms: most_ms,
+            learnt_at: 0.0,
+            burst: (f64::NEG_INFINITY, 0, most_ms),
+        }
     }
 
     /// How long a connection may stand idle.
@@ -124,16 +129,22 @@
     fn an_address_that_fails_is_put_back_longer_each_time_and_tested_by_one() {
         let mut memory = Memory::default();
         assert_eq!(memory.standing(0.0), Standing::Sound);
-        for (failure, wait) in [1_000.0, 2_000.0, 4_000.0, 8_000.0, 16_000.0, 32_000.0, 60_000.0, 60_000.0]
-            .into_iter()
-            .enumerate()
+        for (failure, wait) in [
+            1_000.0, 2_000.0, 4_000.0, 8_000.0, 16_000.0, 32_000.0, 60_000.0, 60_000.0,
+        ]
+        .into_iter()
+        .enumerate()
         {
             let now = failure as f64 * 1e6;
             memory.failed(now);
             assert_eq!(memory.standing(now + wait - 1.0), Standing::Failed);
             assert_eq!(memory.standing(now + wait), Standing::Due);
             memory.tests(true);
-            assert_eq!(memory.standing(now + wait), Standing::Failed, "one is testing it");
+            assert_eq!(
+                memory.standing(now + wait),
+                Standing::Failed,
+                "one is testing it"
+            );
         }
         memory.worked();
         assert_eq!(memory.standing(0.0), Standing::Sound);
@@ -142,16 +153,23 @@
     #[test]
     fn idle_time_is_learnt_from_single_closes_and_not_from_a_burst() {
         let mut idle = IdleMemory::new(60_000.0);
-        let close = |limit: f64, want: f64| assert!((limit - want).abs() < 1e-6, "{limit} for {want}");
+        let close =
+            |limit: f64, want: f64| assert!((limit - want).abs() < 1e-6, "{limit} for {want}");
         close(idle.limit_ms(0.0), 48_000.0);
         idle.closed(1_000.0, 10_000.0);
         close(idle.limit_ms(1_000.0), 8_000.0);
         for _ in 0..50 {
             idle.closed(20_000.0, 300.0);
         }
-        assert!(idle.limit_ms(20_000.0) >= 8_000.0, "a restart teaches nothing");
+        assert!(
+            idle.limit_ms(20_000.0) >= 8_000.0,
+            "a restart teaches nothing"
+        );
         idle.closed(30_000.0, 5.0);
-        assert!(idle.limit_ms(30_000.0) >= 8_000.0, "nor does a close right behind an answer");
+        assert!(
+            idle.limit_ms(30_000.0) >= 8_000.0,
+            "nor does a close right behind an answer"
+        );
         close(idle.limit_ms(1e9), 48_000.0);
     }
 }
--- a/crates/pool/src/odd.rs
+++ b/crates/pool/src/odd.rs
@@ -51,13 +51,19 @@
         let mut odd = Oddness::default();
         assert_eq!(odd.rest_ms(1e9).to_bits(), 0);
         let rests_for = |odd: &Oddness| {
-            (0..1_000).map(f64::from).find(|s| odd.rest_ms(1e9 + s * 1e3) < REST_MS).expect("it fades")
+            (0..1_000)
+                .map(f64::from)
+                .find(|s| odd.rest_ms(1e9 + s * 1e3) < REST_MS)
+                .expect("it fades")
         };
         odd.note(1e9);
         assert!((odd.rest_ms(1e9) - REST_MS).abs() < 1e-9);
         let once = rests_for(&odd);
         (0..100).for_each(|_| odd.note(1e9));
         let often = rests_for(&odd);
-        assert!(once >= 60.0 && often > once && often < 4.0 * once, "{once}, {often}");
+        assert!(
+            once >= 60.0 && often > once && often < 4.0 * once,
+            "{once}, {often}"
+        );
     }
 }
--- a/crates/pool/src/pool.rs
+++ b/crates/pool/src/pool.rs
@@ -278,10 +278,13 @@
     /// row.
     #[must_use]
     pub fn routes(&self, now: f64, server: ServerKey) -> Vec<(Route, u32)> {
-        let Some(held) = self.servers.get(&server) else { return Vec::new() };
+        let Some(held) = self.servers.get(&server) else {
+            return Vec::new();
+        };
         let known = |id: RouteId| held.routes.iter().find(move |known| known.id == id);
         let plan = held.plan(now, &[]).into_iter().filter_map(known);
-        plan.map(|known| (known.route.clone(), known.memory.failures())).collect()
+        plan.map(|known| (known.route.clone(), known.memory.failures()))
+            .collect()
     }
 
     /// The address that a connection in use goes to.
@@ -292,7 +295,13 @@
 
     /// A server is there, at these addresses. Idle connections to others are closed; what is in use goes on, and is
     /// closed when it is given back. What is remembered of an address stays while it is on the list.
-    pub fn update(&mut self, now: f64, server: ServerKey, routes: Vec<Route>, actions: &mut Vec<Action>) {
+    pub fn update(
+        &mut self,
+        now: f64,
+        server: ServerKey,
+        routes: Vec<Route>,
+        actions: &mut Vec<Action>,
+    ) {
         let idle_ms = self.limits.idle_ms;
         self.next += 1;
         let held = self.servers.entry(server).or_insert(Server::new(self.next));
@@ -309,13 +318,24 @@
         }
         for at in order(&listed).into_iter().take(MOST_ADDRESSES) {
             let route = listed[at].clone();
-            let same = before.iter().position(|known| known.route.address == route.address);
+            let same = before
+                .iter()
+                .position(|known| known.route.address == route.address);
             held.routes.push(match same {
-                Some(same) => Known { route, ..before.remove(same) },
+                Some(same) => Known {
+                    route,
+                    ..before.remove(same)
+                },
                 None => {
                     self.next += 1;
                     let (id, idle) = (RouteId(self.next), IdleMemory::new(idle_ms));
-                    Known { id, route, memory: Memory::default(), idle, is_down: false }
+                    Known {
+                        id,
+                        route,
+                        memory: Memory::default(),
+                        idle,
+                        is_down: false,
+                    }
                 }
             });
         }
@@ -343,7 +363,12 @@
             });
             // Whoever waits for an address that is gone is tried at one that has come.
             if race.ticket.is_some() {
-                race.plan.extend(held.routes.iter().map(|known| known.id).filter(|id| !old.contains(id)));
+                race.plan.extend(
+                    held.routes
+                        .iter()
+                        .map(|known| known.id)
+                        .filter(|id| !old.contains(id)),
+                );
             }
             if race.out.is_empty() {
                 race.next_at = now;
@@ -356,19 +381,27 @@
     /// A server started at a time that leaves it cold until `until`: it is dialled no faster than its limit.
     pub fn set_cold(&mut self, server: ServerKey, until: f64) {
         self.next += 1;
-        self.servers.entry(server).or_insert(Server::new(self.next)).cold_until = until;
+        self.servers
+            .entry(server)
+            .or_insert(Server::new(self.next))
+            .cold_until = until;
     }
 
     /// A server is gone: what is idle is closed, what waits fails, and what is in use is closed when it is given back.
     pub fn forget(&mut self, now: f64, server: ServerKey, actions: &mut Vec<Action>) {
         self.close_idle(server, actions);
-        let Some(held) = self.servers.remove(&server) else { return };
+        let Some(held) = self.servers.remove(&server) else {
+            return;
+        };
         for race in held.races {
             self.abort(race, actions);
         }
         for Waiting { ticket, .. } in held.waiting {
             self.tickets.remove(&ticket);
-            actions.push(Action::Fail { ticket, why: Why::Nowhere });
+            actions.push(Action::Fail {
+                ticket,
+                why: Why::Nowhere,
+            });
         }
         self.active.remove(&server);
         self.wake(now, actions);
@@ -376,9 +409,15 @@
 
     /// Closes the idle connections to a server.
     pub fn close_idle(&mut self, server: ServerKey, actions: &mut Vec<Action>) {
-        let Some(held) = self.servers.get_mut(&server) else { return };
+        let Some(held) = self.servers.get_mut(&server) else {
+            return;
+        };
         self.open -= held.idle.len();
-        actions.extend(held.idle.drain(..).map(|idle| Action::Close { conn: idle.conn }));
+        actions.extend(
+            held.idle
+                .drain(..)
+                .map(|idle| Action::Close { conn: idle.conn }),
+        );
     }
 
     /// An attempt needs a connection to a server, by none of the addresses in `avoid`.
@@ -389,7 +428,9 @@
         avoid: &[RouteId],
         actions: &mut Vec<Action>,
     ) -> Taken {
-        let Some(held) = self.servers.get_mut(&server) else { return Taken::Never(Why::Nowhere) };
+        let Some(held) = self.servers.get_mut(&server) else {
+            return Taken::Never(Why::Nowhere);
+        };
         if held.waiting.is_empty() {
             if let Some(idle) = held.take_idle(now, avoid, &mut self.open, actions) {
                 held.busy += 1;
@@ -409,7 +450,12 @@
         self.tickets.insert(ticket, server);
         if let Some(held) = self.servers.get_mut(&server) {
             let ends_at = now + self.limits.dial_timeout_ms;
-            held.waiting.push_back(Waiting { ticket, ends_at, races: false, avoid: avoid.to_vec() });
+            held.waiting.push_back(Waiting {
+                ticket,
+                ends_at,
+                races: false,
+                avoid: avoid.to_vec(),
+            });
             held.note_wait(now);
         }
         self.serve(now, server, actions);
@@ -418,8 +464,12 @@
 
     /// An attempt waits no more. One that has been granted a connection gives that back instead.
     pub fn cancel(&mut self, now: f64, ticket: Ticket, actions: &mut Vec<Action>) {
-        let Some(server) = self.tickets.remove(&ticket) else { return };
-        let Some(held) = self.servers.get_mut(&server) else { return };
+        let Some(server) = self.tickets.remove(&ticket) else {
+            return;
+        };
+        let Some(held) = self.servers.get_mut(&server) else {
+            return;
+        };
         held.waiting.retain(|waiting| waiting.ticket != ticket);
         self.release(server, ticket);
         self.serve(now, server, actions);
@@ -428,12 +478,22 @@
     /// A dial has come up, or failed. `true`: the pool has taken the connection up, and a [`Action::Grant`] or
     /// [`Action::Keep`] names it; otherwise whoever dialled closes it.
     pub fn dialled(&mut self, now: f64, dial: DialId, up: bool, actions: &mut Vec<Action>) -> bool {
-        let Some(server) = self.dials.remove(&dial) else { return false };
-        let Some(held) = self.servers.get_mut(&server) else { return false };
+        let Some(server) = self.dials.remove(&dial) else {
+            return false;
+        };
+        let Some(held) = self.servers.get_mut(&server) else {
+            return false;
+        };
         let is_of = |race: &Race| race.out.iter().any(|(out, ..)| *out == dial);
-        let Some(at) = held.races.iter().position(is_of) else { return false };
+        let Some(at) = held.races.iter().position(is_of) else {
+            return false;
+        };
         let race = &mut held.races[at];
-        let out = race.out.iter().position(|(out, ..)| *out == dial).unwrap_or(0);
+        let out = race
+            .out
+            .iter()
+            .position(|(out, ..)| *out == dial)
+            .unwrap_or(0);
         let (_, route, _) = race.out.remove(out);
         if !up {
             self.open -= 1;
@@ -445,7 +505,11 @@
         held.dial_worked(server, route, actions);
         let race = held.races.remove(at);
         // An address that has not come up while a later one has is slow, or a black hole.
-        for (_, slow, _) in race.out.iter().filter(|(_, _, since)| now - since >= STAGGER_MS) {
+        for (_, slow, _) in race
+            .out
+            .iter()
+            .filter(|(_, _, since)| now - since >= STAGGER_MS)
+        {
             held.dial_failed(now, server, *slow, actions);
         }
         let ticket = race.ticket;
@@ -456,7 +520,10 @@
         if let Some(waiting) = held.waiting.iter_mut().find(|w| Some(w.ticket) == ticket) {
             waiting.races = false; // Whoever takes the connection leaves it a race, if that has one.
         }
-        let taker = held.waiting.iter().position(|waiting| !waiting.avoid.contains(&route));
+        let taker = held
+            .waiting
+            .iter()
+            .position(|waiting| !waiting.avoid.contains(&route));
         match taker.and_then(|taker| held.waiting.remove(taker)) {
             Some(Waiting { ticket, .. }) => {
                 held.busy += 1;
@@ -466,7 +533,11 @@
                 actions.push(Action::Grant { ticket, conn });
             }
             None => {
-                held.idle.push(Idle { conn, route, since: now });
+                held.idle.push(Idle {
+                    conn,
+                    route,
+                    since: now,
+                });
                 actions.push(Action::Keep { conn });
             }
         }
@@ -476,16 +547,31 @@
 
     /// An attempt is done with its connection, which is fit for another.
     pub fn give_back(&mut self, now: f64, conn: ConnId, actions: &mut Vec<Action>) {
-        let Some(Busy { server, route, incarnation }) = self.busy.remove(&conn) else { return };
-        let mut held = self.servers.get_mut(&server).filter(|held| held.incarnation == incarnation);
+        let Some(Busy {
+            server,
+            route,
+            incarnation,
+        }) = self.busy.remove(&conn)
+        else {
+            return;
+        };
+        let mut held = self
+            .servers
+            .get_mut(&server)
+            .filter(|held| held.incarnation == incarnation);
         if let Some(held) = &mut held {
             held.busy -= 1;
         }
-        let Some(held) = held.filter(|held| held.routes.iter().any(|known| known.id == route)) else {
+        let Some(held) = held.filter(|held| held.routes.iter().any(|known| known.id == route))
+        else {
             self.open -= 1;
             return actions.push(Action::Close { conn });
         };
-        held.idle.push(Idle { conn, route, since: now });
+        held.idle.push(Idle {
+            conn,
+            route,
+            since: now,
+        });
         if !held.waiting.is_empty() {
             self.serve(now, server, actions);
         }
@@ -498,7 +584,14 @@
 
     /// A connection that [`Pool::take`] handed out has turned out to be closed, or odd, before anything was written on
     /// it: it had stood idle since `idle_ms` ago.
-    pub fn stale(&mut self, now: f64, conn: ConnId, how: Closed, idle_ms: f64, actions: &mut Vec<Action>) {
+    pub fn stale(
+        &mut self,
+        now: f64,
+        conn: ConnId,
+        how: Closed,
+        idle_ms: f64,
+        actions: &mut Vec<Action>,
+    ) {
         self.end_use(now, conn, how, Some(idle_ms), actions);
     }
 
@@ -510,9 +603,19 @@
         idle_ms: Option<f64>,
         actions: &mut Vec<Action>,
     ) {
-        let Some(Busy { server, route, incarnation }) = self.busy.remove(&conn) else { return };
+        let Some(Busy {
+            server,
+            route,
+            incarnation,
+        }) = self.busy.remove(&conn)
+        else {
+            return;
+        };
         self.open -= 1;
-        let held = self.servers.get_mut(&server).filter(|held| held.incarnation == incarnation);
+        let held = self
+            .servers
+            .get_mut(&server)
+            .filter(|held| held.incarnation == incarnation);
         let Some(held) = held else { return };
         held.busy -= 1;
         held.note_end(now, route, how, idle_ms);
@@ -562,7 +665,9 @@
 
     /// The idle connections of all servers.
     pub fn all_idle(&self) -> impl Iterator<Item = ConnId> + '_ {
-        self.servers.values().flat_map(|held| held.idle.iter().map(|idle| idle.conn))
+        self.servers
+            .values()
+            .flat_map(|held| held.idle.iter().map(|idle| idle.conn))
     }
 
     /// Whether one more may be dialled; a connection that has stood idle longest makes room.
@@ -574,10 +679,15 @@
         if self.open < self.limits.most_open {
             return true;
         }
-        let oldest = self.servers.values_mut().filter(|held| !held.idle.is_empty());
+        let oldest = self
+            .servers
+            .values_mut()
+            .filter(|held| !held.idle.is_empty());
         let oldest = oldest.min_by(|a, b| a.idle[0].since.total_cmp(&b.idle[0].since));
         let Some(held) = oldest else { return false };
-        actions.push(Action::Close { conn: held.idle.remove(0).conn });
+        actions.push(Action::Close {
+            conn: held.idle.remove(0).conn,
+        });
         self.open -= 1;
         true
     }
@@ -596,9 +706,21 @@
     /// A ticket has no more use for its race, as it has its connection by another way or waits no more: the race goes on
     /// for another who waits without one, or for nobody.
     fn release(&mut self, server: ServerKey, ticket: Ticket) {
-        let Some(held) = self.servers.get_mut(&server) else { return };
-        let Some(at) = held.races.iter().position(|race| race.ticket == Some(ticket)) else { return };
-        match held.waiting.iter_mut().find(|waiting| !waiting.races && waiting.ticket != ticket) {
+        let Some(held) = self.servers.get_mut(&server) else {
+            return;
+        };
+        let Some(at) = held
+            .races
+            .iter()
+            .position(|race| race.ticket == Some(ticket))
+        else {
+            return;
+        };
+        match held
+            .waiting
+            .iter_mut()
+            .find(|waiting| !waiting.races && waiting.ticket != ticket)
+        {
             Some(heir) => {
                 heir.races = true;
                 held.races[at].ticket = Some(heir.ticket);
@@ -630,18 +752,27 @@
     fn grant(&mut self, now: f64, server: ServerKey, actions: &mut Vec<Action>) {
         let mut at = 0;
         loop {
-            let Some(held) = self.servers.get_mut(&server) else { return };
-            let Some(avoid) = held.waiting.get(at).map(|waiting| waiting.avoid.clone()) else { return };
+            let Some(held) = self.servers.get_mut(&server) else {
+                return;
+            };
+            let Some(avoid) = held.waiting.get(at).map(|waiting| waiting.avoid.clone()) else {
+                return;
+            };
             let Some(idle) = held.take_idle(now, &avoid, &mut self.open, actions) else {
                 at += 1;
                 continue;
             };
-            let Some(Waiting { ticket, .. }) = held.waiting.remove(at) else { return };
+            let Some(Waiting { ticket, .. }) = held.waiting.remove(at) else {
+                return;
+            };
             held.busy += 1;
             self.busy.insert(idle.conn, held.in_use(server, idle.route));
             self.tickets.remove(&ticket);
             self.release(server, ticket);
-            actions.push(Action::Grant { ticket, conn: idle.conn });
+            actions.push(Action::Grant {
+                ticket,
+                conn: idle.conn,
+            });
         }
     }
 
@@ -649,7 +780,9 @@
     fn run_races(&mut self, now: f64, server: ServerKey, actions: &mut Vec<Action>) {
         let mut at = 0;
         while let Some(held) = self.servers.get_mut(&server) {
-            let Some(race) = held.races.get_mut(at) else { return };
+            let Some(race) = held.races.get_mut(at) else {
+                return;
+            };
             let is_over = now >= race.ends_at || (race.plan.is_empty() && race.out.is_empty());
             if is_over {
                 let race = held.races.remove(at);
@@ -658,13 +791,17 @@
                 }
                 let ticket = race.ticket;
                 self.abort(race, actions);
-                let Some(ticket) = ticket.filter(|ticket| self.tickets.remove(ticket).is_some()) else {
+                let Some(ticket) = ticket.filter(|ticket| self.tickets.remove(ticket).is_some())
+                else {
                     continue;
                 };
                 if let Some(held) = self.servers.get_mut(&server) {
                     held.waiting.retain(|waiting| waiting.ticket != ticket);
                 }
-                actions.push(Action::Fail { ticket, why: Why::Unreachable });
+                actions.push(Action::Fail {
+                    ticket,
+                    why: Why::Unreachable,
+                });
                 continue;
             }
             if now >= race.next_at && !race.plan.is_empty() {
@@ -677,13 +814,18 @@
 
     /// Who has waited for as long as a race may take, and has none yet, waits no longer: elsewhere there may be room.
     fn end_waits(&mut self, now: f64, server: ServerKey, actions: &mut Vec<Action>) {
-        let Some(held) = self.servers.get_mut(&server) else { return };
+        let Some(held) = self.servers.get_mut(&server) else {
+            return;
+        };
         let tickets = &mut self.tickets;
         held.waiting.retain(|waiting| {
             let stays = now < waiting.ends_at || waiting.races;
             if !stays {
                 tickets.remove(&waiting.ticket);
-                actions.push(Action::Fail { ticket: waiting.ticket, why: Why::Full });
+                actions.push(Action::Fail {
+                    ticket: waiting.ticket,
+                    why: Why::Full,
+                });
             }
             stays
         });
@@ -691,7 +833,9 @@
 
     fn dial_next(&mut self, now: f64, server: ServerKey, at: usize, actions: &mut Vec<Action>) {
         let is_full = self.open >= self.limits.most_open;
-        let Some(held) = self.servers.get_mut(&server) else { return };
+        let Some(held) = self.servers.get_mut(&server) else {
+            return;
+        };
         let race = &mut held.races[at];
         if is_full {
             // A second address of a race takes no room that is not there, and a race that has lost its own ends.
@@ -701,8 +845,12 @@
             race.next_at = now + STAGGER_MS;
             return;
         }
-        let Some(route) = race.plan.pop_front() else { return };
-        let Some(known) = held.routes.iter_mut().find(|known| known.id == route) else { return };
+        let Some(route) = race.plan.pop_front() else {
+            return;
+        };
+        let Some(known) = held.routes.iter_mut().find(|known| known.id == route) else {
+            return;
+        };
         let tests = known.memory.standing(now) == Standing::Due;
         if tests {
             known.memory.tests(true);
@@ -711,7 +859,11 @@
         let dial = DialId(self.next);
         race.out.push((dial, route, now));
         race.next_at = now + if tests { TEST_STAGGER_MS } else { STAGGER_MS };
-        actions.push(Action::Dial { dial, server, route: known.route.clone() });
+        actions.push(Action::Dial {
+            dial,
+            server,
+            route: known.route.clone(),
+        });
         self.dials.insert(dial, server);
         self.open += 1;
     }
@@ -720,17 +872,26 @@
     fn start_races(&mut self, now: f64, server: ServerKey, actions: &mut Vec<Action>) {
         loop {
             let limits = self.limits;
-            let Some(held) = self.servers.get_mut(&server) else { return };
-            if held.races.len() >= limits.most_dials || !held.may_dial(now, limits.cold_dials_per_s) {
+            let Some(held) = self.servers.get_mut(&server) else {
+                return;
+            };
+            if held.races.len() >= limits.most_dials || !held.may_dial(now, limits.cold_dials_per_s)
+            {
                 return;
             }
             let idle = &held.idle;
-            let rests = |avoid: &[RouteId]| idle.iter().filter(|idle| !avoid.contains(&idle.route)).count();
+            let rests = |avoid: &[RouteId]| {
+                idle.iter()
+                    .filter(|idle| !avoid.contains(&idle.route))
+                    .count()
+            };
             let needy = held.waiting.iter().enumerate();
             let needy = needy.filter(|(_, waiting)| !waiting.races);
             let needy = { needy }.find(|(nth, waiting)| *nth >= rests(&waiting.avoid));
-            let ahead =
-                limits.ahead && needy.is_none() && !held.routes.is_empty() && held.wants_one_ahead(now);
+            let ahead = limits.ahead
+                && needy.is_none()
+                && !held.routes.is_empty()
+                && held.wants_one_ahead(now);
             let (ticket, avoid) = match needy {
                 Some((_, waiting)) => (Some(waiting.ticket), waiting.avoid.clone()),
                 None if ahead => (None, Vec::new()),
@@ -756,7 +917,10 @@
                 if let Some(held) = self.servers.get_mut(&server) {
                     held.waiting.retain(|waiting| waiting.ticket != ticket);
                 }
-                actions.push(Action::Fail { ticket, why: Why::Full });
+                actions.push(Action::Fail {
+                    ticket,
+                    why: Why::Full,
+                });
                 continue;
             }
             if let Some(held) = self.servers.get_mut(&server) {
@@ -764,7 +928,13 @@
                 if let Some(waiting) = held.waiting.iter_mut().find(|w| Some(w.ticket) == ticket) {
                     waiting.races = true;
                 }
-                held.races.push(Race { ticket, plan, out: Vec::new(), next_at: now, ends_at });
+                held.races.push(Race {
+                    ticket,
+                    plan,
+                    out: Vec::new(),
+                    next_at: now,
+                    ends_at,
+                });
             }
             self.run_races(now, server, actions);
         }
@@ -773,8 +943,13 @@
     fn wake(&mut self, now: f64, actions: &mut Vec<Action>) {
         let rate = self.limits.cold_dials_per_s;
         let most_dials = self.limits.most_dials;
-        let busy = self.active.iter().filter_map(|server| self.servers.get(server));
-        let next = busy.map(|held| held.next_due(now, rate, most_dials)).fold(f64::INFINITY, f64::min);
+        let busy = self
+            .active
+            .iter()
+            .filter_map(|server| self.servers.get(server));
+        let next = busy
+            .map(|held| held.next_due(now, rate, most_dials))
+            .fold(f64::INFINITY, f64::min);
         // A time that has passed is another server's, which has not been looked at yet.
         let next = next.max(now);
         if next < self.waking || (next.is_finite() && self.waking <= now) {
@@ -806,7 +981,11 @@
     }
 
     fn in_use(&self, server: ServerKey, route: RouteId) -> Busy {
-        Busy { server, route, incarnation: self.incarnation }
+        Busy {
+            server,
+            route,
+            incarnation: self.incarnation,
+        }
     }
 
     fn open(&self) -> usize {
@@ -833,28 +1012,51 @@
         }
     }
 
-    fn dial_failed(&mut self, now: f64, server: ServerKey, route: RouteId, actions: &mut Vec<Action>) {
-        let Some(known) = self.routes.iter_mut().find(|known| known.id == route) else { return };
+    fn dial_failed(
+        &mut self,
+        now: f64,
+        server: ServerKey,
+        route: RouteId,
+        actions: &mut Vec<Action>,
+    ) {
+        let Some(known) = self.routes.iter_mut().find(|known| known.id == route) else {
+            return;
+        };
         known.memory.failed(now);
         if !std::mem::replace(&mut known.is_down, true) {
-            actions.push(Action::Down { server, route: known.route.clone() });
+            actions.push(Action::Down {
+                server,
+                route: known.route.clone(),
+            });
         }
     }
 
     fn dial_worked(&mut self, server: ServerKey, route: RouteId, actions: &mut Vec<Action>) {
-        let Some(known) = self.routes.iter_mut().find(|known| known.id == route) else { return };
+        let Some(known) = self.routes.iter_mut().find(|known| known.id == route) else {
+            return;
+        };
         known.memory.worked();
         if std::mem::take(&mut known.is_down) {
-            actions.push(Action::Up { server, route: known.route.clone() });
+            actions.push(Action::Up {
+                server,
+                route: known.route.clone(),
+            });
         }
     }
 
     /// The addresses in the order in which they are tried now: those that failed of late last.
     fn plan(&self, now: f64, avoid: &[RouteId]) -> Vec<RouteId> {
         let failed = |known: &&Known| known.memory.standing(now) == Standing::Failed;
-        let allowed = || self.routes.iter().filter(|known| !avoid.contains(&known.id));
+        let allowed = || {
+            self.routes
+                .iter()
+                .filter(|known| !avoid.contains(&known.id))
+        };
         let sound = allowed().filter(|known| !failed(known));
-        sound.chain(allowed().filter(failed)).map(|known| known.id).collect()
+        sound
+            .chain(allowed().filter(failed))
+            .map(|known| known.id)
+            .collect()
     }
 
     /// The freshest idle connection that has rested, of the address that is tried first among those that have one.
@@ -872,7 +1074,11 @@
                 if now < idle.since + rest_ms || avoid.contains(&idle.route) {
                     continue;
                 }
-                let rank = self.routes.iter().position(|known| known.id == idle.route).unwrap_or(usize::MAX);
+                let rank = self
+                    .routes
+                    .iter()
+                    .position(|known| known.id == idle.route)
+                    .unwrap_or(usize::MAX);
                 if best.is_none_or(|(least, _)| rank < least) {
                     best = Some((rank, at));
                 }
@@ -895,8 +1101,11 @@
             return true;
         }
         let (left, at) = self.allowance;
-        let regained =
-            if at.is_finite() { (now - at).max(0.0) * per_s.max(LEAST_COLD_DIALS_PER_S) / 1e3 } else { 0.0 };
+        let regained = if at.is_finite() {
+            (now - at).max(0.0) * per_s.max(LEAST_COLD_DIALS_PER_S) / 1e3
+        } else {
+            0.0
+        };
         self.allowance = ((left + regained).min(COLD_BURST), now);
         self.allowance.0 >= 1.0
     }
@@ -924,17 +1133,33 @@
             }
         });
         let rest_ms = self.odd.rest_ms(now);
-        let rested = self.idle.iter().map(|idle| idle.since + rest_ms).filter(|at| *at > now);
+        let rested = self
+            .idle
+            .iter()
+            .map(|idle| idle.since + rest_ms)
+            .filter(|at| *at > now);
         let rested = rested.fold(f64::INFINITY, f64::min);
         // Who waits without a race waits for a rest, or until a cold server may be dialled again.
-        let is_held_back =
-            now < self.cold_until && self.waiting.len() > self.races.len() && self.races.len() < most_dials;
+        let is_held_back = now < self.cold_until
+            && self.waiting.len() > self.races.len()
+            && self.races.len() < most_dials;
         let allowed = now
-            + (1.0 - self.allowance.0).max(LEAST_ALLOWANCE) * 1e3 / cold_per_s.max(LEAST_COLD_DIALS_PER_S);
-        let rested = if self.waiting.is_empty() { f64::INFINITY } else { rested };
+            + (1.0 - self.allowance.0).max(LEAST_ALLOWANCE) * 1e3
+                / cold_per_s.max(LEAST_COLD_DIALS_PER_S);
+        let rested = if self.waiting.is_empty() {
+            f64::INFINITY
+        } else {
+            rested
+        };
         // They wait in the order in which their time ends.
-        let ends = self.waiting.iter().map(|waiting| waiting.ends_at).find(|ends_at| *ends_at > now);
+        let ends = self
+            .waiting
+            .iter()
+            .map(|waiting| waiting.ends_at)
+            .find(|ends_at| *ends_at > now);
         let rested = rested.min(ends.unwrap_or(f64::INFINITY));
-        races.fold(rested, f64::min).min(if is_held_back { allowed } else { f64::INFINITY })
+        races
+            .fold(rested, f64::min)
+            .min(if is_held_back { allowed } else { f64::INFINITY })
     }
 }
--- a/crates/pool/src/verdict.rs
+++ b/crates/pool/src/verdict.rs
@@ -94,10 +94,19 @@
             (Whole, Answer, Used, Next::Spoilt),
         ];
         for (sent, broke, age, next) in table {
-            assert_eq!(judge(age, sent, broke), next, "{sent:?}, {broke:?}, {age:?}");
-            assert_eq!(next.may_have_run(), sent == Whole, "the last byte alone decides");
+            assert_eq!(
+                judge(age, sent, broke),
+                next,
+                "{sent:?}, {broke:?}, {age:?}"
+            );
+            assert_eq!(
+                next.may_have_run(),
+                sent == Whole,
+                "the last byte alone decides"
+            );
         }
-        let cells: std::collections::HashSet<_> = table.iter().map(|(s, b, a, _)| (*s, *b, *a)).collect();
+        let cells: std::collections::HashSet<_> =
+            table.iter().map(|(s, b, a, _)| (*s, *b, *a)).collect();
         assert_eq!(cells.len(), 18, "every cell once");
     }
 }
--- a/crates/pool/tests/model.rs
+++ b/crates/pool/tests/model.rs
@@ -2,11 +2,18 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use pool::{Action, Closed, ConnId, DialId, Limits, Pool, Route, RouteId, ServerKey, Taken, Ticket};
+use pool::{
+    Action, Closed, ConnId, DialId, Limits, Pool, Route, RouteId, ServerKey, Taken, Ticket,
+};
 use proptest::prelude::*;
 
 const SERVERS: usize = 3;
-const TEXTS: [&str; 4] = ["10.0.0.1:80", "[2001:db8::1]:80", "unix:/run/a", "10.0.0.2:80"];
+const TEXTS: [&str; 4] = [
+    "10.0.0.1:80",
+    "[2001:db8::1]:80",
+    "unix:/run/a",
+    "10.0.0.2:80",
+];
 const MOST_OPEN: usize = 12;
 const DIAL_MS: f64 = 1_000.0;
 
@@ -32,14 +39,20 @@
                     let (server, avoid) = self.waiting.remove(&ticket).expect("somebody waits");
                     self.granted.push((conn, avoid));
                     self.idle.remove(&conn);
-                    assert!(self.used.insert(conn, server).is_none(), "a connection in two hands");
+                    assert!(
+                        self.used.insert(conn, server).is_none(),
+                        "a connection in two hands"
+                    );
                 }
                 Action::Keep { conn } => assert!(self.idle.insert(conn)),
                 Action::Fail { ticket, .. } => {
                     assert!(self.waiting.remove(&ticket).is_some(), "nobody waits");
                 }
                 Action::Close { conn } => {
-                    assert!(self.idle.remove(&conn) || self.used.remove(&conn).is_some(), "closed twice");
+                    assert!(
+                        self.idle.remove(&conn) || self.used.remove(&conn).is_some(),
+                        "closed twice"
+                    );
                 }
                 Action::WakeAt(at) => {
                     assert!(at.is_finite() && at >= now);
@@ -51,8 +64,13 @@
 }
 
 fn list(bits: u8) -> Vec<Route> {
-    let listed = TEXTS.iter().enumerate().filter(|(at, _)| bits >> at & 1 == 1);
-    listed.map(|(_, text)| Route::new(text.parse().expect("an address"))).collect()
+    let listed = TEXTS
+        .iter()
+        .enumerate()
+        .filter(|(at, _)| bits >> at & 1 == 1);
+    listed
+        .map(|(_, text)| Route::new(text.parse().expect("an address")))
+        .collect()
 }
 
 fn play(seed: u64, steps: usize) {
@@ -81,10 +99,17 @@
                         assert!(model.idle.remove(&conn), "not idle");
                         assert!(!avoid.contains(&pool.route_of(conn).expect("in use")));
                         if random.u8(..8) == 0 {
-                            let how = if random.bool() { Closed::ByPeer } else { Closed::Odd };
+                            let how = if random.bool() {
+                                Closed::ByPeer
+                            } else {
+                                Closed::Odd
+                            };
                             pool.stale(now, conn, how, random.f64() * 5_000.0, &mut actions);
                         } else {
-                            assert!(model.used.insert(conn, at).is_none(), "a connection in two hands");
+                            assert!(
+                                model.used.insert(conn, at).is_none(),
+                                "a connection in two hands"
+                            );
                         }
                     }
                     Taken::Later(ticket) => drop(model.waiting.insert(ticket, (at, avoid))),
@@ -141,7 +166,10 @@
         }
         for (conn, avoid) in model.granted.drain(..) {
             let route = pool.route_of(conn);
-            assert!(route.is_none_or(|route| !avoid.contains(&route)), "granted by an address to avoid");
+            assert!(
+                route.is_none_or(|route| !avoid.contains(&route)),
+                "granted by an address to avoid"
+            );
         }
         let open = model.dials.len() + model.idle.len() + model.used.len();
         assert_eq!(pool.open(), open, "descriptors leak");
@@ -158,7 +186,11 @@
     while !model.waiting.is_empty() {
         rounds += 1;
         assert!(rounds < 10_000, "somebody waits for ever");
-        now = model.wake_at.take().expect("a time is asked for while somebody waits").max(now);
+        now = model
+            .wake_at
+            .take()
+            .expect("a time is asked for while somebody waits")
+            .max(now);
         let mut actions = Vec::new();
         pool.due(now, &mut actions);
         model.note(now, actions);
@@ -173,7 +205,11 @@
         pool.forget(now, ServerKey(at), &mut actions);
         model.note(now, actions);
     }
-    assert_eq!((pool.open(), model.dials.len(), model.idle.len()), (0, 0, 0), "nothing is left");
+    assert_eq!(
+        (pool.open(), model.dials.len(), model.idle.len()),
+        (0, 0, 0),
+        "nothing is left"
+    );
 }
 
 proptest! {
@@ -202,7 +238,11 @@
                 _ => assert_eq!(idle, 0, "it waits beside an idle connection"),
             }
         } else if !used.is_empty() {
-            pool.give_back(now, used.swap_remove(random.usize(..used.len())), &mut actions);
+            pool.give_back(
+                now,
+                used.swap_remove(random.usize(..used.len())),
+                &mut actions,
+            );
         }
         for action in std::mem::take(&mut actions) {
             match action {
--- a/crates/pool/tests/races.rs
+++ b/crates/pool/tests/races.rs
@@ -21,7 +21,10 @@
 }
 
 fn routes(texts: &[&str]) -> Vec<Route> {
-    texts.iter().map(|text| Route::new(text.parse().expect("an address"))).collect()
+    texts
+        .iter()
+        .map(|text| Route::new(text.parse().expect("an address")))
+        .collect()
 }
 
 impl Play {
@@ -46,14 +49,17 @@
     }
 
     fn update(&mut self, texts: &[&str]) {
-        self.pool.update(self.now, SERVER, routes(texts), &mut self.actions);
+        self.pool
+            .update(self.now, SERVER, routes(texts), &mut self.actions);
         self.note();
     }
 
     fn note(&mut self) {
         for action in self.actions.drain(..) {
             match action {
-                Action::Dial { dial, route, .. } => self.out.push((dial, route.address.to_string())),
+                Action::Dial { dial, route, .. } => {
+                    self.out.push((dial, route.address.to_string()))
+                }
                 Action::Abort { dial } => self.out.retain(|(out, _)| *out != dial),
                 Action::Grant { ticket, conn } => self.granted.push((ticket, conn)),
                 Action::Fail { ticket, why } => self.failed.push((ticket, why)),
@@ -82,8 +88,9 @@
     /// The dial to an address comes up, or fails.
     fn comes(&mut self, text: &str, up: bool) -> bool {
         let at = self.out.iter().position(|(_, to)| to == text);
-        let (dial, _) =
-            self.out.remove(at.unwrap_or_else(|| panic!("{text} is not dialled: {:?}", self.out)));
+        let (dial, _) = self
+            .out
+            .remove(at.unwrap_or_else(|| panic!("{text} is not dialled: {:?}", self.out)));
         let taken = self.pool.dialled(self.now, dial, up, &mut self.actions);
         self.note();
         taken
@@ -113,7 +120,8 @@
         if self.pool.route_of(conn).is_some() {
             self.pool.closed(self.now, conn, how, &mut self.actions);
         } else {
-            self.pool.ended(self.now, &[(conn, how)].into(), &mut self.actions);
+            self.pool
+                .ended(self.now, &[(conn, how)].into(), &mut self.actions);
         }
         self.note();
     }
@@ -179,7 +187,10 @@
     play.pass(999.0);
     assert!(play.failed.is_empty());
     play.pass(1.0);
-    assert_eq!((play.failed.as_slice(), play.pool.open()), ([(ticket, Why::Unreachable)].as_slice(), 0));
+    assert_eq!(
+        (play.failed.as_slice(), play.pool.open()),
+        ([(ticket, Why::Unreachable)].as_slice(), 0)
+    );
     assert!(play.out.is_empty());
 }
 
@@ -213,7 +224,9 @@
     play.pass(250.0);
     let both = play.out.clone();
     assert!(play.comes(V6, true));
-    let taken = play.pool.dialled(play.now, both[1].0, true, &mut play.actions);
+    let taken = play
+        .pool
+        .dialled(play.now, both[1].0, true, &mut play.actions);
     assert!(!taken, "whoever dialled closes it");
     assert_eq!((play.pool.open(), play.granted.len()), (1, 1));
 }
@@ -225,7 +238,11 @@
     play.pool.cancel(play.now, ticket, &mut play.actions);
     play.note();
     play.pass(300.0);
-    assert_eq!(play.dialled(), [V6], "no further address is tried for nobody");
+    assert_eq!(
+        play.dialled(),
+        [V6],
+        "no further address is tried for nobody"
+    );
     play.comes(V6, true);
     assert_eq!((play.pool.idle(SERVER), play.granted.len()), (1, 0));
     assert!(matches!(play.take(), Taken::Now(_)));
@@ -245,12 +262,19 @@
     }
     assert_eq!(play.pool.open(), 2);
     play.comes(V4, false);
-    assert_eq!((play.pool.open(), play.failed.len()), (1, 0), "its failure is nobody's");
+    assert_eq!(
+        (play.pool.open(), play.failed.len()),
+        (1, 0),
+        "its failure is nobody's"
+    );
 }
 
 #[test]
 fn a_cancelled_attempts_dial_goes_to_another_who_waits() {
-    let limits = Limits { most_dials: 1, ..Limits::default() };
+    let limits = Limits {
+        most_dials: 1,
+        ..Limits::default()
+    };
     let mut play = Play::with(&[V4], limits);
     let (first, second) = (play.ticket(), play.ticket());
     assert_eq!(play.dialled(), [V4]);
@@ -278,14 +302,18 @@
     let six = play.conn(V6);
     let route = play.pool.route_of(six).expect("in use");
     play.give_back(six);
-    let taken = play.pool.take(play.now, SERVER, &[route], &mut play.actions);
+    let taken = play
+        .pool
+        .take(play.now, SERVER, &[route], &mut play.actions);
     play.note();
     assert!(matches!(taken, Taken::Later(_)));
     assert_eq!(play.dialled(), [V4]);
     let mut alone = Play::new(&[V4]);
     let conn = alone.conn(V4);
     let route = alone.pool.route_of(conn).expect("in use");
-    let taken = alone.pool.take(alone.now, SERVER, &[route], &mut alone.actions);
+    let taken = alone
+        .pool
+        .take(alone.now, SERVER, &[route], &mut alone.actions);
     assert_eq!(taken, Taken::Never(Why::Nowhere));
 }
 
@@ -326,8 +354,14 @@
     play.comes(V4, true);
     play.update(&[V6, V4, UNIX]);
     let all = play.pool.routes(play.now, SERVER);
-    let all: Vec<_> = all.iter().map(|(route, failures)| (route.address.to_string(), *failures)).collect();
-    assert_eq!(all, [(UNIX.to_owned(), 0), (V4.to_owned(), 0), (V6.to_owned(), 1)]);
+    let all: Vec<_> = all
+        .iter()
+        .map(|(route, failures)| (route.address.to_string(), *failures))
+        .collect();
+    assert_eq!(
+        all,
+        [(UNIX.to_owned(), 0), (V4.to_owned(), 0), (V6.to_owned(), 1)]
+    );
 }
 
 #[test]
@@ -337,7 +371,10 @@
     texts.push(UNIX);
     let play = Play::new(&texts);
     let all = play.pool.routes(play.now, SERVER);
-    assert_eq!((all.len(), all[0].0.address.to_string()), (pool::MOST_ADDRESSES, UNIX.to_owned()));
+    assert_eq!(
+        (all.len(), all[0].0.address.to_string()),
+        (pool::MOST_ADDRESSES, UNIX.to_owned())
+    );
 }
 
 #[test]
@@ -357,16 +394,26 @@
 
 #[test]
 fn at_its_limit_the_longest_idle_makes_room_and_where_none_is_idle_there_is_none() {
-    let limits = Limits { most_open: 2, ..Limits::default() };
+    let limits = Limits {
+        most_open: 2,
+        ..Limits::default()
+    };
     let mut play = Play::with(&[V4], limits);
     let other = ServerKey(1);
-    play.pool.update(play.now, other, routes(&[V6]), &mut play.actions);
+    play.pool
+        .update(play.now, other, routes(&[V6]), &mut play.actions);
     let (a, b) = (play.conn(V4), play.conn(V4));
-    assert_eq!(play.pool.take(play.now, other, &[], &mut play.actions), Taken::Never(Why::Full));
+    assert_eq!(
+        play.pool.take(play.now, other, &[], &mut play.actions),
+        Taken::Never(Why::Full)
+    );
     play.give_back(a);
     play.pass(1.0);
     play.give_back(b);
-    assert!(matches!(play.pool.take(play.now, other, &[], &mut play.actions), Taken::Later(_)));
+    assert!(matches!(
+        play.pool.take(play.now, other, &[], &mut play.actions),
+        Taken::Later(_)
+    ));
     play.note();
     assert_eq!(play.closed, [a]);
     assert_eq!(play.pool.open(), 2);
@@ -374,7 +421,10 @@
 
 #[test]
 fn one_server_takes_no_more_than_its_own_limit_over_all_its_addresses() {
-    let limits = Limits { most_per_server: 2, ..Limits::default() };
+    let limits = Limits {
+        most_per_server: 2,
+        ..Limits::default()
+    };
     let mut play = Play::with(&[V4, V6], limits);
     let (_a, _b) = (play.conn(V6), play.conn(V6));
     assert_eq!(play.take(), Taken::Never(Why::Full));
@@ -382,7 +432,11 @@
 
 #[test]
 fn a_cold_server_is_dialled_no_faster_than_it_may_be() {
-    let limits = Limits { cold_dials_per_s: 10.0, dial_timeout_ms: 10_000.0, ..Limits::default() };
+    let limits = Limits {
+        cold_dials_per_s: 10.0,
+        dial_timeout_ms: 10_000.0,
+        ..Limits::default()
+    };
     let mut play = Play::with(&[V4], limits);
     play.pool.set_cold(SERVER, play.now + 60_000.0);
     for _ in 0..40 {
@@ -403,13 +457,19 @@
 /// Guards against attempts that wait at a server until their requests' time is out, where another has room.
 #[test]
 fn who_finds_no_dial_free_waits_no_longer_than_a_dial_may_take() {
-    let limits = Limits { most_dials: 1, ..Limits::default() };
+    let limits = Limits {
+        most_dials: 1,
+        ..Limits::default()
+    };
     let mut play = Play::with(&[V4], limits);
     let (first, second) = (play.ticket(), play.ticket());
     play.pass(999.0);
     assert!(play.failed.is_empty(), "{:?}", play.failed);
     play.pass(2.0);
-    assert_eq!(play.failed, [(first, Why::Unreachable), (second, Why::Full)]);
+    assert_eq!(
+        play.failed,
+        [(first, Why::Unreachable), (second, Why::Full)]
+    );
 }
 
 /// Guards against a log that grows with each dial to an address that is down.
@@ -439,7 +499,10 @@
     assert_eq!(play.granted.last(), Some(&(ticket, used)));
     assert_eq!(play.take(), Taken::Never(Why::Nowhere));
     play.give_back(idle);
-    assert!(play.closed.contains(&idle), "what is in use is closed once it is done");
+    assert!(
+        play.closed.contains(&idle),
+        "what is in use is closed once it is done"
+    );
     // A dial that goes on for nobody takes no new address.
     let mut play = Play::new(&[V6]);
     let ticket = play.ticket();
@@ -478,7 +541,12 @@
 
 #[test]
 fn three_thousand_idle_connections_closed_at_once_teach_nothing_and_leak_nothing() {
-    let limits = Limits { most_open: 4_000, most_per_server: 4_000, most_dials: 4_000, ..Limits::default() };
+    let limits = Limits {
+        most_open: 4_000,
+        most_per_server: 4_000,
+        most_dials: 4_000,
+        ..Limits::default()
+    };
     let mut play = Play::with(&[V4], limits);
     let all: Vec<_> = (0..3_000).map(|_| play.conn(V4)).collect();
     for conn in &all {
@@ -488,7 +556,11 @@
     let ended = all.into_iter().map(|conn| (conn, Closed::ByPeer)).collect();
     play.pool.ended(play.now, &ended, &mut play.actions);
     assert_eq!((play.pool.idle(SERVER), play.pool.open()), (0, 0));
-    assert_eq!(play.pool.routes(play.now, SERVER)[0].1, 0, "the address is as good as before");
+    assert_eq!(
+        play.pool.routes(play.now, SERVER)[0].1,
+        0,
+        "the address is as good as before"
+    );
     let conn = play.conn(V4);
     play.give_back(conn);
     play.pass(10_000.0);
@@ -513,7 +585,13 @@
 #[test]
 fn one_more_is_dialled_ahead_under_a_rising_load_where_that_is_on() {
     for ahead in [false, true] {
-        let mut play = Play::with(&[V4], Limits { ahead, ..Limits::default() });
+        let mut play = Play::with(
+            &[V4],
+            Limits {
+                ahead,
+                ..Limits::default()
+            },
+        );
         for _ in 0..6 {
             play.ticket();
         }
--- a/crates/simulation/src/link.rs
+++ b/crates/simulation/src/link.rs
@@ -61,7 +61,13 @@
 
 impl std::ops::AddAssign for Done {
     fn add_assign(&mut self, other: Self) {
-        let Self { cut, lost, doubled, corrupted, replayed } = other;
+        let Self {
+            cut,
+            lost,
+            doubled,
+            corrupted,
+            replayed,
+        } = other;
         self.cut += cut;
         self.lost += lost;
         self.doubled += doubled;
@@ -87,11 +93,21 @@
     /// A line whose random numbers come from a seed of its own.
     #[must_use]
     pub fn new(seed: u64) -> Self {
-        Self { rng: Rng::with_seed(seed), burst_until_ms: f64::NEG_INFINITY, kept: None }
+        Self {
+            rng: Rng::with_seed(seed),
+            burst_until_ms: f64::NEG_INFINITY,
+            kept: None,
+        }
     }
 
     /// What comes out for what goes in: bytes, and after how long. What is done to it is counted.
-    pub fn pass(&mut self, now_ms: f64, link: &Link, bytes: Vec<u8>, done: &mut Done) -> Vec<(f64, Vec<u8>)> {
+    pub fn pass(
+        &mut self,
+        now_ms: f64,
+        link: &Link,
+        bytes: Vec<u8>,
+        done: &mut Done,
+    ) -> Vec<(f64, Vec<u8>)> {
         if link.cut {
             done.cut += 1;
             return Vec::new();
--- a/crates/simulation/src/script.rs
+++ b/crates/simulation/src/script.rs
@@ -63,15 +63,31 @@
 impl fmt::Display for Trouble {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let link = |f: &mut fmt::Formatter<'_>, link: &Link| {
-            let Link { cut, loss, burst, delay_ms, jitter_ms, twice, corrupt, replay } = link;
+            let Link {
+                cut,
+                loss,
+                burst,
+                delay_ms,
+                jitter_ms,
+                twice,
+                corrupt,
+                replay,
+            } = link;
             let cut = u8::from(*cut);
             let (often, long) = burst;
-            write!(f, "{cut} {loss} {often} {long} {delay_ms} {jitter_ms} {twice} {corrupt} {replay}")
+            write!(
+                f,
+                "{cut} {loss} {often} {long} {delay_ms} {jitter_ms} {twice} {corrupt} {replay}"
+            )
         };
         match self {
             Self::Cut { from, to } => write!(f, "cut {from} {to}"),
             Self::Mend { from, to } => write!(f, "mend {from} {to}"),
-            Self::Link { from, to, link: held } => {
+            Self::Link {
+                from,
+                to,
+                link: held,
+            } => {
                 write!(f, "link {from} {to} ")?;
                 link(f, held)
             }
@@ -93,29 +109,51 @@
     fn from_str(text: &str) -> Result<Self, String> {
         let mut words = text.split_whitespace();
         let what = words.next().unwrap_or_default();
-        let figures: Vec<f64> =
-            words.map(str::parse).collect::<Result<_, _>>().map_err(|_| text.to_owned())?;
-        let node = |at: usize| figures.get(at).map(|figure| *figure as NodeId).ok_or_else(|| text.to_owned());
+        let figures: Vec<f64> = words
+            .map(str::parse)
+            .collect::<Result<_, _>>()
+            .map_err(|_| text.to_owned())?;
+        let node = |at: usize| {
+            figures
+                .get(at)
+                .map(|figure| *figure as NodeId)
+                .ok_or_else(|| text.to_owned())
+        };
         let link = |at: usize| match figures.get(at..) {
-            Some([cut, loss, often, long, delay_ms, jitter_ms, twice, corrupt, replay]) => Ok(Link {
-                cut: *cut > 0.0,
-                loss: *loss,
-                burst: (*often, *long),
-                delay_ms: *delay_ms,
-                jitter_ms: *jitter_ms,
-                twice: *twice,
-                corrupt: *corrupt,
-                replay: *replay,
-            }),
+            Some([cut, loss, often, long, delay_ms, jitter_ms, twice, corrupt, replay]) => {
+                Ok(Link {
+                    cut: *cut > 0.0,
+                    loss: *loss,
+                    burst: (*often, *long),
+                    delay_ms: *delay_ms,
+                    jitter_ms: *jitter_ms,
+                    twice: *twice,
+                    corrupt: *corrupt,
+                    replay: *replay,
+                })
+            }
             _ => Err(text.to_owned()),
         };
         Ok(match what {
-            "cut" => Self::Cut { from: node(0)?, to: node(1)? },
-            "mend" => Self::Mend { from: node(0)?, to: node(1)? },
-            "link" => Self::Link { from: node(0)?, to: node(1)?, link: link(2)? },
+            "cut" => Self::Cut {
+                from: node(0)?,
+                to: node(1)?,
+            },
+            "mend" => Self::Mend {
+                from: node(0)?,
+                to: node(1)?,
+            },
+            "link" => Self::Link {
+                from: node(0)?,
+                to: node(1)?,
+                link: link(2)?,
+            },
             "all" => Self::All { link: link(0)? },
             "heal" => Self::HealAll,
-            "pause" => Self::Pause { node: node(0)?, ms: *figures.get(1).ok_or_else(|| text.to_owned())? },
+            "pause" => Self::Pause {
+                node: node(0)?,
+                ms: *figures.get(1).ok_or_else(|| text.to_owned())?,
+            },
             "kill" => Self::Kill { node: node(0)? },
             "start" => Self::Start { node: node(0)? },
             _ => return Err(text.to_owned()),
@@ -129,7 +167,9 @@
 
 impl fmt::Display for Script {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        self.0.iter().try_for_each(|(at, trouble)| writeln!(f, "{at} {trouble}"))
+        self.0
+            .iter()
+            .try_for_each(|(at, trouble)| writeln!(f, "{at} {trouble}"))
     }
 }
 
@@ -138,12 +178,18 @@
 
     /// Reads what [`Display`](fmt::Display) writes; empty lines and what follows a `#` are passed over.
     fn from_str(text: &str) -> Result<Self, String> {
-        let lines = text.lines().map(|line| line.split('#').next().unwrap_or_default().trim());
+        let lines = text
+            .lines()
+            .map(|line| line.split('#').next().unwrap_or_default().trim());
         let read = |line: &str| {
             let (at, trouble) = line.split_once(' ').ok_or_else(|| line.to_owned())?;
             Ok((at.parse().map_err(|_| line.to_owned())?, trouble.parse()?))
         };
-        lines.filter(|line| !line.is_empty()).map(read).collect::<Result<_, _>>().map(Self)
+        lines
+            .filter(|line| !line.is_empty())
+            .map(read)
+            .collect::<Result<_, _>>()
+            .map(Self)
     }
 }
 
@@ -179,14 +225,32 @@
         let (begin, end) = (round(begin), round(end));
         let mut say = |at, trouble| script.push((at, trouble));
         match rng.u32(..9) {
-            0 | 1 => say(begin, Trouble::Pause { node, ms: (rng.f64() * bounds.pause_ms).round() }),
+            0 | 1 => say(
+                begin,
+                Trouble::Pause {
+                    node,
+                    ms: (rng.f64() * bounds.pause_ms).round(),
+                },
+            ),
             2 => {
                 say(begin, Trouble::Kill { node });
                 say(end, Trouble::Start { node });
             }
             3 => {
-                say(begin, Trouble::Cut { from: node, to: other });
-                say(end, Trouble::Mend { from: node, to: other });
+                say(
+                    begin,
+                    Trouble::Cut {
+                        from: node,
+                        to: other,
+                    },
+                );
+                say(
+                    end,
+                    Trouble::Mend {
+                        from: node,
+                        to: other,
+                    },
+                );
             }
             4 => {
                 let deaf = rng.bool();
@@ -206,7 +270,10 @@
                 }
             }
             6 => {
-                let link = Link { loss: rng.f64() * bounds.loss, ..Link::default() };
+                let link = Link {
+                    loss: rng.f64() * bounds.loss,
+                    ..Link::default()
+                };
                 say(begin, Trouble::All { link });
                 say(end, Trouble::HealAll);
             }
@@ -223,8 +290,17 @@
                 say(end, Trouble::HealAll);
             }
             _ => {
-                for node in (0..bounds.nodes).filter(|_| rng.u32(..3) == 0).collect::<Vec<_>>() {
-                    say(begin, Trouble::Pause { node, ms: (rng.f64() * bounds.pause_ms).round() });
+                for node in (0..bounds.nodes)
+                    .filter(|_| rng.u32(..3) == 0)
+                    .collect::<Vec<_>>()
+                {
+                    say(
+                        begin,
+                        Trouble::Pause {
+                            node,
+                            ms: (rng.f64() * bounds.pause_ms).round(),
+                        },
+                    );
                 }
             }
         }
--- a/crates/simulation/src/world.rs
+++ b/crates/simulation/src/world.rs
@@ -50,7 +50,10 @@
 
 impl Default for Clock {
     fn default() -> Self {
-        Self { offset_ms: 1e6, drift: 0.0 }
+        Self {
+            offset_ms: 1e6,
+            drift: 0.0,
+        }
     }
 }
 
@@ -200,7 +203,9 @@
 
     /// To change a link.
     pub fn link_mut(&mut self, from: NodeId, to: NodeId) -> &mut Link {
-        self.links.entry((from, to)).or_insert_with(|| self.ordinary.clone())
+        self.links
+            .entry((from, to))
+            .or_insert_with(|| self.ordinary.clone())
     }
 
     /// All links are ordinary again.
@@ -238,7 +243,9 @@
             return;
         }
         let until = self.now_us + (ms * 1e3) as u64;
-        let until = self.nodes[node].stopped_until_us.map_or(until, |held| held.max(until));
+        let until = self.nodes[node]
+            .stopped_until_us
+            .map_or(until, |held| held.max(until));
         self.nodes[node].stopped_until_us = Some(until);
         self.push(until, node, Due::Resume);
     }
@@ -270,7 +277,9 @@
             if *at > until {
                 break;
             }
-            let Some(Reverse((at, _, node, due))) = self.due.pop() else { break };
+            let Some(Reverse((at, _, node, due))) = self.due.pop() else {
+                break;
+            };
             self.now_us = at;
             self.happen(node, due);
         }
@@ -316,13 +325,17 @@
 
     fn arrive(&mut self, at: NodeId, from: NodeId, bytes: &[u8]) {
         self.totals.arrived += 1;
-        self.call(at, |process, now, out| process.receive(now, from, bytes, out));
+        self.call(at, |process, now, out| {
+            process.receive(now, from, bytes, out)
+        });
     }
 
     fn call(&mut self, at: NodeId, act: impl FnOnce(&mut P, f64, &mut Outbox)) {
         let node = &mut self.nodes[at];
         let now = node.clock.own_ms(self.now_us);
-        let Some(process) = &mut node.process else { return };
+        let Some(process) = &mut node.process else {
+            return;
+        };
         let mut out = Outbox::default();
         act(process, now, &mut out);
         if let Some(wake) = out.wake_at_ms {
@@ -345,9 +358,14 @@
             return;
         }
         let seed = self.seed;
-        let line = self.lines.entry((from, to)).or_insert_with(|| Line::new(stream(seed, from, to)));
+        let line = self
+            .lines
+            .entry((from, to))
+            .or_insert_with(|| Line::new(stream(seed, from, to)));
         let link = self.links.get(&(from, to)).unwrap_or(&self.ordinary);
-        for (after, bytes) in line.pass(self.now_us as f64 / 1e3, link, bytes, &mut self.totals.done) {
+        for (after, bytes) in
+            line.pass(self.now_us as f64 / 1e3, link, bytes, &mut self.totals.done)
+        {
             let at = self.now_us + (after * 1e3) as u64;
             self.push(at, to, Due::Arrive { from, bytes });
         }
@@ -385,8 +403,21 @@
     fn world(seed: u64, drift: f64) -> World<Notes> {
         let mut world = World::new(seed, 2);
         for node in 0..2 {
-            world.set_clock(node, Clock { offset_ms: 5e6, drift: if node == 0 { drift } else { 0.0 } });
-            world.start(node, Notes { to: 1 - node, woken: Vec::new(), heard: Vec::new() });
+            world.set_clock(
+                node,
+                Clock {
+                    offset_ms: 5e6,
+                    drift: if node == 0 { drift } else { 0.0 },
+                },
+            );
+            world.start(
+                node,
+                Notes {
+                    to: 1 - node,
+                    woken: Vec::new(),
+                    heard: Vec::new(),
+                },
+            );
         }
         world
     }
@@ -399,7 +430,10 @@
     fn a_clock_that_runs_fast_wakes_its_process_more_often() {
         let mut world = world(1, 0.01);
         world.run_until(100_500.0);
-        assert_eq!((notes(&world, 0).woken.len(), notes(&world, 1).woken.len()), (102, 101));
+        assert_eq!(
+            (notes(&world, 0).woken.len(), notes(&world, 1).woken.len()),
+            (102, 101)
+        );
         let own = world.own_ms(0) - 5e6;
         assert!((own - 101_505.0).abs() < 1e-6, "{own}");
     }
@@ -411,7 +445,10 @@
         world.run_until(10_500.0);
         world.pause(0, 5_000.0);
         world.run_until(15_400.0);
-        assert_eq!((notes(&world, 0).woken.len(), notes(&world, 0).heard.len()), (11, 11));
+        assert_eq!(
+            (notes(&world, 0).woken.len(), notes(&world, 0).heard.len()),
+            (11, 11)
+        );
         assert!(!world.is_up(0));
         world.run_until(15_600.0);
         assert_eq!(notes(&world, 0).heard.len(), 16, "all five came as it woke");
@@ -426,9 +463,20 @@
         world.kill(0);
         assert!(world.process(0).is_none());
         world.run_until(10_700.0);
-        world.start(0, Notes { to: 1, woken: Vec::new(), heard: Vec::new() });
+        world.start(
+            0,
+            Notes {
+                to: 1,
+                woken: Vec::new(),
+                heard: Vec::new(),
+            },
+        );
         world.run_until(12_500.0);
-        assert_eq!(notes(&world, 0).woken.len(), 2, "at its start and a second later");
+        assert_eq!(
+            notes(&world, 0).woken.len(),
+            2,
+            "at its start and a second later"
+        );
     }
 
     #[test]
@@ -436,22 +484,69 @@
         let good = Link::default();
         type Count = fn(&Done) -> u64;
         let cases: [(Link, Count); 6] = [
-            (Link { cut: true, ..good.clone() }, |done| done.cut),
-            (Link { loss: 0.5, ..good.clone() }, |done| done.lost),
-            (Link { burst: (0.1, 3_000.0), ..good.clone() }, |done| done.lost),
-            (Link { twice: 0.5, ..good.clone() }, |done| done.doubled),
-            (Link { corrupt: 0.5, ..good.clone() }, |done| done.corrupted),
-            (Link { replay: 0.5, ..good.clone() }, |done| done.replayed),
+            (
+                Link {
+                    cut: true,
+                    ..good.clone()
+                },
+                |done| done.cut,
+            ),
+            (
+                Link {
+                    loss: 0.5,
+                    ..good.clone()
+                },
+                |done| done.lost,
+            ),
+            (
+                Link {
+                    burst: (0.1, 3_000.0),
+                    ..good.clone()
+                },
+                |done| done.lost,
+            ),
+            (
+                Link {
+                    twice: 0.5,
+                    ..good.clone()
+                },
+                |done| done.doubled,
+            ),
+            (
+                Link {
+                    corrupt: 0.5,
+                    ..good.clone()
+                },
+                |done| done.corrupted,
+            ),
+            (
+                Link {
+                    replay: 0.5,
+                    ..good.clone()
+                },
+                |done| done.replayed,
+            ),
         ];
         for (link, count) in cases {
             let mut world = world(4, 0.0);
-            world.apply(&Trouble::Link { from: 0, to: 1, link: link.clone() });
+            world.apply(&Trouble::Link {
+                from: 0,
+                to: 1,
+                link: link.clone(),
+            });
             world.run_until(200_500.0);
             let done = world.totals().done;
             assert!(count(&done) > 30, "{link:?}: {done:?}");
-            assert_eq!(notes(&world, 0).heard.len(), 201, "the other way is as it was");
+            assert_eq!(
+                notes(&world, 0).heard.len(),
+                201,
+                "the other way is as it was"
+            );
             let heard = 200 + done.doubled + done.replayed - done.lost - done.cut;
-            assert!(notes(&world, 1).heard.len().abs_diff(heard as usize) <= 1, "{link:?}: {done:?}");
+            assert!(
+                notes(&world, 1).heard.len().abs_diff(heard as usize) <= 1,
+                "{link:?}: {done:?}"
+            );
         }
     }
 }
--- a/crates/testkit/src/bin/fake-consul.rs
+++ b/crates/testkit/src/bin/fake-consul.rs
@@ -9,9 +9,12 @@
 use testkit::consul::{Consul, Fault};
 
 fn main() {
-    let address = std::env::args().nth(1).unwrap_or_else(|| "127.0.0.1:8500".into());
+    let address = std::env::args()
+        .nth(1)
+        .unwrap_or_else(|| "127.0.0.1:8500".into());
     let consul = address.parse().map_err(|_| "it is no address".to_owned());
-    let consul = match consul.and_then(|at| Consul::start_at(at).map_err(|error| error.to_string())) {
+    let consul = match consul.and_then(|at| Consul::start_at(at).map_err(|error| error.to_string()))
+    {
         Ok(consul) => consul,
         Err(error) => {
             eprintln!("fake-consul: {address}: {error}");
@@ -19,7 +22,10 @@
         }
     };
     consul.note_nothing();
-    println!("a stand-in for a Consul agent listens on {}", consul.address);
+    println!(
+        "a stand-in for a Consul agent listens on {}",
+        consul.address
+    );
     for line in std::io::stdin().lock().lines().map_while(Result::ok) {
         match line.split_whitespace().collect::<Vec<_>>().as_slice() {
             ["lag", ms] => consul.set_lag(Duration::from_millis(ms.parse().unwrap_or(0))),
--- a/crates/testkit/src/consul.rs
+++ b/crates/testkit/src/consul.rs
@@ -87,7 +87,11 @@
 
     fn health_json(&self) -> String {
         let check = |(id, status): (&String, &String)| {
-            let service = if id == "_node_maintenance" { "" } else { &self.id };
+            let service = if id == "_node_maintenance" {
+                ""
+            } else {
+                &self.id
+            };
             json!({
                 "Node": "stand-in", "CheckID": id, "Name": id, "Status": status, "Notes": "", "Output": "",
                 "ServiceID": service, "ServiceName": self.service, "ServiceTags": self.tags, "Type": "ttl",
@@ -212,7 +216,9 @@
 
     /// The world as the agent has it: of a while ago, where it lags.
     fn seen(&self) -> &Arc<Catalogue> {
-        let due = |(at, _): &&(Option<Instant>, Arc<Catalogue>)| at.is_none_or(|at| at.elapsed() >= self.lag);
+        let due = |(at, _): &&(Option<Instant>, Arc<Catalogue>)| {
+            at.is_none_or(|at| at.elapsed() >= self.lag)
+        };
         let seen = self.worlds.iter().rev().find(due).or(self.worlds.front());
         &seen.expect("there is always a world").1
     }
@@ -241,9 +247,21 @@
     pub fn start_at(address: SocketAddr) -> std::io::Result<Self> {
         let listener = TcpListener::bind(address)?;
         let address = listener.local_addr()?;
-        let mut state = State { noting: true, ..State::default() };
-        state.worlds.push_back((None, Arc::new(Catalogue { index: 1, ..Catalogue::default() })));
-        let consul = Self { address, shared: Arc::new((Mutex::new(state), Condvar::new())) };
+        let mut state = State {
+            noting: true,
+            ..State::default()
+        };
+        state.worlds.push_back((
+            None,
+            Arc::new(Catalogue {
+                index: 1,
+                ..Catalogue::default()
+            }),
+        ));
+        let consul = Self {
+            address,
+            shared: Arc::new((Mutex::new(state), Condvar::new())),
+        };
         let serving = consul.clone();
         thread::spawn(move || {
             for stream in listener.incoming().map_while(Result::ok) {
@@ -269,7 +287,9 @@
         let mut next = Catalogue::clone(state.newest());
         next.index += 1;
         change(&mut Editor(&mut next));
-        state.worlds.push_back((Some(Instant::now()), Arc::new(next)));
+        state
+            .worlds
+            .push_back((Some(Instant::now()), Arc::new(next)));
         if state.worlds.len() > MOST_WORLDS {
             state.worlds.pop_front();
         }
@@ -291,7 +311,9 @@
     pub fn set_status(&self, id: &str, status: &str) {
         self.change(|catalogue| {
             catalogue.edit(id, |instance| {
-                instance.checks.insert(format!("service:{id}"), status.into());
+                instance
+                    .checks
+                    .insert(format!("service:{id}"), status.into());
             });
         });
     }
@@ -382,8 +404,10 @@
             if state.noting {
                 state.queries.push(request.first.clone());
             }
-            let allowed =
-                state.token.as_ref().is_none_or(|token| request.header("x-consul-token") == Some(token));
+            let allowed = state
+                .token
+                .as_ref()
+                .is_none_or(|token| request.header("x-consul-token") == Some(token));
             drop(state);
             let goes_on = if allowed {
                 self.answer(&mut stream, &request)
@@ -399,10 +423,20 @@
 
     fn answer(&self, stream: &mut TcpStream, request: &Message) -> bool {
         let mut words = request.first.split(' ');
-        let (method, target) = (words.next().unwrap_or_default(), words.next().unwrap_or_default());
+        let (method, target) = (
+            words.next().unwrap_or_default(),
+            words.next().unwrap_or_default(),
+        );
         let (path, query) = target.split_once('?').unwrap_or((target, ""));
-        let query: Vec<_> = query.split('&').map(|pair| pair.split_once('=').unwrap_or((pair, ""))).collect();
-        let path: Vec<_> = path.trim_start_matches("/v1/").split('/').map(decode).collect();
+        let query: Vec<_> = query
+            .split('&')
+            .map(|pair| pair.split_once('=').unwrap_or((pair, "")))
+            .collect();
+        let path: Vec<_> = path
+            .trim_start_matches("/v1/")
+            .split('/')
+            .map(decode)
+            .collect();
         let path: Vec<_> = path.iter().map(String::as_str).collect();
         match (method, path.as_slice()) {
             ("GET", ["health" | "catalog", "service", service]) => {
@@ -412,19 +446,34 @@
                 let mut services = BTreeMap::<_, Vec<String>>::new();
                 let catalogue = self.catalogue();
                 for instance in catalogue.instances() {
-                    services.entry(&instance.service).or_default().extend(instance.tags.clone());
+                    services
+                        .entry(&instance.service)
+                        .or_default()
+                        .extend(instance.tags.clone());
                 }
                 let body = json!(services).to_string();
-                write_answer(stream, "200 OK", &head(&Fault::None, catalogue.index), body.as_bytes())
+                write_answer(
+                    stream,
+                    "200 OK",
+                    &head(&Fault::None, catalogue.index),
+                    body.as_bytes(),
+                )
+            }
+            ("GET", ["status", "leader"]) => {
+                write_answer(stream, "200 OK", "", b"\"127.0.0.1:8300\"")
             }
-            ("GET", ["status", "leader"]) => write_answer(stream, "200 OK", "", b"\"127.0.0.1:8300\""),
             ("GET", ["agent", "self"]) => {
                 let body = json!({"Config": {"Datacenter": "dc1", "NodeName": "stand-in", "Server": true}});
                 write_answer(stream, "200 OK", "", body.to_string().as_bytes())
             }
             ("PUT", ["agent", rest @ ..]) => {
                 let done = self.agent(rest, &query, &request.body);
-                write_answer(stream, if done { "200 OK" } else { "400 Bad Request" }, "", b"")
+                write_answer(
+                    stream,
+                    if done { "200 OK" } else { "400 Bad Request" },
+                    "",
+                    b"",
+                )
             }
             _ => write_answer(stream, "404 Not Found", "", b"no such page"),
         }
@@ -435,7 +484,9 @@
         let enable = query.contains(&("enable", "true"));
         match path {
             ["service", "register"] => {
-                let instance = serde_json::from_slice(body).ok().and_then(|body| registration(&body));
+                let instance = serde_json::from_slice(body)
+                    .ok()
+                    .and_then(|body| registration(&body));
                 instance.map(|instance| self.register(instance)).is_some()
             }
             ["service", "deregister", id] => {
@@ -453,7 +504,9 @@
             ["check", "update", check] => {
                 let body: Value = serde_json::from_slice(body).unwrap_or_default();
                 let status = body["Status"].as_str().unwrap_or_default().to_owned();
-                let Some(id) = check.strip_prefix("service:") else { return false };
+                let Some(id) = check.strip_prefix("service:") else {
+                    return false;
+                };
                 self.set_status(id, &status);
                 matches!(status.as_str(), "passing" | "warning" | "critical")
             }
@@ -461,13 +514,34 @@
         }
     }
 
-    fn list(&self, stream: &mut TcpStream, health: bool, service: &str, query: &[(&str, &str)]) -> bool {
-        let value = |name: &str| query.iter().find(|(n, _)| *n == name).map(|(_, value)| *value);
-        let index = value("index").and_then(|index| index.parse().ok()).unwrap_or(0);
-        let wait = value("wait").and_then(duration).unwrap_or(WAIT[0]).min(WAIT[1]);
-        let Some((fault, catalogue)) = self.block(index, wait) else { return false };
-        let tags: Vec<_> =
-            query.iter().filter(|(name, _)| *name == "tag").map(|(_, tag)| decode(tag)).collect();
+    fn list(
+        &self,
+        stream: &mut TcpStream,
+        health: bool,
+        service: &str,
+        query: &[(&str, &str)],
+    ) -> bool {
+        let value = |name: &str| {
+            query
+                .iter()
+                .find(|(n, _)| *n == name)
+                .map(|(_, value)| *value)
+        };
+        let index = value("index")
+            .and_then(|index| index.parse().ok())
+            .unwrap_or(0);
+        let wait = value("wait")
+            .and_then(duration)
+            .unwrap_or(WAIT[0])
+            .min(WAIT[1]);
+        let Some((fault, catalogue)) = self.block(index, wait) else {
+            return false;
+        };
+        let tags: Vec<_> = query
+            .iter()
+            .filter(|(name, _)| *name == "tag")
+            .map(|(_, tag)| decode(tag))
+            .collect();
         let wanted = |held: &&Arc<Held>| {
             let instance = &held.instance;
             instance.service == service
@@ -475,23 +549,37 @@
                 && (value("passing").is_none() || instance.is_passing())
         };
         let found: Vec<_> = catalogue.instances.values().filter(wanted).collect();
-        let texts = found.iter().map(|held| if health { &held.health } else { &held.catalog });
+        let texts = found
+            .iter()
+            .map(|held| if health { &held.health } else { &held.catalog });
         let body = match &fault {
             Fault::Body(body) => body.clone(),
-            _ => format!("[{}]", texts.map(String::as_str).collect::<Vec<_>>().join(",")),
+            _ => format!(
+                "[{}]",
+                texts.map(String::as_str).collect::<Vec<_>>().join(",")
+            ),
         };
         let head = head(&fault, catalogue.index);
         match fault {
-            Fault::Status(status) => write_answer(stream, &format!("{status} Trouble"), &head, b"trouble"),
+            Fault::Status(status) => {
+                write_answer(stream, &format!("{status} Trouble"), &head, b"trouble")
+            }
             Fault::Cut(at) => {
-                let whole = format!("HTTP/1.1 200 OK\r\n{head}Content-Length: {}\r\n\r\n", body.len());
+                let whole = format!(
+                    "HTTP/1.1 200 OK\r\n{head}Content-Length: {}\r\n\r\n",
+                    body.len()
+                );
                 let _ = stream.write_all(whole.as_bytes()); // The connection ends either way.
                 let _ = stream.write_all(&body.as_bytes()[..at.min(body.len().saturating_sub(1))]);
                 false
             }
             Fault::Endless => {
                 let begun = format!("HTTP/1.1 200 OK\r\n{head}Connection: close\r\n\r\n[");
-                let one = format!("{},", found.first().map_or("{}", |held| held.health.as_str())).repeat(64);
+                let one = format!(
+                    "{},",
+                    found.first().map_or("{}", |held| held.health.as_str())
+                )
+                .repeat(64);
                 let mut goes_on = stream.write_all(begun.as_bytes()).is_ok();
                 for _ in 0..MOST_PIECES {
                     goes_on = goes_on && stream.write_all(one.as_bytes()).is_ok();
@@ -507,12 +595,20 @@
         }
     }
 
-    fn note(&self, begun: Option<Instant>, fault: &Fault, catalogue: &Catalogue, found: &[&Arc<Held>]) {
+    fn note(
+        &self,
+        begun: Option<Instant>,
+        fault: &Fault,
+        catalogue: &Catalogue,
+        found: &[&Arc<Held>],
+    ) {
         let mut state = self.state();
         let noted = begun.filter(|_| state.noting && !matches!(fault, Fault::Body(_)));
         let Some(begun) = noted else { return };
         let ids = |draining: bool| {
-            let some = found.iter().filter(|held| held.instance.is_in_maintenance() == draining);
+            let some = found
+                .iter()
+                .filter(|held| held.instance.is_in_maintenance() == draining);
             some.map(|held| held.instance.id.clone()).collect()
         };
         let told = Told {
@@ -543,8 +639,14 @@
             if answers {
                 return Some((state.fault.clone(), seen));
             }
-            let look = if state.lag.is_zero() { Duration::from_millis(200) } else { LOOK };
-            let left = end.saturating_duration_since(now).clamp(Duration::from_millis(1), look);
+            let look = if state.lag.is_zero() {
+                Duration::from_millis(200)
+            } else {
+                LOOK
+            };
+            let left = end
+                .saturating_duration_since(now)
+                .clamp(Duration::from_millis(1), look);
             state = self.shared.1.wait_timeout(state, left).expect("sound").0;
         }
     }
@@ -561,7 +663,14 @@
         instance.modify_index = self.0.index;
         let (health, catalog) = (instance.health_json(), instance.catalog_json());
         let id = instance.id.clone();
-        self.0.instances.insert(id, Arc::new(Held { instance, health, catalog }));
+        self.0.instances.insert(
+            id,
+            Arc::new(Held {
+                instance,
+                health,
+                catalog,
+            }),
+        );
     }
 
     /// Takes an instance out.
@@ -588,7 +697,9 @@
         for id in ids {
             self.edit(&id, |instance| {
                 if on {
-                    instance.checks.insert("_node_maintenance".into(), "critical".into());
+                    instance
+                        .checks
+                        .insert("_node_maintenance".into(), "critical".into());
                 } else {
                     instance.checks.remove("_node_maintenance");
                 }
@@ -600,20 +711,36 @@
 fn registration(body: &Value) -> Option<Instance> {
     let name = body["Name"].as_str()?;
     let id = body["ID"].as_str().unwrap_or(name);
-    let address = body["Address"].as_str().unwrap_or("127.0.0.1").parse().ok()?;
+    let address = body["Address"]
+        .as_str()
+        .unwrap_or("127.0.0.1")
+        .parse()
+        .ok()?;
     let port = u16::try_from(body["Port"].as_u64()?).ok()?;
     let mut instance = Instance::new(name, id, SocketAddr::new(address, port));
     let tags = body["Tags"].as_array().into_iter().flatten();
-    instance.tags = tags.filter_map(|tag| tag.as_str().map(str::to_owned)).collect();
+    instance.tags = tags
+        .filter_map(|tag| tag.as_str().map(str::to_owned))
+        .collect();
     let meta = body["Meta"].as_object().into_iter().flatten();
-    instance.meta = meta.filter_map(|(k, v)| Some((k.clone(), v.as_str()?.to_owned()))).collect();
+    instance.meta = meta
+        .filter_map(|(k, v)| Some((k.clone(), v.as_str()?.to_owned())))
+        .collect();
     Some(instance)
 }
 
 fn head(fault: &Fault, index: u64) -> String {
-    let index = if let Fault::Index(index) = fault { *index } else { index };
+    let index = if let Fault::Index(index) = fault {
+        *index
+    } else {
+        index
+    };
     let leader = *fault != Fault::NoLeader;
-    let contact = if let Fault::LastContact(ms) = fault { *ms } else { 0 };
+    let contact = if let Fault::LastContact(ms) = fault {
+        *ms
+    } else {
+        0
+    };
     let cached = match fault {
         Fault::Cached(age) => format!("X-Cache: HIT\r\nAge: {age}\r\n"),
         _ => String::new(),
@@ -625,7 +752,10 @@
 }
 
 fn write_answer(stream: &mut TcpStream, status: &str, headers: &str, body: &[u8]) -> bool {
-    let head = format!("HTTP/1.1 {status}\r\n{headers}Content-Length: {}\r\n\r\n", body.len());
+    let head = format!(
+        "HTTP/1.1 {status}\r\n{headers}Content-Length: {}\r\n\r\n",
+        body.len()
+    );
     stream.write_all(head.as_bytes()).is_ok() && stream.write_all(body).is_ok()
 }
 
--- a/crates/testkit/src/discovery.rs
+++ b/crates/testkit/src/discovery.rs
@@ -21,7 +21,10 @@
 /// A list, whole or of changes.
 #[must_use]
 pub fn list(generation: u64, reset: bool, entries: &[String]) -> String {
-    format!(r#"{{"generation":{generation},"reset":{reset},"instances":[{}]}}"#, entries.join(","))
+    format!(
+        r#"{{"generation":{generation},"reset":{reset},"instances":[{}]}}"#,
+        entries.join(",")
+    )
 }
 
 /// How often a watch says that it is alive: discovery does so every 2 s at the latest.
@@ -44,7 +47,9 @@
         thread::spawn(move || {
             for mut stream in listener.incoming().map_while(Result::ok) {
                 let mut input = BufReader::new(stream.try_clone().expect("a socket"));
-                let Some(request) = Message::read(&mut input) else { continue };
+                let Some(request) = Message::read(&mut input) else {
+                    continue;
+                };
                 let head = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
                 if stream.write_all(head.as_bytes()).is_err()
                     || sender.send(Watch::open(request.first, stream)).is_err()
@@ -90,14 +95,20 @@
                 return;
             }
         });
-        Self { asked, stream, between }
+        Self {
+            asked,
+            stream,
+            between,
+        }
     }
 
     /// Sends text as one chunk, whether or not it is a whole line.
     pub fn say(&mut self, text: &str) {
         let mut between = self.between.lock().expect("no panic");
         between.in_line = !text.ends_with('\n');
-        self.stream.write_all(format!("{:x}\r\n{text}\r\n", text.len()).as_bytes()).expect("an open watch");
+        self.stream
+            .write_all(format!("{:x}\r\n{text}\r\n", text.len()).as_bytes())
+            .expect("an open watch");
     }
 
     /// From now on it says nothing by itself, and stays open.
@@ -107,7 +118,9 @@
 
     /// Whether the node has ended it.
     pub fn is_closed(&mut self) -> bool {
-        self.stream.set_read_timeout(Some(PATIENCE)).expect("a socket");
+        self.stream
+            .set_read_timeout(Some(PATIENCE))
+            .expect("a socket");
         match self.stream.read(&mut [0; 1]) {
             Ok(n) => n == 0,
             Err(error) => error.kind() != std::io::ErrorKind::WouldBlock,
--- a/crates/testkit/src/fleet.rs
+++ b/crates/testkit/src/fleet.rs
@@ -8,8 +8,8 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-use simulation::{Script, Trouble};
 use rustix::process::Signal;
+use simulation::{Script, Trouble};
 use tempfile::TempDir;
 
 use crate::discovery::{list, Discovery};
@@ -52,10 +52,14 @@
     fn read(text: &str) -> Option<Self> {
         let mut lines = text.strip_suffix("EOF\n")?.lines();
         let own: Vec<_> = lines.next()?.split(' ').collect();
-        let ["self", _, health, incarnation, state] = own[..] else { return None };
+        let ["self", _, health, incarnation, state] = own[..] else {
+            return None;
+        };
         let other = |line: &str| {
             let words: Vec<_> = line.split(' ').collect();
-            let [name, state, incarnation, _, heard, _] = words[..] else { return None };
+            let [name, state, incarnation, _, heard, _] = words[..] else {
+                return None;
+            };
             let member = Member {
                 state: state.into(),
                 incarnation: incarnation.parse().ok()?,
@@ -129,7 +133,8 @@
         fs::write(&key, "a key that all nodes share\n").expect("a file");
         fs::set_permissions(&key, fs::Permissions::from_mode(0o600)).expect("a file");
         let key = key.display();
-        let operators = format!("[instances]\nfleet = \"holds\"\nkey_file = \"{key}\"\n{operators}");
+        let operators =
+            format!("[instances]\nfleet = \"holds\"\nkey_file = \"{key}\"\n{operators}");
         let slot = |node| Slot {
             name: format!("n{node}"),
             operators: operators.clone(),
@@ -192,10 +197,19 @@
     #[must_use]
     pub fn config(&self, node: usize) -> String {
         let servers = [&self.server].into_iter().chain(&self.others).enumerate();
-        let servers: Vec<_> = servers.map(|(at, server)| server.entry(&format!("s-{at}"), "ready")).collect();
+        let servers: Vec<_> = servers
+            .map(|(at, server)| server.entry(&format!("s-{at}"), "ready"))
+            .collect();
         let known = list(1, true, &servers);
-        let peers: Vec<_> = self.relays.peers[node].iter().map(|at| format!("\"{at}\"")).collect();
-        let text = config(self.discovery.address, &known, &settings_with_aim(AIM_MS, 15_000));
+        let peers: Vec<_> = self.relays.peers[node]
+            .iter()
+            .map(|at| format!("\"{at}\""))
+            .collect();
+        let text = config(
+            self.discovery.address,
+            &known,
+            &settings_with_aim(AIM_MS, 15_000),
+        );
         text.replace("\"n0\"", &format!("\"{}\"", self.slots[node].name))
             .replace("\"listen\"", "\"control\":\"127.0.0.1:0\",\"listen\"")
             .replace("\"cancel\":true", "\"cancel\":true,\"peers\":true")
@@ -272,7 +286,9 @@
         match trouble {
             Trouble::Pause { node, ms } if self.slots[*node].node.is_some() => {
                 let until = Instant::now() + Duration::from_secs_f64(ms / 1e3);
-                let until = self.slots[*node].stopped_until.map_or(until, |held| held.max(until));
+                let until = self.slots[*node]
+                    .stopped_until
+                    .map_or(until, |held| held.max(until));
                 self.stop(*node);
                 self.slots[*node].stopped_until = Some(until);
             }
@@ -289,7 +305,9 @@
         loop {
             let now = Instant::now();
             let due = |slot: &Slot| slot.stopped_until.is_some_and(|until| until <= now);
-            let due: Vec<_> = (0..self.slots.len()).filter(|node| due(&self.slots[*node])).collect();
+            let due: Vec<_> = (0..self.slots.len())
+                .filter(|node| due(&self.slots[*node]))
+                .collect();
             due.into_iter().for_each(|node| self.go_on(node));
             if now >= end {
                 return;
@@ -331,10 +349,15 @@
         let text = self.node(node).call("OWNERS\n");
         let row = |line: &str| {
             let words: Vec<_> = line.split(' ').collect();
-            let [_, owner, _, left, _] = words[..] else { return None };
+            let [_, owner, _, left, _] = words[..] else {
+                return None;
+            };
             Some((owner.to_owned(), left.parse().ok()?))
         };
-        text.lines().filter(|line| !line.starts_with("self ")).filter_map(row).collect()
+        text.lines()
+            .filter(|line| !line.starts_with("self "))
+            .filter_map(row)
+            .collect()
     }
 
     /// Whether so many shards have one owner each, by its own word; all nodes that run are asked once.
@@ -364,7 +387,11 @@
     /// None, or several: by the answers, which come one after the other.
     pub fn owner(&self, shard: usize) -> Result<usize, String> {
         let asked = (0..self.len()).filter(|node| self.is_up(*node));
-        let owns = |node: &usize| self.owners(*node).get(shard).is_some_and(|(_, left)| *left > 0);
+        let owns = |node: &usize| {
+            self.owners(*node)
+                .get(shard)
+                .is_some_and(|(_, left)| *left > 0)
+        };
         let owners: Vec<_> = asked.filter(owns).collect();
         match owners[..] {
             [owner] => Ok(owner),
@@ -379,12 +406,17 @@
         let views: Vec<_> = up.iter().map(|node| (*node, self.members(*node))).collect();
         for (of, view) in &views {
             for node in (0..self.len()).filter(|node| node != of) {
-                let own = views.iter().find(|(held, _)| *held == node).map(|(_, own)| own.incarnation);
+                let own = views
+                    .iter()
+                    .find(|(held, _)| *held == node)
+                    .map(|(_, own)| own.incarnation);
                 let held = view.others.get(&self.slots[node].name);
                 let is_right = match (own, held) {
                     (Some(own), Some(held)) => held.state == "alive" && held.incarnation == own,
                     (Some(_), None) => false,
-                    (None, held) => held.is_none_or(|held| held.state == "gone" || held.state == "left"),
+                    (None, held) => {
+                        held.is_none_or(|held| held.state == "gone" || held.state == "left")
+                    }
                 };
                 if !is_right {
                     return Some(format!(
@@ -400,7 +432,9 @@
 
     /// Waits until all agree, and tells how long it took.
     pub fn agree_within(&mut self, time: Duration) -> Duration {
-        self.wait_for("all agree", time, |fleet| fleet.disagreement().map_or(Ok(()), Err))
+        self.wait_for("all agree", time, |fleet| {
+            fleet.disagreement().map_or(Ok(()), Err)
+        })
     }
 
     /// Waits until something is so, and tells how long it took.
@@ -427,32 +461,48 @@
     /// The log of a node, of all its processes so far.
     #[must_use]
     pub fn log(&self, node: usize) -> Vec<String> {
-        self.log_with_times(node).into_iter().map(|(_, line)| line).collect()
+        self.log_with_times(node)
+            .into_iter()
+            .map(|(_, line)| line)
+            .collect()
     }
 
     fn log_with_times(&self, node: usize) -> Vec<(Instant, String)> {
         let slot = &self.slots[node];
-        slot.past.iter().cloned().chain(slot.node.iter().flat_map(Node::log_with_times)).collect()
+        slot.past
+            .iter()
+            .cloned()
+            .chain(slot.node.iter().flat_map(Node::log_with_times))
+            .collect()
     }
 
     /// Who found whom gone so far by itself, and was not told.
     #[must_use]
     pub fn verdicts(&self) -> Vec<(usize, String)> {
-        let own = self.gone_lines().into_iter().filter(|(.., why)| why.contains("do not hear it and"));
+        let own = self
+            .gone_lines()
+            .into_iter()
+            .filter(|(.., why)| why.contains("do not hear it and"));
         own.map(|(by, _, name, _)| (by, name)).collect()
     }
 
     /// Who called whom gone so far: each line of each log.
     #[must_use]
     pub fn gone(&self) -> Vec<(usize, String)> {
-        self.gone_lines().into_iter().map(|(by, _, name, _)| (by, name)).collect()
+        self.gone_lines()
+            .into_iter()
+            .map(|(by, _, name, _)| (by, name))
+            .collect()
     }
 
     /// The same, with when, and why.
     #[must_use]
     pub fn gone_lines(&self) -> Vec<(usize, Instant, String, String)> {
-        let lines = (0..self.len())
-            .flat_map(|node| self.log_with_times(node).into_iter().map(move |line| (node, line)));
+        let lines = (0..self.len()).flat_map(|node| {
+            self.log_with_times(node)
+                .into_iter()
+                .map(move |line| (node, line))
+        });
         let read = |(by, (at, line)): (usize, (Instant, String))| {
             let rest = line.split_once("fleet: ")?.1;
             let (name, why) = rest.split_once(" is gone")?;
@@ -471,7 +521,9 @@
 impl Drop for Fleet {
     fn drop(&mut self) {
         // One that is stopped is killed all the same.
-        self.slots.iter_mut().for_each(|slot| drop(slot.node.take()));
+        self.slots
+            .iter_mut()
+            .for_each(|slot| drop(slot.node.take()));
         let longest = self.relays.passed().longest;
         if !thread::panicking() {
             assert!(longest <= MOST_DATAGRAM, "a datagram of {longest} bytes");
--- a/crates/testkit/src/lib.rs
+++ b/crates/testkit/src/lib.rs
@@ -31,13 +31,15 @@
 mod socket;
 
 pub use discovery::{entry, list, Discovery, Watch};
-pub use simulation::{draw, Bounds, Link, Script, Trouble};
 pub use fleet::{Fleet, Member, Members};
 pub use load::{Load, Totals};
 pub use message::{answer, post, read, Message};
-pub use node::{config, program, program_path, settings, settings_with_aim, write_config, Client, Node};
+pub use node::{
+    config, program, program_path, settings, settings_with_aim, write_config, Client, Node,
+};
 pub use register::{Effect, Register};
 pub use server::{Reply, Server, Unreachable};
+pub use simulation::{draw, Bounds, Link, Script, Trouble};
 pub use socket::{Endpoint, Kind, Listener, Stream};
 
 use std::thread;
--- a/crates/testkit/src/link.rs
+++ b/crates/testkit/src/link.rs
@@ -95,7 +95,10 @@
         plans: impl Fn(usize) -> Plans + Send + 'static,
     ) -> (Self, Endpoint) {
         let (listener, endpoint) = Listener::bind(kind);
-        let (connections, open) = (Arc::<AtomicUsize>::default(), Arc::<Mutex<Vec<_>>>::default());
+        let (connections, open) = (
+            Arc::<AtomicUsize>::default(),
+            Arc::<Mutex<Vec<_>>>::default(),
+        );
         let (count, all) = (Arc::clone(&connections), Arc::clone(&open));
         thread::spawn(move || {
             while let Ok(near) = listener.accept() {
@@ -104,7 +107,9 @@
                     continue;
                 }
                 // Nobody at the far end: the near one is closed, as a refused connection would be.
-                let Ok(far) = Stream::connect(&to) else { continue };
+                let Ok(far) = Stream::connect(&to) else {
+                    continue;
+                };
                 let ends = Arc::new(Ends { near, far });
                 let mut all = all.lock().expect("sound");
                 all.retain(|ends: &Weak<Ends>| ends.strong_count() > 0);
@@ -116,7 +121,14 @@
             Endpoint::Ip(address) => *address,
             Endpoint::Unix(..) => SocketAddr::from(([127, 0, 0, 1], 1)),
         };
-        (Self { address, connections, open }, endpoint)
+        (
+            Self {
+                address,
+                connections,
+                open,
+            },
+            endpoint,
+        )
     }
 
     /// How many connections have come.
@@ -127,7 +139,13 @@
 
     /// Ends every connection that there is; new ones are taken.
     pub fn cut_all(&self) {
-        for ends in self.open.lock().expect("sound").drain(..).filter_map(|ends| ends.upgrade()) {
+        for ends in self
+            .open
+            .lock()
+            .expect("sound")
+            .drain(..)
+            .filter_map(|ends| ends.upgrade())
+        {
             end(&ends.near, &ends.far);
         }
     }
@@ -212,8 +230,9 @@
     /// A link with one plan: ten bytes are on their way into it, and the end that they come out of.
     fn ten_bytes(plan: Plan) -> (TcpStream, TcpStream) {
         let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
-        let link =
-            Link::start(listener.local_addr().expect("an address"), move |_| (plan.clone(), Plan::sound()));
+        let link = Link::start(listener.local_addr().expect("an address"), move |_| {
+            (plan.clone(), Plan::sound())
+        });
         let mut near = TcpStream::connect(link.address).expect("it listens");
         let (far, _) = listener.accept().expect("a connection");
         near.write_all(b"0123456789").expect("an open connection");
@@ -244,17 +263,20 @@
     fn a_stalled_link_passes_nothing_on_and_ends_nothing() {
         let (_near, mut far) = ten_bytes(Plan::at(4, Fault::Stall));
         let mut got = [0; 4];
-        far.read_exact(&mut got).expect("the bytes before the fault");
+        far.read_exact(&mut got)
+            .expect("the bytes before the fault");
         assert_eq!(&got, b"0123");
-        far.set_read_timeout(Some(Duration::from_millis(50))).expect("a socket");
+        far.set_read_timeout(Some(Duration::from_millis(50)))
+            .expect("a socket");
         assert!(far.read(&mut got).is_err(), "neither a byte nor the end");
     }
 
     #[test]
     fn one_seed_gives_one_plan_and_seeds_differ() {
         assert_eq!(Plan::seeded(7, 100), Plan::seeded(7, 100));
-        let all: std::collections::HashSet<_> =
-            (0..50).map(|seed| format!("{:?}", Plan::seeded(seed, 100))).collect();
+        let all: std::collections::HashSet<_> = (0..50)
+            .map(|seed| format!("{:?}", Plan::seeded(seed, 100)))
+            .collect();
         assert!(all.len() > 30);
     }
 }
--- a/crates/testkit/src/load.rs
+++ b/crates/testkit/src/load.rs
@@ -62,7 +62,10 @@
     #[must_use]
     pub fn start(node: SocketAddr, clients: usize, pause: Duration) -> Self {
         static NEXT: AtomicU64 = AtomicU64::new(0);
-        let (stop, totals) = (Arc::<AtomicBool>::default(), Arc::<Mutex<Totals>>::default());
+        let (stop, totals) = (
+            Arc::<AtomicBool>::default(),
+            Arc::<Mutex<Totals>>::default(),
+        );
         let client = |_| {
             let (stop, totals) = (Arc::clone(&stop), Arc::clone(&totals));
             thread::spawn(move || {
@@ -78,7 +81,11 @@
             })
         };
         let clients = (0..clients).map(client).collect();
-        Self { stop, totals, clients }
+        Self {
+            stop,
+            totals,
+            clients,
+        }
     }
 
     /// What has been answered so far.
@@ -103,7 +110,12 @@
 fn ask(client: &mut Client, number: u64, totals: &Mutex<Totals>) -> bool {
     let id = format!("{number:016x}");
     let request = match number % 10 {
-        8 => post(&id, "hold", &format!("Idempotency-Key: key-{id}\r\n"), "a guest"),
+        8 => post(
+            &id,
+            "hold",
+            &format!("Idempotency-Key: key-{id}\r\n"),
+            "a guest",
+        ),
         9 => post(&id, "pay", "", "a guest"),
         _ => read(&id, "15000m"),
     };
--- a/crates/testkit/src/message.rs
+++ b/crates/testkit/src/message.rs
@@ -25,15 +25,26 @@
         let mut headers = Vec::new();
         loop {
             let text = line()?;
-            let Some((name, value)) = text.split_once(':') else { break };
+            let Some((name, value)) = text.split_once(':') else {
+                break;
+            };
             headers.push((name.to_ascii_lowercase(), value.trim().to_owned()));
         }
-        let mut message = Self { first, headers, body: Vec::new() };
+        let mut message = Self {
+            first,
+            headers,
+            body: Vec::new(),
+        };
         if message.header("transfer-encoding") == Some("chunked") {
             message.body = read_chunks(from)?;
             return Some(message);
         }
-        message.body = vec![0; message.header("content-length").map_or(0, |n| n.parse().expect("a length"))];
+        message.body = vec![
+            0;
+            message
+                .header("content-length")
+                .map_or(0, |n| n.parse().expect("a length"))
+        ];
         from.read_exact(&mut message.body).ok()?;
         Some(message)
     }
@@ -41,13 +52,21 @@
     /// The value of a header.
     #[must_use]
     pub fn header(&self, name: &str) -> Option<&str> {
-        self.headers.iter().find(|(n, _)| n == name).map(|(_, value)| value.as_str())
+        self.headers
+            .iter()
+            .find(|(n, _)| n == name)
+            .map(|(_, value)| value.as_str())
     }
 
     /// The status of an answer.
     #[must_use]
     pub fn status(&self) -> u16 {
-        self.first.split(' ').nth(1).expect("a status").parse().expect("a number")
+        self.first
+            .split(' ')
+            .nth(1)
+            .expect("a status")
+            .parse()
+            .expect("a number")
     }
 }
 
@@ -71,7 +90,11 @@
 /// An answer with a length.
 #[must_use]
 pub fn answer(status: &str, headers: &str, body: &str) -> Vec<u8> {
-    format!("HTTP/1.1 {status}\r\n{headers}Content-Length: {}\r\n\r\n{body}", body.len()).into_bytes()
+    format!(
+        "HTTP/1.1 {status}\r\n{headers}Content-Length: {}\r\n\r\n{body}",
+        body.len()
+    )
+    .into_bytes()
 }
 
 /// A request of the safe class.
--- a/crates/testkit/src/model.rs
+++ b/crates/testkit/src/model.rs
@@ -62,8 +62,20 @@
 impl Bounds {
     /// So far, with two words held back at a time.
     #[must_use]
-    pub fn of(planted: Planted, is_owned: bool, [steps, deviations, restarts, gifts]: Reach) -> Self {
-        Self { is_owned, steps, deviations, restarts, gifts, most_held: 2, planted }
+    pub fn of(
+        planted: Planted,
+        is_owned: bool,
+        [steps, deviations, restarts, gifts]: Reach,
+    ) -> Self {
+        Self {
+            is_owned,
+            steps,
+            deviations,
+            restarts,
+            gifts,
+            most_held: 2,
+            planted,
+        }
     }
 }
 
@@ -119,7 +131,15 @@
 
 impl State {
     fn key(&self, to: &mut impl Hasher) {
-        (self.step, &self.processes, &self.began, self.woken, self.left, self.owners).hash(to);
+        (
+            self.step,
+            &self.processes,
+            &self.began,
+            self.woken,
+            self.left,
+            self.owners,
+        )
+            .hash(to);
         (&self.queue, &self.held, self.acted, self.broken).hash(to);
         self.nodes.iter().for_each(|node| node.state(to));
     }
@@ -144,7 +164,11 @@
 
 impl fmt::Debug for State {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "step {}, acted {:?}, {:?}", self.step, self.acted, self.broken)
+        write!(
+            f,
+            "step {}, acted {:?}, {:?}",
+            self.step, self.acted, self.broken
+        )
     }
 }
 
@@ -183,7 +207,11 @@
             ..Settings::new(id(node), life, (0..KEEPERS).map(id).collect())
         };
         // What runs at the beginning has waited for long.
-        let start = if life < NODES as u64 { 0.0 } else { own_ms(step, node) };
+        let start = if life < NODES as u64 {
+            0.0
+        } else {
+            own_ms(step, node)
+        };
         Leases::new(start, settings).expect("sound")
     }
 
@@ -191,16 +219,27 @@
         let mut said = Vec::new();
         state.nodes[node].handle(own_ms(state.step, node), event, &mut said);
         for said in said {
-            let Said::Send { to, bytes } = said else { continue };
+            let Said::Send { to, bytes } = said else {
+                continue;
+            };
             let to = (0..NODES).find(|node| id(*node) == to).expect("a node");
             if !HINTS.contains(&bytes[0]) {
-                state.queue.push(Word { from: node, process: state.processes[node], to, bytes });
+                state.queue.push(Word {
+                    from: node,
+                    process: state.processes[node],
+                    to,
+                    bytes,
+                });
             }
         }
     }
 
     fn arrive(state: &mut State, word: &Word) {
-        let event = Event::Word { from: id(word.from), process: word.process, bytes: &word.bytes };
+        let event = Event::Word {
+            from: id(word.from),
+            process: word.process,
+            bytes: &word.bytes,
+        };
         Self::act(state, word.to, event);
     }
 
@@ -216,12 +255,23 @@
         let now = own_ms(state.step, keeper);
         let ask = state.nodes[node].who_word();
         let mut said = Vec::new();
-        let asked = Event::Word { from: id(node), process: state.processes[node], bytes: &ask };
+        let asked = Event::Word {
+            from: id(node),
+            process: state.processes[node],
+            bytes: &ask,
+        };
         state.nodes[keeper].handle(now, asked, &mut said);
         for said in said {
-            let Said::Send { bytes, .. } = said else { continue };
+            let Said::Send { bytes, .. } = said else {
+                continue;
+            };
             if bytes[0] == TABLE {
-                let word = Word { from: keeper, process: state.processes[keeper], to: node, bytes };
+                let word = Word {
+                    from: keeper,
+                    process: state.processes[keeper],
+                    to: node,
+                    bytes,
+                };
                 Self::arrive(state, &word);
             }
         }
@@ -258,7 +308,9 @@
         let processes: Vec<_> = (0..NODES as u64).collect();
         let first = State {
             step: 0,
-            nodes: (0..NODES).map(|node| self.process(0, node, node as u64)).collect(),
+            nodes: (0..NODES)
+                .map(|node| self.process(0, node, node as u64))
+                .collect(),
             processes,
             began: vec![0; NODES],
             woken: [false; 2],
@@ -273,9 +325,22 @@
         if !self.0.is_owned {
             return vec![first];
         }
-        let wakes = [Do::Wake(KEEPERS), Do::Wake(KEEPERS + 1), Do::Step, Do::Wake(KEEPERS)];
-        let mut state = wakes.into_iter().fold(first, |state, act| self.after(state, act));
-        for act in [Do::Step, Do::Wake(KEEPERS), Do::Step, Do::Step, Do::Wake(KEEPERS)] {
+        let wakes = [
+            Do::Wake(KEEPERS),
+            Do::Wake(KEEPERS + 1),
+            Do::Step,
+            Do::Wake(KEEPERS),
+        ];
+        let mut state = wakes
+            .into_iter()
+            .fold(first, |state, act| self.after(state, act));
+        for act in [
+            Do::Step,
+            Do::Wake(KEEPERS),
+            Do::Step,
+            Do::Step,
+            Do::Wake(KEEPERS),
+        ] {
             state = self.all_arrive(state);
             state = self.after(state, act);
         }
@@ -296,9 +361,15 @@
         }
         (0..state.held.len()).for_each(|at| to.push(Do::Release(at)));
         // Of the two the first that is ever woken is this one: otherwise they are alike.
-        let asked = if !self.0.is_owned && state.step == 0 && !state.woken[0] { 1 } else { 2 };
+        let asked = if !self.0.is_owned && state.step == 0 && !state.woken[0] {
+            1
+        } else {
+            2
+        };
         for node in (KEEPERS..NODES).take(asked) {
-            let owns = state.nodes[node].permit(own_ms(state.step, node), SHARD).is_some();
+            let owns = state.nodes[node]
+                .permit(own_ms(state.step, node), SHARD)
+                .is_some();
             if !state.woken[node - KEEPERS] {
                 to.push(Do::Wake(node));
             }
@@ -330,7 +401,9 @@
                     Self::arrive(&mut state, &word);
                 }
                 state.held.push(word);
-                state.held.sort_by(|a, b| (a.from, a.to, &a.bytes).cmp(&(b.from, b.to, &b.bytes)));
+                state
+                    .held
+                    .sort_by(|a, b| (a.from, a.to, &a.bytes).cmp(&(b.from, b.to, &b.bytes)));
             }
             Do::Release(at) => {
                 let word = state.held.remove(at);
@@ -350,7 +423,11 @@
             }
             Do::Give(node) => {
                 state.left[2] -= 1;
-                let to = if node == KEEPERS { KEEPERS + 1 } else { KEEPERS };
+                let to = if node == KEEPERS {
+                    KEEPERS + 1
+                } else {
+                    KEEPERS
+                };
                 Self::act(&mut state, node, Event::Give(SHARD, id(to)));
             }
             Do::Step => {
@@ -365,10 +442,13 @@
 
     fn properties(&self) -> Vec<Property<Self>> {
         vec![
-            Property::always("one owner at a time, under rising numbers", |_, state: &State| {
-                state.broken.is_none()
+            Property::always(
+                "one owner at a time, under rising numbers",
+                |_, state: &State| state.broken.is_none(),
+            ),
+            Property::sometimes("three own one after the other", |_, state: &State| {
+                state.owners >= 3
             }),
-            Property::sometimes("three own one after the other", |_, state: &State| state.owners >= 3),
         ]
     }
 }
@@ -399,10 +479,18 @@
         .finish_when(until)
         .spawn_bfs()
         .join();
-    let broken = checker.discovery("one owner at a time, under rising numbers").map(|path| {
-        let what = path.last_state().broken.unwrap_or_default();
-        (what, path.into_actions().iter().map(|action| format!("{action:?}")).collect())
-    });
+    let broken = checker
+        .discovery("one owner at a time, under rising numbers")
+        .map(|path| {
+            let what = path.last_state().broken.unwrap_or_default();
+            (
+                what,
+                path.into_actions()
+                    .iter()
+                    .map(|action| format!("{action:?}"))
+                    .collect(),
+            )
+        });
     Search {
         states: checker.unique_state_count(),
         depth: checker.max_depth(),
--- a/crates/testkit/src/node.rs
+++ b/crates/testkit/src/node.rs
@@ -65,7 +65,8 @@
 pub fn write_config(text: &str) -> PathBuf {
     static NEXT: std::sync::atomic::AtomicUsize = std::sync::atomic::AtomicUsize::new(0);
     let next = NEXT.fetch_add(1, std::sync::atomic::Ordering::Relaxed);
-    let path = std::env::temp_dir().join(format!("silverthread-{}-{next}.json", std::process::id()));
+    let path =
+        std::env::temp_dir().join(format!("silverthread-{}-{next}.json", std::process::id()));
     std::fs::write(&path, text).expect("a file");
     path
 }
@@ -79,22 +80,36 @@
 pub fn program_path() -> PathBuf {
     let own = std::env::current_exe().expect("a program");
     let name = format!("silverthread{}", std::env::consts::EXE_SUFFIX);
-    let found = own.ancestors().skip(1).take(2).map(|folder| folder.join(&name)).find(|path| path.is_file());
-    found.unwrap_or_else(|| panic!("there is no {name} beside {}: build it first", own.display()))
+    let found = own
+        .ancestors()
+        .skip(1)
+        .take(2)
+        .map(|folder| folder.join(&name))
+        .find(|path| path.is_file());
+    found.unwrap_or_else(|| {
+        panic!(
+            "there is no {name} beside {}: build it first",
+            own.display()
+        )
+    })
 }
 
 /// The program, with none of the variables that it reads.
 #[must_use]
 pub fn program() -> Command {
     let mut command = Command::new(program_path());
-    command.env_remove("ROUTER_CONFIG").env_remove("SILVERTHREAD_CONFIG");
+    command
+        .env_remove("ROUTER_CONFIG")
+        .env_remove("SILVERTHREAD_CONFIG");
     command
 }
 
 /// A shell that is to put the program in its place.
 fn by_shell(script: &str) -> Command {
     let mut shell = Command::new("/bin/sh");
-    shell.env_remove("ROUTER_CONFIG").env_remove("SILVERTHREAD_CONFIG");
+    shell
+        .env_remove("ROUTER_CONFIG")
+        .env_remove("SILVERTHREAD_CONFIG");
     shell.args(["-c", script]).arg(program_path());
     shell
 }
@@ -117,14 +132,20 @@
     pub fn start_on(config: &str, listener: &TcpListener) -> Self {
         let held = listener.try_clone().expect("a socket");
         let mut shell = by_shell("exec \"$0\" 3<&0 </dev/null");
-        shell.env("ROUTER_LISTEN_FD", "3").stdin(OwnedFd::from(held));
+        shell
+            .env("ROUTER_LISTEN_FD", "3")
+            .stdin(OwnedFd::from(held));
         Self::started(config, None, shell)
     }
 
     /// One that the system gives so many descriptors and no more, whatever its configuration says.
     #[must_use]
     pub fn start_limited(config: &str, descriptors: usize) -> Self {
-        Self::started(config, None, by_shell(&format!("ulimit -n {descriptors}; exec \"$0\"")))
+        Self::started(
+            config,
+            None,
+            by_shell(&format!("ulimit -n {descriptors}; exec \"$0\"")),
+        )
     }
 
     fn started(config: &str, operators: Option<&str>, mut command: Command) -> Self {
@@ -133,12 +154,19 @@
         if let Some(operators) = &operators {
             command.arg("--config").arg(operators);
         }
-        let mut child =
-            command.env("ROUTER_CONFIG", &config).stderr(Stdio::piped()).spawn().expect("it starts");
+        let mut child = command
+            .env("ROUTER_CONFIG", &config)
+            .stderr(Stdio::piped())
+            .spawn()
+            .expect("it starts");
         let mut input = BufReader::new(child.stderr.take().expect("piped"));
         let mut line = String::new();
         input.read_line(&mut line).expect("a log");
-        let address = line.trim_end().rsplit(' ').next().and_then(|a| a.parse().ok());
+        let address = line
+            .trim_end()
+            .rsplit(' ')
+            .next()
+            .and_then(|a| a.parse().ok());
         let address = address.unwrap_or_else(|| panic!("it did not say where it serves: {line}"));
         let log = Arc::<Mutex<Vec<(Instant, String)>>>::default();
         let lines = Arc::clone(&log);
@@ -148,15 +176,26 @@
                 lines.lock().expect("sound").push((Instant::now(), line));
             }
         });
-        let node = Self { child, address, config, operators, log };
-        until("/up answers 200", || node.ask("GET /up HTTP/1.1\r\nHost: a\r\n\r\n").status() == 200);
+        let node = Self {
+            child,
+            address,
+            config,
+            operators,
+            log,
+        };
+        until("/up answers 200", || {
+            node.ask("GET /up HTTP/1.1\r\nHost: a\r\n\r\n").status() == 200
+        });
         node
     }
 
     /// The lines of its log so far, but for the first.
     #[must_use]
     pub fn log(&self) -> Vec<String> {
-        self.log_with_times().into_iter().map(|(_, line)| line).collect()
+        self.log_with_times()
+            .into_iter()
+            .map(|(_, line)| line)
+            .collect()
     }
 
     /// The same, with when each line was read.
@@ -171,7 +210,10 @@
         let mut address = None;
         until("it says where operators call", || {
             let log = self.log();
-            let at = log.iter().find_map(|line| line.rsplit_once("operators call at ")).map(|(_, at)| at);
+            let at = log
+                .iter()
+                .find_map(|line| line.rsplit_once("operators call at "))
+                .map(|(_, at)| at);
             address = at.and_then(|at| at.parse().ok());
             address.is_some()
         });
@@ -183,9 +225,13 @@
     pub fn call(&self, line: &str) -> String {
         let mut stream = TcpStream::connect(self.control()).expect("it listens");
         stream.set_read_timeout(Some(PATIENCE)).expect("a socket");
-        stream.write_all(line.as_bytes()).expect("an open connection");
+        stream
+            .write_all(line.as_bytes())
+            .expect("an open connection");
         let mut answer = String::new();
-        stream.read_to_string(&mut answer).expect("an answer and its end");
+        stream
+            .read_to_string(&mut answer)
+            .expect("an answer and its end");
         answer
     }
 
@@ -193,8 +239,12 @@
     #[must_use]
     pub fn figure(&self, name: &str) -> u64 {
         let text = self.call("STATS\n");
-        let line = text.lines().find_map(|line| line.strip_prefix(&format!("edge_router.{name}:")));
-        let value = line.and_then(|line| line.split_once('|')).and_then(|(value, _)| value.parse().ok());
+        let line = text
+            .lines()
+            .find_map(|line| line.strip_prefix(&format!("edge_router.{name}:")));
+        let value = line
+            .and_then(|line| line.split_once('|'))
+            .and_then(|(value, _)| value.parse().ok());
         value.unwrap_or_else(|| panic!("no figure {name} in {text}"))
     }
 
@@ -213,8 +263,11 @@
     #[must_use]
     pub fn with(servers: &[&Server], deadline_ms: u64) -> (Self, Discovery, Watch) {
         let discovery = Discovery::start();
-        let entries: Vec<_> =
-            servers.iter().enumerate().map(|(i, s)| s.entry(&format!("s-{i}"), "ready")).collect();
+        let entries: Vec<_> = servers
+            .iter()
+            .enumerate()
+            .map(|(i, s)| s.entry(&format!("s-{i}"), "ready"))
+            .collect();
         let known = list(1, true, &entries);
         let at_paths: String = servers
             .iter()
@@ -222,11 +275,16 @@
             .filter_map(|(i, server)| {
                 let path = server.path.as_ref()?;
                 let addresses = format!("addresses = [{{address = \"{path}\"}}]");
-                Some(format!("[[server]]\nid = \"s-{i}\"\nonly = true\n{addresses}\n"))
+                Some(format!(
+                    "[[server]]\nid = \"s-{i}\"\nonly = true\n{addresses}\n"
+                ))
             })
             .collect();
         let operators = Some(at_paths.as_str()).filter(|text| !text.is_empty());
-        let node = Self::start_with(&config(discovery.address, &known, &settings(deadline_ms)), operators);
+        let node = Self::start_with(
+            &config(discovery.address, &known, &settings(deadline_ms)),
+            operators,
+        );
         let watch = discovery.watch();
         (node, discovery, watch)
     }
@@ -272,7 +330,10 @@
 
     /// Replaces its operators' file and tells it so.
     pub fn reload_operators(&self, operators: &str) {
-        replace(self.operators.as_deref().expect("it was started with one"), operators);
+        replace(
+            self.operators.as_deref().expect("it was started with one"),
+            operators,
+        );
         self.signal(Signal::HUP);
     }
 
@@ -320,7 +381,9 @@
         let stream = TcpStream::connect(node).ok()?;
         stream.set_read_timeout(Some(PATIENCE)).ok()?;
         stream.set_nodelay(true).ok()?;
-        Some(Self { input: BufReader::new(stream) })
+        Some(Self {
+            input: BufReader::new(stream),
+        })
     }
 
     /// Sends text as it is; `false`: the connection has ended.
@@ -331,12 +394,18 @@
 
     /// Sends text as it is.
     pub fn send(&mut self, text: &str) {
-        self.input.get_mut().write_all(text.as_bytes()).expect("an open connection");
+        self.input
+            .get_mut()
+            .write_all(text.as_bytes())
+            .expect("an open connection");
     }
 
     /// Ends its sending, and could still read.
     pub fn end_sending(&self) {
-        self.input.get_ref().shutdown(std::net::Shutdown::Write).expect("an open connection");
+        self.input
+            .get_ref()
+            .shutdown(std::net::Shutdown::Write)
+            .expect("an open connection");
     }
 
     /// The next answer; `None` is an end before its last byte.
@@ -352,9 +421,14 @@
     /// Whether the connection is open and nothing comes on it for a moment.
     pub fn is_silent(&mut self) -> bool {
         let stream = self.input.get_ref();
-        stream.set_read_timeout(Some(Duration::from_millis(50))).expect("a socket");
+        stream
+            .set_read_timeout(Some(Duration::from_millis(50)))
+            .expect("a socket");
         let came = self.input.read(&mut [0; 1]);
-        self.input.get_ref().set_read_timeout(Some(PATIENCE)).expect("a socket");
+        self.input
+            .get_ref()
+            .set_read_timeout(Some(PATIENCE))
+            .expect("a socket");
         came.is_err_and(|error| error.kind() == std::io::ErrorKind::WouldBlock)
     }
 
--- a/crates/testkit/src/nodes/judge.rs
+++ b/crates/testkit/src/nodes/judge.rs
@@ -1,8 +1,8 @@
 //! Trials under drawn troubles, and a judge that knows the script and what the nodes said, and nothing of how they decide.
 use std::collections::{BTreeMap, BTreeSet};
 
-use simulation::{draw, Bounds, NodeId, Script, Trouble};
 use gossip::{Planted, State};
+use simulation::{draw, Bounds, NodeId, Script, Trouble};
 
 use super::{Fleet, Said};
 
@@ -44,8 +44,13 @@
     /// Whether a node may be gone to another at a time, until so long after the trouble's end.
     #[must_use]
     pub fn cover(&self, by: NodeId, node: NodeId, at: f64, after_ms: f64) -> bool {
-        let within = |spans: &Spans| spans.iter().any(|(from, until)| *from <= at && at <= until + after_ms);
-        let stood_still = || within(&self.pauses[node]) || within(&self.pauses[by]) || within(&self.crowd);
+        let within = |spans: &Spans| {
+            spans
+                .iter()
+                .any(|(from, until)| *from <= at && at <= until + after_ms)
+        };
+        let stood_still =
+            || within(&self.pauses[node]) || within(&self.pauses[by]) || within(&self.crowd);
         let mixed = || stood_still() || self.sides.iter().any(within);
         within(&self.nodes[node]) || within(&self.sides[by]) || (within(&self.slow) && mixed())
     }
@@ -75,8 +80,13 @@
 fn pauses(script: &Script, nodes: usize) -> Vec<Spans> {
     let mut pauses: Vec<Spans> = vec![Vec::new(); nodes];
     for (at, trouble) in &script.0 {
-        let Trouble::Pause { node, ms } = trouble else { continue };
-        match pauses[*node].last_mut().filter(|(_, until)| *at <= until + ONE_PAUSE_MS) {
+        let Trouble::Pause { node, ms } = trouble else {
+            continue;
+        };
+        match pauses[*node]
+            .last_mut()
+            .filter(|(_, until)| *at <= until + ONE_PAUSE_MS)
+        {
             Some((_, until)) => *until = until.max(at + ms),
             None => pauses[*node].push((*at, at + ms)),
         }
@@ -88,12 +98,20 @@
 #[must_use]
 pub fn excuses(script: &Script, nodes: usize) -> Excuses {
     let pauses = pauses(script, nodes);
-    let long = |node: NodeId| pauses[node].iter().filter(|(from, until)| until - from >= SUSPECT_MS);
+    let long = |node: NodeId| {
+        pauses[node]
+            .iter()
+            .filter(|(from, until)| until - from >= SUSPECT_MS)
+    };
     let mut down = vec![Lasting::default(); nodes];
     let mut apart = vec![Lasting::default(); nodes];
     let (mut slow, mut crowd) = (Lasting::default(), Lasting::default());
     let mut cut = BTreeSet::new();
-    let mut times: Vec<_> = script.0.iter().map(|(at, trouble)| (*at, Some(trouble))).collect();
+    let mut times: Vec<_> = script
+        .0
+        .iter()
+        .map(|(at, trouble)| (*at, Some(trouble)))
+        .collect();
     times.extend(pauses.iter().flatten().map(|(_, until)| (*until, None)));
     times.sort_by(|(a, _), (b, _)| a.total_cmp(b));
     for (at, trouble) in times {
@@ -120,26 +138,42 @@
             down[node].since.is_some() || long(node).any(|(from, until)| *from <= at && at < *until)
         };
         let still: Vec<_> = (0..nodes).map(is_still).collect();
-        crowd.set(at, 4 * still.iter().filter(|still| **still).count() >= nodes);
+        crowd.set(
+            at,
+            4 * still.iter().filter(|still| **still).count() >= nodes,
+        );
         for (node, apart) in apart.iter_mut().enumerate() {
             let others = || (0..nodes).filter(|other| *other != node);
             let unheard = |other: &NodeId| cut.contains(&(node, *other));
             let deaf = |other: &NodeId| cut.contains(&(*other, node));
             let worse = |still: &dyn Fn(&NodeId) -> bool| {
-                let ways = |cut: &dyn Fn(&NodeId) -> bool| others().filter(|at| cut(at) || still(at)).count();
+                let ways = |cut: &dyn Fn(&NodeId) -> bool| {
+                    others().filter(|at| cut(at) || still(at)).count()
+                };
                 ways(&unheard).max(ways(&deaf))
             };
-            let is_apart = 3 * worse(&|_| false) >= nodes - 1 || 2 * worse(&|at| still[*at]) >= nodes - 1;
+            let is_apart =
+                3 * worse(&|_| false) >= nodes - 1 || 2 * worse(&|at| still[*at]) >= nodes - 1;
             apart.set(at, is_apart);
         }
     }
     let own = |node: NodeId| {
-        let spans = down[node].spans.iter().chain(&apart[node].spans).chain(long(node));
+        let spans = down[node]
+            .spans
+            .iter()
+            .chain(&apart[node].spans)
+            .chain(long(node));
         spans.copied().collect()
     };
     let nodes = (0..nodes).map(own).collect();
     let sides = apart.into_iter().map(|apart| apart.spans).collect();
-    Excuses { nodes, sides, pauses, crowd: crowd.spans, slow: slow.spans }
+    Excuses {
+        nodes,
+        sides,
+        pauses,
+        crowd: crowd.spans,
+        slow: slow.spans,
+    }
 }
 
 /// Whether somebody took a node back that was gone, in no later incarnation.
@@ -154,7 +188,9 @@
             }
             State::Alive
                 if change.from.is_some()
-                    && gone.get(&key).is_some_and(|held| change.incarnation <= *held) =>
+                    && gone
+                        .get(&key)
+                        .is_some_and(|held| change.incarnation <= *held) =>
             {
                 let (name, incarnation) = (change.name, change.incarnation);
                 return Some(format!(
@@ -204,10 +240,14 @@
     let excuses = excuses(&script, bounds.nodes);
     let gone = fleet.gone_since(start);
     for (by, at, name) in &gone {
-        let Some(node) = fleet.names.iter().position(|held| held == name) else { continue };
+        let Some(node) = fleet.names.iter().position(|held| held == name) else {
+            continue;
+        };
         let at = at - start;
         if !excuses.cover(*by, node, at, AFTER_MS) {
-            return Err(told(format!("{name} was gone to n{by} at {at:.0} for nothing")));
+            return Err(told(format!(
+                "{name} was gone to n{by} at {at:.0} for nothing"
+            )));
         }
     }
     if let Some(what) = returned_as_it_was(&fleet) {
@@ -216,7 +256,10 @@
     if fleet.world.totals().longest > gossip::MOST_DATAGRAM {
         return Err(told("a datagram is too long".into()));
     }
-    Ok(Trial { agreed_ms, gone: gone.len() })
+    Ok(Trial {
+        agreed_ms,
+        gone: gone.len(),
+    })
 }
 
 /// The troubles of a seed.
--- a/crates/testkit/src/nodes/mod.rs
+++ b/crates/testkit/src/nodes/mod.rs
@@ -3,8 +3,8 @@
 pub mod judge;
 use std::collections::BTreeMap;
 
-use simulation::{Clock, Link, NodeId, Outbox, Process, Script, Trouble, World};
 use gossip::{Action, Change, Event, Gossip, Health, Note, Planted, Seal, Settings, State};
+use simulation::{Clock, Link, NodeId, Outbox, Process, Script, Trouble, World};
 
 /// What a node said, and when by the world's time.
 #[derive(Clone, Debug)]
@@ -54,7 +54,11 @@
 impl Process for Node {
     fn wake(&mut self, own_ms: f64, out: &mut Outbox) {
         let peers = self.peers.clone();
-        let event = if std::mem::take(&mut self.is_new) { Event::Peers(peers) } else { Event::Due };
+        let event = if std::mem::take(&mut self.is_new) {
+            Event::Peers(peers)
+        } else {
+            Event::Due
+        };
         self.act(own_ms, event, out);
     }
 
@@ -131,17 +135,32 @@
         let mut rng = fastrand::Rng::with_seed(self.seed ^ (self.lives << 20));
         self.world.set_clock(node, self.clocks[node]);
         let process = rng.u64(1..);
-        let mut settings = Settings::new(&self.names[node], process, born, self.seals[node].clone());
+        let mut settings =
+            Settings::new(&self.names[node], process, born, self.seals[node].clone());
         settings.planted = self.planted;
         let gossip = Gossip::new(self.world.own_ms(node), settings);
         let peers = (0..self.names.len()).collect();
         let clock = self.clocks[node];
-        self.world.start(node, Node { gossip, said: Vec::new(), clock, peers, is_new: true });
+        self.world.start(
+            node,
+            Node {
+                gossip,
+                said: Vec::new(),
+                clock,
+                peers,
+                is_new: true,
+            },
+        );
     }
 
     fn end(&mut self, node: NodeId) {
         if let Some(process) = self.world.process(node) {
-            self.past.extend(process.said.iter().map(|(at, said)| (node, *at, said.clone())));
+            self.past.extend(
+                process
+                    .said
+                    .iter()
+                    .map(|(at, said)| (node, *at, said.clone())),
+            );
         }
     }
 
@@ -199,13 +218,19 @@
     #[must_use]
     pub fn view(&self, of: NodeId) -> BTreeMap<String, (State, u64)> {
         let process = self.world.process(of).expect("it runs");
-        process.gossip.members().map(|member| (member.name, (member.state, member.incarnation))).collect()
+        process
+            .gossip
+            .members()
+            .map(|member| (member.name, (member.state, member.incarnation)))
+            .collect()
     }
 
     /// What a node believes of another.
     #[must_use]
     pub fn state(&self, of: NodeId, node: NodeId) -> Option<State> {
-        self.view(of).get(&self.names[node]).map(|(state, _)| *state)
+        self.view(of)
+            .get(&self.names[node])
+            .map(|(state, _)| *state)
     }
 
     /// How well a node hears.
@@ -217,20 +242,29 @@
     /// Whether all that run agree that all that run are there and the rest are not; else who errs on whom.
     #[must_use]
     pub fn disagreement(&self) -> Option<String> {
-        let up: Vec<_> = (0..self.names.len()).filter(|node| self.world.is_up(*node)).collect();
+        let up: Vec<_> = (0..self.names.len())
+            .filter(|node| self.world.is_up(*node))
+            .collect();
         let views: BTreeMap<_, _> = up.iter().map(|node| (*node, self.view(*node))).collect();
         for (of, view) in &views {
             for node in 0..self.names.len() {
                 let held = view.get(&self.names[node]);
-                let own = views.get(&node).and_then(|own| own.get(&self.names[node])).map(|(_, at)| *at);
+                let own = views
+                    .get(&node)
+                    .and_then(|own| own.get(&self.names[node]))
+                    .map(|(_, at)| *at);
                 let is_right = match (own, held) {
                     (Some(own), Some((state, at))) => *state == State::Alive && *at == own,
                     (Some(_), None) => false,
-                    (None, held) => held.is_none_or(|(state, _)| matches!(state, State::Gone | State::Left)),
+                    (None, held) => {
+                        held.is_none_or(|(state, _)| matches!(state, State::Gone | State::Left))
+                    }
                 };
                 if !is_right {
                     let (of, node) = (&self.names[*of], &self.names[node]);
-                    return Some(format!("{of} holds {node} for {held:?}, its own incarnation is {own:?}"));
+                    return Some(format!(
+                        "{of} holds {node} for {held:?}, its own incarnation is {own:?}"
+                    ));
                 }
             }
         }
@@ -242,8 +276,14 @@
         let start = self.world.now_ms();
         loop {
             let passed = self.world.now_ms() - start;
-            let Some(error) = self.disagreement() else { return passed };
-            assert!(passed < ms, "seed {}: no agreement after {passed} ms: {error}", self.seed);
+            let Some(error) = self.disagreement() else {
+                return passed;
+            };
+            assert!(
+                passed < ms,
+                "seed {}: no agreement after {passed} ms: {error}",
+                self.seed
+            );
             self.run(50.0);
         }
     }
@@ -252,8 +292,12 @@
     #[must_use]
     pub fn said(&self) -> Vec<(NodeId, f64, Said)> {
         let now = (0..self.names.len()).filter_map(|node| Some((node, self.world.process(node)?)));
-        let now = now
-            .flat_map(|(node, process)| process.said.iter().map(move |(at, said)| (node, *at, said.clone())));
+        let now = now.flat_map(|(node, process)| {
+            process
+                .said
+                .iter()
+                .map(move |(at, said)| (node, *at, said.clone()))
+        });
         let mut all: Vec<_> = self.past.iter().cloned().chain(now).collect();
         all.sort_by(|(_, a, _), (_, b, _)| a.total_cmp(b));
         all
@@ -263,7 +307,9 @@
     #[must_use]
     pub fn gone_since(&self, since_ms: f64) -> Vec<(NodeId, f64, String)> {
         let gone = |(by, at, said): (NodeId, f64, Said)| match said {
-            Said::Change(change) if change.to == State::Gone && at >= since_ms => Some((by, at, change.name)),
+            Said::Change(change) if change.to == State::Gone && at >= since_ms => {
+                Some((by, at, change.name))
+            }
             _ => None,
         };
         self.said().into_iter().filter_map(gone).collect()
@@ -276,6 +322,12 @@
             Said::Note(note) => Some(note.clone()),
             _ => None,
         };
-        self.world.process(of).expect("it runs").said.iter().filter_map(notes).collect()
+        self.world
+            .process(of)
+            .expect("it runs")
+            .said
+            .iter()
+            .filter_map(notes)
+            .collect()
     }
 }
--- a/crates/testkit/src/owners.rs
+++ b/crates/testkit/src/owners.rs
@@ -4,10 +4,11 @@
 use std::collections::BTreeMap;
 use std::rc::Rc;
 
-use simulation::{draw, Bounds, Clock, Outbox, Process, Trouble, World};
 use lease::{
-    Action, Change, ChangeError, Event, Fence, Leases, NodeId, Note, Planted, Settings, Shard, Standing,
+    Action, Change, ChangeError, Event, Fence, Leases, NodeId, Note, Planted, Settings, Shard,
+    Standing,
 };
+use simulation::{draw, Bounds, Clock, Outbox, Process, Trouble, World};
 
 /// How many shards there are.
 pub const SHARDS: Shard = 4;
@@ -39,7 +40,8 @@
             return;
         }
         if fence == highest && by != process {
-            self.wrong.push(format!("shard {shard}: two processes act as {fence}"));
+            self.wrong
+                .push(format!("shard {shard}: two processes act as {fence}"));
         }
         self.taken += 1;
         self.highest.insert(shard, (fence, process));
@@ -91,7 +93,11 @@
     /// The next set, after this one.
     #[must_use]
     pub fn next(&self, keepers: &[usize]) -> Self {
-        Self { set: self.set + 1, keepers: keepers.to_vec(), before: self.keepers.clone() }
+        Self {
+            set: self.set + 1,
+            keepers: keepers.to_vec(),
+            before: self.keepers.clone(),
+        }
     }
 }
 
@@ -100,7 +106,9 @@
 }
 
 fn sum(bytes: &[u8]) -> u64 {
-    bytes.iter().fold(7, |all: u64, byte| (all ^ u64::from(*byte)).wrapping_mul(0x0100_0000_01b3))
+    bytes.iter().fold(7, |all: u64, byte| {
+        (all ^ u64::from(*byte)).wrapping_mul(0x0100_0000_01b3)
+    })
 }
 
 impl Node {
@@ -143,7 +151,9 @@
                     log.effects += 1;
                     let before = log.heard.insert((self.process, shard), fence);
                     if before.is_some_and(|before| before > fence) {
-                        log.register.wrong.push(format!("shard {shard}: {fence} is taken after a later one"));
+                        log.register
+                            .wrong
+                            .push(format!("shard {shard}: {fence} is taken after a later one"));
                     }
                 }
             }
@@ -176,20 +186,34 @@
 impl Process for Node {
     fn wake(&mut self, own_ms: f64, out: &mut Outbox) {
         match self.candidates.take() {
-            Some(candidates) => self.act(own_ms, Event::Candidates(&candidates, Standing::Well), out),
+            Some(candidates) => {
+                self.act(own_ms, Event::Candidates(&candidates, Standing::Well), out)
+            }
             None => self.act(own_ms, Event::Due, out),
         }
     }
 
     fn receive(&mut self, own_ms: f64, from: usize, bytes: &[u8], out: &mut Outbox) {
-        let Some((said, seal)) = bytes.split_last_chunk::<8>() else { return };
-        let Some((process, word)) = said.split_first_chunk::<8>() else { return };
+        let Some((said, seal)) = bytes.split_last_chunk::<8>() else {
+            return;
+        };
+        let Some((process, word)) = said.split_first_chunk::<8>() else {
+            return;
+        };
         if sum(said).to_le_bytes() != *seal {
             return; // What the seal of a datagram finds.
         }
         let process = u64::from_le_bytes(*process);
         let from = self.ids[from];
-        self.act(own_ms, Event::Word { from, process, bytes: word }, out);
+        self.act(
+            own_ms,
+            Event::Word {
+                from,
+                process,
+                bytes: word,
+            },
+            out,
+        );
     }
 }
 
@@ -232,7 +256,14 @@
             world: World::new(seed, nodes),
             seed,
             shards: SHARDS,
-            files: vec![File { set: 1, keepers: (0..keepers).collect(), before: Vec::new() }; nodes],
+            files: vec![
+                File {
+                    set: 1,
+                    keepers: (0..keepers).collect(),
+                    before: Vec::new()
+                };
+                nodes
+            ],
             with_disks: false,
             disks: (0..nodes).map(|_| Rc::default()).collect(),
             wall_back_ms: 0,
@@ -278,7 +309,11 @@
         self.world.set_clock(node, self.clocks[node]);
         let all: Vec<_> = (0..self.clocks.len()).map(id).collect();
         let process = rng.u64(1..);
-        let File { set, keepers, before } = &self.files[node];
+        let File {
+            set,
+            keepers,
+            before,
+        } = &self.files[node];
         let unix_ms = (self.world.now_ms() as u64 + 1_000).saturating_sub(self.wall_back_ms);
         let disk = Rc::clone(&self.disks[node]);
         let settings = Settings {
@@ -295,7 +330,20 @@
         let candidates = Some(all.clone());
         let (clock, log) = (self.clocks[node], Rc::clone(&self.log));
         let shards = self.shards;
-        self.world.start(node, Node { shards, leases, process, clock, log, ids: all, candidates, disk, rng });
+        self.world.start(
+            node,
+            Node {
+                shards,
+                leases,
+                process,
+                clock,
+                log,
+                ids: all,
+                candidates,
+                disk,
+                rng,
+            },
+        );
     }
 
     /// A node reads its file again, if it is up.
@@ -304,7 +352,11 @@
     ///
     /// It goes on with the keepers that it has.
     pub fn reload(&mut self, node: usize) -> Result<bool, ChangeError> {
-        let File { set, keepers, before } = self.files[node].clone();
+        let File {
+            set,
+            keepers,
+            before,
+        } = self.files[node].clone();
         let mut said = Ok(false);
         self.world.with(node, |node, now, _| {
             said = node.leases.change(now, set, &ids(&keepers), &ids(&before));
@@ -321,14 +373,24 @@
     /// Effects of owners that were dropped as a later owner's was heard.
     #[must_use]
     pub fn stale(&self) -> u64 {
-        let stale = |node| self.world.process(node).map_or(0, |node| node.leases.figures().stale);
+        let stale = |node| {
+            self.world
+                .process(node)
+                .map_or(0, |node| node.leases.figures().stale)
+        };
         (0..self.clocks.len()).map(stale).sum()
     }
 
     /// The highest fence under which a shard was won.
     #[must_use]
     pub fn highest(&self) -> Fence {
-        self.log.borrow().won.iter().map(|(_, fence, _)| *fence).max().unwrap_or_default()
+        self.log
+            .borrow()
+            .won
+            .iter()
+            .map(|(_, fence, _)| *fence)
+            .max()
+            .unwrap_or_default()
     }
 
     /// Effects of owners that others were told of and took.
@@ -345,7 +407,12 @@
     fn owners(&self, shard: Shard) -> Vec<usize> {
         let owns = |node: &usize| {
             let process = self.world.process(*node);
-            process.is_some_and(|process| process.leases.permit(self.world.own_ms(*node), shard).is_some())
+            process.is_some_and(|process| {
+                process
+                    .leases
+                    .permit(self.world.own_ms(*node), shard)
+                    .is_some()
+            })
         };
         (0..self.clocks.len()).filter(owns).collect()
     }
@@ -360,17 +427,23 @@
             for shard in 0..self.shards {
                 let owners = self.owners(shard);
                 if owners.len() > 1 {
-                    self.overlaps.push(format!("seed {}: shard {shard} at {now:.0}: {owners:?}", self.seed));
+                    self.overlaps.push(format!(
+                        "seed {}: shard {shard} at {now:.0}: {owners:?}",
+                        self.seed
+                    ));
                 }
                 let at = usize::from(shard);
                 self.owner[at] = owners.first().copied();
                 self.without_ms += if owners.is_empty() { now - before } else { 0.0 };
             }
             let mut log = self.log.borrow_mut();
-            let (due, late) = std::mem::take(&mut log.late).into_iter().partition(|(at, ..)| *at <= now);
+            let (due, late) = std::mem::take(&mut log.late)
+                .into_iter()
+                .partition(|(at, ..)| *at <= now);
             log.late = late;
             let due: Vec<_> = due;
-            due.into_iter().for_each(|(_, shard, fence, process)| log.register.act(shard, fence, process));
+            due.into_iter()
+                .for_each(|(_, shard, fence, process)| log.register.act(shard, fence, process));
         }
     }
 
@@ -384,7 +457,10 @@
         while self.owner.iter().any(Option::is_none) {
             self.run(10.0);
             if self.world.now_ms() - start > ms {
-                return Err(format!("seed {}: owners {:?} after {ms} ms", self.seed, self.owner));
+                return Err(format!(
+                    "seed {}: owners {:?} after {ms} ms",
+                    self.seed, self.owner
+                ));
             }
         }
         Ok(self.world.now_ms() - start)
@@ -405,8 +481,14 @@
         }
         let mut highest = BTreeMap::new();
         for (shard, fence, process) in &log.won {
-            if highest.insert(*shard, *fence).is_some_and(|before| before >= *fence) {
-                return Err(format!("seed {}: shard {shard} won as {fence} by {process} again", self.seed));
+            if highest
+                .insert(*shard, *fence)
+                .is_some_and(|before| before >= *fence)
+            {
+                return Err(format!(
+                    "seed {}: shard {shard} won as {fence} by {process} again",
+                    self.seed
+                ));
             }
         }
         self.checked = log.won.len();
@@ -428,7 +510,11 @@
 pub fn bounds(seed: u64) -> Bounds {
     Bounds {
         // One in sixteen is large.
-        nodes: if seed % 16 == 7 { 15 + seed as usize / 16 % 16 } else { 5 + seed as usize % 4 },
+        nodes: if seed % 16 == 7 {
+            15 + seed as usize / 16 % 16
+        } else {
+            5 + seed as usize % 4
+        },
         from_ms: 0.0,
         until_ms: 40_000.0,
         troubles: 3 + seed as usize % 9,
@@ -460,7 +546,11 @@
     let start = fleet.world.now_ms();
     let mut rng = fastrand::Rng::with_seed(!seed);
     // In one of three the keepers are replaced in the midst, node after node in any order.
-    let mut turns: Vec<usize> = if seed % 3 == 2 { (0..bounds.nodes).collect() } else { Vec::new() };
+    let mut turns: Vec<usize> = if seed % 3 == 2 {
+        (0..bounds.nodes).collect()
+    } else {
+        Vec::new()
+    };
     rng.shuffle(&mut turns);
     let next = fleet.files[0].next(&another(&mut rng, &fleet.files[0].keepers, bounds.nodes));
     for (at, trouble) in &draw(seed, bounds).0 {
@@ -469,7 +559,9 @@
         for _ in 0..rng.usize(..3) {
             let Some(node) = turns.pop() else { break };
             fleet.files[node] = next.clone();
-            fleet.reload(node).map_err(|error| format!("seed {seed}: n{node}: {error}"))?;
+            fleet
+                .reload(node)
+                .map_err(|error| format!("seed {seed}: n{node}: {error}"))?;
         }
     }
     // Those that stand still yet come back.
@@ -477,7 +569,9 @@
     if seed % 3 == 2 {
         for node in 0..bounds.nodes {
             fleet.files[node] = next.clone();
-            fleet.reload(node).map_err(|error| format!("seed {seed}: n{node}: {error}"))?;
+            fleet
+                .reload(node)
+                .map_err(|error| format!("seed {seed}: n{node}: {error}"))?;
         }
         fleet.run(LEASE);
     }
--- a/crates/testkit/src/register.rs
+++ b/crates/testkit/src/register.rs
@@ -56,7 +56,10 @@
 
     /// A node's lines are on their way for so long from now on.
     pub fn delay(&self, node: &str, time: Duration) {
-        self.late.lock().unwrap_or_else(PoisonError::into_inner).insert(node.into(), time);
+        self.late
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner)
+            .insert(node.into(), time);
     }
 
     /// Lines that came under an old number and were refused.
@@ -68,7 +71,10 @@
     /// What has come, in the order in which it came.
     #[must_use]
     pub fn log(&self) -> Vec<Effect> {
-        self.log.lock().unwrap_or_else(PoisonError::into_inner).clone()
+        self.log
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner)
+            .clone()
     }
 
     /// Who acted last.
@@ -84,8 +90,8 @@
         let taken: Vec<_> = log.iter().filter(|effect| effect.taken).collect();
         taken.windows(2).find_map(|pair| {
             let [before, after] = pair else { return None };
-            let is_wrong =
-                after.fence < before.fence || (after.fence == before.fence && after.node != before.node);
+            let is_wrong = after.fence < before.fence
+                || (after.fence == before.fence && after.node != before.node);
             is_wrong.then(|| format!("{after:?} after {before:?}"))
         })
     }
@@ -98,7 +104,9 @@
 ) -> Option<()> {
     stream.set_read_timeout(Some(PATIENCE)).ok()?;
     let mut line = String::new();
-    BufReader::new(stream.try_clone().ok()?).read_line(&mut line).ok()?;
+    BufReader::new(stream.try_clone().ok()?)
+        .read_line(&mut line)
+        .ok()?;
     let mut words = line.strip_suffix('\n')?.split(' ');
     let (Some("APPEND"), Some(fence), Some(number), Some(node)) =
         (words.next(), words.next(), words.next(), words.next())
@@ -106,14 +114,33 @@
         return None;
     };
     let (fence, number) = (fence.parse().ok()?, number.parse().ok()?);
-    let on_its_way = late.lock().unwrap_or_else(PoisonError::into_inner).get(node).copied();
+    let on_its_way = late
+        .lock()
+        .unwrap_or_else(PoisonError::into_inner)
+        .get(node)
+        .copied();
     thread::sleep(on_its_way.unwrap_or_default());
     let mut log = log.lock().unwrap_or_else(PoisonError::into_inner);
-    let highest = log.iter().filter(|effect| effect.taken).map(|effect| effect.fence).max().unwrap_or(0);
+    let highest = log
+        .iter()
+        .filter(|effect| effect.taken)
+        .map(|effect| effect.fence)
+        .max()
+        .unwrap_or(0);
     let taken = fence >= highest;
-    log.push(Effect { at: Instant::now(), fence, number, node: node.into(), taken });
+    log.push(Effect {
+        at: Instant::now(),
+        fence,
+        number,
+        node: node.into(),
+        taken,
+    });
     drop(log);
-    let answer = if taken { "OK\n".to_owned() } else { format!("LOW {highest}\n") };
+    let answer = if taken {
+        "OK\n".to_owned()
+    } else {
+        format!("LOW {highest}\n")
+    };
     stream.write_all(answer.as_bytes()).ok()
 }
 
@@ -133,8 +160,14 @@
             stream.read_to_string(&mut answer).expect("an answer");
             answer
         };
-        let answers =
-            ["APPEND 5 1 a\n", "APPEND 4 1 b\n", "APPEND 6 1 b\n", "APPEND 7 1", "APPEND 6 2 b\n"].map(say);
+        let answers = [
+            "APPEND 5 1 a\n",
+            "APPEND 4 1 b\n",
+            "APPEND 6 1 b\n",
+            "APPEND 7 1",
+            "APPEND 6 2 b\n",
+        ]
+        .map(say);
         assert_eq!(answers, ["OK\n", "LOW 5\n", "OK\n", "", "OK\n"]);
         assert_eq!((register.wrong(), register.log().len()), (None, 4));
         assert_eq!(say("APPEND 6 1 c\n"), "OK\n", "it goes by the number alone");
--- a/crates/testkit/src/relay.rs
+++ b/crates/testkit/src/relay.rs
@@ -65,14 +65,24 @@
                 sockets.insert((at, other), socket);
             }
         }
-        let state = Arc::new(Mutex::new(State { ordinary: good(), ..State::default() }));
+        let state = Arc::new(Mutex::new(State {
+            ordinary: good(),
+            ..State::default()
+        }));
         let (stop, stopped) = oneshot::channel();
         let of_thread = Arc::clone(&state);
         let thread = std::thread::spawn(move || {
-            let runtime =
-                tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime");
+            let runtime = tokio::runtime::Builder::new_current_thread()
+                .enable_all()
+                .build()
+                .expect("a runtime");
             runtime.block_on(async move {
-                let adopt = |(key, socket)| (key, Arc::new(UdpSocket::from_std(socket).expect("a socket")));
+                let adopt = |(key, socket)| {
+                    (
+                        key,
+                        Arc::new(UdpSocket::from_std(socket).expect("a socket")),
+                    )
+                };
                 let sockets: BTreeMap<_, _> = sockets.into_iter().map(adopt).collect();
                 for ((at, other), socket) in &sockets {
                     // What `at` sends to `other` leaves where `other` has `at` among its peers.
@@ -84,7 +94,12 @@
                 let _ = stopped.await;
             });
         });
-        Self { peers, state, stop: Some(stop), thread: Some(thread) }
+        Self {
+            peers,
+            state,
+            stop: Some(stop),
+            thread: Some(thread),
+        }
     }
 
     fn state(&self) -> MutexGuard<'_, State> {
@@ -102,8 +117,12 @@
         let mut state = self.state();
         let ordinary = state.ordinary.clone();
         match trouble {
-            Trouble::Cut { from, to } => state.links.entry((*from, *to)).or_insert(ordinary).cut = true,
-            Trouble::Mend { from, to } => state.links.entry((*from, *to)).or_insert(ordinary).cut = false,
+            Trouble::Cut { from, to } => {
+                state.links.entry((*from, *to)).or_insert(ordinary).cut = true
+            }
+            Trouble::Mend { from, to } => {
+                state.links.entry((*from, *to)).or_insert(ordinary).cut = false
+            }
             Trouble::Link { from, to, link } => {
                 state.links.insert((*from, *to), link.clone());
             }
@@ -122,7 +141,11 @@
 
 /// The machine's own delay does.
 fn good() -> Link {
-    Link { delay_ms: 0.0, jitter_ms: 0.0, ..Link::default() }
+    Link {
+        delay_ms: 0.0,
+        jitter_ms: 0.0,
+        ..Link::default()
+    }
 }
 
 impl Drop for Relays {
@@ -146,7 +169,9 @@
     let mut buffer = vec![0; BUFFER];
     loop {
         // An error is the other end's that is not there.
-        let Ok((length, _)) = socket.recv_from(&mut buffer).await else { continue };
+        let Ok((length, _)) = socket.recv_from(&mut buffer).await else {
+            continue;
+        };
         let link = {
             let mut state = state.lock().expect("sound");
             state.passed.datagrams += 1;
--- a/crates/testkit/src/server.rs
+++ b/crates/testkit/src/server.rs
@@ -73,7 +73,12 @@
         reply: impl Fn(&Message) -> Reply + Send + Sync + 'static,
     ) -> (Self, Endpoint) {
         let nowhere = SocketAddr::from(([127, 0, 0, 1], 1));
-        let mut server = Self { address: nowhere, path: None, seen: Arc::default(), reply: Arc::new(reply) };
+        let mut server = Self {
+            address: nowhere,
+            path: None,
+            seen: Arc::default(),
+            reply: Arc::new(reply),
+        };
         let endpoint = server.also(kind);
         if let Endpoint::Ip(address) = endpoint {
             server.address = address;
@@ -195,7 +200,11 @@
     #[allow(clippy::new_without_default)]
     pub fn start() -> Self {
         let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
-        let stream = TcpStream::connect(listener.local_addr().expect("an address")).expect("a connection");
-        Self { address: stream.local_addr().expect("an address"), _ends: (listener, stream) }
+        let stream =
+            TcpStream::connect(listener.local_addr().expect("an address")).expect("a connection");
+        Self {
+            address: stream.local_addr().expect("an address"),
+            _ends: (listener, stream),
+        }
     }
 }
--- a/crates/testkit/src/socket.rs
+++ b/crates/testkit/src/socket.rs
@@ -35,7 +35,11 @@
     /// IPv6, or IPv4 on a machine that has none.
     #[must_use]
     pub fn second() -> Self {
-        Self::all().get(1).copied().filter(|kind| *kind == Self::V6).unwrap_or(Self::V4)
+        Self::all()
+            .get(1)
+            .copied()
+            .filter(|kind| *kind == Self::V6)
+            .unwrap_or(Self::V4)
     }
 
     /// The kind that [`crate::Server::start`] and [`crate::Node::with`] use, from the variable
--- a/examples/demo.rs
+++ b/examples/demo.rs
@@ -6,8 +6,8 @@
 use std::thread;
 use std::time::Duration;
 
-use silverthread::node::config::Config;
 use silverthread::node::admin::operators::Operators;
+use silverthread::node::config::Config;
 use silverthread::node::{run, Extras};
 use testkit::consul::{Consul, Instance};
 use testkit::{config, list, settings, Discovery, Load, Reply, Server};
@@ -19,24 +19,49 @@
 const DRAIN: usize = 10;
 
 fn main() -> Result<(), Box<dyn std::error::Error>> {
-    let servers: Vec<_> = (0..SERVERS).map(|_| Server::start(|_| Reply::ok("rooms: 3\n")).quiet()).collect();
+    let servers: Vec<_> = (0..SERVERS)
+        .map(|_| Server::start(|_| Reply::ok("rooms: 3\n")).quiet())
+        .collect();
     let consul = Consul::start();
     for (at, server) in servers.iter().enumerate() {
         consul.register(Instance::new("holds", &format!("s-{at}"), server.address));
     }
     consul.note_nothing();
     let discovery = Discovery::start();
-    let entries: Vec<_> =
-        servers.iter().enumerate().map(|(at, s)| s.entry(&format!("s-{at}"), "ready")).collect();
+    let entries: Vec<_> = servers
+        .iter()
+        .enumerate()
+        .map(|(at, s)| s.entry(&format!("s-{at}"), "ready"))
+        .collect();
     let address = TcpListener::bind("127.0.0.1:0")?.local_addr()?;
-    let text = config(discovery.address, &list(1, true, &entries), &settings(15_000));
-    let config = Config { listen: address, ..Config::parse(&text)? };
-    let file =
-        format!("[[consul]]\nname = \"consul\"\nservice = \"holds\"\nagents = [\"{}\"]\n", consul.address);
+    let text = config(
+        discovery.address,
+        &list(1, true, &entries),
+        &settings(15_000),
+    );
+    let config = Config {
+        listen: address,
+        ..Config::parse(&text)?
+    };
+    let file = format!(
+        "[[consul]]\nname = \"consul\"\nservice = \"holds\"\nagents = [\"{}\"]\n",
+        consul.address
+    );
     let operators = Operators::parse("demo.toml".as_ref(), &file)?;
-    let node =
-        thread::spawn(|| run(config, Extras { operators, file: None }).map_err(|error| error.to_string()));
-    println!("a node serves on {address}, and a Consul stand-in answers on {}", consul.address);
+    let node = thread::spawn(|| {
+        run(
+            config,
+            Extras {
+                operators,
+                file: None,
+            },
+        )
+        .map_err(|error| error.to_string())
+    });
+    println!(
+        "a node serves on {address}, and a Consul stand-in answers on {}",
+        consul.address
+    );
     println!("ask it:   curl -i -H 'Req-Id: me1' -H 'Req-Kind: read' -H 'Req-Deadline: 1000m' http://{address}/api");
     println!(
         "drain:    curl -X PUT 'http://{}/v1/agent/service/maintenance/s-0?enable=true'",
@@ -44,10 +69,15 @@
     );
     let _watch = discovery.watch();
     let load = Load::start(address, CLIENTS, PAUSE);
-    let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
+    let runtime = tokio::runtime::Builder::new_current_thread()
+        .enable_all()
+        .build()?;
     runtime.block_on(watch(&load, &servers, &consul));
     let totals = load.end();
-    println!("{} requests, {} lost, answers {:?}", totals.sent, totals.lost, totals.answers);
+    println!(
+        "{} requests, {} lost, answers {:?}",
+        totals.sent, totals.lost, totals.answers
+    );
     println!("the node hands over and ends ...");
     node.join().map_err(|_| "the node panicked")??;
     Ok(())
@@ -69,7 +99,11 @@
         }
         let totals = load.totals();
         let now: Vec<_> = servers.iter().map(Server::count).collect();
-        let each: Vec<_> = now.iter().zip(&before.1).map(|(now, before)| now - before).collect();
+        let each: Vec<_> = now
+            .iter()
+            .zip(&before.1)
+            .map(|(now, before)| now - before)
+            .collect();
         println!(
             "{second:>4} s: {:>5} requests/s, p99 {:.1} ms, lost {}, by server {each:?}, draining s-{}",
             totals.sent - before.0,
--- a/src/bin/silverthread-simulator-adapter.rs
+++ b/src/bin/silverthread-simulator-adapter.rs
@@ -55,7 +55,10 @@
                 let settings = dialect.settings(line.text("facts")?)?;
                 let seed = line.whole("seed")?.unwrap_or(0);
                 let balancer = Balancer::new(settings, seed).map_err(|e| WireError::other(&e))?;
-                self.instances.insert(line.text("node")?.to_owned(), Instance { balancer, dialect });
+                self.instances.insert(
+                    line.text("node")?.to_owned(),
+                    Instance { balancer, dialect },
+                );
             }
             "TEARDOWN" => drop(self.instances.remove(line.text("node")?)),
             "REGISTRY" | "CALL" | "ACK_FIRST" | "ENDED" | "HANGUP" | "FIRED" | "HEALTH" => {
@@ -68,10 +71,15 @@
     }
 
     fn census(&mut self, line: &Line<'_>) -> Result<(), WireError> {
-        let need = |name| line.whole(name)?.map_or_else(|| line.text(name).map(|_| 0), Ok);
+        let need = |name| {
+            line.whole(name)?
+                .map_or_else(|| line.text(name).map(|_| 0), Ok)
+        };
         let (number, due) = (need("roster_id")? as usize, need("hosts")? as usize);
         if number >= self.lists.len() {
-            return Err(WireError::other(&format!("`roster_id={number}` is out of range")));
+            return Err(WireError::other(&format!(
+                "`roster_id={number}` is out of range"
+            )));
         }
         if due == 0 {
             self.lists[number] = Some(Vec::new());
@@ -84,21 +92,28 @@
     fn event(&mut self, line: &Line<'_>) -> Result<(), WireError> {
         let node = line.text("node")?;
         let Some(instance) = self.instances.get_mut(node) else {
-            self.note(node, "passed over a message to an instance that is not running");
+            self.note(
+                node,
+                "passed over a message to an instance that is not running",
+            );
             return Ok(());
         };
         let Some(event) = instance.dialect.event(line, &self.lists)? else {
             return Ok(());
         };
         let (now, actions) = (self.now, &mut self.actions);
-        let handled = panic::catch_unwind(AssertUnwindSafe(|| instance.balancer.handle(now, event, actions)));
+        let handled = panic::catch_unwind(AssertUnwindSafe(|| {
+            instance.balancer.handle(now, event, actions)
+        }));
         if handled.is_ok() {
             for action in self.actions.drain(..) {
                 instance.dialect.print(node, &action, &mut self.reply);
             }
         } else {
             self.actions.clear();
-            self.reply.push_str(&format!("INTERNAL_ERROR node={node} note_text=the balancer panicked\n"));
+            self.reply.push_str(&format!(
+                "INTERNAL_ERROR node={node} note_text=the balancer panicked\n"
+            ));
             self.instances.remove(node);
         }
         Ok(())
@@ -128,13 +143,21 @@
         }
         let line = text.trim_end_matches(['\n', '\r']);
         // A blank line sets batches apart.
-        let step = if line.is_empty() && host.reading.is_none() { Ok(Step::More) } else { host.line(line) };
+        let step = if line.is_empty() && host.reading.is_none() {
+            Ok(Step::More)
+        } else {
+            host.line(line)
+        };
         match step {
             Ok(Step::More) => {}
             Ok(Step::EndOfBatch) => {
-                let written = output.write_all(host.reply.as_bytes()).and_then(|()| output.flush());
+                let written = output
+                    .write_all(host.reply.as_bytes())
+                    .and_then(|()| output.flush());
                 if let Err(error) = written {
-                    eprintln!("silverthread-simulator-adapter: line {number}: cannot reply: {error}");
+                    eprintln!(
+                        "silverthread-simulator-adapter: line {number}: cannot reply: {error}"
+                    );
                     return ExitCode::FAILURE;
                 }
                 host.reply.clear();
--- a/src/main.rs
+++ b/src/main.rs
@@ -5,9 +5,9 @@
 use std::process::ExitCode;
 
 use clap::{Parser, Subcommand};
-use silverthread::node::cluster::FleetError;
 use silverthread::node::admin::ask;
 use silverthread::node::admin::operators::Operators;
+use silverthread::node::cluster::FleetError;
 use silverthread::node::{config::Config, run, Extras, NodeError};
 use silverthread::simulator::one_line;
 
@@ -74,14 +74,20 @@
         None => {}
     }
     end_on_panic();
-    let file =
-        line.config.or_else(|| std::env::var_os(VARIABLE).filter(|f| !f.is_empty()).map(PathBuf::from));
+    let file = line.config.or_else(|| {
+        std::env::var_os(VARIABLE)
+            .filter(|f| !f.is_empty())
+            .map(PathBuf::from)
+    });
     let operators = match file.as_deref().map(Operators::read).transpose() {
         Ok(operators) => operators.unwrap_or_default(),
         Err(error) => return fail(&error, WRONG),
     };
     let extras = Extras { operators, file };
-    match Config::from_environment().map_err(Into::into).and_then(|config| run(config, extras)) {
+    match Config::from_environment()
+        .map_err(Into::into)
+        .and_then(|config| run(config, extras))
+    {
         Ok(()) => ExitCode::SUCCESS,
         Err(error @ NodeError::Fleet(FleetError::Missing(_))) => fail(&error, WRONG),
         Err(error) => fail(&error, 1),
@@ -97,7 +103,10 @@
     match Operators::read(file) {
         Ok(operators) => {
             println!("{}: sound", file.display());
-            operators.summary().iter().for_each(|line| println!("  {line}"));
+            operators
+                .summary()
+                .iter()
+                .for_each(|line| println!("  {line}"));
             ExitCode::SUCCESS
         }
         Err(error) => fail(&error, WRONG),
--- a/src/node/admin/ask.rs
+++ b/src/node/admin/ask.rs
@@ -75,7 +75,14 @@
     own: &["name", "health", "incarnation"],
     title: "{} is {}, incarnation {}",
     rows: "members",
-    columns: &["name", "state", "incarnation", "since_ms", "heard_ms", "address"],
+    columns: &[
+        "name",
+        "state",
+        "incarnation",
+        "since_ms",
+        "heard_ms",
+        "address",
+    ],
 };
 
 /// Who owns what, as far as a node knows.
@@ -115,12 +122,18 @@
         let mut rows: Vec<_> = ask(at, self.call)?.into_iter().map(words).collect();
         let is_own = |row: &Vec<String>| row.len() > self.own.len() && row[0] == "self";
         if !rows.first().is_some_and(is_own) {
-            return Err(AskError::Malformed(rows.first().map(|row| row.join(" ")).unwrap_or_default()));
+            return Err(AskError::Malformed(
+                rows.first().map(|row| row.join(" ")).unwrap_or_default(),
+            ));
         }
         let own = rows.remove(0).split_off(1);
         match rows.iter().find(|row| row.len() < self.columns.len()) {
             Some(row) => Err(AskError::Malformed(row.join(" "))),
-            None => Ok(Answer { layout: self, own, rows }),
+            None => Ok(Answer {
+                layout: self,
+                own,
+                rows,
+            }),
         }
     }
 }
@@ -129,7 +142,9 @@
     /// For scripts.
     #[must_use]
     pub fn json(&self) -> String {
-        let Layout { own, rows, columns, .. } = self.layout;
+        let Layout {
+            own, rows, columns, ..
+        } = self.layout;
         let all: Vec<_> = self.rows.iter().map(|row| object(columns, row)).collect();
         json!({ "self": object(own, &self.own), *rows: all }).to_string()
     }
@@ -137,8 +152,12 @@
     /// For a terminal.
     #[must_use]
     pub fn table(&self) -> String {
-        let title =
-            self.own.iter().fold(self.layout.title.to_owned(), |title, word| title.replacen("{}", word, 1));
+        let title = self
+            .own
+            .iter()
+            .fold(self.layout.title.to_owned(), |title, word| {
+                title.replacen("{}", word, 1)
+            });
         format!("{title}\n{}", table(self.layout.columns, &self.rows))
     }
 }
@@ -146,7 +165,10 @@
 fn object(names: &[&str], row: &[String]) -> Value {
     let pairs = names.iter().zip(row).map(|(name, word)| {
         let is_name = ["name", "owner"].contains(name) && word != "-";
-        ((*name).to_owned(), if is_name { json!(word) } else { value(word) })
+        (
+            (*name).to_owned(),
+            if is_name { json!(word) } else { value(word) },
+        )
     });
     Value::Object(pairs.collect())
 }
