--- a/src/node/admin/calls.rs
+++ b/src/node/admin/calls.rs
@@ -10,10 +10,10 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::task::AbortHandle;
 
-use crate::node::driver::Driver;
+use crate::node::admin::log;
 use crate::node::cluster::Fleet;
 use crate::node::downstream::clients::{FrontOptions, Phase, ACCEPT_AGAIN};
-use crate::node::admin::log;
+use crate::node::driver::Driver;
 
 /// How long a caller may take over its line and its answer: many times what one needs, and callers that finish nothing
 /// hold a descriptor no longer.
@@ -34,16 +34,29 @@
     /// Of a node's driver, of the entrance to it, and of what it knows of other nodes, where it looks.
     #[must_use]
     pub fn new(driver: Rc<Driver>, options: FrontOptions, fleet: Option<Rc<Fleet>>) -> Self {
-        Self { driver, options, fleet }
+        Self {
+            driver,
+            options,
+            fleet,
+        }
     }
 
     fn answer(&self, line: &[u8]) -> String {
         match Call::read(line) {
-            Ok(Call::Ready) if *self.options.phases.borrow() == Phase::Serving => "200 ready\n".into(),
+            Ok(Call::Ready) if *self.options.phases.borrow() == Phase::Serving => {
+                "200 ready\n".into()
+            }
             Ok(Call::Ready) => "400 not ready: it is on its way out\n".into(),
             Ok(Call::Stats) => {
-                let fleet = self.fleet.as_ref().map(|fleet| fleet.figures()).unwrap_or_default();
-                format!("{}{fleet}EOF\n", render(&self.driver.figures, self.driver.servers_now()))
+                let fleet = self
+                    .fleet
+                    .as_ref()
+                    .map(|fleet| fleet.figures())
+                    .unwrap_or_default();
+                format!(
+                    "{}{fleet}EOF\n",
+                    render(&self.driver.figures, self.driver.servers_now())
+                )
             }
             Ok(Call::Members) => match &self.fleet {
                 Some(fleet) => format!("{}EOF\n", fleet.members()),
@@ -58,7 +71,11 @@
                 None => "400 this node takes no word of servers\n".into(),
             },
             Ok(Call::Give(shard, node)) => {
-                match self.fleet.as_ref().map(|fleet| fleet.give(shard, node.as_str())) {
+                match self
+                    .fleet
+                    .as_ref()
+                    .map(|fleet| fleet.give(shard, node.as_str()))
+                {
                     Some(Ok(())) => "200 given\n".into(),
                     Some(Err(why)) => format!("400 {why}\n"),
                     None => "400 this node takes no part in leases\n".into(),
@@ -84,7 +101,11 @@
             drain.end();
         }
         if self.options.drain.replace(drain) != drain {
-            log::line(if drains { "operators send clients away" } else { "operators end the drain" });
+            log::line(if drains {
+                "operators send clients away"
+            } else {
+                "operators end the drain"
+            });
         }
     }
 }
@@ -117,13 +138,23 @@
 async fn call(mut stream: TcpStream, desk: &Desk) -> io::Result<()> {
     let mut line = Vec::with_capacity(MOST_LINE + 1);
     while !line.contains(&b'\n') && line.len() <= MOST_LINE {
-        if (&mut stream).take((MOST_LINE + 1 - line.len()) as u64).read_buf(&mut line).await? == 0 {
+        if (&mut stream)
+            .take((MOST_LINE + 1 - line.len()) as u64)
+            .read_buf(&mut line)
+            .await?
+            == 0
+        {
             break;
         }
     }
-    let end = line.iter().position(|byte| *byte == b'\n').map_or(line.len(), |at| at + 1);
+    let end = line
+        .iter()
+        .position(|byte| *byte == b'\n')
+        .map_or(line.len(), |at| at + 1);
     if end > 0 {
-        stream.write_all(desk.answer(&line[..end]).as_bytes()).await?;
+        stream
+            .write_all(desk.answer(&line[..end]).as_bytes())
+            .await?;
     }
     stream.shutdown().await?;
     // Guards against an answer that is reset before its caller has read it: what is unread would do that.
--- a/src/node/admin/operators.rs
+++ b/src/node/admin/operators.rs
@@ -16,10 +16,10 @@
 use serde::{Deserialize, Deserializer};
 use toml::Spanned;
 
-use crate::node::upstream::addresses::{AllSaid, Said};
-use crate::node::upstream::servers::Bounds;
 use crate::node::cluster::{Instances, Keeping};
 use crate::node::discovery::consul::ConsulSource;
+use crate::node::upstream::addresses::{AllSaid, Said};
+use crate::node::upstream::servers::Bounds;
 
 /// The largest file: the addresses of as many servers as it may name.
 const MOST_FILE: u64 = 4 * 1024 * 1024;
@@ -102,10 +102,17 @@
     ///
     /// It cannot be read, or something in it makes no sense.
     pub fn read(file: &Path) -> Result<Self, OperatorsError> {
-        let failed = |why: String| OperatorsError { file: file.to_owned(), at: None, why };
+        let failed = |why: String| OperatorsError {
+            file: file.to_owned(),
+            at: None,
+            why,
+        };
         let mut text = String::new();
         let opened = std::fs::File::open(file).map_err(|error| failed(error.to_string()))?;
-        opened.take(MOST_FILE + 1).read_to_string(&mut text).map_err(|error| failed(error.to_string()))?;
+        opened
+            .take(MOST_FILE + 1)
+            .read_to_string(&mut text)
+            .map_err(|error| failed(error.to_string()))?;
         if text.len() as u64 > MOST_FILE {
             return Err(failed(format!("it is larger than {MOST_FILE} bytes")));
         }
@@ -132,17 +139,25 @@
             at: span.map(|span| place(text, span.start)),
             why,
         };
-        let raw: Raw = toml::from_str(text).map_err(|error| at(error.span(), error.message().to_owned()))?;
-        raw.check().map_err(|Wrong { span, why }| at(Some(span), why))
+        let raw: Raw =
+            toml::from_str(text).map_err(|error| at(error.span(), error.message().to_owned()))?;
+        raw.check()
+            .map_err(|Wrong { span, why }| at(Some(span), why))
     }
 
     /// What it turns on, a line each.
     #[must_use]
     pub fn summary(&self) -> Vec<String> {
-        let Some(merged) = &self.membership else { return Vec::new() };
+        let Some(merged) = &self.membership else {
+            return Vec::new();
+        };
         let source = |source: &ConsulSource| {
             let query = &source.watch.query;
-            let naming = if source.trust.names { "names servers" } else { "advises on the roster's servers" };
+            let naming = if source.trust.names {
+                "names servers"
+            } else {
+                "advises on the roster's servers"
+            };
             format!(
                 "consul {:?}: service {:?} through {} agents, {naming}",
                 source.trust.name,
@@ -153,12 +168,15 @@
         let consul = merged.consul.iter().map(source);
         let several = self.addresses.values().map(|said| said.routes.len());
         let several = Some(several.sum::<usize>()).filter(|addresses| *addresses > 0);
-        let several = several.map(|sum| format!("{sum} addresses of {} servers", self.addresses.len()));
+        let several =
+            several.map(|sum| format!("{sum} addresses of {} servers", self.addresses.len()));
         let instances = self.instances.as_ref().map(|instances| {
             let places = instances
                 .peers
                 .as_ref()
-                .map_or("the platform's peers".to_owned(), |peers| format!("{} peers", peers.len()));
+                .map_or("the platform's peers".to_owned(), |peers| {
+                    format!("{} peers", peers.len())
+                });
             format!(
                 "instances of the fleet {:?}: {places}, probed every {} ms",
                 instances.fleet, instances.probe_ms
@@ -166,7 +184,10 @@
         });
         let leases = self.leases.as_ref().map(|leases| {
             let (keepers, set, shards) = (leases.keepers.join(", "), leases.set, leases.shards);
-            format!("leases of {shards} shards, kept by {keepers} (set {set}), {} ms long", leases.lease_ms)
+            format!(
+                "leases of {shards} shards, kept by {keepers} (set {set}), {} ms long",
+                leases.lease_ms
+            )
         });
         let word = self.word.as_ref().map(|word| {
             format!(
@@ -174,7 +195,12 @@
                 word.reporters, word.turn_ms
             )
         });
-        consul.chain(several).chain(instances).chain(leases).chain(word).collect()
+        consul
+            .chain(several)
+            .chain(instances)
+            .chain(leases)
+            .chain(word)
+            .collect()
     }
 }
 
@@ -183,11 +209,23 @@
 fn place(text: &str, offset: usize) -> (usize, Option<String>) {
     let line = text.get(..offset).unwrap_or(text).matches('\n').count();
     let lines: Vec<_> = text.lines().take(line + 1).map(str::trim).collect();
-    let key = lines.iter().rev().filter(|line| !line.starts_with('#')).find_map(|line| {
-        let section = line.strip_prefix('[').map(|rest| rest.trim_start_matches('[').split(']').next());
-        section.flatten().or_else(|| line.split_once('=').map(|(key, _)| key))
-    });
-    (line + 1, key.map(|key| key.trim().trim_matches('"').to_owned()).filter(|key| !key.is_empty()))
+    let key = lines
+        .iter()
+        .rev()
+        .filter(|line| !line.starts_with('#'))
+        .find_map(|line| {
+            let section = line
+                .strip_prefix('[')
+                .map(|rest| rest.trim_start_matches('[').split(']').next());
+            section
+                .flatten()
+                .or_else(|| line.split_once('=').map(|(key, _)| key))
+        });
+    (
+        line + 1,
+        key.map(|key| key.trim().trim_matches('"').to_owned())
+            .filter(|key| !key.is_empty()),
+    )
 }
 
 /// What makes no sense, and where.
@@ -197,7 +235,10 @@
 }
 
 fn wrong<T>(at: &Spanned<T>, why: impl Into<String>) -> Wrong {
-    Wrong { span: at.span(), why: why.into() }
+    Wrong {
+        span: at.span(),
+        why: why.into(),
+    }
 }
 
 #[derive(Deserialize)]
@@ -266,7 +307,9 @@
 impl<'de> Deserialize<'de> for AddressText {
     fn deserialize<D: Deserializer<'de>>(from: D) -> Result<Self, D::Error> {
         let text = String::deserialize(from)?;
-        Address::from_str(&text).map(Self).map_err(serde::de::Error::custom)
+        Address::from_str(&text)
+            .map(Self)
+            .map_err(serde::de::Error::custom)
     }
 }
 
@@ -398,12 +441,32 @@
 }
 
 figure!(Share, 0.0..=1.0, "a share lies between 0 and 1");
-figure!(Seconds, 0.0..=86_400.0, "a time lies between 0 and 86400 seconds");
-figure!(Pace, 10.0..=10_000.0, "a pace lies between 10 and 10000 milliseconds");
-
-figure!(Probe, 50.0..=10_000.0, "a probe's time lies between 50 and 10000 milliseconds");
-figure!(Suspect, 250.0..=600_000.0, "a suspicion time lies between 250 and 600000 milliseconds");
-figure!(Rate, 0.1..=100_000.0, "a rate lies between 0.1 and 100000 a second");
+figure!(
+    Seconds,
+    0.0..=86_400.0,
+    "a time lies between 0 and 86400 seconds"
+);
+figure!(
+    Pace,
+    10.0..=10_000.0,
+    "a pace lies between 10 and 10000 milliseconds"
+);
+
+figure!(
+    Probe,
+    50.0..=10_000.0,
+    "a probe's time lies between 50 and 10000 milliseconds"
+);
+figure!(
+    Suspect,
+    250.0..=600_000.0,
+    "a suspicion time lies between 250 and 600000 milliseconds"
+);
+figure!(
+    Rate,
+    0.1..=100_000.0,
+    "a rate lies between 0.1 and 100000 a second"
+);
 
 /// A bound that is one at the least.
 #[derive(Clone, Copy)]
@@ -413,7 +476,9 @@
     fn deserialize<D: Deserializer<'de>>(from: D) -> Result<Self, D::Error> {
         match usize::deserialize(from)? {
             count @ 1..=1_000_000 => Ok(Self(count)),
-            _ => Err(serde::de::Error::custom("a bound lies between 1 and 1000000")),
+            _ => Err(serde::de::Error::custom(
+                "a bound lies between 1 and 1000000",
+            )),
         }
     }
 }
@@ -426,7 +491,9 @@
     fn deserialize<D: Deserializer<'de>>(from: D) -> Result<Self, D::Error> {
         match u32::deserialize(from)? {
             wait @ 1..=600 => Ok(Self(wait)),
-            _ => Err(serde::de::Error::custom("a wait lies between 1 and 600 whole seconds")),
+            _ => Err(serde::de::Error::custom(
+                "a wait lies between 1 and 600 whole seconds",
+            )),
         }
     }
 }
@@ -436,7 +503,9 @@
 impl<'de> Deserialize<'de> for PlaceText {
     fn deserialize<D: Deserializer<'de>>(from: D) -> Result<Self, D::Error> {
         let text = String::deserialize(from)?;
-        Place::from_str(&text).map(Self).map_err(serde::de::Error::custom)
+        Place::from_str(&text)
+            .map(Self)
+            .map_err(serde::de::Error::custom)
     }
 }
 
@@ -458,28 +527,45 @@
 impl Raw {
     fn check(self) -> Result<Operators, Wrong> {
         let mut roster = Trust::roster("roster");
-        let RawMembership { panic_share, panic_window_s, confirm_s } = self.membership;
+        let RawMembership {
+            panic_share,
+            panic_window_s,
+            confirm_s,
+        } = self.membership;
         believe(&mut roster, panic_share, panic_window_s, confirm_s);
         let mut consul: Vec<ConsulSource> = Vec::new();
         for raw in self.consul {
-            let taken =
-                |name: &str| name == roster.name || consul.iter().any(|other| other.trust.name == name);
+            let taken = |name: &str| {
+                name == roster.name || consul.iter().any(|other| other.trust.name == name)
+            };
             if taken(raw.name.get_ref()) {
                 return Err(wrong(&raw.name, "there is a source of this name already"));
             }
             if consul.len() >= MOST_SOURCES {
-                return Err(wrong(&raw.name, format!("there are more than {MOST_SOURCES} sources")));
+                return Err(wrong(
+                    &raw.name,
+                    format!("there are more than {MOST_SOURCES} sources"),
+                ));
             }
             consul.push(raw.check()?);
         }
         let addresses = addresses(self.server)?;
         let instances = self.instances.map(RawInstances::check).transpose()?;
         if let Some(leases) = self.leases.as_ref().filter(|_| instances.is_none()) {
-            return Err(wrong(leases, "leases need [instances]: nodes have to know each other"));
+            return Err(wrong(
+                leases,
+                "leases need [instances]: nodes have to know each other",
+            ));
         }
-        let leases = self.leases.map(|leases| leases.into_inner().check()).transpose()?;
+        let leases = self
+            .leases
+            .map(|leases| leases.into_inner().check())
+            .transpose()?;
         if let Some(word) = self.word.as_ref().filter(|_| instances.is_none()) {
-            return Err(wrong(word, "word of servers needs [instances]: nodes have to know each other"));
+            return Err(wrong(
+                word,
+                "word of servers needs [instances]: nodes have to know each other",
+            ));
         }
         let word = self.word.map(RawWord::check).transpose()?;
         Ok(Operators {
@@ -516,7 +602,9 @@
             floor: said.floor.unwrap_or(ordinary.floor),
             panic_share: said.panic_share.unwrap_or(ordinary.panic_share),
         };
-        settings.check().map_err(|error| wrong(&raw, error.to_string()))?;
+        settings
+            .check()
+            .map_err(|error| wrong(&raw, error.to_string()))?;
         Ok(settings)
     }
 }
@@ -554,7 +642,10 @@
             fence_file: self.fence_file,
             fleet_log: self.fleet_log,
         };
-        keeping.settings("-", 1).check().map_err(|error| wrong(&span, error.to_string()))?;
+        keeping
+            .settings("-", 1)
+            .check()
+            .map_err(|error| wrong(&span, error.to_string()))?;
         Ok(keeping)
     }
 }
@@ -575,7 +666,11 @@
 impl RawInstances {
     fn check(self) -> Result<Instances, Wrong> {
         let ordinary = Instances::default();
-        if let Some(name) = self.name.as_ref().filter(|name| !gossip::is_name(name.get_ref())) {
+        if let Some(name) = self
+            .name
+            .as_ref()
+            .filter(|name| !gossip::is_name(name.get_ref()))
+        {
             let most = gossip::MOST_NAME;
             return Err(wrong(
                 name,
@@ -583,17 +678,32 @@
             ));
         }
         if self.fleet.get_ref().is_empty() || self.fleet.get_ref().len() > MOST_NAME {
-            return Err(wrong(&self.fleet, format!("a fleet's name has 1 to {MOST_NAME} bytes")));
+            return Err(wrong(
+                &self.fleet,
+                format!("a fleet's name has 1 to {MOST_NAME} bytes"),
+            ));
         }
-        if let Some(peers) = self.peers.as_ref().filter(|peers| peers.get_ref().len() > gossip::MOST_MEMBERS)
+        if let Some(peers) = self
+            .peers
+            .as_ref()
+            .filter(|peers| peers.get_ref().len() > gossip::MOST_MEMBERS)
         {
-            return Err(wrong(peers, format!("there are at most {} peers", gossip::MOST_MEMBERS)));
+            return Err(wrong(
+                peers,
+                format!("there are at most {} peers", gossip::MOST_MEMBERS),
+            ));
         }
         let probe_ms = self.probe_ms.map_or(ordinary.probe_ms, |probe| probe.0);
         // The platform names times for none of this: five missed in a row are needed for a doubt.
-        let suspect_ms = self.suspect_ms.as_ref().map_or(probe_ms * 5.0, |suspect| suspect.get_ref().0);
+        let suspect_ms = self
+            .suspect_ms
+            .as_ref()
+            .map_or(probe_ms * 5.0, |suspect| suspect.get_ref().0);
         if let Some(suspect) = self.suspect_ms.filter(|_| suspect_ms < 3.0 * probe_ms) {
-            return Err(wrong(&suspect, "a node is probed three times at the least before it is suspected"));
+            return Err(wrong(
+                &suspect,
+                "a node is probed three times at the least before it is suspected",
+            ));
         }
         Ok(Instances {
             name: self.name.map(Spanned::into_inner),
@@ -611,31 +721,56 @@
 fn addresses(servers: Vec<RawServer>) -> Result<AllSaid, Wrong> {
     let mut said = AllSaid::new();
     let mut taken: HashMap<Address, String> = HashMap::new();
-    for RawServer { id, only, addresses } in servers {
+    for RawServer {
+        id,
+        only,
+        addresses,
+    } in servers
+    {
         if said.contains_key(id.get_ref()) {
             return Err(wrong(&id, "there is a server of this id already"));
         }
         if said.len() >= MOST_SERVERS {
-            return Err(wrong(&id, format!("there are more than {MOST_SERVERS} servers")));
+            return Err(wrong(
+                &id,
+                format!("there are more than {MOST_SERVERS} servers"),
+            ));
         }
         let count = addresses.get_ref().len();
         if !(1..=MOST_ADDRESSES).contains(&count) {
-            return Err(wrong(&addresses, format!("there are 1 to {MOST_ADDRESSES} addresses")));
+            return Err(wrong(
+                &addresses,
+                format!("there are 1 to {MOST_ADDRESSES} addresses"),
+            ));
         }
         let mut routes = Vec::new();
         for raw in addresses.into_inner() {
-            if let Some(other) = taken.insert(raw.get_ref().address.0.clone(), id.get_ref().clone()) {
+            if let Some(other) = taken.insert(raw.get_ref().address.0.clone(), id.get_ref().clone())
+            {
                 return Err(wrong(&raw, format!("the address is {other:?}'s already")));
             }
-            let RawRoute { address, preference, label } = raw.into_inner();
-            routes.push(Route { address: address.0, preference, label });
+            let RawRoute {
+                address,
+                preference,
+                label,
+            } = raw.into_inner();
+            routes.push(Route {
+                address: address.0,
+                preference,
+                label,
+            });
         }
         said.insert(id.into_inner(), Said { routes, only });
     }
     Ok(said)
 }
 
-fn believe(trust: &mut Trust, share: Option<Share>, window: Option<Seconds>, confirm: Option<Seconds>) {
+fn believe(
+    trust: &mut Trust,
+    share: Option<Share>,
+    window: Option<Seconds>,
+    confirm: Option<Seconds>,
+) {
     trust.panic_share = share.map_or(trust.panic_share, |share| share.0);
     trust.panic_window_ms = window.map_or(trust.panic_window_ms, Seconds::ms);
     trust.confirm_ms = confirm.map_or(trust.confirm_ms, Seconds::ms);
@@ -650,30 +785,60 @@
 impl RawConsul {
     fn check(self) -> Result<ConsulSource, Wrong> {
         if !(1..=MOST_NAME).contains(&self.name.get_ref().len()) {
-            return Err(wrong(&self.name, format!("a name has 1 to {MOST_NAME} bytes")));
+            return Err(wrong(
+                &self.name,
+                format!("a name has 1 to {MOST_NAME} bytes"),
+            ));
         }
         if self.service.get_ref().is_empty() {
             return Err(wrong(&self.service, "a service has a name"));
         }
         let count = self.agents.get_ref().len();
         if !(1..=MOST_AGENTS).contains(&count) {
-            return Err(wrong(&self.agents, format!("there are 1 to {MOST_AGENTS} agents")));
+            return Err(wrong(
+                &self.agents,
+                format!("there are 1 to {MOST_AGENTS} agents"),
+            ));
         }
         let named = self.id.map_or(Named::Id(Place::ServiceId), |id| id.0);
-        let names = self.names_servers.as_ref().is_some_and(|names| *names.get_ref());
-        if let Some(names) = self.names_servers.as_ref().filter(|_| names && named == Named::Address) {
-            return Err(wrong(names, "a source that names servers names them by id, and not by address"));
+        let names = self
+            .names_servers
+            .as_ref()
+            .is_some_and(|names| *names.get_ref());
+        if let Some(names) = self
+            .names_servers
+            .as_ref()
+            .filter(|_| names && named == Named::Address)
+        {
+            return Err(wrong(
+                names,
+                "a source that names servers names them by id, and not by address",
+            ));
         }
         let mut trust = Trust::advisor(self.name.into_inner());
-        believe(&mut trust, self.panic_share, self.panic_window_s, self.confirm_s);
+        believe(
+            &mut trust,
+            self.panic_share,
+            self.panic_window_s,
+            self.confirm_s,
+        );
         trust.names = names;
-        trust.match_by = if named == Named::Address { MatchBy::Address } else { MatchBy::Id };
+        trust.match_by = if named == Named::Address {
+            MatchBy::Address
+        } else {
+            MatchBy::Id
+        };
         trust.hold_ms = self.hold_s.map_or(trust.hold_ms, Seconds::ms);
         if let Some(damping) = self.damping {
             let [first_ms, most_ms, half_life_ms] =
                 [damping.first_s, damping.most_s, damping.half_life_s].map(Seconds::ms);
             let half_life_ms = half_life_ms.max(1.0);
-            trust.damping = Some(Damping { first_ms, most_ms, half_life_ms }).filter(|_| most_ms > 0.0);
+            trust.damping = Some(Damping {
+                first_ms,
+                most_ms,
+                half_life_ms,
+            })
+            .filter(|_| most_ms > 0.0);
         }
         let query = Query {
             api: match self.api {
@@ -698,7 +863,9 @@
         let [passing, warning, critical, maintenance] = ordinary.states;
         let or = |raw: Option<RawState>, state: State| raw.map_or(state, State::from);
         let meta = self.states.meta.into_iter().flat_map(|(key, states)| {
-            states.into_iter().map(move |(value, state)| (key.clone(), value, state.into()))
+            states
+                .into_iter()
+                .map(move |(value, state)| (key.clone(), value, state.into()))
         });
         let mapping = Mapping {
             named,
@@ -710,7 +877,12 @@
                 or(self.states.critical, critical),
                 or(self.states.maintenance, maintenance),
             ],
-            tags: self.states.tags.into_iter().map(|(tag, state)| (tag, state.into())).collect(),
+            tags: self
+                .states
+                .tags
+                .into_iter()
+                .map(|(tag, state)| (tag, state.into()))
+                .collect(),
             meta: meta.collect(),
             zone: self.zone.map(|place| place.0),
             kind: self.kind.map(|place| place.0),
@@ -721,7 +893,17 @@
         let mut watch = WatchSettings::new(query, mapping, count);
         watch.most_age_ms = self.most_age_s.map_or(watch.most_age_ms, Seconds::ms);
         watch.pace_ms = self.pace_ms.map_or(watch.pace_ms, |pace| pace.0);
-        let agents = self.agents.into_inner().into_iter().map(Spanned::into_inner).collect();
-        Ok(ConsulSource { trust, agents, token_file: self.token_file, watch })
+        let agents = self
+            .agents
+            .into_inner()
+            .into_iter()
+            .map(Spanned::into_inner)
+            .collect();
+        Ok(ConsulSource {
+            trust,
+            agents,
+            token_file: self.token_file,
+            watch,
+        })
     }
 }
--- a/src/node/admin/reload.rs
+++ b/src/node/admin/reload.rs
@@ -11,10 +11,10 @@
 use tokio::signal::unix::Signal;
 use tokio::sync::watch;
 
-use crate::node::config::Config;
-use crate::node::cluster::Fleet;
 use crate::node::admin::log;
 use crate::node::admin::operators::Operators;
+use crate::node::cluster::Fleet;
+use crate::node::config::Config;
 use crate::node::discovery::Sources;
 
 /// Reads the file again at each signal and tells where discovery answers now. A file that cannot be used is logged
@@ -30,7 +30,10 @@
         let config = Config::from_environment();
         match &config {
             Ok(config) => {
-                log::line(format_args!("the configuration is read again: discovery at {}", config.discovery));
+                log::line(format_args!(
+                    "the configuration is read again: discovery at {}",
+                    config.discovery
+                ));
                 discovery.send_if_modified(|address| {
                     std::mem::replace(address, config.discovery) != config.discovery
                 });
@@ -43,10 +46,20 @@
     }
 }
 
-fn follow_again(file: &Path, sources: &Sources, fleet: Option<&Rc<Fleet>>, config: Option<&Config>) {
+fn follow_again(
+    file: &Path,
+    sources: &Sources,
+    fleet: Option<&Rc<Fleet>>,
+    config: Option<&Config>,
+) {
     match Operators::read(file) {
         Ok(operators) => {
-            sources.follow(&operators.membership.map(|merged| merged.consul).unwrap_or_default());
+            sources.follow(
+                &operators
+                    .membership
+                    .map(|merged| merged.consul)
+                    .unwrap_or_default(),
+            );
             sources.driver().say_addresses(operators.addresses);
             if let (Some(fleet), Some(instances)) = (fleet, &operators.instances) {
                 fleet.change(config, instances, operators.leases.as_ref());
--- a/src/node/clock.rs
+++ b/src/node/clock.rs
@@ -23,8 +23,13 @@
     /// A clock that starts now.
     #[must_use]
     pub fn new() -> Self {
-        let unix = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
-        Self { start: Instant::now(), start_ms: unix.as_secs_f64() * 1e3 }
+        let unix = SystemTime::now()
+            .duration_since(UNIX_EPOCH)
+            .unwrap_or_default();
+        Self {
+            start: Instant::now(),
+            start_ms: unix.as_secs_f64() * 1e3,
+        }
     }
 
     /// The time, in milliseconds.
@@ -45,7 +50,10 @@
     /// One that is not set.
     #[must_use]
     pub fn new() -> Self {
-        Self { at_ms: Cell::new(f64::INFINITY), changed: Notify::new() }
+        Self {
+            at_ms: Cell::new(f64::INFINITY),
+            changed: Notify::new(),
+        }
     }
 
     /// It is to ring at this time, and at no other.
@@ -61,7 +69,9 @@
             if left_ms <= 0.0 {
                 return self.at_ms.set(f64::INFINITY);
             }
-            let left = Duration::try_from_secs_f64(left_ms / 1e3).unwrap_or(LONGEST_SLEEP).min(LONGEST_SLEEP);
+            let left = Duration::try_from_secs_f64(left_ms / 1e3)
+                .unwrap_or(LONGEST_SLEEP)
+                .min(LONGEST_SLEEP);
             tokio::select! {
                 () = tokio::time::sleep(left) => {}
                 () = self.changed.notified() => {}
--- a/src/node/cluster/duty.rs
+++ b/src/node/cluster/duty.rs
@@ -37,12 +37,17 @@
     let shards = fleet.shards().max(1);
     let shard = (MemberId::of(NAME).0 % u64::from(shards)) as Shard;
     let (mut number, mut was_said) = (0_u64, false);
-    let last =
-        |fleet: &Fleet| fleet.told(shard).and_then(|bytes| Some(u64::from_le_bytes(bytes.try_into().ok()?)));
+    let last = |fleet: &Fleet| {
+        fleet
+            .told(shard)
+            .and_then(|bytes| Some(u64::from_le_bytes(bytes.try_into().ok()?)))
+    };
     loop {
         tokio::time::sleep(EVERY).await;
         // Asked here to spare the register a connection; asked again right before the line goes out.
-        let Some(left) = fleet.permitted(shard, |permit, now| permit.until_ms() - now) else { continue };
+        let Some(left) = fleet.permitted(shard, |permit, now| permit.until_ms() - now) else {
+            continue;
+        };
         let left = Duration::try_from_secs_f64(left / 1e3).unwrap_or_default();
         // The owner before told how far it came.
         number = number.max(last(&fleet).unwrap_or(0));
@@ -53,11 +58,15 @@
                 was_said = false;
                 fleet.tell(shard, &number.to_le_bytes());
             }
-            Ok(Came::Old) => log::line(format_args!("{NAME}: the register has had a later owner's line")),
+            Ok(Came::Old) => log::line(format_args!(
+                "{NAME}: the register has had a later owner's line"
+            )),
             Ok(Came::Ended) => {}
             Err(error) if !was_said => {
                 was_said = true;
-                log::line(format_args!("{NAME}: the register at {at} does not answer: {error}"));
+                log::line(format_args!(
+                    "{NAME}: the register at {at} does not answer: {error}"
+                ));
             }
             Err(_) => {}
         }
@@ -71,9 +80,13 @@
     let written = fleet.permitted(shard, |permit, _| {
         let Fence(fence) = permit.fence();
         let line = format!("APPEND {fence} {number} {}\n", fleet.name);
-        permit.holds_at(boot_ms()).then(|| stream.try_write(line.as_bytes()))
+        permit
+            .holds_at(boot_ms())
+            .then(|| stream.try_write(line.as_bytes()))
     });
-    let Some(written) = written.flatten() else { return Ok(Came::Ended) };
+    let Some(written) = written.flatten() else {
+        return Ok(Came::Ended);
+    };
     written?;
     stream.shutdown().await?;
     let mut answer = String::new();
@@ -81,6 +94,9 @@
     match answer.split_whitespace().next() {
         Some("OK") => Ok(Came::Taken),
         Some("LOW") => Ok(Came::Old),
-        _ => Err(io::Error::new(io::ErrorKind::InvalidData, "its answer makes no sense")),
+        _ => Err(io::Error::new(
+            io::ErrorKind::InvalidData,
+            "its answer makes no sense",
+        )),
     }
 }
--- a/src/node/cluster/leases.rs
+++ b/src/node/cluster/leases.rs
@@ -8,11 +8,13 @@
 use std::rc::Rc;
 
 use gossip::{Event as Gossiped, Health, MemberId, State};
-use lease::{Action, Change, Event, Fence, Leases, NodeId, Note, Permit, Settings, Shard, Standing};
+use lease::{
+    Action, Change, Event, Fence, Leases, NodeId, Note, Permit, Settings, Shard, Standing,
+};
 
 use super::{boot_ms, figure_lines, Fleet};
-use crate::node::clock::Alarm;
 use crate::node::admin::log;
+use crate::node::clock::Alarm;
 
 /// What the operators' file says of leases.
 #[derive(Clone, Debug, PartialEq)]
@@ -37,9 +39,24 @@
 
 impl Default for Keeping {
     fn default() -> Self {
-        let Settings { set, shards, lease_ms, drift, .. } = Settings::new(NodeId(0), 0, Vec::new());
+        let Settings {
+            set,
+            shards,
+            lease_ms,
+            drift,
+            ..
+        } = Settings::new(NodeId(0), 0, Vec::new());
         let (keepers, before) = (Vec::new(), Vec::new());
-        Self { keepers, set, before, shards, lease_ms, drift, fence_file: None, fleet_log: None }
+        Self {
+            keepers,
+            set,
+            before,
+            shards,
+            lease_ms,
+            drift,
+            fence_file: None,
+            fleet_log: None,
+        }
     }
 }
 
@@ -55,9 +72,22 @@
     /// As a node of this name takes it, in this process.
     #[must_use]
     pub fn settings(&self, name: &str, process: u64) -> Settings {
-        let Self { set, shards, lease_ms, drift, .. } = *self;
+        let Self {
+            set,
+            shards,
+            lease_ms,
+            drift,
+            ..
+        } = *self;
         let (keepers, before) = (numbers(&self.keepers), numbers(&self.before));
-        Settings { set, before, shards, lease_ms, drift, ..Settings::new(number(name), process, keepers) }
+        Settings {
+            set,
+            before,
+            shards,
+            lease_ms,
+            drift,
+            ..Settings::new(number(name), process, keepers)
+        }
     }
 }
 
@@ -74,9 +104,23 @@
 
 impl Part {
     /// Of a node that starts now, `unix_ms` by the wall clock.
-    pub fn new(now: f64, keeping: &Keeping, name: &str, process: u64, unix_ms: u64) -> Result<Self, String> {
-        let reserved = keeping.fence_file.as_ref().map(|path| super::record::read(path, name)).transpose()?;
-        let settings = Settings { floor: Fence::floor(unix_ms), reserved, ..keeping.settings(name, process) };
+    pub fn new(
+        now: f64,
+        keeping: &Keeping,
+        name: &str,
+        process: u64,
+        unix_ms: u64,
+    ) -> Result<Self, String> {
+        let reserved = keeping
+            .fence_file
+            .as_ref()
+            .map(|path| super::record::read(path, name))
+            .transpose()?;
+        let settings = Settings {
+            floor: Fence::floor(unix_ms),
+            reserved,
+            ..keeping.settings(name, process)
+        };
         let leases = Leases::new(now, settings).map_err(|error| error.to_string())?;
         let part = Self {
             leases: RefCell::new(Some(leases)),
@@ -85,13 +129,17 @@
             heard: RefCell::default(),
         };
         part.learn_names(keeping);
-        part.names.borrow_mut().insert(number(name), name.to_owned());
+        part.names
+            .borrow_mut()
+            .insert(number(name), name.to_owned());
         Ok(part)
     }
 
     fn learn_names(&self, keeping: &Keeping) {
         let named = keeping.keepers.iter().chain(&keeping.before);
-        self.names.borrow_mut().extend(named.map(|name| (number(name), name.clone())));
+        self.names
+            .borrow_mut()
+            .extend(named.map(|name| (number(name), name.clone())));
     }
 
     fn set(&self) -> (u32, bool) {
@@ -99,7 +147,11 @@
     }
 
     fn name(&self, of: NodeId) -> String {
-        self.names.borrow().get(&of).cloned().unwrap_or_else(|| format!("{:016x}", of.0))
+        self.names
+            .borrow()
+            .get(&of)
+            .cloned()
+            .unwrap_or_else(|| format!("{:016x}", of.0))
     }
 }
 
@@ -114,19 +166,28 @@
         for action in actions {
             match action {
                 Action::Send { to, bytes } => {
-                    self.feed(Gossiped::Say { to: MemberId(to.0), bytes: &bytes });
+                    self.feed(Gossiped::Say {
+                        to: MemberId(to.0),
+                        bytes: &bytes,
+                    });
                 }
                 Action::WakeAt(at) => part.alarm.set(at),
                 Action::Changed(shard, fence, Change::Given(to)) => {
                     let to = part.name(to);
-                    log::line(format_args!("leases: shard {shard} goes from here to {to}, fence {fence}"));
+                    log::line(format_args!(
+                        "leases: shard {shard} goes from here to {to}, fence {fence}"
+                    ));
                 }
                 Action::Changed(shard, fence, change) => {
-                    log::line(format_args!("leases: shard {shard} {change}, fence {fence}"));
+                    log::line(format_args!(
+                        "leases: shard {shard} {change}, fence {fence}"
+                    ));
                 }
                 Action::Note(Note::Grants) => log::line("leases: this keeper grants"),
                 Action::Note(Note::Alone(set)) => {
-                    log::line(format_args!("leases: the keepers of set {set} decide alone from here on"));
+                    log::line(format_args!(
+                        "leases: the keepers of set {set} decide alone from here on"
+                    ));
                 }
                 Action::Reserve(fence) => {
                     tokio::task::spawn_local(super::record::reserve(Rc::clone(self), fence));
@@ -200,10 +261,14 @@
             Ok(false) => {}
             Ok(true) => {
                 let (set, names) = (keeping.set, keeping.keepers.join(", "));
-                log::line(format_args!("leases: kept by {names} (set {set}), with those before for a while"));
+                log::line(format_args!(
+                    "leases: kept by {names} (set {set}), with those before for a while"
+                ));
                 part.alarm.set(0.0);
             }
-            Err(error) => log::line(format_args!("leases: the keepers stay as they are: {error}")),
+            Err(error) => log::line(format_args!(
+                "leases: the keepers stay as they are: {error}"
+            )),
         }
     }
 
@@ -229,8 +294,12 @@
     /// How many shards there are; none where it takes no part.
     #[must_use]
     pub fn shards(&self) -> Shard {
-        let owners =
-            |part: &Part| part.leases.borrow().as_ref().map_or(0, |leases| leases.owners(0.0).count());
+        let owners = |part: &Part| {
+            part.leases
+                .borrow()
+                .as_ref()
+                .map_or(0, |leases| leases.owners(0.0).count())
+        };
         self.leases.as_ref().map_or(0, owners) as Shard // At most 128.
     }
 
@@ -272,7 +341,9 @@
         }
         let is_there = {
             let gossip = self.gossip.borrow();
-            let there = gossip.members().any(|member| member.name == to && member.state == State::Alive);
+            let there = gossip
+                .members()
+                .any(|member| member.name == to && member.state == State::Alive);
             there && to != self.name
         };
         if !is_there {
@@ -283,11 +354,18 @@
     }
 
     pub(super) fn lease_figures(&self) -> String {
-        let Some(part) = &self.leases else { return String::new() };
+        let Some(part) = &self.leases else {
+            return String::new();
+        };
         let leases = part.leases.borrow();
-        let Some(leases) = leases.as_ref() else { return String::new() };
+        let Some(leases) = leases.as_ref() else {
+            return String::new();
+        };
         let figures = leases.figures();
-        let owned = leases.owners(boot_ms()).filter(|owner| owner.left_ms > 0.0).count() as u64;
+        let owned = leases
+            .owners(boot_ms())
+            .filter(|owner| owner.left_ms > 0.0)
+            .count() as u64;
         let lines = [
             ("owned", owned, 'g'),
             ("won", figures.won, 'c'),
--- a/src/node/cluster/mod.rs
+++ b/src/node/cluster/mod.rs
@@ -22,10 +22,10 @@
 
 pub use leases::Keeping;
 
+use crate::node::admin::log;
 use crate::node::clock::Alarm;
 use crate::node::config::Config;
 use crate::node::driver::Driver;
-use crate::node::admin::log;
 
 /// Datagrams that are read a second, whoever sends them: three times what a node of any fleet is sent while all of them
 /// start at once, and less than a hundredth of a core. What comes beyond waits in the socket, and is lost there once that
@@ -96,11 +96,16 @@
             ));
         }
         let mut bytes = Vec::new();
-        file.take(MOST_KEY + 1).read_to_end(&mut bytes).map_err(failed)?;
+        file.take(MOST_KEY + 1)
+            .read_to_end(&mut bytes)
+            .map_err(failed)?;
         let key = bytes.trim_ascii();
         if key.len() < gossip::LEAST_KEY || bytes.len() as u64 > MOST_KEY {
             let least = gossip::LEAST_KEY;
-            return Err(format!("{}: a key has {least} to {MOST_KEY} bytes", self.key_file.display()));
+            return Err(format!(
+                "{}: a key has {least} to {MOST_KEY} bytes",
+                self.key_file.display()
+            ));
         }
         Ok(key.to_vec())
     }
@@ -121,10 +126,15 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             Self::Missing(key) => {
-                write!(f, "[instances]: neither the operators' file nor the platform says `{key}`")
+                write!(
+                    f,
+                    "[instances]: neither the operators' file nor the platform says `{key}`"
+                )
             }
             Self::Value(why) => write!(f, "[instances]: {why}"),
-            Self::Listen(address, error) => write!(f, "cannot hear other nodes at {address}: {error}"),
+            Self::Listen(address, error) => {
+                write!(f, "cannot hear other nodes at {address}: {error}")
+            }
         }
     }
 }
@@ -133,8 +143,9 @@
 
 /// A part's lines among the figures: name, value and kind of each.
 fn figure_lines(part: &str, lines: &[(&str, u64, char)]) -> String {
-    let line =
-        |(name, value, kind): &(&str, u64, char)| format!("edge_router.{part}_{name}:{value}|{kind}\n");
+    let line = |(name, value, kind): &(&str, u64, char)| {
+        format!("edge_router.{part}_{name}:{value}|{kind}\n")
+    };
     lines.iter().map(line).collect()
 }
 
@@ -194,24 +205,43 @@
         said: Option<&outlier_detection::Settings>,
         driver: &Rc<Driver>,
     ) -> Result<Option<Rc<Self>>, FleetError> {
-        let Some(instances) = instances else { return Ok(None) };
+        let Some(instances) = instances else {
+            return Ok(None);
+        };
         if !config.peers_allowed {
             log::line("the settings do not allow word between nodes: [instances] stays off");
             return Ok(None);
         }
-        let name =
-            instances.name.clone().or_else(|| config.name.clone()).ok_or(FleetError::Missing("name"))?;
+        let name = instances
+            .name
+            .clone()
+            .or_else(|| config.name.clone())
+            .ok_or(FleetError::Missing("name"))?;
         if !gossip::is_name(&name) {
-            return Err(FleetError::Value(format!("{name:?} cannot be a node's name")));
+            return Err(FleetError::Value(format!(
+                "{name:?} cannot be a node's name"
+            )));
         }
-        let listen = instances.listen.or(config.peer_listen).ok_or(FleetError::Missing("listen"))?;
-        let peers = instances.peers.clone().unwrap_or_else(|| config.peers.clone());
+        let listen = instances
+            .listen
+            .or(config.peer_listen)
+            .ok_or(FleetError::Missing("listen"))?;
+        let peers = instances
+            .peers
+            .clone()
+            .unwrap_or_else(|| config.peers.clone());
         let key = instances.read_key().map_err(FleetError::Value)?;
-        let socket = UdpSocket::bind(listen).await.map_err(|error| FleetError::Listen(listen, error))?;
-        let unix = std::time::SystemTime::now().duration_since(std::time::UNIX_EPOCH).unwrap_or_default();
+        let socket = UdpSocket::bind(listen)
+            .await
+            .map_err(|error| FleetError::Listen(listen, error))?;
+        let unix = std::time::SystemTime::now()
+            .duration_since(std::time::UNIX_EPOCH)
+            .unwrap_or_default();
         let process = fastrand::u64(1..);
         let leases = keeping
-            .map(|keeping| leases::Part::new(boot_ms(), keeping, &name, process, unix.as_millis() as u64))
+            .map(|keeping| {
+                leases::Part::new(boot_ms(), keeping, &name, process, unix.as_millis() as u64)
+            })
             .transpose()
             .map_err(FleetError::Value)?;
         let word = said
@@ -221,7 +251,12 @@
         let settings = Settings {
             probe_ms: instances.probe_ms,
             suspect_ms: instances.suspect_ms,
-            ..Settings::new(&name, process, unix.as_millis() as u64, Seal::new(&instances.fleet, &key))
+            ..Settings::new(
+                &name,
+                process,
+                unix.as_millis() as u64,
+                Seal::new(&instances.fleet, &key),
+            )
         };
         let fleet = Rc::new(Self {
             gossip: RefCell::new(Gossip::new(boot_ms(), settings)),
@@ -266,12 +301,21 @@
             self.change_keepers(keeping);
         }
         self.names_peers.set(instances.peers.is_some());
-        let platform = config.filter(|_| !self.names_peers.get()).map(|config| config.peers.clone());
+        let platform = config
+            .filter(|_| !self.names_peers.get())
+            .map(|config| config.peers.clone());
         if let Some(peers) = instances.peers.clone().or(platform) {
             self.set_peers(&peers);
         }
-        let Instances { probe_ms, suspect_ms, .. } = *instances;
-        self.feed(Event::Timings { probe_ms, suspect_ms });
+        let Instances {
+            probe_ms,
+            suspect_ms,
+            ..
+        } = *instances;
+        self.feed(Event::Timings {
+            probe_ms,
+            suspect_ms,
+        });
     }
 
     /// Says goodbye, and gives to others what it owns.
@@ -291,7 +335,9 @@
 
     fn feed(self: &Rc<Self>, event: Event<'_>) {
         let mut actions = Vec::new();
-        self.gossip.borrow_mut().handle(boot_ms(), event, &mut actions);
+        self.gossip
+            .borrow_mut()
+            .handle(boot_ms(), event, &mut actions);
         let mut is_other = false;
         for action in actions {
             match action {
@@ -314,9 +360,17 @@
                 Action::Word { from, bytes, .. } if outlier_detection::is_report(&bytes) => {
                     self.heard_word(from, &bytes);
                 }
-                Action::Word { from, process, bytes } => {
+                Action::Word {
+                    from,
+                    process,
+                    bytes,
+                } => {
                     let from = lease::NodeId(from.0);
-                    self.lease_event(lease::Event::Word { from, process, bytes: &bytes });
+                    self.lease_event(lease::Event::Word {
+                        from,
+                        process,
+                        bytes: &bytes,
+                    });
                 }
             }
         }
@@ -389,15 +443,22 @@
         for member in gossip.members() {
             if member.is_self {
                 let (health, incarnation) = (gossip.health(), member.incarnation);
-                own = format!("self {} {health} {incarnation} {}\n", member.name, member.state);
+                own = format!(
+                    "self {} {health} {incarnation} {}\n",
+                    member.name, member.state
+                );
                 continue;
             }
             let since = (now - member.since_ms).max(0.0);
-            let heard = member.heard_ms.map_or("-".into(), |at| format!("{:.0}", (now - at).max(0.0)));
+            let heard = member
+                .heard_ms
+                .map_or("-".into(), |at| format!("{:.0}", (now - at).max(0.0)));
             let address = member.address.and_then(|at| addresses.all.get(at));
             let address = address.map_or("-".into(), ToString::to_string);
             let (name, state, incarnation) = (&member.name, member.state, member.incarnation);
-            lines.push(format!("{name} {state} {incarnation} {since:.0} {heard} {address}\n"));
+            lines.push(format!(
+                "{name} {state} {incarnation} {since:.0} {heard} {address}\n"
+            ));
         }
         lines.sort_unstable();
         own + &lines.concat()
@@ -413,7 +474,10 @@
             let _ = writeln!(text, "edge_router.fleet_{name}:{value}|{kind}"); // Text grows without fail.
         };
         for state in [State::Alive, State::Suspect, State::Gone, State::Left] {
-            let count = gossip.members().filter(|member| !member.is_self && member.state == state).count();
+            let count = gossip
+                .members()
+                .filter(|member| !member.is_self && member.state == state)
+                .count();
             line(&format!("members.{state}"), count as u64, 'g');
         }
         line("health", gossip.health() as u64, 'g');
--- a/src/node/cluster/record.rs
+++ b/src/node/cluster/record.rs
@@ -27,7 +27,9 @@
         Err(error) => return Err(said(&error)),
     };
     let mut text = String::new();
-    file.take(MOST_RECORD as u64 + 1).read_to_string(&mut text).map_err(|error| said(&error))?;
+    file.take(MOST_RECORD as u64 + 1)
+        .read_to_string(&mut text)
+        .map_err(|error| said(&error))?;
     read_record(node, &text).map_err(|error| said(&error))
 }
 
@@ -39,14 +41,18 @@
     file.write_all(text.as_bytes())?;
     file.sync_all()?;
     fs::rename(&beside, path)?;
-    let folder = path.parent().filter(|folder| !folder.as_os_str().is_empty());
+    let folder = path
+        .parent()
+        .filter(|folder| !folder.as_os_str().is_empty());
     File::open(folder.unwrap_or(Path::new(".")))?.sync_all()
 }
 
 /// Writes down up to which fence this keeper grants, beside the thread that serves, and says so to the leases. A disk that
 /// fails is tried again, from a new file; until then nothing is granted beyond what was written.
 pub async fn reserve(fleet: Rc<Fleet>, fence: Fence) {
-    let Some(path) = fleet.record.clone() else { return };
+    let Some(path) = fleet.record.clone() else {
+        return;
+    };
     let text = write_record(&fleet.name, fence);
     let mut was_said = false;
     loop {
@@ -56,7 +62,9 @@
             Ok(()) => return fleet.lease_event(Event::Reserved(fence)),
             Err(error) if !was_said => {
                 was_said = true;
-                log::line(format_args!("leases: the file of fences cannot be written: {error}"));
+                log::line(format_args!(
+                    "leases: the file of fences cannot be written: {error}"
+                ));
             }
             Err(_) => {}
         }
--- a/src/node/cluster/word.rs
+++ b/src/node/cluster/word.rs
@@ -6,13 +6,13 @@
 use std::fmt::Write;
 use std::rc::{Rc, Weak};
 
-use outlier_detection::{Action, Event, Hint, Kind, NodeKey, ServerKey, Settings, Word};
 use gossip::{Event as Gossiped, MemberId, State};
+use outlier_detection::{Action, Event, Hint, Kind, NodeKey, ServerKey, Settings, Word};
 
 use super::{boot_ms, figure_lines, Fleet};
+use crate::node::admin::log;
 use crate::node::clock::Alarm;
 use crate::node::driver::Driver;
-use crate::node::admin::log;
 use balancer::{Ending, ServerId};
 
 /// A node's part in it.
@@ -44,7 +44,14 @@
     pub fn new(now: f64, settings: Settings, driver: Rc<Driver>) -> Result<Self, String> {
         let word = Word::new(now, settings, fastrand::f64()).map_err(|error| error.to_string())?;
         let (word, numbers, floor) = (RefCell::new(word), RefCell::default(), settings.floor);
-        Ok(Self { word, driver, alarm: Alarm::new(), listed: Cell::new(None), numbers, floor })
+        Ok(Self {
+            word,
+            driver,
+            alarm: Alarm::new(),
+            listed: Cell::new(None),
+            numbers,
+            floor,
+        })
     }
 
     /// Takes the driver's list, if it has another one now.
@@ -55,8 +62,13 @@
         }
         let servers = self.driver.server_keys();
         let keys: Vec<_> = servers.iter().map(|(_, key)| ServerKey(*key)).collect();
-        *self.numbers.borrow_mut() = servers.iter().map(|(number, key)| (ServerKey(*key), *number)).collect();
-        self.word.borrow_mut().handle(boot_ms(), Event::Servers(&keys), actions);
+        *self.numbers.borrow_mut() = servers
+            .iter()
+            .map(|(number, key)| (ServerKey(*key), *number))
+            .collect();
+        self.word
+            .borrow_mut()
+            .handle(boot_ms(), Event::Servers(&keys), actions);
     }
 }
 
@@ -66,7 +78,9 @@
         let Some(part) = &self.word else { return };
         let mut actions = Vec::new();
         part.relist(&mut actions);
-        part.word.borrow_mut().handle(boot_ms(), event, &mut actions);
+        part.word
+            .borrow_mut()
+            .handle(boot_ms(), event, &mut actions);
         for action in actions {
             match action {
                 Action::Tell(bytes) => self.tell_all(&bytes),
@@ -78,7 +92,9 @@
                         if weight >= 1.0 {
                             log::line(format_args!("word: {name} has its whole share again"));
                         } else if weight <= part.floor {
-                            log::line(format_args!("word: other nodes complain of {name}: it is spared"));
+                            log::line(format_args!(
+                                "word: other nodes complain of {name}: it is spared"
+                            ));
                         }
                         part.driver.hint(number, weight);
                     }
@@ -92,16 +108,23 @@
         let others: Vec<_> = {
             let gossip = self.gossip.borrow();
             let there = |state| matches!(state, State::Alive | State::Suspect);
-            let others = gossip.members().filter(|member| !member.is_self && there(member.state));
+            let others = gossip
+                .members()
+                .filter(|member| !member.is_self && there(member.state));
             others.map(|member| MemberId::of(&member.name)).collect()
         };
-        others.into_iter().for_each(|to| self.feed(Gossiped::Say { to, bytes }));
+        others
+            .into_iter()
+            .for_each(|to| self.feed(Gossiped::Say { to, bytes }));
     }
 
     pub(super) fn say_how_many(self: &Rc<Self>) {
         let nodes = {
             let gossip = self.gossip.borrow();
-            gossip.members().filter(|member| matches!(member.state, State::Alive | State::Suspect)).count()
+            gossip
+                .members()
+                .filter(|member| matches!(member.state, State::Alive | State::Suspect))
+                .count()
         };
         self.word_event(Event::Nodes(nodes));
     }
@@ -134,8 +157,17 @@
         let hints: Vec<_> = word.hints().collect();
         let mut text = format!("self {} {}\n", self.name, hints.len());
         let numbers = part.numbers.borrow();
-        for Hint { server, kind, reporters, age_ms, weight } in hints {
-            let name = numbers.get(&server).and_then(|number| part.driver.server_name(*number));
+        for Hint {
+            server,
+            kind,
+            reporters,
+            age_ms,
+            weight,
+        } in hints
+        {
+            let name = numbers
+                .get(&server)
+                .and_then(|number| part.driver.server_name(*number));
             let (name, kind) = (name.unwrap_or_else(|| "-".into()), kind.name());
             let _ = writeln!(text, "{name} {kind} {reporters} {age_ms:.0} {weight:.2}");
             // Text grows without fail.
@@ -144,7 +176,9 @@
     }
 
     pub(super) fn word_figures(&self) -> String {
-        let Some(part) = &self.word else { return String::new() };
+        let Some(part) = &self.word else {
+            return String::new();
+        };
         let word = part.word.borrow();
         let figures = word.figures();
         let spared = word.hints().filter(|hint| hint.weight < 1.0).count() as u64;
--- a/src/node/config.rs
+++ b/src/node/config.rs
@@ -36,8 +36,12 @@
             Self::NoFile => write!(f, "{VARIABLE} names no configuration file"),
             Self::Unreadable(path, error) => write!(f, "cannot read {}: {error}", path.display()),
             Self::Malformed(error) => write!(f, "the configuration is malformed: {error}"),
-            Self::Value(key, value) => write!(f, "the configuration's `{key}` makes no sense: {value}"),
-            Self::Settings(error) => write!(f, "the configuration's `settings` make no sense: {error}"),
+            Self::Value(key, value) => {
+                write!(f, "the configuration's `{key}` makes no sense: {value}")
+            }
+            Self::Settings(error) => {
+                write!(f, "the configuration's `settings` make no sense: {error}")
+            }
         }
     }
 }
@@ -70,7 +74,10 @@
 
 impl Default for Limits {
     fn default() -> Self {
-        Self { sockets: 1024, memory_mb: 64 }
+        Self {
+            sockets: 1024,
+            memory_mb: 64,
+        }
     }
 }
 
@@ -102,7 +109,13 @@
     /// Numbers names in their order.
     #[must_use]
     pub fn new(names: impl IntoIterator<Item = String>) -> Self {
-        Self(names.into_iter().enumerate().map(|(at, name)| (name, at)).collect())
+        Self(
+            names
+                .into_iter()
+                .enumerate()
+                .map(|(at, name)| (name, at))
+                .collect(),
+        )
     }
 
     /// The names, in the order of what they stand for.
@@ -211,7 +224,14 @@
 impl Default for SocketSettings {
     fn default() -> Self {
         let (classes, parties, zones, kinds) = Default::default();
-        Self { classes, parties, zones, kinds, allowed: Allowed::default(), rules: Rules::default() }
+        Self {
+            classes,
+            parties,
+            zones,
+            kinds,
+            allowed: Allowed::default(),
+            rules: Rules::default(),
+        }
     }
 }
 
@@ -226,7 +246,12 @@
 
 impl Default for Allowed {
     fn default() -> Self {
-        Self { dial_timeout_ms: 1_000.0, conn_idle_ms: 60_000.0, most_held: 20_000, peers: false }
+        Self {
+            dial_timeout_ms: 1_000.0,
+            conn_idle_ms: 60_000.0,
+            most_held: 20_000,
+            peers: false,
+        }
     }
 }
 
@@ -238,7 +263,9 @@
 
 impl Default for Rules {
     fn default() -> Self {
-        Self { drain_grace_ms: 0.0 }
+        Self {
+            drain_grace_ms: 0.0,
+        }
     }
 }
 
@@ -249,10 +276,12 @@
     ///
     /// It is not there or cannot be used.
     pub fn from_environment() -> Result<Self, ConfigError> {
-        let path = env::var_os(VARIABLE).filter(|path| !path.is_empty()).ok_or(ConfigError::NoFile)?;
+        let path = env::var_os(VARIABLE)
+            .filter(|path| !path.is_empty())
+            .ok_or(ConfigError::NoFile)?;
         let path = Path::new(&path);
-        let text =
-            fs::read_to_string(path).map_err(|error| ConfigError::Unreadable(path.to_owned(), error))?;
+        let text = fs::read_to_string(path)
+            .map_err(|error| ConfigError::Unreadable(path.to_owned(), error))?;
         Self::parse(&text)
     }
 
@@ -266,8 +295,11 @@
         let mut settings = read_settings(&raw.settings).map_err(ConfigError::Settings)?;
         // This node cannot probe: the balancer is told so, and goes by the reports in answers alone.
         settings.probes = false;
-        settings.validate().map_err(|error| ConfigError::Settings(WireError::other(&error)))?;
-        let sockets: SocketSettings = serde_json::from_value(raw.settings).map_err(ConfigError::Malformed)?;
+        settings
+            .validate()
+            .map_err(|error| ConfigError::Settings(WireError::other(&error)))?;
+        let sockets: SocketSettings =
+            serde_json::from_value(raw.settings).map_err(ConfigError::Malformed)?;
         let names = |named: Vec<Named>| Names::new(named.into_iter().map(|n| n.name));
         Ok(Self {
             name: raw.name,
@@ -276,10 +308,15 @@
             peers: raw.peers.iter().filter_map(|at| at.parse().ok()).collect(),
             peers_allowed: sockets.allowed.peers,
             listen: address("listen", &raw.listen)?,
-            control: raw.control.as_deref().map(|at| address("control", at)).transpose()?,
+            control: raw
+                .control
+                .as_deref()
+                .map(|at| address("control", at))
+                .transpose()?,
             discovery: address("discovery", &raw.discovery)?,
             push: settings.discovery == Discovery::Push,
-            seed: u64::from_str_radix(&raw.seed, 16).map_err(|_| ConfigError::Value("seed", raw.seed))?,
+            seed: u64::from_str_radix(&raw.seed, 16)
+                .map_err(|_| ConfigError::Value("seed", raw.seed))?,
             limits: raw.limits,
             known: raw.known,
             settings,
@@ -296,7 +333,8 @@
 }
 
 fn address(key: &'static str, text: &str) -> Result<SocketAddr, ConfigError> {
-    text.parse().map_err(|_| ConfigError::Value(key, text.to_owned()))
+    text.parse()
+        .map_err(|_| ConfigError::Value(key, text.to_owned()))
 }
 
 /// A time in milliseconds, a day at the most.
--- a/src/node/discovery/connection.rs
+++ b/src/node/discovery/connection.rs
@@ -35,12 +35,18 @@
         let stream = TcpStream::connect(address).await?;
         stream.set_nodelay(true)?;
         prepare(&stream)?;
-        let handshake = Builder::new().max_buf_size(BUFFER).handshake(TokioIo::new(stream)).await;
+        let handshake = Builder::new()
+            .max_buf_size(BUFFER)
+            .handshake(TokioIo::new(stream))
+            .await;
         let (sender, connection) = handshake.map_err(io::Error::other)?;
         let task = tokio::task::spawn_local(async move {
             let _ = connection.await; // What breaks here shows in the answer.
         });
-        Ok(Self { sender, task: task.abort_handle() })
+        Ok(Self {
+            sender,
+            task: task.abort_handle(),
+        })
     }
 
     /// Whether it can be asked now.
@@ -54,7 +60,10 @@
     /// # Errors
     ///
     /// The connection broke, or what came is no answer.
-    pub async fn ask(&mut self, request: Request<Empty<Bytes>>) -> Result<Response<Incoming>, hyper::Error> {
+    pub async fn ask(
+        &mut self,
+        request: Request<Empty<Bytes>>,
+    ) -> Result<Response<Incoming>, hyper::Error> {
         self.sender.send_request(request).await
     }
 }
--- a/src/node/discovery/consul.rs
+++ b/src/node/discovery/consul.rs
@@ -10,11 +10,11 @@
 
 use bytes::Bytes;
 use consul::{Action, Event, News, Said, State as Stated, Trouble, Watch, WatchSettings};
+use endpoint_discovery::{Authority, Host, List, SourceId, State, Trust, Word};
 use http_body_util::{BodyExt, Empty};
 use hyper::body::Incoming;
 use hyper::header::{HeaderValue, ACCEPT, HOST};
 use hyper::{Request, Response};
-use endpoint_discovery::{Authority, Host, List, SourceId, State, Trust, Word};
 use socket2::{SockRef, TcpKeepalive};
 
 use crate::node::admin::log;
@@ -44,7 +44,12 @@
 }
 
 /// Follows a service for as long as the future is polled. Dropping it ends its connections and nothing else.
-pub async fn follow(members: Rc<ServerMembers>, source: SourceId, settings: ConsulSource, seed: u64) {
+pub async fn follow(
+    members: Rc<ServerMembers>,
+    source: SourceId,
+    settings: ConsulSource,
+    seed: u64,
+) {
     let mut watch = Watch::new(settings.watch.clone(), seed);
     let mut exchange = Exchange::new(settings);
     let (mut actions, mut wake_at_ms) = (Vec::new(), 0.0);
@@ -71,10 +76,18 @@
             None => watch.handle(now, Event::Due, &mut actions),
             Some(Came::Head(answer)) => {
                 let headers = answer.headers().iter();
-                let headers: Vec<_> =
-                    headers.filter_map(|(name, value)| Some((name.as_str(), value.to_str().ok()?))).collect();
+                let headers: Vec<_> = headers
+                    .filter_map(|(name, value)| Some((name.as_str(), value.to_str().ok()?)))
+                    .collect();
                 let status = answer.status().as_u16();
-                watch.handle(now, Event::Head { status, headers: &headers }, &mut actions);
+                watch.handle(
+                    now,
+                    Event::Head {
+                        status,
+                        headers: &headers,
+                    },
+                    &mut actions,
+                );
                 exchange.read(answer.into_body());
             }
             Some(Came::Body(piece)) => watch.handle(now, Event::Body(&piece), &mut actions),
@@ -86,11 +99,20 @@
 
 /// What Consul tells, in the view's words.
 fn listed(source: SourceId, news: News) -> endpoint_discovery::Event {
-    let authority = if news.fresh { Authority::Fresh } else { Authority::Stale };
+    let authority = if news.fresh {
+        Authority::Fresh
+    } else {
+        Authority::Stale
+    };
     let index = news.index;
     let words = news.words.iter().map(|said| word(said, index)).collect();
     let left = news.left.into_iter().map(|key| (key, index)).collect();
-    let list = List { authority, history: news.history, words, left };
+    let list = List {
+        authority,
+        history: news.history,
+        words,
+        left,
+    };
     endpoint_discovery::Event::Listed { source, list }
 }
 
@@ -107,7 +129,12 @@
         started_at_ms: facts.started_at_ms.unwrap_or(0.0),
         weight: facts.weight,
     };
-    Word { key: said.key.clone(), state: state(said.state), index, host: Some(host) }
+    Word {
+        key: said.key.clone(),
+        state: state(said.state),
+        index,
+        host: Some(host),
+    }
 }
 
 fn state(state: Stated) -> State {
@@ -145,11 +172,18 @@
 
 impl Exchange {
     fn new(settings: ConsulSource) -> Self {
-        Self { settings, state: Step::Idle, connection: None }
+        Self {
+            settings,
+            state: Step::Idle,
+            connection: None,
+        }
     }
 
     fn ask(&mut self, agent: usize, path: &str) {
-        let kept = self.connection.take().filter(|(to, kept)| *to == agent && kept.is_ready());
+        let kept = self
+            .connection
+            .take()
+            .filter(|(to, kept)| *to == agent && kept.is_ready());
         let address = self.settings.agents[agent];
         let request = self.request(address, path);
         self.state = Step::Asking(Box::pin(async move {
@@ -159,17 +193,24 @@
                 None => connect(address).await?,
             };
             let answer = connection.ask(request).await;
-            Ok((answer.map_err(|error| error.to_string())?, agent, connection))
+            Ok((
+                answer.map_err(|error| error.to_string())?,
+                agent,
+                connection,
+            ))
         }));
     }
 
     fn request(&self, address: SocketAddr, path: &str) -> Result<Request<Empty<Bytes>>, String> {
-        let mut request =
-            Request::get(path).header(HOST, address.to_string()).header(ACCEPT, "application/json");
+        let mut request = Request::get(path)
+            .header(HOST, address.to_string())
+            .header(ACCEPT, "application/json");
         if let Some(file) = &self.settings.token_file {
             request = request.header("x-consul-token", token(file)?);
         }
-        request.body(Empty::new()).map_err(|error| error.to_string())
+        request
+            .body(Empty::new())
+            .map_err(|error| error.to_string())
     }
 
     fn read(&mut self, body: Incoming) {
@@ -215,11 +256,19 @@
             Trouble::Unreachable(why) => {
                 log::line(format_args!("{name}: agent {agent} cannot be asked: {why}"))
             }
-            Trouble::Status(status) => log::line(format_args!("{name}: agent {agent} answered {status}")),
-            Trouble::Forbidden => log::line(format_args!("{name}: agent {agent} does not take the token")),
-            Trouble::Silent => log::line(format_args!("{name}: agent {agent} does not answer in time")),
+            Trouble::Status(status) => {
+                log::line(format_args!("{name}: agent {agent} answered {status}"))
+            }
+            Trouble::Forbidden => log::line(format_args!(
+                "{name}: agent {agent} does not take the token"
+            )),
+            Trouble::Silent => log::line(format_args!(
+                "{name}: agent {agent} does not answer in time"
+            )),
             Trouble::Answer(why) => {
-                log::line(format_args!("{name}: the answer of agent {agent} is of no use: {why}"));
+                log::line(format_args!(
+                    "{name}: the answer of agent {agent} is of no use: {why}"
+                ));
             }
             Trouble::Instances(why) => log::line(format_args!("{name}: agent {agent}: {why}")),
             Trouble::Nameless(count) => {
@@ -241,11 +290,14 @@
     let unreadable = |error: io::Error| format!("the token's file cannot be read: {error}");
     let mut text = Vec::new();
     // Guards against a file that has no end.
-    let mut limited = std::fs::File::open(file).map_err(unreadable)?.take(MOST_TOKEN as u64 + 1);
+    let mut limited = std::fs::File::open(file)
+        .map_err(unreadable)?
+        .take(MOST_TOKEN as u64 + 1);
     limited.read_to_end(&mut text).map_err(unreadable)?;
     let text = text.trim_ascii();
-    let mut value =
-        HeaderValue::from_bytes(text).ok().filter(|_| !text.is_empty() && text.len() <= MOST_TOKEN);
+    let mut value = HeaderValue::from_bytes(text)
+        .ok()
+        .filter(|_| !text.is_empty() && text.len() <= MOST_TOKEN);
     if let Some(value) = &mut value {
         value.set_sensitive(true);
     }
@@ -253,9 +305,15 @@
 }
 
 async fn connect(address: SocketAddr) -> Result<Connection, String> {
-    let keepalive =
-        TcpKeepalive::new().with_time(KEEPALIVE.0).with_interval(KEEPALIVE.1).with_retries(KEEPALIVE_RETRIES);
-    let opened = Connection::open(address, |stream| SockRef::from(stream).set_tcp_keepalive(&keepalive));
+    let keepalive = TcpKeepalive::new()
+        .with_time(KEEPALIVE.0)
+        .with_interval(KEEPALIVE.1)
+        .with_retries(KEEPALIVE_RETRIES);
+    let opened = Connection::open(address, |stream| {
+        SockRef::from(stream).set_tcp_keepalive(&keepalive)
+    });
     let opened = tokio::time::timeout(CONNECTING, opened).await;
-    opened.map_err(|_| "no connection in time".to_owned())?.map_err(|error| error.to_string())
+    opened
+        .map_err(|_| "no connection in time".to_owned())?
+        .map_err(|error| error.to_string())
 }
--- a/src/node/discovery/endpoint_list.rs
+++ b/src/node/discovery/endpoint_list.rs
@@ -13,8 +13,8 @@
 use hyper::{Request, StatusCode};
 use tokio::sync::watch;
 
-use crate::node::config::HostList;
 use crate::node::admin::log;
+use crate::node::config::HostList;
 use crate::node::discovery::connection::Connection;
 use crate::node::discovery::members::ServerMembers;
 use balancer::LONGEST_RESUBSCRIBE_MS;
@@ -58,7 +58,10 @@
     /// Of lists that are asked for.
     #[must_use]
     pub fn asked() -> Self {
-        Self { opening: OPENING_ASKED, longest_wait: Duration::from_secs_f64(LONGEST_RESUBSCRIBE_MS / 1e3) }
+        Self {
+            opening: OPENING_ASKED,
+            longest_wait: Duration::from_secs_f64(LONGEST_RESUBSCRIBE_MS / 1e3),
+        }
     }
 
     /// The longest from the return of a discovery that was out of reach to an answer of it: a call that was about to
@@ -137,7 +140,11 @@
     grace: Duration,
     mut version: Option<u64>,
 ) {
-    let pace = if push { Pace::pushed(grace) } else { Pace::asked() };
+    let pace = if push {
+        Pace::pushed(grace)
+    } else {
+        Pace::asked()
+    };
     let mut wait = FIRST_WAIT;
     let mut at = *addresses.borrow_and_update();
     let mut moved = false;
@@ -163,16 +170,24 @@
         match end {
             None => continue,
             Some(End::Lost(why)) => {
-                log::line(format_args!("the watch on the list of servers ended: {why}"));
+                log::line(format_args!(
+                    "the watch on the list of servers ended: {why}"
+                ));
             }
             Some(End::Malformed(why)) => {
-                log::line(format_args!("the watch on the list of servers made no sense: {why}"));
+                log::line(format_args!(
+                    "the watch on the list of servers made no sense: {why}"
+                ));
                 version = None;
             }
         }
         members.roster_lost();
         if push {
-            wait = if heard { FIRST_WAIT } else { (wait * 2).min(pace.longest_wait) };
+            wait = if heard {
+                FIRST_WAIT
+            } else {
+                (wait * 2).min(pace.longest_wait)
+            };
             // Guards against a node that waits for an address of no more use.
             tokio::select! {
                 () = tokio::time::sleep(wait) => {}
@@ -213,7 +228,9 @@
         let frame = frame.map_err(|_| End::Lost("it fell silent".into()))?;
         let frame = frame.ok_or_else(|| End::Lost("discovery ended it".into()))??;
         *heard = true;
-        let Some(piece) = frame.data_ref() else { continue };
+        let Some(piece) = frame.data_ref() else {
+            continue;
+        };
         lines.push(piece);
         let mut ended = false;
         while let Some(line) = lines.next_line() {
@@ -241,7 +258,9 @@
 
 async fn open(address: SocketAddr, version: Option<u64>) -> Result<(Incoming, Connection), End> {
     let mut connection = Connection::open(address, |_| Ok(())).await?;
-    let from = version.map(|version| format!("&from={version}")).unwrap_or_default();
+    let from = version
+        .map(|version| format!("&from={version}"))
+        .unwrap_or_default();
     let request = Request::get(format!("/discovery/hosts?watch=1{from}"))
         .header(HOST, address.to_string())
         .body(Empty::<Bytes>::new())
--- a/src/node/discovery/endpoint_list/tests.rs
+++ b/src/node/discovery/endpoint_list/tests.rs
@@ -18,5 +18,8 @@
         let hangs = pushed.after_silence() + pushed.longest_wait + pushed.opening;
         assert!(hangs < COUNTS_AS_TOLD, "{pushed:?}");
     }
-    assert!(SILENCE > Duration::from_millis(2_500), "an empty line comes every 2 s, at times late");
+    assert!(
+        SILENCE > Duration::from_millis(2_500),
+        "an empty line comes every 2 s, at times late"
+    );
 }
--- a/src/node/discovery/members.rs
+++ b/src/node/discovery/members.rs
@@ -5,13 +5,15 @@
 use std::collections::HashSet;
 use std::rc::Rc;
 
-use endpoint_discovery::{Action, Authority, Event, Host, List, Membership, SourceId, State, Trust, Word};
+use endpoint_discovery::{
+    Action, Authority, Event, Host, List, Membership, SourceId, State, Trust, Word,
+};
 
+use crate::node::admin::log;
 use crate::node::clock::Alarm;
 use crate::node::config::HostList;
-use crate::node::driver::Driver;
-use crate::node::admin::log;
 use crate::node::discovery::roster;
+use crate::node::driver::Driver;
 
 /// The roster's place among the sources.
 const ROSTER: SourceId = 0;
@@ -48,7 +50,10 @@
             generation: Cell::new(0),
             history: Cell::new(0),
         };
-        let members = Rc::new(Self { driver, view: Some(view) });
+        let members = Rc::new(Self {
+            driver,
+            view: Some(view),
+        });
         if !known.instances.is_empty() {
             members.listed(known, Authority::Stale);
         }
@@ -96,9 +101,15 @@
         let Some(view) = &self.view else { return };
         let mut actions = Vec::new();
         let is_roster = matches!(&event, Event::Listed { source: ROSTER, .. });
-        view.membership.borrow_mut().handle(self.driver.now_ms(), event, &mut actions);
+        view.membership
+            .borrow_mut()
+            .handle(self.driver.now_ms(), event, &mut actions);
         // The driver hears of every list: that it comes matters, too, where lists are asked for.
-        if is_roster && !actions.iter().any(|action| matches!(action, Action::Changed(_))) {
+        if is_roster
+            && !actions
+                .iter()
+                .any(|action| matches!(action, Action::Changed(_)))
+        {
             self.driver.changes(&[]);
         }
         for action in actions {
@@ -126,8 +137,16 @@
             host: Some(host).filter(|host| host.state != State::Gone),
         };
         let words = hosts.into_iter().map(word).collect();
-        let list = List { authority, history: view.history.get(), words, left };
-        self.feed(Event::Listed { source: ROSTER, list });
+        let list = List {
+            authority,
+            history: view.history.get(),
+            words,
+            left,
+        };
+        self.feed(Event::Listed {
+            source: ROSTER,
+            list,
+        });
     }
 
     async fn wake_up(self: Rc<Self>) {
@@ -146,7 +165,11 @@
         let mut left = Vec::new();
         if whole {
             let listed: HashSet<_> = hosts.iter().map(|host| host.id.as_str()).collect();
-            left = named.iter().filter(|id| !listed.contains(id.as_str())).cloned().collect();
+            left = named
+                .iter()
+                .filter(|id| !listed.contains(id.as_str()))
+                .cloned()
+                .collect();
             named.clear();
         }
         for host in hosts {
--- a/src/node/discovery/mod.rs
+++ b/src/node/discovery/mod.rs
@@ -14,8 +14,8 @@
 use endpoint_discovery::{Event, SourceId};
 use tokio::task::AbortHandle;
 
-use crate::node::driver::Driver;
 use crate::node::admin::log;
+use crate::node::driver::Driver;
 use consul::ConsulSource;
 use members::ServerMembers;
 
@@ -36,7 +36,11 @@
     /// None yet.
     #[must_use]
     pub fn new(members: Rc<ServerMembers>, seed: u64) -> Rc<Self> {
-        Rc::new(Self { members, seed, followed: RefCell::default() })
+        Rc::new(Self {
+            members,
+            seed,
+            followed: RefCell::default(),
+        })
     }
 
     /// Who is told of the servers.
@@ -52,7 +56,9 @@
             let stays = wanted.contains(&held.settings);
             if !stays {
                 held.task.abort();
-                self.members.feed(Event::Forgotten { source: held.source });
+                self.members.feed(Event::Forgotten {
+                    source: held.source,
+                });
                 log::line(format_args!("{name} is followed no more"));
             }
             stays
@@ -63,11 +69,25 @@
                 continue;
             }
             let source = self.members.add(settings.trust.clone());
-            let following =
-                consul::follow(Rc::clone(&self.members), source, settings.clone(), self.seed ^ nth as u64);
+            let following = consul::follow(
+                Rc::clone(&self.members),
+                source,
+                settings.clone(),
+                self.seed ^ nth as u64,
+            );
             let task = tokio::task::spawn_local(following).abort_handle();
-            log::line(format_args!("{name} is followed: service {:?}", settings.watch.query.service));
-            followed.insert(name.clone(), Followed { settings: settings.clone(), source, task });
+            log::line(format_args!(
+                "{name} is followed: service {:?}",
+                settings.watch.query.service
+            ));
+            followed.insert(
+                name.clone(),
+                Followed {
+                    settings: settings.clone(),
+                    source,
+                    task,
+                },
+            );
         }
     }
 }
--- a/src/node/discovery/roster.rs
+++ b/src/node/discovery/roster.rs
@@ -4,8 +4,8 @@
 use serde::Deserialize;
 use serde_json::Value;
 
-use crate::node::config::HostList;
 use crate::node::admin::log;
+use crate::node::config::HostList;
 
 #[derive(Deserialize)]
 #[serde(rename_all = "camelCase")]
@@ -37,20 +37,29 @@
 #[must_use]
 pub fn read(value: &Value) -> Option<Host> {
     let raw = Raw::deserialize(value)
-        .map_err(|error| log::line(format_args!("an entry of the list of servers is malformed: {error}")))
+        .map_err(|error| {
+            log::line(format_args!(
+                "an entry of the list of servers is malformed: {error}"
+            ))
+        })
         .ok()?;
     let state = match raw.lifecycle.as_str() {
         "ready" => State::Ready,
         "draining" => State::Draining,
         "gone" => State::Gone,
         other => {
-            log::line(format_args!("the list of servers has an unknown lifecycle: {other:?}"));
+            log::line(format_args!(
+                "the list of servers has an unknown lifecycle: {other:?}"
+            ));
             return None;
         }
     };
     let address = raw.host_port.parse().ok();
     if address.is_none() && state == State::Ready {
-        log::line(format_args!("the list of servers has a bad address: {:?}", raw.host_port));
+        log::line(format_args!(
+            "the list of servers has a bad address: {:?}",
+            raw.host_port
+        ));
         return None;
     }
     Some(Host {
--- a/src/node/downstream/clients.rs
+++ b/src/node/downstream/clients.rs
@@ -8,8 +8,9 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-use bytes::{Bytes, BytesMut};
 use admin::{Drain, End, Stay, Taken as Counted};
+use bytes::{Bytes, BytesMut};
+use flow_control::{Pace, Room, Share};
 use http_body_util::BodyExt;
 use hyper::body::{Body, Incoming};
 use hyper::header::{self, HeaderMap, HeaderName, HeaderValue};
@@ -18,20 +19,21 @@
 use hyper::service::service_fn;
 use hyper::{Method, Request, Response, StatusCode};
 use hyper_util::rt::TokioIo;
-use flow_control::{Pace, Room, Share};
 use socket2::SockRef;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::watch;
 
-use crate::node::upstream::answers::{MOST_BODY, MOST_HELD, MOST_PASSED};
-use crate::node::upstream::{Message, RequestBody, ResponseBody, Served};
+use crate::node::admin::log;
 use crate::node::config::Limits;
-use crate::node::driver::{Answer, Driver};
-use crate::node::downstream::connections::{ConnectionGuard, ConnectionTable, Stage, TrackedConnection};
+use crate::node::downstream::connections::{
+    ConnectionGuard, ConnectionTable, Stage, TrackedConnection,
+};
 use crate::node::downstream::passing::{passing, Feeder, Outgoing, Passed, Upload};
 use crate::node::downstream::socket::Socket;
-use crate::node::admin::log;
+use crate::node::driver::{Answer, Driver};
+use crate::node::upstream::answers::{MOST_BODY, MOST_HELD, MOST_PASSED};
+use crate::node::upstream::{Message, RequestBody, ResponseBody, Served};
 use balancer::Effect;
 
 /// The most of a message's head that is read, and of a body that is read at a time.
@@ -131,7 +133,13 @@
     #[must_use]
     pub fn own(phases: watch::Receiver<Phase>, most: usize) -> Self {
         let room = Limits::default().long_requests();
-        Self { phases, drain: Rc::default(), is_shared: false, most, room }
+        Self {
+            phases,
+            drain: Rc::default(),
+            is_shared: false,
+            most,
+            room,
+        }
     }
 }
 
@@ -162,15 +170,26 @@
     let end = async {
         accept(&listener, &table, &state, phases).await;
         drop(listener);
-        let by = state.phases.borrow().answer_by().unwrap_or_else(Instant::now);
-        if tokio::time::timeout_at((by + LAST_WRITES).into(), table.all_left()).await.is_err() {
+        let by = state
+            .phases
+            .borrow()
+            .answer_by()
+            .unwrap_or_else(Instant::now);
+        if tokio::time::timeout_at((by + LAST_WRITES).into(), table.all_left())
+            .await
+            .is_err()
+        {
             log::line("a client did not take its answer in time");
             state.driver.report_unanswered();
         }
     };
     let mut stops = state.phases.clone();
     let holding = async {
-        let by = stops.wait_for(|phase| *phase != Phase::Serving).await.ok().and_then(|now| now.answer_by());
+        let by = stops
+            .wait_for(|phase| *phase != Phase::Serving)
+            .await
+            .ok()
+            .and_then(|now| now.answer_by());
         if let Some(by) = by {
             state.driver.end_by(by);
         }
@@ -230,7 +249,11 @@
         match accepted {
             Ok((stream, _)) => {
                 let guard = table.take().await;
-                drop(tokio::task::spawn_local(connection(stream, Rc::clone(state), guard)));
+                drop(tokio::task::spawn_local(connection(
+                    stream,
+                    Rc::clone(state),
+                    guard,
+                )));
             }
             Err(error) => {
                 log::line(format_args!("cannot accept a connection: {error}"));
@@ -243,12 +266,20 @@
     }
     // The event loop has not heard yet of who came in this turn.
     for _ in 0..MOST_QUEUED {
-        let Ok((stream, _)) = SockRef::from(listener).accept() else { return };
+        let Ok((stream, _)) = SockRef::from(listener).accept() else {
+            return;
+        };
         let stream = std::net::TcpStream::from(stream);
-        let stream = stream.set_nonblocking(true).and_then(|()| TcpStream::from_std(stream));
+        let stream = stream
+            .set_nonblocking(true)
+            .and_then(|()| TcpStream::from_std(stream));
         let Ok(stream) = stream else { return };
         let guard = table.take().await;
-        drop(tokio::task::spawn_local(connection(stream, Rc::clone(state), guard)));
+        drop(tokio::task::spawn_local(connection(
+            stream,
+            Rc::clone(state),
+            guard,
+        )));
     }
 }
 
@@ -280,20 +311,26 @@
             socket.guard.asks();
             let doubtful = socket.framing.borrow().is_doubtful(this);
             let mut response = match doubtful {
-                true => plain(StatusCode::BAD_REQUEST, "the length is told in more than one way\n"),
+                true => plain(
+                    StatusCode::BAD_REQUEST,
+                    "the length is told in more than one way\n",
+                ),
                 false => respond(request, state, tracked).await,
             };
             tracked.enter(Stage::Answer);
             tracked.set_passing(matches!(response.body(), Outgoing::Passing(..)));
             let leaves = state.stay() > Stay::Any || socket.framing.borrow().is_last(this);
             if leaves || state.table.wants_room(tracked) {
-                response.headers_mut().insert(header::CONNECTION, HeaderValue::from_static("close"));
+                response
+                    .headers_mut()
+                    .insert(header::CONNECTION, HeaderValue::from_static("close"));
             }
             Ok::<_, Infallible>(response)
         }
     });
-    let connection =
-        http1::Builder::new().max_buf_size(BUFFER).serve_connection(TokioIo::new(socket.clone()), service);
+    let connection = http1::Builder::new()
+        .max_buf_size(BUFFER)
+        .serve_connection(TokioIo::new(socket.clone()), service);
     let mut connection = pin!(connection);
     let mut phases = state.phases.clone();
     let mut closing = pin!(phases.wait_for(Phase::is_shutting_down));
@@ -386,7 +423,9 @@
         }
         "/up" if request.method() == Method::GET => plain(StatusCode::OK, ""),
         "/up" => plain(StatusCode::METHOD_NOT_ALLOWED, ""),
-        "/api" => api(request, state, tracked).await.unwrap_or_else(|(status, why)| plain(status, why)),
+        "/api" => api(request, state, tracked)
+            .await
+            .unwrap_or_else(|(status, why)| plain(status, why)),
         _ => plain(StatusCode::NOT_FOUND, "no such path\n"),
     }
 }
@@ -415,7 +454,9 @@
 impl<'a> OpenId<'a> {
     /// Guards against two requests that go by one id: a server would take one for a copy of the other.
     fn open(ids: &'a RefCell<HashSet<HeaderValue>>, id: HeaderValue) -> Option<Self> {
-        ids.borrow_mut().insert(id.clone()).then(|| Self { ids, id })
+        ids.borrow_mut()
+            .insert(id.clone())
+            .then(|| Self { ids, id })
     }
 }
 
@@ -439,7 +480,11 @@
         Ok(Answer::Failed) => Ok(plain(StatusCode::BAD_GATEWAY, "")),
         Err(rejection) => Err(rejection),
     };
-    counted.end(end_of(answer.as_ref().map_or_else(|(status, _)| *status, Response::status)));
+    counted.end(end_of(
+        answer
+            .as_ref()
+            .map_or_else(|(status, _)| *status, Response::status),
+    ));
     answer
 }
 
@@ -452,7 +497,11 @@
 }
 
 /// A server's answer for the client; it is counted as it ends.
-fn pass_on(served: Served, counted: Counted, tracked: &Rc<TrackedConnection>) -> Response<Outgoing> {
+fn pass_on(
+    served: Served,
+    counted: Counted,
+    tracked: &Rc<TrackedConnection>,
+) -> Response<Outgoing> {
     let end = end_of(served.status);
     let body = match served.body {
         ResponseBody::Whole(body) => {
@@ -474,7 +523,9 @@
     let mut response = Response::new(body);
     *response.status_mut() = served.status;
     if let Some(content_type) = served.content_type {
-        response.headers_mut().insert(header::CONTENT_TYPE, content_type);
+        response
+            .headers_mut()
+            .insert(header::CONTENT_TYPE, content_type);
     }
     response
 }
@@ -489,7 +540,12 @@
         return Err(TOO_LARGE);
     }
     let driver = &state.driver;
-    let RequestMetadata { id, class, tenant, time } = metadata;
+    let RequestMetadata {
+        id,
+        class,
+        tenant,
+        time,
+    } = metadata;
     let _open = OpenId::open(&state.open, id).ok_or(ALREADY_OPEN)?;
     let key = head.uri.query().and_then(key_of);
     let mut coming = Coming::new(body, driver.now_ms());
@@ -499,11 +555,17 @@
     // Where another process listens on the same socket, clients get connections as ever.
     let is_left = matches!(*state.phases.borrow(), Phase::Draining(_)) && !state.options.is_shared;
     if is_left && state.table.few_free() {
-        return Ok(Answer::Refused { after_ms: Some(FREE_AGAIN_MS) });
+        return Ok(Answer::Refused {
+            after_ms: Some(FREE_AGAIN_MS),
+        });
     }
     let headers = end_to_end(head.headers);
     // A client may name the host in the request line, too; a server is asked by path and query.
-    let uri = head.uri.path_and_query().cloned().map_or(head.uri, Into::into);
+    let uri = head
+        .uri
+        .path_and_query()
+        .cloned()
+        .map_or(head.uri, Into::into);
     let sent = driver.figures.attempts(class).clone();
     let (body, feeder) = match held {
         Held::Whole(body) => (RequestBody::Whole(body), None),
@@ -512,7 +574,14 @@
             (RequestBody::Passing(Upload::new(first, rest)), Some(feeder))
         }
     };
-    let message = Message { method: head.method, uri, headers, body, sent, until: Cell::default() };
+    let message = Message {
+        method: head.method,
+        uri,
+        headers,
+        body,
+        sent,
+        until: Cell::default(),
+    };
     let Some(mut taken) = driver.take(class, tenant, key, message, arrived, time) else {
         return Ok(Answer::Refused { after_ms: None });
     };
@@ -545,7 +614,10 @@
 
 impl Coming {
     fn new(body: Incoming, now_ms: f64) -> Self {
-        Self { body, pace: Pace::of_sending(now_ms) }
+        Self {
+            body,
+            pace: Pace::of_sending(now_ms),
+        }
     }
 
     /// How many bytes are to come, where that is told.
@@ -555,10 +627,15 @@
 
     /// The next piece, or the end. Guards against a client that keeps a place with a body that does not come.
     async fn piece(&mut self, state: &FrontState) -> Result<Option<Bytes>, Rejection> {
-        let late = (StatusCode::REQUEST_TIMEOUT, "the body did not come in time\n");
+        let late = (
+            StatusCode::REQUEST_TIMEOUT,
+            "the body did not come in time\n",
+        );
         loop {
             let left_ms = (self.pace.due_ms() - state.driver.now_ms()).max(0.0);
-            let frame = tokio::time::timeout(Duration::from_secs_f64(left_ms / 1e3), self.body.frame()).await;
+            let frame =
+                tokio::time::timeout(Duration::from_secs_f64(left_ms / 1e3), self.body.frame())
+                    .await;
             match frame.map_err(|_| late)? {
                 None => return Ok(None),
                 Some(Err(_)) => return Err(bad("the body is malformed\n")),
@@ -574,13 +651,17 @@
 
     /// Takes the body in, as far as it may be held.
     async fn hold(&mut self, state: &FrontState) -> Result<Held, Rejection> {
-        let Some(first) = self.piece(state).await? else { return Ok(Held::Whole(Bytes::new())) };
+        let Some(first) = self.piece(state).await? else {
+            return Ok(Held::Whole(Bytes::new()));
+        };
         if self.body.is_end_stream() {
             return Ok(Held::Whole(first));
         }
         let mut held = BytesMut::from(first);
         let mut share = None::<Share>;
-        let told = self.left().map(|left| left.saturating_add(held.len() as u64));
+        let told = self
+            .left()
+            .map(|left| left.saturating_add(held.len() as u64));
         let mut is_whole = false;
         while told.is_none_or(|told| told <= MOST_HELD as u64) && held.len() < MOST_HELD {
             // What is longer than ordinary is held as long as there is room.
@@ -606,7 +687,11 @@
             (Some(share), body) => share.hold(body),
             (None, body) => body,
         };
-        Ok(if is_whole { Held::Whole(body) } else { Held::Part(body) })
+        Ok(if is_whole {
+            Held::Whole(body)
+        } else {
+            Held::Part(body)
+        })
     }
 
     /// Feeds the rest to whoever sends it on; `false`: nobody does any more.
@@ -647,22 +732,34 @@
 
 impl RequestMetadata {
     fn read(method: &Method, headers: &HeaderMap, driver: &Driver) -> Result<Self, Rejection> {
-        if OF_REQUEST.iter().any(|name| headers.get_all(name).iter().nth(1).is_some()) {
+        if OF_REQUEST
+            .iter()
+            .any(|name| headers.get_all(name).iter().nth(1).is_some())
+        {
             return Err(bad("a header of the request comes twice\n"));
         }
-        let text = |name: HeaderName| headers.get(name).map(|value| value.to_str().unwrap_or_default());
+        let text = |name: HeaderName| {
+            headers
+                .get(name)
+                .map(|value| value.to_str().unwrap_or_default())
+        };
         let names = &driver.names;
-        let id = headers.get(REQ_ID).filter(|id| id.to_str().is_ok_and(|id| !id.is_empty()));
+        let id = headers
+            .get(REQ_ID)
+            .filter(|id| id.to_str().is_ok_and(|id| !id.is_empty()));
         let id = id.ok_or(bad("Req-Id is missing or bad\n"))?.clone();
         let class = text(REQ_KIND).and_then(|kind| names.classes.get(kind));
         let class = class.ok_or(bad("Req-Kind is missing or unknown\n"))?;
         let tenant = match text(REQ_OWNER) {
-            Some(owner) if !names.tenants.is_empty() => {
-                names.tenants.get(owner).ok_or(bad("Req-Owner is unknown\n"))?
-            }
+            Some(owner) if !names.tenants.is_empty() => names
+                .tenants
+                .get(owner)
+                .ok_or(bad("Req-Owner is unknown\n"))?,
             _ => 0,
         };
-        let time = text(REQ_DEADLINE).and_then(read_time).ok_or(bad("Req-Deadline is missing or bad\n"))?;
+        let time = text(REQ_DEADLINE)
+            .and_then(read_time)
+            .ok_or(bad("Req-Deadline is missing or bad\n"))?;
         let rule = &names.rules[class];
         let keyed = text(IDEMPOTENCY_KEY).is_some();
         if text(IDEMPOTENCY_KEY).is_some_and(str::is_empty) {
@@ -674,9 +771,16 @@
             Effect::Unsafe => (Method::POST, false),
         };
         if *method != right || keyed != has_key {
-            return Err(bad("the method or Idempotency-Key is not the one of its Req-Kind\n"));
+            return Err(bad(
+                "the method or Idempotency-Key is not the one of its Req-Kind\n",
+            ));
         }
-        Ok(Self { id, class, tenant, time: time.min(rule.longest) })
+        Ok(Self {
+            id,
+            class,
+            tenant,
+            time: time.min(rule.longest),
+        })
     }
 }
 
@@ -684,15 +788,26 @@
 /// parses as a number: a sign, an exponent, infinity; and against times that no client can mean.
 fn read_time(text: &str) -> Option<Duration> {
     let number = text.strip_suffix(['m', 'u'])?;
-    let plain = number.bytes().all(|byte| byte.is_ascii_digit() || byte == b'.');
+    let plain = number
+        .bytes()
+        .all(|byte| byte.is_ascii_digit() || byte == b'.');
     let number = number.parse::<f64>().ok().filter(|n| plain && *n > 0.0)?;
-    let seconds = if text.ends_with('m') { number / 1e3 } else { number / 1e6 };
-    Duration::try_from_secs_f64(seconds).ok().filter(|time| *time <= LONGEST_DEADLINE)
+    let seconds = if text.ends_with('m') {
+        number / 1e3
+    } else {
+        number / 1e6
+    };
+    Duration::try_from_secs_f64(seconds)
+        .ok()
+        .filter(|time| *time <= LONGEST_DEADLINE)
 }
 
 /// The query's `key`.
 fn key_of(query: &str) -> Option<Box<str>> {
-    query.split('&').find_map(|pair| pair.strip_prefix("key=")).map(Into::into)
+    query
+        .split('&')
+        .find_map(|pair| pair.strip_prefix("key="))
+        .map(Into::into)
 }
 
 /// The headers without those of the connection they came on.
--- a/src/node/downstream/clients/tests.rs
+++ b/src/node/downstream/clients/tests.rs
@@ -11,9 +11,16 @@
             assert_eq!(part(Stage::Request, rests, has_news), Stays);
             assert_eq!(part(Stage::Answer, rests, has_news), Cut);
             assert_eq!(part(Stage::Lingering, rests, has_news), Cut);
-            assert_eq!(part(Stage::Idle, rests, has_news), if rests { InOrder } else { Stays });
+            assert_eq!(
+                part(Stage::Idle, rests, has_news),
+                if rests { InOrder } else { Stays }
+            );
             for stage in [Stage::Silent, Stage::Head] {
-                assert_eq!(part(stage, rests, has_news), if has_news { Stays } else { Cut }, "{stage:?}");
+                assert_eq!(
+                    part(stage, rests, has_news),
+                    if has_news { Stays } else { Cut },
+                    "{stage:?}"
+                );
             }
         }
     }
--- a/src/node/downstream/connections.rs
+++ b/src/node/downstream/connections.rs
@@ -248,7 +248,11 @@
             leave: Notify::new(),
         });
         self.taken.borrow_mut().insert(number, Rc::clone(&tracked));
-        ConnectionGuard { table: Rc::clone(self), number, tracked }
+        ConnectionGuard {
+            table: Rc::clone(self),
+            number,
+            tracked,
+        }
     }
 
     /// From now on clients get no further connections: those that they have are kept for whoever wants one.
@@ -267,7 +271,8 @@
     }
 
     fn judge(&self, returned: f64) {
-        self.returning.set(self.returning.get() + (returned - self.returning.get()) * GAIN);
+        self.returning
+            .set(self.returning.get() + (returned - self.returning.get()) * GAIN);
     }
 
     /// How many may stand, of those that have asked, before clients' next connections find too few free: where some have
@@ -293,7 +298,11 @@
     /// A connection stands between requests from now on.
     fn idles(&self, tracked: &Rc<TrackedConnection>) {
         let [once, again] = &self.idle;
-        let own = if tracked.requests.get() > 1 { again } else { once };
+        let own = if tracked.requests.get() > 1 {
+            again
+        } else {
+            once
+        };
         own.borrow_mut().push(tracked, self.most);
     }
 
@@ -314,7 +323,9 @@
         let mut known = self.known.get();
         for (idle, most) in self.idle.iter().zip([few, many]) {
             while known > most {
-                let Some(longest) = idle.borrow_mut().longest(now) else { break };
+                let Some(longest) = idle.borrow_mut().longest(now) else {
+                    break;
+                };
                 longest.ask_to_leave();
                 known -= 1;
             }
@@ -324,8 +335,13 @@
     /// Asks the one that is worth least to leave. One that stands between requests, but not for long, is waited for.
     fn ask_least(&self) {
         let (taken, now) = (self.taken.borrow(), Instant::now());
-        let least = taken.values().filter_map(|p| Some((p.rank(now)?, p))).min_by_key(|(rank, _)| *rank);
-        let Some(((_, since), tracked)) = least else { return };
+        let least = taken
+            .values()
+            .filter_map(|p| Some((p.rank(now)?, p)))
+            .min_by_key(|(rank, _)| *rank);
+        let Some(((_, since), tracked)) = least else {
+            return;
+        };
         if tracked.stage.get() != Stage::Idle || now.saturating_duration_since(since) >= STOOD {
             tracked.ask_to_leave();
         }
--- a/src/node/downstream/framing.rs
+++ b/src/node/downstream/framing.rs
@@ -42,7 +42,14 @@
 
 impl Default for Head {
     fn default() -> Self {
-        Self { line: [0; MOST_KEPT], kept: 0, started: false, lengths: 0, length: None, encoded: false }
+        Self {
+            line: [0; MOST_KEPT],
+            kept: 0,
+            started: false,
+            lengths: 0,
+            length: None,
+            encoded: false,
+        }
     }
 }
 
@@ -53,7 +60,9 @@
             match &mut self.at {
                 At::Beyond => return,
                 At::Body(left) => {
-                    let taken = bytes.len().min(usize::try_from(*left).unwrap_or(usize::MAX));
+                    let taken = bytes
+                        .len()
+                        .min(usize::try_from(*left).unwrap_or(usize::MAX));
                     bytes = &bytes[taken..];
                     *left -= taken as u64;
                     if *left == 0 {
@@ -115,7 +124,9 @@
         let taken = piece.len().min(MOST_KEPT - self.kept);
         self.line[self.kept..self.kept + taken].copy_from_slice(&piece[..taken]);
         self.kept += taken;
-        let Some(end) = end else { return (bytes.len(), false) };
+        let Some(end) = end else {
+            return (bytes.len(), false);
+        };
         (end + 1, self.line_ends())
     }
 
@@ -140,7 +151,9 @@
         } else if name.eq_ignore_ascii_case(b"content-length") {
             self.lengths += 1;
             let digits = Some(value).filter(|v| v.iter().all(u8::is_ascii_digit));
-            self.length = digits.and_then(|v| std::str::from_utf8(v).ok()).and_then(|v| v.parse().ok());
+            self.length = digits
+                .and_then(|v| std::str::from_utf8(v).ok())
+                .and_then(|v| v.parse().ok());
         }
     }
 }
--- a/src/node/downstream/passing.rs
+++ b/src/node/downstream/passing.rs
@@ -7,9 +7,9 @@
 use std::time::Duration;
 
 use bytes::Bytes;
+use flow_control::Pace;
 use http_body::{Body, Frame, SizeHint};
 use http_body_util::Full;
-use flow_control::Pace;
 use pool::Broke;
 use tokio::sync::mpsc;
 use tokio::time::Instant;
@@ -79,7 +79,10 @@
     /// A body that begins so.
     #[must_use]
     pub fn new(first: Bytes, rest: Passing) -> Self {
-        Self { first, rest: RefCell::new(Some(rest)) }
+        Self {
+            first,
+            rest: RefCell::new(Some(rest)),
+        }
     }
 
     /// Whether a part of it is gone with an attempt that failed.
@@ -112,7 +115,12 @@
 #[must_use]
 pub fn passing(told: Option<u64>) -> (Feeder, Passing) {
     let (sender, pieces) = mpsc::channel(BETWEEN);
-    let feeder = Feeder { pieces: sender, begun: Instant::now(), pace: Pace::of_passing(0.0), taken_ms: 0.0 };
+    let feeder = Feeder {
+        pieces: sender,
+        begun: Instant::now(),
+        pace: Pace::of_passing(0.0),
+        taken_ms: 0.0,
+    };
     (feeder, Passing { pieces, left: told })
 }
 
@@ -235,7 +243,11 @@
     /// Where the length is told, nobody asks for more once it has come.
     fn drop(&mut self) {
         if let Self::Passing(passing, _) = self {
-            let how = if passing.is_through() { Passed::Whole } else { Passed::Left };
+            let how = if passing.is_through() {
+                Passed::Whole
+            } else {
+                Passed::Left
+            };
             self.tell(how);
         }
     }
--- a/src/node/downstream/socket.rs
+++ b/src/node/downstream/socket.rs
@@ -122,7 +122,11 @@
 }
 
 impl AsyncRead for Socket {
-    fn poll_read(self: Pin<&mut Self>, cx: &mut Context<'_>, buf: &mut ReadBuf<'_>) -> Poll<io::Result<()>> {
+    fn poll_read(
+        self: Pin<&mut Self>,
+        cx: &mut Context<'_>,
+        buf: &mut ReadBuf<'_>,
+    ) -> Poll<io::Result<()>> {
         let before = buf.filled().len();
         let result = self.poll_next(cx, buf);
         let read = &buf.filled()[before..];
@@ -135,7 +139,11 @@
 }
 
 impl AsyncWrite for Socket {
-    fn poll_write(self: Pin<&mut Self>, cx: &mut Context<'_>, buf: &[u8]) -> Poll<io::Result<usize>> {
+    fn poll_write(
+        self: Pin<&mut Self>,
+        cx: &mut Context<'_>,
+        buf: &[u8],
+    ) -> Poll<io::Result<usize>> {
         let written = Pin::new(&mut *self.stream.borrow_mut()).poll_write(cx, buf);
         self.noted(written)
     }
--- a/src/node/driver.rs
+++ b/src/node/driver.rs
@@ -11,17 +11,17 @@
 use tokio::sync::{oneshot, Notify};
 use tokio::task::AbortHandle;
 
-use crate::node::upstream::addresses::AllSaid;
-use crate::node::upstream::servers::{Bounds, Servers, Underway};
-use crate::node::upstream::{Ended, Message, RequestBody, Served};
+use crate::node::admin::log;
 use crate::node::clock::Clock;
 use crate::node::config::{Config, ConfigError, Names};
-use crate::node::admin::log;
 use crate::node::discovery::roster;
+use crate::node::upstream::addresses::AllSaid;
+use crate::node::upstream::servers::{Bounds, Servers, Underway};
+use crate::node::upstream::{Ended, Message, RequestBody, Served};
 use crate::simulator::WireError;
 use balancer::{
-    Action, Availability, Balancer, Class, Effect, Ending, Event, Listing, Outcome, Request, RequestId,
-    ServerEntry, ServerId,
+    Action, Availability, Balancer, Class, Effect, Ending, Event, Listing, Outcome, Request,
+    RequestId, ServerEntry, ServerId,
 };
 
 /// An answer must reach the client within its time: this much before its end the node stops waiting.
@@ -177,7 +177,11 @@
     /// # Errors
     ///
     /// The module does not take the settings.
-    pub fn start_with(config: &Config, said: AllSaid, bounds: Bounds) -> Result<Rc<Self>, ConfigError> {
+    pub fn start_with(
+        config: &Config,
+        said: AllSaid,
+        bounds: Bounds,
+    ) -> Result<Rc<Self>, ConfigError> {
         let settings = config.settings.clone();
         let rules = |class: &Class| ClassRule {
             effect: class.effect,
@@ -243,14 +247,21 @@
     /// All servers of the list, with what other nodes know them by.
     #[must_use]
     pub fn server_keys(&self) -> Vec<(ServerId, u64)> {
-        self.keys.borrow().iter().map(|(number, key)| (*number, *key)).collect()
+        self.keys
+            .borrow()
+            .iter()
+            .map(|(number, key)| (*number, *key))
+            .collect()
     }
 
     /// The name of a server of the list.
     #[must_use]
     pub fn server_name(&self, server: ServerId) -> Option<String> {
         let numbers = self.numbers.borrow();
-        numbers.iter().find(|(_, number)| **number == server).map(|(name, _)| name.clone())
+        numbers
+            .iter()
+            .find(|(_, number)| **number == server)
+            .map(|(name, _)| name.clone())
     }
 
     /// What other nodes say of a server: see [`Event::Hint`].
@@ -282,7 +293,10 @@
     pub fn servers_now(&self) -> Now {
         let servers_known = self.numbers.borrow().len();
         let servers_excluded = self.balancer.borrow().servers_excluded(self.now_ms());
-        Now { servers_known, servers_excluded }
+        Now {
+            servers_known,
+            servers_excluded,
+        }
     }
 
     /// The list could not be had, or its changes come no more.
@@ -314,8 +328,12 @@
     /// What the balancer is told of hosts: that they are there, or gone, or that others are gone for them.
     fn entries(&self, hosts: &[Host]) -> Vec<ServerEntry> {
         let mut numbers = self.numbers.borrow_mut();
-        let (gone, there): (Vec<_>, Vec<_>) = hosts.iter().partition(|host| host.state == State::Gone);
-        let mut gone: Vec<_> = gone.into_iter().filter_map(|host| numbers.remove(&host.id)).collect();
+        let (gone, there): (Vec<_>, Vec<_>) =
+            hosts.iter().partition(|host| host.state == State::Gone);
+        let mut gone: Vec<_> = gone
+            .into_iter()
+            .filter_map(|host| numbers.remove(&host.id))
+            .collect();
         gone.iter().for_each(|number| self.servers.forget(*number));
         let mut numbered: Vec<(ServerId, &Host)> = Vec::with_capacity(there.len());
         for host in there {
@@ -328,18 +346,27 @@
         }
         let replaced = self.servers.update(&numbered);
         numbers.retain(|_, at| !replaced.contains(at));
-        replaced.iter().for_each(|number| self.servers.forget(*number));
+        replaced
+            .iter()
+            .for_each(|number| self.servers.forget(*number));
         gone.extend(&replaced);
         {
             let mut keys = self.keys.borrow_mut();
             gone.iter().for_each(|number| _ = keys.remove(number));
-            let there = numbered.iter().filter(|(number, _)| !replaced.contains(number));
+            let there = numbered
+                .iter()
+                .filter(|(number, _)| !replaced.contains(number));
             keys.extend(there.map(|(number, host)| (*number, key_of(host))));
             self.lists.set(self.lists.get() + 1);
         }
-        let gone = gone.into_iter().map(|number| ServerEntry::new(number, Availability::Gone));
-        let there = numbered.into_iter().filter(|(number, _)| !replaced.contains(number));
-        gone.chain(there.map(|(number, host)| self.entry(number, host))).collect()
+        let gone = gone
+            .into_iter()
+            .map(|number| ServerEntry::new(number, Availability::Gone));
+        let there = numbered
+            .into_iter()
+            .filter(|(number, _)| !replaced.contains(number));
+        gone.chain(there.map(|(number, host)| self.entry(number, host)))
+            .collect()
     }
 
     fn entry(&self, server: ServerId, host: &Host) -> ServerEntry {
@@ -394,8 +421,18 @@
         self.wake_at(deadline, Due::Deadline(number));
         let budget = coming.unwrap_or_else(|| deadline.saturating_duration_since(Instant::now()));
         let budget_ms = budget.as_secs_f64() * 1e3;
-        self.feed(Event::Request(Request { id: RequestId(number), class, tenant, item, budget_ms }));
-        Some(Taken { driver: Rc::clone(self), number, answered })
+        self.feed(Event::Request(Request {
+            id: RequestId(number),
+            class,
+            tenant,
+            item,
+            budget_ms,
+        }));
+        Some(Taken {
+            driver: Rc::clone(self),
+            number,
+            answered,
+        })
     }
 
     /// From now on no request has longer than until then, those that were taken before among them. Guards against a node
@@ -413,7 +450,9 @@
 
     fn set_deadline(&self, number: u64, request: &mut Open, at: Instant) {
         let at = self.before_the_end(at);
-        self.due.borrow_mut().remove(&(request.deadline, Due::Deadline(number)));
+        self.due
+            .borrow_mut()
+            .remove(&(request.deadline, Due::Deadline(number)));
         request.deadline = at;
         self.wake_at(at, Due::Deadline(number));
     }
@@ -426,8 +465,12 @@
         }
         let mut actions = Vec::new();
         loop {
-            let Some(event) = self.events.borrow_mut().pop_front() else { break };
-            self.balancer.borrow_mut().handle(self.clock.now_ms(), event, &mut actions);
+            let Some(event) = self.events.borrow_mut().pop_front() else {
+                break;
+            };
+            self.balancer
+                .borrow_mut()
+                .handle(self.clock.now_ms(), event, &mut actions);
             for action in actions.drain(..) {
                 self.carry_out(action);
             }
@@ -439,10 +482,13 @@
         match action {
             Action::Send { request, server } => self.send(request.0, server),
             Action::Cancel { request, attempt } => self.cancel(request.0, attempt),
-            Action::Refuse { request, after_ms } => self.answer(request.0, Answer::Refused { after_ms }),
+            Action::Refuse { request, after_ms } => {
+                self.answer(request.0, Answer::Refused { after_ms })
+            }
             Action::Fail { request } => self.answer(request.0, Answer::Failed),
             Action::SetTimer { timer, after_ms } => {
-                let after = Duration::try_from_secs_f64(after_ms.max(0.0) / 1e3).unwrap_or(LONGEST_TIMER);
+                let after =
+                    Duration::try_from_secs_f64(after_ms.max(0.0) / 1e3).unwrap_or(LONGEST_TIMER);
                 self.wake_at(Instant::now() + after.min(LONGEST_TIMER), Due::Timer(timer));
             }
             Action::Close { server } => self.servers.close_idle(server),
@@ -454,7 +500,9 @@
 
     fn send(self: &Rc<Self>, number: u64, server: ServerId) {
         let mut open = self.open.borrow_mut();
-        let Some(request) = open.get_mut(&number) else { return };
+        let Some(request) = open.get_mut(&number) else {
+            return;
+        };
         let (attempt, now) = (request.attempts, Instant::now());
         request.attempts += 1;
         // Guards the rules whatever the balancer says: no send for a request that is over or of which a part is
@@ -479,13 +527,22 @@
             driver.ended(number, attempt, ended);
         });
         let task = task.abort_handle();
-        request.out = Some(Out { number: attempt, server, sent: now, underway, task, passing: None });
+        request.out = Some(Out {
+            number: attempt,
+            server,
+            sent: now,
+            underway,
+            task,
+            passing: None,
+        });
     }
 
     /// Tells whoever wants to know how an attempt ended.
     fn tell(&self, server: ServerId, ending: Ending) {
         let watcher = self.watcher.borrow().clone();
-        let key = watcher.as_ref().and_then(|_| self.keys.borrow().get(&server).copied());
+        let key = watcher
+            .as_ref()
+            .and_then(|_| self.keys.borrow().get(&server).copied());
         if let (Some(watcher), Some(key)) = (watcher, key) {
             watcher(key, ending);
         }
@@ -494,8 +551,12 @@
     /// The last byte of a request has come that was taken before.
     fn is_whole(&self, number: u64, arrived: Instant) {
         let mut open = self.open.borrow_mut();
-        let Some(request) = open.get_mut(&number) else { return };
-        let Some(time) = request.coming.take() else { return };
+        let Some(request) = open.get_mut(&number) else {
+            return;
+        };
+        let Some(time) = request.coming.take() else {
+            return;
+        };
         // What its server takes counts from here, too: until now it waited for the client.
         if let Some(out) = &mut request.out {
             out.sent = arrived;
@@ -507,24 +568,36 @@
     fn begun(self: &Rc<Self>, number: u64, attempt: usize, served: Served) {
         {
             let mut open = self.open.borrow_mut();
-            let Some(request) = open.get_mut(&number) else { return };
-            let Some(out) = request.out.as_mut().filter(|out| out.number == attempt) else { return };
+            let Some(request) = open.get_mut(&number) else {
+                return;
+            };
+            let Some(out) = request.out.as_mut().filter(|out| out.number == attempt) else {
+                return;
+            };
             out.passing = Some(out.sent.elapsed());
             if let Some(answer) = request.answer.take() {
                 let _ = answer.send(Answer::Served(served)); // A client that has left takes nothing.
             }
         }
-        self.feed(Event::StreamStarted { request: RequestId(number), attempt });
+        self.feed(Event::StreamStarted {
+            request: RequestId(number),
+            attempt,
+        });
     }
 
     /// An attempt came to its own end.
     fn ended(self: &Rc<Self>, number: u64, attempt: usize, mut ended: Ended) {
         let elapsed = {
             let mut open = self.open.borrow_mut();
-            let Some(request) = open.get_mut(&number) else { return };
-            let Some(out) = request.out.take_if(|out| out.number == attempt) else { return };
+            let Some(request) = open.get_mut(&number) else {
+                return;
+            };
+            let Some(out) = request.out.take_if(|out| out.number == attempt) else {
+                return;
+            };
             let served = ended.served.take();
-            if let (Some(served), Some(answer)) = (served, request.answer.take_if(|_| is_final(ended.ending)))
+            if let (Some(served), Some(answer)) =
+                (served, request.answer.take_if(|_| is_final(ended.ending)))
             {
                 let _ = answer.send(Answer::Served(served)); // A client that has left is an event of its own.
             }
@@ -538,10 +611,13 @@
             let mut open = self.open.borrow_mut();
             let request = open.get_mut(&number);
             if let Some(request) = request.filter(|_| ended.ending.may_have_run()) {
-                let until = request.window.and_then(|window| (Instant::now() - elapsed).checked_add(window));
+                let until = request
+                    .window
+                    .and_then(|window| (Instant::now() - elapsed).checked_add(window));
                 request.repeats_until = request.repeats_until.or(until);
             }
-            open.get(&number).is_none_or(|request| request.answer.is_none())
+            open.get(&number)
+                .is_none_or(|request| request.answer.is_none())
         };
         self.forget(number);
         self.feed(Event::Outcome(Outcome {
@@ -559,8 +635,9 @@
     fn give_up(&self, number: u64, attempt: Option<usize>) -> Option<Out> {
         let mut open = self.open.borrow_mut();
         let out = &mut open.get_mut(&number)?.out;
-        let may_go =
-            |out: &mut Out| out.passing.is_none() && attempt.is_none_or(|wanted| out.number == wanted);
+        let may_go = |out: &mut Out| {
+            out.passing.is_none() && attempt.is_none_or(|wanted| out.number == wanted)
+        };
         let out = out.take_if(may_go)?;
         out.task.abort();
         out.underway.close();
@@ -569,7 +646,12 @@
 
     fn cancel(self: &Rc<Self>, number: u64, attempt: usize) {
         if let Some(out) = self.give_up(number, Some(attempt)) {
-            self.outcome(number, attempt, out.sent.elapsed(), Ending::Cancelled.into());
+            self.outcome(
+                number,
+                attempt,
+                out.sent.elapsed(),
+                Ending::Cancelled.into(),
+            );
         }
     }
 
@@ -578,9 +660,18 @@
     fn out_of_time(self: &Rc<Self>, number: u64) {
         if let Some(out) = self.give_up(number, None) {
             self.tell(out.server, Ending::TimedOut);
-            self.outcome(number, out.number, out.sent.elapsed(), Ending::TimedOut.into());
+            self.outcome(
+                number,
+                out.number,
+                out.sent.elapsed(),
+                Ending::TimedOut.into(),
+            );
         }
-        let late = self.open.borrow().get(&number).is_some_and(|request| request.answer.is_some());
+        let late = self
+            .open
+            .borrow()
+            .get(&number)
+            .is_some_and(|request| request.answer.is_some());
         if late {
             log::line("a request was still held at its deadline");
             self.answer(number, Answer::Failed);
@@ -589,7 +680,11 @@
     }
 
     fn answer(&self, number: u64, answer: Answer) {
-        let owed = self.open.borrow_mut().get_mut(&number).and_then(|request| request.answer.take());
+        let owed = self
+            .open
+            .borrow_mut()
+            .get_mut(&number)
+            .and_then(|request| request.answer.take());
         if let Some(owed) = owed {
             let _ = owed.send(answer); // A client that has left is an event of its own.
         }
@@ -602,7 +697,9 @@
         if let Entry::Occupied(entry) = open.entry(number) {
             if entry.get().answer.is_none() && entry.get().out.is_none() {
                 let over = entry.remove();
-                self.due.borrow_mut().remove(&(over.deadline, Due::Deadline(number)));
+                self.due
+                    .borrow_mut()
+                    .remove(&(over.deadline, Due::Deadline(number)));
             }
         }
     }
@@ -622,7 +719,12 @@
     /// A node that is told of no probes gets none to make; one that is asked for all the same was not sent.
     fn refuse_probe(&self, server: ServerId) {
         let ending = Ending::NotSent;
-        self.events.borrow_mut().push_back(Event::Probed { server, elapsed_ms: 0.0, ending, report: None });
+        self.events.borrow_mut().push_back(Event::Probed {
+            server,
+            elapsed_ms: 0.0,
+            ending,
+            report: None,
+        });
     }
 
     fn wake_at(&self, at: Instant, due: Due) {
@@ -675,14 +777,28 @@
     /// most `MOST_TOLD` of them, and how many there are.
     pub fn report_unanswered(&self) {
         let (open, now) = (self.open.borrow(), Instant::now());
-        let mut owed: Vec<_> = open.iter().filter(|(_, request)| request.answer.is_some()).collect();
+        let mut owed: Vec<_> = open
+            .iter()
+            .filter(|(_, request)| request.answer.is_some())
+            .collect();
         owed.sort_by_key(|(number, _)| **number);
         for (_, request) in owed.iter().take(MOST_TOLD) {
-            let id = request.message.headers.get("req-id").and_then(|id| id.to_str().ok()).unwrap_or("-");
+            let id = request
+                .message
+                .headers
+                .get("req-id")
+                .and_then(|id| id.to_str().ok())
+                .unwrap_or("-");
             let left = request.deadline.saturating_duration_since(now).as_millis();
             let out = request.out.as_ref().map_or_else(
                 || "none out".to_owned(),
-                |out| format!("one out to server {} for {} ms", out.server.0, out.sent.elapsed().as_millis()),
+                |out| {
+                    format!(
+                        "one out to server {} for {} ms",
+                        out.server.0,
+                        out.sent.elapsed().as_millis()
+                    )
+                },
             );
             log::line(format_args!(
                 "request {id} is not answered: {left} ms left, {} attempts, {out}",
@@ -697,7 +813,10 @@
     /// Tells the operators how late the latest wake-up since the last report was.
     pub fn report_lateness(&self) {
         let latest = self.latest.take();
-        log::line(format_args!("the latest wake-up was {:.1} ms late", latest.as_secs_f64() * 1e3));
+        log::line(format_args!(
+            "the latest wake-up was {:.1} ms late",
+            latest.as_secs_f64() * 1e3
+        ));
     }
 }
 
--- a/src/node/mod.rs
+++ b/src/node/mod.rs
@@ -10,8 +10,8 @@
 pub mod cluster;
 pub mod config;
 pub mod discovery;
-pub mod driver;
 pub mod downstream;
+pub mod driver;
 pub mod upstream;
 
 use std::io;
@@ -24,8 +24,6 @@
 use tokio::sync::watch;
 use tokio::task::LocalSet;
 
-use config::{Config, ConfigError};
-use driver::Driver;
 use self::admin::operators::Operators;
 use self::admin::{calls, log, reload};
 use self::cluster::{Fleet, FleetError};
@@ -33,6 +31,8 @@
 use self::discovery::{endpoint_list, Sources};
 use self::downstream::clients::{self, FrontOptions, Phase};
 use self::downstream::inherited;
+use config::{Config, ConfigError};
+use driver::Driver;
 
 /// A node that is told to stop is ended no sooner than the longest deadline, `LONGEST_WAIT` at the most, and 700 ms. All
 /// is answered this long after the deadline: what is left is for writing the last answers, all at once at the worst, on
@@ -104,7 +104,9 @@
 ///
 /// The configuration makes no sense, or the node cannot listen.
 pub fn run(config: Config, extras: Extras) -> Result<(), NodeError> {
-    let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
+    let runtime = tokio::runtime::Builder::new_current_thread()
+        .enable_all()
+        .build();
     let runtime = runtime.map_err(system("start the event loop"))?;
     LocalSet::new().block_on(&runtime, node(config, extras))
 }
@@ -114,33 +116,64 @@
     // SIGHUP ends a process that does not listen for it, so this stands before the node says that it is ready.
     let reload = signal(SignalKind::hangup()).map_err(system("listen for SIGHUP"))?;
     let mut interrupt = signal(SignalKind::interrupt()).map_err(system("listen for SIGINT"))?;
-    let held = inherited::listener().map_err(system("use the listening socket that it is handed"))?;
+    let held =
+        inherited::listener().map_err(system("use the listening socket that it is handed"))?;
     let is_shared = held.is_some();
     let listener = match held {
         Some(held) => TcpListener::from_std(held),
         None => TcpListener::bind(config.listen).await,
     };
     let listener = listener.map_err(system("listen for clients"))?;
-    let address = listener.local_addr().map_err(system("listen for clients"))?;
-    let driver = Driver::start_with(&config, extras.operators.addresses.clone(), extras.operators.pool)?;
+    let address = listener
+        .local_addr()
+        .map_err(system("listen for clients"))?;
+    let driver = Driver::start_with(
+        &config,
+        extras.operators.addresses.clone(),
+        extras.operators.pool,
+    )?;
     log::line(format_args!("serves on {address}"));
     let known = Some(config.known.generation).filter(|_| !config.known.instances.is_empty());
     let (moves, addresses) = watch::channel(config.discovery);
     let (members, sources) = membership(&driver, &config, &extras.operators);
-    tokio::task::spawn_local(endpoint_list::follow(members, addresses, config.push, config.drain_grace, known));
-    let (instances, leases) = (extras.operators.instances.as_ref(), extras.operators.leases.as_ref());
+    tokio::task::spawn_local(endpoint_list::follow(
+        members,
+        addresses,
+        config.push,
+        config.drain_grace,
+        known,
+    ));
+    let (instances, leases) = (
+        extras.operators.instances.as_ref(),
+        extras.operators.leases.as_ref(),
+    );
     let word = extras.operators.word.as_ref();
-    let fleet = Fleet::start(&config, instances, leases, word, &driver).await.map_err(NodeError::Fleet)?;
+    let fleet = Fleet::start(&config, instances, leases, word, &driver)
+        .await
+        .map_err(NodeError::Fleet)?;
     let operators = extras.file.zip(sources);
     tokio::task::spawn_local(reload::follow(reload, moves, operators, fleet.clone()));
     let (phase, phases) = watch::channel(Phase::Serving);
-    let longest = driver.names.rules.iter().map(|rule| rule.longest).max().unwrap_or_default();
+    let longest = driver
+        .names
+        .rules
+        .iter()
+        .map(|rule| rule.longest)
+        .max()
+        .unwrap_or_default();
     let most = config.limits.client_connections();
-    let options =
-        FrontOptions { is_shared, room: config.limits.long_requests(), ..FrontOptions::own(phases, most) };
+    let options = FrontOptions {
+        is_shared,
+        room: config.limits.long_requests(),
+        ..FrontOptions::own(phases, most)
+    };
     if let Some(address) = config.control {
-        let listener = TcpListener::bind(address).await.map_err(system("listen for operators"))?;
-        let at = listener.local_addr().map_err(system("listen for operators"))?;
+        let listener = TcpListener::bind(address)
+            .await
+            .map_err(system("listen for operators"))?;
+        let at = listener
+            .local_addr()
+            .map_err(system("listen for operators"))?;
         log::line(format_args!("operators call at {at}"));
         let desk = calls::Desk::new(Rc::clone(&driver), options.clone(), fleet.clone());
         tokio::task::spawn_local(calls::serve(listener, desk));
--- a/src/node/tests.rs
+++ b/src/node/tests.rs
@@ -7,6 +7,9 @@
         let longest = Duration::from_millis(ms);
         let (closing, answered) = hand_over(longest);
         assert!(answered < longest.min(LONGEST_WAIT) + Duration::from_millis(700));
-        assert!(closing > Duration::from_millis(600) && closing < answered, "{closing:?}");
+        assert!(
+            closing > Duration::from_millis(600) && closing < answered,
+            "{closing:?}"
+        );
     }
 }
--- a/src/node/upstream/answers.rs
+++ b/src/node/upstream/answers.rs
@@ -28,14 +28,21 @@
 /// Whether the request itself is what a server objects to: another would say the same, and it is no fault of the
 /// server. The others of their hundred tell of the server's state.
 fn blames_request(status: StatusCode) -> bool {
-    let of_server = [StatusCode::REQUEST_TIMEOUT, StatusCode::TOO_EARLY, StatusCode::TOO_MANY_REQUESTS];
+    let of_server = [
+        StatusCode::REQUEST_TIMEOUT,
+        StatusCode::TOO_EARLY,
+        StatusCode::TOO_MANY_REQUESTS,
+    ];
     status.is_client_error() && !of_server.contains(&status)
 }
 
 /// Reads a load report; one that is malformed is passed over.
 #[must_use]
 pub fn read_report(value: &HeaderValue) -> Option<Report> {
-    let text = value.to_str().ok().and_then(|text| text.trim().strip_prefix("TEXT "));
+    let text = value
+        .to_str()
+        .ok()
+        .and_then(|text| text.trim().strip_prefix("TEXT "));
     let Some(fields) = text else {
         log::line("a load report is malformed");
         return None;
@@ -46,7 +53,11 @@
             log::line("a load report is malformed");
             continue;
         };
-        let figure = figure.trim().parse::<f64>().ok().filter(|x| x.is_finite() && *x >= 0.0);
+        let figure = figure
+            .trim()
+            .parse::<f64>()
+            .ok()
+            .filter(|x| x.is_finite() && *x >= 0.0);
         match name.trim() {
             "inflight" | "active" => report.in_flight = figure,
             "queue" | "waiting" => report.queued = figure,
--- a/src/node/upstream/http1/exchange.rs
+++ b/src/node/upstream/http1/exchange.rs
@@ -8,6 +8,7 @@
 use std::time::{Duration, Instant};
 
 use bytes::{Bytes, BytesMut};
+use flow_control::{answer_stall_ms, Pace};
 use http_body_util::BodyExt;
 use hyper::body::{Body, Incoming};
 use hyper::client::conn::http1::{Builder, Connection, SendRequest};
@@ -15,16 +16,15 @@
 use hyper::http::response::Parts;
 use hyper::{Request, Response, Version};
 use hyper_util::rt::TokioIo;
-use flow_control::{answer_stall_ms, Pace};
 use pool::{Broke, Closed};
 
 use super::metered::{Metered, Traffic, SEND_STALL};
 use super::sending::Sending;
+use crate::node::admin::log;
+use crate::node::downstream::passing::{passing, Cut, Feeder, Passing};
 use crate::node::upstream::answers::{ending, read_report, MOST_BODY, MOST_PASSED};
 use crate::node::upstream::stream::Stream;
 use crate::node::upstream::{Broken, Ended, Message, ResponseBody, Served};
-use crate::node::downstream::passing::{passing, Cut, Feeder, Passing};
-use crate::node::admin::log;
 use balancer::Ending;
 
 /// The most of a message's head that is read, and of a body that is read at a time.
@@ -55,16 +55,27 @@
     pub async fn begin(stream: Stream) -> io::Result<Self> {
         let traffic = Rc::<Traffic>::default();
         let io = TokioIo::new(Metered::new(stream, Rc::clone(&traffic)));
-        let (sender, connection) =
-            Builder::new().max_buf_size(BUFFER).handshake(io).await.map_err(io::Error::other)?;
-        Ok(Self { sender, connection: Some(Box::pin(connection)), traffic })
+        let (sender, connection) = Builder::new()
+            .max_buf_size(BUFFER)
+            .handshake(io)
+            .await
+            .map_err(io::Error::other)?;
+        Ok(Self {
+            sender,
+            connection: Some(Box::pin(connection)),
+            traffic,
+        })
     }
 
     /// See [`upstream::Conn::look`](crate::node::upstream::Conn::look). Guards against a connection that was closed since its
     /// last exchange (what is written to it would end as a reset), and against one that holds more than the answer
     /// before.
     pub fn look(&mut self) -> Option<Closed> {
-        poll(&mut self.connection, &self.traffic, &mut Context::from_waker(Waker::noop()));
+        poll(
+            &mut self.connection,
+            &self.traffic,
+            &mut Context::from_waker(Waker::noop()),
+        );
         if self.traffic.is_odd() {
             Some(Closed::Odd)
         } else if self.connection.is_none() {
@@ -90,7 +101,11 @@
         let stall = Duration::from_secs_f64(answer_stall_ms(left.as_secs_f64() * 1e3) / 1e3);
         self.traffic.begin(&message.sent);
         let body = Sending::new(message, &self.traffic);
-        let send_stall = if body.is_held() { stall.max(SEND_STALL) } else { PASSING_STALL };
+        let send_stall = if body.is_held() {
+            stall.max(SEND_STALL)
+        } else {
+            PASSING_STALL
+        };
         let answer = self.sender.send_request(request(message, left, body));
         let answer = tokio::select! {
             biased;
@@ -112,20 +127,37 @@
             Err(broke) => {
                 self.connection = None;
                 let is_odd = self.traffic.is_odd() || broke == Broke::Answer;
-                Err(Broken { sent: self.traffic.sent(), broke, is_odd })
+                Err(Broken {
+                    sent: self.traffic.sent(),
+                    broke,
+                    is_odd,
+                })
             }
         }
     }
 
-    async fn read(&mut self, answer: Response<Incoming>, stall: Duration, begin: &dyn Fn(Served)) -> Ended {
+    async fn read(
+        &mut self,
+        answer: Response<Incoming>,
+        stall: Duration,
+        begin: &dyn Fn(Served),
+    ) -> Ended {
         let (head, body) = answer.into_parts();
         let report = head.headers.get("srv-load").and_then(read_report);
         let declined = head.headers.get("srv-declined").is_some_and(|v| v == "1");
         let ending = ending(head.status, declined);
         let content_type = head.headers.get(CONTENT_TYPE).cloned();
-        let served = |body| Served { status: head.status, body, content_type: content_type.clone() };
+        let served = |body| Served {
+            status: head.status,
+            body,
+            content_type: content_type.clone(),
+        };
         let begin = |passing| begin(served(ResponseBody::Passing(passing)));
-        let begin: Option<&dyn Fn(Passing)> = if ending == Ending::Served { Some(&begin) } else { None };
+        let begin: Option<&dyn Fn(Passing)> = if ending == Ending::Served {
+            Some(&begin)
+        } else {
+            None
+        };
         let read = self.read_body(&head, body, stall, begin).await;
         if read.is_err() {
             self.connection = None;
@@ -135,10 +167,17 @@
             (Ending::Served, Err(Cut::Broke(_))) => (Ending::Spoilt, None),
             (Ending::Served, Err(Cut::ClientLeft)) => (Ending::Cancelled, None),
             (Ending::Served, Ok(body)) => (Ending::Served, body),
-            (Ending::Rejected, read) => (Ending::Rejected, Some(read.ok().flatten().unwrap_or_default())),
+            (Ending::Rejected, read) => (
+                Ending::Rejected,
+                Some(read.ok().flatten().unwrap_or_default()),
+            ),
             (ending, _) => (ending, None),
         };
-        Ended { ending, report, served: body.map(|body| served(ResponseBody::Whole(body))) }
+        Ended {
+            ending,
+            report,
+            served: body.map(|body| served(ResponseBody::Whole(body))),
+        }
     }
 
     /// Reads an answer's body, as far as it can be held; one that is longer is passed on, where `begin` is given, and
@@ -153,8 +192,10 @@
         let told = body.size_hint().exact();
         // Only the end of the connection shows the end of a body of no stated length, and it must have been announced.
         let chunked = head.headers.contains_key(TRANSFER_ENCODING);
-        let closes =
-            head.headers.get(CONNECTION).is_some_and(|v| v.as_bytes().eq_ignore_ascii_case(b"close"));
+        let closes = head
+            .headers
+            .get(CONNECTION)
+            .is_some_and(|v| v.as_bytes().eq_ignore_ascii_case(b"close"));
         let endless = told.is_none() && !chunked && !closes && head.version != Version::HTTP_10;
         if endless || told.is_some_and(|told| told > MOST_PASSED as u64) {
             log::line("a server's answer is too large or does not tell its length");
@@ -166,7 +207,9 @@
         let is_long = told.is_some_and(|told| told > MOST_BODY as u64);
         let mut held = Joined::default();
         loop {
-            let Some(piece) = self.piece(&mut body, stall).await? else { return Ok(Some(held.whole())) };
+            let Some(piece) = self.piece(&mut body, stall).await? else {
+                return Ok(Some(held.whole()));
+            };
             if !is_long && held.len() + piece.len() <= MOST_BODY {
                 held.push(piece);
                 continue;
@@ -194,9 +237,12 @@
         // The server's pace; what counts is the time in which it was waited for.
         let (mut pace, mut waited) = (Pace::of_passing(0.0), Duration::ZERO);
         loop {
-            let due = Duration::from_secs_f64((pace.due_ms() / 1e3 - waited.as_secs_f64()).max(0.0));
+            let due =
+                Duration::from_secs_f64((pace.due_ms() / 1e3 - waited.as_secs_f64()).max(0.0));
             let since = Instant::now();
-            let Some(piece) = self.piece(&mut body, due.min(PASSING_STALL)).await? else { break };
+            let Some(piece) = self.piece(&mut body, due.min(PASSING_STALL)).await? else {
+                break;
+            };
             waited += since.elapsed();
             pace.moved(piece.len());
             passed += piece.len();
@@ -252,7 +298,8 @@
             return;
         }
         if self.joined.is_empty() {
-            self.joined.extend_from_slice(&std::mem::take(&mut self.first));
+            self.joined
+                .extend_from_slice(&std::mem::take(&mut self.first));
         }
         self.joined.extend_from_slice(&piece);
     }
@@ -279,12 +326,20 @@
 
 /// Whether what came is the error, and neither the system's nor an end.
 fn is_of_the_bytes(error: &hyper::Error) -> bool {
-    let is_of_the_system = std::error::Error::source(error).is_some_and(|cause| cause.is::<io::Error>());
-    !is_of_the_system && !error.is_incomplete_message() && !error.is_canceled() && !error.is_closed()
+    let is_of_the_system =
+        std::error::Error::source(error).is_some_and(|cause| cause.is::<io::Error>());
+    !is_of_the_system
+        && !error.is_incomplete_message()
+        && !error.is_canceled()
+        && !error.is_closed()
 }
 
 /// Drives a connection and what waits for it as one: no task holds a connection that has been given up.
-async fn drive<F: Future>(connection: &mut Option<Driven>, traffic: &Traffic, future: F) -> F::Output {
+async fn drive<F: Future>(
+    connection: &mut Option<Driven>,
+    traffic: &Traffic,
+    future: F,
+) -> F::Output {
     let mut future = pin!(future);
     poll_fn(|cx| {
         poll(connection, traffic, cx);
@@ -308,9 +363,13 @@
     *request.uri_mut() = message.uri.clone();
     *request.headers_mut() = message.headers.clone();
     let mut text = [0; 24]; // More than a u64 with its unit has.
-    if let Some(left) = micros(left, &mut text).and_then(|text| HeaderValue::from_bytes(text).ok()) {
+    if let Some(left) = micros(left, &mut text).and_then(|text| HeaderValue::from_bytes(text).ok())
+    {
         request.headers_mut().insert(REQ_DEADLINE, left);
     }
-    request.headers_mut().entry(HOST).or_insert(HeaderValue::from_static("service.internal"));
+    request
+        .headers_mut()
+        .entry(HOST)
+        .or_insert(HeaderValue::from_static("service.internal"));
     request
 }
--- a/src/node/upstream/http1/metered.rs
+++ b/src/node/upstream/http1/metered.rs
@@ -146,7 +146,10 @@
                     continue;
                 }
             };
-            if tokio::time::timeout(limit, self.moved.notified()).await.is_err() {
+            if tokio::time::timeout(limit, self.moved.notified())
+                .await
+                .is_err()
+            {
                 return broke;
             }
         }
@@ -211,7 +214,11 @@
 }
 
 impl AsyncWrite for Metered {
-    fn poll_write(mut self: Pin<&mut Self>, cx: &mut Context<'_>, buf: &[u8]) -> Poll<io::Result<usize>> {
+    fn poll_write(
+        mut self: Pin<&mut Self>,
+        cx: &mut Context<'_>,
+        buf: &[u8],
+    ) -> Poll<io::Result<usize>> {
         if let Some(error) = self.refuses_to_begin() {
             return Poll::Ready(Err(error));
         }
--- a/src/node/upstream/http1/metered/tests.rs
+++ b/src/node/upstream/http1/metered/tests.rs
@@ -16,9 +16,13 @@
     let (mut server, _) = listener.accept().expect("a connection");
     let mut metered = Metered::new(stream, Rc::default());
     metered.traffic.begin(&Counter::default());
-    server.write_all(b"HTTP/1.1 200 OK\r\n").expect("an open connection");
+    server
+        .write_all(b"HTTP/1.1 200 OK\r\n")
+        .expect("an open connection");
     // The event loop, which runs on this thread, hears of nothing.
-    testkit::until("the system has heard", || metered.stream.news() == News::Bytes);
+    testkit::until("the system has heard", || {
+        metered.stream.news() == News::Bytes
+    });
     let mut cx = Context::from_waker(Waker::noop());
     let written = Pin::new(&mut metered).poll_write(&mut cx, b"GET / HTTP/1.1\r\n");
     assert!(matches!(written, Poll::Ready(Err(_))), "{written:?}");
@@ -39,7 +43,10 @@
     assert_eq!(traffic.stalls(STALL, SEND_STALL).await, Broke::Stalled);
     traffic.whole.set(true);
     let waits = tokio::time::timeout(Duration::from_secs(60), traffic.stalls(STALL, SEND_STALL));
-    assert!(waits.await.is_err(), "it may think for as long as the request's time goes");
+    assert!(
+        waits.await.is_err(),
+        "it may think for as long as the request's time goes"
+    );
     traffic.note_read(b"HTTP/1.1 200");
     assert_eq!(traffic.stalls(STALL, SEND_STALL).await, Broke::Answer);
 }
--- a/src/node/upstream/http1/sending.rs
+++ b/src/node/upstream/http1/sending.rs
@@ -8,8 +8,8 @@
 use http_body::{Body, Frame, SizeHint};
 
 use super::metered::Traffic;
-use crate::node::upstream::{Message, RequestBody};
 use crate::node::downstream::passing::{Next, Passing, Unfinished};
+use crate::node::upstream::{Message, RequestBody};
 
 /// The body as one attempt sends it. What follows the beginning is taken once it is asked for, and then no other attempt
 /// can have it.
@@ -33,7 +33,13 @@
             }
         };
         let first = Some(first).filter(|first| !first.is_empty());
-        Self { message: Rc::clone(message), traffic: Rc::clone(traffic), first, rest: None, told }
+        Self {
+            message: Rc::clone(message),
+            traffic: Rc::clone(traffic),
+            first,
+            rest: None,
+            told,
+        }
     }
 
     /// Whether all of it is here.
@@ -56,11 +62,15 @@
             return Poll::Ready(Some(Ok(Frame::data(first))));
         }
         let message = Rc::clone(&self.message);
-        let RequestBody::Passing(upload) = &message.body else { return Poll::Ready(None) };
+        let RequestBody::Passing(upload) = &message.body else {
+            return Poll::Ready(None);
+        };
         if self.rest.is_none() {
             self.rest = upload.take_rest();
         }
-        let Some(rest) = &mut self.rest else { return Poll::Ready(Some(Err(Unfinished))) };
+        let Some(rest) = &mut self.rest else {
+            return Poll::Ready(Some(Err(Unfinished)));
+        };
         let frame = ready!(rest.poll(cx));
         // Nobody asks for the end of a body whose length has come.
         let is_last = frame.is_none() || rest.left() == Some(0);
--- a/src/node/upstream/mod.rs
+++ b/src/node/upstream/mod.rs
@@ -14,8 +14,8 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-use bytes::Bytes;
 use admin::Counter;
+use bytes::Bytes;
 use hyper::header::{HeaderMap, HeaderValue};
 use hyper::{Method, StatusCode, Uri};
 use pool::{Address, Broke, Closed, Sent};
@@ -93,7 +93,11 @@
 
 impl From<Ending> for Ended {
     fn from(ending: Ending) -> Self {
-        Self { ending, report: None, served: None }
+        Self {
+            ending,
+            report: None,
+            served: None,
+        }
     }
 }
 
@@ -122,7 +126,9 @@
     ///
     /// It cannot be reached there.
     pub async fn dial(address: &Address) -> io::Result<Self> {
-        http1::Conn::begin(Stream::connect(address).await?).await.map(Self::Http1)
+        http1::Conn::begin(Stream::connect(address).await?)
+            .await
+            .map(Self::Http1)
     }
 
     /// Looks whether it stands idle and fit for use as far as the event loop has heard. `None`: it does.
--- a/src/node/upstream/servers.rs
+++ b/src/node/upstream/servers.rs
@@ -12,17 +12,17 @@
 
 use endpoint_discovery::{Host, State};
 use pool::{
-    judge, Action, Address, Age, Closed, ConnId, DialId, Holders, Limits, Next, Pool, Route, RouteId,
-    ServerKey, Taken, Ticket, Why,
+    judge, Action, Address, Age, Closed, ConnId, DialId, Holders, Limits, Next, Pool, Route,
+    RouteId, ServerKey, Taken, Ticket, Why,
 };
 use tokio::sync::oneshot;
 use tokio::task::AbortHandle;
 
-use crate::node::upstream::addresses::{routes, AllSaid};
-use crate::node::upstream::{Conn, Ended, Message, Served};
+use crate::node::admin::log;
 use crate::node::clock::{Alarm, Clock};
 use crate::node::config::Config;
-use crate::node::admin::log;
+use crate::node::upstream::addresses::{routes, AllSaid};
+use crate::node::upstream::{Conn, Ended, Message, Served};
 use balancer::{Ending, ServerId};
 
 /// Turns of one attempt. Each takes away an idle connection that has ended or an address that has broken, so this many
@@ -148,19 +148,29 @@
 
     fn carry_out(self: &Rc<Self>, action: Action, fresh: &mut Option<Conn>) {
         match action {
-            Action::Dial { dial, server: _, route } => self.dial(dial, route.address),
+            Action::Dial {
+                dial,
+                server: _,
+                route,
+            } => self.dial(dial, route.address),
             Action::Abort { dial } => {
                 if let Some(task) = self.dials.borrow_mut().remove(&dial) {
                     task.abort();
                 }
             }
             Action::Grant { ticket, conn } => {
-                let Some(lease) = self.lease(conn, fresh) else { return };
+                let Some(lease) = self.lease(conn, fresh) else {
+                    return;
+                };
                 self.tell(ticket, Ok(lease));
             }
             Action::Keep { conn } => {
                 if let Some(fresh) = fresh.take() {
-                    let kept = Standing { conn: fresh, since_ms: self.now_ms(), age: Age::Used };
+                    let kept = Standing {
+                        conn: fresh,
+                        since_ms: self.now_ms(),
+                        age: Age::Used,
+                    };
                     self.standing.borrow_mut().insert(conn, kept);
                 }
             }
@@ -177,8 +187,14 @@
 
     fn tell_of(&self, server: ServerKey, route: &Route, what: &str) {
         let table = self.table.borrow();
-        let id = table.get(&ServerId(server.0)).map_or("a server that is gone", |s| s.host.id.as_str());
-        let label = route.label.as_deref().map(|label| format!(" ({label})")).unwrap_or_default();
+        let id = table
+            .get(&ServerId(server.0))
+            .map_or("a server that is gone", |s| s.host.id.as_str());
+        let label = route
+            .label
+            .as_deref()
+            .map(|label| format!(" ({label})"))
+            .unwrap_or_default();
         log::line(format_args!("{id}: {}{label} {what}", route.address));
     }
 
@@ -195,9 +211,18 @@
         let stood = self.standing.borrow_mut().remove(&id);
         let standing = stood.or_else(|| {
             let conn = fresh.take()?;
-            Some(Standing { conn, since_ms: self.now_ms(), age: Age::Fresh })
+            Some(Standing {
+                conn,
+                since_ms: self.now_ms(),
+                age: Age::Fresh,
+            })
         })?;
-        Some(Lease { servers: Rc::clone(self), id, standing: Some(standing), is_begun: false })
+        Some(Lease {
+            servers: Rc::clone(self),
+            id,
+            standing: Some(standing),
+            is_begun: false,
+        })
     }
 
     fn dial(self: &Rc<Self>, dial: DialId, address: Address) {
@@ -213,7 +238,10 @@
         self.dials.borrow_mut().remove(&dial);
         let mut actions = Vec::new();
         let now = self.now_ms();
-        let kept = self.pool.borrow_mut().dialled(now, dial, dialled.is_ok(), &mut actions);
+        let kept = self
+            .pool
+            .borrow_mut()
+            .dialled(now, dial, dialled.is_ok(), &mut actions);
         let mut fresh = dialled.ok().filter(|_| kept);
         for action in actions {
             self.carry_out(action, &mut fresh);
@@ -230,23 +258,43 @@
         }
         let changed = self.holders.borrow().settle(moved);
         self.moved(&changed.moved);
-        changed.gone.into_iter().map(|gone| ServerId(gone.0)).collect()
+        changed
+            .gone
+            .into_iter()
+            .map(|gone| ServerId(gone.0))
+            .collect()
     }
 
     fn note(self: &Rc<Self>, at: ServerId, host: &Host, moved: &mut BTreeSet<ServerKey>) {
         let (key, is_ready) = (ServerKey(at.0), host.state == State::Ready);
         let mut table = self.table.borrow_mut();
         let before = table.remove(&at);
-        let listed = host.address.or(before.as_ref().and_then(|before| before.listed));
+        let listed = host
+            .address
+            .or(before.as_ref().and_then(|before| before.listed));
         let grace = || Instant::now() + self.drain_grace;
-        let closes_at =
-            (!is_ready).then(|| before.as_ref().and_then(|before| before.closes_at).unwrap_or_else(grace));
-        table.insert(at, Server { host: host.clone(), listed, closes_at });
+        let closes_at = (!is_ready).then(|| {
+            before
+                .as_ref()
+                .and_then(|before| before.closes_at)
+                .unwrap_or_else(grace)
+        });
+        table.insert(
+            at,
+            Server {
+                host: host.clone(),
+                listed,
+                closes_at,
+            },
+        );
         drop(table);
         let routes = routes(&self.said.borrow(), host, listed);
-        self.holders.borrow_mut().name(key, routes, host.started_at_ms, is_ready, moved);
-        let is_anew =
-            before.is_some_and(|before| before.host.started_at_ms.to_bits() != host.started_at_ms.to_bits());
+        self.holders
+            .borrow_mut()
+            .name(key, routes, host.started_at_ms, is_ready, moved);
+        let is_anew = before.is_some_and(|before| {
+            before.host.started_at_ms.to_bits() != host.started_at_ms.to_bits()
+        });
         if !is_ready || is_anew {
             self.close_idle(at);
         }
@@ -271,7 +319,11 @@
             return Vec::new();
         }
         *self.said.borrow_mut() = said;
-        self.table.borrow().values().map(|server| server.host.clone()).collect()
+        self.table
+            .borrow()
+            .values()
+            .map(|server| server.host.clone())
+            .collect()
     }
 
     /// Forgets a server that is gone: nothing goes there any more, and the connections that are in use are closed
@@ -296,7 +348,9 @@
                 ended.insert(*id, how);
             }
         }
-        self.standing.borrow_mut().retain(|id, _| !ended.contains_key(id));
+        self.standing
+            .borrow_mut()
+            .retain(|id, _| !ended.contains_key(id));
         self.with(|pool, now, actions| {
             if !ended.is_empty() {
                 pool.ended(now, &ended, actions);
@@ -317,7 +371,9 @@
     /// Whether a send to a server may begin now.
     fn is_open(&self, at: ServerId) -> bool {
         let table = self.table.borrow();
-        table.get(&at).is_some_and(|s| s.closes_at.is_none_or(|closes| Instant::now() < closes))
+        table
+            .get(&at)
+            .is_some_and(|s| s.closes_at.is_none_or(|closes| Instant::now() < closes))
     }
 
     /// A connection by none of the addresses to avoid: one that stands idle, or whichever comes first of one that is
@@ -329,7 +385,13 @@
             Taken::Later(ticket) => {
                 let (tell, told) = oneshot::channel();
                 self.waiting.borrow_mut().insert(ticket, tell);
-                Waits { servers: self, ticket, told }.told().await
+                Waits {
+                    servers: self,
+                    ticket,
+                    told,
+                }
+                .told()
+                .await
             }
             Taken::Never(why) => Err(why),
         }
@@ -400,7 +462,8 @@
 impl Drop for Waits<'_> {
     fn drop(&mut self) {
         self.servers.waiting.borrow_mut().remove(&self.ticket);
-        self.servers.with(|pool, now, actions| pool.cancel(now, self.ticket, actions));
+        self.servers
+            .with(|pool, now, actions| pool.cancel(now, self.ticket, actions));
     }
 }
 
@@ -414,9 +477,12 @@
 
 impl Lease {
     fn stale(&mut self, how: Closed) {
-        let Some(standing) = self.standing.take() else { return };
+        let Some(standing) = self.standing.take() else {
+            return;
+        };
         let id = self.id;
-        self.servers.with(|pool, now, actions| pool.stale(now, id, how, now - standing.since_ms, actions));
+        self.servers
+            .with(|pool, now, actions| pool.stale(now, id, how, now - standing.since_ms, actions));
     }
 
     /// Makes the exchange. A connection that broke is closed, the pool is told, and by which address it went.
@@ -427,7 +493,9 @@
         begin: &dyn Fn(Served),
     ) -> Result<Ended, (Next, Option<RouteId>)> {
         self.is_begun = true;
-        let Some(standing) = &mut self.standing else { return Err((Next::Again, None)) };
+        let Some(standing) = &mut self.standing else {
+            return Err((Next::Again, None));
+        };
         let exchanged = standing.conn.exchange(message, left, begin).await;
         let age = standing.age;
         exchanged.map_err(|broken| {
@@ -447,14 +515,24 @@
         let closed = self.standing.take();
         if closed.is_some() {
             let id = self.id;
-            self.servers.with(|pool, now, actions| pool.closed(now, id, how, actions));
+            self.servers
+                .with(|pool, now, actions| pool.closed(now, id, how, actions));
         }
     }
 
     /// An answer has come; the connection goes back if it is fit for another.
     fn done(mut self, at: ServerId) {
-        let how = self.standing.as_mut().and_then(|standing| standing.conn.look());
-        let drains = || self.servers.table.borrow().get(&at).is_none_or(|server| server.closes_at.is_some());
+        let how = self
+            .standing
+            .as_mut()
+            .and_then(|standing| standing.conn.look());
+        let drains = || {
+            self.servers
+                .table
+                .borrow()
+                .get(&at)
+                .is_none_or(|server| server.closes_at.is_some())
+        };
         match how {
             Some(how) => self.closed(how),
             None if drains() => self.closed(Closed::Spent),
@@ -463,11 +541,18 @@
     }
 
     fn give_back(&mut self) {
-        let Some(Standing { conn, .. }) = self.standing.take() else { return };
-        let stands = Standing { conn, since_ms: self.servers.now_ms(), age: Age::Used };
+        let Some(Standing { conn, .. }) = self.standing.take() else {
+            return;
+        };
+        let stands = Standing {
+            conn,
+            since_ms: self.servers.now_ms(),
+            age: Age::Used,
+        };
         self.servers.standing.borrow_mut().insert(self.id, stands);
         let id = self.id;
-        self.servers.with(|pool, now, actions| pool.give_back(now, id, actions));
+        self.servers
+            .with(|pool, now, actions| pool.give_back(now, id, actions));
     }
 }
 
--- a/src/node/upstream/servers/tests.rs
+++ b/src/node/upstream/servers/tests.rs
@@ -18,9 +18,17 @@
 }
 
 fn servers(address: SocketAddr) -> Rc<Servers> {
-    let text = testkit::config(address, &testkit::list(1, true, &[]), &testkit::settings(15_000));
-    let servers =
-        Servers::new(&Config::parse(&text).expect("sound"), AllSaid::new(), Bounds::default(), Clock::new());
+    let text = testkit::config(
+        address,
+        &testkit::list(1, true, &[]),
+        &testkit::settings(15_000),
+    );
+    let servers = Servers::new(
+        &Config::parse(&text).expect("sound"),
+        AllSaid::new(),
+        Bounds::default(),
+        Clock::new(),
+    );
     tokio::task::spawn_local(Rc::clone(&servers).wake_up());
     servers
 }
@@ -30,23 +38,41 @@
     let listener = std::net::TcpListener::bind("127.0.0.1:0").expect("a port");
     let address = listener.local_addr().expect("an address");
     let servers = servers(address);
-    let host = Host { address: Some(address), ..Host::named("s-0") };
+    let host = Host {
+        address: Some(address),
+        ..Host::named("s-0")
+    };
     servers.update(&[(ServerId(0), &host)]);
-    (listener, servers, host, Instant::now() + Duration::from_secs(60))
+    (
+        listener,
+        servers,
+        host,
+        Instant::now() + Duration::from_secs(60),
+    )
 }
 
 /// Guards the rule on drains where the word comes between the choice of a server and the first byte.
 #[tokio::test]
 async fn nothing_goes_out_that_was_chosen_before_the_word_of_a_drain() {
-    tokio::task::LocalSet::new().run_until(drained_at_the_instant_of_a_send()).await;
+    tokio::task::LocalSet::new()
+        .run_until(drained_at_the_instant_of_a_send())
+        .await;
 }
 
 async fn drained_at_the_instant_of_a_send() {
     let (listener, servers, host, deadline) = one_server();
     let mut attempt = pin!(Rc::clone(&servers).attempt(ServerId(0), message(), deadline, |_| ()));
-    let begun = attempt.as_mut().poll(&mut Context::from_waker(Waker::noop()));
+    let begun = attempt
+        .as_mut()
+        .poll(&mut Context::from_waker(Waker::noop()));
     assert!(begun.is_pending(), "it is on its way");
-    servers.update(&[(ServerId(0), &Host { state: State::Draining, ..host })]);
+    servers.update(&[(
+        ServerId(0),
+        &Host {
+            state: State::Draining,
+            ..host
+        },
+    )]);
     is_not_sent(attempt, &servers, &listener).await;
 }
 
@@ -56,7 +82,9 @@
     servers: &Servers,
     listener: &std::net::TcpListener,
 ) {
-    let ended = tokio::time::timeout(Duration::from_secs(5), attempt).await.expect("it sends, and waits");
+    let ended = tokio::time::timeout(Duration::from_secs(5), attempt)
+        .await
+        .expect("it sends, and waits");
     assert_eq!(ended.ending, Ending::NotSent);
     drop(servers.standing.borrow_mut().drain().collect::<Vec<_>>());
     let (mut connection, _) = listener.accept().expect("a connection");
@@ -69,14 +97,19 @@
 /// repeat whose connection comes up only after servers may have forgotten the attempt before.
 #[tokio::test]
 async fn nothing_goes_out_that_may_not_any_more_when_its_connection_comes_up() {
-    tokio::task::LocalSet::new().run_until(given_up_at_the_instant_of_a_send()).await;
+    tokio::task::LocalSet::new()
+        .run_until(given_up_at_the_instant_of_a_send())
+        .await;
 }
 
 async fn given_up_at_the_instant_of_a_send() {
     let (listener, servers, _, deadline) = one_server();
     let message = message();
-    let mut attempt = pin!(Rc::clone(&servers).attempt(ServerId(0), Rc::clone(&message), deadline, |_| ()));
-    let begun = attempt.as_mut().poll(&mut Context::from_waker(Waker::noop()));
+    let mut attempt =
+        pin!(Rc::clone(&servers).attempt(ServerId(0), Rc::clone(&message), deadline, |_| ()));
+    let begun = attempt
+        .as_mut()
+        .poll(&mut Context::from_waker(Waker::noop()));
     assert!(begun.is_pending(), "it is on its way");
     message.until.set(Some(Instant::now()));
     is_not_sent(attempt, &servers, &listener).await;
@@ -85,13 +118,16 @@
 /// Guards against descriptors that are lost count of, and against dials that nobody waits for.
 #[tokio::test]
 async fn what_is_given_up_leaves_nothing() {
-    tokio::task::LocalSet::new().run_until(given_up_at_each_stage()).await;
+    tokio::task::LocalSet::new()
+        .run_until(given_up_at_each_stage())
+        .await;
 }
 
 async fn given_up_at_each_stage() {
     let (_listener, servers, _, deadline) = one_server();
     for turns in 0..40 {
-        let underway = Underway::new(Rc::clone(&servers).attempt(ServerId(0), message(), deadline, |_| ()));
+        let underway =
+            Underway::new(Rc::clone(&servers).attempt(ServerId(0), message(), deadline, |_| ()));
         for _ in 0..turns {
             let mut ended = pin!(underway.ended());
             let _ = ended.as_mut().poll(&mut Context::from_waker(Waker::noop()));
@@ -108,11 +144,16 @@
 /// kinds.
 #[tokio::test]
 async fn what_breaks_in_the_midst_of_a_request_goes_by_another_address() {
-    tokio::task::LocalSet::new().run_until(broken_in_the_midst()).await;
+    tokio::task::LocalSet::new()
+        .run_until(broken_in_the_midst())
+        .await;
 }
 
 async fn broken_in_the_midst() {
-    for (kind, closes) in testkit::Kind::all().into_iter().flat_map(|kind| [(kind, true), (kind, false)]) {
+    for (kind, closes) in testkit::Kind::all()
+        .into_iter()
+        .flat_map(|kind| [(kind, true), (kind, false)])
+    {
         // Takes a little of the request; then it resets the connection, or takes nothing more.
         let (listener, broken) = testkit::Listener::bind(kind);
         std::thread::spawn(move || {
@@ -131,16 +172,28 @@
         let servers = servers(SocketAddr::from(([127, 0, 0, 1], 1)));
         let _ = servers.say(AllSaid::from([(
             "s-0".to_owned(),
-            crate::node::upstream::addresses::Said { routes: listed, only: true },
+            crate::node::upstream::addresses::Said {
+                routes: listed,
+                only: true,
+            },
         )]));
         servers.update(&[(ServerId(0), &Host::named("s-0"))]);
         // More than the system takes for a connection whose other end reads nothing.
         let body = RequestBody::Whole(Bytes::from(vec![b'x'; 32 << 20]));
-        let message =
-            Rc::new(Message { method: Method::POST, body, ..Rc::into_inner(message()).expect("one") });
+        let message = Rc::new(Message {
+            method: Method::POST,
+            body,
+            ..Rc::into_inner(message()).expect("one")
+        });
         let deadline = Instant::now() + Duration::from_secs(60);
         let attempt = Rc::clone(&servers).attempt(ServerId(0), message, deadline, |_| ());
-        let ended = tokio::time::timeout(Duration::from_secs(20), attempt).await.expect("it goes on");
-        assert_eq!((ended.ending, up.count()), (Ending::Served, 1), "{kind:?}, closes: {closes}");
+        let ended = tokio::time::timeout(Duration::from_secs(20), attempt)
+            .await
+            .expect("it goes on");
+        assert_eq!(
+            (ended.ending, up.count()),
+            (Ending::Served, 1),
+            "{kind:?}, closes: {closes}"
+        );
     }
 }
--- a/src/node/upstream/stream.rs
+++ b/src/node/upstream/stream.rs
@@ -74,13 +74,21 @@
 }
 
 impl AsyncRead for Stream {
-    fn poll_read(self: Pin<&mut Self>, cx: &mut Context<'_>, buf: &mut ReadBuf<'_>) -> Poll<io::Result<()>> {
+    fn poll_read(
+        self: Pin<&mut Self>,
+        cx: &mut Context<'_>,
+        buf: &mut ReadBuf<'_>,
+    ) -> Poll<io::Result<()>> {
         forward!(self, poll_read, cx, buf)
     }
 }
 
 impl AsyncWrite for Stream {
-    fn poll_write(self: Pin<&mut Self>, cx: &mut Context<'_>, buf: &[u8]) -> Poll<io::Result<usize>> {
+    fn poll_write(
+        self: Pin<&mut Self>,
+        cx: &mut Context<'_>,
+        buf: &[u8],
+    ) -> Poll<io::Result<usize>> {
         forward!(self, poll_write, cx, buf)
     }
 
--- a/src/node/upstream/stream/tests.rs
+++ b/src/node/upstream/stream/tests.rs
@@ -13,7 +13,9 @@
     let folder = tempfile::tempdir().expect("a folder");
     let path = folder.path().join("s");
     let listener = std::os::unix::net::UnixListener::bind(&path).expect("a socket");
-    let stream = Stream::connect(&Address::Unix(path)).await.expect("it listens");
+    let stream = Stream::connect(&Address::Unix(path))
+        .await
+        .expect("it listens");
     pairs.push((stream, Box::new(listener.accept().expect("a connection").0)));
     pairs
 }
@@ -42,8 +44,16 @@
     let closed = folder.path().join("closed");
     let _listener = std::os::unix::net::UnixListener::bind(&closed).expect("a socket");
     std::fs::set_permissions(&closed, std::fs::Permissions::from_mode(0o000)).expect("own file");
-    for path in [folder.path().join("missing"), file, left, folder.path().to_owned()] {
-        assert!(Stream::connect(&Address::Unix(path.clone())).await.is_err(), "{path:?}");
+    for path in [
+        folder.path().join("missing"),
+        file,
+        left,
+        folder.path().to_owned(),
+    ] {
+        assert!(
+            Stream::connect(&Address::Unix(path.clone())).await.is_err(),
+            "{path:?}"
+        );
     }
     // Whoever may open all files opens this one, too.
     if let Err(error) = Stream::connect(&Address::Unix(closed)).await {
--- a/src/simulator.rs
+++ b/src/simulator.rs
@@ -80,7 +80,8 @@
     ///
     /// It is not there.
     pub fn text(&self, name: &str) -> Result<&'a str, WireError> {
-        self.get(name).map_or_else(|| wrong(format!("`{name}` is missing")), Ok)
+        self.get(name)
+            .map_or_else(|| wrong(format!("`{name}` is missing")), Ok)
     }
 
     /// A time or other figure, if it is there.
@@ -98,12 +99,16 @@
     ///
     /// It is no whole number.
     pub fn whole(&self, name: &str) -> Result<Option<u64>, WireError> {
-        let parse = |v: &str| v.parse().or_else(|_| wrong(format!("`{name}={v}` is no whole number")));
+        let parse = |v: &str| {
+            v.parse()
+                .or_else(|_| wrong(format!("`{name}={v}` is no whole number")))
+        };
         self.get(name).map(parse).transpose()
     }
 
     fn need_whole(&self, name: &str) -> Result<u64, WireError> {
-        self.whole(name)?.map_or_else(|| wrong(format!("`{name}` is missing")), Ok)
+        self.whole(name)?
+            .map_or_else(|| wrong(format!("`{name}` is missing")), Ok)
     }
 
     fn index(&self, name: &str) -> Result<usize, WireError> {
@@ -117,7 +122,8 @@
     ///
     /// It is missing or no finite number.
     pub fn need_figure(&self, name: &str) -> Result<f64, WireError> {
-        self.figure(name)?.map_or_else(|| wrong(format!("`{name}` is missing")), Ok)
+        self.figure(name)?
+            .map_or_else(|| wrong(format!("`{name}` is missing")), Ok)
     }
 }
 
@@ -145,7 +151,10 @@
     pub fn parse(line: &str) -> Result<Self, WireError> {
         let line = Line::parse(line)?;
         if line.message != "M" {
-            return wrong(format!("`{}` where an entry of the list was due", line.message));
+            return wrong(format!(
+                "`{}` where an entry of the list was due",
+                line.message
+            ));
         }
         let availability = match line.text("availability")? {
             "2" => Availability::Ready,
@@ -163,7 +172,10 @@
             kind: or_zero("type")?,
             place: spread(line.text("server")?),
         };
-        Ok(Self { server: line.text("server")?.to_owned(), entry })
+        Ok(Self {
+            server: line.text("server")?.to_owned(),
+            entry,
+        })
     }
 }
 
@@ -196,12 +208,21 @@
     }
 
     fn report(&self, line: &Line<'_>) -> Result<Option<Report>, WireError> {
-        let Some(row) = line.get("server_stats").filter(|r| !r.is_empty() && *r != "-") else {
+        let Some(row) = line
+            .get("server_stats")
+            .filter(|r| !r.is_empty() && *r != "-")
+        else {
             return Ok(None);
         };
-        let values: Vec<f64> = row.split(',').map(|v| figure("server_stats", v)).collect::<Result<_, _>>()?;
+        let values: Vec<f64> = row
+            .split(',')
+            .map(|v| figure("server_stats", v))
+            .collect::<Result<_, _>>()?;
         let at = |i: Option<usize>| i.and_then(|i| values.get(i).copied());
-        Ok(Some(Report { in_flight: at(self.in_flight_at), queued: at(self.queued_at) }))
+        Ok(Some(Report {
+            in_flight: at(self.in_flight_at),
+            queued: at(self.queued_at),
+        }))
     }
 
     /// Reads the settings of a start.
@@ -210,8 +231,11 @@
     ///
     /// They are no object of the expected types.
     pub fn settings(&mut self, facts: &str) -> Result<Settings, WireError> {
-        let facts: Value = serde_json::from_str(facts).map_err(|e| WireError(format!("`facts`: {e}")))?;
-        let fields = facts["stats"]["fields"].as_array().map_or(&[][..], Vec::as_slice);
+        let facts: Value =
+            serde_json::from_str(facts).map_err(|e| WireError(format!("`facts`: {e}")))?;
+        let fields = facts["stats"]["fields"]
+            .as_array()
+            .map_or(&[][..], Vec::as_slice);
         self.in_flight_at = fields.iter().position(|f| f == "active");
         self.queued_at = fields.iter().position(|f| f == "waiting");
         read_settings(&facts)
@@ -268,7 +292,11 @@
         }))
     }
 
-    fn listing(&mut self, line: &Line<'_>, lists: &[Option<Vec<Member>>; 16]) -> Result<Listing, WireError> {
+    fn listing(
+        &mut self,
+        line: &Line<'_>,
+        lists: &[Option<Vec<Member>>; 16],
+    ) -> Result<Listing, WireError> {
         let mode = line.text("mode")?;
         if mode == "3" {
             return Ok(Listing::Failed);
@@ -277,8 +305,13 @@
         let Some(list) = lists.get(number).and_then(Option::as_ref) else {
             return wrong(format!("`roster_id={number}` is no list"));
         };
-        let entries =
-            list.iter().map(|m| ServerEntry { server: self.intern(&m.server), ..m.entry.clone() }).collect();
+        let entries = list
+            .iter()
+            .map(|m| ServerEntry {
+                server: self.intern(&m.server),
+                ..m.entry.clone()
+            })
+            .collect();
         match mode {
             "0" => Ok(Listing::Changes(entries)),
             "1" => Ok(Listing::Full(entries)),
@@ -291,25 +324,48 @@
     pub fn print(&self, node: &str, action: &Action, out: &mut String) {
         let done = match action {
             Action::Send { request, server } => {
-                write!(out, "PLACE node={node} txn={} server={}", request.0, self.names[server.0])
+                write!(
+                    out,
+                    "PLACE node={node} txn={} server={}",
+                    request.0, self.names[server.0]
+                )
             }
             Action::Probe { server } => {
                 write!(out, "SOUND_OUT node={node} server={}", self.names[server.0])
             }
-            Action::Close { server } => write!(out, "CLOSE node={node} server={}", self.names[server.0]),
+            Action::Close { server } => {
+                write!(out, "CLOSE node={node} server={}", self.names[server.0])
+            }
             Action::Cancel { request, attempt } => {
-                write!(out, "STOP_ATTEMPT node={node} txn={} try={attempt}", request.0)
+                write!(
+                    out,
+                    "STOP_ATTEMPT node={node} txn={} try={attempt}",
+                    request.0
+                )
             }
-            Action::Refuse { request, after_ms: None } => {
+            Action::Refuse {
+                request,
+                after_ms: None,
+            } => {
                 write!(out, "PUSH_BACK node={node} txn={}", request.0)
             }
-            Action::Refuse { request, after_ms: Some(ms) } => {
-                write!(out, "PUSH_BACK node={node} txn={} stay_away_ms={ms:.3}", request.0)
+            Action::Refuse {
+                request,
+                after_ms: Some(ms),
+            } => {
+                write!(
+                    out,
+                    "PUSH_BACK node={node} txn={} stay_away_ms={ms:.3}",
+                    request.0
+                )
             }
             Action::Fail { request } => write!(out, "REPORT_FAILURE node={node} txn={}", request.0),
             Action::Subscribe => write!(out, "TRACK node={node} want=1"),
             Action::SetTimer { timer, after_ms } => {
-                write!(out, "SCHEDULE node={node} nonce={timer} offset_ms={after_ms:.3}")
+                write!(
+                    out,
+                    "SCHEDULE node={node} nonce={timer} offset_ms={after_ms:.3}"
+                )
             }
             Action::Note(text) => write!(out, "NOTE_DOWN node={node} note_text={}", one_line(text)),
         };
@@ -349,7 +405,10 @@
         return wrong("`facts` is no object");
     }
     let class_list = facts["classes"].as_array().map_or(&[][..], Vec::as_slice);
-    let classes = class_list.iter().map(read_class).collect::<Result<Vec<_>, _>>()?;
+    let classes = class_list
+        .iter()
+        .map(read_class)
+        .collect::<Result<Vec<_>, _>>()?;
     let mut settings = Settings::new(classes);
     let parties = facts["parties"].as_array().map_or(&[][..], Vec::as_slice);
     for party in parties {
@@ -376,7 +435,11 @@
     read(rules, "tip_multiple", &mut settings.tip_multiple)?;
     read(rules, "tip_after_ms", &mut settings.tip_after_ms)?;
     read(rules, "key_quiet_ms", &mut settings.key_quiet_ms)?;
-    let mut budget = ResendBudget { free: 0.0, per_request: 0.0, span_ms: f64::NAN };
+    let mut budget = ResendBudget {
+        free: 0.0,
+        per_request: 0.0,
+        span_ms: f64::NAN,
+    };
     read(rules, "free_resends", &mut budget.free)?;
     read(rules, "extra_per_request", &mut budget.per_request)?;
     read(rules, "budget_span_ms", &mut budget.span_ms)?;
@@ -406,7 +469,10 @@
                 Some("zone") => Group::Zone,
                 _ => Group::Cell,
             };
-            Effect::Keyed { group, window_ms: window }
+            Effect::Keyed {
+                group,
+                window_ms: window,
+            }
         }
         // An effect that is not known is treated as the one that allows least.
         _ => Effect::Unsafe,
@@ -420,21 +486,30 @@
 fn read(from: &Value, key: &str, to: &mut f64) -> Result<(), WireError> {
     match &from[key] {
         Value::Null => Ok(()),
-        value => value.as_f64().map(|x| *to = x).map_or_else(|| mistyped(key, "number"), Ok),
+        value => value
+            .as_f64()
+            .map(|x| *to = x)
+            .map_or_else(|| mistyped(key, "number"), Ok),
     }
 }
 
 fn read_index(from: &Value, key: &str, to: &mut usize) -> Result<(), WireError> {
     match &from[key] {
         Value::Null => Ok(()),
-        value => value.as_u64().map(|x| *to = x as usize).map_or_else(|| mistyped(key, "whole number"), Ok),
+        value => value
+            .as_u64()
+            .map(|x| *to = x as usize)
+            .map_or_else(|| mistyped(key, "whole number"), Ok),
     }
 }
 
 fn read_flag(from: &Value, key: &str, to: &mut bool) -> Result<(), WireError> {
     match &from[key] {
         Value::Null => Ok(()),
-        value => value.as_bool().map(|x| *to = x).map_or_else(|| mistyped(key, "yes or no"), Ok),
+        value => value
+            .as_bool()
+            .map(|x| *to = x)
+            .map_or_else(|| mistyped(key, "yes or no"), Ok),
     }
 }
 
--- a/tests/addresses.rs
+++ b/tests/addresses.rs
@@ -8,15 +8,20 @@
 
 use testkit::link::{Fault, Link, Plan};
 use testkit::{
-    answer, config, list, post, read, settings, until, Client, Discovery, Endpoint, Kind, Node, Reply, Server,
+    answer, config, list, post, read, settings, until, Client, Discovery, Endpoint, Kind, Node,
+    Reply, Server,
 };
 
 /// The operators' file: each server's addresses, tried in this order, and no others.
 fn operators(servers: &[(&str, &[String])]) -> String {
     let server = |(id, addresses): &(&str, &[String])| {
-        let address = |(at, text): (usize, &String)| format!("{{address = \"{text}\", preference = {at}}}");
+        let address =
+            |(at, text): (usize, &String)| format!("{{address = \"{text}\", preference = {at}}}");
         let all: Vec<_> = addresses.iter().enumerate().map(address).collect();
-        format!("[[server]]\nid = \"{id}\"\nonly = true\naddresses = [{}]\n", all.join(", "))
+        format!(
+            "[[server]]\nid = \"{id}\"\nonly = true\naddresses = [{}]\n",
+            all.join(", ")
+        )
     };
     servers.iter().map(server).collect()
 }
@@ -25,12 +30,21 @@
 fn node(servers: &[(&str, &[String])], deadline_ms: u64, attempts: usize) -> (Node, Discovery) {
     let discovery = Discovery::start();
     let nowhere = "127.0.0.1:1".parse().expect("an address");
-    let entries: Vec<_> = servers.iter().map(|(id, _)| testkit::entry(id, nowhere, "ready")).collect();
+    let entries: Vec<_> = servers
+        .iter()
+        .map(|(id, _)| testkit::entry(id, nowhere, "ready"))
+        .collect();
     let settings = settings(deadline_ms)
-        .replace("\"max_attempts\":3", &format!("\"max_attempts\":{attempts}"))
+        .replace(
+            "\"max_attempts\":3",
+            &format!("\"max_attempts\":{attempts}"),
+        )
         .replace("\"dial_timeout_ms\":2000.0", "\"dial_timeout_ms\":800.0");
     let config = config(discovery.address, &list(1, true, &entries), &settings);
-    (Node::start_with(&config, Some(&operators(servers))), discovery)
+    (
+        Node::start_with(&config, Some(&operators(servers))),
+        discovery,
+    )
 }
 
 fn ok(_: &testkit::Message) -> Reply {
@@ -46,7 +60,9 @@
 fn arrivals<'a>(servers: impl IntoIterator<Item = &'a Server>) -> HashMap<String, usize> {
     let mut came = HashMap::new();
     for request in servers.into_iter().flat_map(Server::requests) {
-        *came.entry(request.header("req-id").expect("an id").to_owned()).or_default() += 1;
+        *came
+            .entry(request.header("req-id").expect("an id").to_owned())
+            .or_default() += 1;
     }
     came
 }
@@ -56,7 +72,10 @@
     for kind in Kind::all() {
         let (server, endpoint) = Server::start_on(kind, ok);
         let (node, _discovery) = node(&[("s-0", &[endpoint.to_string()])], 2_000, 1);
-        for (at, text) in [read("1", "900m"), keyed("2"), post("3", "pay", "", "x")].iter().enumerate() {
+        for (at, text) in [read("1", "900m"), keyed("2"), post("3", "pay", "", "x")]
+            .iter()
+            .enumerate()
+        {
             assert_eq!(node.ask(text).status(), 200, "{kind:?}, {at}");
         }
         assert_eq!(server.count(), 3);
@@ -80,10 +99,18 @@
     ];
     let (node, _discovery) = node(&[("s-0", &addresses)], 2_000, 1);
     for id in 0..10 {
-        assert_eq!(node.ask(&post(&id.to_string(), "pay", "", "x")).status(), 200, "{id}");
+        assert_eq!(
+            node.ask(&post(&id.to_string(), "pay", "", "x")).status(),
+            200,
+            "{id}"
+        );
     }
     assert_eq!(server.count(), 10);
-    let told = node.log().iter().filter(|line| line.contains("does not come up")).count();
+    let told = node
+        .log()
+        .iter()
+        .filter(|line| line.contains("does not come up"))
+        .count();
     assert_eq!(told, 3, "each is told once");
 }
 
@@ -94,15 +121,23 @@
     for kind in Kind::all() {
         let (server, up) = Server::start_on(Kind::V4, ok);
         for byte in [0, 60, 100_000] {
-            let fault = if byte == 100_000 { Plan::sound() } else { Plan::at(byte, Fault::Stall) };
+            let fault = if byte == 100_000 {
+                Plan::sound()
+            } else {
+                Plan::at(byte, Fault::Stall)
+            };
             // What comes back is lost too, so that the last case is the answer that never comes.
             let plans = move |_| (fault.clone(), Plan::at(0, Fault::Stall));
             let (_link, stalled) = Link::start_on(kind, up.clone(), plans);
-            let (node, _discovery) = node(&[("s-0", &[stalled.to_string(), up.to_string()])], 300, 1);
+            let (node, _discovery) =
+                node(&[("s-0", &[stalled.to_string(), up.to_string()])], 300, 1);
             for text in [post("1", "pay", "", "x"), keyed("2"), read("3", "250m")] {
                 let before = server.count();
                 assert_ne!(node.ask(&text).status(), 200, "{kind:?}, {byte}");
-                assert!(server.count() - before <= usize::from(byte == 100_000), "{kind:?}, {byte}");
+                assert!(
+                    server.count() - before <= usize::from(byte == 100_000),
+                    "{kind:?}, {byte}"
+                );
             }
         }
     }
@@ -144,7 +179,9 @@
     for at in 0..SERVERS {
         // Every other answer is the last on its connection, of which nothing is said.
         let (server, first) = Server::start_on(Kind::V4, |request| {
-            let closes = request.header("req-id").is_some_and(|id| id.ends_with(['0', '2', '4', '6', '8']));
+            let closes = request
+                .header("req-id")
+                .is_some_and(|id| id.ends_with(['0', '2', '4', '6', '8']));
             let answer = answer("200 OK", "", "yes");
             if closes {
                 Reply::SayAndClose(answer)
@@ -154,7 +191,11 @@
         });
         let own = [first, server.also(Kind::second()), server.also(Kind::Unix)];
         let mut listed = Vec::new();
-        for (nth, (kind, to)) in [Kind::V4, Kind::second(), Kind::Unix].into_iter().zip(own).enumerate() {
+        for (nth, (kind, to)) in [Kind::V4, Kind::second(), Kind::Unix]
+            .into_iter()
+            .zip(own)
+            .enumerate()
+        {
             let seed = (at * 10 + nth) as u64;
             let (link, endpoint): (Link, Endpoint) =
                 Link::start_on(kind, to, move |connection| plans(seed, connection));
@@ -165,15 +206,21 @@
         addresses.push(listed);
         servers.push(server);
     }
-    let texts: Vec<Vec<String>> =
-        addresses.iter().map(|all| all.iter().map(ToString::to_string).collect()).collect();
+    let texts: Vec<Vec<String>> = addresses
+        .iter()
+        .map(|all| all.iter().map(ToString::to_string).collect())
+        .collect();
     let ids = ["s-0", "s-1", "s-2"];
-    let listed: Vec<(&str, &[String])> = ids.into_iter().zip(texts.iter().map(Vec::as_slice)).collect();
+    let listed: Vec<(&str, &[String])> = ids
+        .into_iter()
+        .zip(texts.iter().map(Vec::as_slice))
+        .collect();
     let (node, _discovery) = node(&listed, 150, 1);
     let (answered, served) = (Arc::<AtomicU64>::default(), Arc::<AtomicU64>::default());
     let clients: Vec<_> = (0..CLIENTS)
         .map(|client| {
-            let (address, answered, served) = (node.address, Arc::clone(&answered), Arc::clone(&served));
+            let (address, answered, served) =
+                (node.address, Arc::clone(&answered), Arc::clone(&served));
             thread::spawn(move || {
                 let mut connection = Client::connect(address);
                 for number in 0..EACH {
@@ -198,13 +245,25 @@
     let came = arrivals(&servers);
     let twice: Vec<_> = came.iter().filter(|(_, times)| **times > 1).collect();
     assert!(twice.is_empty(), "came twice: {twice:?}");
-    let (answered, served) = (answered.load(Ordering::SeqCst), served.load(Ordering::SeqCst));
+    let (answered, served) = (
+        answered.load(Ordering::SeqCst),
+        served.load(Ordering::SeqCst),
+    );
     assert_eq!(answered, CLIENTS * EACH);
     let connections: usize = links.iter().map(Link::connections).sum();
-    eprintln!("{answered} requests, {} came, {served} served, {connections} connections", came.len());
+    eprintln!(
+        "{answered} requests, {} came, {served} served, {connections} connections",
+        came.len()
+    );
     let each: Vec<_> = links.iter().map(Link::connections).collect();
-    assert!(each.iter().all(|count| *count > 0), "every address was in use: {each:?}");
-    assert!(came.len() > 1_000 && served > 500 && connections > 200, "there was something to see");
+    assert!(
+        each.iter().all(|count| *count > 0),
+        "every address was in use: {each:?}"
+    );
+    assert!(
+        came.len() > 1_000 && served > 500 && connections > 200,
+        "there was something to see"
+    );
 }
 
 /// The lists change while requests are in flight and connections stand idle: kinds come and go, servers trade
@@ -217,7 +276,11 @@
     let endpoints = [v4, v6, path, other];
     let [v4, v6, path, other] = endpoints.each_ref().map(ToString::to_string);
     let own = [v4.clone(), v6.clone(), path.clone()];
-    let (node, _discovery) = node(&[("s-0", &own), ("s-1", std::slice::from_ref(&other))], 2_000, 1);
+    let (node, _discovery) = node(
+        &[("s-0", &own), ("s-1", std::slice::from_ref(&other))],
+        2_000,
+        1,
+    );
     let load = testkit::Load::start(node.address, 6, Duration::ZERO);
     let one = |address: &String| vec![address.clone()];
     let two = |first: &String, second: &String| vec![first.clone(), second.clone()];
@@ -229,10 +292,18 @@
         (own.to_vec(), one(&other)),
     ];
     for (nth, (zero, one)) in lists.iter().cycle().take(15).enumerate() {
-        node.reload_operators(&operators(&[("s-0", zero.as_slice()), ("s-1", one.as_slice())]));
+        node.reload_operators(&operators(&[
+            ("s-0", zero.as_slice()),
+            ("s-1", one.as_slice()),
+        ]));
         let before = first.count() + second.count();
-        until("it goes on", || first.count() + second.count() > before + 20);
-        assert!(!node.log().iter().any(|line| line.contains("not used")), "list {nth}");
+        until("it goes on", || {
+            first.count() + second.count() > before + 20
+        });
+        assert!(
+            !node.log().iter().any(|line| line.contains("not used")),
+            "list {nth}"
+        );
     }
     let totals = load.end();
     assert_eq!(totals.lost, 0);
@@ -251,7 +322,9 @@
     for round in 0..3 {
         let closing = |_: &testkit::Message| Reply::SayAndClose(answer("200 OK", "", ""));
         let (server, endpoint) = Server::start_on(Kind::Unix, closing);
-        let Endpoint::Unix(real, _) = &endpoint else { panic!("a path") };
+        let Endpoint::Unix(real, _) = &endpoint else {
+            panic!("a path")
+        };
         std::fs::rename(real, &path).expect("in place of the one before");
         until("it is served there", || {
             let answer = node.ask(&read(&format!("{round}-{}", server.count()), "900m"));
--- a/tests/clients.rs
+++ b/tests/clients.rs
@@ -9,7 +9,8 @@
 /// A node with few places for clients, and a list of no servers.
 fn small_node() -> (Node, Discovery) {
     let discovery = Discovery::start();
-    let text = config(discovery.address, &list(1, true, &[]), &settings(15_000)).replace("1024", "16");
+    let text =
+        config(discovery.address, &list(1, true, &[]), &settings(15_000)).replace("1024", "16");
     (Node::start(&text), discovery)
 }
 
@@ -23,7 +24,10 @@
         let whole = post("a", "pay", "", "");
         format!(
             "{}{hidden}",
-            whole.replace("Content-Length: 0\r\n\r\n", &format!("{headers}\r\n\r\n0\r\n\r\n"))
+            whole.replace(
+                "Content-Length: 0\r\n\r\n",
+                &format!("{headers}\r\n\r\n0\r\n\r\n")
+            )
         )
     };
     for headers in [
@@ -40,7 +44,11 @@
     ] {
         let mut client = node.connect();
         client.send(&with(headers));
-        assert_eq!(client.answer().expect("an answer").status(), 400, "{headers}");
+        assert_eq!(
+            client.answer().expect("an answer").status(),
+            400,
+            "{headers}"
+        );
         assert!(client.is_closed(), "{headers}");
     }
     assert!(server.requests().is_empty());
@@ -58,14 +66,32 @@
     let (node, _discovery, _watch) = Node::with(&[&server], 15_000);
     let good = read("a", "480m");
     let twice = |header: &str| good.replace("Req-Id", &format!("{header}\r\nReq-Id"));
-    let mut cases: Vec<_> =
-        ["Req-Id: a", "Req-Kind: read", "Req-Deadline: 480m"].into_iter().map(twice).collect();
+    let mut cases: Vec<_> = ["Req-Id: a", "Req-Kind: read", "Req-Deadline: 480m"]
+        .into_iter()
+        .map(twice)
+        .collect();
     cases.push(twice("Req-Retry: 1\r\nReq-Retry: 1"));
     cases.push(good.replace("Req-Id: a", "Req-Id: "));
     cases.push(good.replace("Req-Id: a", "Req-Id: \u{e9}"));
     cases.push(post("a", "hold", "Idempotency-Key: \r\n", "x"));
-    cases.push(post("a", "hold", "Idempotency-Key: 5\r\nIdempotency-Key: 5\r\n", "x"));
-    for deadline in ["infm", "1e9m", "+480m", "1e400m", "99999999999999m", "0m", "", "m", "4 80m", "0x1fm"] {
+    cases.push(post(
+        "a",
+        "hold",
+        "Idempotency-Key: 5\r\nIdempotency-Key: 5\r\n",
+        "x",
+    ));
+    for deadline in [
+        "infm",
+        "1e9m",
+        "+480m",
+        "1e400m",
+        "99999999999999m",
+        "0m",
+        "",
+        "m",
+        "4 80m",
+        "0x1fm",
+    ] {
         cases.push(good.replace("480m", deadline));
     }
     for request in cases {
@@ -104,7 +130,10 @@
     let start = Instant::now();
     assert_eq!(body.answer().expect("an answer").status(), 408);
     assert!(silent.is_closed() && half.is_closed() && body.is_closed());
-    assert!(start.elapsed() < Duration::from_secs(12), "it takes about 2 s, and a body has no longer");
+    assert!(
+        start.elapsed() < Duration::from_secs(12),
+        "it takes about 2 s, and a body has no longer"
+    );
 }
 
 /// Guards against a crowd that sends heads without end: they keep nobody out who has a request.
@@ -163,9 +192,18 @@
             (client, stays)
         })
         .collect();
-    assert_eq!(once.iter().filter(|(_, stays)| *stays).count(), 2, "three of five places are used");
-    assert!(once.iter_mut().filter(|(_, stays)| !stays).all(|(client, _)| client.is_closed()));
-    once.iter_mut().filter(|(_, stays)| *stays).for_each(|(client, _)| assert!(asks(client)));
+    assert_eq!(
+        once.iter().filter(|(_, stays)| *stays).count(),
+        2,
+        "three of five places are used"
+    );
+    assert!(once
+        .iter_mut()
+        .filter(|(_, stays)| !stays)
+        .all(|(client, _)| client.is_closed()));
+    once.iter_mut()
+        .filter(|(_, stays)| *stays)
+        .for_each(|(client, _)| assert!(asks(client)));
     assert!(asks(&mut again));
 }
 
@@ -192,9 +230,14 @@
             .for_each(|client| assert!(asks(client), "seven of five are there, and all in use"));
     }
     // The first two have stood for longest.
-    clients[2..].iter_mut().for_each(|client| assert!(asks(client)));
+    clients[2..]
+        .iter_mut()
+        .for_each(|client| assert!(asks(client)));
     assert!(clients[0].is_closed() && clients[1].is_closed());
-    assert!(clients[2..].iter_mut().all(asks), "with five there is room enough");
+    assert!(
+        clients[2..].iter_mut().all(asks),
+        "with five there is room enough"
+    );
 }
 
 /// Guards against a newcomer that finds all places taken by clients that ask again at once: the next answer makes room for
@@ -204,7 +247,8 @@
     let server = Server::start(|_| Reply::ok("yes")).quiet();
     let discovery = Discovery::start();
     let known = list(1, true, &[server.entry("s-0", "ready")]);
-    let node = Node::start(&config(discovery.address, &known, &settings(15_000)).replace("1024", "16"));
+    let node =
+        Node::start(&config(discovery.address, &known, &settings(15_000)).replace("1024", "16"));
     teach_that_clients_return(&node);
     let load = Load::start(node.address, 8, Duration::from_millis(100));
     for _ in 0..10 {
@@ -220,7 +264,9 @@
 /// most of the places, and their next requests crossed the closes of those.
 #[test]
 fn three_hundred_busy_connections_lose_no_request() {
-    let servers: Vec<_> = (0..4).map(|_| Server::start(|_| Reply::ok("yes")).quiet()).collect();
+    let servers: Vec<_> = (0..4)
+        .map(|_| Server::start(|_| Reply::ok("yes")).quiet())
+        .collect();
     let (node, _discovery, _watch) = Node::with(&servers.iter().collect::<Vec<_>>(), 15_000);
     let load = Load::start(node.address, 300, Duration::from_millis(200));
     std::thread::sleep(Duration::from_secs(3));
@@ -241,6 +287,10 @@
         std::thread::sleep(Duration::from_millis(40)); // Far less than what makes it one that has stopped.
     }
     assert_eq!(slow.answer().expect("an answer").status(), 200);
-    let gone = crowd.iter_mut().take(80).filter_map(|client| client.is_closed().then_some(())).count();
+    let gone = crowd
+        .iter_mut()
+        .take(80)
+        .filter_map(|client| client.is_closed().then_some(()))
+        .count();
     assert_eq!(gone, 80, "they made room");
 }
