--- a/tests/close_range.rs
+++ b/tests/close_range.rs
@@ -8,8 +8,8 @@
 use std::time::{Duration, Instant};
 
 use silverthread::node::config::Config;
-use silverthread::node::driver::Driver;
 use silverthread::node::downstream::clients::{serve, FrontOptions, Phase};
+use silverthread::node::driver::Driver;
 use testkit::*;
 use tokio::sync::watch;
 
@@ -35,9 +35,16 @@
     until("all are out", || server.requests().len() == 3);
     let told = Instant::now();
     node.terminate();
-    let answers: Vec<_> = clients.iter_mut().map(|client| client.answer().expect("a whole answer")).collect();
+    let answers: Vec<_> = clients
+        .iter_mut()
+        .map(|client| client.answer().expect("a whole answer"))
+        .collect();
     assert!(told.elapsed() < KILLED, "{:?}", told.elapsed());
-    assert_eq!(answers[2].status(), 502, "an unsafe request that may have run has failed");
+    assert_eq!(
+        answers[2].status(),
+        502,
+        "an unsafe request that may have run has failed"
+    );
     assert!(clients.iter_mut().all(Client::ends_in_order));
     assert_eq!(node.wait().code(), Some(0));
     assert_eq!(server.requests().len(), 3, "nothing was sent again so late");
@@ -51,8 +58,12 @@
 #[test]
 fn a_client_that_sent_more_than_its_request_is_seen_to_leave() {
     let next = read("next", "15000m");
-    let more =
-        [String::new(), next.clone(), next[..next.len() / 2].to_owned(), next.repeat(FLOOD / next.len())];
+    let more = [
+        String::new(),
+        next.clone(),
+        next[..next.len() / 2].to_owned(),
+        next.repeat(FLOOD / next.len()),
+    ];
     for (more, half_closes) in more.iter().flat_map(|more| [(more, false), (more, true)]) {
         let server = Server::start(|_| Reply::Silence);
         // Its time is longer than anything here is waited for.
@@ -66,7 +77,11 @@
         let held = held.map(|()| client);
         until("its attempt is given up", || server.closed() == 1);
         drop(held);
-        assert_eq!(server.requests().len(), 1, "nothing else was sent on for it");
+        assert_eq!(
+            server.requests().len(),
+            1,
+            "nothing else was sent on for it"
+        );
     }
 }
 
@@ -77,13 +92,28 @@
     let server = Server::start(|_| Reply::ok("yes"));
     let (node, _discovery, _watch) = Node::with(&[&server], 15_000);
     let second = post("second", "hold", "Idempotency-Key: 5c0f\r\n", "a body");
-    for cut in [0, 1, second.len() / 2, second.len() - 6, second.len() - 1, second.len()] {
+    for cut in [
+        0,
+        1,
+        second.len() / 2,
+        second.len() - 6,
+        second.len() - 1,
+        second.len(),
+    ] {
         let mut client = node.connect();
         client.send(&format!("{}{}", read("first", "15000m"), &second[..cut]));
-        assert_eq!(client.answer().expect("an answer").status(), 200, "cut at {cut}");
+        assert_eq!(
+            client.answer().expect("an answer").status(),
+            200,
+            "cut at {cut}"
+        );
         client.send(&format!("{}{}", &second[cut..], read("third", "15000m")));
         for _ in 0..2 {
-            assert_eq!(client.answer().expect("an answer").status(), 200, "cut at {cut}");
+            assert_eq!(
+                client.answer().expect("an answer").status(),
+                200,
+                "cut at {cut}"
+            );
         }
     }
     assert_eq!(server.requests().len(), 18);
@@ -108,21 +138,38 @@
     fn with(server: Server) -> Self {
         let known = list(1, true, &[server.entry("s-0", "ready")]);
         let text = config(Unreachable::start().address, &known, &settings(60_000));
-        let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime");
+        let runtime = tokio::runtime::Builder::new_current_thread()
+            .enable_all()
+            .build()
+            .expect("a runtime");
         let local = tokio::task::LocalSet::new();
         let (phase, phases) = watch::channel(Phase::Serving);
         let (address, serving) = local.block_on(&runtime, async {
             let driver = Driver::start(&Config::parse(&text).expect("sound")).expect("sound");
-            let listener = tokio::net::TcpListener::bind("127.0.0.1:0").await.expect("a port");
+            let listener = tokio::net::TcpListener::bind("127.0.0.1:0")
+                .await
+                .expect("a port");
             let address = listener.local_addr().expect("an address");
-            (address, tokio::task::spawn_local(serve(listener, driver, FrontOptions::own(phases, 64))))
+            (
+                address,
+                tokio::task::spawn_local(serve(listener, driver, FrontOptions::own(phases, 64))),
+            )
         });
-        Self { runtime, local, address, phase, server, serving }
+        Self {
+            runtime,
+            local,
+            address,
+            phase,
+            server,
+            serving,
+        }
     }
 
     /// Lets the event loop run for a few milliseconds.
     fn turn(&self, ms: u64) {
-        self.local.block_on(&self.runtime, async { tokio::time::sleep(Duration::from_millis(ms)).await });
+        self.local.block_on(&self.runtime, async {
+            tokio::time::sleep(Duration::from_millis(ms)).await
+        });
     }
 
     /// Lets the event loop run until something is so.
@@ -154,12 +201,17 @@
             }
             ended.is_some()
         });
-        (String::from_utf8(read).expect("text"), ended.expect("ended"))
+        (
+            String::from_utf8(read).expect("text"),
+            ended.expect("ended"),
+        )
     }
 
     /// Asks whether the node is up, and reads the answer: the connection rests then.
     fn rest(&self, client: &mut TcpStream) {
-        client.write_all(b"GET /up HTTP/1.1\r\nHost: a\r\n\r\n").expect("an open connection");
+        client
+            .write_all(b"GET /up HTTP/1.1\r\nHost: a\r\n\r\n")
+            .expect("an open connection");
         let mut read = Vec::new();
         self.turn_until("it is up", || {
             let mut piece = [0; 4096];
@@ -170,7 +222,8 @@
     }
 
     fn shut_down(&self) {
-        self.phase.send_replace(Phase::ShuttingDown(Instant::now() + 3 * PATIENCE));
+        self.phase
+            .send_replace(Phase::ShuttingDown(Instant::now() + 3 * PATIENCE));
     }
 }
 
@@ -189,16 +242,26 @@
                 front.turn(5);
             }
             // The part ahead has been read by the event loop, if there is one; the rest lies in the socket.
-            client.write_all(&request.as_bytes()[..ahead]).expect("an open connection");
+            client
+                .write_all(&request.as_bytes()[..ahead])
+                .expect("an open connection");
             if (1..request.len()).contains(&ahead) {
                 front.turn(5);
             }
-            client.write_all(&request.as_bytes()[ahead..]).expect("an open connection");
+            client
+                .write_all(&request.as_bytes()[ahead..])
+                .expect("an open connection");
             front.shut_down();
             let (answer, in_order) = front.read_to_end(&mut client);
             let case = format!("rested: {rested}, {ahead} bytes ahead");
-            assert!(answer.starts_with("HTTP/1.1 200 OK") && answer.ends_with("yes"), "{case}: {answer:?}");
-            assert!(answer.to_ascii_lowercase().contains("connection: close"), "{case}");
+            assert!(
+                answer.starts_with("HTTP/1.1 200 OK") && answer.ends_with("yes"),
+                "{case}: {answer:?}"
+            );
+            assert!(
+                answer.to_ascii_lowercase().contains("connection: close"),
+                "{case}"
+            );
             assert!(in_order, "{case}");
             assert_eq!(front.server.requests().len(), 1, "{case}");
             drop(client);
@@ -214,18 +277,32 @@
     let front = Front::start();
     let whole = post("slow", "hold", "Idempotency-Key: 5c0f\r\n", "five rooms");
     let mut slow = front.connect();
-    slow.write_all(&whole.as_bytes()[..whole.len() - 5]).expect("an open connection");
+    slow.write_all(&whole.as_bytes()[..whole.len() - 5])
+        .expect("an open connection");
     front.turn(5);
     let mut queued = front.connect();
-    queued.write_all(read("queued", "15000m").as_bytes()).expect("an open connection");
+    queued
+        .write_all(read("queued", "15000m").as_bytes())
+        .expect("an open connection");
     front.shut_down();
     let (answer, in_order) = front.read_to_end(&mut queued);
-    assert!(answer.starts_with("HTTP/1.1 200 OK") && in_order, "{answer:?}");
-    slow.write_all(&whole.as_bytes()[whole.len() - 5..]).expect("an open connection");
+    assert!(
+        answer.starts_with("HTTP/1.1 200 OK") && in_order,
+        "{answer:?}"
+    );
+    slow.write_all(&whole.as_bytes()[whole.len() - 5..])
+        .expect("an open connection");
     let (answer, in_order) = front.read_to_end(&mut slow);
-    assert!(answer.starts_with("HTTP/1.1 200 OK") && in_order, "{answer:?}");
-    let ids: Vec<_> =
-        front.server.requests().iter().filter_map(|r| r.header("req-id").map(str::to_owned)).collect();
+    assert!(
+        answer.starts_with("HTTP/1.1 200 OK") && in_order,
+        "{answer:?}"
+    );
+    let ids: Vec<_> = front
+        .server
+        .requests()
+        .iter()
+        .filter_map(|r| r.header("req-id").map(str::to_owned))
+        .collect();
     assert_eq!(ids, ["queued", "slow"]);
 }
 
@@ -239,18 +316,32 @@
     front.rest(&mut clients[0]);
     let by = Instant::now() + LEFT;
     front.phase.send_replace(Phase::Draining(by));
-    clients[0].write_all(post("kept", "pay", "", "x").as_bytes()).expect("an open connection");
+    clients[0]
+        .write_all(post("kept", "pay", "", "x").as_bytes())
+        .expect("an open connection");
     front.turn(5);
-    clients[1].write_all(post("new", "pay", "", "x").as_bytes()).expect("an open connection");
+    clients[1]
+        .write_all(post("new", "pay", "", "x").as_bytes())
+        .expect("an open connection");
     front.phase.send_replace(Phase::ShuttingDown(by));
     // And one that comes in the last tenth of what is left.
-    clients[2].write_all(read("last", "15000m").split_at(20).0.as_bytes()).expect("an open connection");
+    clients[2]
+        .write_all(read("last", "15000m").split_at(20).0.as_bytes())
+        .expect("an open connection");
     front.turn_until("the end is near", || Instant::now() + LEFT / 10 > by);
-    clients[2].write_all(read("last", "15000m").split_at(20).1.as_bytes()).expect("an open connection");
+    clients[2]
+        .write_all(read("last", "15000m").split_at(20).1.as_bytes())
+        .expect("an open connection");
     let answers = clients.each_mut().map(|client| front.read_to_end(client));
-    assert!(Instant::now() < by + LEFT, "they come by the end, on a machine that is busy too");
+    assert!(
+        Instant::now() < by + LEFT,
+        "they come by the end, on a machine that is busy too"
+    );
     for ((answer, in_order), status) in answers.iter().zip(["502", "502", "503"]) {
-        assert!(answer.starts_with(&format!("HTTP/1.1 {status}")) && *in_order, "{answer:?}");
+        assert!(
+            answer.starts_with(&format!("HTTP/1.1 {status}")) && *in_order,
+            "{answer:?}"
+        );
     }
     front.turn_until("the node ends", || front.serving.is_finished());
 }
@@ -276,7 +367,9 @@
             if rested {
                 front.rest(&mut client);
             }
-            client.write_all(&request.as_bytes()[..ahead]).expect("an open connection");
+            client
+                .write_all(&request.as_bytes()[..ahead])
+                .expect("an open connection");
             front.turn(5);
             let was_open = front.local.block_on(&front.runtime, async {
                 tokio::time::pause();
@@ -309,7 +402,10 @@
                 assert!(answer.is_empty() || !in_order, "{case}: {answer:?}");
             }
         }
-        assert!(open > 0 && ended > 0, "both orders were met: {open}, {ended}");
+        assert!(
+            open > 0 && ended > 0,
+            "both orders were met: {open}, {ended}"
+        );
     }
 }
 
@@ -321,13 +417,20 @@
         let front = Front::start();
         let mut client = front.connect();
         front.rest(&mut client);
-        client.write_all(&request.as_bytes()[..cut]).expect("an open connection");
+        client
+            .write_all(&request.as_bytes()[..cut])
+            .expect("an open connection");
         front.turn(5);
         front.shut_down();
         front.turn(20);
-        client.write_all(&request.as_bytes()[cut..]).expect("an open connection");
+        client
+            .write_all(&request.as_bytes()[cut..])
+            .expect("an open connection");
         let (answer, in_order) = front.read_to_end(&mut client);
-        assert!(answer.starts_with("HTTP/1.1 200 OK") && in_order, "cut at {cut}: {answer:?}");
+        assert!(
+            answer.starts_with("HTTP/1.1 200 OK") && in_order,
+            "cut at {cut}: {answer:?}"
+        );
     }
 }
 
@@ -337,17 +440,24 @@
 fn what_comes_behind_the_end_is_passed_over_and_the_end_is_in_order() {
     let front = Front::start();
     let mut clients: Vec<_> = (0..4).map(|_| front.connect()).collect();
-    clients[..2].iter_mut().for_each(|client| front.rest(client));
+    clients[..2]
+        .iter_mut()
+        .for_each(|client| front.rest(client));
     front.turn(5);
     front.shut_down();
     for (at, client) in clients.iter_mut().enumerate() {
         let (read, in_order) = front.read_to_end(client);
-        assert!(read.is_empty() && in_order, "client {at} is told of the end: {read:?}");
+        assert!(
+            read.is_empty() && in_order,
+            "client {at} is told of the end: {read:?}"
+        );
         // The end has come, and the client has asked before it saw that; a second time it gets a reset where the node is
         // not there any more.
         for _ in 0..2 {
             let request = post("behind", "pay", "", "x");
-            client.write_all(request.as_bytes()).expect("it still reads");
+            client
+                .write_all(request.as_bytes())
+                .expect("it still reads");
             front.turn(5);
         }
         assert!(front.read_to_end(client).1, "client {at}");
@@ -367,13 +477,21 @@
 
 impl Late {
     fn start() -> Self {
-        let listener =
-            socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None).expect("a socket");
+        let listener = socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None)
+            .expect("a socket");
         let any = std::net::SocketAddr::from(([127, 0, 0, 1], 0));
         listener.bind(&any.into()).expect("a port");
         listener.listen(0).expect("it listens");
-        let address = listener.local_addr().expect("an address").as_socket().expect("of IPv4");
-        Self { _first: TcpStream::connect(address).expect("there is room for one"), listener, address }
+        let address = listener
+            .local_addr()
+            .expect("an address")
+            .as_socket()
+            .expect("of IPv4");
+        Self {
+            _first: TcpStream::connect(address).expect("there is room for one"),
+            listener,
+            address,
+        }
     }
 
     /// Makes room, and tells what comes on the connection that comes up then; `None`: none does.
@@ -387,7 +505,9 @@
         }
         let (connection, _) = came.into_iter().nth(1)?;
         connection.set_nonblocking(false).expect("a socket");
-        connection.set_read_timeout(Some(Duration::from_millis(500))).expect("a socket");
+        connection
+            .set_read_timeout(Some(Duration::from_millis(500)))
+            .expect("a socket");
         let (mut stream, mut read) = (TcpStream::from(connection), [0; 4096]);
         let bytes = stream.read(&mut read).unwrap_or(0);
         Some(read[..bytes].to_vec())
@@ -413,7 +533,10 @@
         std::thread::sleep(A_WHILE);
         late.comes_up()
     });
-    assert_eq!(crossed.map(|bytes| String::from_utf8_lossy(&bytes).into_owned()), Some(String::new()));
+    assert_eq!(
+        crossed.map(|bytes| String::from_utf8_lossy(&bytes).into_owned()),
+        Some(String::new())
+    );
 }
 
 /// Guards against an effect that happens twice: a repeat is within the window when it is decided on, and its connection
@@ -428,7 +551,8 @@
         let late = Late::start();
         let discovery = Discovery::start();
         let known = list(1, true, &[closes.entry("s-0", "ready")]);
-        let text = settings(15_000).replace("\"dedup_window_ms\":60000.0", "\"dedup_window_ms\":900.0");
+        let text =
+            settings(15_000).replace("\"dedup_window_ms\":60000.0", "\"dedup_window_ms\":900.0");
         let node = Node::start(&config(discovery.address, &known, &text));
         let mut watch = discovery.watch();
         let mut client = node.connect();
@@ -436,10 +560,14 @@
         until("the first attempt is out", || closes.requests().len() == 1);
         watch.say(&(list(2, false, &[entry("s-1", late.address, "ready")]) + "\n"));
         std::thread::sleep(2 * A_WHILE);
-        late.comes_up().map(|bytes| (bytes, client.answer().expect("an answer").status()))
+        late.comes_up()
+            .map(|bytes| (bytes, client.answer().expect("an answer").status()))
     });
     let (bytes, status) = crossed.expect("the repeat was on its way");
-    assert_eq!((String::from_utf8_lossy(&bytes).into_owned(), status), (String::new(), 503));
+    assert_eq!(
+        (String::from_utf8_lossy(&bytes).into_owned(), status),
+        (String::new(), 503)
+    );
 }
 
 /// A server that answers each request with so many bytes of an answer, and resets the connection; `cuts` says how many,
@@ -449,11 +577,19 @@
     let address = listener.local_addr().expect("an address");
     std::thread::spawn(move || {
         for cut in cuts {
-            let Ok((mut stream, _)) = listener.accept() else { return };
+            let Ok((mut stream, _)) = listener.accept() else {
+                return;
+            };
             let request = Message::read(&mut std::io::BufReader::new(&stream)).expect("a request");
-            stream.write_all(&answer[..cut]).expect("an open connection");
+            stream
+                .write_all(&answer[..cut])
+                .expect("an open connection");
             let _ = socket2::SockRef::from(&stream).set_linger(Some(Duration::ZERO));
-            assert_eq!(request.header("req-id"), Some(format!("cut-{cut}").as_str()), "one attempt each");
+            assert_eq!(
+                request.header("req-id"),
+                Some(format!("cut-{cut}").as_str()),
+                "one attempt each"
+            );
         }
     });
     address
@@ -471,7 +607,11 @@
     for (answer, ends) in [(ENDLESS, false), (TOLD, true), (CHUNKED, true)] {
         let address = cutting(answer, 0..=answer.len());
         let known = list(1, true, &[entry("s-0", address, "ready")]);
-        let node = Node::start(&config(Unreachable::start().address, &known, &settings(15_000)));
+        let node = Node::start(&config(
+            Unreachable::start().address,
+            &known,
+            &settings(15_000),
+        ));
         for cut in 0..=answer.len() {
             let got = node.ask(&post(&format!("cut-{cut}"), "pay", "", "x"));
             let is_whole = ends && cut == answer.len();
@@ -515,11 +655,15 @@
     // The places are all taken, and the queue of the system is never empty from here on.
     front.turn(500);
     let told = Instant::now();
-    front.phase.send_replace(Phase::ShuttingDown(told + Duration::from_millis(500)));
+    front
+        .phase
+        .send_replace(Phase::ShuttingDown(told + Duration::from_millis(500)));
     front.turn_until("the node ends", || front.serving.is_finished());
     let took = told.elapsed();
     ends.store(true, Ordering::SeqCst);
-    crowd.into_iter().for_each(|thread| thread.join().expect("it ends"));
+    crowd
+        .into_iter()
+        .for_each(|thread| thread.join().expect("it ends"));
     assert!(took < Duration::from_secs(3), "{took:?}");
 }
 
@@ -533,15 +677,23 @@
     for is_reset in [false, true] {
         for cut in 0..whole.len() {
             let mut stream = TcpStream::connect(node.address).expect("it listens");
-            stream.write_all(&whole.as_bytes()[..cut]).expect("an open connection");
+            stream
+                .write_all(&whole.as_bytes()[..cut])
+                .expect("an open connection");
             if is_reset {
-                socket2::SockRef::from(&stream).set_linger(Some(Duration::ZERO)).expect("a socket");
+                socket2::SockRef::from(&stream)
+                    .set_linger(Some(Duration::ZERO))
+                    .expect("a socket");
             }
         }
     }
     // Whatever was taken of these has been dealt with once one that came later has been served.
     assert_eq!(node.ask(&post("last", "pay", "", "x")).status(), 200);
-    let seen: Vec<_> = server.requests().iter().map(|request| request.first.clone()).collect();
+    let seen: Vec<_> = server
+        .requests()
+        .iter()
+        .map(|request| request.first.clone())
+        .collect();
     assert_eq!(seen.len(), 1, "{seen:?}");
 }
 
@@ -562,15 +714,21 @@
     let (tell, told) = std::sync::mpsc::channel();
     std::thread::spawn(move || {
         for cut in 0.. {
-            let Ok((mut stream, _)) = listener.accept() else { return };
+            let Ok((mut stream, _)) = listener.accept() else {
+                return;
+            };
             let mut came = [0; 4096];
             // All of it lies there before any of it is read.
             until("it has come whole", || {
-                stream.peek(&mut came).is_ok_and(|bytes| came[..bytes].ends_with(BODY.as_bytes()))
+                stream
+                    .peek(&mut came)
+                    .is_ok_and(|bytes| came[..bytes].ends_with(BODY.as_bytes()))
             });
             let whole = stream.peek(&mut came).expect("an open connection");
             let id = id_in(&came[..whole]).expect("an id");
-            stream.read_exact(&mut came[..cut % (whole + 1)]).expect("it is there");
+            stream
+                .read_exact(&mut came[..cut % (whole + 1)])
+                .expect("it is there");
             let _ = socket2::SockRef::from(&stream).set_linger(Some(Duration::ZERO));
             if tell.send((id, cut >= whole)).is_err() {
                 return;
@@ -578,12 +736,24 @@
         }
     });
     let other = Server::start(|_| Reply::ok("yes"));
-    let known = list(1, true, &[entry("s-0", address, "ready"), other.entry("s-1", "ready")]);
+    let known = list(
+        1,
+        true,
+        &[entry("s-0", address, "ready"), other.entry("s-1", "ready")],
+    );
     // A server that resets twice in a row is left alone for two aims.
-    let node = Node::start(&config(Unreachable::start().address, &known, &settings_with_aim(20, 15_000)));
+    let node = Node::start(&config(
+        Unreachable::start().address,
+        &known,
+        &settings_with_aim(20, 15_000),
+    ));
     let (mut had, mut all_cut, mut asked, since) = (Vec::new(), false, 0, Instant::now());
     while !all_cut {
-        assert!(since.elapsed() < 3 * PATIENCE, "{} of its bytes were tried", had.len());
+        assert!(
+            since.elapsed() < 3 * PATIENCE,
+            "{} of its bytes were tried",
+            had.len()
+        );
         let answer = node.ask(&post(&format!("once-{asked}"), "pay", "", BODY));
         asked += 1;
         for (id, is_last) in told.try_iter() {
@@ -602,8 +772,15 @@
     let mut once = had.clone();
     once.sort_unstable();
     once.dedup();
-    assert_eq!(once.len(), had.len(), "nor does the first one get any again");
-    assert!(!other.requests().is_empty(), "the other one was there to be sent to");
+    assert_eq!(
+        once.len(),
+        had.len(),
+        "nor does the first one get any again"
+    );
+    assert!(
+        !other.requests().is_empty(),
+        "the other one was there to be sent to"
+    );
 }
 
 /// More than a node holds of an answer: it is passed on as it comes.
@@ -646,9 +823,15 @@
         std::thread::spawn(move || {
             let (address, go_on) = halting();
             let known = list(1, true, &[entry("s-0", address, "ready")]);
-            let mut node = Node::start(&config(Unreachable::start().address, &known, &settings(15_000)));
+            let mut node = Node::start(&config(
+                Unreachable::start().address,
+                &known,
+                &settings(15_000),
+            ));
             let mut client = TcpStream::connect(node.address).expect("it listens");
-            client.write_all(read("passed", "15000m").as_bytes()).expect("an open connection");
+            client
+                .write_all(read("passed", "15000m").as_bytes())
+                .expect("an open connection");
             // A part of it has come: the answer has begun.
             let mut first = vec![0; PASSED_ON / 4];
             client.read_exact(&mut first).expect("a part of the answer");
@@ -660,13 +843,23 @@
             let (rest, in_order) = rest_of(&mut client);
             let took = told.elapsed();
             assert_eq!(node.wait().code(), Some(0));
-            let end = first.windows(4).position(|four| four == b"\r\n\r\n").expect("a head") + 4;
+            let end = first
+                .windows(4)
+                .position(|four| four == b"\r\n\r\n")
+                .expect("a head")
+                + 4;
             let body = first.len() - end + rest.len();
             assert!(took < KILLED, "{took:?}");
-            assert_eq!((body == PASSED_ON, in_order || !comes), (comes, true), "{body} bytes");
+            assert_eq!(
+                (body == PASSED_ON, in_order || !comes),
+                (comes, true),
+                "{body} bytes"
+            );
         })
     });
-    played.into_iter().for_each(|played| played.join().expect("as it should be"));
+    played
+        .into_iter()
+        .for_each(|played| played.join().expect("as it should be"));
 }
 
 /// More than the system takes of an answer that nobody reads.
@@ -675,7 +868,10 @@
 /// Guards against a client that holds up the end of a node by not reading its answer, and others whose answers wait for that.
 #[test]
 fn a_client_that_does_not_read_holds_up_neither_the_end_nor_others() {
-    let long = format!("HTTP/1.1 200 OK\r\nContent-Length: {UNREAD}\r\n\r\n{}", "x".repeat(UNREAD));
+    let long = format!(
+        "HTTP/1.1 200 OK\r\nContent-Length: {UNREAD}\r\n\r\n{}",
+        "x".repeat(UNREAD)
+    );
     let server = Server::start(move |request| match request.header("req-id") {
         Some("unread") => Reply::Say(long.clone().into_bytes()),
         _ => Reply::Silence,
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -10,7 +10,10 @@
 
 impl Node {
     pub fn new(settings: Settings, seed: u64) -> Self {
-        Self { balancer: Balancer::new(settings, seed).expect("sound settings"), now: 1_000.0 }
+        Self {
+            balancer: Balancer::new(settings, seed).expect("sound settings"),
+            now: 1_000.0,
+        }
     }
 
     pub fn feed(&mut self, event: Event) -> Vec<Action> {
@@ -24,7 +27,11 @@
     }
 
     pub fn request(&mut self, id: u64, class: usize, budget_ms: f64) -> Vec<Action> {
-        self.feed(Event::Request(Request::new(RequestId(id), class, budget_ms)))
+        self.feed(Event::Request(Request::new(
+            RequestId(id),
+            class,
+            budget_ms,
+        )))
     }
 
     /// Where a request is sent; it must be.
@@ -51,13 +58,18 @@
             elapsed_ms,
             ending,
             complete: ending == Ending::Served,
-            report: held.map(|n| Report { in_flight: Some(n), queued: None }),
+            report: held.map(|n| Report {
+                in_flight: Some(n),
+                queued: None,
+            }),
         }))
     }
 }
 
 pub fn ready(servers: std::ops::Range<usize>) -> Vec<ServerEntry> {
-    servers.map(|i| ServerEntry::new(ServerId(i), Availability::Ready)).collect()
+    servers
+        .map(|i| ServerEntry::new(ServerId(i), Availability::Ready))
+        .collect()
 }
 
 pub fn send_of(actions: &[Action]) -> Option<usize> {
--- a/tests/consul.rs
+++ b/tests/consul.rs
@@ -33,7 +33,11 @@
 fn servers(count: usize) -> Vec<Server> {
     // An answer takes a while, so that requests at once are spread.
     let reply = |_: &Message| {
-        Reply::SayThen(Vec::new(), Duration::from_millis(5), answer("200 OK", "", "rooms: 3\n"))
+        Reply::SayThen(
+            Vec::new(),
+            Duration::from_millis(5),
+            answer("200 OK", "", "rooms: 3\n"),
+        )
     };
     (0..count).map(|_| Server::start(reply)).collect()
 }
@@ -47,7 +51,11 @@
 }
 
 fn entries(servers: &[Server], state: impl Fn(usize) -> &'static str) -> Vec<String> {
-    servers.iter().enumerate().map(|(at, server)| server.entry(&name(at), state(at))).collect()
+    servers
+        .iter()
+        .enumerate()
+        .map(|(at, server)| server.entry(&name(at), state(at)))
+        .collect()
 }
 
 impl Town {
@@ -59,7 +67,14 @@
         let config = config(discovery.address, &known, &settings(15_000));
         let node = Node::start_with(&config, Some(&operators(&consul, more)));
         let watch = discovery.watch();
-        let town = Self { servers, consul, node, discovery, watch, generation: 1 };
+        let town = Self {
+            servers,
+            consul,
+            node,
+            discovery,
+            watch,
+            generation: 1,
+        };
         until("Consul is read", || !town.consul.told().is_empty());
         town
     }
@@ -67,7 +82,8 @@
     fn roster(&mut self, at: usize, state: &str) {
         self.generation += 1;
         let entry = self.servers[at].entry(&name(at), state);
-        self.watch.say(&format!("{}\n", list(self.generation, false, &[entry])));
+        self.watch
+            .say(&format!("{}\n", list(self.generation, false, &[entry])));
     }
 
     /// Waits until Consul has told that an instance is in maintenance, or is not.
@@ -76,20 +92,34 @@
         until("Consul tells", || {
             let told = self.consul.told();
             let last = told.last().expect("it was read");
-            (if draining { &last.draining } else { &last.others }).contains(&name)
+            (if draining {
+                &last.draining
+            } else {
+                &last.others
+            })
+            .contains(&name)
         });
     }
 
     /// Which servers get requests, out of so many at once: one at a time could all go to the fastest.
     fn asked(&self, count: usize) -> Vec<usize> {
-        let before: Vec<_> = self.servers.iter().map(|server| server.requests().len()).collect();
+        let before: Vec<_> = self
+            .servers
+            .iter()
+            .map(|server| server.requests().len())
+            .collect();
         std::thread::scope(|scope| {
             for _ in 0..count {
-                static NEXT: std::sync::atomic::AtomicUsize = std::sync::atomic::AtomicUsize::new(0);
+                static NEXT: std::sync::atomic::AtomicUsize =
+                    std::sync::atomic::AtomicUsize::new(0);
                 let id = NEXT.fetch_add(1, std::sync::atomic::Ordering::Relaxed);
                 let node = &self.node;
                 scope.spawn(move || {
-                    assert_eq!(node.ask_until_taken(&read(&format!("a{id:x}"), "15000m")).status(), 200);
+                    assert_eq!(
+                        node.ask_until_taken(&read(&format!("a{id:x}"), "15000m"))
+                            .status(),
+                        200
+                    );
                 });
             }
         });
@@ -105,7 +135,9 @@
 
     /// Until only these get requests.
     fn until_asked(&self, servers: &[usize]) {
-        until(&format!("only {servers:?} are asked"), || self.asked(4 * self.servers.len()) == servers);
+        until(&format!("only {servers:?} are asked"), || {
+            self.asked(4 * self.servers.len()) == servers
+        });
     }
 }
 
@@ -116,7 +148,10 @@
     town.consul.set_maintenance("s-1", true);
     town.until_asked(&[0, 2]);
     town.roster(1, "ready");
-    assert!(!town.asked(12).contains(&1), "the roster's word is not Consul's");
+    assert!(
+        !town.asked(12).contains(&1),
+        "the roster's word is not Consul's"
+    );
     town.consul.set_maintenance("s-1", false);
     town.until_asked(&[0, 1, 2]);
     town.roster(2, "draining");
@@ -129,9 +164,19 @@
     town.consul.set_status("s-0", "critical");
     town.until_asked(&[1, 2]);
     town.consul.change(|catalogue| catalogue.clear());
-    until("it is told", || town.consul.told().last().is_some_and(|told| told.others.is_empty()));
+    until("it is told", || {
+        town.consul
+            .told()
+            .last()
+            .is_some_and(|told| told.others.is_empty())
+    });
     town.until_asked(&[1, 2]);
-    until("it is logged", || town.node.log().iter().any(|line| line.contains("withdraws 3 of 3 servers")));
+    until("it is logged", || {
+        town.node
+            .log()
+            .iter()
+            .any(|line| line.contains("withdraws 3 of 3 servers"))
+    });
 }
 
 #[test]
@@ -139,7 +184,8 @@
     for (more, all) in [("", &[0, 1][..]), ("names_servers = true", &[0, 1, 2])] {
         let mut town = Town::new(2, more);
         town.servers.push(Server::start(|_| Reply::ok("yes")));
-        town.consul.register(Instance::new("holds", "s-2", town.servers[2].address));
+        town.consul
+            .register(Instance::new("holds", "s-2", town.servers[2].address));
         town.told(2, false);
         if all.len() == 3 {
             town.until_asked(all);
@@ -160,14 +206,22 @@
             let known = list(1, true, &entries(&servers, |_| "ready"));
             let config = config(discovery.address, &known, &settings(15_000));
             let operators = gone.as_ref().map(|gone| {
-                format!("[[consul]]\nname = \"c\"\nservice = \"holds\"\nagents = [\"{}\"]\n", gone.address)
+                format!(
+                    "[[consul]]\nname = \"c\"\nservice = \"holds\"\nagents = [\"{}\"]\n",
+                    gone.address
+                )
             });
             let node = Node::start_with(&config, operators.as_deref());
             let _watch = discovery.watch();
             let load = Load::start(node.address, 4, Duration::from_millis(1));
             std::thread::sleep(Duration::from_millis(1_500));
             let totals = load.end();
-            assert_eq!((totals.lost, totals.sent > 100), (0, true), "{:?}", totals.answers);
+            assert_eq!(
+                (totals.lost, totals.sent > 100),
+                (0, true),
+                "{:?}",
+                totals.answers
+            );
             assert!(node.log().len() < 10, "{:?}", node.log());
             totals.share_served()
         })
@@ -247,7 +301,11 @@
     };
     town.until_asked(&[0, 2]);
     for turn in 0..6 {
-        let (gone, there) = if turn % 2 == 0 { (&ahead, &behind) } else { (&behind, &ahead) };
+        let (gone, there) = if turn % 2 == 0 {
+            (&ahead, &behind)
+        } else {
+            (&behind, &ahead)
+        };
         there.set_vanished(false);
         let told = there.told().len();
         gone.set_vanished(true);
@@ -263,15 +321,24 @@
     let consul = registered(&servers);
     consul.set_maintenance("s-1", true);
     let link = Link::start(consul.address, |nth| {
-        let fault = [Spoils::Cut, Spoils::Repeat(40), Spoils::Delay(Duration::from_millis(30))][nth / 2 % 3];
+        let fault = [
+            Spoils::Cut,
+            Spoils::Repeat(40),
+            Spoils::Delay(Duration::from_millis(30)),
+        ][nth / 2 % 3];
         // Every other connection is sound, so that the waits between queries stay short.
-        let plan = if nth % 2 == 0 { Plan::at(60 + nth * 150, fault) } else { Plan::sound() };
+        let plan = if nth % 2 == 0 {
+            Plan::at(60 + nth * 150, fault)
+        } else {
+            Plan::sound()
+        };
         (Plan::sound(), plan)
     });
     let discovery = Discovery::start();
     let known = list(1, true, &entries(&servers, |_| "ready"));
     let config = config(discovery.address, &known, &settings(15_000));
-    let file = operators(&consul, "").replace(&consul.address.to_string(), &link.address.to_string());
+    let file =
+        operators(&consul, "").replace(&consul.address.to_string(), &link.address.to_string());
     let town = Town {
         node: Node::start_with(&config, Some(&file)),
         watch: discovery.watch(),
@@ -308,19 +375,28 @@
     consul.want_token("c0ffee-first");
     let file = write_config("c0ffee-first\n");
     let discovery = Discovery::start();
-    let config =
-        config(discovery.address, &list(1, true, &entries(&servers, |_| "ready")), &settings(15_000));
+    let config = config(
+        discovery.address,
+        &list(1, true, &entries(&servers, |_| "ready")),
+        &settings(15_000),
+    );
     let more = format!("token_file = {file:?}");
     let node = Node::start_with(&config, Some(&operators(&consul, &more)));
     until("it is let in", || !consul.told().is_empty());
     consul.want_token("c0ffee-second");
     until("it is refused and says so", || {
-        node.log().iter().any(|line| line.contains("does not take the token"))
+        node.log()
+            .iter()
+            .any(|line| line.contains("does not take the token"))
     });
     std::fs::write(&file, "c0ffee-second").expect("the test's own");
     let before = consul.told().len();
     until("it is let in again", || consul.told().len() > before);
-    assert!(!node.log().iter().any(|line| line.contains("c0ffee")), "{:?}", node.log());
+    assert!(
+        !node.log().iter().any(|line| line.contains("c0ffee")),
+        "{:?}",
+        node.log()
+    );
     std::fs::remove_file(file).expect("the test's own");
 }
 
@@ -333,7 +409,10 @@
     town.until_asked(&[0, 1]);
     town.node.reload_operators("nonsense = 1\n");
     until("it is refused", || {
-        town.node.log().iter().any(|line| line.contains("the operators' file is not used"))
+        town.node
+            .log()
+            .iter()
+            .any(|line| line.contains("the operators' file is not used"))
     });
     town.until_asked(&[0, 1]);
     town.node.reload_operators(&operators(&town.consul, ""));
@@ -350,7 +429,11 @@
     let mut asked = 0;
     until("both are asked", || {
         asked += 1;
-        assert_eq!(node.ask_until_taken(&read(&format!("r{asked}"), "15000m")).status(), 200);
+        assert_eq!(
+            node.ask_until_taken(&read(&format!("r{asked}"), "15000m"))
+                .status(),
+            200
+        );
         servers.iter().all(|server| !server.requests().is_empty())
     });
     assert!(consul.queries().is_empty());
@@ -374,17 +457,30 @@
         match random.u8(..20) {
             0..=3 => town.consul.set_maintenance(&name(at), true),
             4 => town.consul.set_maintenance(&name(at), false),
-            5 => town.consul.set_status(&name(random.usize(..SERVERS)), "critical"),
+            5 => town
+                .consul
+                .set_status(&name(random.usize(..SERVERS)), "critical"),
             6 | 7 => town.consul.set_status(&name(at), "passing"),
             8 => town.consul.deregister(&name(at)),
-            9 => town.consul.register(Instance::new("holds", &name(at), town.servers[at].address)),
-            10 => town.consul.set_lag(Duration::from_millis(random.u64(..300))),
+            9 => town
+                .consul
+                .register(Instance::new("holds", &name(at), town.servers[at].address)),
+            10 => town
+                .consul
+                .set_lag(Duration::from_millis(random.u64(..300))),
             11 => snapshots.push(town.consul.catalogue()),
-            12 => town.consul.restore(random.choice(&snapshots).expect("one").clone()),
+            12 => town
+                .consul
+                .restore(random.choice(&snapshots).expect("one").clone()),
             13 => town.consul.set_vanished(random.bool()),
             14 => town.consul.set_fault(Fault::Cut(random.usize(..2_000))),
             15 => {
-                let faults = [Fault::Status(500), Fault::NoLeader, Fault::Body("[]".into()), Fault::AtOnce];
+                let faults = [
+                    Fault::Status(500),
+                    Fault::NoLeader,
+                    Fault::Body("[]".into()),
+                    Fault::AtOnce,
+                ];
                 town.consul.set_fault(random.choice(faults).expect("one"));
             }
             16 | 17 => town.consul.set_fault(Fault::None),
@@ -408,19 +504,34 @@
     std::thread::sleep(DRAINED + Duration::from_millis(500));
     let totals = load.end();
     assert_eq!(totals.lost, 0, "{:?}", totals.answers);
-    assert!(totals.sent > 1_000 && totals.share_served() > 0.98, "{:?}", totals.answers);
-    spans.extend(roster_drains.into_iter().map(|(at, since)| (at, since, None)));
+    assert!(
+        totals.sent > 1_000 && totals.share_served() > 0.98,
+        "{:?}",
+        totals.answers
+    );
+    spans.extend(
+        roster_drains
+            .into_iter()
+            .map(|(at, since)| (at, since, None)),
+    );
     spans.extend(consul_drains(&town));
     let long = spans.iter().filter(|(_, since, until)| {
-        until.unwrap_or_else(Instant::now).duration_since(*since) > DRAINED + Duration::from_millis(100)
+        until.unwrap_or_else(Instant::now).duration_since(*since)
+            > DRAINED + Duration::from_millis(100)
     });
-    assert!(long.count() >= 5, "the script must drain for longer than the rule allows sends");
+    assert!(
+        long.count() >= 5,
+        "the script must drain for longer than the rule allows sends"
+    );
     for (at, since, until) in spans {
-        let late = town.servers[at]
-            .arrivals()
-            .into_iter()
-            .find(|arrival| *arrival > since + DRAINED && until.is_none_or(|until| *arrival < until));
-        assert!(late.is_none(), "server {at} drained for {:?}", late.map(|late| late - since));
+        let late = town.servers[at].arrivals().into_iter().find(|arrival| {
+            *arrival > since + DRAINED && until.is_none_or(|until| *arrival < until)
+        });
+        assert!(
+            late.is_none(),
+            "server {at} drained for {:?}",
+            late.map(|late| late - since)
+        );
     }
     drop(town.discovery);
 }
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -24,7 +24,9 @@
 }
 
 fn all(fleet: &Fleet, so: impl Fn(&Fleet, usize) -> bool) -> Result<(), String> {
-    let not: Vec<_> = (0..fleet.len()).filter(|node| fleet.is_up(*node) && !so(fleet, *node)).collect();
+    let not: Vec<_> = (0..fleet.len())
+        .filter(|node| fleet.is_up(*node) && !so(fleet, *node))
+        .collect();
     if not.is_empty() {
         Ok(())
     } else {
@@ -35,7 +37,9 @@
 /// Waits until all that run hold a node for this.
 fn held_for(fleet: &mut Fleet, node: usize, state: &str) {
     fleet.wait_for(&format!("n{node} is {state}"), PATIENCE, |fleet| {
-        all(fleet, |fleet, of| of == node || fleet.members(of).state(&format!("n{node}")) == state)
+        all(fleet, |fleet, of| {
+            of == node || fleet.members(of).state(&format!("n{node}")) == state
+        })
     });
 }
 
@@ -52,7 +56,11 @@
 }
 
 fn gone_of_others(fleet: &Fleet, node: usize) -> Vec<(usize, String)> {
-    fleet.gone().into_iter().filter(|(_, name)| *name != format!("n{node}")).collect()
+    fleet
+        .gone()
+        .into_iter()
+        .filter(|(_, name)| *name != format!("n{node}"))
+        .collect()
 }
 
 #[test]
@@ -77,7 +85,11 @@
         fleet.wait(ms(1_000));
     }
     fleet.agree_within(PATIENCE);
-    assert_eq!(fleet.gone(), [], "a pause below the suspicion time is never an end");
+    assert_eq!(
+        fleet.gone(),
+        [],
+        "a pause below the suspicion time is never an end"
+    );
     // A third at the same moment, for far longer.
     fleet.stop(0);
     fleet.stop(1);
@@ -88,7 +100,11 @@
     fleet.go_on(1);
     fleet.agree_within(PATIENCE);
     let is_wrong = |(by, name): &(usize, String)| *by < 2 || !["n0", "n1"].contains(&name.as_str());
-    assert!(!fleet.verdicts().iter().any(is_wrong), "who wakes up accuses nobody: {:?}", fleet.verdicts());
+    assert!(
+        !fleet.verdicts().iter().any(is_wrong),
+        "who wakes up accuses nobody: {:?}",
+        fleet.verdicts()
+    );
     says(&mut fleet, 0, "stood still");
     says(&mut fleet, 0, "comes back as incarnation");
 }
@@ -99,7 +115,9 @@
     // None is heard by n0: nobody is gone, and it says that it is alone.
     (1..6).for_each(|from| fleet.apply(&Trouble::Cut { from, to: 0 }));
     fleet.wait_for("it knows", PATIENCE, |fleet| {
-        all(fleet, |fleet, node| node != 0 || fleet.members(0).health == "isolated")
+        all(fleet, |fleet, node| {
+            node != 0 || fleet.members(0).health == "isolated"
+        })
     });
     fleet.wait(ms(4_000));
     assert_eq!(fleet.gone(), []);
@@ -117,7 +135,9 @@
     (1..6).for_each(|to| fleet.apply(&Trouble::Cut { from: 0, to }));
     held_for(&mut fleet, 0, "gone");
     fleet.wait_for("it knows", PATIENCE, |fleet| {
-        all(fleet, |fleet, node| node != 0 || fleet.members(0).own == "gone")
+        all(fleet, |fleet, node| {
+            node != 0 || fleet.members(0).own == "gone"
+        })
     });
     says(&mut fleet, 0, "this node is gone to the others");
     fleet.apply(&Trouble::HealAll);
@@ -130,7 +150,12 @@
 #[test]
 fn lopsided_cuts_of_many_end_nobody_that_is_heard() {
     let mut fleet = started(6, 11);
-    (0..6).for_each(|node| fleet.apply(&Trouble::Cut { from: node, to: (node + 1) % 6 }));
+    (0..6).for_each(|node| {
+        fleet.apply(&Trouble::Cut {
+            from: node,
+            to: (node + 1) % 6,
+        })
+    });
     fleet.wait(ms(4_000));
     assert_eq!(fleet.gone(), [], "each is cut off from one");
     let others = (0..6).flat_map(|from| (0..6).map(move |to| (from, to)));
@@ -148,7 +173,12 @@
     fleet.wait(ms(8_000));
     let before = fleet.gone().len();
     fleet.wait(ms(5_000));
-    assert_eq!(fleet.gone().len(), before, "nobody comes and goes: {:?}", fleet.gone());
+    assert_eq!(
+        fleet.gone().len(),
+        before,
+        "nobody comes and goes: {:?}",
+        fleet.gone()
+    );
     fleet.apply(&Trouble::HealAll);
     fleet.agree_within(PATIENCE);
     assert!(fleet.passed().done.cut > 100, "{:?}", fleet.passed());
@@ -169,7 +199,11 @@
         fleet.wait(ms(700));
     }
     fleet.agree_within(PATIENCE);
-    assert_eq!(gone_of_others(&fleet, 2), [], "restarts of one and short pauses of all end nobody else");
+    assert_eq!(
+        gone_of_others(&fleet, 2),
+        [],
+        "restarts of one and short pauses of all end nobody else"
+    );
     (3..9).for_each(|node| fleet.kill(node));
     fleet.agree_within(PATIENCE);
     (3..9).for_each(|node| fleet.run(node));
@@ -188,7 +222,11 @@
     fleet.wait(ms(4_000));
     fleet.apply(&Trouble::HealAll);
     fleet.agree_within(PATIENCE);
-    assert!(fleet.passed().done.cut > 100 && !fleet.gone().is_empty(), "{:?}", fleet.passed());
+    assert!(
+        fleet.passed().done.cut > 100 && !fleet.gone().is_empty(),
+        "{:?}",
+        fleet.passed()
+    );
 }
 
 #[test]
@@ -196,7 +234,8 @@
     let mut fleet = Fleet::prepare(5, 14, TIMES);
     let other = fleet.key_file().with_file_name("other");
     std::fs::write(&other, "another key that some share").expect("a file");
-    std::fs::set_permissions(&other, std::os::unix::fs::PermissionsExt::from_mode(0o600)).expect("a file");
+    std::fs::set_permissions(&other, std::os::unix::fs::PermissionsExt::from_mode(0o600))
+        .expect("a file");
     let wrong_key = fleet.operators(3).replace("/key\"", "/other\"");
     let wrong_fleet = fleet.operators(4).replace("\"holds\"", "\"stays\"");
     assert!(wrong_key != fleet.operators(3) && wrong_fleet != fleet.operators(4));
@@ -204,12 +243,17 @@
     fleet.set_operators(4, &wrong_fleet);
     (0..5).for_each(|node| fleet.run(node));
     fleet.wait_for("the three find each other", PATIENCE, |fleet| {
-        all(fleet, |fleet, of| of > 2 || fleet.members(of).health == "well")
+        all(fleet, |fleet, of| {
+            of > 2 || fleet.members(of).health == "well"
+        })
     });
     fleet.wait(ms(2_000));
     for of in 0..3 {
         let names: Vec<_> = fleet.members(of).others.into_keys().collect();
-        let wanted: Vec<_> = (0..3).filter(|node| *node != of).map(|node| format!("n{node}")).collect();
+        let wanted: Vec<_> = (0..3)
+            .filter(|node| *node != of)
+            .map(|node| format!("n{node}"))
+            .collect();
         assert_eq!(names, wanted);
         let figure = |name: &str| fleet.node(of).figure(name);
         assert!(figure("fleet_refused.seal") > 0 && figure("fleet_refused.fleet") > 0);
@@ -220,7 +264,11 @@
 #[test]
 fn sides_of_a_split_go_on_and_agree_once_it_is_healed() {
     let mut fleet = started(8, 4);
-    for side in [(|node| node % 2) as fn(usize) -> usize, |node| usize::from(node == 0), |node| node % 3] {
+    for side in [
+        (|node| node % 2) as fn(usize) -> usize,
+        |node| usize::from(node == 0),
+        |node| node % 3,
+    ] {
         fleet.split(side);
         fleet.wait_for("each side has its own", PATIENCE, |fleet| {
             all(fleet, |fleet, of| {
@@ -248,20 +296,47 @@
 fn bad_links_are_borne() {
     let mut fleet = started(6, 5);
     for link in [
-        Link { loss: 0.1, ..Link::default() },
-        Link { jitter_ms: 600.0, twice: 0.3, ..Link::default() },
-        Link { corrupt: 0.1, replay: 0.3, ..Link::default() },
+        Link {
+            loss: 0.1,
+            ..Link::default()
+        },
+        Link {
+            jitter_ms: 600.0,
+            twice: 0.3,
+            ..Link::default()
+        },
+        Link {
+            corrupt: 0.1,
+            replay: 0.3,
+            ..Link::default()
+        },
     ] {
         fleet.apply(&Trouble::All { link });
         fleet.wait(ms(5_000));
     }
     assert_eq!(fleet.gone(), []);
     let done = fleet.passed().done;
-    assert!(done.lost.min(done.doubled).min(done.corrupted).min(done.replayed) > 20, "{done:?}");
-    let figure = |name: &str| (0..6).map(|node| fleet.node(node).figure(name)).sum::<u64>();
+    assert!(
+        done.lost
+            .min(done.doubled)
+            .min(done.corrupted)
+            .min(done.replayed)
+            > 20,
+        "{done:?}"
+    );
+    let figure = |name: &str| {
+        (0..6)
+            .map(|node| fleet.node(node).figure(name))
+            .sum::<u64>()
+    };
     assert!(figure("fleet_refused.seal") > 0 && figure("fleet_refused.replayed") > 0);
     fleet.kill(1);
-    fleet.apply(&Trouble::All { link: Link { loss: 0.3, ..Link::default() } });
+    fleet.apply(&Trouble::All {
+        link: Link {
+            loss: 0.3,
+            ..Link::default()
+        },
+    });
     held_for(&mut fleet, 1, "gone");
     fleet.run(1);
     fleet.apply(&Trouble::HealAll);
@@ -276,8 +351,12 @@
     fleet.wait(ms(12_000));
     fleet.run(4);
     fleet.wait_for("both say so", PATIENCE, |fleet| {
-        let says =
-            |node| fleet.log(node).iter().any(|line| line.contains("two processes have this node's name"));
+        let says = |node| {
+            fleet
+                .log(node)
+                .iter()
+                .any(|line| line.contains("two processes have this node's name"))
+        };
         if says(0) && says(4) {
             Ok(())
         } else {
@@ -288,7 +367,9 @@
     for of in 1..4 {
         let view = fleet.members(of);
         assert!(
-            (0..4).filter(|node| *node != of).all(|node| view.state(&format!("n{node}")) == "alive"),
+            (0..4)
+                .filter(|node| *node != of)
+                .all(|node| view.state(&format!("n{node}")) == "alive"),
             "{view:?}"
         );
     }
@@ -303,12 +384,23 @@
     let at = fleet.hears_at(0);
     let socket = UdpSocket::bind("127.0.0.1:0").expect("a port");
     for round in 0..20_000_u32 {
-        let bytes = vec![round as u8; if round % 1_000 == 0 { 65_000 } else { round as usize % 300 }];
+        let bytes = vec![
+            round as u8;
+            if round % 1_000 == 0 {
+                65_000
+            } else {
+                round as usize % 300
+            }
+        ];
         let _ = socket.send_to(&bytes, at);
     }
     std::thread::sleep(ms(2_000));
     let totals = load.end();
-    assert!(totals.lost == 0 && totals.of(200) == totals.sent, "{:?}", totals.answers);
+    assert!(
+        totals.lost == 0 && totals.of(200) == totals.sent,
+        "{:?}",
+        totals.answers
+    );
     let figure = |name: &str| fleet.node(0).figure(name);
     assert!(figure("fleet_refused.stranger") > 100 && figure("fleet_refused.flood") > 0);
     assert_eq!(fleet.members(0).others.len(), 2);
@@ -318,14 +410,24 @@
     let own: Vec<_> = std::fs::read_dir(format!("/proc/{process}/fd"))
         .expect("it runs")
         .filter_map(|entry| std::fs::read_link(entry.ok()?.path()).ok())
-        .filter_map(|link| Some(link.to_str()?.strip_prefix("socket:[")?.trim_end_matches(']').to_owned()))
+        .filter_map(|link| {
+            Some(
+                link.to_str()?
+                    .strip_prefix("socket:[")?
+                    .trim_end_matches(']')
+                    .to_owned(),
+            )
+        })
         .collect();
-    let tables = ["udp", "udp6"]
-        .map(|table| std::fs::read_to_string(format!("/proc/{process}/net/{table}")).expect("a table"));
+    let tables = ["udp", "udp6"].map(|table| {
+        std::fs::read_to_string(format!("/proc/{process}/net/{table}")).expect("a table")
+    });
     let lines = tables.iter().flat_map(|table| table.lines().skip(1));
     lines
         .filter(|line| {
-            line.split_whitespace().nth(9).is_some_and(|inode| own.iter().any(|held| held == inode))
+            line.split_whitespace()
+                .nth(9)
+                .is_some_and(|inode| own.iter().any(|held| held == inode))
         })
         .count()
 }
@@ -335,22 +437,39 @@
     let fleet = started(3, 9);
     let ask = |more: &[&str]| {
         let at = fleet.node(0).control().to_string();
-        let output =
-            testkit::program().args(["members", "--at", &at]).args(more).output().expect("it starts");
+        let output = testkit::program()
+            .args(["members", "--at", &at])
+            .args(more)
+            .output()
+            .expect("it starts");
         assert!(output.status.success(), "{output:?}");
         String::from_utf8(output.stdout).expect("text")
     };
     let table = ask(&[]);
     assert!(table.starts_with("n0 is well, incarnation "), "{table}");
-    assert_eq!(table.lines().filter(|line| line.contains(" alive ")).count(), 2, "{table}");
+    assert_eq!(
+        table
+            .lines()
+            .filter(|line| line.contains(" alive "))
+            .count(),
+        2,
+        "{table}"
+    );
     let json: serde_json::Value = serde_json::from_str(&ask(&["--json"])).expect("JSON");
     assert_eq!(json["self"]["name"], "n0");
     assert_eq!(json["members"][1]["name"], "n2");
     assert!(json["members"][1]["heard_ms"].is_u64(), "{json}");
     let node = Node::start(&fleet.config(0).replace("\"peers\":true", "\"peers\":false"));
     let at = node.control().to_string();
-    let output = testkit::program().args(["members", "--at", &at]).output().expect("it starts");
-    assert_eq!(output.status.code(), Some(1), "it looks for none: {output:?}");
+    let output = testkit::program()
+        .args(["members", "--at", &at])
+        .output()
+        .expect("it starts");
+    assert_eq!(
+        output.status.code(),
+        Some(1),
+        "it looks for none: {output:?}"
+    );
 }
 
 /// SIGHUP brings other peers and times, and the node does not leave for it.
@@ -358,14 +477,21 @@
 fn peers_and_times_change_while_a_node_runs() {
     let mut fleet = started(4, 10);
     let before = fleet.members(0).incarnation;
-    let text = fleet.operators(0).replace("probe_ms = 200", "probe_ms = 100");
-    fleet.node(0).reload_operators(&format!("{text}peers = []\n"));
+    let text = fleet
+        .operators(0)
+        .replace("probe_ms = 200", "probe_ms = 100");
+    fleet
+        .node(0)
+        .reload_operators(&format!("{text}peers = []\n"));
     // It says nothing to anybody any more, and hears nobody; the others find it gone.
     held_for(&mut fleet, 0, "gone");
     fleet.node(0).reload_operators(&text);
     fleet.agree_within(PATIENCE);
     assert!(fleet.members(0).incarnation > before, "it came back");
-    assert!(!fleet.log(1).iter().any(|line| line.contains("n0 is left")), "it did not leave");
+    assert!(
+        !fleet.log(1).iter().any(|line| line.contains("n0 is left")),
+        "it did not leave"
+    );
 }
 
 /// Guards the platform's word: where it forbids word between nodes, none is sent, and nothing listens for it.
@@ -374,10 +500,17 @@
     let fleet = Fleet::prepare(2, 8, TIMES);
     let allowed = fleet.config(0);
     let forbidden = allowed.replace("\"peers\":true", "\"peers\":false");
-    let asks = format!("[instances]\nfleet = \"holds\"\nkey_file = {:?}\n", fleet.key_file().display());
+    let asks = format!(
+        "[instances]\nfleet = \"holds\"\nkey_file = {:?}\n",
+        fleet.key_file().display()
+    );
     let node = Node::start_with(&forbidden, Some(&asks));
     assert_eq!(udp_sockets(node.process()), 0);
-    until("it says so", || node.log().iter().any(|line| line.contains("[instances] stays off")));
+    until("it says so", || {
+        node.log()
+            .iter()
+            .any(|line| line.contains("[instances] stays off"))
+    });
     assert!(node.call("MEMBERS\n").starts_with("400 "));
     assert!(!node.call("STATS\n").contains("fleet"));
     drop(node);
@@ -388,7 +521,10 @@
     assert_eq!(udp_sockets(node.process()), 1, "the count counts");
     drop(node);
     let discovery = Discovery::start();
-    let node = Node::start_with(&config(discovery.address, &list(1, true, &[]), &settings(15_000)), Some(""));
+    let node = Node::start_with(
+        &config(discovery.address, &list(1, true, &[]), &settings(15_000)),
+        Some(""),
+    );
     assert_eq!(udp_sockets(node.process()), 0);
     assert_eq!(fleet.passed().datagrams, 0);
 }
--- a/tests/found.rs
+++ b/tests/found.rs
@@ -13,14 +13,28 @@
 }
 
 fn probed(actions: &[Action]) -> Vec<usize> {
-    let server = |a: &Action| if let Action::Probe { server } = a { Some(server.0) } else { None };
+    let server = |a: &Action| {
+        if let Action::Probe { server } = a {
+            Some(server.0)
+        } else {
+            None
+        }
+    };
     actions.iter().filter_map(server).collect()
 }
 
 fn load(node: &mut Node, server: usize, held: f64) -> Vec<Action> {
-    let report = Some(Report { in_flight: Some(held), queued: None });
+    let report = Some(Report {
+        in_flight: Some(held),
+        queued: None,
+    });
     let (server, ending) = (ServerId(server), Ending::Served);
-    node.feed(Event::Probed { server, elapsed_ms: 1.0, ending, report })
+    node.feed(Event::Probed {
+        server,
+        elapsed_ms: 1.0,
+        ending,
+        report,
+    })
 }
 
 /// Fires the timer of one kind that was set for a request, as long after as it asked for.
@@ -77,7 +91,10 @@
         load(&mut node, asked[0], 0.0);
         let draining = ServerEntry::new(ServerId(asked[0]), Availability::Draining);
         node.feed(Event::Servers(Listing::Changes(vec![draining])));
-        let last = asked[1..].iter().map(|server| load(&mut node, *server, 2.0)).last();
+        let last = asked[1..]
+            .iter()
+            .map(|server| load(&mut node, *server, 2.0))
+            .last();
         assert!(send_of(&last.expect("asked")).is_some_and(|at| at != asked[0]));
     }
 }
@@ -103,11 +120,22 @@
     let asked = fire(&mut node, &sent, OVERDUE);
     assert_eq!(probed(&asked), [0]);
     let busy = load(&mut node, 0, 1.0);
-    assert!(!busy.iter().any(|a| matches!(a, Action::Cancel { .. })), "it is still at it");
+    assert!(
+        !busy.iter().any(|a| matches!(a, Action::Cancel { .. })),
+        "it is still at it"
+    );
     fire(&mut node, &busy, OVERDUE);
     let idle = load(&mut node, 0, 0.0);
     let (request, attempt) = (RequestId(2), 0);
-    assert_eq!(idle, [Action::Cancel { request, attempt }, Action::Close { server: ServerId(0) }]);
+    assert_eq!(
+        idle,
+        [
+            Action::Cancel { request, attempt },
+            Action::Close {
+                server: ServerId(0)
+            }
+        ]
+    );
     node.now += 1.0;
     node.end(2, 0, 80.0, Ending::Cancelled);
     assert_eq!(send_of(&load(&mut node, 0, 0.0)), Some(0), "sent again");
@@ -124,14 +152,19 @@
     for server in asked {
         sent.extend(load(&mut node, server, 0.0));
     }
-    assert!(!sent.iter().any(|a| matches!(a, Action::Cancel { .. })), "{at}: {sent:?}");
+    assert!(
+        !sent.iter().any(|a| matches!(a, Action::Cancel { .. })),
+        "{at}: {sent:?}"
+    );
 }
 
 /// An unsafe request that is overdue may have run: nothing may be tried for it.
 #[test]
 fn an_unsafe_request_is_not_asked_after() {
     let (_, sent) = one_out(Effect::Unsafe);
-    assert!(!sent.iter().any(|a| matches!(a, Action::SetTimer { timer, .. } if timer & 7 == OVERDUE)));
+    assert!(!sent
+        .iter()
+        .any(|a| matches!(a, Action::SetTimer { timer, .. } if timer & 7 == OVERDUE)));
 }
 
 /// A request resent at the very end of its client's time was answered too late.
@@ -162,8 +195,14 @@
         met.iter().for_each(|at| load_of[*at] += 1);
     }
     // 400 nodes of 5 servers each are 20 to a server.
-    let (least, most) = (load_of.iter().min().expect("some"), load_of.iter().max().expect("some"));
-    assert!(*least >= 18 && *most <= 22, "{least} to {most} nodes to a server");
+    let (least, most) = (
+        load_of.iter().min().expect("some"),
+        load_of.iter().max().expect("some"),
+    );
+    assert!(
+        *least >= 18 && *most <= 22,
+        "{least} to {most} nodes to a server"
+    );
 }
 
 /// Servers that turned one tenant away were taken out for all, and the rest choked.
@@ -177,13 +216,20 @@
     for id in 0..200 {
         node.now += 20.0;
         let tenant = (id % 2) as usize;
-        let mut actions =
-            node.feed(Event::Request(Request { tenant, ..Request::new(RequestId(id), 0, 800.0) }));
+        let mut actions = node.feed(Event::Request(Request {
+            tenant,
+            ..Request::new(RequestId(id), 0, 800.0)
+        }));
         let mut attempt = 0;
         while let Some(at) = send_of(&actions) {
             sent[tenant] += usize::from(at == 0);
             let full = at == 0 && tenant == 0;
-            actions = node.end(id, attempt, 50.0, if full { Ending::Full } else { Ending::Served });
+            actions = node.end(
+                id,
+                attempt,
+                50.0,
+                if full { Ending::Full } else { Ending::Served },
+            );
             attempt += 1;
         }
     }
@@ -200,7 +246,10 @@
 }
 
 fn keyed(node: &mut Node, id: u64, key: &str, budget_ms: f64) -> Vec<Action> {
-    let request = Request { item: Some(key.into()), ..Request::new(RequestId(id), 0, budget_ms) };
+    let request = Request {
+        item: Some(key.into()),
+        ..Request::new(RequestId(id), 0, budget_ms)
+    };
     node.feed(Event::Request(request))
 }
 
@@ -214,7 +263,16 @@
     assert!(send_of(&keyed(&mut node, 3, "b", 800.0)).is_some());
     assert!(send_of(&node.request(4, 0, 800.0)).is_some());
     let next = node.end(1, 0, 40.0, Ending::Served);
-    assert!(matches!(next[..], [Action::Send { request: RequestId(2), .. }]), "{next:?}");
+    assert!(
+        matches!(
+            next[..],
+            [Action::Send {
+                request: RequestId(2),
+                ..
+            }]
+        ),
+        "{next:?}"
+    );
 }
 
 /// The turn is kept by a retry, and not given up while an attempt is without its outcome.
@@ -224,12 +282,24 @@
     keyed(&mut node, 1, "a", 800.0);
     keyed(&mut node, 2, "a", 800.0);
     let again = node.end(1, 0, 1.0, Ending::Full);
-    assert!(again.iter().any(|a| matches!(a, Action::Send { request: RequestId(1), .. })), "{again:?}");
+    assert!(
+        again.iter().any(|a| matches!(
+            a,
+            Action::Send {
+                request: RequestId(1),
+                ..
+            }
+        )),
+        "{again:?}"
+    );
     let gone = node.feed(Event::ClientGone(RequestId(1)));
     assert!(send_of(&gone).is_none(), "its attempt is still out");
     let over = node.end(1, 1, 5.0, Ending::Cancelled);
     assert!(send_of(&over).is_none(), "the key rests");
-    assert!(send_of(&fire(&mut node, &over, 2)).is_some(), "and then the next one runs");
+    assert!(
+        send_of(&fire(&mut node, &over, 2)).is_some(),
+        "and then the next one runs"
+    );
 }
 
 /// A request whose turn does not come is refused within its time: it never ran.
@@ -241,36 +311,63 @@
     let since = node.now;
     assert!(refused(&fire(&mut node, &waits, 1)));
     assert!(node.now - since < 200.0);
-    assert!(node.end(1, 0, 400.0, Ending::Served).is_empty(), "nothing more is sent for it");
+    assert!(
+        node.end(1, 0, 400.0, Ending::Served).is_empty(),
+        "nothing more is sent for it"
+    );
 }
 
 /// Further attempts stay within the budget just after a start, and when traffic falls away.
 #[test]
 fn the_budget_is_never_exceeded() {
     let mut settings = one_class(Effect::Safe);
-    settings.resends = Some(ResendBudget { free: 2.0, per_request: 0.1, span_ms: 1_000.0 });
+    settings.resends = Some(ResendBudget {
+        free: 2.0,
+        per_request: 0.1,
+        span_ms: 1_000.0,
+    });
     let mut node = Node::new(settings, 1);
     node.servers(ready(0..4));
     let again = |node: &mut Node, id: u64| {
         node.request(id, 0, 800.0);
         usize::from(send_of(&node.end(id, 0, 1.0, Ending::Unreachable)).is_some())
     };
-    assert_eq!((0..9).map(|id| again(&mut node, id)).sum::<usize>(), 2, "just after the start");
+    assert_eq!(
+        (0..9).map(|id| again(&mut node, id)).sum::<usize>(),
+        2,
+        "just after the start"
+    );
     node.now += 2_000.0;
     for id in 20..50 {
         node.request(id, 0, 800.0);
         node.end(id, 0, 1.0, Ending::Served);
     }
-    assert_eq!((50..59).map(|id| again(&mut node, id)).sum::<usize>(), 5, "a tenth of 30, and then some");
+    assert_eq!(
+        (50..59).map(|id| again(&mut node, id)).sum::<usize>(),
+        5,
+        "a tenth of 30, and then some"
+    );
     node.now += 990.0;
-    assert_eq!((60..69).map(|id| again(&mut node, id)).sum::<usize>(), 1, "those before still count");
+    assert_eq!(
+        (60..69).map(|id| again(&mut node, id)).sum::<usize>(),
+        1,
+        "those before still count"
+    );
     node.now += 2_000.0;
-    assert_eq!((80..89).map(|id| again(&mut node, id)).sum::<usize>(), 2, "traffic fell away");
+    assert_eq!(
+        (80..89).map(|id| again(&mut node, id)).sum::<usize>(),
+        2,
+        "traffic fell away"
+    );
 }
 
 #[test]
 fn a_setting_that_makes_no_sense_is_named() {
-    let budget = ResendBudget { free: 2.0, per_request: 0.1, span_ms: 0.0 };
+    let budget = ResendBudget {
+        free: 2.0,
+        per_request: 0.1,
+        span_ms: 0.0,
+    };
     type Spoil = fn(&mut Settings);
     let cases: [(&str, Spoil); 6] = [
         ("nodes", |s| s.nodes = 0),
@@ -288,5 +385,8 @@
     }
     let mut settings = one_class(Effect::Safe);
     settings.resends = Some(budget);
-    assert_eq!(Balancer::new(settings, 1).err().expect("no sense").key(), "resends.span_ms");
+    assert_eq!(
+        Balancer::new(settings, 1).err().expect("no sense").key(),
+        "resends.span_ms"
+    );
 }
--- a/tests/hsq.rs
+++ b/tests/hsq.rs
@@ -85,7 +85,12 @@
 
 #[test]
 fn failures_leave_the_counts_alone() {
-    for ending in [Ending::Error, Ending::Full, Ending::Unreachable, Ending::Reset] {
+    for ending in [
+        Ending::Error,
+        Ending::Full,
+        Ending::Unreachable,
+        Ending::Reset,
+    ] {
         let mut settings = patient();
         settings.max_attempts = 1;
         let mut node = warmed(2, settings);
@@ -103,7 +108,13 @@
         let at = node.sent_to(id);
         answers[at] += 1;
         node.now += 100.0;
-        node.report(id, 0, 40.0, Ending::Served, Some((1 + answers[at] / 2 % 2) as f64));
+        node.report(
+            id,
+            0,
+            40.0,
+            Ending::Served,
+            Some((1 + answers[at] / 2 % 2) as f64),
+        );
     }
 }
 
@@ -122,7 +133,13 @@
     }
     node.now += 10_000.0;
     for id in out {
-        node.report(id.expect("both were sent to"), 0, 40.0, Ending::Served, Some(5.0));
+        node.report(
+            id.expect("both were sent to"),
+            0,
+            40.0,
+            Ending::Served,
+            Some(5.0),
+        );
     }
     let sends: Vec<usize> = (100..102).map(|id| node.sent_to(id)).collect();
     assert_ne!(sends[0], sends[1]);
@@ -132,7 +149,10 @@
     node.now += 1.0;
     node.report(100, 0, 40.0, Ending::Served, Some(5.0));
     let next: Vec<usize> = (200..202).map(|id| node.sent_to(id)).collect();
-    assert!(next != [repeating, repeating], "the repeat erased an own send");
+    assert!(
+        next != [repeating, repeating],
+        "the repeat erased an own send"
+    );
 }
 
 /// An idle server's report stays the same: past the usual interval it is fresh all the same.
@@ -211,7 +231,11 @@
     let text = include_str!("../crates/balancer/src/choice.rs");
     let lines = text.lines().filter(|l| !l.trim().is_empty()).count();
     assert!(lines <= 1_200, "{lines} lines");
-    let widest = text.lines().map(|l| l.chars().count()).max().expect("lines");
+    let widest = text
+        .lines()
+        .map(|l| l.chars().count())
+        .max()
+        .expect("lines");
     assert!(widest <= 110, "a line of {widest} characters");
 }
 
@@ -226,7 +250,10 @@
     entries[3].zone = 1;
     node.servers(entries);
     let sent: Vec<usize> = (0..4).map(|id| node.sent_to(id)).collect();
-    assert!(sent.iter().all(|at| *at >= 2), "no more than twice what a far one would take: {sent:?}");
+    assert!(
+        sent.iter().all(|at| *at >= 2),
+        "no more than twice what a far one would take: {sent:?}"
+    );
     let sent: Vec<usize> = (4..8).map(|id| node.sent_to(id)).collect();
     assert!(sent.iter().any(|at| *at < 2), "then the far ones: {sent:?}");
 }
@@ -258,12 +285,30 @@
 /// every `gap_ms`; a digest of all that it did.
 fn digest_of_a_day(seed: u64, servers: usize, gap_ms: f64) -> u64 {
     use Ending::*;
-    let endings = [Error, Full, TimedOut, Unreachable, Reset, Spoilt, Rejected, Cancelled, NotSent];
+    let endings = [
+        Error,
+        Full,
+        TimedOut,
+        Unreachable,
+        Reset,
+        Spoilt,
+        Rejected,
+        Cancelled,
+        NotSent,
+    ];
     let mut random = fastrand::Rng::with_seed(seed);
     let mut settings = one_class(Effect::Safe);
-    let effect = Effect::Keyed { group: Group::Cell, window_ms: 6_000.0 };
+    let effect = Effect::Keyed {
+        group: Group::Cell,
+        window_ms: 6_000.0,
+    };
     settings.classes.push(Class::new(1_200.0, 6_000.0, effect));
-    (settings.nodes, settings.kinds, settings.cold_from, settings.cold_ms) = (4, 2, 0.35, 8_000.0);
+    (
+        settings.nodes,
+        settings.kinds,
+        settings.cold_from,
+        settings.cold_ms,
+    ) = (4, 2, 0.35, 8_000.0);
     let mut node = Node::new(settings, seed);
     let mut entries = ready(0..servers);
     entries
@@ -297,7 +342,13 @@
 /// sampled. A change of what is decided changes them: record them anew then, with the reason in the commit.
 #[test]
 fn the_choices_on_short_lists_are_as_recorded() {
-    let days = [(1, 5, 10.0), (2, 12, 10.0), (3, 64, 10.0), (4, 12, 90.0), (5, 64, 90.0)];
+    let days = [
+        (1, 5, 10.0),
+        (2, 12, 10.0),
+        (3, 64, 10.0),
+        (4, 12, 90.0),
+        (5, 64, 90.0),
+    ];
     let days = days.map(|(seed, servers, gap_ms)| digest_of_a_day(seed, servers, gap_ms));
     assert_eq!(days, RECORDED, "{days:#x?}");
 }
--- a/tests/leases.rs
+++ b/tests/leases.rs
@@ -56,7 +56,11 @@
             .filter(|effect| effect.taken)
             .filter_map(|effect| of(&effect.node))
             .collect();
-        by = acted.iter().copied().find(|node| wanted(*node)).ok_or_else(|| format!("{acted:?}"))?;
+        by = acted
+            .iter()
+            .copied()
+            .find(|node| wanted(*node))
+            .ok_or_else(|| format!("{acted:?}"))?;
         Ok(())
     });
     by
@@ -108,8 +112,13 @@
     fleet.terminate(owner);
     acts(&mut fleet, &register, |node| node != owner);
     all_owned(&mut fleet);
-    let given =
-        |fleet: &Fleet| fleet.log(owner).iter().filter(|line| line.contains("goes from here to")).count();
+    let given = |fleet: &Fleet| {
+        fleet
+            .log(owner)
+            .iter()
+            .filter(|line| line.contains("goes from here to"))
+            .count()
+    };
     assert!(given(&fleet) > 0, "it gives away what it owns");
     assert_eq!(register.wrong(), None);
 }
@@ -120,7 +129,11 @@
     for is_deaf in [true, false] {
         let owner = acts(&mut fleet, &register, |_| true);
         for other in (0..5).filter(|other| *other != owner) {
-            let (from, to) = if is_deaf { (other, owner) } else { (owner, other) };
+            let (from, to) = if is_deaf {
+                (other, owner)
+            } else {
+                (owner, other)
+            };
             fleet.apply(&Trouble::Cut { from, to });
         }
         acts(&mut fleet, &register, |node| node != owner);
@@ -149,13 +162,19 @@
     for _ in 0..8 {
         let node = rng.usize(1..6);
         match rng.u32(..4) {
-            0 => fleet.apply(&Trouble::Pause { node, ms: 500.0 + rng.f64() * 2_500.0 }),
+            0 => fleet.apply(&Trouble::Pause {
+                node,
+                ms: 500.0 + rng.f64() * 2_500.0,
+            }),
             1 => {
                 fleet.kill(node);
                 fleet.run(node);
             }
             2 => fleet.split(|at| usize::from(at == node)),
-            _ => fleet.apply(&Trouble::Cut { from: node, to: (node + 1) % 6 }),
+            _ => fleet.apply(&Trouble::Cut {
+                from: node,
+                to: (node + 1) % 6,
+            }),
         }
         fleet.wait(ms(1_000));
         fleet.apply(&Trouble::HealAll);
@@ -165,9 +184,17 @@
     acts(&mut fleet, &register, |_| true);
     assert_eq!(register.wrong(), None);
     let totals = load.end();
-    assert_eq!((totals.lost, totals.of(200)), (0, totals.sent), "requests go on");
+    assert_eq!(
+        (totals.lost, totals.of(200)),
+        (0, totals.sent),
+        "requests go on"
+    );
     assert_eq!(fleet.server.count() as u64, totals.sent, "each once");
-    assert!(fleet.passed().longest <= 256, "{} bytes", fleet.passed().longest);
+    assert!(
+        fleet.passed().longest <= 256,
+        "{} bytes",
+        fleet.passed().longest
+    );
 }
 
 #[test]
@@ -176,15 +203,22 @@
     let owner = fleet.owner(0).expect("one");
     let to = (owner + 1) % 4;
     let call = |fleet: &Fleet, node: usize, line: &str| fleet.node(node).call(line);
-    assert!(call(&fleet, to, &format!("GIVE 0 n{owner}\n")).starts_with("400 shard 0 is not owned here"));
+    assert!(call(&fleet, to, &format!("GIVE 0 n{owner}\n"))
+        .starts_with("400 shard 0 is not owned here"));
     assert!(call(&fleet, owner, "GIVE 0 nobody\n").starts_with("400 nobody is no other node"));
-    assert_eq!(call(&fleet, owner, &format!("GIVE 0 n{to}\n")), "200 given\n");
+    assert_eq!(
+        call(&fleet, owner, &format!("GIVE 0 n{to}\n")),
+        "200 given\n"
+    );
     fleet.wait_for("it has it", PATIENCE, |fleet| match fleet.owner(0) {
         Ok(node) if node == to => Ok(()),
         other => Err(format!("{other:?}")),
     });
     let text = call(&fleet, 3, "OWNERS\n");
-    assert!(text.starts_with("self n3 no 1\n") && text.ends_with("EOF\n"), "{text}");
+    assert!(
+        text.starts_with("self n3 no 1\n") && text.ends_with("EOF\n"),
+        "{text}"
+    );
     assert!(call(&fleet, 0, "OWNERS\n").starts_with("self n0 grants 1\n"));
     assert!(call(&fleet, 0, "STATS\n").contains("edge_router.lease_grants:"));
     // One with another set of keepers is refused, and says so.
@@ -263,7 +297,11 @@
     let folder = tempfile::tempdir().expect("a folder");
     let file = folder.path().join("fences");
     let mut fleet = Fleet::prepare(3, 11, &keeping(&register));
-    let with_file = format!("{}fence_file = \"{}\"\n", fleet.operators(0), file.display());
+    let with_file = format!(
+        "{}fence_file = \"{}\"\n",
+        fleet.operators(0),
+        file.display()
+    );
     fleet.set_operators(0, &with_file);
     (0..3).for_each(|node| fleet.run(node));
     all_owned(&mut fleet);
@@ -273,7 +311,10 @@
         lease::read_record("n0", &text).expect("sound").0
     };
     let last = register.last().expect("one").fence;
-    assert!(reserved() > last, "{first}: {last} is within what was written down");
+    assert!(
+        reserved() > last,
+        "{first}: {last} is within what was written down"
+    );
     // What it finds at its start was granted, for all that it knows, even where its clock says otherwise.
     let far = lease::Fence(u64::MAX / 2);
     fleet.kill(0);
@@ -290,14 +331,23 @@
     assert!(reserved() > register.last().expect("one").fence);
     fleet.kill(0);
     let text = lease::write_record("n1", far);
-    for (wrong, why) in [(&text[..], "another node wrote it"), (&text[..40], "it is cut")] {
+    for (wrong, why) in [
+        (&text[..], "another node wrote it"),
+        (&text[..40], "it is cut"),
+    ] {
         std::fs::write(&file, wrong).expect("written");
         let (config, operators) = (write_config(&fleet.config(0)), write_config(&with_file));
         let mut command = program();
-        command.env("ROUTER_CONFIG", &config).arg("--config").arg(&operators);
+        command
+            .env("ROUTER_CONFIG", &config)
+            .arg("--config")
+            .arg(&operators);
         let output = command.output().expect("it starts");
         let log = String::from_utf8_lossy(&output.stderr);
-        assert!(output.status.code() == Some(1) && log.contains(why), "{log}");
+        assert!(
+            output.status.code() == Some(1) && log.contains(why),
+            "{log}"
+        );
     }
     assert_eq!(register.wrong(), None);
 }
@@ -311,8 +361,16 @@
     fleet.kill(owner);
     let before = register.last().expect("one").number;
     acts(&mut fleet, &register, |node| node != owner);
-    let after = register.log().into_iter().find(|line| line.node != fleet.name(owner)).expect("another's");
-    assert!(after.number >= before && before > 2, "{} after {before}", after.number);
+    let after = register
+        .log()
+        .into_iter()
+        .find(|line| line.node != fleet.name(owner))
+        .expect("another's");
+    assert!(
+        after.number >= before && before > 2,
+        "{} after {before}",
+        after.number
+    );
     let node = (owner + 1) % 4;
     assert!(fleet.node(node).figure("lease_effects") > 2);
     assert_eq!(register.wrong(), None);
@@ -339,7 +397,9 @@
     fleet.go_on(1);
     // What had leave before was over a lease later; twice that for a busy machine.
     let lines = register.log();
-    let without = lines.iter().filter(|line| line.at > stopped + ms(2 * LEASE_MS) && line.at < woken);
+    let without = lines
+        .iter()
+        .filter(|line| line.at > stopped + ms(2 * LEASE_MS) && line.at < woken);
     assert_eq!(without.count(), 0, "no majority, no owner");
     acts(&mut fleet, &register, |_| true);
     all_owned(&mut fleet);
@@ -349,14 +409,23 @@
 #[test]
 fn a_third_of_all_words_lost_makes_no_two_owners() {
     let (register, mut fleet) = started(5, 15);
-    fleet.apply(&Trouble::All { link: Link { loss: 0.3, ..Link::default() } });
+    fleet.apply(&Trouble::All {
+        link: Link {
+            loss: 0.3,
+            ..Link::default()
+        },
+    });
     for _ in 0..6 {
         fleet.wait(ms(1_000));
         acts(&mut fleet, &register, |_| true);
     }
     fleet.apply(&Trouble::HealAll);
     all_owned(&mut fleet);
-    assert!(fleet.passed().done.lost > 100, "some were lost: {:?}", fleet.passed());
+    assert!(
+        fleet.passed().done.lost > 100,
+        "some were lost: {:?}",
+        fleet.passed()
+    );
     assert_eq!(register.wrong(), None);
 }
 
@@ -376,11 +445,18 @@
 
 /// A node is told to give all that it owns to another.
 fn give_all(fleet: &Fleet, from: usize, to: usize) {
-    let owned = fleet.owners(from).into_iter().enumerate().filter(|(_, (_, left))| *left > 0);
+    let owned = fleet
+        .owners(from)
+        .into_iter()
+        .enumerate()
+        .filter(|(_, (_, left))| *left > 0);
     for (shard, _) in owned {
         // It may have lost one since.
         let answer = fleet.node(from).call(&format!("GIVE {shard} n{to}\n"));
-        assert!(answer == "200 given\n" || answer.contains("is not owned here"), "{answer}");
+        assert!(
+            answer == "200 given\n" || answer.contains("is not owned here"),
+            "{answer}"
+        );
     }
 }
 
@@ -412,13 +488,23 @@
         owner = acts(&mut fleet, &register, |node| node != owner);
     }
     let cut = |fleet: &mut Fleet, keeper: usize| {
-        fleet.apply(&Trouble::Cut { from: owner, to: keeper });
-        fleet.apply(&Trouble::Cut { from: keeper, to: owner });
+        fleet.apply(&Trouble::Cut {
+            from: owner,
+            to: keeper,
+        });
+        fleet.apply(&Trouble::Cut {
+            from: keeper,
+            to: owner,
+        });
     };
     // That is the one that should have it, too: it is not moved back meanwhile.
     cut(&mut fleet, 0);
     fleet.wait(ms(3 * LEASE_MS));
-    assert_eq!(acts(&mut fleet, &register, |_| true), owner, "two of three are enough");
+    assert_eq!(
+        acts(&mut fleet, &register, |_| true),
+        owner,
+        "two of three are enough"
+    );
     cut(&mut fleet, 1);
     acts(&mut fleet, &register, |node| node != owner);
     fleet.apply(&Trouble::HealAll);
@@ -430,11 +516,16 @@
 fn a_keeper_whose_disk_fails_grants_nothing_and_says_so() {
     let register = Register::start();
     let mut fleet = Fleet::prepare(3, 19, &keeping(&register));
-    let with_file = format!("{}fence_file = \"/nonexistent/fences\"\n", fleet.operators(0));
+    let with_file = format!(
+        "{}fence_file = \"/nonexistent/fences\"\n",
+        fleet.operators(0)
+    );
     fleet.set_operators(0, &with_file);
     (0..3).for_each(|node| fleet.run(node));
     all_owned(&mut fleet);
-    fleet.wait_for("it says so", PATIENCE, |fleet| says(fleet, 0, "the file of fences cannot be written"));
+    fleet.wait_for("it says so", PATIENCE, |fleet| {
+        says(fleet, 0, "the file of fences cannot be written")
+    });
     assert_eq!(fleet.node(0).figure("lease_grants"), 0);
     acts(&mut fleet, &register, |_| true);
     // Without the two others there is no majority that grants.
@@ -452,8 +543,15 @@
     fleet.rename(4, "n3");
     fleet.run(4);
     fleet.wait_for("one gives way", PATIENCE, |fleet| {
-        let says = |node| fleet.log(node).iter().any(|line| line.contains("takes no part any more"));
-        (says(3) || says(4)).then_some(()).ok_or_else(|| "neither".into())
+        let says = |node| {
+            fleet
+                .log(node)
+                .iter()
+                .any(|line| line.contains("takes no part any more"))
+        };
+        (says(3) || says(4))
+            .then_some(())
+            .ok_or_else(|| "neither".into())
     });
     fleet.wait(ms(3_000));
     acts(&mut fleet, &register, |_| true);
@@ -463,14 +561,24 @@
 #[test]
 fn leases_stay_off_where_word_between_nodes_is_not_allowed() {
     let register = Register::start();
-    let keeping =
-        format!("[leases]\nkeepers = [\"n0\", \"n1\", \"n2\"]\nfleet_log = \"{}\"\n", register.address);
+    let keeping = format!(
+        "[leases]\nkeepers = [\"n0\", \"n1\", \"n2\"]\nfleet_log = \"{}\"\n",
+        register.address
+    );
     let fleet = Fleet::prepare(3, 8, &keeping);
     let forbidden = fleet.config(0).replace("\"peers\":true", "\"peers\":false");
     let node = Node::start_with(&forbidden, Some(fleet.operators(0)));
-    until("it says so", || node.log().iter().any(|line| line.contains("[instances] stays off")));
-    assert!(node.call("OWNERS\n").starts_with("400 this node takes no part"));
-    assert!(node.call("GIVE 0 n1\n").starts_with("400 this node takes no part"));
+    until("it says so", || {
+        node.log()
+            .iter()
+            .any(|line| line.contains("[instances] stays off"))
+    });
+    assert!(node
+        .call("OWNERS\n")
+        .starts_with("400 this node takes no part"));
+    assert!(node
+        .call("GIVE 0 n1\n")
+        .starts_with("400 this node takes no part"));
     std::thread::sleep(ms(1_500));
     assert_eq!(register.log(), []);
 }
@@ -481,22 +589,62 @@
     let read = |text: &str| Operators::parse(Path::new("file"), text);
     let three = "keepers = [\"a\", \"b\", \"c\"]\n";
     let sound = read(&format!("{instances}[leases]\n{three}")).expect("sound");
-    assert!(sound.summary().iter().any(|line| line.contains("kept by a, b, c")), "{:?}", sound.summary());
+    assert!(
+        sound
+            .summary()
+            .iter()
+            .any(|line| line.contains("kept by a, b, c")),
+        "{:?}",
+        sound.summary()
+    );
     let wrong = [
         (format!("[leases]\n{three}"), "leases need [instances]"),
-        (format!("{instances}[leases]\nkeepers = [\"a\", \"b\"]\n"), "there have to be 3, 5 or 7"),
-        (format!("{instances}[leases]\nkeepers = [\"a\", \"b\", \"a\"]\n"), "each named once"),
-        (format!("{instances}[leases]\nkeepers = [\"a\", \"b\", \"c d\"]\n"), "cannot be a node's name"),
-        (format!("{instances}[leases]\n{three}shards = 0\n"), "1 to 128"),
-        (format!("{instances}[leases]\n{three}before = [\"a\", \"b\", \"d\"]\n"), "`set` is 2 or more"),
-        (format!("{instances}[leases]\n{three}set = 2\nbefore = [\"a\"]\n"), "there have to be 3, 5 or 7"),
-        (format!("{instances}[leases]\n{three}lease_ms = 5\n"), "300 to 10000 ms"),
-        (format!("{instances}[leases]\n{three}drift = nan\n"), "drift is 0 to 0.1"),
-        (format!("{instances}[leases]\nset = 1\n"), "missing field `keepers`"),
-        (format!("{instances}[leases]\n{three}keeper = 1\n"), "unknown field `keeper`"),
+        (
+            format!("{instances}[leases]\nkeepers = [\"a\", \"b\"]\n"),
+            "there have to be 3, 5 or 7",
+        ),
+        (
+            format!("{instances}[leases]\nkeepers = [\"a\", \"b\", \"a\"]\n"),
+            "each named once",
+        ),
+        (
+            format!("{instances}[leases]\nkeepers = [\"a\", \"b\", \"c d\"]\n"),
+            "cannot be a node's name",
+        ),
+        (
+            format!("{instances}[leases]\n{three}shards = 0\n"),
+            "1 to 128",
+        ),
+        (
+            format!("{instances}[leases]\n{three}before = [\"a\", \"b\", \"d\"]\n"),
+            "`set` is 2 or more",
+        ),
+        (
+            format!("{instances}[leases]\n{three}set = 2\nbefore = [\"a\"]\n"),
+            "there have to be 3, 5 or 7",
+        ),
+        (
+            format!("{instances}[leases]\n{three}lease_ms = 5\n"),
+            "300 to 10000 ms",
+        ),
+        (
+            format!("{instances}[leases]\n{three}drift = nan\n"),
+            "drift is 0 to 0.1",
+        ),
+        (
+            format!("{instances}[leases]\nset = 1\n"),
+            "missing field `keepers`",
+        ),
+        (
+            format!("{instances}[leases]\n{three}keeper = 1\n"),
+            "unknown field `keeper`",
+        ),
     ];
     for (text, why) in wrong {
         let error = read(&text).expect_err("it makes no sense");
-        assert!(error.to_string().contains(why) && error.line().is_some(), "{error}, not {why}");
+        assert!(
+            error.to_string().contains(why) && error.line().is_some(),
+            "{error}, not {why}"
+        );
     }
 }
--- a/tests/long.rs
+++ b/tests/long.rs
@@ -17,17 +17,34 @@
 /// A node with an address for operators and these servers.
 fn node(servers: &[&Server]) -> (Node, Discovery) {
     let discovery = Discovery::start();
-    let entries: Vec<_> =
-        servers.iter().enumerate().map(|(i, server)| server.entry(&format!("s-{i}"), "ready")).collect();
-    let text = config(discovery.address, &list(1, true, &entries), &settings(60_000));
-    (Node::start(&text.replace("\"listen\"", "\"control\":\"127.0.0.1:0\",\"listen\"")), discovery)
+    let entries: Vec<_> = servers
+        .iter()
+        .enumerate()
+        .map(|(i, server)| server.entry(&format!("s-{i}"), "ready"))
+        .collect();
+    let text = config(
+        discovery.address,
+        &list(1, true, &entries),
+        &settings(60_000),
+    );
+    (
+        Node::start(&text.replace("\"listen\"", "\"control\":\"127.0.0.1:0\",\"listen\"")),
+        discovery,
+    )
 }
 
 /// The most memory that a process has had, in KiB.
 fn peak_kb(node: &Node) -> u64 {
-    let status = std::fs::read_to_string(format!("/proc/{}/status", node.process())).expect("a process");
-    let line = status.lines().find_map(|line| line.strip_prefix("VmHWM:")).expect("its peak");
-    line.trim().trim_end_matches(" kB").parse().expect("a number")
+    let status =
+        std::fs::read_to_string(format!("/proc/{}/status", node.process())).expect("a process");
+    let line = status
+        .lines()
+        .find_map(|line| line.strip_prefix("VmHWM:"))
+        .expect("its peak");
+    line.trim()
+        .trim_end_matches(" kB")
+        .parse()
+        .expect("a number")
 }
 
 fn long_body() -> Vec<u8> {
@@ -46,7 +63,11 @@
 }
 
 fn told(body: &[u8]) -> Vec<u8> {
-    [format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n", body.len()).as_bytes(), body].concat()
+    [
+        format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n", body.len()).as_bytes(),
+        body,
+    ]
+    .concat()
 }
 
 fn with_body(head: &str, body: &[u8]) -> Vec<u8> {
@@ -63,7 +84,11 @@
     let body = long_body();
     let answers = [
         told(&body),
-        [&b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"[..], &chunked(&body, 9_999)].concat(),
+        [
+            &b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"[..],
+            &chunked(&body, 9_999),
+        ]
+        .concat(),
     ];
     for answer in answers {
         let server = Server::start(move |_| Reply::Say(answer.clone())).quiet();
@@ -76,8 +101,17 @@
             assert_eq!((served.status(), served.body.len()), (200, LONG));
             assert!(served.body == body, "it is the same");
         }
-        assert!(peak_kb(&node) - before < MOST_GROWTH_KB, "{} to {} KiB", before, peak_kb(&node));
-        assert_eq!((server.count(), server.opened()), (2, 1), "the connection is used again");
+        assert!(
+            peak_kb(&node) - before < MOST_GROWTH_KB,
+            "{} to {} KiB",
+            before,
+            peak_kb(&node)
+        );
+        assert_eq!(
+            (server.count(), server.opened()),
+            (2, 1),
+            "the connection is used again"
+        );
         until("both are counted", || node.figure("served.read") == 2);
     }
 }
@@ -87,22 +121,35 @@
     let body = long_body();
     for is_chunked in [false, true] {
         let expected = body.clone();
-        let server = Server::start(move |request| Reply::ok(&(request.body == expected).to_string())).quiet();
+        let server =
+            Server::start(move |request| Reply::ok(&(request.body == expected).to_string()))
+                .quiet();
         let (node, _discovery) = node(&[&server]);
         let before = peak_kb(&node);
         let head = upload_head("a", LONG);
         let request = match is_chunked {
             false => with_body(&head, &body),
             true => {
-                let head = head.replace(&format!("Content-Length: {LONG}"), "Transfer-Encoding: chunked");
+                let head = head.replace(
+                    &format!("Content-Length: {LONG}"),
+                    "Transfer-Encoding: chunked",
+                );
                 with_body(&head, &chunked(&body, 50_000))
             }
         };
         let mut stream = TcpStream::connect(node.address).expect("it listens");
         stream.write_all(&request).expect("it is taken");
         let served = Message::read(&mut std::io::BufReader::new(stream)).expect("an answer");
-        assert_eq!((served.status(), served.body.as_slice()), (200, &b"true"[..]));
-        assert!(peak_kb(&node) - before < MOST_GROWTH_KB, "{} to {} KiB", before, peak_kb(&node));
+        assert_eq!(
+            (served.status(), served.body.as_slice()),
+            (200, &b"true"[..])
+        );
+        assert!(
+            peak_kb(&node) - before < MOST_GROWTH_KB,
+            "{} to {} KiB",
+            before,
+            peak_kb(&node)
+        );
         assert_eq!(node.figure("attempts.pay"), 1);
     }
 }
@@ -118,8 +165,12 @@
     let (node, _discovery) = node(&[&server]);
     let mut stream = TcpStream::connect(node.address).expect("it listens");
     let start = Instant::now();
-    stream.write_all(read("a", "60000m").as_bytes()).expect("an open connection");
-    stream.read_exact(&mut vec![0; 60_000]).expect("the first bytes");
+    stream
+        .write_all(read("a", "60000m").as_bytes())
+        .expect("an open connection");
+    stream
+        .read_exact(&mut vec![0; 60_000])
+        .expect("the first bytes");
     assert!(start.elapsed() < wait, "{:?}", start.elapsed());
     assert_eq!(node.figure("in_flight"), 1, "it has not ended");
     let mut rest = vec![0; 140_000];
@@ -131,7 +182,11 @@
 #[test]
 fn a_long_answer_that_is_cut_has_failed_and_its_client_can_tell() {
     let part = vec![b'a'; 200_000];
-    let told = [&b"HTTP/1.1 200 OK\r\nContent-Length: 400000\r\n\r\n"[..], &part].concat();
+    let told = [
+        &b"HTTP/1.1 200 OK\r\nContent-Length: 400000\r\n\r\n"[..],
+        &part,
+    ]
+    .concat();
     let head = &b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n30d40\r\n"[..];
     let unended = [head, &part, b"\r\n"].concat();
     for cut in [told, unended] {
@@ -171,7 +226,8 @@
                     stream.write_all(piece).expect("it is waited for");
                 }
                 thread::sleep(Duration::from_millis(1_500));
-                let served = Message::read(&mut std::io::BufReader::new(stream)).expect("an answer");
+                let served =
+                    Message::read(&mut std::io::BufReader::new(stream)).expect("an answer");
                 assert_eq!((served.status(), served.body.len()), (200, length));
             });
         }
@@ -186,13 +242,17 @@
     let mut stops = TcpStream::connect(node.address).expect("it listens");
     let mut leaves = TcpStream::connect(node.address).expect("it listens");
     for (id, stream) in [("stops", &mut stops), ("leaves", &mut leaves)] {
-        stream.write_all(&with_body(&upload_head(id, LONG), &[b'x'; 400_000])).expect("an open connection");
+        stream
+            .write_all(&with_body(&upload_head(id, LONG), &[b'x'; 400_000]))
+            .expect("an open connection");
     }
     until("both are passed on", || server.opened() == 2);
     drop(leaves);
     let told = Message::read(&mut std::io::BufReader::new(&stops)).expect("an answer");
     assert_eq!(told.status(), 408);
-    until("nothing is held", || server.closed() == 2 && node.figure("in_flight") == 0);
+    until("nothing is held", || {
+        server.closed() == 2 && node.figure("in_flight") == 0
+    });
     assert_eq!((server.count(), node.figure("attempts.pay")), (0, 0));
     assert_eq!(node.ask(&read("a", "15000m")).status(), 200);
 }
@@ -205,15 +265,27 @@
     let server = Server::start(|request| Reply::ok(&request.body.len().to_string()));
     let nobody = Unreachable::start();
     let discovery = Discovery::start();
-    let entries = [entry("s-dead", nobody.address, "ready"), server.entry("s-live", "ready")];
-    let text = config(discovery.address, &list(1, true, &entries), &settings(60_000));
+    let entries = [
+        entry("s-dead", nobody.address, "ready"),
+        server.entry("s-live", "ready"),
+    ];
+    let text = config(
+        discovery.address,
+        &list(1, true, &entries),
+        &settings(60_000),
+    );
     let node = Node::start(&text);
     for id in 0..6 {
         let head = upload_head(&id.to_string(), 400_000);
         let mut stream = TcpStream::connect(node.address).expect("it listens");
-        stream.write_all(&with_body(&head, &[b'x'; 400_000])).expect("it is taken");
+        stream
+            .write_all(&with_body(&head, &[b'x'; 400_000]))
+            .expect("it is taken");
         let served = Message::read(&mut std::io::BufReader::new(stream)).expect("an answer");
-        assert_eq!((served.status(), served.body.as_slice()), (200, &b"400000"[..]));
+        assert_eq!(
+            (served.status(), served.body.as_slice()),
+            (200, &b"400000"[..])
+        );
     }
     assert_eq!(server.count(), 6);
     // It was turned away unseen, and has gone: it is refused, which is true, and goes nowhere else.
@@ -228,7 +300,9 @@
     let servers = [declining(&seen), declining(&seen)];
     let (node, _discovery) = self::node(&[&servers[0], &servers[1]]);
     let mut stream = TcpStream::connect(node.address).expect("it listens");
-    stream.write_all(&with_body(&upload_head("a", 400_000), &[b'x'; 400_000])).expect("it is taken");
+    stream
+        .write_all(&with_body(&upload_head("a", 400_000), &[b'x'; 400_000]))
+        .expect("it is taken");
     let told = Message::read(&mut std::io::BufReader::new(stream)).expect("an answer");
     assert_eq!((told.status(), seen.load(Ordering::SeqCst)), (503, 1));
 }
@@ -239,14 +313,24 @@
     let answer = told(&vec![b'z'; 4 << 20]);
     let server = Server::start(move |_| Reply::Say(answer.clone())).quiet();
     let (node, _discovery) = node(&[&server]);
-    for (at, bytes) in [0, 1, 100, 65_536, 65_700, 1 << 20, 3 << 20].into_iter().cycle().take(35).enumerate()
+    for (at, bytes) in [0, 1, 100, 65_536, 65_700, 1 << 20, 3 << 20]
+        .into_iter()
+        .cycle()
+        .take(35)
+        .enumerate()
     {
         let mut stream = TcpStream::connect(node.address).expect("it listens");
-        stream.write_all(read(&at.to_string(), "60000m").as_bytes()).expect("an open connection");
-        stream.read_exact(&mut vec![0; bytes]).expect("so much of it");
+        stream
+            .write_all(read(&at.to_string(), "60000m").as_bytes())
+            .expect("an open connection");
+        stream
+            .read_exact(&mut vec![0; bytes])
+            .expect("so much of it");
     }
     until("nothing is open", || node.figure("in_flight") == 0);
-    until("no connection is held for them", || server.opened() - server.closed() <= 1);
+    until("no connection is held for them", || {
+        server.opened() - server.closed() <= 1
+    });
     let mut client = node.connect();
     client.send(&read("last", "60000m"));
     assert_eq!(client.answer().expect("an answer").body.len(), 4 << 20);
@@ -286,12 +370,18 @@
 /// its last byte or takes no more of it: it never ran, and its client is told so, once and in time.
 #[test]
 fn a_long_request_that_a_server_takes_a_part_of_is_refused_and_runs_nowhere() {
-    let declines = &b"HTTP/1.1 503 Service Unavailable\r\nSrv-Declined: 1\r\nContent-Length: 0\r\n\r\n"[..];
+    let declines =
+        &b"HTTP/1.1 503 Service Unavailable\r\nSrv-Declined: 1\r\nContent-Length: 0\r\n\r\n"[..];
     for says in [declines, b""] {
         let discovery = Discovery::start();
         let entries = [entry("s-part", reads_a_little(10_000, says), "ready")];
-        let text = config(discovery.address, &list(1, true, &entries), &settings(60_000));
-        let node = Node::start(&text.replace("\"listen\"", "\"control\":\"127.0.0.1:0\",\"listen\""));
+        let text = config(
+            discovery.address,
+            &list(1, true, &entries),
+            &settings(60_000),
+        );
+        let node =
+            Node::start(&text.replace("\"listen\"", "\"control\":\"127.0.0.1:0\",\"listen\""));
         let mut stream = TcpStream::connect(node.address).expect("it listens");
         let mut sending = stream.try_clone().expect("a socket");
         let sends = thread::spawn(move || {
@@ -302,6 +392,10 @@
         assert_eq!(told.status(), 503);
         drop(stream);
         sends.join().expect("it ends");
-        assert_eq!(node.figure("attempts.pay"), 0, "its last byte never went out");
+        assert_eq!(
+            node.figure("attempts.pay"),
+            0,
+            "its last byte never went out"
+        );
     }
 }
--- a/tests/node.rs
+++ b/tests/node.rs
@@ -6,8 +6,8 @@
 use std::time::{Duration, Instant};
 
 use silverthread::node::config::Config;
-use silverthread::node::driver::Driver;
 use silverthread::node::downstream::clients::{serve, FrontOptions, Phase};
+use silverthread::node::driver::Driver;
 use testkit::*;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 
@@ -16,20 +16,32 @@
 #[test]
 fn a_request_goes_on_unchanged_and_so_does_the_answer() {
     let server = Server::start(|_| {
-        Reply::Say(answer("200 OK", "Srv-Load: TEXT inflight=1, queue=0\r\n", "rooms: 3\n"))
+        Reply::Say(answer(
+            "200 OK",
+            "Srv-Load: TEXT inflight=1, queue=0\r\n",
+            "rooms: 3\n",
+        ))
     });
     let (node, _discovery, _watch) = Node::with(&[&server], 15_000);
     let served = node.ask(&post("r1", "hold", KEY, "a guest"));
-    assert_eq!((served.status(), served.body.as_slice()), (200, b"rooms: 3\n".as_slice()));
+    assert_eq!(
+        (served.status(), served.body.as_slice()),
+        (200, b"rooms: 3\n".as_slice())
+    );
     let requests = server.requests();
     assert_eq!(requests.len(), 1);
     assert_eq!(requests[0].first, "POST /api?key=inn-7 HTTP/1.1");
     assert_eq!(requests[0].body, b"a guest");
     assert_eq!(requests[0].header("req-id"), Some("r1"));
     assert_eq!(requests[0].header("idempotency-key"), Some("5c0f"));
-    let left = requests[0].header("req-deadline").and_then(|d| d.strip_suffix('u'));
+    let left = requests[0]
+        .header("req-deadline")
+        .and_then(|d| d.strip_suffix('u'));
     let left: u64 = left.expect("microseconds").parse().expect("a number");
-    assert!(left > 0 && left < 15_000_000, "the time that is left goes on: {left}");
+    assert!(
+        left > 0 && left < 15_000_000,
+        "the time that is left goes on: {left}"
+    );
 }
 
 #[test]
@@ -75,11 +87,22 @@
         (400, post("a", "hold", "", "no key")),
         (400, post("a", "pay", KEY, "a key")),
         (404, good.replace("/api", "/other")),
-        (413, post("a", "pay", "", "").replace("Content-Length: 0", "Content-Length: 60000000")),
-        (405, "POST /up HTTP/1.1\r\nHost: a\r\nContent-Length: 0\r\n\r\n".to_owned()),
+        (
+            413,
+            post("a", "pay", "", "").replace("Content-Length: 0", "Content-Length: 60000000"),
+        ),
+        (
+            405,
+            "POST /up HTTP/1.1\r\nHost: a\r\nContent-Length: 0\r\n\r\n".to_owned(),
+        ),
     ];
     for (status, request) in cases {
-        assert_eq!(node.ask(&request).status(), status, "{}", &request[..request.len().min(300)]);
+        assert_eq!(
+            node.ask(&request).status(),
+            status,
+            "{}",
+            &request[..request.len().min(300)]
+        );
     }
     assert!(server.requests().is_empty());
     assert_eq!(node.ask(&read("b", "15000m")).status(), 200, "it serves on");
@@ -111,10 +134,21 @@
     let server = Server::start(|_| Reply::ok("yes"));
     let nobody = Unreachable::start();
     let discovery = Discovery::start();
-    let entries = [entry("s-dead", nobody.address, "ready"), server.entry("s-live", "ready")];
-    let node = Node::start(&config(discovery.address, &list(1, true, &entries), &settings(15_000)));
+    let entries = [
+        entry("s-dead", nobody.address, "ready"),
+        server.entry("s-live", "ready"),
+    ];
+    let node = Node::start(&config(
+        discovery.address,
+        &list(1, true, &entries),
+        &settings(15_000),
+    ));
     for id in 0..8 {
-        assert_eq!(node.ask_until_taken(&post(&format!("r{id}"), "pay", "", "x")).status(), 200);
+        assert_eq!(
+            node.ask_until_taken(&post(&format!("r{id}"), "pay", "", "x"))
+                .status(),
+            200
+        );
     }
     assert_eq!(server.requests().len(), 8);
 }
@@ -123,9 +157,11 @@
 /// neither sent again nor called refused.
 #[test]
 fn what_may_have_run_is_not_repeated_where_that_is_unsafe() {
-    for reply in
-        [Reply::Close, Reply::Say(answer("500 Oops", "", "")), Reply::Say(b"nonsense\r\n\r\n".to_vec())]
-    {
+    for reply in [
+        Reply::Close,
+        Reply::Say(answer("500 Oops", "", "")),
+        Reply::Say(b"nonsense\r\n\r\n".to_vec()),
+    ] {
         let server = Server::start(move |_| reply.clone());
         let (node, _discovery, _watch) = Node::with(&[&server], 15_000);
         assert_eq!(node.ask(&post("a", "pay", "", "x")).status(), 502);
@@ -163,14 +199,24 @@
     for n in 0..3 {
         let served = node.ask_until_taken(&read(&n.to_string(), "15000m"));
         assert_eq!(served.status(), 200);
-        assert!(served.body == body.as_bytes(), "{} bytes, and not the same", served.body.len());
+        assert!(
+            served.body == body.as_bytes(),
+            "{} bytes, and not the same",
+            served.body.len()
+        );
     }
     assert_eq!(server.requests().len(), 3, "each is asked for once");
 }
 
 #[test]
 fn load_reports_that_make_no_sense_are_survived() {
-    for load in ["TEXT inflight=x", "TEXT inflight", "JSON {}", "TEXT inflight=NaN, queue=-1", ""] {
+    for load in [
+        "TEXT inflight=x",
+        "TEXT inflight",
+        "JSON {}",
+        "TEXT inflight=NaN, queue=-1",
+        "",
+    ] {
         let reply = answer("200 OK", &format!("Srv-Load: {load}\r\n"), "yes");
         let server = Server::start(move |_| Reply::Say(reply.clone()));
         let (node, _discovery, _watch) = Node::with(&[&server], 15_000);
@@ -186,7 +232,11 @@
     let server = Server::start(|_| Reply::SayAndClose(answer("200 OK", "", "yes")));
     let (node, _discovery, _watch) = Node::with(&[&server], 15_000);
     for n in 1..=5 {
-        assert_eq!(node.ask_until_taken(&post(&format!("r{n}"), "pay", "", "x")).status(), 200);
+        assert_eq!(
+            node.ask_until_taken(&post(&format!("r{n}"), "pay", "", "x"))
+                .status(),
+            200
+        );
         until("the server has closed", || server.closed() == n);
     }
     assert_eq!(server.requests().len(), 5);
@@ -198,9 +248,17 @@
     let server = Server::start(|_| Reply::Silence);
     let (node, _discovery, _watch) = Node::with(&[&server], 15_000);
     let start = Instant::now();
-    let status = node.ask(&post("a", "pay", "", "x").replace("15000m", "700m")).status();
-    assert!((500..600).contains(&status) && status != 503, "it may have run: {status}");
-    assert!(start.elapsed() >= Duration::from_millis(600), "it was given its time");
+    let status = node
+        .ask(&post("a", "pay", "", "x").replace("15000m", "700m"))
+        .status();
+    assert!(
+        (500..600).contains(&status) && status != 503,
+        "it may have run: {status}"
+    );
+    assert!(
+        start.elapsed() >= Duration::from_millis(600),
+        "it was given its time"
+    );
     until("its connection is closed", || server.closed() == 1);
 }
 
@@ -219,7 +277,8 @@
 #[test]
 fn connections_between_requests_make_room_for_new_ones() {
     let discovery = Discovery::start();
-    let small = config(discovery.address, &list(1, true, &[]), &settings(15_000)).replace("1024", "8");
+    let small =
+        config(discovery.address, &list(1, true, &[]), &settings(15_000)).replace("1024", "8");
     let node = Node::start(&small);
     let mut kept = Vec::new();
     for _ in 0..12 {
@@ -255,7 +314,9 @@
         refused = Some(answer).filter(|answer| answer.status() == 503);
         refused.is_some()
     });
-    let wait = refused.as_ref().and_then(|answer| answer.header("retry-after"));
+    let wait = refused
+        .as_ref()
+        .and_then(|answer| answer.header("retry-after"));
     let wait: f64 = wait.expect("a time").parse().expect("seconds");
     assert!(wait > 0.0 && wait < 15.0, "{wait}");
 }
@@ -269,9 +330,15 @@
     let server = Server::start(move |_| {
         match counted.fetch_add(1, Ordering::SeqCst) {
             0 => std::thread::sleep(Duration::from_millis(2_600)),
-            _ => until("two are there at a time", || counted.load(Ordering::SeqCst) == 3),
+            _ => until("two are there at a time", || {
+                counted.load(Ordering::SeqCst) == 3
+            }),
         }
-        Reply::Say(answer("200 OK", "Srv-Load: TEXT active=0, waiting=0\r\n", "yes"))
+        Reply::Say(answer(
+            "200 OK",
+            "Srv-Load: TEXT active=0, waiting=0\r\n",
+            "yes",
+        ))
     });
     let (node, _discovery, _watch) = Node::with(&[&server], 10_000);
     assert_eq!(node.ask(&read("a", "10000m")).status(), 200);
@@ -291,10 +358,21 @@
 
 #[test]
 fn a_change_that_comes_in_pieces_is_followed() {
-    let (old, new) = (Server::start(|_| Reply::ok("old")), Server::start(|_| Reply::ok("new")));
+    let (old, new) = (
+        Server::start(|_| Reply::ok("old")),
+        Server::start(|_| Reply::ok("new")),
+    );
     let (node, _discovery, mut watch) = Node::with(&[&old], 15_000);
-    assert!(watch.asked.contains("watch=1") && watch.asked.contains("from=1"), "{}", watch.asked);
-    let change = list(2, false, &[old.entry("s-0", "draining"), new.entry("s-9", "ready")]);
+    assert!(
+        watch.asked.contains("watch=1") && watch.asked.contains("from=1"),
+        "{}",
+        watch.asked
+    );
+    let change = list(
+        2,
+        false,
+        &[old.entry("s-0", "draining"), new.entry("s-9", "ready")],
+    );
     watch.say("\n");
     let (head, tail) = change.split_at(change.len() / 2);
     watch.say(head);
@@ -348,13 +426,17 @@
 
 #[test]
 fn a_full_list_replaces_all_and_bad_entries_are_passed_over() {
-    let (old, new) = (Server::start(|_| Reply::ok("old")), Server::start(|_| Reply::ok("new")));
+    let (old, new) = (
+        Server::start(|_| Reply::ok("old")),
+        Server::start(|_| Reply::ok("new")),
+    );
     let (node, _discovery, mut watch) = Node::with(&[&old], 15_000);
     let bad = [
         "7".to_owned(),
         r#"{"instanceId":"s-7"}"#.to_owned(),
         new.entry("s-8", "asleep"),
-        new.entry("s-6", "ready").replace(&new.address.to_string(), "nowhere"),
+        new.entry("s-6", "ready")
+            .replace(&new.address.to_string(), "nowhere"),
         new.entry("s-9", "ready"),
     ];
     watch.say(&format!("{}\n", list(2, true, &bad)));
@@ -377,14 +459,29 @@
     let (node, _discovery, mut watch) = Node::with(&[&server], 15_000);
     assert_eq!(node.ask(&read("a", "15000m")).status(), 200);
     assert_eq!((server.opened(), server.closed()), (1, 0));
-    watch.say(&format!("{}\n", list(2, false, &[server.entry("s-new", "ready")])));
-    until("the old one's connection is closed", || server.closed() == 1);
+    watch.say(&format!(
+        "{}\n",
+        list(2, false, &[server.entry("s-new", "ready")])
+    ));
+    until("the old one's connection is closed", || {
+        server.closed() == 1
+    });
     assert_eq!(node.ask_until_taken(&read("b", "15000m")).status(), 200);
     // What is said of the old one later is said of one that is not there.
-    watch.say(&format!("{}\n", list(3, false, &[server.entry("s-0", "draining")])));
-    watch.say(&format!("{}\n", list(4, false, &[server.entry("s-0", "gone")])));
+    watch.say(&format!(
+        "{}\n",
+        list(3, false, &[server.entry("s-0", "draining")])
+    ));
+    watch.say(&format!(
+        "{}\n",
+        list(4, false, &[server.entry("s-0", "gone")])
+    ));
     for n in 0..5 {
-        assert_eq!(node.ask_until_taken(&read(&format!("c{n}"), "15000m")).status(), 200);
+        assert_eq!(
+            node.ask_until_taken(&read(&format!("c{n}"), "15000m"))
+                .status(),
+            200
+        );
     }
     assert_eq!(server.opened(), 2);
 }
@@ -397,11 +494,23 @@
     drop(watch);
     let mut watch = discovery.watch();
     // What was written may have been lost with the connection.
-    assert!(watch.asked.contains("from=5") || watch.asked.contains("from=1"), "{}", watch.asked);
+    assert!(
+        watch.asked.contains("from=5") || watch.asked.contains("from=1"),
+        "{}",
+        watch.asked
+    );
     watch.say("{nonsense}\n");
     let watch = discovery.watch();
-    assert!(!watch.asked.contains("from="), "the whole list is asked for: {}", watch.asked);
-    assert_eq!(node.ask(&read("a", "15000m")).status(), 200, "the list held stands");
+    assert!(
+        !watch.asked.contains("from="),
+        "the whole list is asked for: {}",
+        watch.asked
+    );
+    assert_eq!(
+        node.ask(&read("a", "15000m")).status(),
+        200,
+        "the list held stands"
+    );
 }
 
 #[test]
@@ -434,10 +543,16 @@
     held.send(&read("a", "15000m"));
     until("it waits", || server.opened() == 1);
     node.terminate();
-    assert!(between.is_closed(), "a connection between requests is closed");
+    assert!(
+        between.is_closed(),
+        "a connection between requests is closed"
+    );
     go.store(1, Ordering::SeqCst);
     let served = held.answer().expect("what was held is answered");
-    assert_eq!((served.status(), served.header("connection")), (200, Some("close")));
+    assert_eq!(
+        (served.status(), served.header("connection")),
+        (200, Some("close"))
+    );
     assert!(held.is_closed());
     assert_eq!(node.wait().code(), Some(0));
 }
@@ -449,37 +564,59 @@
 fn connections_are_served_and_kept_while_a_node_hands_over() {
     let nowhere = Unreachable::start();
     let text = config(nowhere.address, &list(1, true, &[]), &settings(15_000));
-    let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime");
+    let runtime = tokio::runtime::Builder::new_current_thread()
+        .enable_all()
+        .build()
+        .expect("a runtime");
     tokio::task::LocalSet::new().block_on(&runtime, async {
         let driver = Driver::start(&Config::parse(&text).expect("sound")).expect("sound");
-        let listener = tokio::net::TcpListener::bind("127.0.0.1:0").await.expect("a port");
+        let listener = tokio::net::TcpListener::bind("127.0.0.1:0")
+            .await
+            .expect("a port");
         let address = listener.local_addr().expect("an address");
         let (phase, phases) = tokio::sync::watch::channel(Phase::Serving);
-        let serving = tokio::task::spawn_local(serve(listener, driver, FrontOptions::own(phases, 16)));
+        let serving =
+            tokio::task::spawn_local(serve(listener, driver, FrontOptions::own(phases, 16)));
         let by = Instant::now() + PATIENCE;
         phase.send_replace(Phase::Draining(by));
-        let mut client = tokio::net::TcpStream::connect(address).await.expect("it still listens");
+        let mut client = tokio::net::TcpStream::connect(address)
+            .await
+            .expect("it still listens");
         // Whoever has a connection keeps it: there may be nobody else yet.
         for _ in 0..3 {
             let answer = ask(&mut client, "GET /up HTTP/1.1\r\nHost: a\r\n\r\n").await;
-            assert!(answer.starts_with("HTTP/1.1 200 OK") && !answer.contains("close"), "{answer}");
+            assert!(
+                answer.starts_with("HTTP/1.1 200 OK") && !answer.contains("close"),
+                "{answer}"
+            );
         }
         phase.send_replace(Phase::ShuttingDown(by));
-        assert!(client.read_u8().await.is_err(), "between requests it is closed in the end");
-        tokio::time::timeout(PATIENCE, serving).await.expect("it ends").expect("in order");
+        assert!(
+            client.read_u8().await.is_err(),
+            "between requests it is closed in the end"
+        );
+        tokio::time::timeout(PATIENCE, serving)
+            .await
+            .expect("it ends")
+            .expect("in order");
     });
 }
 
 /// Sends a request and reads the head of its answer.
 async fn ask(client: &mut tokio::net::TcpStream, request: &str) -> String {
-    client.write_all(request.as_bytes()).await.expect("an open connection");
+    client
+        .write_all(request.as_bytes())
+        .await
+        .expect("an open connection");
     head(client).await
 }
 
 async fn head(client: &mut tokio::net::TcpStream) -> String {
     let mut head = String::new();
     while !head.ends_with("\r\n\r\n") {
-        let byte = tokio::time::timeout(PATIENCE, client.read_u8()).await.expect("an answer in time");
+        let byte = tokio::time::timeout(PATIENCE, client.read_u8())
+            .await
+            .expect("an answer in time");
         head.push(char::from(byte.expect("an answer")));
     }
     head
@@ -492,35 +629,58 @@
     let (go, server) = gated();
     let known = list(1, true, &[server.entry("s-0", "ready")]);
     let text = config(Unreachable::start().address, &known, &settings(60_000));
-    let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime");
+    let runtime = tokio::runtime::Builder::new_current_thread()
+        .enable_all()
+        .build()
+        .expect("a runtime");
     tokio::task::LocalSet::new().block_on(&runtime, async {
         let driver = Driver::start(&Config::parse(&text).expect("sound")).expect("sound");
-        let listener = tokio::net::TcpListener::bind("127.0.0.1:0").await.expect("a port");
+        let listener = tokio::net::TcpListener::bind("127.0.0.1:0")
+            .await
+            .expect("a port");
         let address = listener.local_addr().expect("an address");
         let (phase, phases) = tokio::sync::watch::channel(Phase::Serving);
         tokio::task::spawn_local(serve(listener, driver, FrontOptions::own(phases, 64)));
         let mut clients = Vec::new();
         for _ in 0..12 {
-            let mut client = tokio::net::TcpStream::connect(address).await.expect("it listens");
-            assert!(ask(&mut client, "GET /up HTTP/1.1\r\nHost: a\r\n\r\n").await.contains("200 OK"));
+            let mut client = tokio::net::TcpStream::connect(address)
+                .await
+                .expect("it listens");
+            assert!(ask(&mut client, "GET /up HTTP/1.1\r\nHost: a\r\n\r\n")
+                .await
+                .contains("200 OK"));
             clients.push(client);
         }
         phase.send_replace(Phase::Draining(Instant::now() + 3 * PATIENCE));
         let mut held = clients.split_off(2);
         for (at, client) in held.iter_mut().enumerate() {
-            client.write_all(read(&at.to_string(), "60000m").as_bytes()).await.expect("an open connection");
+            client
+                .write_all(read(&at.to_string(), "60000m").as_bytes())
+                .await
+                .expect("an open connection");
             let start = Instant::now();
             while server.requests().len() <= at {
                 assert!(start.elapsed() < PATIENCE, "request {at} was not taken");
                 tokio::time::sleep(Duration::from_millis(2)).await;
             }
         }
-        let refused = ask(&mut clients[0], &read("more", "60000m")).await.to_ascii_lowercase();
-        assert!(refused.contains("503") && refused.contains("retry-after: 0."), "{refused}");
-        assert!(!refused.contains("connection: close"), "its client keeps the connection: {refused}");
+        let refused = ask(&mut clients[0], &read("more", "60000m"))
+            .await
+            .to_ascii_lowercase();
+        assert!(
+            refused.contains("503") && refused.contains("retry-after: 0."),
+            "{refused}"
+        );
+        assert!(
+            !refused.contains("connection: close"),
+            "its client keeps the connection: {refused}"
+        );
         go.store(1, Ordering::SeqCst);
         for client in &mut held {
-            assert!(head(client).await.contains("200 OK"), "what was taken is served");
+            assert!(
+                head(client).await.contains("200 OK"),
+                "what was taken is served"
+            );
         }
     });
 }
@@ -530,10 +690,15 @@
 fn a_node_that_hands_over_ends_no_connection_to_keep_some_free() {
     let nowhere = Unreachable::start();
     let text = config(nowhere.address, &list(1, true, &[]), &settings(15_000));
-    let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime");
+    let runtime = tokio::runtime::Builder::new_current_thread()
+        .enable_all()
+        .build()
+        .expect("a runtime");
     tokio::task::LocalSet::new().block_on(&runtime, async {
         let driver = Driver::start(&Config::parse(&text).expect("sound")).expect("sound");
-        let listener = tokio::net::TcpListener::bind("127.0.0.1:0").await.expect("a port");
+        let listener = tokio::net::TcpListener::bind("127.0.0.1:0")
+            .await
+            .expect("a port");
         let address = listener.local_addr().expect("an address");
         let (phase, phases) = tokio::sync::watch::channel(Phase::Serving);
         tokio::task::spawn_local(serve(listener, driver, FrontOptions::own(phases, 8)));
@@ -543,10 +708,16 @@
         for _ in 0..2 {
             // As many as there are places, and more than may stand idle while a node serves.
             while clients.len() < 8 {
-                clients.push(tokio::net::TcpStream::connect(address).await.expect("it listens"));
+                clients.push(
+                    tokio::net::TcpStream::connect(address)
+                        .await
+                        .expect("it listens"),
+                );
             }
             for client in &mut clients {
-                assert!(ask(client, "GET /up HTTP/1.1\r\nHost: a\r\n\r\n").await.contains("200 OK"));
+                assert!(ask(client, "GET /up HTTP/1.1\r\nHost: a\r\n\r\n")
+                    .await
+                    .contains("200 OK"));
             }
         }
     });
@@ -555,7 +726,9 @@
 /// Guards against SIGHUP ending the process, and against a node that stays with a discovery of the past.
 #[test]
 fn sighup_moves_the_watch_to_the_discovery_of_the_new_file() {
-    let servers: Vec<_> = (0..3).map(|n| Server::start(move |_| Reply::ok(&n.to_string()))).collect();
+    let servers: Vec<_> = (0..3)
+        .map(|n| Server::start(move |_| Reply::ok(&n.to_string())))
+        .collect();
     let (node, old, mut watch) = Node::with(&[&servers[0]], 15_000);
     watch.say(&format!("{}\n", list(70, false, &[])));
     let mut left = vec![(old, watch)];
@@ -564,9 +737,16 @@
         let text = config(discovery.address, &list(1, true, &[]), &settings(15_000));
         node.reload(&text);
         let mut watch = discovery.watch();
-        assert!(!watch.asked.contains("from="), "its versions are its own: {}", watch.asked);
+        assert!(
+            !watch.asked.contains("from="),
+            "its versions are its own: {}",
+            watch.asked
+        );
         let id = format!("s-{n}");
-        watch.say(&format!("{}\n", list(3, true, &[servers[n].entry(&id, "ready")])));
+        watch.say(&format!(
+            "{}\n",
+            list(3, true, &[servers[n].entry(&id, "ready")])
+        ));
         until("requests go to the server that it names", || {
             node.ask(&read("a", "15000m")).body == n.to_string().as_bytes()
         });
@@ -574,12 +754,22 @@
         assert!(before.is_closed(), "the one before is left");
         left.push((discovery, watch));
         // A broken file changes nothing, whatever is wrong with it.
-        for broken in ["{".to_owned(), text.replace("\"0f\"", "7"), text.replace("127.0.0.1:0", "here")] {
+        for broken in [
+            "{".to_owned(),
+            text.replace("\"0f\"", "7"),
+            text.replace("127.0.0.1:0", "here"),
+        ] {
             node.reload(&broken);
-            assert_eq!(node.ask_until_taken(&read("b", "15000m")).body, n.to_string().as_bytes());
+            assert_eq!(
+                node.ask_until_taken(&read("b", "15000m")).body,
+                n.to_string().as_bytes()
+            );
         }
         let (_, watch) = left.last_mut().expect("one");
-        watch.say(&format!("{}\n", list(4, true, &[servers[n].entry(&id, "ready")])));
+        watch.say(&format!(
+            "{}\n",
+            list(4, true, &[servers[n].entry(&id, "ready")])
+        ));
     }
 }
 
@@ -595,7 +785,11 @@
 
 #[test]
 fn a_broken_configuration_ends_with_one_line() {
-    let good = config("127.0.0.1:1".parse().expect("an address"), &list(1, true, &[]), &settings(1_000));
+    let good = config(
+        "127.0.0.1:1".parse().expect("an address"),
+        &list(1, true, &[]),
+        &settings(1_000),
+    );
     let broken = [
         "{".to_owned(),
         "[]".to_owned(),
@@ -616,8 +810,15 @@
 }
 
 fn ends_with_one_line(command: &mut std::process::Command) {
-    let output = command.stdout(Stdio::piped()).stderr(Stdio::piped()).output().expect("it starts");
+    let output = command
+        .stdout(Stdio::piped())
+        .stderr(Stdio::piped())
+        .output()
+        .expect("it starts");
     let log = String::from_utf8(output.stderr).expect("text");
     assert_eq!(output.status.code(), Some(1), "{log}");
-    assert!(log.starts_with("silverthread: ") && log.lines().count() == 1, "{log}");
+    assert!(
+        log.starts_with("silverthread: ") && log.lines().count() == 1,
+        "{log}"
+    );
 }
--- a/tests/operations.rs
+++ b/tests/operations.rs
@@ -17,9 +17,16 @@
 }
 
 fn with_control(discovery: &Discovery, servers: &[&Server]) -> String {
-    let entries: Vec<_> =
-        servers.iter().enumerate().map(|(i, server)| server.entry(&format!("s-{i}"), "ready")).collect();
-    let text = config(discovery.address, &list(1, true, &entries), &settings(60_000));
+    let entries: Vec<_> = servers
+        .iter()
+        .enumerate()
+        .map(|(i, server)| server.entry(&format!("s-{i}"), "ready"))
+        .collect();
+    let text = config(
+        discovery.address,
+        &list(1, true, &entries),
+        &settings(60_000),
+    );
     text.replace("\"listen\"", "\"control\":\"127.0.0.1:0\",\"listen\"")
 }
 
@@ -54,7 +61,9 @@
 fn callers_that_finish_nothing_hold_up_nobody() {
     let (node, _discovery) = operated(&[]);
     let address = node.control();
-    let idle: Vec<_> = (0..100).map(|_| TcpStream::connect(address).expect("it listens")).collect();
+    let idle: Vec<_> = (0..100)
+        .map(|_| TcpStream::connect(address).expect("it listens"))
+        .collect();
     for mut stream in idle.iter().take(10) {
         stream.write_all(b"REA").expect("an open connection");
     }
@@ -74,10 +83,22 @@
     }
     assert_eq!(node.ask(&read("bad", "15000m")).status(), 404);
     assert_eq!(node.ask("nonsense\r\n\r\n").status(), 400);
-    assert_eq!((node.figure("served.read"), node.figure("failed.read")), (20, 1));
-    assert_eq!((node.figure("refused.read"), node.figure("served.hold")), (0, 0));
+    assert_eq!(
+        (node.figure("served.read"), node.figure("failed.read")),
+        (20, 1)
+    );
+    assert_eq!(
+        (node.figure("refused.read"), node.figure("served.hold")),
+        (0, 0)
+    );
     assert_eq!(node.figure("attempts.read"), server.count() as u64);
-    assert_eq!((node.figure("servers_known"), node.figure("servers_excluded")), (1, 0));
+    assert_eq!(
+        (
+            node.figure("servers_known"),
+            node.figure("servers_excluded")
+        ),
+        (1, 0)
+    );
 }
 
 /// Guards against figures that lose sight of a request whose client has left, or whose server is silent.
@@ -115,14 +136,31 @@
     assert!(node.call("DRAIN\n").starts_with("200"));
     let start = Instant::now();
     assert_ne!(node.ask(UP).status(), 200);
-    assert!(node.call("READY\n").starts_with("200"), "the process serves");
-    assert!(idle.is_closed() && silent.is_closed(), "they wait for nothing");
-    assert!(start.elapsed() < Duration::from_millis(1_900), "{:?}", start.elapsed());
+    assert!(
+        node.call("READY\n").starts_with("200"),
+        "the process serves"
+    );
+    assert!(
+        idle.is_closed() && silent.is_closed(),
+        "they wait for nothing"
+    );
+    assert!(
+        start.elapsed() < Duration::from_millis(1_900),
+        "{:?}",
+        start.elapsed()
+    );
     go.store(true, Ordering::SeqCst);
     let served = busy.answer().expect("an answer");
-    assert_eq!((served.status(), served.header("connection")), (200, Some("close")));
+    assert_eq!(
+        (served.status(), served.header("connection")),
+        (200, Some("close"))
+    );
     let late = node.ask(&read("late", "60000m"));
-    assert_eq!((late.status(), late.header("connection")), (200, Some("close")), "whoever comes is served");
+    assert_eq!(
+        (late.status(), late.header("connection")),
+        (200, Some("close")),
+        "whoever comes is served"
+    );
     assert!(node.call("UNDRAIN\n").starts_with("200"));
     assert_eq!(node.ask(UP).status(), 200);
     let kept = node.ask(&read("kept", "60000m"));
@@ -166,7 +204,10 @@
         node = next;
     }
     stop.store(true, Ordering::SeqCst);
-    let asked: usize = clients.into_iter().map(|client| client.join().expect("all were answered")).sum();
+    let asked: usize = clients
+        .into_iter()
+        .map(|client| client.join().expect("all were answered"))
+        .sum();
     assert!(asked > 100, "{asked}");
 }
 
@@ -174,10 +215,17 @@
 fn a_descriptor_that_is_no_listening_socket_is_an_error() {
     let path = write_config(&with_control(&Discovery::start(), &[]));
     for wrong in ["99", "1", "three", "-1"] {
-        let output = program().env("ROUTER_CONFIG", &path).env("ROUTER_LISTEN_FD", wrong).output();
+        let output = program()
+            .env("ROUTER_CONFIG", &path)
+            .env("ROUTER_LISTEN_FD", wrong)
+            .output();
         let output = output.expect("it starts");
         let log = String::from_utf8(output.stderr).expect("text");
-        assert_eq!((output.status.code(), log.lines().count()), (Some(1), 1), "{wrong}: {log}");
+        assert_eq!(
+            (output.status.code(), log.lines().count()),
+            (Some(1), 1),
+            "{wrong}: {log}"
+        );
     }
     std::fs::remove_file(path).expect("a file");
 }
@@ -188,15 +236,31 @@
     let (go, server) = gated();
     let discovery = Discovery::start();
     let drained = Server::start(|_| Reply::ok("no"));
-    let entries = [server.entry("s-0", "ready"), drained.entry("s-1", "draining")];
-    let text = config(discovery.address, &list(1, true, &entries), &settings(60_000));
-    let mut node = Node::start(&text.replace("\"listen\"", "\"control\":\"127.0.0.1:0\",\"listen\""));
-    assert_eq!((node.figure("servers_known"), node.figure("servers_excluded")), (2, 1));
+    let entries = [
+        server.entry("s-0", "ready"),
+        drained.entry("s-1", "draining"),
+    ];
+    let text = config(
+        discovery.address,
+        &list(1, true, &entries),
+        &settings(60_000),
+    );
+    let mut node =
+        Node::start(&text.replace("\"listen\"", "\"control\":\"127.0.0.1:0\",\"listen\""));
+    assert_eq!(
+        (
+            node.figure("servers_known"),
+            node.figure("servers_excluded")
+        ),
+        (2, 1)
+    );
     let mut client = node.connect();
     client.send(&read("a", "60000m"));
     until("it is out", || node.figure("attempts.read") == 1);
     node.terminate();
-    until("it is on its way out", || node.call("READY\n").starts_with("400"));
+    until("it is on its way out", || {
+        node.call("READY\n").starts_with("400")
+    });
     go.store(true, Ordering::SeqCst);
     assert_eq!(client.answer().expect("an answer").status(), 200);
     assert_eq!(node.wait().code(), Some(0));
--- a/tests/operators.rs
+++ b/tests/operators.rs
@@ -6,7 +6,11 @@
 
 fn check(text: &str) -> Output {
     let file = write_config(text);
-    let output = program().arg("check").arg(&file).output().expect("it starts");
+    let output = program()
+        .arg("check")
+        .arg(&file)
+        .output()
+        .expect("it starts");
     std::fs::remove_file(file).expect("the test's own");
     output
 }
@@ -23,7 +27,8 @@
     std::str::from_utf8(bytes).expect("text")
 }
 
-const CONSUL: &str = "[[consul]]\nname = \"c\"\nservice = \"holds\"\nagents = [\"127.0.0.1:8500\"]\n";
+const CONSUL: &str =
+    "[[consul]]\nname = \"c\"\nservice = \"holds\"\nagents = [\"127.0.0.1:8500\"]\n";
 
 #[test]
 fn the_file_that_is_shipped_is_sound_and_so_is_all_that_it_shows() {
@@ -37,15 +42,27 @@
             let is_key = key.starts_with(['[', ']'])
                 || key.trim_start().starts_with("{ address")
                 || key.split(" = ").next().is_some_and(|k| !k.contains(' '));
-            format!("{}\n", if is_key && key.contains(['=', '[', ']']) { key } else { line })
+            format!(
+                "{}\n",
+                if is_key && key.contains(['=', '[', ']']) {
+                    key
+                } else {
+                    line
+                }
+            )
         })
         .collect();
     let key = key_file("sixteen bytes and more", 0o600);
     let opened = opened.replace("/run/secrets/fleet", key.to_str().expect("text"));
     let output = check(&opened);
-    assert!(output.status.success(), "{}\n{opened}", text(&output.stderr));
     assert!(
-        text(&output.stdout).contains("consul \"consul\": service \"holds\" through 1 agents, advises"),
+        output.status.success(),
+        "{}\n{opened}",
+        text(&output.stderr)
+    );
+    assert!(
+        text(&output.stdout)
+            .contains("consul \"consul\": service \"holds\" through 1 agents, advises"),
         "{}",
         text(&output.stdout)
     );
@@ -54,11 +71,16 @@
 #[test]
 fn what_makes_no_sense_is_named_by_line_and_key() {
     let more = |line: &str| format!("{CONSUL}{line}\n");
-    let server =
-        |address: &str| format!("[[server]]\nid = \"s-0\"\naddresses = [{{address = \"{address}\"}}]\n");
+    let server = |address: &str| {
+        format!("[[server]]\nid = \"s-0\"\naddresses = [{{address = \"{address}\"}}]\n")
+    };
     for (file, line, key) in [
         ("[membership]\nshare = 1\n".to_owned(), 2, "share"),
-        ("[membership]\n\npanic_share = 1.5\n".to_owned(), 3, "panic_share"),
+        (
+            "[membership]\n\npanic_share = 1.5\n".to_owned(),
+            3,
+            "panic_share",
+        ),
         ("[consuls]\n".to_owned(), 1, "consuls"),
         (more("waits = 3"), 5, "waits"),
         (more("wait_s = 0"), 5, "wait_s"),
@@ -68,51 +90,106 @@
         (more("api = \"agent\""), 5, "api"),
         (more("id = \"tags:x\""), 5, "id"),
         (more("zone = \"zone\""), 5, "zone"),
-        (more("id = \"address\"\nnames_servers = true"), 6, "names_servers"),
+        (
+            more("id = \"address\"\nnames_servers = true"),
+            6,
+            "names_servers",
+        ),
         (more("[consul.states]\npassing = \"up\""), 6, "passing"),
-        (more("[consul.damping]\nfirst_s = 1\nmost_s = -1\nhalf_life_s = 1"), 7, "most_s"),
-        (CONSUL.replace("127.0.0.1:8500", "localhost:8500"), 4, "agents"),
+        (
+            more("[consul.damping]\nfirst_s = 1\nmost_s = -1\nhalf_life_s = 1"),
+            7,
+            "most_s",
+        ),
+        (
+            CONSUL.replace("127.0.0.1:8500", "localhost:8500"),
+            4,
+            "agents",
+        ),
         (CONSUL.replace("[\"127.0.0.1:8500\"]", "[]"), 4, "agents"),
-        (CONSUL.replace("[\"", "[\n  # near\n  \"127.0.0.1:1\",\n  \"é:"), 7, "agents"),
+        (
+            CONSUL.replace("[\"", "[\n  # near\n  \"127.0.0.1:1\",\n  \"é:"),
+            7,
+            "agents",
+        ),
         (CONSUL.replace("\"holds\"", "\"\""), 3, "service"),
         (CONSUL.replace("\"c\"", "\"roster\""), 2, "name"),
         (format!("{CONSUL}{CONSUL}"), 6, "name"),
         ("consul = [\n".to_owned(), 1, "consul"),
         (server("unix:run/s"), 3, "addresses"),
-        ("[pool]\ndials_at_a_time = 0\n".to_owned(), 2, "dials_at_a_time"),
-        ("[pool]\ncold_dials_per_s = -1\n".to_owned(), 2, "cold_dials_per_s"),
+        (
+            "[pool]\ndials_at_a_time = 0\n".to_owned(),
+            2,
+            "dials_at_a_time",
+        ),
+        (
+            "[pool]\ncold_dials_per_s = -1\n".to_owned(),
+            2,
+            "cold_dials_per_s",
+        ),
         ("[pool]\nahead = 1\n".to_owned(), 2, "ahead"),
-        (server(&format!("unix:/{}", "x".repeat(107))), 3, "addresses"),
+        (
+            server(&format!("unix:/{}", "x".repeat(107))),
+            3,
+            "addresses",
+        ),
         (server("localhost:80"), 3, "addresses"),
         (server("[::1]:80\"}, {address = \"[::1]:80"), 3, "addresses"),
         (server("[::1]:80\", preference = \"low"), 3, "addresses"),
-        (format!("{}{}", server("[::1]:80"), server("[::1]:81")), 5, "id"),
-        (format!("{}{}", server("[::1]:80"), server("[::1]:80").replace("s-0", "s-1")), 6, "addresses"),
+        (
+            format!("{}{}", server("[::1]:80"), server("[::1]:81")),
+            5,
+            "id",
+        ),
+        (
+            format!(
+                "{}{}",
+                server("[::1]:80"),
+                server("[::1]:80").replace("s-0", "s-1")
+            ),
+            6,
+            "addresses",
+        ),
         (format!("{}also = 1\n", server("[::1]:80")), 4, "also"),
-        ("[[server]]\nid = \"s-0\"\naddresses = []\n".to_owned(), 3, "addresses"),
+        (
+            "[[server]]\nid = \"s-0\"\naddresses = []\n".to_owned(),
+            3,
+            "addresses",
+        ),
     ] {
         let output = check(&file);
         let said = text(&output.stderr).trim_end();
         assert_eq!(output.status.code(), Some(2), "{file}\n{said}");
         assert!(said.contains(&format!(", line {line}")), "{file}\n{said}");
-        assert!(said.contains(&format!("key `{key}`")) || key.is_empty(), "{file}\n{said}");
+        assert!(
+            said.contains(&format!("key `{key}`")) || key.is_empty(),
+            "{file}\n{said}"
+        );
         assert!(!said.contains('\n'), "one line: {said}");
     }
 }
 
 #[test]
 fn a_file_that_cannot_be_read_ends_the_program_with_2_and_nothing_is_started() {
-    for arguments in
-        [&["--config", "/nowhere/at/all.toml"][..], &["check", "/nowhere/at/all.toml"], &["--cnofig"]]
-    {
+    for arguments in [
+        &["--config", "/nowhere/at/all.toml"][..],
+        &["check", "/nowhere/at/all.toml"],
+        &["--cnofig"],
+    ] {
         let output = program().args(arguments).output().expect("it starts");
         assert_eq!(output.status.code(), Some(2), "{arguments:?}");
         assert!(!output.stderr.is_empty() && output.stdout.is_empty());
     }
-    let endless = program().args(["check", "/dev/zero"]).output().expect("it starts");
+    let endless = program()
+        .args(["check", "/dev/zero"])
+        .output()
+        .expect("it starts");
     assert_eq!(endless.status.code(), Some(2), "a file without an end");
     let file = write_config("[[consul]]\n");
-    let output = program().env("SILVERTHREAD_CONFIG", &file).output().expect("it starts");
+    let output = program()
+        .env("SILVERTHREAD_CONFIG", &file)
+        .output()
+        .expect("it starts");
     std::fs::remove_file(file).expect("the test's own");
     assert_eq!(output.status.code(), Some(2), "by the variable, too");
 }
@@ -121,7 +198,10 @@
 fn without_arguments_and_variables_it_fails_as_ever() {
     let output = program().output().expect("it starts");
     assert_eq!(output.status.code(), Some(1));
-    assert_eq!(text(&output.stderr), "silverthread: ROUTER_CONFIG names no configuration file\n");
+    assert_eq!(
+        text(&output.stderr),
+        "silverthread: ROUTER_CONFIG names no configuration file\n"
+    );
 }
 
 #[test]
@@ -130,24 +210,44 @@
     let open = key_file("sixteen bytes and more", 0o640);
     let short = key_file("  only fifteen b  \n", 0o600);
     let file = |key: &std::path::Path, more: &str| {
-        format!("[instances]\nfleet = \"holds\"\nkey_file = {:?}\n{more}\n", key.to_str().expect("text"))
+        format!(
+            "[instances]\nfleet = \"holds\"\nkey_file = {:?}\n{more}\n",
+            key.to_str().expect("text")
+        )
     };
     for (text_of, line, key) in [
-        ("[instances]\nfleet = \"holds\"\n".to_owned(), 1, "instances"),
-        (file(std::path::Path::new("/nowhere/at/all"), ""), 3, "key_file"),
+        (
+            "[instances]\nfleet = \"holds\"\n".to_owned(),
+            1,
+            "instances",
+        ),
+        (
+            file(std::path::Path::new("/nowhere/at/all"), ""),
+            3,
+            "key_file",
+        ),
         (file(&open, ""), 3, "key_file"),
         (file(&short, ""), 3, "key_file"),
         (file(&sound, "name = \"two words\""), 4, "name"),
         (file(&sound, "listen = \"localhost:1\""), 4, "listen"),
         (file(&sound, "probe_ms = 1"), 4, "probe_ms"),
-        (file(&sound, "probe_ms = 1000\nsuspect_ms = 2000"), 5, "suspect_ms"),
+        (
+            file(&sound, "probe_ms = 1000\nsuspect_ms = 2000"),
+            5,
+            "suspect_ms",
+        ),
         (file(&sound, "gossip = true"), 4, "gossip"),
     ] {
         let output = check(&text_of);
         let said = text(&output.stderr);
         assert_eq!(output.status.code(), Some(2), "{text_of}: {said}");
-        assert!(said.contains(&format!("line {line}, key `{key}`")), "{text_of}: {said}");
+        assert!(
+            said.contains(&format!("line {line}, key `{key}`")),
+            "{text_of}: {said}"
+        );
     }
     assert!(check(&file(&sound, "")).status.success());
-    [sound, open, short].iter().for_each(|file| std::fs::remove_file(file).expect("the test's own"));
+    [sound, open, short]
+        .iter()
+        .for_each(|file| std::fs::remove_file(file).expect("the test's own"));
 }
--- a/tests/pressure.rs
+++ b/tests/pressure.rs
@@ -9,13 +9,22 @@
 use testkit::*;
 
 fn descriptors(node: &Node) -> usize {
-    std::fs::read_dir(format!("/proc/{}/fd", node.process())).expect("it runs").count()
+    std::fs::read_dir(format!("/proc/{}/fd", node.process()))
+        .expect("it runs")
+        .count()
 }
 
 fn resident_kb(node: &Node) -> usize {
-    let status = std::fs::read_to_string(format!("/proc/{}/status", node.process())).expect("it runs");
-    let line = status.lines().find_map(|line| line.strip_prefix("VmRSS:")).expect("a figure");
-    line.trim().trim_end_matches(" kB").parse().expect("a number")
+    let status =
+        std::fs::read_to_string(format!("/proc/{}/status", node.process())).expect("it runs");
+    let line = status
+        .lines()
+        .find_map(|line| line.strip_prefix("VmRSS:"))
+        .expect("a figure");
+    line.trim()
+        .trim_end_matches(" kB")
+        .parse()
+        .expect("a number")
 }
 
 /// Guards against idle clients that take the descriptors which a node needs to hear of its servers, and against a node
@@ -26,10 +35,13 @@
     let server = Server::start(|_| Reply::ok("yes"));
     let discovery = TcpListener::bind("127.0.0.1:0").expect("a port");
     let address = discovery.local_addr().expect("an address");
-    let text = config(address, &list(1, true, &[]), &settings(15_000)).replace("1024", &LIMIT.to_string());
+    let text =
+        config(address, &list(1, true, &[]), &settings(15_000)).replace("1024", &LIMIT.to_string());
     let node = Node::start(&text);
     // Nobody takes the node's calls; four times as many clients come as it may have descriptors, and say nothing.
-    let mut idle: Vec<_> = (0..4 * LIMIT).filter_map(|_| TcpStream::connect(node.address).ok()).collect();
+    let mut idle: Vec<_> = (0..4 * LIMIT)
+        .filter_map(|_| TcpStream::connect(node.address).ok())
+        .collect();
     let mut most = 0;
     let since = Instant::now();
     while since.elapsed() < Duration::from_secs(1) {
@@ -40,7 +52,9 @@
     let taking = std::thread::spawn(move || {
         let mut held = Vec::new();
         while let Ok((mut stream, _)) = discovery.accept() {
-            let Some(_call) = Message::read(&mut BufReader::new(&stream)) else { continue };
+            let Some(_call) = Message::read(&mut BufReader::new(&stream)) else {
+                continue;
+            };
             let head = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
             // Calls that were given up meanwhile lie before the one that the node waits for.
             let _ = stream.write_all(format!("{head}{:x}\r\n{said}\r\n", said.len()).as_bytes());
@@ -67,18 +81,33 @@
     let discovery = Discovery::start();
     let known = list(1, true, &[server.entry("s-0", "ready")]);
     let node = Node::start_limited(&config(discovery.address, &known, &settings(15_000)), GIVEN);
-    let mut idle: Vec<_> =
-        (0..3 * GIVEN).map(|_| TcpStream::connect(node.address).expect("a queue")).collect();
-    until("it finds none", || node.log().iter().any(|line| line.contains("cannot accept a connection")));
+    let mut idle: Vec<_> = (0..3 * GIVEN)
+        .map(|_| TcpStream::connect(node.address).expect("a queue"))
+        .collect();
+    until("it finds none", || {
+        node.log()
+            .iter()
+            .any(|line| line.contains("cannot accept a connection"))
+    });
     // It waits between two tries: a node that spins would be at it all the time.
-    let spent = || std::fs::read_to_string(format!("/proc/{}/stat", node.process())).expect("it runs");
+    let spent =
+        || std::fs::read_to_string(format!("/proc/{}/stat", node.process())).expect("it runs");
     let ticks = |stat: &str| -> u64 {
-        let fields: Vec<_> = stat.rsplit_once(')').expect("a name").1.split_whitespace().collect();
+        let fields: Vec<_> = stat
+            .rsplit_once(')')
+            .expect("a name")
+            .1
+            .split_whitespace()
+            .collect();
         fields[11].parse::<u64>().expect("ticks") + fields[12].parse::<u64>().expect("ticks")
     };
     let before = ticks(&spent());
     std::thread::sleep(Duration::from_millis(500));
-    assert!(ticks(&spent()) - before < 25, "{} of 50 ticks", ticks(&spent()) - before);
+    assert!(
+        ticks(&spent()) - before < 25,
+        "{} of 50 ticks",
+        ticks(&spent()) - before
+    );
     idle.clear();
     until("it serves again", || {
         let mut client = node.connect();
@@ -93,20 +122,35 @@
     let nobody = TcpListener::bind("127.0.0.1:0").expect("a port");
     let server = Server::start(|_| Reply::ok("yes"));
     let known = list(1, true, &[server.entry("s-0", "ready")]);
-    let text = config(nobody.local_addr().expect("an address"), &known, &settings(15_000));
+    let text = config(
+        nobody.local_addr().expect("an address"),
+        &known,
+        &settings(15_000),
+    );
     let since = Instant::now();
     let started: Vec<_> = (0..20)
         .map(|_| {
             let text = text.clone();
             std::thread::spawn(move || {
                 let node = Node::start(&text);
-                (node.ask("GET /up HTTP/1.1\r\nHost: a\r\n\r\n").status(), node)
+                (
+                    node.ask("GET /up HTTP/1.1\r\nHost: a\r\n\r\n").status(),
+                    node,
+                )
             })
         })
         .collect();
-    let up = started.into_iter().map(|node| node.join().expect("it starts")).filter(|up| up.0 == 200).count();
+    let up = started
+        .into_iter()
+        .map(|node| node.join().expect("it starts"))
+        .filter(|up| up.0 == 200)
+        .count();
     assert_eq!(up, 20);
-    assert!(since.elapsed() < Duration::from_secs(10), "{:?}", since.elapsed());
+    assert!(
+        since.elapsed() < Duration::from_secs(10),
+        "{:?}",
+        since.elapsed()
+    );
 }
 
 /// Guards against memory that grows with what clients send and do not read, against their requests going out once they
@@ -129,7 +173,9 @@
         };
         peers.push(std::thread::spawn(move || {
             while !ends.load(Ordering::SeqCst) {
-                let Ok(mut stream) = TcpStream::connect(address) else { continue };
+                let Ok(mut stream) = TcpStream::connect(address) else {
+                    continue;
+                };
                 let _ = stream.set_write_timeout(Some(Duration::from_millis(100)));
                 while !ends.load(Ordering::SeqCst) && stream.write_all(&piece).is_ok() {
                     if piece.len() == 1 {
@@ -141,12 +187,18 @@
     }
     let mut most = 0;
     for n in 0..100 {
-        let answer =
-            node.ask_until_taken(&post(&format!("fair-{n}"), "hold", "Idempotency-Key: 5c0f\r\n", "x"));
+        let answer = node.ask_until_taken(&post(
+            &format!("fair-{n}"),
+            "hold",
+            "Idempotency-Key: 5c0f\r\n",
+            "x",
+        ));
         assert_eq!(answer.status(), 200, "request {n}");
         most = most.max(resident_kb(&node));
     }
     ends.store(true, Ordering::SeqCst);
-    peers.into_iter().for_each(|peer| peer.join().expect("it ends"));
+    peers
+        .into_iter()
+        .for_each(|peer| peer.join().expect("it ends"));
     assert!(most < MOST_KB, "{most} kB");
 }
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -11,9 +11,19 @@
 
 #[test]
 fn no_servers_still_gives_one_answer_at_once() {
-    for effect in [Effect::Safe, Effect::Keyed { group: Group::Cell, window_ms: 500.0 }, Effect::Unsafe] {
+    for effect in [
+        Effect::Safe,
+        Effect::Keyed {
+            group: Group::Cell,
+            window_ms: 500.0,
+        },
+        Effect::Unsafe,
+    ] {
         let mut node = Node::new(one_class(effect), 1);
-        assert!(refused(&node.request(1, 0, 100.0)), "nothing ran, so a refusal is true");
+        assert!(
+            refused(&node.request(1, 0, 100.0)),
+            "nothing ran, so a refusal is true"
+        );
         node.servers(Vec::new());
         assert!(refused(&node.request(2, 0, 100.0)));
     }
@@ -51,17 +61,26 @@
 
 #[test]
 fn keyed_stays_in_its_cell_and_window() {
-    let settings = one_class(Effect::Keyed { group: Group::Cell, window_ms: 500.0 });
+    let settings = one_class(Effect::Keyed {
+        group: Group::Cell,
+        window_ms: 500.0,
+    });
     for (wait, again) in [(5.0, true), (399.0, true), (401.0, false), (600.0, false)] {
         for seed in 0..20 {
             let mut node = Node::new(settings.clone(), seed);
             let mut entries = ready(0..6);
-            entries.iter_mut().enumerate().for_each(|(i, e)| e.cell = i / 2);
+            entries
+                .iter_mut()
+                .enumerate()
+                .for_each(|(i, e)| e.cell = i / 2);
             node.servers(entries);
             let first = node.sent_to(1);
             node.now += wait;
             let actions = node.end(1, 0, wait, Ending::Error);
-            assert!(!refused(&actions), "a refusal would promise that nothing ran");
+            assert!(
+                !refused(&actions),
+                "a refusal would promise that nothing ran"
+            );
             match send_of(&actions) {
                 Some(at) => assert!(again && at / 2 == first / 2, "{wait} ms: {first} then {at}"),
                 None => assert!(!again && failed(&actions), "{wait} ms"),
@@ -72,7 +91,10 @@
 
 #[test]
 fn keyed_with_group_all_may_be_refused_after_it_ran() {
-    let mut settings = one_class(Effect::Keyed { group: Group::All, window_ms: 500.0 });
+    let mut settings = one_class(Effect::Keyed {
+        group: Group::All,
+        window_ms: 500.0,
+    });
     settings.max_attempts = 1;
     let mut node = Node::new(settings, 1);
     node.servers(ready(0..3));
@@ -88,7 +110,10 @@
     node.sent_to(1);
     node.now += 800.0;
     assert!(failed(&node.end(1, 0, 800.0, Ending::TimedOut)));
-    assert!(node.end(1, 0, 801.0, Ending::Served).is_empty(), "an ending comes once");
+    assert!(
+        node.end(1, 0, 801.0, Ending::Served).is_empty(),
+        "an ending comes once"
+    );
 }
 
 #[test]
@@ -145,7 +170,11 @@
         if id >= 10 {
             // Cold as it is, it answers fast and reports next to nothing held.
             let cold = at[&(id - 10)] == 10;
-            let held = if cold { 0.1 * (id % 2) as f64 } else { (300 + id % 2) as f64 };
+            let held = if cold {
+                0.1 * (id % 2) as f64
+            } else {
+                (300 + id % 2) as f64
+            };
             let elapsed = if cold { 10.0 } else { 40.0 };
             // Reports come now and then, so that counts rise in between.
             let held = (cold || id % 16 == 0).then_some(held);
@@ -156,9 +185,15 @@
     let start = 1_000.0 + 1_500.0 * 4.0;
     for window in 0..6 {
         let from = start + f64::from(window) * 500.0;
-        let sent = cold_sends.iter().filter(|t| (from..from + 3_000.0).contains(*t)).count() as f64;
+        let sent = cold_sends
+            .iter()
+            .filter(|t| (from..from + 3_000.0).contains(*t))
+            .count() as f64;
         let capacity = 25.0 * 3.0 * (0.3 + 0.7 * (from + 3_000.0 - start) / 9_000.0);
-        assert!(sent < 2.5 * capacity, "{sent} in window {window}, capacity {capacity}");
+        assert!(
+            sent < 2.5 * capacity,
+            "{sent} in window {window}, capacity {capacity}"
+        );
     }
     assert!(!cold_sends.is_empty(), "it gets some work");
 }
@@ -173,7 +208,9 @@
     let mut entries = ready(0..2);
     entries[1].started_at = Some(node.now - 100.0);
     node.feed(Event::Servers(Listing::Cached(entries)));
-    let cold = (0..40).filter(|id| send_of(&node.request(*id, 0, 800.0)) == Some(1)).count();
+    let cold = (0..40)
+        .filter(|id| send_of(&node.request(*id, 0, 800.0)) == Some(1))
+        .count();
     assert_eq!(cold, 1);
 }
 
@@ -206,7 +243,10 @@
     }
     // 200 nodes send 10 a second each to the 30 servers left: a warm one carries 67 a second, and this one
     // may get 2.5 times 0.3 of that for three seconds.
-    assert!((1..=2 * senders).contains(&sends) && sends < 150, "{sends} sends of {senders} nodes");
+    assert!(
+        (1..=2 * senders).contains(&sends) && sends < 150,
+        "{sends} sends of {senders} nodes"
+    );
 }
 
 /// A node that sees few requests judges by few: it must refuse a part, and neither all nor none.
@@ -230,7 +270,10 @@
     };
     assert_eq!(refusals_of(100.0, 100.0), 0, "all in time");
     let refusals = refusals_of(400.0, 100.0);
-    assert!((300..995).contains(&refusals), "{refusals} of 1000 refused at twice the bound");
+    assert!(
+        (300..995).contains(&refusals),
+        "{refusals} of 1000 refused at twice the bound"
+    );
 }
 
 // ---- Following the list
@@ -246,19 +289,40 @@
     let mut waits = Vec::new();
     for call in 0..8 {
         let actions = node.feed(Event::Servers(Listing::Failed));
-        let notes = actions.iter().filter(|a| matches!(a, Action::Note(_))).count();
-        assert_eq!(notes, usize::from(call == 0), "the loss is noted once: {actions:?}");
-        let [.., Action::SetTimer { timer, after_ms }] = actions[..] else { panic!("{actions:?}") };
-        assert!(node.feed(Event::Servers(Listing::Failed)).is_empty(), "one call at a time");
+        let notes = actions
+            .iter()
+            .filter(|a| matches!(a, Action::Note(_)))
+            .count();
+        assert_eq!(
+            notes,
+            usize::from(call == 0),
+            "the loss is noted once: {actions:?}"
+        );
+        let [.., Action::SetTimer { timer, after_ms }] = actions[..] else {
+            panic!("{actions:?}")
+        };
+        assert!(
+            node.feed(Event::Servers(Listing::Failed)).is_empty(),
+            "one call at a time"
+        );
         waits.push(after_ms);
         node.now += after_ms;
         assert_eq!(node.feed(Event::Timer(timer)), [Action::Subscribe]);
-        assert!(node.feed(Event::Timer(timer)).is_empty(), "a timer is used once");
+        assert!(
+            node.feed(Event::Timer(timer)).is_empty(),
+            "a timer is used once"
+        );
     }
-    assert!(waits[0] < waits[4] && waits.iter().all(|w| *w <= LONGEST_RESUBSCRIBE_MS), "{waits:?}");
+    assert!(
+        waits[0] < waits[4] && waits.iter().all(|w| *w <= LONGEST_RESUBSCRIBE_MS),
+        "{waits:?}"
+    );
     let list = || Event::Servers(Listing::Full(ready(0..2)));
     let noted = node.feed(list());
-    assert!(matches!(noted[..], [Action::Note(_)]), "and so is the end of it: {noted:?}");
+    assert!(
+        matches!(noted[..], [Action::Note(_)]),
+        "and so is the end of it: {noted:?}"
+    );
     assert!(node.feed(list()).is_empty(), "once");
 }
 
@@ -286,7 +350,10 @@
         sent
     };
     assert!(run(&mut node, 0, false) > 50);
-    assert!(run(&mut node, 1_000, true) < 25, "a failing server kept its traffic");
+    assert!(
+        run(&mut node, 1_000, true) < 25,
+        "a failing server kept its traffic"
+    );
     run(&mut node, 2_000, false);
     node.now += 10_000.0;
     run(&mut node, 2_500, false);
@@ -324,14 +391,21 @@
         let sent = send_of(&node.request(id, 0, 800.0)).is_some();
         node.now += 10.0;
         if sent {
-            let (elapsed, ending) = if broken { (800.0, Ending::TimedOut) } else { (30.0, Ending::Served) };
+            let (elapsed, ending) = if broken {
+                (800.0, Ending::TimedOut)
+            } else {
+                (30.0, Ending::Served)
+            };
             node.end(id, 0, elapsed, ending);
         }
         if id >= 2_000 {
             last = (last.0 + usize::from(sent), last.1 + 1);
         }
     }
-    assert!(last.0 * 100 > last.1 * 95, "{last:?} sent long after the trouble");
+    assert!(
+        last.0 * 100 > last.1 * 95,
+        "{last:?} sent long after the trouble"
+    );
 }
 
 /// With everything late, nodes try idle servers to learn when that ends. Many nodes must not try so
@@ -352,7 +426,10 @@
         }
     }
     // Twenty seconds are fifty aims; sixteen nodes together may try each server some hundred times.
-    assert!((10..=10 * 2 * 50 / 16 * 3 / 2).contains(&tried), "{tried} trials");
+    assert!(
+        (10..=10 * 2 * 50 / 16 * 3 / 2).contains(&tried),
+        "{tried} trials"
+    );
 }
 
 /// A node that sees little keeps few answers of each server: after a crowded start the slow ones must not be
@@ -383,7 +460,10 @@
             refusals += u32::from(!sent);
         }
     }
-    assert!(refusals * 10 < asked, "{refusals} of {asked} refused by what was long past");
+    assert!(
+        refusals * 10 < asked,
+        "{refusals} of {asked} refused by what was long past"
+    );
 }
 
 // ---- Overload
@@ -423,7 +503,10 @@
 /// all servers together must fade too, or it goes on refusing what idle servers would take (incident if6f780).
 #[test]
 fn a_crowded_start_is_forgotten_by_a_node_that_sees_little() {
-    let mut settings = one_class(Effect::Keyed { group: Group::Cell, window_ms: 500.0 });
+    let mut settings = one_class(Effect::Keyed {
+        group: Group::Cell,
+        window_ms: 500.0,
+    });
     (settings.nodes, settings.max_attempts) = (42, 1);
     let mut node = Node::new(settings, 1);
     node.servers(ready(0..16));
@@ -436,7 +519,10 @@
         }
         refusals += usize::from(!sent && id >= 150);
     }
-    assert!(refusals < 30, "{refusals} of 300 refused ten seconds after the crowd and later");
+    assert!(
+        refusals < 30,
+        "{refusals} of 300 refused ten seconds after the crowd and later"
+    );
 }
 
 /// Where a node seldom hears of a server, three failures in a row take half a minute; one is enough.
@@ -456,14 +542,19 @@
         // From the fiftieth request on, half of the servers it has met are down.
         while id >= 50 && met.iter().step_by(2).any(|down| *down == at) {
             failures += 1;
-            let Some(next) = send_of(&node.end(id, attempt, 5.0, Ending::Unreachable)) else { break };
+            let Some(next) = send_of(&node.end(id, attempt, 5.0, Ending::Unreachable)) else {
+                break;
+            };
             (at, attempt) = (next, attempt + 1);
         }
         node.end(id, attempt, 50.0, Ending::Served);
     }
     // By turns they would be sent half of all; trials are a sixteenth at the most.
     let down = met.len().div_ceil(2);
-    assert!((1..=down + 350 / 16).contains(&failures), "{failures} attempts at {down} servers that are down");
+    assert!(
+        (1..=down + 350 / 16).contains(&failures),
+        "{failures} attempts at {down} servers that are down"
+    );
 }
 
 /// A node of many that hears of each server once in many aims keeps to those it knows, in turn.
@@ -479,7 +570,11 @@
         node.now += 100.0;
         node.report(id, 0, 50.0, Ending::Served, Some((1 + id % 3) as f64));
     }
-    assert!((1..20).contains(&met.len()), "{} of 60 servers at four requests in an aim", met.len());
+    assert!(
+        (1..20).contains(&met.len()),
+        "{} of 60 servers at four requests in an aim",
+        met.len()
+    );
 }
 
 /// In a release servers that started of late stand idle beside crowded ones if nodes keep to those they met.
@@ -497,7 +592,9 @@
         for id in 0..150 {
             if id == 100 {
                 entries.extend(ready(60..70));
-                entries[60..].iter_mut().for_each(|e| e.started_at = Some(node.now));
+                entries[60..]
+                    .iter_mut()
+                    .for_each(|e| e.started_at = Some(node.now));
                 node.servers(entries.clone());
             }
             new += usize::from(node.sent_to(id) >= 60);
@@ -505,7 +602,10 @@
             node.end(id, 0, 50.0, Ending::Served);
         }
     }
-    assert!(new >= 8 * 5, "{new} of 400 requests to ten new servers of seventy");
+    assert!(
+        new >= 8 * 5,
+        "{new} of 400 requests to ten new servers of seventy"
+    );
 }
 
 // ---- Generated days
@@ -557,7 +657,10 @@
             Event::Outcome(outcome) => {
                 let entry = self.requests.get_mut(&outcome.request.0).expect("sent");
                 entry.attempts[outcome.attempt].2 = Some(outcome.ending);
-                if matches!(outcome.ending, Ending::TimedOut | Ending::Reset | Ending::Cancelled) {
+                if matches!(
+                    outcome.ending,
+                    Ending::TimedOut | Ending::Reset | Ending::Cancelled
+                ) {
                     entry.quiet_from = now + self.settings.key_quiet_ms;
                 }
                 if outcome.ending == Ending::Served {
@@ -574,9 +677,14 @@
     /// Rules 4 to 6 at a send, before it is entered.
     fn pace(&mut self, now: f64, id: u64, server: &ServerEntry) {
         let (settings, entry) = (&self.settings, &self.requests[&id]);
-        let within = |times: &[f64], span: f64| times.iter().filter(|t| **t > now - span).count() as f64;
+        let within =
+            |times: &[f64], span: f64| times.iter().filter(|t| **t > now - span).count() as f64;
         if settings.classes[entry.class].in_order && entry.item.is_some() {
-            for (_, before) in self.requests.range(..id).filter(|(_, e)| e.item == entry.item) {
+            for (_, before) in self
+                .requests
+                .range(..id)
+                .filter(|(_, e)| e.item == entry.item)
+            {
                 if settings.classes[before.class].in_order {
                     let over = before.done && before.attempts.iter().all(|a| a.2.is_some());
                     assert!(over && before.quiet_from <= now, "sent out of its turn");
@@ -586,15 +694,26 @@
         if let Some(budget) = settings.resends.filter(|_| !entry.attempts.is_empty()) {
             self.resent.push(now);
             let allowed = budget.free + budget.per_request * within(&self.taken, budget.span_ms);
-            assert!(within(&self.resent, budget.span_ms) <= allowed, "further attempts beyond the budget");
+            assert!(
+                within(&self.resent, budget.span_ms) <= allowed,
+                "further attempts beyond the budget"
+            );
         }
         let age = server.started_at.map_or(f64::INFINITY, |at| now - at);
         let this = (server.server.0, server.started_at);
         self.sent.push((now, this.0, this.1));
         if age < settings.cold_ms {
             let from = now - settings.tip_after_ms;
-            let sent = self.sent.iter().filter(|s| s.0 > from && (s.1, s.2) == this).count() as f64;
-            let ready = self.servers.keys().filter(|s| !self.told_gone.contains_key(s)).count();
+            let sent = self
+                .sent
+                .iter()
+                .filter(|s| s.0 > from && (s.1, s.2) == this)
+                .count() as f64;
+            let ready = self
+                .servers
+                .keys()
+                .filter(|s| !self.told_gone.contains_key(s))
+                .count();
             let fair = within(&self.served, settings.tip_after_ms) / ready.min(8) as f64;
             let warmth = settings.cold_from + (1.0 - settings.cold_from) * age / settings.cold_ms;
             assert!(
@@ -606,17 +725,35 @@
 
     fn act(&mut self, now: f64, action: &Action) {
         match action {
-            Action::Send { request, server, .. } => {
-                let target = self.servers.get(&server.0).expect("a listed server").clone();
+            Action::Send {
+                request, server, ..
+            } => {
+                let target = self
+                    .servers
+                    .get(&server.0)
+                    .expect("a listed server")
+                    .clone();
                 self.pace(now, request.0, &target);
                 let gone = self.told_gone.get(&server.0);
-                assert!(gone.is_none_or(|t| now <= t + self.grace_ms), "sent to a drained server");
+                assert!(
+                    gone.is_none_or(|t| now <= t + self.grace_ms),
+                    "sent to a drained server"
+                );
                 let target = self.servers.get(&server.0).expect("a listed server");
                 let entry = self.requests.get_mut(&request.0).expect("a known request");
                 assert!(!entry.done, "sent after the final answer");
-                assert!(entry.attempts.len() < self.settings.max_attempts, "too many attempts");
-                assert!(entry.attempts.iter().all(|a| a.2.is_some()), "two attempts at once");
-                let ran = entry.attempts.iter().find(|a| a.2.is_none_or(Ending::may_have_run));
+                assert!(
+                    entry.attempts.len() < self.settings.max_attempts,
+                    "too many attempts"
+                );
+                assert!(
+                    entry.attempts.iter().all(|a| a.2.is_some()),
+                    "two attempts at once"
+                );
+                let ran = entry
+                    .attempts
+                    .iter()
+                    .find(|a| a.2.is_none_or(Ending::may_have_run));
                 if let Some((first, at, _)) = ran {
                     match self.settings.classes[entry.class].effect {
                         Effect::Safe => {}
@@ -638,15 +775,27 @@
                 let entry = self.requests.get_mut(&request.0).expect("a known request");
                 assert!(!entry.done, "two final answers");
                 entry.done = true;
-                let ran = entry.attempts.iter().any(|a| a.2.is_none_or(Ending::may_have_run));
+                let ran = entry
+                    .attempts
+                    .iter()
+                    .any(|a| a.2.is_none_or(Ending::may_have_run));
                 if matches!(action, Action::Refuse { .. }) && ran {
                     let effect = self.settings.classes[entry.class].effect;
-                    let harmless = matches!(effect, Effect::Safe | Effect::Keyed { group: Group::All, .. });
+                    let harmless = matches!(
+                        effect,
+                        Effect::Safe
+                            | Effect::Keyed {
+                                group: Group::All,
+                                ..
+                            }
+                    );
                     assert!(harmless, "a refusal that promises falsely");
                 }
             }
             Action::Cancel { request, attempt } => {
-                assert!(self.settings.cancel && self.requests[&request.0].attempts.len() > *attempt);
+                assert!(
+                    self.settings.cancel && self.requests[&request.0].attempts.len() > *attempt
+                );
             }
             Action::Probe { .. } => assert!(self.settings.probes, "a probe that is not allowed"),
             Action::Close { .. } => {}
@@ -655,8 +804,15 @@
     }
 
     fn overdue(&self, now: f64) {
-        let late = self.requests.iter().find(|(_, e)| !e.done && now > e.deadline + 20.0);
-        assert!(late.is_none(), "request {:?} got no answer in time", late.map(|(id, _)| id));
+        let late = self
+            .requests
+            .iter()
+            .find(|(_, e)| !e.done && now > e.deadline + 20.0);
+        assert!(
+            late.is_none(),
+            "request {:?} got no answer in time",
+            late.map(|(id, _)| id)
+        );
     }
 }
 
@@ -666,7 +822,14 @@
     let groups = [Group::All, Group::Zone, Group::Cell];
     let mut settings = Settings::new(vec![
         Class::new(200.0, 600.0, Effect::Safe),
-        Class::new(400.0, 900.0, Effect::Keyed { group: groups[seed as usize % 3], window_ms: 500.0 }),
+        Class::new(
+            400.0,
+            900.0,
+            Effect::Keyed {
+                group: groups[seed as usize % 3],
+                window_ms: 500.0,
+            },
+        ),
         Class::new(600.0, 2_000.0, Effect::Unsafe),
     ]);
     settings.nodes = 1 + random.usize(..4);
@@ -676,7 +839,11 @@
     settings.classes[2].in_order = random.bool();
     if random.bool() {
         let (free, per_request) = (random.usize(..4) as f64, random.f64() * 0.2);
-        settings.resends = Some(ResendBudget { free, per_request, span_ms: 2_000.0 });
+        settings.resends = Some(ResendBudget {
+            free,
+            per_request,
+            span_ms: 2_000.0,
+        });
     }
     settings.kinds = 2;
     settings.cancel = random.bool();
@@ -711,7 +878,11 @@
                 if random.u32(..5) == 0 {
                     continue;
                 }
-                let states = [Availability::Ready, Availability::Draining, Availability::Gone];
+                let states = [
+                    Availability::Ready,
+                    Availability::Draining,
+                    Availability::Gone,
+                ];
                 entries.push(ServerEntry {
                     started_at: (random.u32(..4) == 0).then_some(now - 1_000.0),
                     cell: i / 3,
@@ -742,7 +913,10 @@
                 elapsed_ms: now - sent_at,
                 ending,
                 complete: ending == Ending::Served,
-                report: random.bool().then(|| Report { in_flight: Some(random.f64() * 9.0), queued: None }),
+                report: random.bool().then(|| Report {
+                    in_flight: Some(random.f64() * 9.0),
+                    queued: None,
+                }),
             }));
         }
         timers.retain(|(at, timer)| {
@@ -754,14 +928,20 @@
         });
         probes.retain(|(at, server)| {
             if *at <= now {
-                let ending = if random.u32(..8) > 0 { Ending::Served } else { Ending::TimedOut };
+                let ending = if random.u32(..8) > 0 {
+                    Ending::Served
+                } else {
+                    Ending::TimedOut
+                };
                 let held = (random.f64() * 4.0).floor();
                 events.push(Event::Probed {
                     server: ServerId(*server),
                     elapsed_ms: 1.0,
                     ending,
-                    report: (ending == Ending::Served)
-                        .then_some(Report { in_flight: Some(held), queued: None }),
+                    report: (ending == Ending::Served).then_some(Report {
+                        in_flight: Some(held),
+                        queued: None,
+                    }),
                 });
             }
             *at > now
@@ -772,7 +952,8 @@
         }
         let class = random.usize(..3);
         let budget = checker.settings.classes[class].deadline_ms * (0.3 + 0.7 * random.f64());
-        let item: Option<Box<str>> = (random.u32(..4) > 0).then(|| format!("k{}", random.u32(..12)).into());
+        let item: Option<Box<str>> =
+            (random.u32(..4) > 0).then(|| format!("k{}", random.u32(..12)).into());
         checker.requests.insert(
             id,
             Entry {
@@ -785,7 +966,10 @@
             },
         );
         checker.taken.push(now);
-        events.push(Event::Request(Request { item, ..Request::new(RequestId(id), class, budget) }));
+        events.push(Event::Request(Request {
+            item,
+            ..Request::new(RequestId(id), class, budget)
+        }));
         for mut event in events {
             checker.learn(now, &mut event);
             for action in node.feed(event) {
@@ -803,7 +987,11 @@
                             Ending::NotSent,
                         ];
                         let ok = random.u32(..3) > 0;
-                        let ending = if ok { Ending::Served } else { endings[random.usize(..6)] };
+                        let ending = if ok {
+                            Ending::Served
+                        } else {
+                            endings[random.usize(..6)]
+                        };
                         let at = now + random.f64() * random.f64() * 900.0;
                         let (at, ending) = if at > entry.deadline {
                             (entry.deadline, Ending::TimedOut)
@@ -815,7 +1003,8 @@
                     Action::SetTimer { timer, after_ms } => timers.push((now + after_ms, timer)),
                     Action::Probe { server } => probes.push((now + random.f64() * 12.0, server.0)),
                     Action::Cancel { request, attempt } => {
-                        if let Some(o) = out.iter_mut().find(|o| o.1 == request.0 && o.2 == attempt) {
+                        if let Some(o) = out.iter_mut().find(|o| o.1 == request.0 && o.2 == attempt)
+                        {
                             (o.0, o.3) = (now, Ending::Cancelled);
                         }
                     }
@@ -843,7 +1032,12 @@
     assert!(node.end(77, 0, 5.0, Ending::Served).is_empty());
     assert!(node.feed(Event::ClientGone(RequestId(77))).is_empty());
     assert!(node.feed(Event::Timer(0)).is_empty() && node.feed(Event::Timer(5)).is_empty());
-    assert!(node.feed(Event::StreamStarted { request: RequestId(7), attempt: 0 }).is_empty());
+    assert!(node
+        .feed(Event::StreamStarted {
+            request: RequestId(7),
+            attempt: 0
+        })
+        .is_empty());
     let probed = Event::Probed {
         server: ServerId(99),
         elapsed_ms: 1.0,
@@ -852,7 +1046,10 @@
     };
     assert!(node.feed(probed).is_empty());
     node.sent_to(1);
-    assert!(node.end(1, 9, 5.0, Ending::Error).is_empty(), "an attempt that was never made");
+    assert!(
+        node.end(1, 9, 5.0, Ending::Error).is_empty(),
+        "an attempt that was never made"
+    );
 }
 
 /// Guards against taking out good servers for an answer that any of them spoils at times; one that does nothing else
@@ -878,7 +1075,12 @@
             .iter()
             .filter(|a| matches!(a, Action::Note(text) if text.contains("0 is taken out")))
             .count();
-        assert_eq!(outs, usize::from(id == 2), "after {} spoilt answers", id + 1);
+        assert_eq!(
+            outs,
+            usize::from(id == 2),
+            "after {} spoilt answers",
+            id + 1
+        );
         node.feed(Event::ClientGone(RequestId(id)));
         node.now += 10_000.0;
     }
@@ -939,7 +1141,11 @@
                 node.report(id, 0, 390.0, Ending::Served, Some(reported));
             }
         }
-        assert_eq!(refusals == 0, none_refused, "{refusals} refusals where {reported} are reported");
+        assert_eq!(
+            refusals == 0,
+            none_refused,
+            "{refusals} refusals where {reported} are reported"
+        );
     }
 }
 
@@ -959,7 +1165,9 @@
                 node.report(id, 0, 390.0, Ending::Served, Some(reported));
             }
         }
-        let sent = (60..66).filter(|id| send_of(&node.request(*id, 0, 800.0)).is_some()).count();
+        let sent = (60..66)
+            .filter(|id| send_of(&node.request(*id, 0, 800.0)).is_some())
+            .count();
         assert_eq!(sent, taken, "where {reported} are reported");
     }
 }
@@ -1009,7 +1217,10 @@
 // ---- One node of many, which hears of a server once in many aims
 
 fn one_of_many(me: usize) -> Node {
-    let effect = Effect::Keyed { group: Group::Cell, window_ms: 6_000.0 };
+    let effect = Effect::Keyed {
+        group: Group::Cell,
+        window_ms: 6_000.0,
+    };
     let mut settings = one_class(Effect::Safe);
     settings.classes = vec![
         Class::new(300.0, 750.0, Effect::Safe),
@@ -1057,7 +1268,10 @@
     let mut node = one_of_many(11);
     ordinary(&mut node, 0..1, [1.0; 3]);
     let (_, refusals) = ordinary(&mut node, 1..150, [90.0; 3]);
-    assert!(refusals <= 3, "{refusals} of 150 refused with every answer far within its aim");
+    assert!(
+        refusals <= 3,
+        "{refusals} of 150 refused with every answer far within its aim"
+    );
 }
 
 /// Guards against a class of short aim and short answers that is refused until its answers are known.
@@ -1078,21 +1292,39 @@
         ordinary(&mut node, 0..120, [60.0; 3]);
         a_third_starts(&mut node);
         let (sent, _) = ordinary(&mut node, 120..186, [60.0; 3]);
-        for (nth, server) in sent.iter().enumerate().filter(|(_, server)| **server >= 1_000) {
+        for (nth, server) in sent
+            .iter()
+            .enumerate()
+            .filter(|(_, server)| **server >= 1_000)
+        {
             sends.entry(*server).or_default().push(nth as f64 * 61.0);
             cold += 1.0;
         }
         all += sent.len() as f64;
     }
     // Over 4 s they have 0.35 to 0.67 of their capacity: a fifth of what there is.
-    assert!((0.14..0.24).contains(&(cold / all)), "cold servers had {:.3} of the requests", cold / all);
+    assert!(
+        (0.14..0.24).contains(&(cold / all)),
+        "cold servers had {:.3} of the requests",
+        cold / all
+    );
     // A warm server bears what it was sent before, at least: of that they have 0.35 or more.
     let falls_at = 3.0 * 0.35 * 300.0 * 1_500.0 / 61.0 / 180.0;
-    let within =
-        |times: &[f64], from: f64| times.iter().filter(|t| (from..from + 1_500.0).contains(*t)).count();
-    let most = sends.values().flat_map(|times| times.iter().map(|from| within(times, *from))).max();
+    let within = |times: &[f64], from: f64| {
+        times
+            .iter()
+            .filter(|t| (from..from + 1_500.0).contains(*t))
+            .count()
+    };
+    let most = sends
+        .values()
+        .flat_map(|times| times.iter().map(|from| within(times, *from)))
+        .max();
     let most = most.expect("some were sent");
-    assert!((most as f64) < falls_at, "a cold server had {most} in 1.5 s, and falls over at {falls_at:.0}");
+    assert!(
+        (most as f64) < falls_at,
+        "a cold server had {most} in 1.5 s, and falls over at {falls_at:.0}"
+    );
 }
 
 /// Guards against queues that grow before a node hears of them: while much of the capacity is cold, less is expected of it.
@@ -1113,9 +1345,15 @@
         slower.sum::<usize>()
     };
     let (warm, cold) = (refused_with(false, 0), refused_with(true, 0));
-    assert!(cold > warm + 20, "{cold} refused beside cold servers, {warm} beside warm ones");
+    assert!(
+        cold > warm + 20,
+        "{cold} refused beside cold servers, {warm} beside warm ones"
+    );
     let (warm, warmed) = (refused_with(false, 200), refused_with(true, 200));
-    assert!(warmed <= warm + 20, "{warmed} refused after they warmed up, {warm} beside warm ones");
+    assert!(
+        warmed <= warm + 20,
+        "{warmed} refused after they warmed up, {warm} beside warm ones"
+    );
 }
 
 /// Guards against servers that many nodes meet by chance, and others that few do.
@@ -1130,9 +1368,16 @@
         }
     }
     let mean = met.iter().sum::<u32>() as f64 / 180.0;
-    let variance = met.iter().map(|n| (f64::from(*n) - mean).powi(2)).sum::<f64>() / 180.0;
+    let variance = met
+        .iter()
+        .map(|n| (f64::from(*n) - mean).powi(2))
+        .sum::<f64>()
+        / 180.0;
     // A node's first request is drawn from all: it does not know yet how many it will see.
-    assert!(variance < mean / 2.0, "variance {variance:.2} at a mean of {mean:.2}; by chance it is as large");
+    assert!(
+        variance < mean / 2.0,
+        "variance {variance:.2} at a mean of {mean:.2}; by chance it is as large"
+    );
 }
 
 /// Guards against a node that goes on trying the servers of its turn of the ring while none of them is in reach: one that
@@ -1144,13 +1389,22 @@
         node.now += 60.0;
         let mut actions = node.request(id, 0, 700.0);
         for attempt in 0..3 {
-            let Some(server) = send_of(&actions) else { break };
-            let ending = if server < 90 { Ending::Unreachable } else { Ending::Served };
+            let Some(server) = send_of(&actions) else {
+                break;
+            };
+            let ending = if server < 90 {
+                Ending::Unreachable
+            } else {
+                Ending::Served
+            };
             served += usize::from(ending == Ending::Served);
             actions = node.end(id, attempt, 50.0, ending);
         }
     }
-    assert!(served >= 120, "{served} of 200 served with half of the servers in reach");
+    assert!(
+        served >= 120,
+        "{served} of 200 served with half of the servers in reach"
+    );
 }
 
 /// Guards against a repeat that is bound to a cell, of which the sample of a long list holds no server.
@@ -1158,14 +1412,19 @@
 fn a_repeat_bound_to_its_cell_finds_it_in_a_long_list() {
     let mut node = one_of_many(5);
     let mut entries = ready(0..180);
-    entries.iter_mut().for_each(|entry| entry.cell = entry.server.0 % 60);
+    entries
+        .iter_mut()
+        .for_each(|entry| entry.cell = entry.server.0 % 60);
     node.servers(entries);
     ordinary(&mut node, 0..60, [60.0; 3]);
     for id in 100..110 {
         node.now += 60.0;
         let first = send_of(&node.request(id, 2, 5_000.0)).expect("sent");
         let second = send_of(&node.end(id, 0, 50.0, Ending::Error)).expect("sent again");
-        assert!(second != first && second % 60 == first % 60, "{first}, then {second}");
+        assert!(
+            second != first && second % 60 == first % 60,
+            "{first}, then {second}"
+        );
     }
 }
 
@@ -1177,7 +1436,10 @@
     settings.classes = vec![
         Class::new(80.0, 300.0, Effect::Safe),
         Class::new(400.0, 1_500.0, Effect::Safe),
-        Class { worth: 0.25, ..Class::new(2_500.0, 9_000.0, Effect::Safe) },
+        Class {
+            worth: 0.25,
+            ..Class::new(2_500.0, 9_000.0, Effect::Safe)
+        },
     ];
     settings.nodes = 300;
     let mut node = Node::new(settings, 1);
@@ -1197,8 +1459,14 @@
             refusals[class] += usize::from(!sent);
         }
     }
-    assert!(refusals[0] * 2 > asked[0], "the near aim is out of reach: {refusals:?} of {asked:?}");
-    assert!(refusals[2] * 10 < asked[2] * 7, "the distant aim is not: {refusals:?} of {asked:?} refused");
+    assert!(
+        refusals[0] * 2 > asked[0],
+        "the near aim is out of reach: {refusals:?} of {asked:?}"
+    );
+    assert!(
+        refusals[2] * 10 < asked[2] * 7,
+        "the distant aim is not: {refusals:?} of {asked:?} refused"
+    );
 }
 
 /// Requests that all nodes together send a second to each of `SERVERS` servers, before some of them start anew.
@@ -1251,18 +1519,29 @@
                 sends.entry(server).or_default().push(now);
                 // The others are busy, and what has just started says that it is not: all are drawn to it. Of the
                 // others not every answer has news, so that their counts rise above what a newcomer begins at.
-                let report =
-                    if server >= 1_000 { Some(0.0) } else { Some(10.0).filter(|_| random.u8(0..4) == 0) };
+                let report = if server >= 1_000 {
+                    Some(0.0)
+                } else {
+                    Some(10.0).filter(|_| random.u8(0..4) == 0)
+                };
                 node.report(id, 0, 60.0, Ending::Served, report);
             }
         }
     }
     let mut cold: Vec<_> = sends.split_off(&1_000).into_values().collect();
     assert_eq!(cold.len(), 4, "cold servers are used at all");
-    cold.iter_mut().for_each(|times| times.sort_by(f64::total_cmp));
-    let within =
-        |times: &[f64], from: f64| times.iter().filter(|t| (from..from + 1_500.0).contains(*t)).count();
-    cold.iter().flat_map(|times| times.iter().map(|from| within(times, *from))).max().expect("some were sent")
+    cold.iter_mut()
+        .for_each(|times| times.sort_by(f64::total_cmp));
+    let within = |times: &[f64], from: f64| {
+        times
+            .iter()
+            .filter(|t| (from..from + 1_500.0).contains(*t))
+            .count()
+    };
+    cold.iter()
+        .flat_map(|times| times.iter().map(|from| within(times, *from)))
+        .max()
+        .expect("some were sent")
 }
 
 /// Guards cold servers against the sum of what all nodes send, be they few or many, where traffic is uneven and where
@@ -1273,8 +1552,10 @@
     let bears = budget + 2.0 * budget.sqrt() + 2.0;
     for nodes in [2, 5, 20, 30, 300] {
         for (uneven, restarts) in [(false, false), (true, false), (false, true), (true, true)] {
-            let most =
-                (0..3).map(|seed| most_to_a_cold_server(nodes, uneven, restarts, seed)).max().expect("three");
+            let most = (0..3)
+                .map(|seed| most_to_a_cold_server(nodes, uneven, restarts, seed))
+                .max()
+                .expect("three");
             println!("{nodes} nodes, uneven {uneven}, restarts {restarts}: {most} of {bears:.0}");
             assert!(
                 most as f64 <= bears,
@@ -1304,9 +1585,17 @@
             } else {
                 row += 1;
             }
-            assert!(row < 15 || node.now - since < 4_000.0, "{row} refused since {since} by {}", node.now);
+            assert!(
+                row < 15 || node.now - since < 4_000.0,
+                "{row} refused since {since} by {}",
+                node.now
+            );
         }
-        let late: Vec<_> = sent.windows(2).skip(sent.len() / 2).map(|two| two[1] - two[0]).collect();
+        let late: Vec<_> = sent
+            .windows(2)
+            .skip(sent.len() / 2)
+            .map(|two| two[1] - two[0])
+            .collect();
         // Where requests are few, some are sent by chance as ever.
         let are_few = late.iter().all(|gap| *gap >= 3_000.0) || gap_ms > 100.0;
         assert!(!late.is_empty() && are_few, "{gap_ms}: {late:?}");
@@ -1343,7 +1632,9 @@
         (settings.nodes, settings.me) = (NODES, seed);
         let mut node = Node::new(settings, seed as u64);
         node.servers(ready(0..4));
-        waits.iter_mut().for_each(|waits| waits.push(wait(&mut node)));
+        waits
+            .iter_mut()
+            .for_each(|waits| waits.push(wait(&mut node)));
     }
     for (call, waits) in waits.iter_mut().enumerate() {
         waits.sort_by(f64::total_cmp);
@@ -1352,9 +1643,21 @@
             most <= silverthread::LONGEST_RESUBSCRIBE_MS && most >= 1.8 * least,
             "{call}: {least} to {most}"
         );
-        let together = |from: f64| waits.iter().filter(|at| (from..from + WITHIN_MS).contains(*at)).count();
-        let crowd = waits.iter().map(|from| together(*from)).max().expect("some");
+        let together = |from: f64| {
+            waits
+                .iter()
+                .filter(|at| (from..from + WITHIN_MS).contains(*at))
+                .count()
+        };
+        let crowd = waits
+            .iter()
+            .map(|from| together(*from))
+            .max()
+            .expect("some");
         // The first calls come soon, as most watches end alone; from the fifth on a quarter is the most.
-        assert!(call < 4 || crowd * 4 <= NODES, "{call}: {crowd} in {WITHIN_MS} ms");
+        assert!(
+            call < 4 || crowd * 4 <= NODES,
+            "{call}: {crowd} in {WITHIN_MS} ms"
+        );
     }
 }
--- a/tests/servers.rs
+++ b/tests/servers.rs
@@ -16,10 +16,13 @@
 fn what_comes_behind_an_answer_is_nobodys() {
     let copy: fn(&Message) -> Vec<u8> = own;
     let noise: fn(&Message) -> Vec<u8> = |_| b"\x00\xff noise \r\n\r\n".to_vec();
-    let half: fn(&Message) -> Vec<u8> = |_| b"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nroo".to_vec();
+    let half: fn(&Message) -> Vec<u8> =
+        |_| b"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nroo".to_vec();
     std::thread::scope(|all| {
         for behind in [copy, noise, half] {
-            for after in [None, Some(0), Some(1), Some(4), Some(50)].map(|ms| ms.map(Duration::from_millis)) {
+            for after in
+                [None, Some(0), Some(1), Some(4), Some(50)].map(|ms| ms.map(Duration::from_millis))
+            {
                 all.spawn(move || is_nobodys(behind, after));
             }
         }
@@ -35,8 +38,14 @@
     for n in 0..4 {
         let id = format!("r{n}");
         let served = node.ask_until_taken(&post(&id, "pay", "", "x"));
-        assert_eq!((served.status(), served.body), (200, id.into_bytes()), "{after:?}");
-        until("the node leaves the connection", || server.closed() == server.opened());
+        assert_eq!(
+            (served.status(), served.body),
+            (200, id.into_bytes()),
+            "{after:?}"
+        );
+        until("the node leaves the connection", || {
+            server.closed() == server.opened()
+        });
     }
 }
 
@@ -56,12 +65,20 @@
     let (node, _discovery, _watch) = Node::with(&[&server], 15_000);
     for (id, body) in [("r0", "r0"), ("r1", "r0"), ("r2", "r2"), ("r3", "r3")] {
         let served = node.ask_until_taken(&post(id, "pay", "", "x"));
-        assert_eq!((served.status(), served.body.as_slice()), (200, body.as_bytes()), "{id}");
+        assert_eq!(
+            (served.status(), served.body.as_slice()),
+            (200, body.as_bytes()),
+            "{id}"
+        );
         if id == "r1" {
             until("the node leaves the connection", || server.closed() == 1);
         }
     }
-    assert_eq!(server.opened(), 2, "one connection before it, and one since");
+    assert_eq!(
+        server.opened(),
+        2,
+        "one connection before it, and one since"
+    );
 }
 
 /// Guards against answers that are waited for until the request's time is over though they will never be one.
@@ -90,8 +107,14 @@
         let (node, _discovery, _watch) = Node::with(&[&server], 15_000);
         let start = Instant::now();
         let served = node.ask(&post("a", "hold", "Idempotency-Key: 5c0f\r\n", "x"));
-        assert_eq!((served.status(), served.body.as_slice()), (200, b"yes".as_slice()));
-        assert!(start.elapsed() < Duration::from_secs(10), "it is not waited for until the deadline");
+        assert_eq!(
+            (served.status(), served.body.as_slice()),
+            (200, b"yes".as_slice())
+        );
+        assert!(
+            start.elapsed() < Duration::from_secs(10),
+            "it is not waited for until the deadline"
+        );
         assert_eq!(server.requests().len(), 2);
     }
 }
@@ -99,7 +122,8 @@
 /// Guards against taking a spoilt answer for none: what is unsafe to repeat has failed.
 #[test]
 fn a_request_whose_answer_is_spoilt_may_have_run() {
-    let server = Server::start(|_| Reply::Say(b"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nroo".to_vec()));
+    let server =
+        Server::start(|_| Reply::Say(b"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nroo".to_vec()));
     let (node, _discovery, _watch) = Node::with(&[&server], 15_000);
     assert_eq!(node.ask(&post("a", "pay", "", "x")).status(), 502);
     assert_eq!(server.requests().len(), 1);
@@ -114,7 +138,10 @@
     });
     let (node, _discovery, _watch) = Node::with(&[&server], 15_000);
     let served = node.ask(&post("a", "pay", "", "x"));
-    assert_eq!((served.status(), served.body.as_slice()), (200, b"a".as_slice()));
+    assert_eq!(
+        (served.status(), served.body.as_slice()),
+        (200, b"a".as_slice())
+    );
 }
 
 /// Guards against a request that servers object to being tried on one after another, and each being taken out.
@@ -123,7 +150,10 @@
     let server = Server::start(|_| Reply::Say(answer("400 Bad Request", "", "an id of nobody\n")));
     let (node, _discovery, _watch) = Node::with(&[&server], 15_000);
     let rejected = node.ask(&read("a", "15000m"));
-    assert_eq!((rejected.status(), rejected.body.as_slice()), (400, b"an id of nobody\n".as_slice()));
+    assert_eq!(
+        (rejected.status(), rejected.body.as_slice()),
+        (400, b"an id of nobody\n".as_slice())
+    );
     assert_eq!(server.requests().len(), 1);
 }
 
@@ -142,8 +172,15 @@
         .collect();
     let (node, _discovery, _watch) = Node::with(&[&servers[0], &servers[1]], 15_000);
     for n in 0..10 {
-        assert_eq!(node.ask_until_taken(&read(&n.to_string(), "15000m")).status(), 200);
+        assert_eq!(
+            node.ask_until_taken(&read(&n.to_string(), "15000m"))
+                .status(),
+            200
+        );
     }
-    let asked: Vec<_> = servers.iter().map(|server| server.requests().len()).collect();
+    let asked: Vec<_> = servers
+        .iter()
+        .map(|server| server.requests().len())
+        .collect();
     assert!(asked.iter().all(|n| *n > 2), "{asked:?}");
 }
