--- a/tests/settings.rs
+++ b/tests/settings.rs
@@ -14,7 +14,10 @@
         .replace("\"hold\"", "\"read\"")
         .replace("\"pay\"", "\"hold\"")
         .replace("\"fragile\"", "\"retryable\"")
-        .replace("\"classes\"", "\"parties\":[{\"name\":\"other\",\"quota\":1.0}],\"classes\"")
+        .replace(
+            "\"classes\"",
+            "\"parties\":[{\"name\":\"other\",\"quota\":1.0}],\"classes\"",
+        )
         .replace("\"max_attempts\":3", "\"max_attempts\":1")
 }
 
@@ -45,19 +48,34 @@
         }
         let id = |kind: &str| format!("{kind}-{round}");
         let had = |id: &str| {
-            failing.requests().iter().filter(|request| request.header("req-id") == Some(id)).count()
+            failing
+                .requests()
+                .iter()
+                .filter(|request| request.header("req-id") == Some(id))
+                .count()
         };
         // An unsafe one may have run, and is the other's safe one.
         let answer = node.ask(&post(&id("pay"), "pay", "", "x"));
-        assert_eq!((answer.status(), had(&id("pay"))), (502, 1), "round {round}");
+        assert_eq!(
+            (answer.status(), had(&id("pay"))),
+            (502, 1),
+            "round {round}"
+        );
         // A keyed one goes by its key, a safe one without, and both more than once.
         for (kind, request) in [
-            ("hold", post(&id("hold"), "hold", "Idempotency-Key: 5c0f\r\n", "x")),
+            (
+                "hold",
+                post(&id("hold"), "hold", "Idempotency-Key: 5c0f\r\n", "x"),
+            ),
             ("read", read(&id("read"), "15000m")),
         ] {
             let answer = node.ask(&request);
             assert_eq!(answer.status(), 503, "{kind} in round {round}");
-            assert_eq!(had(&id(kind)), 3, "{kind} in round {round}: as often as the own settings allow");
+            assert_eq!(
+                had(&id(kind)),
+                3,
+                "{kind} in round {round}: as often as the own settings allow"
+            );
         }
         // What the other one has a name for means nothing here.
         let unknown = read(&id("search"), "15000m").replace("Req-Kind: read", "Req-Kind: search");
@@ -70,5 +88,7 @@
     });
     let said = list(2, true, &[slow.entry("s-1", "ready")]) + "\n";
     held.last_mut().expect("one is open").say(&said);
-    until("the slow one is known", || node.ask(&read("slow", "15000m")).body == b"slow");
+    until("the slow one is known", || {
+        node.ask(&read("slow", "15000m")).body == b"slow"
+    });
 }
--- a/tests/watches.rs
+++ b/tests/watches.rs
@@ -59,8 +59,12 @@
             Self::Unanswered => String::new(),
             Self::HeadAlone => HEAD.to_owned(),
             Self::Quiet => format!("{HEAD}{}{}", chunk("\n"), chunk("\n")),
-            Self::HalfLine | Self::EndlessLine | Self::Reset => format!("{HEAD}{}", chunk(&line[..20])),
-            Self::Unavailable => "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n".to_owned(),
+            Self::HalfLine | Self::EndlessLine | Self::Reset => {
+                format!("{HEAD}{}", chunk(&line[..20]))
+            }
+            Self::Unavailable => {
+                "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n".to_owned()
+            }
             Self::Nonsense => format!("{HEAD}{}", chunk("{\"generation\":}\n")),
         };
         // One that is moved meanwhile may have been ended.
@@ -74,7 +78,9 @@
         if self == Self::Reset {
             return;
         }
-        stream.set_read_timeout(Some(Duration::from_millis(100))).expect("a socket");
+        stream
+            .set_read_timeout(Some(Duration::from_millis(100)))
+            .expect("a socket");
         let since = Instant::now();
         while since.elapsed() < PATIENCE
             && matches!(stream.read(&mut [0; 1]), Err(e) if e.kind() == std::io::ErrorKind::WouldBlock)
@@ -95,9 +101,15 @@
 impl World {
     fn new(asked_for: bool) -> Self {
         let servers = [0, 1].map(|n| Server::start(move |_| Reply::ok(&n.to_string())));
-        let text = settings(15_000)
-            .replace("\"drain_grace_ms\":0.0", "\"drain_grace_ms\":2000.0,\"ask_within_ms\":10000.0");
-        let text = if asked_for { text.replace("automatic", "subscribe") } else { text };
+        let text = settings(15_000).replace(
+            "\"drain_grace_ms\":0.0",
+            "\"drain_grace_ms\":2000.0,\"ask_within_ms\":10000.0",
+        );
+        let text = if asked_for {
+            text.replace("automatic", "subscribe")
+        } else {
+            text
+        };
         Self { servers, text }
     }
 
@@ -116,7 +128,9 @@
     /// Says that the first server drains, and waits until no request goes there.
     fn drains(&self, watch: &mut TcpStream, node: &Node, version: u64, is_whole: bool) {
         let said = self.list(version, is_whole, "draining") + "\n";
-        watch.write_all(format!("{HEAD}{}", chunk(&said)).as_bytes()).expect("an open connection");
+        watch
+            .write_all(format!("{HEAD}{}", chunk(&said)).as_bytes())
+            .expect("an open connection");
         let mut id = 0;
         until("the change is known", || {
             (0..8).all(|_| {
@@ -165,7 +179,12 @@
 }
 
 fn all_are_told_in_time(asked_for: bool) {
-    let played = Fault::ALL.map(|fault| (fault, std::thread::spawn(move || told_after(fault, asked_for))));
+    let played = Fault::ALL.map(|fault| {
+        (
+            fault,
+            std::thread::spawn(move || told_after(fault, asked_for)),
+        )
+    });
     for (fault, told) in played {
         let took = told.join().unwrap_or_else(|_| panic!("{fault:?}"));
         assert!(took < COUNTS_AS_TOLD, "{fault:?}: {took:?}");
@@ -191,7 +210,9 @@
 fn told_after_move(fault: Fault, asked_for: bool, fault_first: bool) -> Duration {
     let world = World::new(asked_for);
     let discoveries = [0; 2].map(|_| TcpListener::bind("127.0.0.1:0").expect("a port"));
-    let texts = discoveries.each_ref().map(|discovery| world.config(discovery, 7));
+    let texts = discoveries
+        .each_ref()
+        .map(|discovery| world.config(discovery, 7));
     let node = Node::start(&texts[0]);
     let (first, call) = next_call(&discoveries[0]);
     assert!(call.contains("from=7"), "{call}");
@@ -203,13 +224,19 @@
         if !fault_first {
             meets.wait();
         }
-        first.as_mut().into_iter().for_each(|stream| fault.begin(stream));
+        first
+            .as_mut()
+            .into_iter()
+            .for_each(|stream| fault.begin(stream));
         // It is dropped that is reset.
         let mut first = first.filter(|_| fault != Fault::Reset);
         if fault_first {
             meets.wait();
         }
-        first.as_mut().into_iter().for_each(|stream| fault.go_on(stream));
+        first
+            .as_mut()
+            .into_iter()
+            .for_each(|stream| fault.go_on(stream));
     });
     if fault_first {
         both.wait();
@@ -220,7 +247,10 @@
     }
     let since = Instant::now();
     let (mut second, call) = next_call(&discoveries[1]);
-    assert!(!call.contains("from="), "versions are one discovery's own: {call}");
+    assert!(
+        !call.contains("from="),
+        "versions are one discovery's own: {call}"
+    );
     world.drains(&mut second, &node, 2, true);
     let took = since.elapsed();
     drop((second, discoveries, node));
@@ -233,12 +263,21 @@
 #[test]
 fn a_move_of_discovery_is_heard_beside_any_fault_of_the_watch_before() {
     for asked_for in [false, true] {
-        let cases = Fault::ALL.iter().flat_map(|fault| [(*fault, true), (*fault, false)]);
+        let cases = Fault::ALL
+            .iter()
+            .flat_map(|fault| [(*fault, true), (*fault, false)]);
         let played: Vec<_> = cases
-            .map(|case| (case, std::thread::spawn(move || told_after_move(case.0, asked_for, case.1))))
+            .map(|case| {
+                (
+                    case,
+                    std::thread::spawn(move || told_after_move(case.0, asked_for, case.1)),
+                )
+            })
             .collect();
         for (case, told) in played {
-            let took = told.join().unwrap_or_else(|_| panic!("{case:?}, asked for: {asked_for}"));
+            let took = told
+                .join()
+                .unwrap_or_else(|_| panic!("{case:?}, asked for: {asked_for}"));
             assert!(took < MOVED, "{case:?}, asked for: {asked_for}: {took:?}");
         }
     }
@@ -248,10 +287,15 @@
 /// changed since a version of the other.
 #[test]
 fn a_discovery_that_is_new_is_asked_for_the_whole_list() {
-    let text = settings(15_000)
-        .replace("automatic", "subscribe")
-        .replace("\"drain_grace_ms\":0.0", "\"drain_grace_ms\":0.0,\"ask_within_ms\":600000.0");
-    let known = list(7, true, &[entry("s-0", Unreachable::start().address, "ready")]);
+    let text = settings(15_000).replace("automatic", "subscribe").replace(
+        "\"drain_grace_ms\":0.0",
+        "\"drain_grace_ms\":0.0,\"ask_within_ms\":600000.0",
+    );
+    let known = list(
+        7,
+        true,
+        &[entry("s-0", Unreachable::start().address, "ready")],
+    );
     let (old, new) = (Discovery::start(), Discovery::start());
     let node = Node::start(&config(old.address, &known, &text));
     // One call after another fails at once, so that the node waits between two of them nearly all the time.
@@ -259,5 +303,8 @@
         assert!(old.watch().asked.contains("from=7"));
     }
     node.reload(&config(new.address, &known, &text));
-    assert!(!new.watch().asked.contains("from="), "versions are one discovery's own");
+    assert!(
+        !new.watch().asked.contains("from="),
+        "versions are one discovery's own"
+    );
 }
--- a/tests/wire.rs
+++ b/tests/wire.rs
@@ -13,7 +13,11 @@
         .spawn()
         .expect("the binary starts");
     // An adapter that stops early closes its input; what it said before that is what is tested.
-    let _ = child.stdin.take().expect("piped").write_all(input.as_bytes());
+    let _ = child
+        .stdin
+        .take()
+        .expect("piped")
+        .write_all(input.as_bytes());
     child.wait_with_output().expect("the binary ends")
 }
 
@@ -38,7 +42,10 @@
     );
     let output = benchlink(&input);
     assert!(output.status.success());
-    assert_eq!(text(&output.stdout), "NEXT\nPLACE node=node-1 txn=5 server=10.0.0.1:80\nNEXT\nNEXT\n");
+    assert_eq!(
+        text(&output.stdout),
+        "NEXT\nPLACE node=node-1 txn=5 server=10.0.0.1:80\nNEXT\nNEXT\n"
+    );
 }
 
 const LIST: &str =
@@ -53,7 +60,10 @@
 /// Every event in one day, and the actions they lead to.
 #[test]
 fn every_event_is_read_and_every_action_printed() {
-    let boot = BOOT.replace("\"n_instances\"", "\"discovery\": \"subscribe\", \"n_instances\"");
+    let boot = BOOT.replace(
+        "\"n_instances\"",
+        "\"discovery\": \"subscribe\", \"n_instances\"",
+    );
     let input = format!(
         "CLOCK wall_ms=1.0\n{boot}\n{LIST}EOB\n\n\
          CLOCK wall_ms=2.0\nREGISTRY node=node-1 mode=3 roster_id=0 epoch=1\nFIRED node=node-1 nonce=other\n\
@@ -70,12 +80,27 @@
     let replies: Vec<&str> = text(&output.stdout).split("NEXT\n").collect();
     assert_eq!(replies[0], "TRACK node=node-1 want=1\n");
     let second: Vec<&str> = replies[1].lines().collect();
-    assert_eq!(second[0], "NOTE_DOWN node=node-1 note_text=the list of servers does not come");
-    assert!(second[1].starts_with("SCHEDULE node=node-1 nonce=0 offset_ms="), "{}", second[1]);
+    assert_eq!(
+        second[0],
+        "NOTE_DOWN node=node-1 note_text=the list of servers does not come"
+    );
+    assert!(
+        second[1].starts_with("SCHEDULE node=node-1 nonce=0 offset_ms="),
+        "{}",
+        second[1]
+    );
     let third: Vec<&str> = replies[2].lines().collect();
     assert_eq!(third[0], "TRACK node=node-1 want=1");
-    assert!(third[1].starts_with("PLACE node=node-1 txn=5 server=10.0.0."), "{}", third[1]);
-    assert!(third[2].starts_with("PLACE node=node-1 txn=6 server=10.0.0."), "{}", third[2]);
+    assert!(
+        third[1].starts_with("PLACE node=node-1 txn=5 server=10.0.0."),
+        "{}",
+        third[1]
+    );
+    assert!(
+        third[2].starts_with("PLACE node=node-1 txn=6 server=10.0.0."),
+        "{}",
+        third[2]
+    );
     assert_eq!(third[3], "REPORT_FAILURE node=node-1 txn=7");
     assert_eq!(replies[3], "STOP_ATTEMPT node=node-1 txn=6 try=0\n");
 }
@@ -86,7 +111,10 @@
         "CLOCK wall_ms=1.0\n{BOOT}\nCENSUS roster_id=3 hosts=0\nREGISTRY node=node-1 mode=2 roster_id=3 epoch=1\n\
          CALL node=node-1 txn=5 grade=0 budget_ms=800.0\nEOB\n"
     );
-    assert_eq!(text(&benchlink(&input).stdout), "PUSH_BACK node=node-1 txn=5\nNEXT\n");
+    assert_eq!(
+        text(&benchlink(&input).stdout),
+        "PUSH_BACK node=node-1 txn=5\nNEXT\n"
+    );
 }
 
 /// A list number is resolved where the event stands, not where the batch ends.
@@ -112,7 +140,9 @@
     let day = |nodes: &[u32]| {
         let mut input = String::from("CLOCK wall_ms=1.0\n");
         for n in nodes {
-            input += &BOOT.replace("node-1", &format!("node-{n}")).replace("seed=7", &format!("seed={n}"));
+            input += &BOOT
+                .replace("node-1", &format!("node-{n}"))
+                .replace("seed=7", &format!("seed={n}"));
             // The instances come to know the servers in orders of their own.
             let (first, second) = if *n == 1 { (1, 9) } else { (9, 1) };
             input += &format!(
@@ -140,7 +170,10 @@
     };
     let of = |all: &str, n: u32| -> Vec<String> {
         let name = format!("node=node-{n} ");
-        all.lines().filter(|l| l.contains(&name)).map(str::to_owned).collect()
+        all.lines()
+            .filter(|l| l.contains(&name))
+            .map(str::to_owned)
+            .collect()
     };
     let together = day(&[1, 2]);
     for n in [1, 2] {
@@ -154,19 +187,55 @@
 #[test]
 fn malformed_input_ends_it_with_one_line() {
     let cases = [
-        ("CALL node=node-1 grade=0 budget_ms=800.0", "CALL: `txn` is missing"),
-        ("CALL node=node-1 txn=5 grade=0", "CALL: `budget_ms` is missing"),
-        ("CALL node=node-1 txn=five grade=0 budget_ms=800.0", "CALL: `txn=five` is no whole number"),
-        ("CALL node=node-1 txn=5 grade=0 budget_ms=soon", "CALL: `budget_ms=soon` is no number"),
-        ("CALL node=node-1 txn=5 grade=0 budget_ms=NaN", "CALL: `budget_ms=NaN` is no number"),
+        (
+            "CALL node=node-1 grade=0 budget_ms=800.0",
+            "CALL: `txn` is missing",
+        ),
+        (
+            "CALL node=node-1 txn=5 grade=0",
+            "CALL: `budget_ms` is missing",
+        ),
+        (
+            "CALL node=node-1 txn=five grade=0 budget_ms=800.0",
+            "CALL: `txn=five` is no whole number",
+        ),
+        (
+            "CALL node=node-1 txn=5 grade=0 budget_ms=soon",
+            "CALL: `budget_ms=soon` is no number",
+        ),
+        (
+            "CALL node=node-1 txn=5 grade=0 budget_ms=NaN",
+            "CALL: `budget_ms=NaN` is no number",
+        ),
         ("CALL node=node-1 txn", "CALL: `txn` is no name=value pair"),
-        ("REGISTRY node=node-1 mode=1 roster_id=4 epoch=1", "REGISTRY: `roster_id=4` is no list"),
-        ("REGISTRY node=node-1 mode=7 roster_id=0 epoch=1", "REGISTRY: `mode=7` is unknown"),
-        ("CENSUS roster_id=16 hosts=0", "CENSUS: `roster_id=16` is out of range"),
-        ("CENSUS roster_id=0 hosts=1\nEOB", "EOB: `EOB` where an entry of the list was due"),
-        ("ENDED node=node-1 txn=5 rtt_ms=7.0 try=0 complete=1 ending=Q", "ENDED: `ending=Q` is unknown"),
-        ("BOOT node=node-2 seed=1 facts={\"classes\": []}", "BOOT: setting `classes`"),
-        ("BOOT node=node-2 seed=1 facts={\"classes\": [{}]}", "BOOT: `facts`: a class has no `deadline_ms`"),
+        (
+            "REGISTRY node=node-1 mode=1 roster_id=4 epoch=1",
+            "REGISTRY: `roster_id=4` is no list",
+        ),
+        (
+            "REGISTRY node=node-1 mode=7 roster_id=0 epoch=1",
+            "REGISTRY: `mode=7` is unknown",
+        ),
+        (
+            "CENSUS roster_id=16 hosts=0",
+            "CENSUS: `roster_id=16` is out of range",
+        ),
+        (
+            "CENSUS roster_id=0 hosts=1\nEOB",
+            "EOB: `EOB` where an entry of the list was due",
+        ),
+        (
+            "ENDED node=node-1 txn=5 rtt_ms=7.0 try=0 complete=1 ending=Q",
+            "ENDED: `ending=Q` is unknown",
+        ),
+        (
+            "BOOT node=node-2 seed=1 facts={\"classes\": []}",
+            "BOOT: setting `classes`",
+        ),
+        (
+            "BOOT node=node-2 seed=1 facts={\"classes\": [{}]}",
+            "BOOT: `facts`: a class has no `deadline_ms`",
+        ),
         ("BOOT node=node-2 seed=1 facts={", "BOOT: `facts`:"),
         ("CLOCK", "CLOCK: `wall_ms` is missing"),
     ];
@@ -178,7 +247,10 @@
         assert!(!output.status.success(), "{line}");
         assert_eq!(text(&output.stdout), "NEXT\n", "{line}");
         assert_eq!(said.lines().count(), 1, "{said}");
-        assert!(said.contains(message) && said.contains(&format!("line {number}:")), "{line}: {said}");
+        assert!(
+            said.contains(message) && said.contains(&format!("line {number}:")),
+            "{line}: {said}"
+        );
     }
 }
 
@@ -192,7 +264,11 @@
     let output = benchlink(&input);
     assert!(output.status.success());
     assert!(text(&output.stdout).starts_with("NEXT\nPLACE node=node-1 txn=5 server="));
-    assert_eq!(text(&output.stderr).lines().count(), 1, "one note on a kind of message");
+    assert_eq!(
+        text(&output.stderr).lines().count(),
+        1,
+        "one note on a kind of message"
+    );
 }
 
 #[test]
@@ -202,7 +278,11 @@
         started()
     ));
     assert!(output.status.success());
-    assert_eq!(text(&output.stdout), "NEXT\n", "nothing is answered for an unfinished batch");
+    assert_eq!(
+        text(&output.stdout),
+        "NEXT\n",
+        "nothing is answered for an unfinished batch"
+    );
 }
 
 /// Settings that are missing keep a default that allows least; those not known are passed over.
@@ -216,15 +296,21 @@
     let output = benchlink(&input);
     assert!(output.status.success());
     let failed = "REPORT_FAILURE node=node-1 txn=5\nNEXT\n";
-    assert!(text(&output.stdout).ends_with(failed), "{}", text(&output.stdout));
+    assert!(
+        text(&output.stdout).ends_with(failed),
+        "{}",
+        text(&output.stdout)
+    );
 }
 
 /// Where servers may be probed at no price, a request is held until its probes are answered, and an overdue
 /// attempt whose server holds nothing is cancelled and its idle connections closed.
 #[test]
 fn probes_and_closes_are_printed() {
-    let boot =
-        BOOT.replace("\"n_instances\"", "\"allowed\": {\"probes\": true, \"cancel\": true}, \"n_instances\"");
+    let boot = BOOT.replace(
+        "\"n_instances\"",
+        "\"allowed\": {\"probes\": true, \"cancel\": true}, \"n_instances\"",
+    );
     let one = "CENSUS roster_id=0 hosts=1\nM availability=2 server=10.0.0.1:80\n\
                REGISTRY node=node-1 mode=2 roster_id=0 epoch=1\n";
     let health = "HEALTH node=node-1 rtt_ms=1.0 ending=S server=10.0.0.1:80 server_stats=0,0\n";
@@ -238,8 +324,19 @@
     );
     let output = benchlink(&input);
     let replies: Vec<&str> = text(&output.stdout).split("NEXT\n").collect();
-    assert!(replies[0].starts_with("SOUND_OUT node=node-1 server=10.0.0.1:80\nSCHEDULE "), "{}", replies[0]);
-    assert!(replies[1].starts_with("PLACE node=node-1 txn=5 server=10.0.0.1:80\n"), "{}", replies[1]);
+    assert!(
+        replies[0].starts_with("SOUND_OUT node=node-1 server=10.0.0.1:80\nSCHEDULE "),
+        "{}",
+        replies[0]
+    );
+    assert!(
+        replies[1].starts_with("PLACE node=node-1 txn=5 server=10.0.0.1:80\n"),
+        "{}",
+        replies[1]
+    );
     assert_eq!(replies[4], "SOUND_OUT node=node-1 server=10.0.0.1:80\n");
-    assert_eq!(replies[5], "STOP_ATTEMPT node=node-1 txn=6 try=0\nCLOSE node=node-1 server=10.0.0.1:80\n");
+    assert_eq!(
+        replies[5],
+        "STOP_ATTEMPT node=node-1 txn=6 try=0\nCLOSE node=node-1 server=10.0.0.1:80\n"
+    );
 }
--- a/tests/word.rs
+++ b/tests/word.rs
@@ -36,19 +36,28 @@
         }
     };
     fleet.others.push(Server::start(first).quiet());
-    fleet.others.extend((2..SERVERS).map(|_| Server::start(|_| Reply::ok("yes")).quiet()));
+    fleet
+        .others
+        .extend((2..SERVERS).map(|_| Server::start(|_| Reply::ok("yes")).quiet()));
     (0..NODES).for_each(|node| fleet.run(node));
     fleet.agree_within(PATIENCE);
     (fleet, is_bad)
 }
 
 fn loads(fleet: &Fleet, nodes: Range<usize>) -> Vec<Load> {
-    nodes.map(|node| Load::start(fleet.node(node).address, 1, Duration::from_millis(25))).collect()
+    nodes
+        .map(|node| Load::start(fleet.node(node).address, 1, Duration::from_millis(25)))
+        .collect()
 }
 
 fn end(loads: Vec<Load>) {
     let totals: Vec<_> = loads.into_iter().map(Load::end).collect();
-    assert!(totals.iter().all(|totals| totals.lost == 0 && totals.sent > 0), "requests go on");
+    assert!(
+        totals
+            .iter()
+            .all(|totals| totals.lost == 0 && totals.sent > 0),
+        "requests go on"
+    );
 }
 
 /// The weight that a node gives the bad server; 1: nothing is said of it, or the node stands still.
@@ -58,7 +67,8 @@
     }
     let text = fleet.node(node).call("HINTS\n");
     let row = text.lines().find(|line| line.starts_with("s-1 "));
-    row.and_then(|row| row.split(' ').nth(4)?.parse().ok()).unwrap_or(1.0)
+    row.and_then(|row| row.split(' ').nth(4)?.parse().ok())
+        .unwrap_or(1.0)
 }
 
 /// Waits until these nodes all give the bad server such a weight.
@@ -131,7 +141,10 @@
     is_bad.store(true, Ordering::Relaxed);
     wait_for(&mut fleet, "all spare it", 0..NODES, spares);
     let at = fleet.node(2).control().to_string();
-    let table = program().args(["hints", "--at", &at]).output().expect("it starts");
+    let table = program()
+        .args(["hints", "--at", &at])
+        .output()
+        .expect("it starts");
     let table = String::from_utf8_lossy(&table.stdout).into_owned();
     assert!(table.contains("s-1") && table.contains("error"), "{table}");
     assert!(fleet.node(0).figure("word_heard") > 0 && fleet.node(0).figure("word_suspected") > 0);
@@ -140,7 +153,10 @@
     let before = fleet.others[0].count();
     wait_for_requests(&mut fleet, "it has requests again", before + 20);
     end(loads);
-    assert!(fleet.others.iter().all(|server| server.count() > 0), "no server is without requests");
+    assert!(
+        fleet.others.iter().all(|server| server.count() > 0),
+        "no server is without requests"
+    );
 }
 
 /// Two that are deaf to the rest still serve, and whoever is stopped and wakes up harms nobody.
@@ -150,12 +166,23 @@
     let loads = loads(&fleet, 0..NODES);
     for node in 4..NODES {
         for other in (0..NODES).filter(|other| *other != node) {
-            fleet.apply(&Trouble::Cut { from: other, to: node });
+            fleet.apply(&Trouble::Cut {
+                from: other,
+                to: node,
+            });
         }
     }
-    fleet.apply(&Trouble::Pause { node: 3, ms: 2_500.0 });
+    fleet.apply(&Trouble::Pause {
+        node: 3,
+        ms: 2_500.0,
+    });
     is_bad.store(true, Ordering::Relaxed);
-    wait_for(&mut fleet, "those that hear each other spare it", 0..3, spares);
+    wait_for(
+        &mut fleet,
+        "those that hear each other spare it",
+        0..3,
+        spares,
+    );
     fleet.apply(&Trouble::HealAll);
     wait_for(&mut fleet, "all spare it", 0..NODES, spares);
     end(loads);
@@ -167,10 +194,16 @@
 #[test]
 fn word_stays_off_where_nobody_asks_for_it_or_it_is_not_allowed() {
     let fleet = Fleet::start(1, 3, TIMES);
-    assert!(fleet.node(0).call("HINTS\n").starts_with("400 this node takes no word of servers"));
+    assert!(fleet
+        .node(0)
+        .call("HINTS\n")
+        .starts_with("400 this node takes no word of servers"));
     let forbidden = fleet.config(0).replace("\"peers\":true", "\"peers\":false");
-    let node = testkit::Node::start_with(&forbidden, Some(&format!("{}{WORD}", fleet.operators(0))));
-    assert!(node.call("HINTS\n").starts_with("400 this node takes no word of servers"));
+    let node =
+        testkit::Node::start_with(&forbidden, Some(&format!("{}{WORD}", fleet.operators(0))));
+    assert!(node
+        .call("HINTS\n")
+        .starts_with("400 this node takes no word of servers"));
     let read = |text: &str| {
         let path = std::path::Path::new("file");
         silverthread::node::admin::operators::Operators::parse(path, text)
@@ -180,11 +213,23 @@
     let instances = "[instances]\nfleet = \"holds\"\nkey_file = \"key\"\n";
     for (text, why) in [
         ("[word]\n".to_owned(), "word of servers needs [instances]"),
-        (format!("{instances}[word]\nreporters = 1\n"), "`reporters` is out of range"),
-        (format!("{instances}[word]\npanic_share = 0.9\n"), "`panic_share` is out of range"),
-        (format!("{instances}[word]\nturns = 1\n"), "unknown field `turns`"),
+        (
+            format!("{instances}[word]\nreporters = 1\n"),
+            "`reporters` is out of range",
+        ),
+        (
+            format!("{instances}[word]\npanic_share = 0.9\n"),
+            "`panic_share` is out of range",
+        ),
+        (
+            format!("{instances}[word]\nturns = 1\n"),
+            "unknown field `turns`",
+        ),
     ] {
         let error = read(&text);
-        assert!(error.to_string().contains(why) && error.line().is_some(), "{error}");
+        assert!(
+            error.to_string().contains(why) && error.line().is_some(),
+            "{error}"
+        );
     }
 }
