--- a/crates/balancer/src/choice.rs
+++ b/crates/balancer/src/choice.rs
@@ -5,7 +5,10 @@
 
 use std::collections::{BTreeMap, HashMap, VecDeque};
 
-use crate::interface::*;
+use crate::interface::{
+    Action, Availability, Discovery, Effect, Ending, Event, Listing, Outcome, Report, Reports,
+    Request, RequestId, ResendBudget, ServerId, Settings, SettingsError,
+};
 use crate::state::{Attempt, Held, Lane, Mean, Pace, Recent, Server};
 
 /// Weight of one more outcome in a running mean: about the last sixteen count.
@@ -268,9 +271,9 @@
                     self.servers.insert(
                         at,
                         Server {
-                            threshold,
                             entry,
                             out,
+                            threshold,
                             ..Server::default()
                         },
                     );
@@ -466,13 +469,14 @@
         };
         let whom = if pool.is_empty() { &self.ring } else { &pool };
         let subset = || whom.iter().take(most).filter_map(|at| self.servers.get(at));
-        let total: f64 = match pool.is_empty() {
-            true => subset().map(size).sum(),
-            false => kinds
+        let total: f64 = if pool.is_empty() {
+            subset().map(size).sum()
+        } else {
+            kinds
                 .iter()
                 .zip(&self.of_kinds)
                 .map(|(of, ready)| ready * of.1 / of.0)
-                .sum(),
+                .sum()
         };
         let counts = subset().filter_map(|s| Some(s.count? / size(s)));
         let mean = counts.clone().sum::<f64>() / counts.count().max(1) as f64;
@@ -1085,7 +1089,7 @@
 /// of them wait.
 fn usual_share(aim: f64) -> Mean {
     Mean {
-        mean: (1.0 + aim) / 2.0,
+        mean: f64::midpoint(1.0, aim),
         deviation: 1.0,
         seen: 1.0 / GAIN,
     }
--- a/crates/balancer/src/lib.rs
+++ b/crates/balancer/src/lib.rs
@@ -43,6 +43,14 @@
 //! # Ok::<(), balancer::SettingsError>(())
 //! ```
 
+#![allow(
+    clippy::missing_errors_doc,
+    clippy::struct_excessive_bools,
+    clippy::struct_field_names,
+    clippy::too_many_lines,
+    reason = "this file is still to be rewritten: docs/ROADMAP.md, Readability"
+)]
+
 mod choice;
 mod interface;
 mod state;
--- a/crates/consul/src/elements.rs
+++ b/crates/consul/src/elements.rs
@@ -157,7 +157,7 @@
         let (mut elements, mut all) = (Elements::default(), Vec::new());
         for piece in pieces {
             elements.push(piece, |element| {
-                all.push(String::from_utf8_lossy(element).into_owned())
+                all.push(String::from_utf8_lossy(element).into_owned());
             })?;
         }
         elements.end()?;
--- a/crates/consul/src/world.rs
+++ b/crates/consul/src/world.rs
@@ -163,18 +163,17 @@
     fn retell(&mut self, key: String, change: &mut Change) {
         let speakers = self.keys.get(&key).into_iter().flatten();
         let said = speakers.filter_map(|hash| self.entries.get(hash)?.said.clone());
-        match said.max_by_key(|said| (said.registered, said.state, said.facts.address)) {
-            Some(said) => {
-                if self.told.get(&key) != Some(&said) {
-                    self.told.insert(key, Rc::clone(&said));
-                    change.said.push(said);
-                }
+        if let Some(said) =
+            said.max_by_key(|said| (said.registered, said.state, said.facts.address))
+        {
+            if self.told.get(&key) != Some(&said) {
+                self.told.insert(key, Rc::clone(&said));
+                change.said.push(said);
             }
-            None => {
-                self.keys.remove(&key);
-                if self.told.remove(&key).is_some() {
-                    change.left.push(key);
-                }
+        } else {
+            self.keys.remove(&key);
+            if self.told.remove(&key).is_some() {
+                change.left.push(key);
             }
         }
     }
--- a/crates/endpoint-discovery/src/lib.rs
+++ b/crates/endpoint-discovery/src/lib.rs
@@ -26,6 +26,11 @@
 //! assert!(matches!(&actions[0], Action::Changed(hosts) if hosts[0].state == State::Draining));
 //! ```
 
+#![allow(
+    clippy::struct_excessive_bools,
+    reason = "this file is still to be rewritten: docs/ROADMAP.md, Readability"
+)]
+
 mod host;
 mod note;
 mod rules;
--- a/crates/endpoint-discovery/src/source.rs
+++ b/crates/endpoint-discovery/src/source.rs
@@ -423,12 +423,13 @@
         if panic != self.in_panic {
             self.in_panic = panic;
             let source = self.trust.name.clone();
-            notes.push(match panic {
-                true => Note::Withdrawal {
+            notes.push(if panic {
+                Note::Withdrawal {
                     source,
                     of: self.withdrawals(),
-                },
-                false => Note::WithdrawalOver { source },
+                }
+            } else {
+                Note::WithdrawalOver { source }
             });
         }
         self.bury(affected);
--- a/crates/endpoint-discovery/src/view.rs
+++ b/crates/endpoint-discovery/src/view.rs
@@ -95,15 +95,12 @@
             .sources
             .iter()
             .position(|held| held.trust.name == trust.name && held.is_forgotten());
-        match same {
-            Some(at) => {
-                self.sources[at] = Source::new(trust);
-                at
-            }
-            None => {
-                self.sources.push(Source::new(trust));
-                self.sources.len() - 1
-            }
+        if let Some(at) = same {
+            self.sources[at] = Source::new(trust);
+            at
+        } else {
+            self.sources.push(Source::new(trust));
+            self.sources.len() - 1
         }
     }
 
@@ -297,11 +294,12 @@
         let last_standing = self.ready == 0 && !self.standing.is_empty();
         if last_standing != self.last_standing {
             self.last_standing = last_standing;
-            notes.push(match last_standing {
-                true => Note::LastStanding {
+            notes.push(if last_standing {
+                Note::LastStanding {
                     servers: self.standing.len(),
-                },
-                false => Note::LastStandingOver,
+                }
+            } else {
+                Note::LastStandingOver
             });
             for id in self.standing.clone() {
                 self.tell(&id, &mut changed);
--- a/crates/endpoint-discovery/tests/properties.rs
+++ b/crates/endpoint-discovery/tests/properties.rs
@@ -52,7 +52,7 @@
             play.list(source, authority, history, words);
         }
         Deed::Leave(ids) => {
-            drop(play.leave(source, index, ids.into_iter().map(|id| format!("s-{id}"))))
+            drop(play.leave(source, index, ids.into_iter().map(|id| format!("s-{id}"))));
         }
         Deed::Lose => drop(play.feed(Event::Lost { source })),
         Deed::Pass(ms) => play.pass(ms),
--- a/crates/gossip/src/core.rs
+++ b/crates/gossip/src/core.rs
@@ -524,15 +524,14 @@
 
     fn admit_member(&mut self, id: MemberId, entry: Entry, cause: &Cause) -> bool {
         let change = (entry.name.clone(), entry.incarnation, entry.state);
-        match self.table.insert(id, entry) {
-            Some(forgotten) => forgotten.into_iter().for_each(|id| self.forgotten(id)),
-            None => {
-                self.figures.refuse(Refused::Full);
-                if !std::mem::replace(&mut self.full_noted, true) {
-                    self.out.push(Action::Note(Note::Full));
-                }
-                return false;
+        if let Some(forgotten) = self.table.insert(id, entry) {
+            forgotten.into_iter().for_each(|id| self.forgotten(id));
+        } else {
+            self.figures.refuse(Refused::Full);
+            if !std::mem::replace(&mut self.full_noted, true) {
+                self.out.push(Action::Note(Note::Full));
             }
+            return false;
         }
         self.is_stale = true;
         let (name, incarnation, to) = change;
@@ -611,7 +610,7 @@
         let told = || Cause::Told { by: by.to_owned() };
         match record {
             Record::Hello { incarnation, .. } => {
-                self.alive(id, incarnation, head.from, &Cause::Heard)
+                self.alive(id, incarnation, head.from, &Cause::Heard);
             }
             Record::Ping { answer, observer } => {
                 if let Some(entry) = self.table.get_mut(id).filter(|_| observer) {
@@ -836,7 +835,7 @@
         match self.own {
             Own::Leaving => {}
             Own::Superseded(theirs) if incarnation >= theirs => {
-                self.own = Own::Gone(incarnation, self.now)
+                self.own = Own::Gone(incarnation, self.now);
             }
             Own::Superseded(_) => {}
             Own::Gone(at, since) => self.own = Own::Gone(at.max(incarnation), since),
@@ -1294,7 +1293,7 @@
                     answer,
                     observer: true,
                 }],
-            )
+            );
         });
     }
 
--- a/crates/gossip/src/lib.rs
+++ b/crates/gossip/src/lib.rs
@@ -33,6 +33,14 @@
 //! assert!(a.members().any(|member| member.name == "n2" && member.state == State::Alive));
 //! ```
 
+#![allow(
+    clippy::match_same_arms,
+    clippy::needless_for_each,
+    clippy::option_option,
+    clippy::single_match_else,
+    reason = "this file is still to be rewritten: docs/ROADMAP.md, Readability"
+)]
+
 mod core;
 mod kinds;
 mod ring;
--- a/crates/gossip/src/tests.rs
+++ b/crates/gossip/src/tests.rs
@@ -225,7 +225,7 @@
                     answer: false,
                     observer: true,
                 }],
-            )
+            );
         });
         node.run(250.0);
     }
--- a/crates/gossip/tests/hard.rs
+++ b/crates/gossip/tests/hard.rs
@@ -487,7 +487,7 @@
             fleet.cut(1, 0);
         }),
         ("one hears the other and not the reverse", |fleet| {
-            fleet.cut(0, 1)
+            fleet.cut(0, 1);
         }),
         ("each is cut off from the next, one way", |fleet| {
             (0..9).for_each(|node| fleet.cut(node, (node + 1) % 9));
@@ -764,7 +764,7 @@
                     bytes: &bytes,
                 },
                 out,
-            )
+            );
         });
         fleet.world.with(0, |node, now, out| {
             node.act(
@@ -774,7 +774,7 @@
                     bytes: &bytes,
                 },
                 out,
-            )
+            );
         });
     }
     assert_eq!(fleet.view(0).len(), 4);
--- a/crates/lease/src/lib.rs
+++ b/crates/lease/src/lib.rs
@@ -11,6 +11,11 @@
 //! No I/O and no clock: events and time go in, actions come out. Times are milliseconds of the node's own clock since boot,
 //! suspend included. See `docs/lease/design.md`.
 
+#![allow(
+    clippy::needless_for_each,
+    reason = "this file is still to be rewritten: docs/ROADMAP.md, Readability"
+)]
+
 mod claims;
 mod council;
 mod keeper;
--- a/crates/lease/src/node.rs
+++ b/crates/lease/src/node.rs
@@ -564,7 +564,7 @@
                 &Word::Refused {
                     shards: held.to_vec(),
                 },
-            )
+            );
         });
     }
 
@@ -851,19 +851,16 @@
             if slot.own.is_some() {
                 continue;
             }
-            match held.owner {
-                Some(owner) => {
-                    if slot.owner != Some(owner) {
-                        slot.since_ms = now;
-                    }
-                    (slot.owner, slot.free_ms) = (Some(owner), None);
+            if let Some(owner) = held.owner {
+                if slot.owner != Some(owner) {
+                    slot.since_ms = now;
                 }
-                None => {
-                    if slot.owner.take().is_some() {
-                        slot.since_ms = now;
-                    }
-                    slot.free_ms = slot.free_ms.or(Some(now));
+                (slot.owner, slot.free_ms) = (Some(owner), None);
+            } else {
+                if slot.owner.take().is_some() {
+                    slot.since_ms = now;
                 }
+                slot.free_ms = slot.free_ms.or(Some(now));
             }
         }
         if shards.len() >= MOST_HELD {
--- a/crates/lease/tests/world.rs
+++ b/crates/lease/tests/world.rs
@@ -1,5 +1,11 @@
 //! Leases in virtual time: drawn troubles, the hard cases each by itself, and mistakes that are made on purpose.
 
+#![allow(
+    clippy::needless_for_each,
+    clippy::unwrap_used,
+    reason = "this file is still to be rewritten: docs/ROADMAP.md, Readability"
+)]
+
 use lease::{ChangeError, Event, NodeId, Planted, Shard, Standing};
 use simulation::{Clock, Link, Trouble};
 use testkit::owners::{id, trial, File, Fleet, AGAIN, LEASE, SHARDS};
@@ -339,7 +345,7 @@
     let (mut fleet, owner, shard) = owned_by_another(8, Planted::None);
     let to = (3..7).find(|node| *node != owner).expect("another");
     fleet.world.with(owner, |node, now, out| {
-        node.act(now, Event::Give(shard, id(to)), out)
+        node.act(now, Event::Give(shard, id(to)), out);
     });
     // The offer has come, and the answer is on its way.
     fleet.run(0.9);
@@ -348,7 +354,7 @@
         fleet.apply(&Trouble::Cut {
             from: owner,
             to: *other,
-        })
+        });
     });
     fleet.run(100.0);
     assert_eq!(
@@ -360,7 +366,7 @@
         fleet.apply(&Trouble::Mend {
             from: owner,
             to: *other,
-        })
+        });
     });
     fleet.run(400.0);
     assert_eq!(fleet.owner[usize::from(shard)], Some(to));
@@ -373,7 +379,7 @@
     let to = (3..7).find(|node| *node != owner).expect("another");
     fleet.without_ms = 0.0;
     fleet.world.with(owner, |node, now, out| {
-        node.act(now, Event::Give(shard, id(to)), out)
+        node.act(now, Event::Give(shard, id(to)), out);
     });
     fleet.run(200.0);
     assert_eq!(fleet.owner[usize::from(shard)], Some(to));
@@ -610,7 +616,7 @@
     let next = (3..7).find(|node| *node != owner).expect("another");
     (0..3).for_each(|keeper| cut(&mut fleet, next, keeper));
     fleet.world.with(owner, |node, now, out| {
-        node.act(now, Event::Give(shard, id(next)), out)
+        node.act(now, Event::Give(shard, id(next)), out);
     });
     fleet.world.pause(owner, 30_000.0);
     for _ in 0..30 {
--- a/crates/measure/src/cold.rs
+++ b/crates/measure/src/cold.rs
@@ -313,7 +313,7 @@
                     }
                 }
                 Action::SetTimer { timer, after_ms } => {
-                    self.agenda.push(after_ms, Due::Timer(node, timer))
+                    self.agenda.push(after_ms, Due::Timer(node, timer));
                 }
                 _ => {}
             }
--- a/crates/measure/src/main.rs
+++ b/crates/measure/src/main.rs
@@ -2,6 +2,12 @@
 //! measures what it compares within one run, in turn, so that a machine that is slower today is so for both. `all`
 //! plays every subject, and `--brief` behind the name plays it for a moment, to see that it still runs.
 
+#![allow(
+    clippy::needless_for_each,
+    clippy::too_many_lines,
+    reason = "this file is still to be rewritten: docs/ROADMAP.md, Readability"
+)]
+
 mod cold;
 mod connections;
 mod decisions;
--- a/crates/measure/src/members.rs
+++ b/crates/measure/src/members.rs
@@ -63,7 +63,7 @@
             "members-sizes" => println!("{}", row(&SIZES, part)),
             "members-large" => println!("{}", row(&LARGE, part)),
             "detectors" | "detectors-large" => {
-                println!("{}", crate::detectors::row_of(subject, part))
+                println!("{}", crate::detectors::row_of(subject, part));
             }
             "owners-drawn" => println!("{}", crate::owners::trial_of(part)),
             _ => println!("{}", trial_of(part, count == 1)),
--- a/crates/measure/src/outlier_detection.rs
+++ b/crates/measure/src/outlier_detection.rs
@@ -348,7 +348,7 @@
                     self.nodes[node].open.remove(&request.0);
                 }
                 Action::SetTimer { timer, after_ms } => {
-                    self.agenda.push(after_ms, Due::Timer(node, timer))
+                    self.agenda.push(after_ms, Due::Timer(node, timer));
                 }
                 _ => {}
             }
--- a/crates/outlier-detection/src/lib.rs
+++ b/crates/outlier-detection/src/lib.rs
@@ -7,6 +7,13 @@
 //! No I/O and no clock: events and time go in, actions come out. Times are milliseconds of the node's own clock since boot. See
 //! `docs/outlier-detection/design.md`.
 
+#![allow(
+    clippy::needless_for_each,
+    clippy::single_match_else,
+    clippy::too_many_lines,
+    reason = "this file is still to be rewritten: docs/ROADMAP.md, Readability"
+)]
+
 mod tally;
 mod wire;
 mod word;
--- a/crates/outlier-detection/tests/word.rs
+++ b/crates/outlier-detection/tests/word.rs
@@ -98,7 +98,7 @@
                     said.push((node, bytes));
                 }
                 Action::Hint(server, weight) => {
-                    self.weights[node][(server.0 / 7) as usize] = weight
+                    self.weights[node][(server.0 / 7) as usize] = weight;
                 }
                 Action::WakeAt(_) => {}
             }
--- a/crates/pool/src/lib.rs
+++ b/crates/pool/src/lib.rs
@@ -29,6 +29,11 @@
 //! # Ok::<(), std::net::AddrParseError>(())
 //! ```
 
+#![allow(
+    clippy::missing_panics_doc,
+    reason = "this file is still to be rewritten: docs/ROADMAP.md, Readability"
+)]
+
 mod address;
 mod holders;
 mod memory;
--- a/crates/pool/src/pool.rs
+++ b/crates/pool/src/pool.rs
@@ -321,21 +321,20 @@
             let same = before
                 .iter()
                 .position(|known| known.route.address == route.address);
-            held.routes.push(match same {
-                Some(same) => Known {
+            held.routes.push(if let Some(same) = same {
+                Known {
                     route,
                     ..before.remove(same)
-                },
-                None => {
-                    self.next += 1;
-                    let (id, idle) = (RouteId(self.next), IdleMemory::new(idle_ms));
-                    Known {
-                        id,
-                        route,
-                        memory: Memory::default(),
-                        idle,
-                        is_down: false,
-                    }
+                }
+            } else {
+                self.next += 1;
+                let (id, idle) = (RouteId(self.next), IdleMemory::new(idle_ms));
+                Known {
+                    id,
+                    route,
+                    memory: Memory::default(),
+                    idle,
+                    is_down: false,
                 }
             });
         }
@@ -524,22 +523,19 @@
             .waiting
             .iter()
             .position(|waiting| !waiting.avoid.contains(&route));
-        match taker.and_then(|taker| held.waiting.remove(taker)) {
-            Some(Waiting { ticket, .. }) => {
-                held.busy += 1;
-                self.busy.insert(conn, held.in_use(server, route));
-                self.tickets.remove(&ticket);
-                self.release(server, ticket);
-                actions.push(Action::Grant { ticket, conn });
-            }
-            None => {
-                held.idle.push(Idle {
-                    conn,
-                    route,
-                    since: now,
-                });
-                actions.push(Action::Keep { conn });
-            }
+        if let Some(Waiting { ticket, .. }) = taker.and_then(|taker| held.waiting.remove(taker)) {
+            held.busy += 1;
+            self.busy.insert(conn, held.in_use(server, route));
+            self.tickets.remove(&ticket);
+            self.release(server, ticket);
+            actions.push(Action::Grant { ticket, conn });
+        } else {
+            held.idle.push(Idle {
+                conn,
+                route,
+                since: now,
+            });
+            actions.push(Action::Keep { conn });
         }
         self.serve(now, server, actions);
         true
--- a/crates/pool/tests/model.rs
+++ b/crates/pool/tests/model.rs
@@ -1,5 +1,10 @@
 //! The pool against a model, in virtual time, over seeded sequences of everything that can happen.
 
+#![allow(
+    clippy::too_many_lines,
+    reason = "this file is still to be rewritten: docs/ROADMAP.md, Readability"
+)]
+
 use std::collections::{BTreeMap, BTreeSet};
 
 use pool::{
--- a/crates/pool/tests/races.rs
+++ b/crates/pool/tests/races.rs
@@ -58,7 +58,7 @@
         for action in self.actions.drain(..) {
             match action {
                 Action::Dial { dial, route, .. } => {
-                    self.out.push((dial, route.address.to_string()))
+                    self.out.push((dial, route.address.to_string()));
                 }
                 Action::Abort { dial } => self.out.retain(|(out, _)| *out != dial),
                 Action::Grant { ticket, conn } => self.granted.push((ticket, conn)),
--- a/crates/simulation/src/lib.rs
+++ b/crates/simulation/src/lib.rs
@@ -32,6 +32,11 @@
 //! assert_eq!(world.process(1).map(|counter| counter.1), Some(10));
 //! ```
 
+#![allow(
+    clippy::items_after_statements,
+    reason = "this file is still to be rewritten: docs/ROADMAP.md, Readability"
+)]
+
 mod link;
 mod script;
 mod world;
--- a/crates/simulation/src/world.rs
+++ b/crates/simulation/src/world.rs
@@ -217,7 +217,7 @@
     pub fn start(&mut self, node: NodeId, process: P) {
         self.kill(node);
         self.nodes[node].process = Some(process);
-        self.call(node, |process, now, out| process.wake(now, out));
+        self.call(node, Process::wake);
     }
 
     /// A process ends with no word; what arrives while none runs is lost.
@@ -303,17 +303,17 @@
                 // The system hands over what has come, and the alarm that is overdue, in whatever order it likes.
                 let waiting = std::mem::take(&mut node.waiting);
                 if std::mem::take(&mut node.is_overdue) && waiting.len() % 2 == 0 {
-                    self.call(at, |process, now, out| process.wake(now, out));
+                    self.call(at, Process::wake);
                 }
                 for (from, bytes) in waiting {
                     self.arrive(at, from, &bytes);
                 }
-                self.call(at, |process, now, out| process.wake(now, out));
+                self.call(at, Process::wake);
             }
             Due::Resume => {}
             Due::Wake(wake) if wake != node.wake => {}
             Due::Wake(_) if node.stopped_until_us.is_some() => node.is_overdue = true,
-            Due::Wake(_) => self.call(at, |process, now, out| process.wake(now, out)),
+            Due::Wake(_) => self.call(at, Process::wake),
             Due::Arrive { from, bytes } if node.stopped_until_us.is_some() => {
                 if node.waiting.len() < MOST_WAITING {
                     node.waiting.push_back((from, bytes));
@@ -326,7 +326,7 @@
     fn arrive(&mut self, at: NodeId, from: NodeId, bytes: &[u8]) {
         self.totals.arrived += 1;
         self.call(at, |process, now, out| {
-            process.receive(now, from, bytes, out)
+            process.receive(now, from, bytes, out);
         });
     }
 
--- a/crates/stable-hash/src/lib.rs
+++ b/crates/stable-hash/src/lib.rs
@@ -1,6 +1,6 @@
 //! A number from a number: all nodes and versions make the same of the same, so rings, shards and digests may rest on it.
 
-/// The finalizer of SplitMix64 (Steele, Lea, Flood 2014): every bit that goes in changes every bit that comes out.
+/// The finalizer of `SplitMix64` (Steele, Lea, Flood 2014): every bit that goes in changes every bit that comes out.
 ///
 /// ```
 /// assert_eq!(stable_hash::mix(0), 0xe220_a839_7b1d_cdaf);
--- a/crates/testkit/src/lib.rs
+++ b/crates/testkit/src/lib.rs
@@ -12,6 +12,13 @@
 //! });
 //! assert!(server.address.ip().is_loopback());
 //! ```
+
+#![allow(
+    clippy::items_after_statements,
+    clippy::needless_for_each,
+    clippy::needless_pass_by_value,
+    reason = "this file is still to be rewritten: docs/ROADMAP.md, Readability"
+)]
 // A kit for tests fails loudly: what it needs and does not get ends the test that asked for it.
 #![allow(clippy::missing_panics_doc)]
 
--- a/crates/testkit/src/owners.rs
+++ b/crates/testkit/src/owners.rs
@@ -187,7 +187,7 @@
     fn wake(&mut self, own_ms: f64, out: &mut Outbox) {
         match self.candidates.take() {
             Some(candidates) => {
-                self.act(own_ms, Event::Candidates(&candidates, Standing::Well), out)
+                self.act(own_ms, Event::Candidates(&candidates, Standing::Well), out);
             }
             None => self.act(own_ms, Event::Due, out),
         }
@@ -246,6 +246,7 @@
 
 impl Fleet {
     /// So many nodes, the first of which keep; none is started.
+    #[must_use]
     pub fn new(seed: u64, nodes: usize, keepers: usize, planted: Planted) -> Self {
         // Both ends of what clocks may differ.
         let clock = |node: usize| Clock {
@@ -292,6 +293,7 @@
     }
 
     /// The same, started, and all owned.
+    #[must_use]
     pub fn started(seed: u64, nodes: usize, keepers: usize, planted: Planted) -> Self {
         let mut fleet = Self::new(seed, nodes, keepers, planted);
         (0..nodes).for_each(|node| fleet.start(node));
--- a/crates/testkit/src/relay.rs
+++ b/crates/testkit/src/relay.rs
@@ -118,10 +118,10 @@
         let ordinary = state.ordinary.clone();
         match trouble {
             Trouble::Cut { from, to } => {
-                state.links.entry((*from, *to)).or_insert(ordinary).cut = true
+                state.links.entry((*from, *to)).or_insert(ordinary).cut = true;
             }
             Trouble::Mend { from, to } => {
-                state.links.entry((*from, *to)).or_insert(ordinary).cut = false
+                state.links.entry((*from, *to)).or_insert(ordinary).cut = false;
             }
             Trouble::Link { from, to, link } => {
                 state.links.insert((*from, *to), link.clone());
--- a/crates/testkit/src/server.rs
+++ b/crates/testkit/src/server.rs
@@ -87,6 +87,7 @@
     }
 
     /// One more address of the same server.
+    #[must_use]
     pub fn also(&self, kind: Kind) -> Endpoint {
         let (listener, endpoint) = Listener::bind(kind);
         let (seen, reply) = (Arc::clone(&self.seen), Arc::clone(&self.reply));
--- a/crates/testkit/src/socket.rs
+++ b/crates/testkit/src/socket.rs
@@ -15,7 +15,7 @@
 pub enum Kind {
     /// 127.0.0.1.
     V4,
-    /// \[::1\].
+    /// \[`::1`\].
     V6,
     /// A local socket in a folder of its own.
     Unix,
--- a/src/bin/silverthread-simulator-adapter.rs
+++ b/src/bin/silverthread-simulator-adapter.rs
@@ -1,5 +1,10 @@
 //! Drives balancers over the text wire on standard input and output, one for each instance.
 
+#![allow(
+    clippy::format_push_string,
+    reason = "this file is still to be rewritten: docs/ROADMAP.md, Readability"
+)]
+
 use std::collections::{BTreeMap, BTreeSet};
 use std::io::{self, BufRead, Write};
 use std::panic::{self, AssertUnwindSafe};
@@ -62,7 +67,7 @@
             }
             "TEARDOWN" => drop(self.instances.remove(line.text("node")?)),
             "REGISTRY" | "CALL" | "ACK_FIRST" | "ENDED" | "HANGUP" | "FIRED" | "HEALTH" => {
-                self.event(&line)?
+                self.event(&line)?;
             }
             "FROM_PEER" => {} // peers tell a balancer nothing
             other => self.note(other, "passed over an unknown message"),
@@ -103,7 +108,7 @@
         };
         let (now, actions) = (self.now, &mut self.actions);
         let handled = panic::catch_unwind(AssertUnwindSafe(|| {
-            instance.balancer.handle(now, event, actions)
+            instance.balancer.handle(now, event, actions);
         }));
         if handled.is_ok() {
             for action in self.actions.drain(..) {
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -2,6 +2,16 @@
 //!
 //! Both are driven by the decisions of the crate [`balancer`], whose items are re-exported here.
 
+#![allow(
+    clippy::match_same_arms,
+    clippy::needless_for_each,
+    clippy::needless_pass_by_value,
+    clippy::option_option,
+    clippy::struct_field_names,
+    clippy::too_many_lines,
+    reason = "this file is still to be rewritten: docs/ROADMAP.md, Readability"
+)]
+
 pub mod node;
 pub mod simulator;
 
--- a/src/main.rs
+++ b/src/main.rs
@@ -16,12 +16,12 @@
 /// Wrong use or configuration.
 const WRONG: u8 = 2;
 
-/// A load-balancing node. ROUTER_CONFIG names the platform's configuration; without arguments the node runs by that
+/// A load-balancing node. `ROUTER_CONFIG` names the platform's configuration; without arguments the node runs by that
 /// alone.
 #[derive(Parser)]
 #[command(version)]
 struct CommandLine {
-    /// The operators' file; SILVERTHREAD_CONFIG names it, too.
+    /// The operators' file; `SILVERTHREAD_CONFIG` names it, too.
     #[arg(long, value_name = "FILE")]
     config: Option<PathBuf>,
     #[command(subcommand)]
--- a/src/node/discovery/consul.rs
+++ b/src/node/discovery/consul.rs
@@ -254,10 +254,10 @@
         let (name, agent) = (&self.settings.trust.name, self.settings.agents[agent]);
         match trouble {
             Trouble::Unreachable(why) => {
-                log::line(format_args!("{name}: agent {agent} cannot be asked: {why}"))
+                log::line(format_args!("{name}: agent {agent} cannot be asked: {why}"));
             }
             Trouble::Status(status) => {
-                log::line(format_args!("{name}: agent {agent} answered {status}"))
+                log::line(format_args!("{name}: agent {agent} answered {status}"));
             }
             Trouble::Forbidden => log::line(format_args!(
                 "{name}: agent {agent} does not take the token"
--- a/src/node/discovery/roster.rs
+++ b/src/node/discovery/roster.rs
@@ -40,7 +40,7 @@
         .map_err(|error| {
             log::line(format_args!(
                 "an entry of the list of servers is malformed: {error}"
-            ))
+            ));
         })
         .ok()?;
     let state = match raw.lifecycle.as_str() {
--- a/src/node/downstream/clients.rs
+++ b/src/node/downstream/clients.rs
@@ -310,12 +310,13 @@
         async move {
             socket.guard.asks();
             let doubtful = socket.framing.borrow().is_doubtful(this);
-            let mut response = match doubtful {
-                true => plain(
+            let mut response = if doubtful {
+                plain(
                     StatusCode::BAD_REQUEST,
                     "the length is told in more than one way\n",
-                ),
-                false => respond(request, state, tracked).await,
+                )
+            } else {
+                respond(request, state, tracked).await
             };
             tracked.enter(Stage::Answer);
             tracked.set_passing(matches!(response.body(), Outgoing::Passing(..)));
--- a/src/node/driver.rs
+++ b/src/node/driver.rs
@@ -483,7 +483,7 @@
             Action::Send { request, server } => self.send(request.0, server),
             Action::Cancel { request, attempt } => self.cancel(request.0, attempt),
             Action::Refuse { request, after_ms } => {
-                self.answer(request.0, Answer::Refused { after_ms })
+                self.answer(request.0, Answer::Refused { after_ms });
             }
             Action::Fail { request } => self.answer(request.0, Answer::Failed),
             Action::SetTimer { timer, after_ms } => {
--- a/src/node/upstream/http1/exchange.rs
+++ b/src/node/upstream/http1/exchange.rs
@@ -326,8 +326,8 @@
 
 /// Whether what came is the error, and neither the system's nor an end.
 fn is_of_the_bytes(error: &hyper::Error) -> bool {
-    let is_of_the_system =
-        std::error::Error::source(error).is_some_and(|cause| cause.is::<io::Error>());
+    let is_of_the_system = std::error::Error::source(error)
+        .is_some_and(<dyn std::error::Error + 'static>::is::<io::Error>);
     !is_of_the_system
         && !error.is_incomplete_message()
         && !error.is_canceled()
--- a/src/node/upstream/servers.rs
+++ b/src/node/upstream/servers.rs
@@ -363,7 +363,7 @@
     pub async fn wake_up(self: Rc<Self>) {
         loop {
             self.alarm.rings(|| self.now_ms()).await;
-            self.with(|pool, now, actions| pool.due(now, actions));
+            self.with(pool::Pool::due);
             tokio::task::yield_now().await; // Whatever the pool asks for, others have their turn.
         }
     }
--- a/src/simulator.rs
+++ b/src/simulator.rs
@@ -5,7 +5,10 @@
 
 use serde_json::Value;
 
-use balancer::*;
+use balancer::{
+    Action, Availability, Class, Discovery, Effect, Ending, Event, Group, Listing, Outcome, Report,
+    Reports, Request, RequestId, ResendBudget, ServerEntry, ServerId, Settings,
+};
 
 /// What is wrong with a line.
 #[derive(Clone, Debug, PartialEq, Eq)]
--- a/tests/clients.rs
+++ b/tests/clients.rs
@@ -1,5 +1,10 @@
 //! What clients may do to a node that they should not, over loopback sockets.
 
+#![allow(
+    clippy::needless_for_each,
+    reason = "this file is still to be rewritten: docs/ROADMAP.md, Readability"
+)]
+
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::sync::Arc;
 use std::time::{Duration, Instant};
--- a/tests/close_range.rs
+++ b/tests/close_range.rs
@@ -1,6 +1,11 @@
 //! Where two events cross: a word of the end, a client that leaves, a connection that closes, each at the worst moment.
 //! What crosses is forced by peers that wait for one event before they bring about the other.
 
+#![allow(
+    clippy::needless_for_each,
+    reason = "this file is still to be rewritten: docs/ROADMAP.md, Readability"
+)]
+
 use std::io::{Read, Write};
 use std::net::TcpStream;
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -168,7 +173,7 @@
     /// Lets the event loop run for a few milliseconds.
     fn turn(&self, ms: u64) {
         self.local.block_on(&self.runtime, async {
-            tokio::time::sleep(Duration::from_millis(ms)).await
+            tokio::time::sleep(Duration::from_millis(ms)).await;
         });
     }
 
--- a/tests/consul.rs
+++ b/tests/consul.rs
@@ -1,5 +1,10 @@
 //! The node with a roster and Consul, over loopback: agents that lag, lie and vanish.
 
+#![allow(
+    clippy::redundant_closure_for_method_calls,
+    reason = "this file is still to be rewritten: docs/ROADMAP.md, Readability"
+)]
+
 use std::collections::HashMap;
 use std::time::{Duration, Instant};
 
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -154,7 +154,7 @@
         fleet.apply(&Trouble::Cut {
             from: node,
             to: (node + 1) % 6,
-        })
+        });
     });
     fleet.wait(ms(4_000));
     assert_eq!(fleet.gone(), [], "each is cut off from one");
--- a/tests/found.rs
+++ b/tests/found.rs
@@ -1,5 +1,11 @@
 //! One small test for each failure found on the way.
 
+#![allow(
+    clippy::items_after_statements,
+    clippy::needless_for_each,
+    reason = "this file is still to be rewritten: docs/ROADMAP.md, Readability"
+)]
+
 mod common;
 use common::*;
 
--- a/tests/hsq.rs
+++ b/tests/hsq.rs
@@ -1,5 +1,11 @@
 //! The claims of HSQ one by one, and what guards its ordinary path.
 
+#![allow(
+    clippy::format_push_string,
+    clippy::needless_for_each,
+    reason = "this file is still to be rewritten: docs/ROADMAP.md, Readability"
+)]
+
 mod common;
 use common::*;
 
@@ -113,7 +119,7 @@
             0,
             40.0,
             Ending::Served,
-            Some((1 + answers[at] / 2 % 2) as f64),
+            Some(f64::from(1 + answers[at] / 2 % 2)),
         );
     }
 }
--- a/tests/long.rs
+++ b/tests/long.rs
@@ -1,5 +1,10 @@
 //! Messages that are longer than a node holds, and peers that are slow, over loopback sockets.
 
+#![allow(
+    clippy::large_stack_arrays,
+    reason = "this file is still to be rewritten: docs/ROADMAP.md, Readability"
+)]
+
 use std::io::{Read, Write};
 use std::net::TcpStream;
 use std::sync::atomic::{AtomicUsize, Ordering};
@@ -127,15 +132,14 @@
         let (node, _discovery) = node(&[&server]);
         let before = peak_kb(&node);
         let head = upload_head("a", LONG);
-        let request = match is_chunked {
-            false => with_body(&head, &body),
-            true => {
-                let head = head.replace(
-                    &format!("Content-Length: {LONG}"),
-                    "Transfer-Encoding: chunked",
-                );
-                with_body(&head, &chunked(&body, 50_000))
-            }
+        let request = if is_chunked {
+            let head = head.replace(
+                &format!("Content-Length: {LONG}"),
+                "Transfer-Encoding: chunked",
+            );
+            with_body(&head, &chunked(&body, 50_000))
+        } else {
+            with_body(&head, &body)
         };
         let mut stream = TcpStream::connect(node.address).expect("it listens");
         stream.write_all(&request).expect("it is taken");
--- a/tests/node.rs
+++ b/tests/node.rs
@@ -1,5 +1,10 @@
 //! The node as its clients, its servers, discovery and the platform see it, over loopback sockets.
 
+#![allow(
+    clippy::format_collect,
+    reason = "this file is still to be rewritten: docs/ROADMAP.md, Readability"
+)]
+
 use std::process::Stdio;
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::sync::Arc;
--- a/tests/operators.rs
+++ b/tests/operators.rs
@@ -1,5 +1,11 @@
 //! The operators' file and the command line, by the program.
 
+#![allow(
+    clippy::format_collect,
+    clippy::needless_for_each,
+    reason = "this file is still to be rewritten: docs/ROADMAP.md, Readability"
+)]
+
 use std::process::Output;
 
 use testkit::{program, write_config};
--- a/tests/pressure.rs
+++ b/tests/pressure.rs
@@ -1,5 +1,10 @@
 //! Clients that fill, flood or hold a node, and many processes that start at once: bounds hold and others are served.
 
+#![allow(
+    clippy::needless_for_each,
+    reason = "this file is still to be rewritten: docs/ROADMAP.md, Readability"
+)]
+
 use std::io::{BufReader, Write};
 use std::net::{TcpListener, TcpStream};
 use std::sync::atomic::{AtomicBool, Ordering};
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -1,5 +1,12 @@
 //! The four rules at their edges, and on generated days against a checker of its own.
 
+#![allow(
+    clippy::match_same_arms,
+    clippy::needless_for_each,
+    clippy::too_many_lines,
+    reason = "this file is still to be rewritten: docs/ROADMAP.md, Readability"
+)]
+
 mod common;
 use common::*;
 
@@ -1367,7 +1374,7 @@
             node.now += 60.0;
         }
     }
-    let mean = met.iter().sum::<u32>() as f64 / 180.0;
+    let mean = f64::from(met.iter().sum::<u32>()) / 180.0;
     let variance = met
         .iter()
         .map(|n| (f64::from(*n) - mean).powi(2))
--- a/tests/wire.rs
+++ b/tests/wire.rs
@@ -1,5 +1,10 @@
 //! Round trips through the binary on literal batches.
 
+#![allow(
+    clippy::format_push_string,
+    reason = "this file is still to be rewritten: docs/ROADMAP.md, Readability"
+)]
+
 use std::io::Write;
 use std::process::{Command, Output, Stdio};
 
--- a/tests/word.rs
+++ b/tests/word.rs
@@ -136,7 +136,7 @@
 fn a_server_that_is_well_again_comes_back_and_operators_see_it() {
     let (mut fleet, is_bad) = started(1, &format!("{TIMES}{WORD}"));
     let loads = loads(&fleet, 0..NODES);
-    fleet.wait(Duration::from_millis(1_000));
+    fleet.wait(Duration::from_secs(1));
     wait_for(&mut fleet, "nothing is said of it", 0..NODES, is_whole);
     is_bad.store(true, Ordering::Relaxed);
     wait_for(&mut fleet, "all spare it", 0..NODES, spares);
