--- a/crates/membership/src/lib.rs
+++ b/crates/endpoint-discovery/src/lib.rs
@@ -8,7 +8,7 @@
 //! Times are milliseconds of Unix time, as the starts of servers are.
 //!
 //! ```
-//! use membership::{Action, Authority, Event, Host, List, Membership, State, Trust, Word};
+//! use endpoint_discovery::{Action, Authority, Event, Host, List, Membership, State, Trust, Word};
 //!
 //! let mut membership = Membership::new(vec![Trust::roster("roster"), Trust::advisor("consul")]);
 //! let mut actions = Vec::new();
@@ -26,6 +26,11 @@
 //! assert!(matches!(&actions[0], Action::Changed(hosts) if hosts[0].state == State::Draining));
 //! ```
 
+#![allow(
+    clippy::struct_excessive_bools,
+    reason = "this file is still to be rewritten: docs/ROADMAP.md, Readability"
+)]
+
 mod host;
 mod note;
 mod rules;
--- a/crates/measure/src/main.rs
+++ b/crates/measure/src/main.rs
@@ -2,18 +2,24 @@
 //! measures what it compares within one run, in turn, so that a machine that is slower today is so for both. `all`
 //! plays every subject, and `--brief` behind the name plays it for a moment, to see that it still runs.
 
-mod agenda;
+#![allow(
+    clippy::needless_for_each,
+    clippy::too_many_lines,
+    reason = "this file is still to be rewritten: docs/ROADMAP.md, Readability"
+)]
+
 mod cold;
 mod connections;
 mod decisions;
 mod detectors;
+mod event_queue;
 mod following;
 mod members;
+mod outlier_detection;
 mod owners;
 mod proxy;
-mod spread;
+mod stable_hash;
 mod system;
-mod word;
 
 use std::alloc::System;
 use std::process::ExitCode;
@@ -42,8 +48,8 @@
     ("owners-drawn", owners::drawn),
     ("owners-sizes", owners::sizes),
     ("owners-model", owners::model),
-    ("spread", spread::measure),
-    ("word", word::measure),
+    ("spread", stable_hash::measure),
+    ("word", outlier_detection::measure),
     ("cold", cold::measure),
     ("membership", following::measure),
     ("membership-path", following::requests),
@@ -89,7 +95,9 @@
         members::some(&line.subject, seed, line.seeds);
         return ExitCode::SUCCESS;
     }
-    let wanted = SUBJECTS.iter().filter(|(name, _)| line.subject == "all" || line.subject == *name);
+    let wanted = SUBJECTS
+        .iter()
+        .filter(|(name, _)| line.subject == "all" || line.subject == *name);
     wanted.for_each(|(_, measure)| measure());
     ExitCode::SUCCESS
 }
--- a/crates/duties/src/lib.rs
+++ b/crates/outlier-detection/src/lib.rs
@@ -5,7 +5,14 @@
 //! never about more than a part of all servers: beyond that it is the reporter who is suspect.
 //!
 //! No I/O and no clock: events and time go in, actions come out. Times are milliseconds of the node's own clock since boot. See
-//! `docs/duties/design.md`.
+//! `docs/outlier-detection/design.md`.
+
+#![allow(
+    clippy::needless_for_each,
+    clippy::single_match_else,
+    clippy::too_many_lines,
+    reason = "this file is still to be rewritten: docs/ROADMAP.md, Readability"
+)]
 
 mod tally;
 mod wire;
--- a/crates/pool/src/lib.rs
+++ b/crates/pool/src/lib.rs
@@ -29,6 +29,11 @@
 //! # Ok::<(), std::net::AddrParseError>(())
 //! ```
 
+#![allow(
+    clippy::missing_panics_doc,
+    reason = "this file is still to be rewritten: docs/ROADMAP.md, Readability"
+)]
+
 mod address;
 mod holders;
 mod memory;
@@ -41,6 +46,7 @@
 pub use memory::{IdleMemory, Memory};
 pub use odd::Oddness;
 pub use pool::{
-    Action, Closed, ConnId, DialId, Limits, Pool, RouteId, ServerKey, Taken, Ticket, Why, MOST_ADDRESSES,
+    Action, Closed, ConnId, DialId, Limits, Pool, RouteId, ServerKey, Taken, Ticket, Why,
+    MOST_ADDRESSES,
 };
 pub use verdict::{judge, Age, Broke, Next, Sent};
--- a/crates/emulator/src/lib.rs
+++ b/crates/simulation/src/lib.rs
@@ -6,7 +6,7 @@
 //! numbers of its own.
 //!
 //! ```
-//! use emulator::{Outbox, Process, Trouble, World};
+//! use simulation::{Outbox, Process, Trouble, World};
 //!
 //! /// Speaks to another once a second, where there is one, and counts what it hears.
 //! struct Counter(Option<usize>, u32);
@@ -32,6 +32,11 @@
 //! assert_eq!(world.process(1).map(|counter| counter.1), Some(10));
 //! ```
 
+#![allow(
+    clippy::items_after_statements,
+    reason = "this file is still to be rewritten: docs/ROADMAP.md, Readability"
+)]
+
 mod link;
 mod script;
 mod world;
--- a/crates/testkit/src/lib.rs
+++ b/crates/testkit/src/lib.rs
@@ -12,6 +12,13 @@
 //! });
 //! assert!(server.address.ip().is_loopback());
 //! ```
+
+#![allow(
+    clippy::items_after_statements,
+    clippy::needless_for_each,
+    clippy::needless_pass_by_value,
+    reason = "this file is still to be rewritten: docs/ROADMAP.md, Readability"
+)]
 // A kit for tests fails loudly: what it needs and does not get ends the test that asked for it.
 #![allow(clippy::missing_panics_doc)]
 
@@ -31,13 +38,15 @@
 mod socket;
 
 pub use discovery::{entry, list, Discovery, Watch};
-pub use emulator::{draw, Bounds, Link, Script, Trouble};
 pub use fleet::{Fleet, Member, Members};
 pub use load::{Load, Totals};
 pub use message::{answer, post, read, Message};
-pub use node::{config, program, program_path, settings, settings_with_aim, write_config, Client, Node};
+pub use node::{
+    config, program, program_path, settings, settings_with_aim, write_config, Client, Node,
+};
 pub use register::{Effect, Register};
 pub use server::{Reply, Server, Unreachable};
+pub use simulation::{draw, Bounds, Link, Script, Trouble};
 pub use socket::{Endpoint, Kind, Listener, Stream};
 
 use std::thread;
--- a/src/main.rs
+++ b/src/main.rs
@@ -5,23 +5,23 @@
 use std::process::ExitCode;
 
 use clap::{Parser, Subcommand};
-use silverthread::net::fleet::FleetError;
-use silverthread::net::operate::ask;
-use silverthread::net::operate::operators::Operators;
-use silverthread::net::{config::Config, run, Extras, NodeError};
-use silverthread::wire::one_line;
+use silverthread::node::admin::ask;
+use silverthread::node::admin::operators::Operators;
+use silverthread::node::cluster::FleetError;
+use silverthread::node::{config::Config, run, Extras, NodeError};
+use silverthread::simulator::one_line;
 
 /// The variable that names the operators' file where the command line does not.
 const VARIABLE: &str = "SILVERTHREAD_CONFIG";
 /// Wrong use or configuration.
 const WRONG: u8 = 2;
 
-/// A load-balancing node. ROUTER_CONFIG names the platform's configuration; without arguments the node runs by that
+/// A load-balancing node. `ROUTER_CONFIG` names the platform's configuration; without arguments the node runs by that
 /// alone.
 #[derive(Parser)]
 #[command(version)]
 struct CommandLine {
-    /// The operators' file; SILVERTHREAD_CONFIG names it, too.
+    /// The operators' file; `SILVERTHREAD_CONFIG` names it, too.
     #[arg(long, value_name = "FILE")]
     config: Option<PathBuf>,
     #[command(subcommand)]
@@ -74,14 +74,20 @@
         None => {}
     }
     end_on_panic();
-    let file =
-        line.config.or_else(|| std::env::var_os(VARIABLE).filter(|f| !f.is_empty()).map(PathBuf::from));
+    let file = line.config.or_else(|| {
+        std::env::var_os(VARIABLE)
+            .filter(|f| !f.is_empty())
+            .map(PathBuf::from)
+    });
     let operators = match file.as_deref().map(Operators::read).transpose() {
         Ok(operators) => operators.unwrap_or_default(),
         Err(error) => return fail(&error, WRONG),
     };
     let extras = Extras { operators, file };
-    match Config::from_environment().map_err(Into::into).and_then(|config| run(config, extras)) {
+    match Config::from_environment()
+        .map_err(Into::into)
+        .and_then(|config| run(config, extras))
+    {
         Ok(()) => ExitCode::SUCCESS,
         Err(error @ NodeError::Fleet(FleetError::Missing(_))) => fail(&error, WRONG),
         Err(error) => fail(&error, 1),
@@ -97,7 +103,10 @@
     match Operators::read(file) {
         Ok(operators) => {
             println!("{}: sound", file.display());
-            operators.summary().iter().for_each(|line| println!("  {line}"));
+            operators
+                .summary()
+                .iter()
+                .for_each(|line| println!("  {line}"));
             ExitCode::SUCCESS
         }
         Err(error) => fail(&error, WRONG),
