--- a/crates/balancer/src/choice.rs
+++ b/crates/balancer/src/choice.rs
@@ -1,4 +1,4 @@
-//! Every decision of a node. Types, events and actions: `crates/balancer/src/interface.rs`; its records: `crates/balancer/src/state.rs`.
+//! Every decision of a node. Types, events and actions: `interface.rs`; its records: `state.rs`.
 //! The ordinary path is HSQ (Islam, "Network Load Balancing Methods", IV.E): `Balancer::pick` sends to
 //! the lowest count and adds one, `Balancer::report` lets a fresh report overwrite its server's count.
 //! All else decides which servers may be picked, and what becomes of a request that was not served.
--- a/crates/balancer/src/interface.rs
+++ b/crates/balancer/src/interface.rs
@@ -441,8 +441,8 @@
     },
     /// An attempt ended.
     Outcome(Outcome),
-    /// What other nodes say of a server: the part, 0 to 1, of its ordinary share that it should have; 1 takes back what was
-    /// said before. It restricts, and a server that is alone is used all the same.
+    /// What other nodes say of a server: the part, 0 to 1, of its ordinary share that it should have; 1 takes
+    /// back what was said before. It restricts, and a server that is alone is used all the same.
     Hint {
         /// The server.
         server: ServerId,
--- a/crates/balancer/src/state.rs
+++ b/crates/balancer/src/state.rs
@@ -113,8 +113,8 @@
             .is_some_and(|until| until > now || self.out > 0)
     }
 
-    /// Whether nothing can be heard of it any more. Guards against a node that remembers every server there ever
-    /// was: what it does and keeps follows those there are.
+    /// Whether nothing can be heard of it any more. Guards against a node that remembers every server there
+    /// ever was: what it does and keeps follows those there are.
     pub fn is_over(&self) -> bool {
         self.entry.availability == Availability::Gone && self.out == 0
     }
