--- a/crates/flow-control/src/lib.rs
+++ b/crates/flow-control/src/lib.rs
@@ -1,27 +1,32 @@
-//! How long messages pass through a node that cannot hold them all.
+//! Limits for messages that pass through a node without being held in memory as a whole.
 //!
-//! [`Room`] is memory that messages share: what is taken from it is given back by being dropped. [`Pace`] says by when a
-//! peer must have gone on, so that one that is slow is waited for and one that has stopped is not. Nothing here has a
-//! socket or a clock; times are milliseconds of any clock that never runs backwards.
+//! A [`MemoryBudget`] is the memory that all buffered messages share: each buffer holds a
+//! [`Reservation`], which returns its bytes when it is dropped. A [`TransferDeadline`] is the time by
+//! which a peer must have transferred more data, so that a slow peer is waited for and a stalled one is
+//! not.
+//!
+//! The crate has no socket and no clock. Times are milliseconds of any monotonic clock.
 //!
 //! ```
-//! use flow_control::{Pace, Room};
+//! use flow_control::{MemoryBudget, TransferDeadline};
 //!
-//! let room = Room::new(1024);
-//! let share = room.take(1000).expect("it is empty");
-//! assert!(room.take(100).is_none(), "whoever wants more must pass it on");
-//! drop(share);
-//! assert!(room.take(100).is_some());
+//! let budget = MemoryBudget::new(1024);
+//! let reservation = budget.try_reserve(1000).expect("the budget is unused");
+//! assert!(budget.try_reserve(100).is_none(), "a longer message has to be streamed");
+//! drop(reservation);
+//! assert!(budget.try_reserve(100).is_some());
 //!
-//! // 64 bytes a millisecond are asked for, and half a second is given.
-//! let mut pace = Pace::begin(0.0, 500.0, 64.0);
-//! assert_eq!(pace.due_ms(), 500.0);
-//! pace.moved(6_400);
-//! assert_eq!(pace.due_ms(), 600.0);
+//! // At least 64 bytes per millisecond, after a grace period of half a second.
+//! let mut deadline = TransferDeadline::new(0.0, 500.0, 64.0);
+//! assert_eq!(deadline.due_ms(), 500.0);
+//! deadline.record_bytes(6_400);
+//! assert_eq!(deadline.due_ms(), 600.0);
 //! ```
 
-mod pace;
-mod room;
+mod memory_budget;
+mod transfer_rate;
 
-pub use pace::{answer_stall_ms, Pace, LEAST_STALL_MS, MOST_STALL_MS};
-pub use room::{Room, Share};
+pub use memory_budget::{MemoryBudget, Reservation};
+pub use transfer_rate::{
+    response_stall_timeout_ms, TransferDeadline, MAX_RESPONSE_STALL_MS, MIN_RESPONSE_STALL_MS,
+};
--- /dev/null
+++ b/crates/flow-control/src/memory_budget/tests.rs
@@ -0,0 +1,41 @@
+//! Tests of the shared memory budget.
+
+use proptest::prelude::*;
+
+use super::*;
+
+#[test]
+fn reservation_is_released_with_the_last_slice_of_its_body() {
+    let budget = MemoryBudget::new(100);
+    let reservation = budget.try_reserve(60).expect("available");
+    assert!(budget.try_reserve(60).is_none());
+    let body = reservation.attach_to(Bytes::from_static(b"yes"));
+    let slice = body.slice(1..);
+    drop(body);
+    assert!(budget.try_reserve(60).is_none(), "a slice is still held");
+    assert_eq!(slice, "es");
+    drop(slice);
+    assert!(budget.try_reserve(100).is_some());
+}
+
+proptest! {
+    /// Reserved and available bytes add up to the budget after every step, in every order.
+    #[test]
+    fn reserved_and_available_bytes_add_up_in_any_order(
+        steps in proptest::collection::vec((0..3_u8, 0..50_usize, any::<usize>()), 0..100),
+    ) {
+        let budget = MemoryBudget::new(200);
+        let mut reservations: Vec<Reservation> = Vec::new();
+        for (step, bytes, index) in steps {
+            match (step, reservations.len()) {
+                (0, _) | (_, 0) => reservations.extend(budget.try_reserve(bytes)),
+                (1, count) => {
+                    let _ = reservations[index % count].try_grow(bytes);
+                }
+                (_, count) => drop(reservations.swap_remove(index % count)),
+            }
+            let reserved: usize = reservations.iter().map(Reservation::bytes).sum();
+            prop_assert_eq!(budget.available() + reserved, 200);
+        }
+    }
+}
--- /dev/null
+++ b/crates/flow-control/src/transfer_rate/tests.rs
@@ -0,0 +1,45 @@
+//! Tests of minimum transfer rates.
+
+use proptest::prelude::*;
+
+use super::*;
+
+#[test]
+fn stalled_response_leaves_time_for_a_retry() {
+    assert_eq!(response_stall_timeout_ms(300.0), MIN_RESPONSE_STALL_MS);
+    assert_eq!(response_stall_timeout_ms(1_500.0), 500.0);
+    assert_eq!(response_stall_timeout_ms(6_000.0), MAX_RESPONSE_STALL_MS);
+    assert_eq!(
+        response_stall_timeout_ms(f64::INFINITY),
+        MAX_RESPONSE_STALL_MS
+    );
+}
+
+proptest! {
+    /// A peer at the minimum rate never reaches its deadline, however its data is split; a slower one does.
+    #[test]
+    fn peer_at_the_minimum_rate_is_never_due(
+        chunks in proptest::collection::vec(1..100_000_usize, 1..100),
+        slowdown in 0.1..1.0_f64,
+    ) {
+        let (min_rate, grace_ms) = (64.0, 1_000.0);
+        let mut deadline = TransferDeadline::new(0.0, grace_ms, min_rate);
+        let mut now_ms = 0.0;
+        for bytes in &chunks {
+            now_ms += *bytes as f64 / min_rate;
+            deadline.record_bytes(*bytes);
+            prop_assert!(
+                (deadline.due_ms() - now_ms - grace_ms).abs() < 1e-3,
+                "the grace period is not used up"
+            );
+        }
+        let mut slow_deadline = TransferDeadline::new(0.0, grace_ms, min_rate);
+        let (mut now_ms, mut steps) = (0.0, 0);
+        while now_ms <= slow_deadline.due_ms() && steps < 1_000_000 {
+            now_ms += 100.0;
+            slow_deadline.record_bytes((100.0 * min_rate * slowdown * 0.9) as usize);
+            steps += 1;
+        }
+        prop_assert!(steps < 1_000_000, "a slower peer is due in the end");
+    }
+}
--- a/crates/stable-hash/src/lib.rs
+++ b/crates/stable-hash/src/lib.rs
@@ -1,6 +1,10 @@
-//! A number from a number: all nodes and versions make the same of the same, so rings, shards and digests may rest on it.
+//! Mixing of 64-bit numbers with the same result on every node and in every version.
+//!
+//! Observer rings, shard preferences, and state digests of the fleet rest on it, so the function must
+//! never change: two versions that mixed differently could not agree on any of these. It is no defense
+//! against inputs that are chosen to collide; data from outside is authenticated before it gets here.
 
-/// The finalizer of `SplitMix64` (Steele, Lea, Flood 2014): every bit that goes in changes every bit that comes out.
+/// The finalizer of `SplitMix64` (Steele, Lea, Flood 2014): each input bit affects every output bit.
 ///
 /// ```
 /// assert_eq!(stable_hash::mix(0), 0xe220_a839_7b1d_cdaf);
--- a/src/node/downstream/clients.rs
+++ b/src/node/downstream/clients.rs
@@ -10,7 +10,7 @@
 
 use admin::{Drain, End, Stay, Taken as Counted};
 use bytes::{Bytes, BytesMut};
-use flow_control::{Pace, Room, Share};
+use flow_control::{MemoryBudget, Reservation, TransferDeadline};
 use http_body_util::BodyExt;
 use hyper::body::{Body, Incoming};
 use hyper::header::{self, HeaderMap, HeaderName, HeaderValue};
@@ -124,21 +124,21 @@
     pub is_shared: bool,
     /// So many connections at the most.
     pub most: usize,
-    /// Bytes of long requests that are held at a time.
-    pub room: usize,
+    /// How many bytes of long request bodies may be buffered at a time.
+    pub max_buffered_upload_bytes: usize,
 }
 
 impl FrontOptions {
     /// Through a listening socket of the node's own, with no drain.
     #[must_use]
     pub fn own(phases: watch::Receiver<Phase>, most: usize) -> Self {
-        let room = Limits::default().long_requests();
+        let max_buffered_upload_bytes = Limits::default().long_requests();
         Self {
             phases,
             drain: Rc::default(),
             is_shared: false,
             most,
-            room,
+            max_buffered_upload_bytes,
         }
     }
 }
@@ -149,7 +149,7 @@
     options: FrontOptions,
     phases: watch::Receiver<Phase>,
     table: Rc<ConnectionTable>,
-    room: Room,
+    upload_memory: MemoryBudget,
     /// The ids of the requests that are being read or served.
     open: RefCell<HashSet<HeaderValue>>,
 }
@@ -162,7 +162,7 @@
     let state = Rc::new(FrontState {
         driver,
         phases: phases.clone(),
-        room: Room::new(options.room),
+        upload_memory: MemoryBudget::new(options.max_buffered_upload_bytes),
         options,
         table: Rc::clone(&table),
         open: RefCell::default(),
@@ -602,7 +602,7 @@
 /// A body on its way from its client.
 struct Coming {
     body: Incoming,
-    pace: Pace,
+    deadline: TransferDeadline,
 }
 
 /// What is held of a body.
@@ -617,7 +617,7 @@
     fn new(body: Incoming, now_ms: f64) -> Self {
         Self {
             body,
-            pace: Pace::of_sending(now_ms),
+            deadline: TransferDeadline::for_upload(now_ms),
         }
     }
 
@@ -633,7 +633,7 @@
             "the body did not come in time\n",
         );
         loop {
-            let left_ms = (self.pace.due_ms() - state.driver.now_ms()).max(0.0);
+            let left_ms = (self.deadline.due_ms() - state.driver.now_ms()).max(0.0);
             let frame =
                 tokio::time::timeout(Duration::from_secs_f64(left_ms / 1e3), self.body.frame())
                     .await;
@@ -642,7 +642,7 @@
                 Some(Err(_)) => return Err(bad("the body is malformed\n")),
                 Some(Ok(frame)) => {
                     if let Ok(piece) = frame.into_data() {
-                        self.pace.moved(piece.len());
+                        self.deadline.record_bytes(piece.len());
                         return Ok(Some(piece));
                     }
                 }
@@ -659,7 +659,7 @@
             return Ok(Held::Whole(first));
         }
         let mut held = BytesMut::from(first);
-        let mut share = None::<Share>;
+        let mut reservation = None::<Reservation>;
         let told = self
             .left()
             .map(|left| left.saturating_add(held.len() as u64));
@@ -667,15 +667,17 @@
         while told.is_none_or(|told| told <= MOST_HELD as u64) && held.len() < MOST_HELD {
             // What is longer than ordinary is held as long as there is room.
             let beyond = held.len().saturating_sub(MOST_BODY);
-            let has_room = match &mut share {
+            let is_reserved = match &mut reservation {
                 _ if beyond == 0 => true,
-                Some(share) => share.grow(beyond.saturating_sub(share.bytes())),
+                Some(reservation) => {
+                    reservation.try_grow(beyond.saturating_sub(reservation.bytes()))
+                }
                 None => {
-                    share = state.room.take(beyond);
-                    share.is_some()
+                    reservation = state.upload_memory.try_reserve(beyond);
+                    reservation.is_some()
                 }
             };
-            if !has_room {
+            if !is_reserved {
                 break;
             }
             let Some(piece) = self.piece(state).await? else {
@@ -684,8 +686,8 @@
             };
             held.extend_from_slice(&piece);
         }
-        let body = match (share, held.freeze()) {
-            (Some(share), body) => share.hold(body),
+        let body = match (reservation, held.freeze()) {
+            (Some(reservation), body) => reservation.attach_to(body),
             (None, body) => body,
         };
         Ok(if is_whole {
@@ -708,7 +710,8 @@
                 return Ok(false);
             }
             // Here it was the server that was waited for.
-            self.pace.held_up(state.driver.now_ms() - since_ms);
+            self.deadline
+                .exclude_pause(state.driver.now_ms() - since_ms);
         }
         Ok(feeder.end().await.is_ok())
     }
--- a/src/node/downstream/passing.rs
+++ b/src/node/downstream/passing.rs
@@ -7,7 +7,7 @@
 use std::time::Duration;
 
 use bytes::Bytes;
-use flow_control::Pace;
+use flow_control::TransferDeadline;
 use http_body::{Body, Frame, SizeHint};
 use http_body_util::Full;
 use pool::Broke;
@@ -54,8 +54,8 @@
 pub struct Feeder {
     pieces: mpsc::Sender<Piece>,
     begun: Instant,
-    /// What whoever takes the pieces must keep to.
-    pace: Pace,
+    /// By when the reader of the pieces must have taken more.
+    deadline: TransferDeadline,
     /// When the last piece was taken, in milliseconds since the beginning.
     taken_ms: f64,
 }
@@ -118,7 +118,7 @@
     let feeder = Feeder {
         pieces: sender,
         begun: Instant::now(),
-        pace: Pace::of_passing(0.0),
+        deadline: TransferDeadline::for_streaming(0.0),
         taken_ms: 0.0,
     };
     (feeder, Passing { pieces, left: told })
@@ -137,12 +137,12 @@
         }
         let now_ms = self.now_ms();
         // Until now it was whoever gives the pieces that was waited for.
-        self.pace.held_up(now_ms - self.taken_ms);
+        self.deadline.exclude_pause(now_ms - self.taken_ms);
         let bytes = piece.len();
-        let left = Duration::from_secs_f64((self.pace.due_ms() - now_ms).max(0.0) / 1e3);
+        let left = Duration::from_secs_f64((self.deadline.due_ms() - now_ms).max(0.0) / 1e3);
         let taken = tokio::time::timeout(left, self.pieces.send(Piece::Data(piece))).await;
         self.taken_ms = self.now_ms();
-        self.pace.moved(bytes);
+        self.deadline.record_bytes(bytes);
         taken.ok().and_then(Result::ok).ok_or(Cut::ClientLeft)
     }
 
--- a/src/node/mod.rs
+++ b/src/node/mod.rs
@@ -164,7 +164,7 @@
     let most = config.limits.client_connections();
     let options = FrontOptions {
         is_shared,
-        room: config.limits.long_requests(),
+        max_buffered_upload_bytes: config.limits.long_requests(),
         ..FrontOptions::own(phases, most)
     };
     if let Some(address) = config.control {
--- a/src/node/upstream/http1/exchange.rs
+++ b/src/node/upstream/http1/exchange.rs
@@ -8,7 +8,7 @@
 use std::time::{Duration, Instant};
 
 use bytes::{Bytes, BytesMut};
-use flow_control::{answer_stall_ms, Pace};
+use flow_control::{response_stall_timeout_ms, TransferDeadline};
 use http_body_util::BodyExt;
 use hyper::body::{Body, Incoming};
 use hyper::client::conn::http1::{Builder, Connection, SendRequest};
@@ -98,7 +98,8 @@
         left: Duration,
         begin: &dyn Fn(Served),
     ) -> Result<Ended, Broken> {
-        let stall = Duration::from_secs_f64(answer_stall_ms(left.as_secs_f64() * 1e3) / 1e3);
+        let stall =
+            Duration::from_secs_f64(response_stall_timeout_ms(left.as_secs_f64() * 1e3) / 1e3);
         self.traffic.begin(&message.sent);
         let body = Sending::new(message, &self.traffic);
         let send_stall = if body.is_held() {
@@ -234,17 +235,18 @@
             passed += piece.len();
             feeder.feed(piece).await?;
         }
-        // The server's pace; what counts is the time in which it was waited for.
-        let (mut pace, mut waited) = (Pace::of_passing(0.0), Duration::ZERO);
+        // Only the time spent waiting for the server counts against its deadline.
+        let mut deadline = TransferDeadline::for_streaming(0.0);
+        let mut waited = Duration::ZERO;
         loop {
             let due =
-                Duration::from_secs_f64((pace.due_ms() / 1e3 - waited.as_secs_f64()).max(0.0));
+                Duration::from_secs_f64((deadline.due_ms() / 1e3 - waited.as_secs_f64()).max(0.0));
             let since = Instant::now();
             let Some(piece) = self.piece(&mut body, due.min(PASSING_STALL)).await? else {
                 break;
             };
             waited += since.elapsed();
-            pace.moved(piece.len());
+            deadline.record_bytes(piece.len());
             passed += piece.len();
             if passed > MOST_PASSED {
                 log::line("a server's answer does not end");
