--- a/crates/pool/src/address.rs
+++ b/crates/pool/src/address.rs
@@ -1,29 +1,29 @@
-//! Addresses of three kinds, and the order in which they are tried.
+//! Addresses of three families, and the order in which they are dialed.
 
 use std::fmt;
 use std::net::{IpAddr, Ipv6Addr, SocketAddr};
 use std::path::PathBuf;
 use std::str::FromStr;
 
-/// The longest path of a Unix socket: `sun_path` has 108 bytes with its end (unix(7)).
-pub const MOST_UNIX_PATH: usize = 107;
+/// Maximum length of a Unix socket path: `sun_path` has 108 bytes with its terminator (unix(7)).
+pub const MAX_UNIX_PATH_BYTES: usize = 107;
 
-/// The preference of a route of which nobody says any.
-pub const ORDINARY_PREFERENCE: u16 = 100;
+/// Preference of a route for which none is configured.
+pub const DEFAULT_PREFERENCE: u16 = 100;
 
-/// Where a server is reached.
+/// Where a server can be reached.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub enum Address {
-    /// By TCP.
+    /// An IP address and TCP port.
     Ip(SocketAddr),
-    /// At a local socket.
+    /// A Unix domain socket.
     Unix(PathBuf),
 }
 
-/// An address's kind.
+/// Address family.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub enum Family {
-    /// A local socket.
+    /// Unix domain socket.
     Unix,
     /// IPv6.
     V6,
@@ -31,18 +31,18 @@
     V4,
 }
 
-/// Text that is no address.
+/// Why a text is not an address.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum BadAddress {
+pub enum AddressError {
     /// It is neither `IP:PORT` nor `unix:PATH`.
     Malformed(String),
     /// The path is not absolute.
     Relative(String),
-    /// The path is longer than the system takes.
+    /// The path has this many bytes, more than the operating system accepts.
     TooLong(usize),
 }
 
-impl fmt::Display for BadAddress {
+impl fmt::Display for AddressError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             Self::Malformed(text) => write!(f, "{text:?} is neither `IP:PORT` nor `unix:PATH`"),
@@ -50,28 +50,28 @@
             Self::TooLong(bytes) => {
                 write!(
                     f,
-                    "a Unix socket's path has {MOST_UNIX_PATH} bytes at the most, not {bytes}"
+                    "a Unix socket's path has {MAX_UNIX_PATH_BYTES} bytes at the most, not {bytes}"
                 )
             }
         }
     }
 }
 
-impl std::error::Error for BadAddress {}
+impl std::error::Error for AddressError {}
 
 impl FromStr for Address {
-    type Err = BadAddress;
+    type Err = AddressError;
 
-    fn from_str(text: &str) -> Result<Self, BadAddress> {
+    fn from_str(text: &str) -> Result<Self, AddressError> {
         if let Some(path) = text.strip_prefix("unix:") {
             if !path.starts_with('/') {
-                return Err(BadAddress::Relative(text.into()));
+                return Err(AddressError::Relative(text.into()));
             }
-            if path.len() > MOST_UNIX_PATH {
-                return Err(BadAddress::TooLong(path.len()));
+            if path.len() > MAX_UNIX_PATH_BYTES {
+                return Err(AddressError::TooLong(path.len()));
             }
             if path.contains('\0') {
-                return Err(BadAddress::Malformed(text.into()));
+                return Err(AddressError::Malformed(text.into()));
             }
             return Ok(Self::Unix(path.into()));
         }
@@ -81,7 +81,7 @@
             .filter(|address| address.port() > 0);
         address
             .map(Self::Ip)
-            .ok_or_else(|| BadAddress::Malformed(text.into()))
+            .ok_or_else(|| AddressError::Malformed(text.into()))
     }
 }
 
@@ -95,7 +95,7 @@
 }
 
 impl Address {
-    /// Its kind.
+    /// Returns its family.
     #[must_use]
     pub fn family(&self) -> Family {
         match self {
@@ -105,7 +105,7 @@
         }
     }
 
-    /// RFC 6724, section 2.1: the default policy table's precedence; a local socket stands above all.
+    /// Precedence in the default policy table of RFC 6724, section 2.1; Unix sockets rank above all.
     fn precedence(&self) -> u8 {
         let Self::Ip(address) = self else {
             return u8::MAX;
@@ -116,7 +116,7 @@
         }
     }
 
-    /// RFC 6724, section 3.1, as far as it orders destinations by rule 8: smaller scopes first.
+    /// Scope by RFC 6724, section 3.1, as far as rule 8 (smaller scopes first) needs it.
     fn scope(&self) -> u8 {
         match self {
             Self::Unix(_) => 0,
@@ -148,188 +148,62 @@
     }
 }
 
-/// An address with what the operators say of it.
+/// An address with its configuration.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Route {
     /// The address.
     pub address: Address,
-    /// Lower ones are tried first.
+    /// Lower values are dialed first.
     pub preference: u16,
-    /// For the log.
+    /// Name in the log.
     pub label: Option<String>,
 }
 
 impl Route {
-    /// A route of which nothing is said.
+    /// Creates a route with the default preference and no label.
     #[must_use]
     pub fn new(address: Address) -> Self {
         Self {
             address,
-            preference: ORDINARY_PREFERENCE,
+            preference: DEFAULT_PREFERENCE,
             label: None,
         }
     }
 }
 
-/// The order in which routes are tried, as indices: by preference; then by RFC 6724's rules 6 and 8 (the others need
-/// the system's source addresses); within one preference families take turns, as RFC 8305, section 4, has it.
+/// Returns the indices of `routes` in the order in which they are dialed.
+///
+/// Routes are ordered by preference, then by rules 6 and 8 of RFC 6724 (its other rules need the
+/// system's source addresses); within one preference, families alternate (RFC 8305, section 4).
 #[must_use]
-pub fn order(routes: &[Route]) -> Vec<usize> {
-    let mut sorted: Vec<usize> = (0..routes.len()).collect();
-    sorted.sort_by_key(|at| {
-        let Route {
-            address,
-            preference,
-            ..
-        } = &routes[*at];
-        (*preference, u8::MAX - address.precedence(), address.scope())
+pub fn connection_order(routes: &[Route]) -> Vec<usize> {
+    let mut remaining: Vec<usize> = (0..routes.len()).collect();
+    remaining.sort_by_key(|index| {
+        let route = &routes[*index];
+        (
+            route.preference,
+            u8::MAX - route.address.precedence(),
+            route.address.scope(),
+        )
     });
-    let mut ordered: Vec<usize> = Vec::with_capacity(sorted.len());
-    while !sorted.is_empty() {
-        let preference = routes[sorted[0]].preference;
-        let before = ordered
+    let mut ordered: Vec<usize> = Vec::with_capacity(remaining.len());
+    while let Some(first) = remaining.first() {
+        let preference = routes[*first].preference;
+        let previous_family = ordered
             .last()
-            .filter(|at| routes[**at].preference == preference);
-        let last = before.map(|at| routes[*at].address.family());
-        let in_turn = |at: &usize| {
-            routes[*at].preference == preference && Some(routes[*at].address.family()) != last
-        };
-        let next = sorted.iter().position(in_turn).unwrap_or(0);
-        ordered.push(sorted.remove(next));
+            .filter(|index| routes[**index].preference == preference)
+            .map(|index| routes[*index].address.family());
+        let next = remaining
+            .iter()
+            .position(|index| {
+                let route = &routes[*index];
+                route.preference == preference && Some(route.address.family()) != previous_family
+            })
+            .unwrap_or(0);
+        ordered.push(remaining.remove(next));
     }
     ordered
 }
 
 #[cfg(test)]
-mod tests {
-    use super::*;
-
-    fn route(text: &str, preference: u16) -> Route {
-        Route {
-            preference,
-            ..Route::new(text.parse().expect("an address"))
-        }
-    }
-
-    fn ordered(routes: &[Route]) -> Vec<String> {
-        order(routes)
-            .into_iter()
-            .map(|at| routes[at].address.to_string())
-            .collect()
-    }
-
-    #[test]
-    fn texts_are_addresses_or_say_why_not() {
-        for good in ["127.0.0.1:80", "[::1]:80", "unix:/run/holds.sock"] {
-            assert_eq!(
-                good.parse::<Address>().expect("an address").to_string(),
-                good
-            );
-        }
-        for bad in [
-            "",
-            "localhost:80",
-            "127.0.0.1",
-            "127.0.0.1:0",
-            "::1:80",
-            "unix:",
-            "unix:run/x",
-            "unix:/a\0b",
-        ] {
-            assert!(bad.parse::<Address>().is_err(), "{bad}");
-        }
-        let path = |bytes: usize| format!("unix:/{}", "x".repeat(bytes - 1));
-        assert!(path(MOST_UNIX_PATH).parse::<Address>().is_ok());
-        assert_eq!(
-            path(MOST_UNIX_PATH + 1).parse::<Address>(),
-            Err(BadAddress::TooLong(MOST_UNIX_PATH + 1))
-        );
-    }
-
-    #[test]
-    fn preference_comes_first_and_precedence_decides_where_nothing_is_said() {
-        let routes = [
-            route("10.0.0.1:80", 100),
-            route("[fc00::1]:80", 100),
-            route("[2001:db8::1]:80", 100),
-            route("unix:/run/s", 100),
-            route("10.0.0.2:80", 5),
-        ];
-        assert_eq!(
-            ordered(&routes),
-            [
-                "10.0.0.2:80",
-                "unix:/run/s",
-                "[2001:db8::1]:80",
-                "10.0.0.1:80",
-                "[fc00::1]:80"
-            ]
-        );
-    }
-
-    #[test]
-    fn families_take_turns() {
-        let routes: Vec<_> = [
-            "[2001:db8::1]:1",
-            "[2001:db8::2]:1",
-            "[2001:db8::3]:1",
-            "10.0.0.1:1",
-            "10.0.0.2:1",
-        ]
-        .map(|text| route(text, 100))
-        .into();
-        assert_eq!(
-            ordered(&routes),
-            [
-                "[2001:db8::1]:1",
-                "10.0.0.1:1",
-                "[2001:db8::2]:1",
-                "10.0.0.2:1",
-                "[2001:db8::3]:1"
-            ]
-        );
-    }
-
-    /// Each line of the policy table of RFC 6724, section 2.1.
-    #[test]
-    fn the_policy_table_is_the_rfcs() {
-        let table = [
-            ("[::1]:1", 50),
-            ("[2001:db8::1]:1", 40),
-            ("[::ffff:10.0.0.1]:1", 35),
-            ("10.0.0.1:1", 35),
-            ("[2002::1]:1", 30),
-            ("[2001::1]:1", 5),
-            ("[fd00::1]:1", 3),
-            ("[::2]:1", 1),
-            ("[fec0::1]:1", 1),
-            ("[3ffe::1]:1", 1),
-        ];
-        for (text, precedence) in table {
-            assert_eq!(route(text, 0).address.precedence(), precedence, "{text}");
-        }
-    }
-
-    #[test]
-    fn every_route_is_in_the_order_once() {
-        let texts = [
-            "10.0.0.1:1",
-            "[::1]:1",
-            "unix:/a",
-            "unix:/b",
-            "[fe80::1]:1",
-            "10.0.0.1:2",
-        ];
-        for bits in 0..64_u32 {
-            let routes: Vec<_> = texts
-                .iter()
-                .enumerate()
-                .filter(|(at, _)| bits >> at & 1 == 1)
-                .map(|(at, text)| route(text, (at % 2) as u16))
-                .collect();
-            let mut all = order(&routes);
-            all.sort_unstable();
-            assert_eq!(all, (0..routes.len()).collect::<Vec<_>>());
-        }
-    }
-}
+mod tests;
--- a/crates/pool/src/lib.rs
+++ b/crates/pool/src/lib.rs
@@ -1,52 +1,60 @@
-//! Connections to servers, each of which may have several addresses: which connection an attempt takes, when and where
-//! another is dialled, which is closed, and what is remembered of each address.
+//! Pool of connections to servers, each of which may have several addresses.
 //!
-//! [`Pool`] has no socket, clock or thread. It is asked and told with the time, and pushes [`Action`]s. An attempt that
-//! finds an idle connection has it at once ([`Taken::Now`]); otherwise it holds a ticket until one is granted or none
-//! can be had. To whoever chooses servers, a server is one server, whatever its addresses.
+//! [`Pool`] decides which connection an attempt uses, when and where a new one is dialed, which one is
+//! closed, and what is remembered of each address. It has no socket, clock or thread: it is called with
+//! the time and appends [`Action`]s for its caller to carry out. An attempt that finds an idle connection
+//! has it immediately ([`Checkout::Ready`]); otherwise it holds a [`CheckoutId`] until a connection is
+//! granted or none can be had. Callers that select servers see one server, whatever its addresses.
 //!
-//! Dialling several addresses follows RFC 8305 (Happy Eyeballs): they are started in their order, a stagger apart; the
-//! first that comes up is kept and the others are given up before any byte of a request. Their order is the operators'
-//! preference, and where that says nothing RFC 6724's precedence. Times are milliseconds of any clock that never runs
-//! backwards.
+//! Dialing several addresses follows RFC 8305 (Happy Eyeballs): dials start in order, one stagger apart;
+//! the first that comes up is used and the others are aborted before any byte of a request is written.
+//! The order is the operators' preference, then RFC 6724's precedence. Times are milliseconds of any
+//! monotonic clock.
 //!
 //! ```
-//! use pool::{Action, Address, Limits, Pool, Route, ServerKey, Taken};
+//! use pool::{Action, Address, Checkout, Limits, Pool, Route, ServerKey};
 //!
 //! let mut pool = Pool::new(Limits::default());
 //! let (server, mut actions) = (ServerKey(0), Vec::new());
 //! let routes = vec![Route::new(Address::Ip("127.0.0.1:80".parse()?))];
-//! pool.update(0.0, server, routes, &mut actions);
-//! let Taken::Later(ticket) = pool.take(0.0, server, &[], &mut actions) else { panic!("nothing is idle yet") };
+//! pool.update_routes(0.0, server, routes, &mut actions);
+//! let Checkout::Pending(checkout) = pool.check_out(0.0, server, &[], &mut actions) else { panic!("nothing is idle yet") };
 //! let Action::Dial { dial, .. } = actions.remove(0) else { panic!("{actions:?}") };
 //! actions.clear();
-//! pool.dialled(1.0, dial, true, &mut actions);
-//! let Action::Grant { ticket: granted, conn } = actions.remove(0) else { panic!("{actions:?}") };
-//! assert_eq!(ticket, granted);
-//! // Its answer came; the next attempt has the connection at once.
-//! pool.give_back(2.0, conn, &mut actions);
-//! assert_eq!(pool.take(2.0, server, &[], &mut actions), Taken::Now(conn));
+//! pool.dial_succeeded(1.0, dial, &mut actions);
+//! let Action::Grant { checkout: granted, connection } = actions.remove(0) else { panic!("{actions:?}") };
+//! assert_eq!(checkout, granted);
+//! // Its response has arrived; the next attempt gets the connection immediately.
+//! pool.check_in(2.0, connection, &mut actions);
+//! assert_eq!(pool.check_out(2.0, server, &[], &mut actions), Checkout::Ready(connection));
 //! # Ok::<(), std::net::AddrParseError>(())
 //! ```
 
-#![allow(
-    clippy::missing_panics_doc,
-    reason = "this file is still to be rewritten: docs/ROADMAP.md, Readability"
-)]
-
+mod action;
 mod address;
-mod holders;
-mod memory;
-mod odd;
+mod address_owners;
+mod checkout;
+mod dial;
+mod idle;
+mod idle_timeout;
+mod limits;
 mod pool;
-mod verdict;
+mod recovery;
+mod route_health;
+mod server;
+mod unsolicited;
 
-pub use address::{order, Address, BadAddress, Family, Route, MOST_UNIX_PATH, ORDINARY_PREFERENCE};
-pub use holders::{Changed, Holders};
-pub use memory::{IdleMemory, Memory};
-pub use odd::Oddness;
-pub use pool::{
-    Action, Closed, ConnId, DialId, Limits, Pool, RouteId, ServerKey, Taken, Ticket, Why,
-    MOST_ADDRESSES,
+pub use action::{
+    Action, Checkout, CheckoutError, CheckoutId, CloseReason, ConnectionId, DialId, RouteId,
+    ServerKey,
+};
+pub use address::{
+    connection_order, Address, AddressError, Family, Route, DEFAULT_PREFERENCE, MAX_UNIX_PATH_BYTES,
 };
-pub use verdict::{judge, Age, Broke, Next, Sent};
+pub use address_owners::{AddressOwners, OwnershipChange};
+pub use idle_timeout::IdleTimeout;
+pub use limits::{Limits, MAX_ADDRESSES};
+pub use pool::{Pool, RouteStatus};
+pub use recovery::{recovery, BytesSent, ConnectionAge, ConnectionError, Recovery};
+pub use route_health::RouteHealth;
+pub use unsolicited::UnsolicitedBytes;
--- /dev/null
+++ b/crates/pool/src/recovery/tests.rs
@@ -0,0 +1,50 @@
+//! Tests of what follows a failed exchange.
+
+use super::*;
+
+/// The table of the design page, cell by cell.
+#[test]
+fn recovery_matches_every_cell_of_the_design_table() {
+    use BytesSent::{Complete, None, Partial};
+    use ConnectionAge::{New, Reused};
+    use ConnectionError::{Closed, InvalidResponse, Stalled};
+    use Recovery::{AnyConnection, Malformed, OtherAddress, Reset};
+
+    let table = [
+        (None, Closed, New, OtherAddress),
+        (None, Closed, Reused, AnyConnection),
+        (None, Stalled, New, OtherAddress),
+        (None, Stalled, Reused, OtherAddress),
+        (None, InvalidResponse, New, OtherAddress),
+        (None, InvalidResponse, Reused, AnyConnection),
+        (Partial, Closed, New, OtherAddress),
+        (Partial, Closed, Reused, OtherAddress),
+        (Partial, Stalled, New, OtherAddress),
+        (Partial, Stalled, Reused, OtherAddress),
+        (Partial, InvalidResponse, New, OtherAddress),
+        (Partial, InvalidResponse, Reused, OtherAddress),
+        (Complete, Closed, New, Reset),
+        (Complete, Closed, Reused, Reset),
+        (Complete, Stalled, New, Malformed),
+        (Complete, Stalled, Reused, Malformed),
+        (Complete, InvalidResponse, New, Malformed),
+        (Complete, InvalidResponse, Reused, Malformed),
+    ];
+    for (sent, error, age, expected) in table {
+        assert_eq!(
+            recovery(age, sent, error),
+            expected,
+            "{sent:?}, {error:?}, {age:?}"
+        );
+        assert_eq!(
+            expected.may_have_run(),
+            sent == Complete,
+            "the last byte alone decides"
+        );
+    }
+    let cells: std::collections::HashSet<_> = table
+        .iter()
+        .map(|(sent, error, age, _)| (*sent, *error, *age))
+        .collect();
+    assert_eq!(cells.len(), 18, "every cell once");
+}
--- /dev/null
+++ b/crates/pool/tests/dial_races.rs
@@ -0,0 +1,684 @@
+//! Dialing several addresses, in virtual time: black holes, refusals, lists that change midway.
+
+use pool::{
+    Action, Checkout, CheckoutError, CheckoutId, CloseReason, ConnectionId, DialId, Limits, Pool,
+    Route, ServerKey,
+};
+
+const SERVER: ServerKey = ServerKey(0);
+const V6: &str = "[2001:db8::1]:80";
+const V4: &str = "10.0.0.1:80";
+const UNIX: &str = "unix:/run/holds.sock";
+
+struct Harness {
+    pool: Pool,
+    now: f64,
+    actions: Vec<Action>,
+    /// Outstanding dials, oldest first.
+    dials: Vec<(DialId, String)>,
+    granted: Vec<(CheckoutId, ConnectionId)>,
+    failed: Vec<(CheckoutId, CheckoutError)>,
+    closed: Vec<ConnectionId>,
+    route_reports: Vec<String>,
+    wake_at: f64,
+}
+
+fn routes(texts: &[&str]) -> Vec<Route> {
+    texts
+        .iter()
+        .map(|text| Route::new(text.parse().expect("an address")))
+        .collect()
+}
+
+impl Harness {
+    fn new(texts: &[&str]) -> Self {
+        Self::with(texts, Limits::default())
+    }
+
+    fn with(texts: &[&str], limits: Limits) -> Self {
+        let mut harness = Self {
+            pool: Pool::new(limits),
+            now: 1_000_000.0,
+            actions: Vec::new(),
+            dials: Vec::new(),
+            granted: Vec::new(),
+            failed: Vec::new(),
+            closed: Vec::new(),
+            route_reports: Vec::new(),
+            wake_at: f64::INFINITY,
+        };
+        harness.update(texts);
+        harness
+    }
+
+    fn update(&mut self, texts: &[&str]) {
+        self.pool
+            .update_routes(self.now, SERVER, routes(texts), &mut self.actions);
+        self.apply_actions();
+    }
+
+    fn apply_actions(&mut self) {
+        for action in self.actions.drain(..) {
+            match action {
+                Action::Dial { dial, route, .. } => {
+                    self.dials.push((dial, route.address.to_string()));
+                }
+                Action::AbortDial { dial } => self.dials.retain(|(out, _)| *out != dial),
+                Action::Grant {
+                    checkout,
+                    connection,
+                } => self.granted.push((checkout, connection)),
+                Action::Fail { checkout, error } => self.failed.push((checkout, error)),
+                Action::Close { connection } => self.closed.push(connection),
+                Action::WakeAt(at) => self.wake_at = at,
+                Action::RouteDown { route, .. } => {
+                    self.route_reports.push(format!("down {}", route.address));
+                }
+                Action::RouteUp { route, .. } => {
+                    self.route_reports.push(format!("up {}", route.address));
+                }
+                Action::KeepIdle { .. } => {}
+            }
+        }
+    }
+
+    fn check_out(&mut self) -> Checkout {
+        let result = self
+            .pool
+            .check_out(self.now, SERVER, &[], &mut self.actions);
+        self.apply_actions();
+        result
+    }
+
+    fn pending_checkout(&mut self) -> CheckoutId {
+        match self.check_out() {
+            Checkout::Pending(checkout) => checkout,
+            other => panic!("{other:?}"),
+        }
+    }
+
+    /// Finishes the dial to an address; returns whether the pool uses the connection.
+    fn finish_dial(&mut self, text: &str, is_connected: bool) -> bool {
+        let at = self.dials.iter().position(|(_, to)| to == text);
+        let (dial, _) = self
+            .dials
+            .remove(at.unwrap_or_else(|| panic!("{text} is not being dialed: {:?}", self.dials)));
+        let is_used = if is_connected {
+            self.pool.dial_succeeded(self.now, dial, &mut self.actions)
+        } else {
+            self.pool.dial_failed(self.now, dial, &mut self.actions);
+            false
+        };
+        self.apply_actions();
+        is_used
+    }
+
+    fn advance(&mut self, ms: f64) {
+        let end = self.now + ms;
+        while self.wake_at <= end {
+            self.now = self.now.max(self.wake_at);
+            self.wake_at = f64::INFINITY;
+            self.pool.handle_timer(self.now, &mut self.actions);
+            self.apply_actions();
+        }
+        self.now = end;
+    }
+
+    fn dialing(&self) -> Vec<&str> {
+        self.dials.iter().map(|(_, to)| to.as_str()).collect()
+    }
+
+    fn check_in(&mut self, connection: ConnectionId) {
+        self.pool.check_in(self.now, connection, &mut self.actions);
+        self.apply_actions();
+    }
+
+    fn close(&mut self, connection: ConnectionId, reason: CloseReason) {
+        if self.pool.route_of(connection).is_some() {
+            self.pool
+                .connection_closed(self.now, connection, reason, &mut self.actions);
+        } else {
+            self.pool
+                .idle_closed(self.now, &[(connection, reason)].into(), &mut self.actions);
+        }
+        self.apply_actions();
+    }
+
+    /// A server that has sent unsolicited bytes, with one idle connection in its cool-down.
+    fn with_unsolicited_bytes() -> (Self, ConnectionId) {
+        let mut harness = Self::new(&[V4]);
+        let connection = harness.connection(V4);
+        harness.close(connection, CloseReason::UnsolicitedBytes);
+        let connection = harness.connection(V4);
+        harness.check_in(connection);
+        (harness, connection)
+    }
+
+    /// A connection by this address, granted and in use.
+    fn connection(&mut self, text: &str) -> ConnectionId {
+        self.pending_checkout();
+        for _ in 0..8 {
+            if self.dialing().contains(&text) {
+                break;
+            }
+            self.advance(250.0);
+        }
+        self.finish_dial(text, true);
+        self.granted.pop().expect("granted").1
+    }
+}
+
+#[test]
+fn addresses_are_dialed_a_stagger_apart_and_the_first_connection_wins() {
+    let mut harness = Harness::new(&[V4, V6, UNIX]);
+    let checkout = harness.pending_checkout();
+    assert_eq!(harness.dialing(), [UNIX]);
+    harness.advance(249.0);
+    assert_eq!(harness.dialing(), [UNIX]);
+    harness.advance(1.0);
+    assert_eq!(harness.dialing(), [UNIX, V6]);
+    harness.advance(250.0);
+    assert_eq!(harness.dialing(), [UNIX, V6, V4]);
+    assert!(harness.finish_dial(V6, true));
+    assert_eq!(harness.granted[0].0, checkout);
+    assert!(harness.dials.is_empty(), "the others are aborted");
+    assert_eq!(harness.pool.open_connections(), 1);
+}
+
+#[test]
+fn failed_dial_is_followed_by_the_next_address_immediately() {
+    let mut harness = Harness::new(&[V4, V6, UNIX]);
+    harness.pending_checkout();
+    harness.finish_dial(UNIX, false);
+    assert_eq!(harness.dialing(), [V6]);
+    harness.finish_dial(V6, false);
+    assert_eq!(harness.dialing(), [V4]);
+    harness.finish_dial(V4, false);
+    assert_eq!(harness.failed.len(), 1);
+    assert_eq!(
+        (harness.failed[0].1, harness.pool.open_connections()),
+        (CheckoutError::Unreachable, 0)
+    );
+}
+
+#[test]
+fn black_holes_fail_the_checkout_at_the_dial_timeout() {
+    let mut harness = Harness::new(&[V4, V6]);
+    let checkout = harness.pending_checkout();
+    harness.advance(999.0);
+    assert!(harness.failed.is_empty());
+    harness.advance(1.0);
+    assert_eq!(
+        (harness.failed.as_slice(), harness.pool.open_connections()),
+        ([(checkout, CheckoutError::Unreachable)].as_slice(), 0)
+    );
+    assert!(harness.dials.is_empty());
+}
+
+/// New connections must not each pay a stagger for a black hole.
+#[test]
+fn black_hole_is_dialed_last_and_tested_by_one_dial_with_a_short_stagger() {
+    let mut harness = Harness::new(&[V4, V6]);
+    harness.pending_checkout();
+    harness.advance(250.0);
+    harness.finish_dial(V4, true);
+    harness.pending_checkout();
+    assert_eq!(harness.dialing(), [V4], "the address that failed goes last");
+    harness.finish_dial(V4, true);
+    harness.advance(1_000.0);
+    harness.pending_checkout();
+    harness.pending_checkout();
+    assert_eq!(
+        harness.dialing(),
+        [V6, V4],
+        "one tests it, the other does not"
+    );
+    harness.advance(20.0);
+    assert_eq!(
+        harness.dialing(),
+        [V6, V4, V4],
+        "and waits no stagger for it"
+    );
+    harness.finish_dial(V4, true);
+    harness.finish_dial(V6, true);
+    assert_eq!(harness.granted.len(), 4);
+    harness.pending_checkout();
+    assert_eq!(harness.dialing(), [V6], "it is back");
+}
+
+#[test]
+fn second_connection_of_a_race_in_the_same_instant_is_not_used() {
+    let mut harness = Harness::new(&[V4, V6]);
+    harness.pending_checkout();
+    harness.advance(250.0);
+    let both = harness.dials.clone();
+    assert!(harness.finish_dial(V6, true));
+    let is_used = harness
+        .pool
+        .dial_succeeded(harness.now, both[1].0, &mut harness.actions);
+    assert!(!is_used, "the caller closes it");
+    assert_eq!(
+        (harness.pool.open_connections(), harness.granted.len()),
+        (1, 1)
+    );
+}
+
+#[test]
+fn dial_of_a_canceled_checkout_becomes_an_idle_connection() {
+    let mut harness = Harness::new(&[V4, V6]);
+    let checkout = harness.pending_checkout();
+    harness
+        .pool
+        .cancel(harness.now, checkout, &mut harness.actions);
+    harness.apply_actions();
+    harness.advance(300.0);
+    assert_eq!(
+        harness.dialing(),
+        [V6],
+        "no further address is dialed for nobody"
+    );
+    harness.finish_dial(V6, true);
+    assert_eq!(
+        (harness.pool.idle_count(SERVER), harness.granted.len()),
+        (1, 0)
+    );
+    assert!(matches!(harness.check_out(), Checkout::Ready(_)));
+}
+
+/// A server must not pay for connections that nobody uses: each checkout that finds all in use starts a dial, and
+/// most are served by a check-in before theirs is up.
+#[test]
+fn orphaned_dial_is_adopted_by_the_next_checkout() {
+    let mut harness = Harness::new(&[V4]);
+    let connection = harness.connection(V4);
+    for round in 0..100 {
+        let checkout = harness.pending_checkout();
+        harness.check_in(connection);
+        assert_eq!(
+            harness.granted.last(),
+            Some(&(checkout, connection)),
+            "{round}"
+        );
+        assert_eq!(harness.dialing(), [V4], "one dial is outstanding, {round}");
+    }
+    assert_eq!(harness.pool.open_connections(), 2);
+    harness.finish_dial(V4, false);
+    assert_eq!(
+        (harness.pool.open_connections(), harness.failed.len()),
+        (1, 0),
+        "its failure fails no checkout"
+    );
+}
+
+#[test]
+fn dial_of_a_canceled_checkout_goes_to_another_that_waits() {
+    let limits = Limits {
+        max_races_per_server: 1,
+        ..Limits::default()
+    };
+    let mut harness = Harness::with(&[V4], limits);
+    let (first, second) = (harness.pending_checkout(), harness.pending_checkout());
+    assert_eq!(harness.dialing(), [V4]);
+    harness
+        .pool
+        .cancel(harness.now, first, &mut harness.actions);
+    harness.apply_actions();
+    harness.finish_dial(V4, true);
+    assert_eq!(harness.granted[0].0, second);
+}
+
+#[test]
+fn idle_connection_by_the_first_address_is_checked_out_first() {
+    let mut harness = Harness::new(&[V4, V6]);
+    let six = harness.connection(V6);
+    let four = harness.connection(V4);
+    harness.check_in(six);
+    harness.advance(1.0);
+    harness.check_in(four);
+    assert_eq!(harness.check_out(), Checkout::Ready(six));
+    assert_eq!(harness.check_out(), Checkout::Ready(four));
+}
+
+#[test]
+fn checkout_uses_no_avoided_route() {
+    let mut harness = Harness::new(&[V4, V6]);
+    let six = harness.connection(V6);
+    let route = harness.pool.route_of(six).expect("in use");
+    harness.check_in(six);
+    let result = harness
+        .pool
+        .check_out(harness.now, SERVER, &[route], &mut harness.actions);
+    harness.apply_actions();
+    assert!(matches!(result, Checkout::Pending(_)));
+    assert_eq!(harness.dialing(), [V4]);
+    let mut alone = Harness::new(&[V4]);
+    let connection = alone.connection(V4);
+    let route = alone.pool.route_of(connection).expect("in use");
+    let result = alone
+        .pool
+        .check_out(alone.now, SERVER, &[route], &mut alone.actions);
+    assert_eq!(result, Checkout::Failed(CheckoutError::NoRoute));
+}
+
+/// An address changes its family between two lists, with a request in flight and a connection idle.
+#[test]
+fn unlisted_route_closes_idle_connections_now_and_used_ones_at_check_in() {
+    let mut harness = Harness::new(&[V4]);
+    let (idle, used) = (harness.connection(V4), harness.connection(V4));
+    harness.check_in(idle);
+    harness.update(&[V6]);
+    assert_eq!(harness.closed, [idle]);
+    harness.check_in(used);
+    assert_eq!(harness.closed, [idle, used]);
+    assert_eq!(harness.pool.open_connections(), 0);
+    harness.pending_checkout();
+    assert_eq!(harness.dialing(), [V6]);
+}
+
+#[test]
+fn checkout_that_waits_for_an_unlisted_route_is_dialed_at_the_new_one() {
+    let mut harness = Harness::new(&[V4]);
+    let checkout = harness.pending_checkout();
+    harness.update(&[V6]);
+    assert_eq!(harness.dialing(), [V6]);
+    harness.finish_dial(V6, true);
+    assert_eq!(harness.granted[0].0, checkout);
+    let checkout = harness.pending_checkout();
+    harness.update(&[]);
+    assert_eq!(harness.failed, [(checkout, CheckoutError::Unreachable)]);
+    assert!(matches!(
+        harness.check_out(),
+        Checkout::Failed(CheckoutError::NoRoute)
+    ));
+}
+
+#[test]
+fn route_health_is_kept_while_the_address_is_listed() {
+    let mut harness = Harness::new(&[V4, V6]);
+    harness.pending_checkout();
+    harness.finish_dial(V6, false);
+    harness.finish_dial(V4, true);
+    harness.update(&[V6, V4, UNIX]);
+    let all = harness.pool.route_statuses(harness.now, SERVER);
+    let all: Vec<_> = all
+        .iter()
+        .map(|status| (status.route.address.to_string(), status.failures))
+        .collect();
+    assert_eq!(
+        all,
+        [(UNIX.to_owned(), 0), (V4.to_owned(), 0), (V6.to_owned(), 1)]
+    );
+}
+
+#[test]
+fn addresses_beyond_the_maximum_are_ignored_in_dial_order() {
+    let texts: Vec<_> = (0..12).map(|n| format!("10.0.0.{n}:80")).collect();
+    let mut texts: Vec<_> = texts.iter().map(String::as_str).collect();
+    texts.push(UNIX);
+    let harness = Harness::new(&texts);
+    let all = harness.pool.route_statuses(harness.now, SERVER);
+    assert_eq!(
+        (all.len(), all[0].route.address.to_string()),
+        (pool::MAX_ADDRESSES, UNIX.to_owned())
+    );
+}
+
+#[test]
+fn removed_server_fails_pending_checkouts_and_leaks_nothing() {
+    let mut harness = Harness::new(&[V4]);
+    let (idle, used) = (harness.connection(V4), harness.connection(V4));
+    harness.check_in(idle);
+    let _now = harness.check_out();
+    let checkout = harness.pending_checkout();
+    harness
+        .pool
+        .remove_server(harness.now, SERVER, &mut harness.actions);
+    harness.apply_actions();
+    assert_eq!(harness.failed, [(checkout, CheckoutError::NoRoute)]);
+    harness.check_in(used);
+    harness.check_in(idle);
+    assert_eq!(harness.pool.open_connections(), 0);
+}
+
+#[test]
+fn connection_limit_closes_the_longest_idle_or_fails_the_checkout() {
+    let limits = Limits {
+        max_connections: 2,
+        ..Limits::default()
+    };
+    let mut harness = Harness::with(&[V4], limits);
+    let other = ServerKey(1);
+    harness
+        .pool
+        .update_routes(harness.now, other, routes(&[V6]), &mut harness.actions);
+    let (a, b) = (harness.connection(V4), harness.connection(V4));
+    assert_eq!(
+        harness
+            .pool
+            .check_out(harness.now, other, &[], &mut harness.actions),
+        Checkout::Failed(CheckoutError::LimitReached)
+    );
+    harness.check_in(a);
+    harness.advance(1.0);
+    harness.check_in(b);
+    assert!(matches!(
+        harness
+            .pool
+            .check_out(harness.now, other, &[], &mut harness.actions),
+        Checkout::Pending(_)
+    ));
+    harness.apply_actions();
+    assert_eq!(harness.closed, [a]);
+    assert_eq!(harness.pool.open_connections(), 2);
+}
+
+#[test]
+fn per_server_limit_counts_all_addresses() {
+    let limits = Limits {
+        max_connections_per_server: 2,
+        ..Limits::default()
+    };
+    let mut harness = Harness::with(&[V4, V6], limits);
+    let (_a, _b) = (harness.connection(V6), harness.connection(V6));
+    assert_eq!(
+        harness.check_out(),
+        Checkout::Failed(CheckoutError::LimitReached)
+    );
+}
+
+#[test]
+fn server_that_warms_up_is_dialed_at_the_slow_start_rate() {
+    let limits = Limits {
+        slow_start_dials_per_s: 10.0,
+        dial_timeout_ms: 10_000.0,
+        ..Limits::default()
+    };
+    let mut harness = Harness::with(&[V4], limits);
+    harness.pool.set_warming_up(SERVER, harness.now + 60_000.0);
+    for _ in 0..40 {
+        harness.pending_checkout();
+    }
+    assert_eq!(harness.dials.len(), 8, "the burst");
+    let mut dialed = 8;
+    for _ in 0..20 {
+        while let Some((_, to)) = harness.dials.first().cloned() {
+            harness.finish_dial(&to, true);
+        }
+        harness.advance(100.0);
+        dialed += harness.dials.len();
+    }
+    assert!((26..=30).contains(&dialed), "{dialed} in two seconds");
+}
+
+/// Attempts must not wait at a server until their deadline while another has capacity.
+#[test]
+fn checkout_without_a_race_fails_at_the_dial_timeout() {
+    let limits = Limits {
+        max_races_per_server: 1,
+        ..Limits::default()
+    };
+    let mut harness = Harness::with(&[V4], limits);
+    let (first, second) = (harness.pending_checkout(), harness.pending_checkout());
+    harness.advance(999.0);
+    assert!(harness.failed.is_empty(), "{:?}", harness.failed);
+    harness.advance(2.0);
+    assert_eq!(
+        harness.failed,
+        [
+            (first, CheckoutError::Unreachable),
+            (second, CheckoutError::LimitReached)
+        ]
+    );
+}
+
+/// The log must not grow with each dial to an address that is down.
+#[test]
+fn route_is_reported_down_once_and_up_once() {
+    let mut harness = Harness::new(&[V4]);
+    for up in [false, false, false, true, true, false] {
+        harness.pending_checkout();
+        harness.finish_dial(V4, up);
+        harness.advance(100_000.0);
+    }
+    let [down, up] = ["down", "up"].map(|what| format!("{what} {V4}"));
+    assert_eq!(harness.route_reports, [down.clone(), up, down]);
+}
+
+#[test]
+fn empty_list_fails_pending_checkouts_and_closes_idle_connections() {
+    let mut harness = Harness::new(&[V4, V6]);
+    let (idle, used) = (harness.connection(V6), harness.connection(V6));
+    harness.check_in(idle);
+    assert_eq!(harness.check_out(), Checkout::Ready(idle));
+    let checkout = harness.pending_checkout();
+    harness.check_in(used);
+    let waits = harness.pending_checkout();
+    harness.update(&[]);
+    assert_eq!(harness.failed, [(waits, CheckoutError::Unreachable)]);
+    assert_eq!(harness.granted.last(), Some(&(checkout, used)));
+    assert_eq!(
+        harness.check_out(),
+        Checkout::Failed(CheckoutError::NoRoute)
+    );
+    harness.check_in(idle);
+    assert!(
+        harness.closed.contains(&idle),
+        "a used connection is closed at check-in"
+    );
+    // An orphaned dial takes no new address.
+    let mut harness = Harness::new(&[V6]);
+    let checkout = harness.pending_checkout();
+    harness
+        .pool
+        .cancel(harness.now, checkout, &mut harness.actions);
+    harness.apply_actions();
+    harness.update(&[V4]);
+    assert!(harness.dials.is_empty(), "{:?}", harness.dialing());
+    assert_eq!(harness.pool.open_connections(), 0);
+}
+
+#[test]
+fn cool_down_applies_only_to_servers_with_unsolicited_bytes() {
+    let (mut harness, connection) = Harness::with_unsolicited_bytes();
+    let checkout = harness.pending_checkout();
+    assert!(
+        harness.dials.is_empty(),
+        "a cool-down is shorter than a dial"
+    );
+    harness.advance(4.9);
+    assert!(harness.granted.is_empty());
+    harness.advance(0.2);
+    assert_eq!(harness.granted, [(checkout, connection)]);
+    harness.check_in(connection);
+    harness.advance(600_000.0);
+    let connection = harness.connection(V4);
+    harness.check_in(connection);
+    assert_eq!(
+        harness.check_out(),
+        Checkout::Ready(connection),
+        "forgotten in the end"
+    );
+}
+
+#[test]
+fn checkout_that_waits_for_a_cool_down_is_dialed_if_the_connection_ends() {
+    let (mut harness, connection) = Harness::with_unsolicited_bytes();
+    let checkout = harness.pending_checkout();
+    harness.close(connection, CloseReason::UnsolicitedBytes);
+    assert_eq!(harness.dialing(), [V4]);
+    harness.finish_dial(V4, true);
+    assert_eq!(harness.granted[0].0, checkout);
+}
+
+#[test]
+fn burst_of_three_thousand_closes_teaches_nothing_and_leaks_nothing() {
+    let limits = Limits {
+        max_connections: 4_000,
+        max_connections_per_server: 4_000,
+        max_races_per_server: 4_000,
+        ..Limits::default()
+    };
+    let mut harness = Harness::with(&[V4], limits);
+    let all: Vec<_> = (0..3_000).map(|_| harness.connection(V4)).collect();
+    for connection in &all {
+        harness.check_in(*connection);
+    }
+    harness.advance(2_000.0);
+    let ended = all
+        .into_iter()
+        .map(|connection| (connection, CloseReason::ByPeer))
+        .collect();
+    harness
+        .pool
+        .idle_closed(harness.now, &ended, &mut harness.actions);
+    assert_eq!(
+        (
+            harness.pool.idle_count(SERVER),
+            harness.pool.open_connections()
+        ),
+        (0, 0)
+    );
+    assert_eq!(
+        harness.pool.route_statuses(harness.now, SERVER)[0].failures,
+        0,
+        "the address counts as healthy"
+    );
+    let connection = harness.connection(V4);
+    harness.check_in(connection);
+    harness.advance(10_000.0);
+    assert_eq!(harness.check_out(), Checkout::Ready(connection));
+}
+
+#[test]
+fn idle_connections_are_closed_before_the_server_closes_them() {
+    let mut harness = Harness::new(&[V4]);
+    let connection = harness.connection(V4);
+    harness.check_in(connection);
+    harness.advance(10_000.0);
+    harness.close(connection, CloseReason::ByPeer);
+    let connection = harness.connection(V4);
+    harness.check_in(connection);
+    harness.advance(9_000.0);
+    harness
+        .pool
+        .close_expired(harness.now, &mut harness.actions);
+    harness.apply_actions();
+    assert_eq!(harness.closed, [connection]);
+}
+
+#[test]
+fn rising_load_dials_one_connection_ahead_if_enabled() {
+    for ahead in [false, true] {
+        let mut harness = Harness::with(
+            &[V4],
+            Limits {
+                dial_ahead: ahead,
+                ..Limits::default()
+            },
+        );
+        for _ in 0..6 {
+            harness.pending_checkout();
+        }
+        assert_eq!(harness.dials.len(), if ahead { 7 } else { 6 });
+    }
+}
--- a/crates/pool/tests/model.rs
+++ b/crates/pool/tests/model.rs
@@ -1,267 +1,368 @@
 //! The pool against a model, in virtual time, over seeded sequences of everything that can happen.
 
-#![allow(
-    clippy::too_many_lines,
-    reason = "this file is still to be rewritten: docs/ROADMAP.md, Readability"
-)]
-
 use std::collections::{BTreeMap, BTreeSet};
 
 use pool::{
-    Action, Closed, ConnId, DialId, Limits, Pool, Route, RouteId, ServerKey, Taken, Ticket,
+    Action, Checkout, CheckoutId, CloseReason, ConnectionId, DialId, Limits, Pool, Route, RouteId,
+    ServerKey,
 };
 use proptest::prelude::*;
 
 const SERVERS: usize = 3;
-const TEXTS: [&str; 4] = [
+const ADDRESSES: [&str; 4] = [
     "10.0.0.1:80",
     "[2001:db8::1]:80",
     "unix:/run/a",
     "10.0.0.2:80",
 ];
-const MOST_OPEN: usize = 12;
-const DIAL_MS: f64 = 1_000.0;
+const MAX_CONNECTIONS: usize = 12;
+const DIAL_TIMEOUT_MS: f64 = 1_000.0;
+
+/// A checkout that the pool has not answered yet.
+struct PendingCheckout {
+    server: usize,
+    avoid: Vec<RouteId>,
+}
 
+/// What the pool's caller knows: the outstanding dials, and each connection in exactly one place.
 #[derive(Default)]
 struct Model {
     dials: BTreeSet<DialId>,
-    idle: BTreeSet<ConnId>,
-    used: BTreeMap<ConnId, usize>,
-    waiting: BTreeMap<Ticket, (usize, Vec<RouteId>)>,
-    /// What was granted in the last step, and what it was to avoid.
-    granted: Vec<(ConnId, Vec<RouteId>)>,
-    wake_at: Option<f64>,
+    idle: BTreeSet<ConnectionId>,
+    in_use: BTreeMap<ConnectionId, usize>,
+    pending: BTreeMap<CheckoutId, PendingCheckout>,
+    /// What was granted in the last step, and the routes it was to avoid.
+    granted: Vec<(ConnectionId, Vec<RouteId>)>,
+    wake_at_ms: Option<f64>,
 }
 
 impl Model {
-    fn note(&mut self, now: f64, actions: Vec<Action>) {
+    fn apply(&mut self, now_ms: f64, actions: Vec<Action>) {
         for action in actions {
             match action {
-                Action::Down { .. } | Action::Up { .. } => {}
-                Action::Dial { dial, .. } => assert!(self.dials.insert(dial), "dialled twice"),
-                Action::Abort { dial } => assert!(self.dials.remove(&dial), "nothing to abort"),
-                Action::Grant { ticket, conn } => {
-                    let (server, avoid) = self.waiting.remove(&ticket).expect("somebody waits");
-                    self.granted.push((conn, avoid));
-                    self.idle.remove(&conn);
-                    assert!(
-                        self.used.insert(conn, server).is_none(),
-                        "a connection in two hands"
-                    );
-                }
-                Action::Keep { conn } => assert!(self.idle.insert(conn)),
-                Action::Fail { ticket, .. } => {
-                    assert!(self.waiting.remove(&ticket).is_some(), "nobody waits");
+                Action::RouteDown { .. } | Action::RouteUp { .. } => {}
+                Action::Dial { dial, .. } => assert!(self.dials.insert(dial), "dialed twice"),
+                Action::AbortDial { dial } => {
+                    assert!(self.dials.remove(&dial), "nothing to abort");
                 }
-                Action::Close { conn } => {
-                    assert!(
-                        self.idle.remove(&conn) || self.used.remove(&conn).is_some(),
-                        "closed twice"
-                    );
+                Action::Grant {
+                    checkout,
+                    connection,
+                } => self.grant(checkout, connection),
+                Action::KeepIdle { connection } => assert!(self.idle.insert(connection)),
+                Action::Fail { checkout, .. } => {
+                    assert!(self.pending.remove(&checkout).is_some(), "nobody waits");
                 }
-                Action::WakeAt(at) => {
-                    assert!(at.is_finite() && at >= now);
-                    self.wake_at = Some(at);
+                Action::Close { connection } => assert!(
+                    self.idle.remove(&connection) || self.in_use.remove(&connection).is_some(),
+                    "closed twice"
+                ),
+                Action::WakeAt(at_ms) => {
+                    assert!(at_ms.is_finite() && at_ms >= now_ms);
+                    self.wake_at_ms = Some(at_ms);
                 }
             }
         }
     }
+
+    fn grant(&mut self, checkout: CheckoutId, connection: ConnectionId) {
+        let pending = self.pending.remove(&checkout).expect("somebody waits");
+        self.granted.push((connection, pending.avoid));
+        self.idle.remove(&connection);
+        self.begin_use(connection, pending.server);
+    }
+
+    fn begin_use(&mut self, connection: ConnectionId, server: usize) {
+        assert!(
+            self.in_use.insert(connection, server).is_none(),
+            "a connection has two users"
+        );
+    }
 }
 
-fn list(bits: u8) -> Vec<Route> {
-    let listed = TEXTS
+fn routes(bits: u8) -> Vec<Route> {
+    ADDRESSES
         .iter()
         .enumerate()
-        .filter(|(at, _)| bits >> at & 1 == 1);
-    listed
+        .filter(|(index, _)| bits >> index & 1 == 1)
         .map(|(_, text)| Route::new(text.parse().expect("an address")))
         .collect()
 }
 
-fn play(seed: u64, steps: usize) {
-    let mut random = fastrand::Rng::with_seed(seed);
-    let limits = Limits {
-        most_open: MOST_OPEN,
-        most_per_server: 6,
-        most_dials: 3,
-        dial_timeout_ms: DIAL_MS,
-        idle_ms: 5_000.0,
-        cold_dials_per_s: 20.0,
-        ahead: random.bool(),
-    };
-    let (mut pool, mut model, mut now) = (Pool::new(limits), Model::default(), 1_000.0);
-    let mut there = [0_u8; SERVERS];
-    for _ in 0..steps {
+/// The pool and its model, driven by a seeded sequence of steps.
+struct Run {
+    random: fastrand::Rng,
+    pool: Pool,
+    model: Model,
+    now_ms: f64,
+}
+
+impl Run {
+    fn new(seed: u64) -> Self {
+        let mut random = fastrand::Rng::with_seed(seed);
+        let limits = Limits {
+            max_connections: MAX_CONNECTIONS,
+            max_connections_per_server: 6,
+            max_races_per_server: 3,
+            dial_timeout_ms: DIAL_TIMEOUT_MS,
+            idle_timeout_ms: 5_000.0,
+            slow_start_dials_per_s: 20.0,
+            dial_ahead: random.bool(),
+        };
+        Self {
+            random,
+            pool: Pool::new(limits),
+            model: Model::default(),
+            now_ms: 1_000.0,
+        }
+    }
+
+    fn step(&mut self) {
         let mut actions = Vec::new();
-        let at = random.usize(..SERVERS);
-        let server = ServerKey(at);
-        match random.u8(..24) {
-            0..=7 => {
-                let used = model.used.keys().copied().filter(|_| random.u8(..4) == 0);
-                let avoid: Vec<_> = used.filter_map(|conn| pool.route_of(conn)).collect();
-                match pool.take(now, server, &avoid, &mut actions) {
-                    Taken::Now(conn) => {
-                        assert!(model.idle.remove(&conn), "not idle");
-                        assert!(!avoid.contains(&pool.route_of(conn).expect("in use")));
-                        if random.u8(..8) == 0 {
-                            let how = if random.bool() {
-                                Closed::ByPeer
-                            } else {
-                                Closed::Odd
-                            };
-                            pool.stale(now, conn, how, random.f64() * 5_000.0, &mut actions);
-                        } else {
-                            assert!(
-                                model.used.insert(conn, at).is_none(),
-                                "a connection in two hands"
-                            );
-                        }
-                    }
-                    Taken::Later(ticket) => drop(model.waiting.insert(ticket, (at, avoid))),
-                    Taken::Never(_) => {}
-                }
-            }
-            8..=12 => {
-                if let Some(dial) = random.choice(model.dials.iter().copied()) {
-                    model.dials.remove(&dial);
-                    pool.dialled(now, dial, random.u8(..4) > 0, &mut actions);
-                }
-            }
-            13..=16 => {
-                if let Some(conn) = random.choice(model.used.keys().copied()) {
-                    model.used.remove(&conn);
-                    model.idle.insert(conn);
-                    pool.give_back(now, conn, &mut actions);
-                }
+        let index = self.random.usize(..SERVERS);
+        let server = ServerKey(index);
+        match self.random.u8(..24) {
+            0..=7 => self.check_out(index, &mut actions),
+            8..=12 => self.finish_dial(&mut actions),
+            13..=16 => self.check_in(&mut actions),
+            17 => self.close_in_use(&mut actions),
+            18 => self.close_idle_by_peer(&mut actions),
+            19 => self.cancel(&mut actions),
+            20 => {
+                let bits = self.random.u8(..16);
+                self.pool
+                    .update_routes(self.now_ms, server, routes(bits), &mut actions);
+                let until_ms = self.now_ms + self.random.f64() * 500.0;
+                self.pool.set_warming_up(server, until_ms);
             }
-            17 => {
-                if let Some(conn) = random.choice(model.used.keys().copied()) {
-                    model.used.remove(&conn);
-                    let how = [Closed::Odd, Closed::Broken, Closed::Spent][random.usize(..3)];
-                    pool.closed(now, conn, how, &mut actions);
-                }
+            21 if self.random.u8(..4) == 0 => {
+                self.pool.remove_server(self.now_ms, server, &mut actions);
             }
-            18 => {
-                if let Some(conn) = random.choice(model.idle.iter().copied()) {
-                    model.idle.remove(&conn);
-                    pool.ended(now, &[(conn, Closed::ByPeer)].into(), &mut actions);
-                }
+            22 => self.pool.close_expired(self.now_ms, &mut actions),
+            _ => self.now_ms += self.random.f64() * 60.0,
+        }
+        self.model.apply(self.now_ms, actions);
+        self.handle_due_timers();
+    }
+
+    fn check_out(&mut self, index: usize, actions: &mut Vec<Action>) {
+        let mut avoid = Vec::new();
+        for connection in self.model.in_use.keys() {
+            if self.random.u8(..4) == 0 {
+                avoid.extend(self.pool.route_of(*connection));
             }
-            19 => {
-                if let Some(ticket) = random.choice(model.waiting.keys().copied()) {
-                    model.waiting.remove(&ticket);
-                    pool.cancel(now, ticket, &mut actions);
+        }
+        match self
+            .pool
+            .check_out(self.now_ms, ServerKey(index), &avoid, actions)
+        {
+            Checkout::Ready(connection) => {
+                assert!(self.model.idle.remove(&connection), "not idle");
+                let route = self.pool.route_of(connection).expect("in use");
+                assert!(!avoid.contains(&route));
+                if self.random.u8(..8) == 0 {
+                    self.find_stale(connection, actions);
+                } else {
+                    self.model.begin_use(connection, index);
                 }
             }
-            20 => {
-                there[at] = random.u8(..16);
-                pool.update(now, server, list(there[at]), &mut actions);
-                pool.set_cold(server, now + random.f64() * 500.0);
+            Checkout::Pending(checkout) => {
+                let pending = PendingCheckout {
+                    server: index,
+                    avoid,
+                };
+                self.model.pending.insert(checkout, pending);
             }
-            21 if random.u8(..4) == 0 => pool.forget(now, server, &mut actions),
-            22 => pool.sweep(now, &mut actions),
-            _ => now += random.f64() * 60.0,
+            Checkout::Failed(_) => {}
+        }
+    }
+
+    fn find_stale(&mut self, connection: ConnectionId, actions: &mut Vec<Action>) {
+        let reason = if self.random.bool() {
+            CloseReason::ByPeer
+        } else {
+            CloseReason::UnsolicitedBytes
+        };
+        let idle_ms = self.random.f64() * 5_000.0;
+        self.pool
+            .found_stale(self.now_ms, connection, reason, idle_ms, actions);
+    }
+
+    fn finish_dial(&mut self, actions: &mut Vec<Action>) {
+        let Some(dial) = self.random.choice(self.model.dials.iter().copied()) else {
+            return;
+        };
+        self.model.dials.remove(&dial);
+        if self.random.u8(..4) > 0 {
+            let _is_used = self.pool.dial_succeeded(self.now_ms, dial, actions);
+        } else {
+            self.pool.dial_failed(self.now_ms, dial, actions);
         }
-        model.note(now, actions);
-        while let Some(due) = model.wake_at.filter(|at| *at <= now) {
-            model.wake_at = None;
+    }
+
+    fn check_in(&mut self, actions: &mut Vec<Action>) {
+        let Some(connection) = self.random.choice(self.model.in_use.keys().copied()) else {
+            return;
+        };
+        self.model.in_use.remove(&connection);
+        self.model.idle.insert(connection);
+        self.pool.check_in(self.now_ms, connection, actions);
+    }
+
+    fn close_in_use(&mut self, actions: &mut Vec<Action>) {
+        let Some(connection) = self.random.choice(self.model.in_use.keys().copied()) else {
+            return;
+        };
+        self.model.in_use.remove(&connection);
+        let reasons = [
+            CloseReason::UnsolicitedBytes,
+            CloseReason::Broken,
+            CloseReason::Finished,
+        ];
+        let reason = reasons[self.random.usize(..3)];
+        self.pool
+            .connection_closed(self.now_ms, connection, reason, actions);
+    }
+
+    fn close_idle_by_peer(&mut self, actions: &mut Vec<Action>) {
+        let Some(connection) = self.random.choice(self.model.idle.iter().copied()) else {
+            return;
+        };
+        self.model.idle.remove(&connection);
+        let closed = [(connection, CloseReason::ByPeer)].into();
+        self.pool.idle_closed(self.now_ms, &closed, actions);
+    }
+
+    fn cancel(&mut self, actions: &mut Vec<Action>) {
+        let Some(checkout) = self.random.choice(self.model.pending.keys().copied()) else {
+            return;
+        };
+        self.model.pending.remove(&checkout);
+        self.pool.cancel(self.now_ms, checkout, actions);
+    }
+
+    fn handle_due_timers(&mut self) {
+        while let Some(due_ms) = self.model.wake_at_ms.filter(|at| *at <= self.now_ms) {
+            self.model.wake_at_ms = None;
             let mut actions = Vec::new();
-            pool.due(due.max(now), &mut actions);
-            model.note(now, actions);
+            self.pool
+                .handle_timer(due_ms.max(self.now_ms), &mut actions);
+            self.model.apply(self.now_ms, actions);
         }
-        for (conn, avoid) in model.granted.drain(..) {
-            let route = pool.route_of(conn);
+    }
+
+    fn check(&mut self) {
+        for (connection, avoid) in self.model.granted.drain(..) {
+            let route = self.pool.route_of(connection);
             assert!(
                 route.is_none_or(|route| !avoid.contains(&route)),
-                "granted by an address to avoid"
+                "granted by a route to avoid"
             );
         }
-        let open = model.dials.len() + model.idle.len() + model.used.len();
-        assert_eq!(pool.open(), open, "descriptors leak");
-        assert!(open <= MOST_OPEN, "beyond the bound");
-        let idle: BTreeSet<_> = pool.all_idle().collect();
-        assert_eq!(idle, model.idle);
-        for (ticket, (at, _)) in &model.waiting {
-            let is_racing = !model.dials.is_empty() || model.wake_at.is_some();
-            assert!(is_racing, "{ticket:?} of server {at} waits for nothing");
+        let open = self.model.dials.len() + self.model.idle.len() + self.model.in_use.len();
+        assert_eq!(self.pool.open_connections(), open, "descriptors leak");
+        assert!(open <= MAX_CONNECTIONS, "beyond the limit");
+        let idle: BTreeSet<_> = self.pool.idle_connections().collect();
+        assert_eq!(idle, self.model.idle);
+        for (checkout, pending) in &self.model.pending {
+            let has_progress = !self.model.dials.is_empty() || self.model.wake_at_ms.is_some();
+            let server = pending.server;
+            assert!(
+                has_progress,
+                "{checkout:?} of server {server} waits for nothing"
+            );
         }
     }
-    // Everyone who waits is served or fails, whatever becomes of the dials.
-    let mut rounds = 0;
-    while !model.waiting.is_empty() {
-        rounds += 1;
-        assert!(rounds < 10_000, "somebody waits for ever");
-        now = model
-            .wake_at
-            .take()
-            .expect("a time is asked for while somebody waits")
-            .max(now);
-        let mut actions = Vec::new();
-        pool.due(now, &mut actions);
-        model.note(now, actions);
-    }
-    for conn in std::mem::take(&mut model.used).into_keys() {
-        let mut actions = Vec::new();
-        pool.closed(now, conn, Closed::Spent, &mut actions);
-        model.note(now, actions);
+
+    /// Every pending checkout is granted or fails, even if no dial ever finishes.
+    fn finish_pending(&mut self) {
+        let mut rounds = 0;
+        while !self.model.pending.is_empty() {
+            rounds += 1;
+            assert!(rounds < 10_000, "a checkout waits for ever");
+            self.now_ms = self
+                .model
+                .wake_at_ms
+                .take()
+                .expect("a timer is set while a checkout waits")
+                .max(self.now_ms);
+            let mut actions = Vec::new();
+            self.pool.handle_timer(self.now_ms, &mut actions);
+            self.model.apply(self.now_ms, actions);
+        }
     }
-    for at in 0..SERVERS {
-        let mut actions = Vec::new();
-        pool.forget(now, ServerKey(at), &mut actions);
-        model.note(now, actions);
+
+    fn close_everything(&mut self) {
+        for connection in std::mem::take(&mut self.model.in_use).into_keys() {
+            let mut actions = Vec::new();
+            self.pool.connection_closed(
+                self.now_ms,
+                connection,
+                CloseReason::Finished,
+                &mut actions,
+            );
+            self.model.apply(self.now_ms, actions);
+        }
+        for index in 0..SERVERS {
+            let mut actions = Vec::new();
+            self.pool
+                .remove_server(self.now_ms, ServerKey(index), &mut actions);
+            self.model.apply(self.now_ms, actions);
+        }
+        assert_eq!(self.pool.open_connections(), 0, "nothing is left");
+        assert!(self.model.dials.is_empty(), "nothing is left");
+        assert!(self.model.idle.is_empty(), "nothing is left");
     }
-    assert_eq!(
-        (pool.open(), model.dials.len(), model.idle.len()),
-        (0, 0, 0),
-        "nothing is left"
-    );
 }
 
 proptest! {
     #![proptest_config(ProptestConfig { cases: 400, failure_persistence: None, ..ProptestConfig::default() })]
 
     #[test]
-    fn no_connection_is_in_two_hands_and_none_leaks(seed: u64) {
-        play(seed, 400);
+    fn connection_has_one_user_and_never_leaks(seed: u64) {
+        let mut run = Run::new(seed);
+        for _ in 0..400 {
+            run.step();
+            run.check();
+        }
+        run.finish_pending();
+        run.close_everything();
     }
 }
 
-/// An idle connection that has rested is never passed over for a wait.
+/// An idle connection past its cool-down is never passed over for a wait.
 #[test]
-fn nobody_waits_while_a_connection_stands_idle() {
+fn checkout_never_waits_beside_an_idle_connection() {
     let mut random = fastrand::Rng::with_seed(9);
     let mut pool = Pool::new(Limits::default());
-    let (server, mut used, mut dials) = (ServerKey(0), Vec::new(), Vec::new());
+    let (server, mut in_use, mut dials) = (ServerKey(0), Vec::new(), Vec::new());
     let mut actions = Vec::new();
-    pool.update(0.0, server, list(3), &mut actions);
+    pool.update_routes(0.0, server, routes(3), &mut actions);
     for step in 0..10_000 {
-        let now = f64::from(step);
-        let idle = pool.idle(server);
+        let now_ms = f64::from(step);
+        let idle = pool.idle_count(server);
         if random.bool() {
-            match pool.take(now, server, &[], &mut actions) {
-                Taken::Now(conn) => used.push(conn),
+            match pool.check_out(now_ms, server, &[], &mut actions) {
+                Checkout::Ready(connection) => in_use.push(connection),
                 _ => assert_eq!(idle, 0, "it waits beside an idle connection"),
             }
-        } else if !used.is_empty() {
-            pool.give_back(
-                now,
-                used.swap_remove(random.usize(..used.len())),
-                &mut actions,
-            );
+        } else if !in_use.is_empty() {
+            let connection = in_use.swap_remove(random.usize(..in_use.len()));
+            pool.check_in(now_ms, connection, &mut actions);
         }
         for action in std::mem::take(&mut actions) {
             match action {
                 Action::Dial { dial, .. } => dials.push(dial),
-                Action::Abort { dial } => dials.retain(|out| *out != dial),
-                Action::Grant { conn, .. } => used.push(conn),
+                Action::AbortDial { dial } => dials.retain(|out| *out != dial),
+                Action::Grant { connection, .. } => in_use.push(connection),
                 _ => {}
             }
         }
         if let Some(dial) = dials.pop().filter(|_| random.bool()) {
-            pool.dialled(now, dial, true, &mut actions);
+            let _is_used = pool.dial_succeeded(now_ms, dial, &mut actions);
             for action in std::mem::take(&mut actions) {
-                if let Action::Grant { conn, .. } = action {
-                    used.push(conn);
+                if let Action::Grant { connection, .. } = action {
+                    in_use.push(connection);
                 }
             }
         }
--- a/src/node/admin/operators.rs
+++ b/src/node/admin/operators.rs
@@ -12,7 +12,7 @@
 
 use consul::{Api, Consistency, Mapping, Named, Place, Query, State, WatchSettings};
 use endpoint_discovery::{Damping, MatchBy, Trust};
-use pool::{Address, Route, MOST_ADDRESSES, ORDINARY_PREFERENCE};
+use pool::{Address, Route, DEFAULT_PREFERENCE, MAX_ADDRESSES};
 use serde::{Deserialize, Deserializer};
 use toml::Spanned;
 
@@ -299,7 +299,7 @@
 }
 
 fn ordinary_preference() -> u16 {
-    ORDINARY_PREFERENCE
+    DEFAULT_PREFERENCE
 }
 
 struct AddressText(Address);
@@ -737,10 +737,10 @@
             ));
         }
         let count = addresses.get_ref().len();
-        if !(1..=MOST_ADDRESSES).contains(&count) {
+        if !(1..=MAX_ADDRESSES).contains(&count) {
             return Err(wrong(
                 &addresses,
-                format!("there are 1 to {MOST_ADDRESSES} addresses"),
+                format!("there are 1 to {MAX_ADDRESSES} addresses"),
             ));
         }
         let mut routes = Vec::new();
--- a/src/node/downstream/passing.rs
+++ b/src/node/downstream/passing.rs
@@ -10,7 +10,7 @@
 use flow_control::TransferDeadline;
 use http_body::{Body, Frame, SizeHint};
 use http_body_util::Full;
-use pool::Broke;
+use pool::ConnectionError;
 use tokio::sync::mpsc;
 use tokio::time::Instant;
 
@@ -24,7 +24,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Cut {
     /// It broke.
-    Broke(Broke),
+    Broke(ConnectionError),
     /// It was being passed on, and its client takes no more.
     ClientLeft,
 }
--- a/src/node/upstream/http1/exchange.rs
+++ b/src/node/upstream/http1/exchange.rs
@@ -16,7 +16,7 @@
 use hyper::http::response::Parts;
 use hyper::{Request, Response, Version};
 use hyper_util::rt::TokioIo;
-use pool::{Broke, Closed};
+use pool::{CloseReason, ConnectionError};
 
 use super::metered::{Metered, Traffic, SEND_STALL};
 use super::sending::Sending;
@@ -70,20 +70,20 @@
     /// See [`upstream::Conn::look`](crate::node::upstream::Conn::look). Guards against a connection that was closed since its
     /// last exchange (what is written to it would end as a reset), and against one that holds more than the answer
     /// before.
-    pub fn look(&mut self) -> Option<Closed> {
+    pub fn look(&mut self) -> Option<CloseReason> {
         poll(
             &mut self.connection,
             &self.traffic,
             &mut Context::from_waker(Waker::noop()),
         );
         if self.traffic.is_odd() {
-            Some(Closed::Odd)
+            Some(CloseReason::UnsolicitedBytes)
         } else if self.connection.is_none() {
-            Some(Closed::ByPeer)
+            Some(CloseReason::ByPeer)
         } else if self.sender.is_ready() {
             None
         } else {
-            Some(Closed::Spent)
+            Some(CloseReason::Finished)
         }
     }
 
@@ -113,25 +113,26 @@
             answer = drive(&mut self.connection, &self.traffic, answer) => answer.map_err(|error| {
                 if error.is_parse() || self.traffic.is_flooded() {
                     log::line(format_args!("a server's answer is malformed: {error}"));
-                    Broke::Answer
+                    ConnectionError::InvalidResponse
                 } else {
-                    Broke::Connection
+                    ConnectionError::Closed
                 }
             }),
-            broke = self.traffic.stalls(stall, send_stall) => {
+            error = self.traffic.stalls(stall, send_stall) => {
                 log::line("a server's answer, or the request to it, does not go on");
-                Err(broke)
+                Err(error)
             }
         };
         match answer {
             Ok(answer) => Ok(self.read(answer, stall, begin).await),
-            Err(broke) => {
+            Err(error) => {
                 self.connection = None;
-                let is_odd = self.traffic.is_odd() || broke == Broke::Answer;
+                let has_unsolicited_bytes =
+                    self.traffic.is_odd() || error == ConnectionError::InvalidResponse;
                 Err(Broken {
                     sent: self.traffic.sent(),
-                    broke,
-                    is_odd,
+                    error,
+                    has_unsolicited_bytes,
                 })
             }
         }
@@ -164,7 +165,7 @@
             self.connection = None;
         }
         let (ending, body) = match (ending, read) {
-            (Ending::Served, Err(Cut::Broke(Broke::Connection))) => (Ending::Reset, None),
+            (Ending::Served, Err(Cut::Broke(ConnectionError::Closed))) => (Ending::Reset, None),
             (Ending::Served, Err(Cut::Broke(_))) => (Ending::Spoilt, None),
             (Ending::Served, Err(Cut::ClientLeft)) => (Ending::Cancelled, None),
             (Ending::Served, Ok(body)) => (Ending::Served, body),
@@ -200,7 +201,7 @@
         let endless = told.is_none() && !chunked && !closes && head.version != Version::HTTP_10;
         if endless || told.is_some_and(|told| told > MOST_PASSED as u64) {
             log::line("a server's answer is too large or does not tell its length");
-            return Err(Cut::Broke(Broke::Answer));
+            return Err(Cut::Broke(ConnectionError::InvalidResponse));
         }
         if chunked {
             self.traffic.allow(CHUNKED * MOST_BODY);
@@ -215,7 +216,7 @@
                 held.push(piece);
                 continue;
             }
-            let begin = begin.ok_or(Cut::Broke(Broke::Answer))?;
+            let begin = begin.ok_or(Cut::Broke(ConnectionError::InvalidResponse))?;
             let (feeder, passing) = passing(told);
             begin(passing);
             let first = [held.whole(), piece];
@@ -250,7 +251,7 @@
             passed += piece.len();
             if passed > MOST_PASSED {
                 log::line("a server's answer does not end");
-                return Err(Cut::Broke(Broke::Answer));
+                return Err(Cut::Broke(ConnectionError::InvalidResponse));
             }
             feeder.feed(piece).await?;
         }
@@ -270,11 +271,11 @@
                     }
                 }
                 Ok(Some(Err(error))) if error.is_incomplete_message() => {
-                    return Err(Cut::Broke(Broke::Connection));
+                    return Err(Cut::Broke(ConnectionError::Closed));
                 }
                 _ => {
                     log::line("a server's answer is malformed or does not go on");
-                    return Err(Cut::Broke(Broke::Answer));
+                    return Err(Cut::Broke(ConnectionError::InvalidResponse));
                 }
             }
         }
--- a/src/node/upstream/http1/metered.rs
+++ b/src/node/upstream/http1/metered.rs
@@ -9,7 +9,7 @@
 use std::time::Duration;
 
 use admin::Counter;
-use pool::{Broke, Sent};
+use pool::{BytesSent, ConnectionError};
 use tokio::io::{AsyncRead, AsyncWrite, ReadBuf};
 use tokio::sync::Notify;
 
@@ -71,11 +71,11 @@
     }
 
     /// How much of the request is out.
-    pub fn sent(&self) -> Sent {
+    pub fn sent(&self) -> BytesSent {
         match self.written.get() {
-            _ if self.whole.get() => Sent::Whole,
-            0 => Sent::Nothing,
-            _ => Sent::Part,
+            _ if self.whole.get() => BytesSent::Complete,
+            0 => BytesSent::None,
+            _ => BytesSent::Partial,
         }
     }
 
@@ -131,15 +131,17 @@
     /// Waits until the request or the answer's head stops short. Guards against a server that takes no more, and against
     /// answers that cannot be read and do not end: they would be waited for until the request's time is over, with none
     /// left for another attempt.
-    pub async fn stalls(&self, answer_stall: Duration, send_stall: Duration) -> Broke {
+    pub async fn stalls(&self, answer_stall: Duration, send_stall: Duration) -> ConnectionError {
         loop {
             let (limit, broke) = match self.sent() {
-                Sent::Whole if self.is_in_head() => (answer_stall, Broke::Answer),
-                Sent::Whole => {
+                BytesSent::Complete if self.is_in_head() => {
+                    (answer_stall, ConnectionError::InvalidResponse)
+                }
+                BytesSent::Complete => {
                     self.moved.notified().await;
                     continue;
                 }
-                _ if self.blocked.get() => (send_stall, Broke::Stalled),
+                _ if self.blocked.get() => (send_stall, ConnectionError::Stalled),
                 // Its client is waited for, which is not the server's matter.
                 _ => {
                     self.moved.notified().await;
--- a/src/node/upstream/http1/metered/tests.rs
+++ b/src/node/upstream/http1/metered/tests.rs
@@ -27,7 +27,7 @@
     let written = Pin::new(&mut metered).poll_write(&mut cx, b"GET / HTTP/1.1\r\n");
     assert!(matches!(written, Poll::Ready(Err(_))), "{written:?}");
     let _ = Pin::new(&mut metered).poll_flush(&mut cx);
-    assert_eq!(metered.traffic.sent(), Sent::Nothing, "it never ran");
+    assert_eq!(metered.traffic.sent(), BytesSent::None, "it never ran");
     assert!(metered.traffic.is_odd());
 }
 
@@ -40,7 +40,10 @@
     let waits = tokio::time::timeout(Duration::from_secs(60), traffic.stalls(STALL, SEND_STALL));
     assert!(waits.await.is_err(), "its client may send slowly");
     traffic.note_blocked();
-    assert_eq!(traffic.stalls(STALL, SEND_STALL).await, Broke::Stalled);
+    assert_eq!(
+        traffic.stalls(STALL, SEND_STALL).await,
+        ConnectionError::Stalled
+    );
     traffic.whole.set(true);
     let waits = tokio::time::timeout(Duration::from_secs(60), traffic.stalls(STALL, SEND_STALL));
     assert!(
@@ -48,5 +51,8 @@
         "it may think for as long as the request's time goes"
     );
     traffic.note_read(b"HTTP/1.1 200");
-    assert_eq!(traffic.stalls(STALL, SEND_STALL).await, Broke::Answer);
+    assert_eq!(
+        traffic.stalls(STALL, SEND_STALL).await,
+        ConnectionError::InvalidResponse
+    );
 }
--- a/src/node/upstream/mod.rs
+++ b/src/node/upstream/mod.rs
@@ -18,7 +18,7 @@
 use bytes::Bytes;
 use hyper::header::{HeaderMap, HeaderValue};
 use hyper::{Method, StatusCode, Uri};
-use pool::{Address, Broke, Closed, Sent};
+use pool::{Address, BytesSent, CloseReason, ConnectionError};
 
 use crate::node::downstream::passing::{Passing, Upload};
 use balancer::{Ending, Report};
@@ -105,11 +105,11 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Broken {
     /// How much of the request was out.
-    pub sent: Sent,
-    /// What broke.
-    pub broke: Broke,
-    /// Whether bytes came that nobody had asked for, or that are no answer.
-    pub is_odd: bool,
+    pub sent: BytesSent,
+    /// How the connection failed.
+    pub error: ConnectionError,
+    /// Whether bytes arrived that no request had asked for, or that are no response.
+    pub has_unsolicited_bytes: bool,
 }
 
 /// A connection to a server. Whoever has it is the only one that moves it, so that dropping it closes the socket at
@@ -132,7 +132,7 @@
     }
 
     /// Looks whether it stands idle and fit for use as far as the event loop has heard. `None`: it does.
-    pub fn look(&mut self) -> Option<Closed> {
+    pub fn look(&mut self) -> Option<CloseReason> {
         match self {
             Self::Http1(conn) => conn.look(),
         }
--- a/src/node/upstream/servers.rs
+++ b/src/node/upstream/servers.rs
@@ -12,8 +12,8 @@
 
 use endpoint_discovery::{Host, State};
 use pool::{
-    judge, Action, Address, Age, Closed, ConnId, DialId, Holders, Limits, Next, Pool, Route,
-    RouteId, ServerKey, Taken, Ticket, Why,
+    recovery, Action, Address, AddressOwners, Checkout, CheckoutError, CheckoutId, CloseReason,
+    ConnectionAge, ConnectionId, DialId, Limits, Pool, Recovery, Route, RouteId, ServerKey,
 };
 use tokio::sync::oneshot;
 use tokio::task::AbortHandle;
@@ -70,7 +70,7 @@
 struct Standing {
     conn: Conn,
     since_ms: f64,
-    age: Age,
+    age: ConnectionAge,
 }
 
 /// What the operators' file says of connections to servers; where it says nothing, [`Limits`] does.
@@ -89,11 +89,11 @@
 /// The connections to all servers.
 pub struct Servers {
     pool: RefCell<Pool>,
-    standing: RefCell<HashMap<ConnId, Standing>>,
-    waiting: RefCell<HashMap<Ticket, oneshot::Sender<Result<Lease, Why>>>>,
+    standing: RefCell<HashMap<ConnectionId, Standing>>,
+    waiting: RefCell<HashMap<CheckoutId, oneshot::Sender<Result<Lease, CheckoutError>>>>,
     dials: RefCell<HashMap<DialId, AbortHandle>>,
     table: RefCell<BTreeMap<ServerId, Server>>,
-    holders: RefCell<Holders>,
+    address_owners: RefCell<AddressOwners>,
     said: RefCell<AllSaid>,
     alarm: Alarm,
     cold_ms: f64,
@@ -109,13 +109,15 @@
         let most_open = config.limits.server_connections();
         let ordinary = Limits::default();
         let limits = Limits {
-            most_open,
-            most_per_server: bounds.most_per_server.unwrap_or(most_open).min(most_open),
-            most_dials: bounds.most_dials.unwrap_or(ordinary.most_dials),
-            cold_dials_per_s: bounds.cold_dials_per_s.unwrap_or(ordinary.cold_dials_per_s),
-            ahead: bounds.ahead,
+            max_connections: most_open,
+            max_connections_per_server: bounds.most_per_server.unwrap_or(most_open).min(most_open),
+            max_races_per_server: bounds.most_dials.unwrap_or(ordinary.max_races_per_server),
+            slow_start_dials_per_s: bounds
+                .cold_dials_per_s
+                .unwrap_or(ordinary.slow_start_dials_per_s),
+            dial_ahead: bounds.ahead,
             dial_timeout_ms: ms(config.dial_timeout),
-            idle_ms: ms(config.idle_limit),
+            idle_timeout_ms: ms(config.idle_limit),
         };
         Rc::new(Self {
             pool: RefCell::new(Pool::new(limits)),
@@ -123,7 +125,7 @@
             waiting: RefCell::default(),
             dials: RefCell::default(),
             table: RefCell::default(),
-            holders: RefCell::default(),
+            address_owners: RefCell::default(),
             said: RefCell::new(said),
             alarm: Alarm::new(),
             cold_ms: config.settings.cold_ms,
@@ -153,34 +155,37 @@
                 server: _,
                 route,
             } => self.dial(dial, route.address),
-            Action::Abort { dial } => {
+            Action::AbortDial { dial } => {
                 if let Some(task) = self.dials.borrow_mut().remove(&dial) {
                     task.abort();
                 }
             }
-            Action::Grant { ticket, conn } => {
-                let Some(lease) = self.lease(conn, fresh) else {
+            Action::Grant {
+                checkout,
+                connection,
+            } => {
+                let Some(lease) = self.lease(connection, fresh) else {
                     return;
                 };
-                self.tell(ticket, Ok(lease));
+                self.tell(checkout, Ok(lease));
             }
-            Action::Keep { conn } => {
+            Action::KeepIdle { connection } => {
                 if let Some(fresh) = fresh.take() {
                     let kept = Standing {
                         conn: fresh,
                         since_ms: self.now_ms(),
-                        age: Age::Used,
+                        age: ConnectionAge::Reused,
                     };
-                    self.standing.borrow_mut().insert(conn, kept);
+                    self.standing.borrow_mut().insert(connection, kept);
                 }
             }
-            Action::Fail { ticket, why } => self.tell(ticket, Err(why)),
-            Action::Close { conn } => {
-                let closed = self.standing.borrow_mut().remove(&conn);
+            Action::Fail { checkout, error } => self.tell(checkout, Err(error)),
+            Action::Close { connection } => {
+                let closed = self.standing.borrow_mut().remove(&connection);
                 drop(closed);
             }
-            Action::Down { server, route } => self.tell_of(server, &route, "does not come up"),
-            Action::Up { server, route } => self.tell_of(server, &route, "comes up again"),
+            Action::RouteDown { server, route } => self.tell_of(server, &route, "does not come up"),
+            Action::RouteUp { server, route } => self.tell_of(server, &route, "comes up again"),
             Action::WakeAt(at) => self.alarm.set(at),
         }
     }
@@ -199,22 +204,22 @@
     }
 
     /// Tells an attempt what it has waited for; one that has left gives the connection back as it drops.
-    fn tell(&self, ticket: Ticket, what: Result<Lease, Why>) {
-        let waits = self.waiting.borrow_mut().remove(&ticket);
+    fn tell(&self, checkout: CheckoutId, what: Result<Lease, CheckoutError>) {
+        let waits = self.waiting.borrow_mut().remove(&checkout);
         if let Some(waits) = waits {
             let _ = waits.send(what);
         }
     }
 
     /// A connection that the pool has handed out: one that stood, or the one that has just come up.
-    fn lease(self: &Rc<Self>, id: ConnId, fresh: &mut Option<Conn>) -> Option<Lease> {
+    fn lease(self: &Rc<Self>, id: ConnectionId, fresh: &mut Option<Conn>) -> Option<Lease> {
         let stood = self.standing.borrow_mut().remove(&id);
         let standing = stood.or_else(|| {
             let conn = fresh.take()?;
             Some(Standing {
                 conn,
                 since_ms: self.now_ms(),
-                age: Age::Fresh,
+                age: ConnectionAge::New,
             })
         })?;
         Some(Lease {
@@ -238,11 +243,16 @@
         self.dials.borrow_mut().remove(&dial);
         let mut actions = Vec::new();
         let now = self.now_ms();
-        let kept = self
-            .pool
-            .borrow_mut()
-            .dialled(now, dial, dialled.is_ok(), &mut actions);
-        let mut fresh = dialled.ok().filter(|_| kept);
+        let mut fresh = None;
+        if let Ok(conn) = dialled {
+            let is_used = self
+                .pool
+                .borrow_mut()
+                .dial_succeeded(now, dial, &mut actions);
+            fresh = is_used.then_some(conn);
+        } else {
+            self.pool.borrow_mut().dial_failed(now, dial, &mut actions);
+        }
         for action in actions {
             self.carry_out(action, &mut fresh);
         }
@@ -256,10 +266,10 @@
         for (at, host) in hosts {
             self.note(*at, host, &mut moved);
         }
-        let changed = self.holders.borrow().settle(moved);
-        self.moved(&changed.moved);
+        let changed = self.address_owners.borrow().resolve(moved);
+        self.moved(&changed.rerouted);
         changed
-            .gone
+            .displaced
             .into_iter()
             .map(|gone| ServerId(gone.0))
             .collect()
@@ -289,9 +299,9 @@
         );
         drop(table);
         let routes = routes(&self.said.borrow(), host, listed);
-        self.holders
+        self.address_owners
             .borrow_mut()
-            .name(key, routes, host.started_at_ms, is_ready, moved);
+            .claim(key, routes, host.started_at_ms, is_ready, moved);
         let is_anew = before.is_some_and(|before| {
             before.host.started_at_ms.to_bits() != host.started_at_ms.to_bits()
         });
@@ -300,14 +310,14 @@
         }
         if self.cold_ms > 0.0 && host.started_at_ms > 0.0 {
             let cold_until = host.started_at_ms + self.cold_ms;
-            self.with(|pool, _, _| pool.set_cold(key, cold_until));
+            self.with(|pool, _, _| pool.set_warming_up(key, cold_until));
         }
     }
 
     fn moved(self: &Rc<Self>, moved: &BTreeSet<ServerKey>) {
         for server in moved {
-            let routes = self.holders.borrow().routes(*server);
-            self.with(|pool, now, actions| pool.update(now, *server, routes, actions));
+            let routes = self.address_owners.borrow().routes(*server);
+            self.with(|pool, now, actions| pool.update_routes(now, *server, routes, actions));
         }
     }
 
@@ -330,8 +340,8 @@
     /// with their answers.
     pub fn forget(self: &Rc<Self>, at: ServerId) {
         self.table.borrow_mut().remove(&at);
-        self.with(|pool, now, actions| pool.forget(now, ServerKey(at.0), actions));
-        let moved = self.holders.borrow_mut().forget(ServerKey(at.0));
+        self.with(|pool, now, actions| pool.remove_server(now, ServerKey(at.0), actions));
+        let moved = self.address_owners.borrow_mut().remove(ServerKey(at.0));
         self.moved(&moved);
     }
 
@@ -353,9 +363,9 @@
             .retain(|id, _| !ended.contains_key(id));
         self.with(|pool, now, actions| {
             if !ended.is_empty() {
-                pool.ended(now, &ended, actions);
+                pool.idle_closed(now, &ended, actions);
             }
-            pool.sweep(now, actions);
+            pool.close_expired(now, actions);
         });
     }
 
@@ -363,7 +373,7 @@
     pub async fn wake_up(self: Rc<Self>) {
         loop {
             self.alarm.rings(|| self.now_ms()).await;
-            self.with(pool::Pool::due);
+            self.with(pool::Pool::handle_timer);
             tokio::task::yield_now().await; // Whatever the pool asks for, others have their turn.
         }
     }
@@ -378,22 +388,29 @@
 
     /// A connection by none of the addresses to avoid: one that stands idle, or whichever comes first of one that is
     /// given back and one that is dialled.
-    async fn take(self: &Rc<Self>, at: ServerId, avoid: &[RouteId]) -> Result<Lease, Why> {
-        let taken = self.with(|pool, now, actions| pool.take(now, ServerKey(at.0), avoid, actions));
+    async fn take(
+        self: &Rc<Self>,
+        at: ServerId,
+        avoid: &[RouteId],
+    ) -> Result<Lease, CheckoutError> {
+        let taken =
+            self.with(|pool, now, actions| pool.check_out(now, ServerKey(at.0), avoid, actions));
         match taken {
-            Taken::Now(conn) => self.lease(conn, &mut None).ok_or(Why::Nowhere),
-            Taken::Later(ticket) => {
+            Checkout::Ready(connection) => self
+                .lease(connection, &mut None)
+                .ok_or(CheckoutError::NoRoute),
+            Checkout::Pending(checkout) => {
                 let (tell, told) = oneshot::channel();
-                self.waiting.borrow_mut().insert(ticket, tell);
+                self.waiting.borrow_mut().insert(checkout, tell);
                 Waits {
                     servers: self,
-                    ticket,
+                    checkout,
                     told,
                 }
                 .told()
                 .await
             }
-            Taken::Never(why) => Err(why),
+            Checkout::Failed(error) => Err(error),
         }
     }
 
@@ -414,7 +431,7 @@
         for _ in 0..MOST_TURNS {
             let mut lease = match self.take(at, &avoid).await {
                 Ok(lease) => lease,
-                Err(Why::Full) if avoid.is_empty() => {
+                Err(CheckoutError::LimitReached) if avoid.is_empty() => {
                     log::line("all connections to servers are in use");
                     return Ending::NotSent.into();
                 }
@@ -433,13 +450,13 @@
                     lease.done(at);
                     return ended;
                 }
-                Err((Next::Again, _)) => {}
-                Err((Next::Elsewhere, by)) => {
+                Err((Recovery::AnyConnection, _)) => {}
+                Err((Recovery::OtherAddress, by)) => {
                     avoid.extend(by);
                     gone = Ending::Unreachable;
                 }
-                Err((Next::Reset, _)) => return Ending::Reset.into(),
-                Err((Next::Spoilt, _)) => return Ending::Spoilt.into(),
+                Err((Recovery::Reset, _)) => return Ending::Reset.into(),
+                Err((Recovery::Malformed, _)) => return Ending::Spoilt.into(),
             }
         }
         Ending::Unreachable.into()
@@ -449,40 +466,43 @@
 /// An attempt that waits for a connection.
 struct Waits<'a> {
     servers: &'a Rc<Servers>,
-    ticket: Ticket,
-    told: oneshot::Receiver<Result<Lease, Why>>,
+    checkout: CheckoutId,
+    told: oneshot::Receiver<Result<Lease, CheckoutError>>,
 }
 
 impl Waits<'_> {
-    async fn told(mut self) -> Result<Lease, Why> {
-        (&mut self.told).await.unwrap_or(Err(Why::Nowhere))
+    async fn told(mut self) -> Result<Lease, CheckoutError> {
+        (&mut self.told)
+            .await
+            .unwrap_or(Err(CheckoutError::NoRoute))
     }
 }
 
 impl Drop for Waits<'_> {
     fn drop(&mut self) {
-        self.servers.waiting.borrow_mut().remove(&self.ticket);
+        self.servers.waiting.borrow_mut().remove(&self.checkout);
         self.servers
-            .with(|pool, now, actions| pool.cancel(now, self.ticket, actions));
+            .with(|pool, now, actions| pool.cancel(now, self.checkout, actions));
     }
 }
 
 /// A connection that an attempt has. Dropped before anything is written it goes back; later it is closed.
 struct Lease {
     servers: Rc<Servers>,
-    id: ConnId,
+    id: ConnectionId,
     standing: Option<Standing>,
     is_begun: bool,
 }
 
 impl Lease {
-    fn stale(&mut self, how: Closed) {
+    fn stale(&mut self, how: CloseReason) {
         let Some(standing) = self.standing.take() else {
             return;
         };
         let id = self.id;
-        self.servers
-            .with(|pool, now, actions| pool.stale(now, id, how, now - standing.since_ms, actions));
+        self.servers.with(|pool, now, actions| {
+            pool.found_stale(now, id, how, now - standing.since_ms, actions);
+        });
     }
 
     /// Makes the exchange. A connection that broke is closed, the pool is told, and by which address it went.
@@ -491,32 +511,32 @@
         message: &Rc<Message>,
         left: Duration,
         begin: &dyn Fn(Served),
-    ) -> Result<Ended, (Next, Option<RouteId>)> {
+    ) -> Result<Ended, (Recovery, Option<RouteId>)> {
         self.is_begun = true;
         let Some(standing) = &mut self.standing else {
-            return Err((Next::Again, None));
+            return Err((Recovery::AnyConnection, None));
         };
         let exchanged = standing.conn.exchange(message, left, begin).await;
         let age = standing.age;
         exchanged.map_err(|broken| {
-            let next = judge(age, broken.sent, broken.broke);
+            let next = recovery(age, broken.sent, broken.error);
             let by = self.servers.pool.borrow().route_of(self.id);
             match next {
-                _ if broken.is_odd => self.closed(Closed::Odd),
-                Next::Again => self.stale(Closed::ByPeer),
-                Next::Elsewhere => self.closed(Closed::Broken),
-                Next::Reset | Next::Spoilt => self.closed(Closed::Spent),
+                _ if broken.has_unsolicited_bytes => self.closed(CloseReason::UnsolicitedBytes),
+                Recovery::AnyConnection => self.stale(CloseReason::ByPeer),
+                Recovery::OtherAddress => self.closed(CloseReason::Broken),
+                Recovery::Reset | Recovery::Malformed => self.closed(CloseReason::Finished),
             }
             (next, by)
         })
     }
 
-    fn closed(&mut self, how: Closed) {
+    fn closed(&mut self, how: CloseReason) {
         let closed = self.standing.take();
         if closed.is_some() {
             let id = self.id;
             self.servers
-                .with(|pool, now, actions| pool.closed(now, id, how, actions));
+                .with(|pool, now, actions| pool.connection_closed(now, id, how, actions));
         }
     }
 
@@ -535,7 +555,7 @@
         };
         match how {
             Some(how) => self.closed(how),
-            None if drains() => self.closed(Closed::Spent),
+            None if drains() => self.closed(CloseReason::Finished),
             None => self.give_back(),
         }
     }
@@ -547,19 +567,19 @@
         let stands = Standing {
             conn,
             since_ms: self.servers.now_ms(),
-            age: Age::Used,
+            age: ConnectionAge::Reused,
         };
         self.servers.standing.borrow_mut().insert(self.id, stands);
         let id = self.id;
         self.servers
-            .with(|pool, now, actions| pool.give_back(now, id, actions));
+            .with(|pool, now, actions| pool.check_in(now, id, actions));
     }
 }
 
 impl Drop for Lease {
     fn drop(&mut self) {
         if self.is_begun {
-            self.closed(Closed::Spent);
+            self.closed(CloseReason::Finished);
         } else {
             self.give_back();
         }
--- a/src/node/upstream/servers/tests.rs
+++ b/src/node/upstream/servers/tests.rs
@@ -136,7 +136,11 @@
         underway.close();
         assert!(servers.waiting.borrow().is_empty());
         let held = servers.standing.borrow().len() + servers.dials.borrow().len();
-        assert_eq!(servers.pool.borrow().open(), held, "after {turns} turns");
+        assert_eq!(
+            servers.pool.borrow().open_connections(),
+            held,
+            "after {turns} turns"
+        );
     }
 }
 
