--- a/crates/admin/src/drain.rs
+++ b/crates/admin/src/drain.rs
@@ -1,93 +1,60 @@
-//! The course of a drain: a node that serves on while its clients go elsewhere, and may take them back.
+//! The course of a drain: a node that goes on serving while its clients move to other nodes, and may accept them again.
 
-/// How long answers go out as ever after the call: a front that asks ten times a second deals out new connections for
-/// a while after the first no, and a client that were sent away at once would come straight back.
-pub const LAST_ANSWER_MS: f64 = 400.0;
-/// When the connections that stand between requests are ended, too. By then the clients that ask at all have had their
-/// last answer; 2 s after the call nothing may be taken on an old connection any more, and some of that is kept in hand.
-pub const LEAVE_MS: f64 = 1_400.0;
+/// How long after the begin of a drain responses leave their connections open. The platform's front proxy polls the
+/// node's readiness ten times a second and goes on assigning new connections for a while after the first negative
+/// answer: a client sent away at once would come straight back.
+pub const CLOSE_AFTER_RESPONSE_DELAY_MS: f64 = 400.0;
 
-/// How long a connection may stay.
+/// How long after the begin of a drain idle connections are closed, too. By then all clients that send requests have
+/// had their last response. No request may be accepted on an old connection later than 2 s after the begin; the rest
+/// is margin.
+pub const CLOSE_IDLE_DELAY_MS: f64 = 1_400.0;
+
+/// How long a client's connection may stay open. Ordered: a greater policy closes connections sooner.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Stay {
-    /// As long as it likes.
-    Any,
-    /// For one more answer.
-    OneMore,
-    /// For the answer that it waits for, if it waits for one.
-    Leave,
+pub enum ConnectionPolicy {
+    /// As long as the client wants.
+    KeepAlive,
+    /// Until the next response.
+    CloseAfterResponse,
+    /// Until the response to the request that is in flight; an idle connection is closed at once.
+    CloseIdle,
 }
 
-/// Where a drain is. The default is none.
+/// How far a drain is. The default: the node does not drain.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Drain {
-    since_ms: Option<f64>,
+    began_ms: Option<f64>,
 }
 
 impl Drain {
-    /// Clients are to be sent away. One that is under way goes on: a second word of it does not begin it anew.
+    /// Begins to send clients away. A drain that is under way goes on and does not start anew.
     pub fn begin(&mut self, now_ms: f64) {
-        self.since_ms.get_or_insert(now_ms);
+        self.began_ms.get_or_insert(now_ms);
     }
 
-    /// Clients are taken again.
-    pub fn end(&mut self) {
-        self.since_ms = None;
+    /// Ends the drain: clients are accepted again.
+    pub fn cancel(&mut self) {
+        self.began_ms = None;
     }
 
-    /// Whether new clients are wanted.
+    /// Whether new clients should be sent to this node.
     #[must_use]
-    pub fn admits(&self) -> bool {
-        self.since_ms.is_none()
+    pub fn accepts_new_clients(&self) -> bool {
+        self.began_ms.is_none()
     }
 
-    /// How long a client's connection may stay.
+    /// How long clients' connections may stay open.
     #[must_use]
-    pub fn stay(&self, now_ms: f64) -> Stay {
-        match self.since_ms.map(|since| now_ms - since) {
-            None => Stay::Any,
-            Some(passed) if passed < LAST_ANSWER_MS => Stay::Any,
-            Some(passed) if passed < LEAVE_MS => Stay::OneMore,
-            Some(_) => Stay::Leave,
+    pub fn connection_policy(&self, now_ms: f64) -> ConnectionPolicy {
+        match self.began_ms.map(|began_ms| now_ms - began_ms) {
+            None => ConnectionPolicy::KeepAlive,
+            Some(elapsed) if elapsed < CLOSE_AFTER_RESPONSE_DELAY_MS => ConnectionPolicy::KeepAlive,
+            Some(elapsed) if elapsed < CLOSE_IDLE_DELAY_MS => ConnectionPolicy::CloseAfterResponse,
+            Some(_) => ConnectionPolicy::CloseIdle,
         }
     }
 }
 
 #[cfg(test)]
-mod tests {
-    use super::*;
-    use proptest::prelude::*;
-
-    #[test]
-    fn a_drain_has_its_course_and_an_end() {
-        let mut drain = Drain::default();
-        assert_eq!((drain.admits(), drain.stay(1e12)), (true, Stay::Any));
-        drain.begin(50.0);
-        assert_eq!((drain.admits(), drain.stay(50.0)), (false, Stay::Any));
-        assert_eq!(drain.stay(50.0 + LAST_ANSWER_MS), Stay::OneMore);
-        drain.begin(50.0 + LAST_ANSWER_MS);
-        assert_eq!(
-            drain.stay(50.0 + LEAVE_MS),
-            Stay::Leave,
-            "a second word does not begin it anew"
-        );
-        drain.end();
-        assert_eq!(
-            (drain.admits(), drain.stay(50.0 + LEAVE_MS)),
-            (true, Stay::Any)
-        );
-    }
-
-    proptest! {
-        /// Guards the order: no connection that was told to leave is held again in the same drain.
-        #[test]
-        fn connections_are_never_held_longer_again(at in 0.0..1e13, mut passed in proptest::collection::vec(0.0..5e3, 1..20)) {
-            let mut drain = Drain::default();
-            drain.begin(at);
-            passed.sort_by(f64::total_cmp);
-            let stays: Vec<_> = passed.iter().map(|p| drain.stay(at + p)).collect();
-            prop_assert!(stays.is_sorted());
-            prop_assert_eq!(drain.stay(at + 2_000.0), Stay::Leave, "all are on their way out within 2 s");
-        }
-    }
-}
+mod tests;
--- a/crates/admin/src/lib.rs
+++ b/crates/admin/src/lib.rs
@@ -1,27 +1,33 @@
-//! What operators ask of a running node, and what it tells them.
+//! What operators can request of a running node, and what it reports to them.
 //!
-//! A [`Call`] is one line of text. [`Drain`] is the course of a node that sends its clients away and may take them back.
-//! [`Figures`] counts requests so that those taken are those that ended and those that are open, at every moment, and
-//! [`render`] words the figures for a collector. Nothing here has a socket or a clock: times are milliseconds of any
-//! clock that never runs backwards.
+//! - [`Command`] is one line of the admin protocol, parsed.
+//! - [`Drain`] is the course of a node that sends its clients away and may accept them again; it yields the
+//!   [`ConnectionPolicy`] for client connections.
+//! - [`Metrics`] counts requests. At every moment the requests that were accepted are those that have ended and those
+//!   that are in flight.
+//!
+//! The crate does no I/O and reads no clock: times are milliseconds of any clock that never runs backwards.
 //!
 //! ```
-//! use admin::{Call, Drain, Stay, LAST_ANSWER_MS, LEAVE_MS};
+//! use admin::{Command, ConnectionPolicy, Drain, CLOSE_AFTER_RESPONSE_DELAY_MS, CLOSE_IDLE_DELAY_MS};
 //!
 //! let mut drain = Drain::default();
-//! assert_eq!(Call::read(b"DRAIN\r\n"), Ok(Call::Drain));
+//! assert_eq!(Command::parse(b"DRAIN\r\n"), Ok(Command::Drain));
 //! drain.begin(1_000.0);
-//! assert!(!drain.admits());
-//! assert_eq!(drain.stay(1_000.0 + LAST_ANSWER_MS), Stay::OneMore);
-//! assert_eq!(drain.stay(1_000.0 + LEAVE_MS), Stay::Leave);
-//! drain.end();
-//! assert!(drain.admits());
+//! assert!(!drain.accepts_new_clients());
+//! assert_eq!(
+//!     drain.connection_policy(1_000.0 + CLOSE_AFTER_RESPONSE_DELAY_MS),
+//!     ConnectionPolicy::CloseAfterResponse,
+//! );
+//! assert_eq!(drain.connection_policy(1_000.0 + CLOSE_IDLE_DELAY_MS), ConnectionPolicy::CloseIdle);
+//! drain.cancel();
+//! assert!(drain.accepts_new_clients());
 //! ```
 
-mod call;
+mod command;
 mod drain;
-mod figures;
+mod metrics;
 
-pub use call::{BadCall, Call, NodeName, MOST_LINE, MOST_NAME};
-pub use drain::{Drain, Stay, LAST_ANSWER_MS, LEAVE_MS};
-pub use figures::{render, Counter, End, Figures, Now, Taken};
+pub use command::{Command, CommandError, NodeName, MAX_LINE_BYTES, MAX_NODE_NAME_BYTES};
+pub use drain::{ConnectionPolicy, Drain, CLOSE_AFTER_RESPONSE_DELAY_MS, CLOSE_IDLE_DELAY_MS};
+pub use metrics::{Counter, InFlightRequest, Metrics, RequestOutcome, ServerGauges};
--- a/crates/testkit/src/node.rs
+++ b/crates/testkit/src/node.rs
@@ -208,11 +208,11 @@
     #[must_use]
     pub fn control(&self) -> SocketAddr {
         let mut address = None;
-        until("it says where operators call", || {
+        until("its admin server listens", || {
             let log = self.log();
             let at = log
                 .iter()
-                .find_map(|line| line.rsplit_once("operators call at "))
+                .find_map(|line| line.rsplit_once("admin server listens on "))
                 .map(|(_, at)| at);
             address = at.and_then(|at| at.parse().ok());
             address.is_some()
--- a/examples/demo.rs
+++ b/examples/demo.rs
@@ -6,9 +6,9 @@
 use std::thread;
 use std::time::Duration;
 
-use silverthread::node::admin::operators::Operators;
+use silverthread::node::admin::config_file::OperatorConfig;
 use silverthread::node::config::Config;
-use silverthread::node::{run, Extras};
+use silverthread::node::{run, NodeOptions};
 use testkit::consul::{Consul, Instance};
 use testkit::{config, list, settings, Discovery, Load, Reply, Server};
 
@@ -47,13 +47,13 @@
         "[[consul]]\nname = \"consul\"\nservice = \"holds\"\nagents = [\"{}\"]\n",
         consul.address
     );
-    let operators = Operators::parse("demo.toml".as_ref(), &file)?;
+    let operator_config = OperatorConfig::parse("demo.toml".as_ref(), &file)?;
     let node = thread::spawn(|| {
         run(
             config,
-            Extras {
-                operators,
-                file: None,
+            NodeOptions {
+                operator_config,
+                config_path: None,
             },
         )
         .map_err(|error| error.to_string())
--- a/src/main.rs
+++ b/src/main.rs
@@ -1,20 +1,27 @@
-//! A load-balancing node. `ROUTER_CONFIG` names its configuration; an operators' file may be named beside it.
+//! The program `silverthread`: runs a load-balancing node, or queries one that runs.
+//!
+//! `ROUTER_CONFIG` names the platform's configuration. An operators' file may be named beside it, by `--config` or by
+//! `SILVERTHREAD_CONFIG`.
 
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
 
-use clap::{Parser, Subcommand};
-use silverthread::node::admin::ask;
-use silverthread::node::admin::operators::Operators;
+use clap::{Args, Parser, Subcommand};
+use silverthread::node::admin::client::{self, Query};
+use silverthread::node::admin::config_file::OperatorConfig;
 use silverthread::node::cluster::FleetError;
-use silverthread::node::{config::Config, run, Extras, NodeError};
+use silverthread::node::{config::Config, run, NodeError, NodeOptions};
 use silverthread::simulator::one_line;
 
-/// The variable that names the operators' file where the command line does not.
-const VARIABLE: &str = "SILVERTHREAD_CONFIG";
-/// Wrong use or configuration.
-const WRONG: u8 = 2;
+/// The environment variable that names the operators' file where the command line does not.
+const CONFIG_FILE_VARIABLE: &str = "SILVERTHREAD_CONFIG";
+/// Exit code: the node cannot start or go on, or a query has no result.
+const EXIT_FAILURE: u8 = 1;
+/// Exit code: wrong command line or operators' file.
+const EXIT_USAGE: u8 = 2;
+/// Exit code of a panic, as the standard library has it.
+const EXIT_PANIC: i32 = 101;
 
 /// A load-balancing node. `ROUTER_CONFIG` names the platform's configuration; without arguments the node runs by that
 /// alone.
@@ -30,104 +37,98 @@
 
 #[derive(Subcommand)]
 enum Command {
-    /// Prints which other nodes a running node knows, and what it believes of them.
-    Members {
-        /// The node's address for operators.
-        #[arg(long, value_name = "ADDRESS")]
-        at: SocketAddr,
-        /// As JSON.
-        #[arg(long)]
-        json: bool,
-    },
-    /// Prints who owns what of the work that all nodes have in common, as far as a running node knows.
-    Owners {
-        /// The node's address for operators.
-        #[arg(long, value_name = "ADDRESS")]
-        at: SocketAddr,
-        /// As JSON.
-        #[arg(long)]
-        json: bool,
-    },
-    /// Prints which servers other nodes complain of, as far as a running node believes it.
-    Hints {
-        /// The node's address for operators.
-        #[arg(long, value_name = "ADDRESS")]
-        at: SocketAddr,
-        /// As JSON.
-        #[arg(long)]
-        json: bool,
-    },
-    /// Reads an operators' file and says what is wrong with it or what it turns on.
+    /// Prints the other nodes of the cluster and their states, as a running node knows them.
+    Members(QueryArguments),
+    /// Prints the lease holder of each shard, as a running node knows it.
+    Owners(QueryArguments),
+    /// Prints the servers that nodes report as outliers, as a running node knows them.
+    Hints(QueryArguments),
+    /// Validates an operators' file: prints what is wrong with it, or what it turns on.
     Check {
         /// The file.
         file: PathBuf,
     },
 }
 
+#[derive(Args)]
+struct QueryArguments {
+    /// The node's admin address.
+    #[arg(long = "at", value_name = "ADDRESS")]
+    address: SocketAddr,
+    /// Print JSON.
+    #[arg(long)]
+    json: bool,
+}
+
 fn main() -> ExitCode {
     let line = CommandLine::parse();
     match line.command {
-        Some(Command::Check { file }) => return check(&file),
-        Some(Command::Members { at, json }) => return tell(&ask::MEMBERS, at, json),
-        Some(Command::Owners { at, json }) => return tell(&ask::OWNERS, at, json),
-        Some(Command::Hints { at, json }) => return tell(&ask::HINTS, at, json),
-        None => {}
+        Some(Command::Check { file }) => check(&file),
+        Some(Command::Members(arguments)) => query(&client::MEMBERS, &arguments),
+        Some(Command::Owners(arguments)) => query(&client::OWNERS, &arguments),
+        Some(Command::Hints(arguments)) => query(&client::HINTS, &arguments),
+        None => run_node(line.config.or_else(config_file_from_environment)),
     }
-    end_on_panic();
-    let file = line.config.or_else(|| {
-        std::env::var_os(VARIABLE)
-            .filter(|f| !f.is_empty())
-            .map(PathBuf::from)
-    });
-    let operators = match file.as_deref().map(Operators::read).transpose() {
-        Ok(operators) => operators.unwrap_or_default(),
-        Err(error) => return fail(&error, WRONG),
+}
+
+fn config_file_from_environment() -> Option<PathBuf> {
+    let file = std::env::var_os(CONFIG_FILE_VARIABLE)?;
+    (!file.is_empty()).then(|| PathBuf::from(file))
+}
+
+fn run_node(config_path: Option<PathBuf>) -> ExitCode {
+    exit_on_panic();
+    let operator_config = match config_path.as_deref().map(OperatorConfig::read).transpose() {
+        Ok(config) => config.unwrap_or_default(),
+        Err(error) => return fail(&error, EXIT_USAGE),
+    };
+    let options = NodeOptions {
+        operator_config,
+        config_path,
     };
-    let extras = Extras { operators, file };
-    match Config::from_environment()
-        .map_err(Into::into)
-        .and_then(|config| run(config, extras))
-    {
+    let result = Config::from_environment()
+        .map_err(NodeError::from)
+        .and_then(|config| run(config, options));
+    match result {
         Ok(()) => ExitCode::SUCCESS,
-        Err(error @ NodeError::Fleet(FleetError::Missing(_))) => fail(&error, WRONG),
-        Err(error) => fail(&error, 1),
+        Err(error @ NodeError::Fleet(FleetError::Missing(_))) => fail(&error, EXIT_USAGE),
+        Err(error) => fail(&error, EXIT_FAILURE),
     }
 }
 
-fn fail(error: &dyn std::error::Error, code: u8) -> ExitCode {
-    eprintln!("silverthread: {}", one_line(&error.to_string()));
-    code.into()
-}
-
 fn check(file: &Path) -> ExitCode {
-    match Operators::read(file) {
-        Ok(operators) => {
-            println!("{}: sound", file.display());
-            operators
-                .summary()
-                .iter()
-                .for_each(|line| println!("  {line}"));
+    match OperatorConfig::read(file) {
+        Ok(config) => {
+            println!("{}: valid", file.display());
+            for line in config.summary() {
+                println!("  {line}");
+            }
             ExitCode::SUCCESS
         }
-        Err(error) => fail(&error, WRONG),
+        Err(error) => fail(&error, EXIT_USAGE),
     }
 }
 
-fn tell(layout: &'static ask::Layout, at: SocketAddr, json: bool) -> ExitCode {
-    match layout.ask(at) {
-        Ok(answer) if json => println!("{}", answer.json()),
-        Ok(answer) => print!("{}", answer.table()),
-        Err(error) => return fail(&error, 1),
+fn query(query: &'static Query, arguments: &QueryArguments) -> ExitCode {
+    match query.send(arguments.address) {
+        Ok(response) if arguments.json => println!("{}", response.to_json()),
+        Ok(response) => print!("{}", response.to_table()),
+        Err(error) => return fail(&error, EXIT_FAILURE),
     }
     ExitCode::SUCCESS
 }
 
-/// Guards against a node that lives on with its driver broken: it would hold requests and answer none. One that
-/// has ended is started again.
-fn end_on_panic() {
-    let report = std::panic::take_hook();
+fn fail(error: &dyn std::error::Error, code: u8) -> ExitCode {
+    eprintln!("silverthread: {}", one_line(&error.to_string()));
+    code.into()
+}
+
+/// Makes a panic end the process. A node whose event loop is broken would hold requests without answering any; a process
+/// that has ended is started again by the platform.
+fn exit_on_panic() {
+    let default_hook = std::panic::take_hook();
     std::panic::set_hook(Box::new(move |panic| {
-        report(panic);
-        std::process::exit(101);
+        default_hook(panic);
+        std::process::exit(EXIT_PANIC);
     }));
 }
--- /dev/null
+++ b/src/node/admin/config_file.rs
@@ -0,0 +1,114 @@
+//! The operators' configuration file: what a node does beyond the platform's configuration.
+//!
+//! The file is parsed and validated as a whole before anything of it takes effect. `deploy/silverthread.toml` shows
+//! every key with a comment.
+//!
+//! - `raw` mirrors the file: one type per section, fields named like the keys.
+//! - `bounded_value` has the types of values that are checked while they are parsed.
+//! - `validation` and `consul_source` turn the raw sections into the settings of the node's parts.
+//! - `error` says what is wrong with a file, and at which line and key.
+//! - `summary` describes a valid file.
+
+mod bounded_value;
+mod consul_source;
+mod error;
+mod raw;
+mod summary;
+mod validation;
+
+use std::io::{self, Read};
+use std::path::Path;
+
+use endpoint_discovery::Trust;
+
+pub use self::error::{ConfigFileError, Location, Problem};
+use self::raw::RawConfig;
+use crate::node::cluster::{Instances, Keeping};
+use crate::node::discovery::consul::ConsulSource;
+use crate::node::upstream::addresses::ConfiguredAddresses;
+use crate::node::upstream::servers::PoolLimits;
+
+/// The largest file: room for the addresses of as many servers as it may name.
+const MAX_FILE_BYTES: u64 = 4 * 1024 * 1024;
+
+/// What the operators' file turns on. The default, nothing, holds without a file.
+#[derive(Clone, Debug, Default, PartialEq)]
+pub struct OperatorConfig {
+    /// How the endpoint view is merged from several sources; `None` without a file.
+    pub endpoint_sources: Option<EndpointSources>,
+    /// Addresses of servers, beside or instead of those that the sources name.
+    pub addresses: ConfiguredAddresses,
+    /// Limits on connections to servers.
+    pub pool: PoolLimits,
+    /// How the other nodes of the cluster are found.
+    pub instances: Option<Instances>,
+    /// The acceptors that grant leases to the nodes of the cluster.
+    pub leases: Option<Keeping>,
+    /// How nodes report outliers among the servers to each other.
+    pub outlier_detection: Option<outlier_detection::Settings>,
+}
+
+/// The sources of the endpoint view.
+#[derive(Clone, Debug, PartialEq)]
+pub struct EndpointSources {
+    /// How far the roster (the platform's discovery) is trusted against the other sources.
+    pub roster: Trust,
+    /// The services that are watched in Consul.
+    pub consul: Vec<ConsulSource>,
+}
+
+impl OperatorConfig {
+    /// Reads and validates a file, and checks that the key file that it names can be used.
+    ///
+    /// # Errors
+    ///
+    /// Returns the first problem, with its line and key where the file could be read. Nothing takes effect then.
+    pub fn read(file: &Path) -> Result<Self, ConfigFileError> {
+        let text = read_text(file).map_err(|problem| ConfigFileError::of_file(file, problem))?;
+        let config = Self::parse(file, &text)?;
+        if let Some(instances) = &config.instances {
+            instances.read_key().map_err(|error| {
+                let problem = Problem::KeyFile(error.into());
+                ConfigFileError::at_offset(file, &text, instances.key_at, problem)
+            })?;
+        }
+        Ok(config)
+    }
+
+    /// Parses and validates a file's text. `file` is only named in errors.
+    ///
+    /// # Errors
+    ///
+    /// Returns the first problem, with its line and key.
+    pub fn parse(file: &Path, text: &str) -> Result<Self, ConfigFileError> {
+        let raw: RawConfig = toml::from_str(text).map_err(|error| {
+            let problem = Problem::Syntax(error.message().to_owned());
+            match error.span() {
+                Some(span) => ConfigFileError::at_offset(file, text, span.start, problem),
+                None => ConfigFileError::of_file(file, problem),
+            }
+        })?;
+        raw.validate().map_err(|invalid| {
+            ConfigFileError::at_offset(file, text, invalid.span.start, invalid.problem)
+        })
+    }
+}
+
+fn read_text(file: &Path) -> Result<String, Problem> {
+    let mut text = String::new();
+    std::fs::File::open(file)?
+        .take(MAX_FILE_BYTES + 1)
+        .read_to_string(&mut text)?;
+    if text.len() as u64 > MAX_FILE_BYTES {
+        return Err(Problem::FileTooLarge {
+            max_bytes: MAX_FILE_BYTES,
+        });
+    }
+    Ok(text)
+}
+
+impl From<io::Error> for Problem {
+    fn from(error: io::Error) -> Self {
+        Self::Read(error)
+    }
+}
--- /dev/null
+++ b/src/node/admin/config_file/summary.rs
@@ -0,0 +1,70 @@
+//! A description of a valid operators' file, for `silverthread check`.
+
+use super::OperatorConfig;
+use crate::node::cluster::{Instances, Keeping};
+use crate::node::discovery::consul::ConsulSource;
+
+impl OperatorConfig {
+    /// What the file turns on, a line each. Empty without a file.
+    #[must_use]
+    pub fn summary(&self) -> Vec<String> {
+        let Some(sources) = &self.endpoint_sources else {
+            return Vec::new();
+        };
+        let mut lines: Vec<_> = sources.consul.iter().map(consul_line).collect();
+        lines.extend(self.addresses_line());
+        lines.extend(self.instances.as_ref().map(instances_line));
+        lines.extend(self.leases.as_ref().map(leases_line));
+        lines.extend(self.outlier_detection.as_ref().map(outlier_detection_line));
+        lines
+    }
+
+    fn addresses_line(&self) -> Option<String> {
+        let servers = self.addresses.len();
+        let addresses: usize = self
+            .addresses
+            .values()
+            .map(|server| server.routes.len())
+            .sum();
+        (addresses > 0).then(|| format!("{addresses} addresses of {servers} servers"))
+    }
+}
+
+fn consul_line(source: &ConsulSource) -> String {
+    let (name, agents) = (&source.trust.name, source.agents.len());
+    let service = &source.watch.query.service;
+    let role = if source.trust.names {
+        "names servers"
+    } else {
+        "advises on the roster's servers"
+    };
+    format!("consul {name:?}: service {service:?} through {agents} agents, {role}")
+}
+
+fn instances_line(instances: &Instances) -> String {
+    let peers = match &instances.peers {
+        Some(peers) => format!("{} peers", peers.len()),
+        None => "the platform's peers".to_owned(),
+    };
+    format!(
+        "cluster {:?}: {peers}, probed every {} ms",
+        instances.fleet, instances.probe_ms
+    )
+}
+
+fn leases_line(leases: &Keeping) -> String {
+    format!(
+        "leases of {} shards, granted by acceptors {} (set {}), {} ms long",
+        leases.shards,
+        leases.keepers.join(", "),
+        leases.set,
+        leases.lease_ms
+    )
+}
+
+fn outlier_detection_line(settings: &outlier_detection::Settings) -> String {
+    format!(
+        "outlier detection: {} nodes have to report a server, reports every {} ms",
+        settings.reporters, settings.turn_ms
+    )
+}
--- /dev/null
+++ b/src/node/admin/config_file/validation.rs
@@ -0,0 +1,306 @@
+//! Turns the raw sections of the operators' file into the settings of the node's parts, and checks what concerns more
+//! than one value.
+
+use std::collections::HashMap;
+
+use endpoint_discovery::Trust;
+use pool::{Address, Route, MOST_ADDRESSES};
+use toml::Spanned;
+
+use super::bounded_value::{Fraction, Seconds};
+use super::error::{InvalidValue, Problem};
+use super::raw::{
+    RawConfig, RawConsul, RawInstances, RawLeases, RawMembership, RawOutlierDetection, RawPool,
+    RawRoute, RawServer,
+};
+use super::{EndpointSources, OperatorConfig};
+use crate::node::cluster::{Instances, Keeping};
+use crate::node::discovery::consul::ConsulSource;
+use crate::node::upstream::addresses::{ConfiguredAddresses, ServerAddresses};
+use crate::node::upstream::servers::PoolLimits;
+
+/// The most sources: each takes part in every decision about a server.
+const MAX_SOURCES: usize = 16;
+/// The longest name of a source or a cluster: it is part of many log lines.
+pub(super) const MAX_NAME_BYTES: usize = 64;
+/// The most servers whose addresses the file names: the largest service that is measured has 5,000.
+const MAX_SERVERS: usize = 16_384;
+/// The name of the platform's discovery among the sources.
+const ROSTER_NAME: &str = "roster";
+/// `suspect_ms` without a value, in probe intervals.
+const DEFAULT_SUSPICION_PROBES: f64 = 5.0;
+/// A suspicion has to last for this many probe intervals, so that a single lost datagram raises none.
+const MIN_SUSPICION_PROBES: f64 = 3.0;
+
+impl RawConfig {
+    pub fn validate(self) -> Result<OperatorConfig, InvalidValue> {
+        let roster = self.membership.roster_trust();
+        let consul = validate_sources(self.consul)?;
+        let addresses = validate_addresses(self.server)?;
+        let instances = self.instances.map(RawInstances::validate).transpose()?;
+        if let (Some(leases), None) = (&self.leases, &instances) {
+            return Err(InvalidValue::new(leases, Problem::LeasesNeedInstances));
+        }
+        let leases = self
+            .leases
+            .map(|leases| leases.into_inner().validate())
+            .transpose()?;
+        if let (Some(section), None) = (&self.outlier_detection, &instances) {
+            let problem = Problem::OutlierDetectionNeedsInstances;
+            return Err(InvalidValue::new(section, problem));
+        }
+        let outlier_detection = self
+            .outlier_detection
+            .map(|section| RawOutlierDetection::validate(&section))
+            .transpose()?;
+        Ok(OperatorConfig {
+            endpoint_sources: Some(EndpointSources { roster, consul }),
+            addresses,
+            pool: self.pool.into(),
+            instances,
+            leases,
+            outlier_detection,
+        })
+    }
+}
+
+impl RawMembership {
+    fn roster_trust(&self) -> Trust {
+        let mut trust = Trust::roster(ROSTER_NAME);
+        override_trust(
+            &mut trust,
+            self.panic_share,
+            self.panic_window_s,
+            self.confirm_s,
+        );
+        trust
+    }
+}
+
+/// Replaces the values that the file names.
+pub(super) fn override_trust(
+    trust: &mut Trust,
+    panic_share: Option<Fraction>,
+    panic_window: Option<Seconds>,
+    confirm: Option<Seconds>,
+) {
+    trust.panic_share = panic_share.map_or(trust.panic_share, |share| share.0);
+    trust.panic_window_ms = panic_window.map_or(trust.panic_window_ms, Seconds::as_ms);
+    trust.confirm_ms = confirm.map_or(trust.confirm_ms, Seconds::as_ms);
+}
+
+fn validate_sources(sections: Vec<RawConsul>) -> Result<Vec<ConsulSource>, InvalidValue> {
+    let mut sources: Vec<ConsulSource> = Vec::new();
+    for section in sections {
+        let name = section.name.get_ref();
+        if name == ROSTER_NAME || sources.iter().any(|source| source.trust.name == *name) {
+            return Err(InvalidValue::new(&section.name, Problem::DuplicateSource));
+        }
+        if sources.len() >= MAX_SOURCES {
+            let problem = Problem::TooManySections {
+                subjects: "sources",
+                max: MAX_SOURCES,
+            };
+            return Err(InvalidValue::new(&section.name, problem));
+        }
+        sources.push(section.validate()?);
+    }
+    Ok(sources)
+}
+
+fn validate_addresses(sections: Vec<RawServer>) -> Result<ConfiguredAddresses, InvalidValue> {
+    let mut servers = ConfiguredAddresses::new();
+    let mut owners: HashMap<Address, String> = HashMap::new();
+    for section in sections {
+        if servers.contains_key(section.id.get_ref()) {
+            return Err(InvalidValue::new(&section.id, Problem::DuplicateServer));
+        }
+        if servers.len() >= MAX_SERVERS {
+            let problem = Problem::TooManySections {
+                subjects: "servers",
+                max: MAX_SERVERS,
+            };
+            return Err(InvalidValue::new(&section.id, problem));
+        }
+        let addresses = ServerAddresses {
+            exclusive: section.only,
+            routes: validate_routes(section.id.get_ref(), section.addresses, &mut owners)?,
+        };
+        servers.insert(section.id.into_inner(), addresses);
+    }
+    Ok(servers)
+}
+
+/// The routes of one server. `owners` has the server of each address so far: an address belongs to one server.
+fn validate_routes(
+    server: &str,
+    addresses: Spanned<Vec<Spanned<RawRoute>>>,
+    owners: &mut HashMap<Address, String>,
+) -> Result<Vec<Route>, InvalidValue> {
+    if !(1..=MOST_ADDRESSES).contains(&addresses.get_ref().len()) {
+        let problem = Problem::ItemCount {
+            items: "addresses",
+            min: 1,
+            max: MOST_ADDRESSES,
+        };
+        return Err(InvalidValue::new(&addresses, problem));
+    }
+    let mut routes = Vec::new();
+    for route in addresses.into_inner() {
+        let address = route.get_ref().address.0.clone();
+        if let Some(owner) = owners.insert(address, server.to_owned()) {
+            let problem = Problem::DuplicateAddress { server: owner };
+            return Err(InvalidValue::new(&route, problem));
+        }
+        routes.push(route.into_inner().into());
+    }
+    Ok(routes)
+}
+
+impl From<RawRoute> for Route {
+    fn from(raw: RawRoute) -> Self {
+        Self {
+            address: raw.address.0,
+            preference: raw.preference,
+            label: raw.label,
+        }
+    }
+}
+
+impl From<RawPool> for PoolLimits {
+    fn from(raw: RawPool) -> Self {
+        Self {
+            max_connections_per_server: raw.connections_per_server.map(|limit| limit.0),
+            max_concurrent_dials: raw.dials_at_a_time.map(|limit| limit.0),
+            cold_dials_per_s: raw.cold_dials_per_s.map(|rate| rate.0),
+            dial_ahead: raw.ahead,
+        }
+    }
+}
+
+impl RawInstances {
+    fn validate(self) -> Result<Instances, InvalidValue> {
+        self.check_names()?;
+        self.check_peer_count()?;
+        let probe_ms = self
+            .probe_ms
+            .map_or(Instances::default().probe_ms, |interval| interval.0);
+        let suspect_ms = match &self.suspect_ms {
+            Some(suspicion) if suspicion.get_ref().0 < MIN_SUSPICION_PROBES * probe_ms => {
+                return Err(InvalidValue::new(suspicion, Problem::SuspicionTooShort));
+            }
+            Some(suspicion) => suspicion.get_ref().0,
+            None => DEFAULT_SUSPICION_PROBES * probe_ms,
+        };
+        Ok(Instances {
+            name: self.name.map(Spanned::into_inner),
+            listen: self.listen,
+            peers: self.peers.map(Spanned::into_inner),
+            fleet: self.fleet.into_inner(),
+            key_at: self.key_file.span().start,
+            key_file: self.key_file.into_inner(),
+            probe_ms,
+            suspect_ms,
+        })
+    }
+
+    fn check_names(&self) -> Result<(), InvalidValue> {
+        if let Some(name) = &self.name {
+            if !gossip::is_name(name.get_ref()) {
+                let problem = Problem::InvalidOwnName {
+                    max_bytes: gossip::MOST_NAME,
+                };
+                return Err(InvalidValue::new(name, problem));
+            }
+        }
+        check_name_length("fleet", &self.fleet)
+    }
+
+    fn check_peer_count(&self) -> Result<(), InvalidValue> {
+        match &self.peers {
+            Some(peers) if peers.get_ref().len() > gossip::MOST_MEMBERS => {
+                let problem = Problem::ItemCount {
+                    items: "peers",
+                    min: 0,
+                    max: gossip::MOST_MEMBERS,
+                };
+                Err(InvalidValue::new(peers, problem))
+            }
+            _ => Ok(()),
+        }
+    }
+}
+
+pub(super) fn check_name_length(
+    subject: &'static str,
+    name: &Spanned<String>,
+) -> Result<(), InvalidValue> {
+    if (1..=MAX_NAME_BYTES).contains(&name.get_ref().len()) {
+        return Ok(());
+    }
+    let problem = Problem::NameLength {
+        subject,
+        max_bytes: MAX_NAME_BYTES,
+    };
+    Err(InvalidValue::new(name, problem))
+}
+
+impl RawLeases {
+    fn validate(self) -> Result<Keeping, InvalidValue> {
+        for names in self.before.iter().chain([&self.keepers]) {
+            check_node_names(names)?;
+        }
+        let default = Keeping::default();
+        let acceptors = self.keepers.clone();
+        let leases = Keeping {
+            keepers: self.keepers.into_inner(),
+            set: self.set.unwrap_or(default.set),
+            before: self.before.map(Spanned::into_inner).unwrap_or_default(),
+            shards: self.shards.unwrap_or(default.shards),
+            lease_ms: self.lease_ms.unwrap_or(default.lease_ms),
+            drift: self.drift.unwrap_or(default.drift),
+            fence_file: self.fence_file,
+            fleet_log: self.fleet_log,
+        };
+        // Whose settings these are makes no difference to their check.
+        let (any_name, any_process) = ("-", 1);
+        match leases.settings(any_name, any_process).check() {
+            Ok(()) => Ok(leases),
+            Err(error) => Err(InvalidValue::new(
+                &acceptors,
+                Problem::LeaseSettings(error.into()),
+            )),
+        }
+    }
+}
+
+fn check_node_names(names: &Spanned<Vec<String>>) -> Result<(), InvalidValue> {
+    match names.get_ref().iter().find(|name| !gossip::is_name(name)) {
+        Some(name) => Err(InvalidValue::new(
+            names,
+            Problem::InvalidNodeName(name.clone()),
+        )),
+        None => Ok(()),
+    }
+}
+
+impl RawOutlierDetection {
+    fn validate(section: &Spanned<Self>) -> Result<outlier_detection::Settings, InvalidValue> {
+        let (raw, default) = (section.get_ref(), outlier_detection::Settings::default());
+        let settings = outlier_detection::Settings {
+            turn_ms: raw.turn_ms.unwrap_or(default.turn_ms),
+            half_life_ms: raw.half_life_ms.unwrap_or(default.half_life_ms),
+            reporters: raw.reporters.unwrap_or(default.reporters),
+            share: raw.share.unwrap_or(default.share),
+            floor: raw.floor.unwrap_or(default.floor),
+            panic_share: raw.panic_share.unwrap_or(default.panic_share),
+        };
+        match settings.check() {
+            Ok(()) => Ok(settings),
+            Err(error) => Err(InvalidValue::new(
+                section,
+                Problem::OutlierDetectionSettings(error),
+            )),
+        }
+    }
+}
--- a/src/node/admin/reload.rs
+++ b/src/node/admin/reload.rs
@@ -1,70 +1,92 @@
-//! Takes a new configuration while the node runs: SIGHUP makes it read its file again.
+//! Reload on SIGHUP: applies a changed configuration while the node runs.
 //!
-//! What can change without a restart is where discovery answers, and of the operators' file which services are
-//! followed in Consul, at which addresses servers are reached, where and how often other nodes are probed, and who keeps leases. All else in the
-//! files holds from the next start.
+//! What can change without a restart: the address of discovery; and of the operators' file the services that are watched
+//! in Consul, the addresses of servers, where and how often other nodes are probed, and the acceptors of leases.
+//! Everything else takes effect at the next start.
 
 use std::net::SocketAddr;
-use std::path::{Path, PathBuf};
+use std::path::PathBuf;
 use std::rc::Rc;
 
 use tokio::signal::unix::Signal;
 use tokio::sync::watch;
 
+use crate::node::admin::config_file::OperatorConfig;
 use crate::node::admin::log;
-use crate::node::admin::operators::Operators;
 use crate::node::cluster::Fleet;
 use crate::node::config::Config;
 use crate::node::discovery::Sources;
 
-/// Reads the file again at each signal and tells where discovery answers now. A file that cannot be used is logged
-/// and the configuration held stands: a slip of the pen must not end a node that serves.
-pub async fn follow(
+/// An operators' file and the sources that it configures.
+pub struct WatchedFile {
+    /// Where the file is.
+    pub path: PathBuf,
+    /// The sources of the endpoint view.
+    pub sources: Rc<Sources>,
+}
+
+/// Reads the configuration and the operators' file again at each signal and applies what can change. A file that is not
+/// valid is logged, and the previous configuration stays in effect: a typing error must not end a node that serves.
+///
+/// Runs for as long as it is polled; dropping it has no other effect than that signals are no longer followed.
+pub async fn reload_on_signal(
     mut signals: Signal,
     discovery: watch::Sender<SocketAddr>,
-    operators: Option<(PathBuf, Rc<Sources>)>,
+    file: Option<WatchedFile>,
     fleet: Option<Rc<Fleet>>,
 ) {
-    // Signals that come while one is dealt with are one more: the file is read after the last of them.
+    // Signals that arrive during a reload are merged into one: the files are read after the last of them.
     while signals.recv().await.is_some() {
-        let config = Config::from_environment();
-        match &config {
-            Ok(config) => {
-                log::line(format_args!(
-                    "the configuration is read again: discovery at {}",
-                    config.discovery
-                ));
-                discovery.send_if_modified(|address| {
-                    std::mem::replace(address, config.discovery) != config.discovery
-                });
-            }
-            Err(error) => log::line(format_args!("the new configuration is not used: {error}")),
+        let config = reload_platform_config(&discovery);
+        if let Some(file) = &file {
+            reload_operator_config(file, fleet.as_ref(), config.as_ref());
         }
-        if let Some((file, sources)) = &operators {
-            follow_again(file, sources, fleet.as_ref(), config.as_ref().ok());
+    }
+}
+
+fn reload_platform_config(discovery: &watch::Sender<SocketAddr>) -> Option<Config> {
+    match Config::from_environment() {
+        Ok(config) => {
+            log::line(format_args!(
+                "configuration reloaded: discovery at {}",
+                config.discovery
+            ));
+            discovery.send_if_modified(|address| {
+                std::mem::replace(address, config.discovery) != config.discovery
+            });
+            Some(config)
+        }
+        Err(error) => {
+            log::line(format_args!("the new configuration is not used: {error}"));
+            None
         }
     }
 }
 
-fn follow_again(
-    file: &Path,
-    sources: &Sources,
+fn reload_operator_config(
+    file: &WatchedFile,
     fleet: Option<&Rc<Fleet>>,
-    config: Option<&Config>,
+    platform: Option<&Config>,
 ) {
-    match Operators::read(file) {
-        Ok(operators) => {
-            sources.follow(
-                &operators
-                    .membership
-                    .map(|merged| merged.consul)
-                    .unwrap_or_default(),
-            );
-            sources.driver().say_addresses(operators.addresses);
-            if let (Some(fleet), Some(instances)) = (fleet, &operators.instances) {
-                fleet.change(config, instances, operators.leases.as_ref());
-            }
-        }
+    match OperatorConfig::read(&file.path) {
+        Ok(config) => apply(config, &file.sources, fleet, platform),
         Err(error) => log::line(format_args!("the operators' file is not used: {error}")),
     }
 }
+
+fn apply(
+    config: OperatorConfig,
+    sources: &Sources,
+    fleet: Option<&Rc<Fleet>>,
+    platform: Option<&Config>,
+) {
+    let consul = config
+        .endpoint_sources
+        .map(|sources| sources.consul)
+        .unwrap_or_default();
+    sources.follow(&consul);
+    sources.driver().set_configured_addresses(config.addresses);
+    if let (Some(fleet), Some(instances)) = (fleet, &config.instances) {
+        fleet.change(platform, instances, config.leases.as_ref());
+    }
+}
--- a/src/node/downstream/clients.rs
+++ b/src/node/downstream/clients.rs
@@ -8,7 +8,7 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-use admin::{Drain, End, Stay, Taken as Counted};
+use admin::{ConnectionPolicy, Drain, InFlightRequest, RequestOutcome};
 use bytes::{Bytes, BytesMut};
 use flow_control::{Pace, Room, Share};
 use http_body_util::BodyExt;
@@ -46,7 +46,7 @@
 /// Connections that are taken from the system's queue at the end: as many as it holds. Who comes on and on does not hold it up.
 const MOST_QUEUED: usize = 1_024;
 /// Wait after a connection could not be accepted, for want of descriptors say.
-pub const ACCEPT_AGAIN: Duration = Duration::from_millis(10);
+pub const ACCEPT_RETRY_INTERVAL: Duration = Duration::from_millis(10);
 /// When a client is to come back that found too few connections free: some answers have gone out by then.
 const FREE_AGAIN_MS: f64 = 50.0;
 /// How long a node that is told to stop goes on taking connections from a socket that its successor listens on, too: as
@@ -201,23 +201,27 @@
     tokio::select! {
         () = end => {}
         () = holding => {}
-        () = table.look_over(|| state.stay()) => {}
+        () = table.look_over(|| state.connection_policy()) => {}
     }
 }
 
 impl FrontState {
     /// Whether the front should send clients here.
     fn admits(&self) -> bool {
-        self.options.drain.get().admits()
+        self.options.drain.get().accepts_new_clients()
     }
 
     /// How long clients' connections may stay.
-    fn stay(&self) -> Stay {
-        let drains = self.options.drain.get().stay(self.driver.now_ms());
+    fn connection_policy(&self) -> ConnectionPolicy {
+        let drains = self
+            .options
+            .drain
+            .get()
+            .connection_policy(self.driver.now_ms());
         let leaves = match *self.phases.borrow() {
-            Phase::ShuttingDown(_) => Stay::Leave,
-            Phase::Draining(_) if self.options.is_shared => Stay::OneMore,
-            _ => Stay::Any,
+            Phase::ShuttingDown(_) => ConnectionPolicy::CloseIdle,
+            Phase::Draining(_) if self.options.is_shared => ConnectionPolicy::CloseAfterResponse,
+            _ => ConnectionPolicy::KeepAlive,
         };
         drains.max(leaves)
     }
@@ -257,7 +261,7 @@
             }
             Err(error) => {
                 log::line(format_args!("cannot accept a connection: {error}"));
-                tokio::time::sleep(ACCEPT_AGAIN).await;
+                tokio::time::sleep(ACCEPT_RETRY_INTERVAL).await;
             }
         }
     }
@@ -320,7 +324,8 @@
             };
             tracked.enter(Stage::Answer);
             tracked.set_passing(matches!(response.body(), Outgoing::Passing(..)));
-            let leaves = state.stay() > Stay::Any || socket.framing.borrow().is_last(this);
+            let leaves = state.connection_policy() > ConnectionPolicy::KeepAlive
+                || socket.framing.borrow().is_last(this);
             if leaves || state.table.wants_room(tracked) {
                 response
                     .headers_mut()
@@ -474,14 +479,14 @@
 ) -> Result<Response<Outgoing>, Rejection> {
     let (head, body) = request.into_parts();
     let metadata = RequestMetadata::read(&head.method, &head.headers, &state.driver)?;
-    let counted = state.driver.figures.take(metadata.class);
+    let counted = state.driver.metrics.begin_request(metadata.class);
     let answer = match answer_to(metadata, head, body, state).await {
         Ok(Answer::Served(served)) => return Ok(pass_on(served, counted, tracked)),
         Ok(Answer::Refused { after_ms }) => Ok(refusal(after_ms)),
         Ok(Answer::Failed) => Ok(plain(StatusCode::BAD_GATEWAY, "")),
         Err(rejection) => Err(rejection),
     };
-    counted.end(end_of(
+    counted.finish(end_of(
         answer
             .as_ref()
             .map_or_else(|(status, _)| *status, Response::status),
@@ -489,24 +494,24 @@
     answer
 }
 
-fn end_of(status: StatusCode) -> End {
+fn end_of(status: StatusCode) -> RequestOutcome {
     match status {
-        StatusCode::OK => End::Served,
-        StatusCode::TOO_MANY_REQUESTS | StatusCode::SERVICE_UNAVAILABLE => End::Refused,
-        _ => End::Failed,
+        StatusCode::OK => RequestOutcome::Served,
+        StatusCode::TOO_MANY_REQUESTS | StatusCode::SERVICE_UNAVAILABLE => RequestOutcome::Rejected,
+        _ => RequestOutcome::Failed,
     }
 }
 
 /// A server's answer for the client; it is counted as it ends.
 fn pass_on(
     served: Served,
-    counted: Counted,
+    counted: InFlightRequest,
     tracked: &Rc<TrackedConnection>,
 ) -> Response<Outgoing> {
     let end = end_of(served.status);
     let body = match served.body {
         ResponseBody::Whole(body) => {
-            counted.end(end);
+            counted.finish(end);
             Outgoing::whole(body)
         }
         ResponseBody::Passing(passing) => {
@@ -514,8 +519,8 @@
             Outgoing::passing(passing, move |passed| {
                 tracked.set_passing(false);
                 match passed {
-                    Passed::Whole => counted.end(end),
-                    Passed::Cut => counted.end(End::Failed),
+                    Passed::Whole => counted.finish(end),
+                    Passed::Cut => counted.finish(RequestOutcome::Failed),
                     Passed::Left => drop(counted),
                 }
             })
@@ -567,7 +572,7 @@
         .path_and_query()
         .cloned()
         .map_or(head.uri, Into::into);
-    let sent = driver.figures.attempts(class).clone();
+    let sent = driver.metrics.attempts(class).clone();
     let (body, feeder) = match held {
         Held::Whole(body) => (RequestBody::Whole(body), None),
         Held::Part(first) => {
--- a/src/node/downstream/connections.rs
+++ b/src/node/downstream/connections.rs
@@ -5,7 +5,7 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-use admin::Stay;
+use admin::ConnectionPolicy;
 use tokio::sync::Notify;
 
 /// How long a client may take over a request's head, from its first byte (of the first on a connection: from
@@ -132,9 +132,9 @@
         self.leave.notify_one();
     }
 
-    fn may_stay(&self, stay: Stay) -> Duration {
+    fn may_stay(&self, policy: ConnectionPolicy) -> Duration {
         match self.stage.get() {
-            Stage::Silent | Stage::Idle if stay == Stay::Leave => PROMPT,
+            Stage::Silent | Stage::Idle if policy == ConnectionPolicy::CloseIdle => PROMPT,
             Stage::Silent | Stage::Head => HEAD_TIME,
             Stage::Answer => ANSWER_TIME,
             Stage::Idle => IDLE_TIME,
@@ -366,17 +366,17 @@
         free < (busy + free) / KEPT_FREE
     }
 
-    /// Asks those to leave that have been where they are for too long, for as long as it is polled. `stay` says how long
-    /// clients may stay at all.
-    pub async fn look_over(&self, stay: impl Fn() -> Stay) {
+    /// Asks those to leave that have been where they are for too long, for as long as it is polled. `policy` says how
+    /// long clients' connections may stay open at all.
+    pub async fn look_over(&self, policy: impl Fn() -> ConnectionPolicy) {
         let mut ticks = tokio::time::interval(LOOK);
         ticks.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
         loop {
             let now = ticks.tick().await.into_std();
             self.make_room(now);
-            let stay = stay();
+            let policy = policy();
             for tracked in self.taken.borrow().values() {
-                if now.saturating_duration_since(tracked.since.get()) > tracked.may_stay(stay) {
+                if now.saturating_duration_since(tracked.since.get()) > tracked.may_stay(policy) {
                     tracked.ask_to_leave();
                 }
             }
--- a/src/node/driver.rs
+++ b/src/node/driver.rs
@@ -6,7 +6,7 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-use admin::{Figures, Now};
+use admin::{Metrics, ServerGauges};
 use endpoint_discovery::{Host, State};
 use tokio::sync::{oneshot, Notify};
 use tokio::task::AbortHandle;
@@ -15,8 +15,8 @@
 use crate::node::clock::Clock;
 use crate::node::config::{Config, ConfigError, Names};
 use crate::node::discovery::roster;
-use crate::node::upstream::addresses::AllSaid;
-use crate::node::upstream::servers::{Bounds, Servers, Underway};
+use crate::node::upstream::addresses::ConfiguredAddresses;
+use crate::node::upstream::servers::{PoolLimits, Servers, Underway};
 use crate::node::upstream::{Ended, Message, RequestBody, Served};
 use crate::simulator::WireError;
 use balancer::{
@@ -111,7 +111,7 @@
     balancer: RefCell<Balancer>,
     clock: Clock,
     /// What became of requests.
-    pub figures: Figures,
+    pub metrics: Metrics,
     /// The names of the settings.
     pub names: SettingNames,
     servers: Rc<Servers>,
@@ -169,7 +169,7 @@
     ///
     /// The module does not take the settings.
     pub fn start(config: &Config) -> Result<Rc<Self>, ConfigError> {
-        Self::start_with(config, AllSaid::new(), Bounds::default())
+        Self::start_with(config, ConfiguredAddresses::new(), PoolLimits::default())
     }
 
     /// The same, with what the operators say of servers' addresses and of connections to them.
@@ -179,8 +179,8 @@
     /// The module does not take the settings.
     pub fn start_with(
         config: &Config,
-        said: AllSaid,
-        bounds: Bounds,
+        configured_addresses: ConfiguredAddresses,
+        pool_limits: PoolLimits,
     ) -> Result<Rc<Self>, ConfigError> {
         let settings = config.settings.clone();
         let rules = |class: &Class| ClassRule {
@@ -201,9 +201,9 @@
         let driver = Rc::new(Self {
             balancer: RefCell::new(balancer),
             clock,
-            figures: Figures::new(names.classes.in_order()),
+            metrics: Metrics::new(names.classes.in_order()),
             names,
-            servers: Servers::new(config, said, bounds, clock),
+            servers: Servers::new(config, configured_addresses, pool_limits, clock),
             numbers: RefCell::default(),
             next_server: Cell::new(0),
             max_attempts,
@@ -274,9 +274,9 @@
         self.listing(hosts, Listing::Changes);
     }
 
-    /// Takes what the operators say now of servers' addresses.
-    pub fn say_addresses(self: &Rc<Self>, said: AllSaid) {
-        let hosts = self.servers.say(said);
+    /// Replaces the servers' configured addresses.
+    pub fn set_configured_addresses(self: &Rc<Self>, configured: ConfiguredAddresses) {
+        let hosts = self.servers.set_configured_addresses(configured);
         if !hosts.is_empty() {
             self.changes(&hosts);
         }
@@ -290,12 +290,10 @@
 
     /// How many servers there are, and how many of them are avoided.
     #[must_use]
-    pub fn servers_now(&self) -> Now {
-        let servers_known = self.numbers.borrow().len();
-        let servers_excluded = self.balancer.borrow().servers_excluded(self.now_ms());
-        Now {
-            servers_known,
-            servers_excluded,
+    pub fn server_gauges(&self) -> ServerGauges {
+        ServerGauges {
+            known: self.numbers.borrow().len(),
+            excluded: self.balancer.borrow().servers_excluded(self.now_ms()),
         }
     }
 
--- a/src/node/mod.rs
+++ b/src/node/mod.rs
@@ -24,8 +24,10 @@
 use tokio::sync::watch;
 use tokio::task::LocalSet;
 
-use self::admin::operators::Operators;
-use self::admin::{calls, log, reload};
+use self::admin::config_file::OperatorConfig;
+use self::admin::log;
+use self::admin::reload::{self, WatchedFile};
+use self::admin::server::{self as admin_server, AdminServer};
 use self::cluster::{Fleet, FleetError};
 use self::discovery::members::ServerMembers;
 use self::discovery::{endpoint_list, Sources};
@@ -91,11 +93,11 @@
 
 /// What the operators add to the platform's configuration. The default adds nothing.
 #[derive(Clone, Debug, Default)]
-pub struct Extras {
-    /// What their file says.
-    pub operators: Operators,
-    /// Where it is, so that it can be read again.
-    pub file: Option<PathBuf>,
+pub struct NodeOptions {
+    /// The content of the operators' file.
+    pub operator_config: OperatorConfig,
+    /// The operators' file, so that SIGHUP can reload it; `None` if there is none.
+    pub config_path: Option<PathBuf>,
 }
 
 /// Runs a node until SIGTERM (or SIGINT) and the hand-over after it.
@@ -103,15 +105,19 @@
 /// # Errors
 ///
 /// The configuration makes no sense, or the node cannot listen.
-pub fn run(config: Config, extras: Extras) -> Result<(), NodeError> {
+pub fn run(config: Config, options: NodeOptions) -> Result<(), NodeError> {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .build();
     let runtime = runtime.map_err(system("start the event loop"))?;
-    LocalSet::new().block_on(&runtime, node(config, extras))
+    LocalSet::new().block_on(&runtime, node(config, options))
 }
 
-async fn node(config: Config, extras: Extras) -> Result<(), NodeError> {
+async fn node(config: Config, options: NodeOptions) -> Result<(), NodeError> {
+    let NodeOptions {
+        operator_config,
+        config_path,
+    } = options;
     let mut terminate = signal(SignalKind::terminate()).map_err(system("listen for SIGTERM"))?;
     // SIGHUP ends a process that does not listen for it, so this stands before the node says that it is ready.
     let reload = signal(SignalKind::hangup()).map_err(system("listen for SIGHUP"))?;
@@ -129,13 +135,13 @@
         .map_err(system("listen for clients"))?;
     let driver = Driver::start_with(
         &config,
-        extras.operators.addresses.clone(),
-        extras.operators.pool,
+        operator_config.addresses.clone(),
+        operator_config.pool,
     )?;
     log::line(format_args!("serves on {address}"));
     let known = Some(config.known.generation).filter(|_| !config.known.instances.is_empty());
     let (moves, addresses) = watch::channel(config.discovery);
-    let (members, sources) = membership(&driver, &config, &extras.operators);
+    let (members, sources) = endpoint_sources(&driver, &config, &operator_config);
     tokio::task::spawn_local(endpoint_list::follow(
         members,
         addresses,
@@ -143,16 +149,20 @@
         config.drain_grace,
         known,
     ));
-    let (instances, leases) = (
-        extras.operators.instances.as_ref(),
-        extras.operators.leases.as_ref(),
-    );
-    let word = extras.operators.word.as_ref();
-    let fleet = Fleet::start(&config, instances, leases, word, &driver)
-        .await
-        .map_err(NodeError::Fleet)?;
-    let operators = extras.file.zip(sources);
-    tokio::task::spawn_local(reload::follow(reload, moves, operators, fleet.clone()));
+    let fleet = Fleet::start(
+        &config,
+        operator_config.instances.as_ref(),
+        operator_config.leases.as_ref(),
+        operator_config.outlier_detection.as_ref(),
+        &driver,
+    )
+    .await
+    .map_err(NodeError::Fleet)?;
+    let file = match (config_path, sources) {
+        (Some(path), Some(sources)) => Some(WatchedFile { path, sources }),
+        _ => None,
+    };
+    tokio::task::spawn_local(reload::reload_on_signal(reload, moves, file, fleet.clone()));
     let (phase, phases) = watch::channel(Phase::Serving);
     let longest = driver
         .names
@@ -174,9 +184,9 @@
         let at = listener
             .local_addr()
             .map_err(system("listen for operators"))?;
-        log::line(format_args!("operators call at {at}"));
-        let desk = calls::Desk::new(Rc::clone(&driver), options.clone(), fleet.clone());
-        tokio::task::spawn_local(calls::serve(listener, desk));
+        log::line(format_args!("admin server listens on {at}"));
+        let server = AdminServer::new(Rc::clone(&driver), options.clone(), fleet.clone());
+        tokio::task::spawn_local(admin_server::serve(listener, server));
     }
     let clients = clients::serve(listener, Rc::clone(&driver), options);
     let stop = async move {
@@ -203,18 +213,19 @@
     Ok(())
 }
 
-/// The way of the list to the driver, with the sources beside the roster that the operators name.
-fn membership(
+/// The way of the endpoint list to the driver, and the sources beside the roster that the operators' file names.
+fn endpoint_sources(
     driver: &Rc<Driver>,
     config: &Config,
-    operators: &Operators,
+    operator_config: &OperatorConfig,
 ) -> (Rc<ServerMembers>, Option<Rc<Sources>>) {
-    let Some(merged) = &operators.membership else {
+    let Some(configured) = &operator_config.endpoint_sources else {
         return (ServerMembers::roster_alone(Rc::clone(driver)), None);
     };
-    let members = ServerMembers::merged(Rc::clone(driver), merged.roster.clone(), &config.known);
+    let members =
+        ServerMembers::merged(Rc::clone(driver), configured.roster.clone(), &config.known);
     let sources = Sources::new(Rc::clone(&members), config.seed);
-    sources.follow(&merged.consul);
+    sources.follow(&configured.consul);
     (members, Some(sources))
 }
 
--- a/src/node/upstream/addresses.rs
+++ b/src/node/upstream/addresses.rs
@@ -6,25 +6,29 @@
 use endpoint_discovery::Host;
 use pool::{Address, Route};
 
-/// What the operators' file says of a server's addresses.
+/// The addresses of one server in the operators' file.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Said {
+pub struct ServerAddresses {
     /// The addresses.
     pub routes: Vec<Route>,
     /// Whether the server is reached at these alone, and not where membership has it.
-    pub only: bool,
+    pub exclusive: bool,
 }
 
-/// What the operators' file says, by a server's id.
-pub type AllSaid = HashMap<String, Said>;
+/// The addresses in the operators' file, by a server's id.
+pub type ConfiguredAddresses = HashMap<String, ServerAddresses>;
 
 /// The addresses of a server, of which membership names `listed` as its main one. One that is named twice goes by
 /// what the operators say of it.
 #[must_use]
-pub fn routes(said: &AllSaid, host: &Host, listed: Option<SocketAddr>) -> Vec<Route> {
-    let own = said.get(&host.id);
-    let mut routes = own.map(|said| said.routes.clone()).unwrap_or_default();
-    if own.is_some_and(|said| said.only) {
+pub fn routes(
+    configured: &ConfiguredAddresses,
+    host: &Host,
+    listed: Option<SocketAddr>,
+) -> Vec<Route> {
+    let own = configured.get(&host.id);
+    let mut routes = own.map(|own| own.routes.clone()).unwrap_or_default();
+    if own.is_some_and(|own| own.exclusive) {
         return routes;
     }
     for address in listed.into_iter().chain(host.others.iter().copied()) {
--- a/src/node/upstream/addresses/tests.rs
+++ b/src/node/upstream/addresses/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn the_operators_word_stands_beside_the_lists_or_instead_of_it() {
+fn configured_addresses_add_to_or_replace_the_listed_ones() {
     let [own, other] = [1, 2].map(|port| SocketAddr::from(([127, 0, 0, 1], port)));
     let host = Host {
         others: vec![other, own],
@@ -11,16 +11,16 @@
         preference,
         ..Route::new(text.parse().expect("an address"))
     };
-    let said = |only| {
+    let configured = |exclusive| {
         let routes = vec![route("unix:/run/s", 10), route("127.0.0.1:2", 20)];
-        AllSaid::from([("s-0".to_owned(), Said { routes, only })])
+        ConfiguredAddresses::from([("s-0".to_owned(), ServerAddresses { routes, exclusive })])
     };
-    let plain = routes(&AllSaid::new(), &host, Some(own));
+    let plain = routes(&ConfiguredAddresses::new(), &host, Some(own));
     assert_eq!(
         plain,
         [route("127.0.0.1:1", 100), route("127.0.0.1:2", 100)]
     );
-    let beside = routes(&said(false), &host, Some(own));
+    let beside = routes(&configured(false), &host, Some(own));
     assert_eq!(
         beside,
         [
@@ -29,6 +29,6 @@
             route("127.0.0.1:1", 100)
         ]
     );
-    assert_eq!(routes(&said(true), &host, Some(own)), beside[..2]);
-    assert!(routes(&AllSaid::new(), &Host::named("s-1"), None).is_empty());
+    assert_eq!(routes(&configured(true), &host, Some(own)), beside[..2]);
+    assert!(routes(&ConfiguredAddresses::new(), &Host::named("s-1"), None).is_empty());
 }
--- a/src/node/upstream/http1/metered.rs
+++ b/src/node/upstream/http1/metered.rs
@@ -247,7 +247,7 @@
     fn poll_flush(mut self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<io::Result<()>> {
         let is_out = self.traffic.written.get() > 0 && self.traffic.through.get();
         if is_out && !self.traffic.whole.replace(true) {
-            self.traffic.tally.borrow().add();
+            self.traffic.tally.borrow().increment();
         }
         Pin::new(&mut self.stream).poll_flush(cx)
     }
--- a/src/node/upstream/servers.rs
+++ b/src/node/upstream/servers.rs
@@ -21,7 +21,7 @@
 use crate::node::admin::log;
 use crate::node::clock::{Alarm, Clock};
 use crate::node::config::Config;
-use crate::node::upstream::addresses::{routes, AllSaid};
+use crate::node::upstream::addresses::{routes, ConfiguredAddresses};
 use crate::node::upstream::{Conn, Ended, Message, Served};
 use balancer::{Ending, ServerId};
 
@@ -73,17 +73,17 @@
     age: Age,
 }
 
-/// What the operators' file says of connections to servers; where it says nothing, [`Limits`] does.
+/// Limits on connections to servers in the operators' file; [`Limits`] has the defaults.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Bounds {
+pub struct PoolLimits {
     /// Connections to one server, over all its addresses.
-    pub most_per_server: Option<usize>,
+    pub max_connections_per_server: Option<usize>,
     /// Races to one server at a time.
-    pub most_dials: Option<usize>,
+    pub max_concurrent_dials: Option<usize>,
     /// Dials a second to a server that has just started.
     pub cold_dials_per_s: Option<f64>,
     /// Whether one connection more than needed is dialled under a rising load.
-    pub ahead: bool,
+    pub dial_ahead: bool,
 }
 
 /// The connections to all servers.
@@ -94,7 +94,7 @@
     dials: RefCell<HashMap<DialId, AbortHandle>>,
     table: RefCell<BTreeMap<ServerId, Server>>,
     holders: RefCell<Holders>,
-    said: RefCell<AllSaid>,
+    configured_addresses: RefCell<ConfiguredAddresses>,
     alarm: Alarm,
     cold_ms: f64,
     drain_grace: Duration,
@@ -104,16 +104,28 @@
 impl Servers {
     /// No servers yet. [`Servers::wake_up`] is to be run beside.
     #[must_use]
-    pub fn new(config: &Config, said: AllSaid, bounds: Bounds, clock: Clock) -> Rc<Self> {
+    pub fn new(
+        config: &Config,
+        configured_addresses: ConfiguredAddresses,
+        pool_limits: PoolLimits,
+        clock: Clock,
+    ) -> Rc<Self> {
         let ms = |time: Duration| time.as_secs_f64() * 1e3;
         let most_open = config.limits.server_connections();
         let ordinary = Limits::default();
         let limits = Limits {
             most_open,
-            most_per_server: bounds.most_per_server.unwrap_or(most_open).min(most_open),
-            most_dials: bounds.most_dials.unwrap_or(ordinary.most_dials),
-            cold_dials_per_s: bounds.cold_dials_per_s.unwrap_or(ordinary.cold_dials_per_s),
-            ahead: bounds.ahead,
+            most_per_server: pool_limits
+                .max_connections_per_server
+                .unwrap_or(most_open)
+                .min(most_open),
+            most_dials: pool_limits
+                .max_concurrent_dials
+                .unwrap_or(ordinary.most_dials),
+            cold_dials_per_s: pool_limits
+                .cold_dials_per_s
+                .unwrap_or(ordinary.cold_dials_per_s),
+            ahead: pool_limits.dial_ahead,
             dial_timeout_ms: ms(config.dial_timeout),
             idle_ms: ms(config.idle_limit),
         };
@@ -124,7 +136,7 @@
             dials: RefCell::default(),
             table: RefCell::default(),
             holders: RefCell::default(),
-            said: RefCell::new(said),
+            configured_addresses: RefCell::new(configured_addresses),
             alarm: Alarm::new(),
             cold_ms: config.settings.cold_ms,
             drain_grace: config.drain_grace,
@@ -288,7 +300,7 @@
             },
         );
         drop(table);
-        let routes = routes(&self.said.borrow(), host, listed);
+        let routes = routes(&self.configured_addresses.borrow(), host, listed);
         self.holders
             .borrow_mut()
             .name(key, routes, host.started_at_ms, is_ready, moved);
@@ -311,14 +323,14 @@
         }
     }
 
-    /// Takes what the operators' file says of addresses now; tells the servers as they are known, of which some may be
-    /// reached in another way.
+    /// Replaces the configured addresses. Returns the known servers if anything changed: the routes of any of them may
+    /// have.
     #[must_use]
-    pub fn say(&self, said: AllSaid) -> Vec<Host> {
-        if *self.said.borrow() == said {
+    pub fn set_configured_addresses(&self, configured: ConfiguredAddresses) -> Vec<Host> {
+        if *self.configured_addresses.borrow() == configured {
             return Vec::new();
         }
-        *self.said.borrow_mut() = said;
+        *self.configured_addresses.borrow_mut() = configured;
         self.table
             .borrow()
             .values()
--- a/src/node/upstream/servers/tests.rs
+++ b/src/node/upstream/servers/tests.rs
@@ -25,8 +25,8 @@
     );
     let servers = Servers::new(
         &Config::parse(&text).expect("sound"),
-        AllSaid::new(),
-        Bounds::default(),
+        ConfiguredAddresses::new(),
+        PoolLimits::default(),
         Clock::new(),
     );
     tokio::task::spawn_local(Rc::clone(&servers).wake_up());
@@ -170,11 +170,11 @@
         };
         let listed = vec![route(&broken, 1), route(&other, 2)];
         let servers = servers(SocketAddr::from(([127, 0, 0, 1], 1)));
-        let _ = servers.say(AllSaid::from([(
+        let _ = servers.set_configured_addresses(ConfiguredAddresses::from([(
             "s-0".to_owned(),
-            crate::node::upstream::addresses::Said {
+            crate::node::upstream::addresses::ServerAddresses {
                 routes: listed,
-                only: true,
+                exclusive: true,
             },
         )]));
         servers.update(&[(ServerId(0), &Host::named("s-0"))]);
--- a/tests/admin_interface.rs
+++ b/tests/admin_interface.rs
@@ -7,7 +7,7 @@
 use std::process::Output;
 use std::thread;
 
-use silverthread::node::admin::operators::Operators;
+use silverthread::node::admin::config_file::OperatorConfig;
 use testkit::{config, list, program, settings, write_config, Discovery, Fleet, Node};
 
 /// Every key of the operators' file, each with a value that is neither its default nor another key's.
@@ -228,7 +228,7 @@
     );
     assert_eq!(
         stdout(&output),
-        "n0: keeper: yes, set 2\n\
+        "n0: acceptor: yes, set 2\n\
      shard  owner  fence  left_ms  since_ms\n\
      0      n1     77     1500     20\n\
      1      -      0      -        -\n"
@@ -254,7 +254,7 @@
     );
     assert_eq!(
         stdout(&output),
-        "n0: 1 servers are spoken of\n\
+        "n0: 1 servers are reported as outliers\n\
      server  kind         reporters  age_ms  weight\n\
      s-3     unreachable  4          1500    0.05\n"
     );
@@ -358,7 +358,7 @@
 
 #[test]
 fn operators_file_with_every_key_has_these_values() {
-    let parsed = Operators::parse(Path::new("file"), EVERY_KEY).expect("sound");
+    let parsed = OperatorConfig::parse(Path::new("file"), EVERY_KEY).expect("sound");
     let parsed = literals(&format!("{parsed:?}")).join(" ");
     let expected = concat!(
         r#""roster" true 0.41 11000.0 false 31000.0 false None "dc2" true 0.53 12000.0 true 33000.0 true "#,
@@ -377,13 +377,13 @@
 
 #[test]
 fn operators_file_with_every_key_is_summed_up_in_these_lines() {
-    let parsed = Operators::parse(Path::new("file"), EVERY_KEY).expect("sound");
-    assert_eq!(parsed.summary(), ["consul \"dc2\": service \"stays\" through 2 agents, names servers", "consul \"by-address\": service \"by-address\" through 1 agents, advises on the roster's servers", "2 addresses of 1 servers", "instances of the fleet \"stays\": 2 peers, probed every 501 ms", "leases of 65 shards, kept by k0, k1, k2 (set 5), 2504 ms long", "word of bad servers, believed of 4 nodes, said every 1001 ms"]);
-    assert!(Operators::default().summary().is_empty());
+    let parsed = OperatorConfig::parse(Path::new("file"), EVERY_KEY).expect("sound");
+    assert_eq!(parsed.summary(), ["consul \"dc2\": service \"stays\" through 2 agents, names servers", "consul \"by-address\": service \"by-address\" through 1 agents, advises on the roster's servers", "2 addresses of 1 servers", "cluster \"stays\": 2 peers, probed every 501 ms", "leases of 65 shards, granted by acceptors k0, k1, k2 (set 5), 2504 ms long", "outlier detection: 4 nodes have to report a server, reports every 1001 ms"]);
+    assert!(OperatorConfig::default().summary().is_empty());
     let empty = write_config("");
     let output = program().arg("check").arg(&empty).output();
     let output = output.expect("it starts");
-    assert_eq!(stdout(&output), format!("{}: sound\n", empty.display()));
+    assert_eq!(stdout(&output), format!("{}: valid\n", empty.display()));
     std::fs::remove_file(empty).expect("the test's own");
 }
 
@@ -396,7 +396,7 @@
 
 #[test]
 fn wrong_value_in_operators_file_is_reported_with_line_and_key() {
-    assert!(Operators::parse(Path::new("file"), SECTIONS).is_ok());
+    assert!(OperatorConfig::parse(Path::new("file"), SECTIONS).is_ok());
     let long_name = format!("\"{}\"", "x".repeat(65));
     let many_peers = format!("\"holds\"\npeers = [{}]", "\"127.0.0.1:1\", ".repeat(4_097));
     let many_agents = format!("[{}]", "\"127.0.0.1:1\", ".repeat(17));
@@ -440,7 +440,7 @@
     ] {
         let text = SECTIONS.replacen(old, new, 1);
         assert_ne!(text, SECTIONS);
-        let error = Operators::parse(Path::new("file"), &text).expect_err("a wrong value");
+        let error = OperatorConfig::parse(Path::new("file"), &text).expect_err("a wrong value");
         assert_eq!((error.line(), error.key()), (Some(line), Some(key)), "{text}");
         let place = format!("file, line {line}, key `{key}`: ");
         assert!(error.to_string().starts_with(&place), "{error}");
@@ -460,9 +460,9 @@
     let sources: String = (0..17).map(source).collect();
     let servers: String = (0..16_385).map(server).collect();
     for (text, line, key) in [(sources, 66, "name"), (servers, 49_154, "id")] {
-        let error = Operators::parse(Path::new("file"), &text).expect_err("too many");
+        let error = OperatorConfig::parse(Path::new("file"), &text).expect_err("too many");
         assert_eq!((error.line(), error.key()), (Some(line), Some(key)));
         let within_limit: Vec<_> = text.lines().take(line - 2).collect();
-        assert!(Operators::parse(Path::new("file"), &within_limit.join("\n")).is_ok());
+        assert!(OperatorConfig::parse(Path::new("file"), &within_limit.join("\n")).is_ok());
     }
 }
--- a/tests/leases.rs
+++ b/tests/leases.rs
@@ -3,7 +3,7 @@
 use std::path::Path;
 use std::time::{Duration, Instant};
 
-use silverthread::node::admin::operators::Operators;
+use silverthread::node::admin::config_file::OperatorConfig;
 use testkit::{program, until, write_config, Fleet, Link, Load, Node, Register, Trouble};
 
 /// Short, so that a test of several cases takes seconds.
@@ -586,14 +586,14 @@
 #[test]
 fn a_section_that_makes_no_sense_is_refused_by_line_and_key() {
     let instances = "[instances]\nfleet = \"holds\"\nkey_file = \"key\"\n";
-    let read = |text: &str| Operators::parse(Path::new("file"), text);
+    let read = |text: &str| OperatorConfig::parse(Path::new("file"), text);
     let three = "keepers = [\"a\", \"b\", \"c\"]\n";
     let sound = read(&format!("{instances}[leases]\n{three}")).expect("sound");
     assert!(
         sound
             .summary()
             .iter()
-            .any(|line| line.contains("kept by a, b, c")),
+            .any(|line| line.contains("granted by acceptors a, b, c")),
         "{:?}",
         sound.summary()
     );
--- a/tests/word.rs
+++ b/tests/word.rs
@@ -206,13 +206,13 @@
         .starts_with("400 this node takes no word of servers"));
     let read = |text: &str| {
         let path = std::path::Path::new("file");
-        silverthread::node::admin::operators::Operators::parse(path, text)
+        silverthread::node::admin::config_file::OperatorConfig::parse(path, text)
             .map(|_| ())
             .expect_err("it makes no sense")
     };
     let instances = "[instances]\nfleet = \"holds\"\nkey_file = \"key\"\n";
     for (text, why) in [
-        ("[word]\n".to_owned(), "word of servers needs [instances]"),
+        ("[word]\n".to_owned(), "outlier detection needs [instances]"),
         (
             format!("{instances}[word]\nreporters = 1\n"),
             "`reporters` is out of range",
