--- a/crates/measure/src/outlier_detection.rs
+++ b/crates/measure/src/outlier_detection.rs
@@ -4,7 +4,7 @@
 use std::collections::HashMap;
 
 use fastrand::Rng;
-use outlier_detection::{Event as Said, Kind, NodeKey, ServerKey, Word};
+use outlier_detection::{Event as DetectorEvent, FailureKind, NodeKey, OutlierDetector, ServerKey};
 use silverthread::{
     Action, Availability, Balancer, Class, Effect, Ending, Event, Listing, Outcome, Report,
     Request, RequestId, ServerEntry, ServerId, Settings,
@@ -103,7 +103,7 @@
 
 struct Node {
     balancer: Balancer,
-    word: Word,
+    detector: OutlierDetector,
     open: HashMap<u64, Open>,
 }
 
@@ -141,13 +141,14 @@
                 Event::Servers(Listing::Full(entries())),
                 &mut Vec::new(),
             );
-            let mut word =
-                Word::new(0.0, outlier_detection::Settings::default(), rng.f64()).expect("sound");
-            word.handle(0.0, Said::Servers(&keys), &mut Vec::new());
-            word.handle(0.0, Said::Nodes(nodes), &mut Vec::new());
+            let settings = outlier_detection::Settings::default();
+            let mut detector =
+                OutlierDetector::new(0.0, settings, rng.f64()).expect("valid settings");
+            detector.handle(0.0, DetectorEvent::ServersChanged(&keys), &mut Vec::new());
+            detector.handle(0.0, DetectorEvent::ClusterSize(nodes), &mut Vec::new());
             Node {
                 balancer,
-                word,
+                detector,
                 open: HashMap::new(),
             }
         };
@@ -213,9 +214,9 @@
                         && node == 0
                         && (BEGIN_MS..END_MS).contains(&self.agenda.now)
                     {
-                        self.word(node, Said::Ended(key(0), Some(Kind::Error)));
+                        self.attempt_ended(node, 0, Some(FailureKind::ErrorResponse));
                     }
-                    self.word(node, Said::Due);
+                    self.detect(node, DetectorEvent::TimerFired);
                 }
             }
         }
@@ -230,19 +231,29 @@
         (BEGIN_MS..LAST_MS - DEADLINE_MS).contains(&self.agenda.now)
     }
 
-    fn word(&mut self, node: usize, event: Said<'_>) {
+    fn attempt_ended(&mut self, node: usize, server: usize, failure: Option<FailureKind>) {
+        let server = key(server);
+        self.detect(node, DetectorEvent::AttemptEnded { server, failure });
+    }
+
+    fn detect(&mut self, node: usize, event: DetectorEvent<'_>) {
         let mut actions = Vec::new();
         self.nodes[node]
-            .word
+            .detector
             .handle(self.agenda.now, event, &mut actions);
         for action in actions {
             match action {
-                outlier_detection::Action::Tell(bytes) => {
+                outlier_detection::Action::Broadcast(bytes) => {
                     for other in (0..self.nodes.len()).filter(|other| *other != node) {
-                        self.word(other, Said::Said(NodeKey(node as u64), &bytes));
+                        let from = NodeKey(node as u64);
+                        let event = DetectorEvent::ReportReceived {
+                            from,
+                            bytes: &bytes,
+                        };
+                        self.detect(other, event);
                     }
                 }
-                outlier_detection::Action::Hint(server, weight) => {
+                outlier_detection::Action::SetWeight { server, weight } => {
                     let server = ServerId(server.0 as usize - 100);
                     self.feed(node, Event::Hint { server, weight });
                 }
@@ -275,13 +286,13 @@
             self.good += f64::from(u8::from(counts && self.agenda.now - arrived <= AIM_MS));
         }
         if self.with_word {
-            let failed = match ending {
+            let failure = match ending {
                 Ending::Served => None,
-                Ending::TimedOut => Some(Kind::Silent),
-                Ending::Unreachable => Some(Kind::Unreachable),
-                _ => Some(Kind::Error),
+                Ending::TimedOut => Some(FailureKind::TimedOut),
+                Ending::Unreachable => Some(FailureKind::Unreachable),
+                _ => Some(FailureKind::ErrorResponse),
             };
-            self.word(node, Said::Ended(key(server), failed));
+            self.attempt_ended(node, server, failure);
         }
         let report = is_served.then(|| Report {
             in_flight: Some(1.0),
--- a/crates/outlier-detection/src/wire.rs
+++ b/crates/outlier-detection/src/wire.rs
@@ -1,137 +1,74 @@
-//! What nodes say to each other of servers. Numbers are little-endian.
+//! The bytes of a report: a first byte that tells it from other messages between nodes, the number of servers tried, and
+//! entries of fixed size. Numbers are little-endian.
 
 use bytes::{Buf, BufMut};
 
-/// A server in this life of it: a number that every node derives alike from its id and its start, so that word of one does not
-/// outlive it.
-#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct ServerKey(pub u64);
+use crate::report::{FailureKind, Report, ReportEntry, ServerKey};
 
-/// How attempts fail.
-#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub enum Kind {
-    /// It answers with an error.
-    Error,
-    /// It cannot be reached.
-    Unreachable,
-    /// The connection breaks, or what comes cannot be read.
-    Broken,
-    /// It does not answer in time.
-    Silent,
-}
-
-impl Kind {
-    /// All of them, by their numbers.
-    pub const ALL: [Self; 4] = [Self::Error, Self::Unreachable, Self::Broken, Self::Silent];
-
-    /// As operators read it.
-    #[must_use]
-    pub fn name(self) -> &'static str {
-        ["error", "unreachable", "broken", "silent"][self as usize]
-    }
-}
-
-/// The longest report, in bytes: as long as any word between nodes.
-pub const MOST_REPORT: usize = 170;
-/// The first byte of a report: words of leases begin with lower ones.
-const REPORT: u8 = 0x80;
-/// The bytes of one server in it.
-const ENTRY: usize = 12;
-/// Servers that fit.
-pub const MOST_ENTRIES: usize = (MOST_REPORT - 3) / ENTRY;
-
-/// What one node says of one server.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Entry {
-    pub server: ServerKey,
-    /// Attempts that failed and that ended well of late, in quarters, at most 63 of each.
-    pub failed: u8,
-    pub ok: u8,
-    pub kind: Kind,
-    /// How long ago the last of them ended well, in tenths of a second, at most 255.
-    pub ok_age: u8,
-}
-
-/// All that it says.
-#[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Report {
-    /// How many servers it has tried of late: what part of them it complains of tells what its word is worth.
-    pub tried: u16,
-    pub entries: Vec<Entry>,
-}
+/// The longest report, in bytes: as long as any application payload between nodes.
+pub const MAX_REPORT_BYTES: usize = 170;
+/// The first byte of a report; lease messages begin with lower ones.
+const REPORT_TAG: u8 = 0x80;
+/// The tag and the number of servers tried.
+const HEADER_BYTES: usize = 3;
+const ENTRY_BYTES: usize = 12;
+/// The most entries of a report.
+pub const MAX_ENTRIES: usize = (MAX_REPORT_BYTES - HEADER_BYTES) / ENTRY_BYTES;
 
-/// Whether a word is a report.
+/// Whether a message is a report, by its first byte.
 #[must_use]
 pub fn is_report(bytes: &[u8]) -> bool {
-    bytes.first() == Some(&REPORT)
+    bytes.first() == Some(&REPORT_TAG)
 }
 
-impl Report {
-    pub fn write(&self) -> Vec<u8> {
-        let mut to = Vec::with_capacity(MOST_REPORT);
-        to.push(REPORT);
-        to.put_u16_le(self.tried);
-        for entry in self.entries.iter().take(MOST_ENTRIES) {
-            to.put_u64_le(entry.server.0);
-            to.extend_from_slice(&[entry.failed, entry.ok, entry.kind as u8, entry.ok_age]);
-        }
-        to
+/// Encodes a report. Entries beyond the first [`MAX_ENTRIES`] are left out.
+pub fn encode_report(report: &Report) -> Vec<u8> {
+    let mut bytes = Vec::with_capacity(MAX_REPORT_BYTES);
+    bytes.put_u8(REPORT_TAG);
+    bytes.put_u16_le(report.tried);
+    for entry in report.entries.iter().take(MAX_ENTRIES) {
+        bytes.put_u64_le(entry.server.0);
+        bytes.put_u8(entry.failed_quarters);
+        bytes.put_u8(entry.succeeded_quarters);
+        bytes.put_u8(entry.failure_kind as u8);
+        bytes.put_u8(entry.success_age_tenths);
     }
+    bytes
+}
 
-    /// `None`: no report, or one that stops short. A kind that is not known here is passed over.
-    pub fn read(bytes: &[u8]) -> Option<Self> {
-        if !is_report(bytes) || bytes.len() > MOST_REPORT {
-            return None;
-        }
-        let mut body = &bytes[1..];
-        let tried = body.try_get_u16_le().ok()?;
-        if body.len() % ENTRY != 0 {
-            return None;
-        }
-        let entries = body.chunks_exact(ENTRY).filter_map(|mut entry| {
-            let server = ServerKey(entry.get_u64_le());
-            let (failed, ok, kind, ok_age) = (
-                entry.get_u8(),
-                entry.get_u8(),
-                entry.get_u8(),
-                entry.get_u8(),
-            );
-            let kind = *Kind::ALL.get(usize::from(kind))?;
-            Some(Entry {
-                server,
-                failed,
-                ok,
-                kind,
-                ok_age,
-            })
-        });
-        Some(Self {
-            tried,
-            entries: entries.collect(),
-        })
+/// Decodes a report. Returns `None` if the bytes are not a report, too long, or truncated. An entry of an unknown failure
+/// kind is skipped, so that later versions can add kinds.
+pub fn decode_report(bytes: &[u8]) -> Option<Report> {
+    if !is_report(bytes) || bytes.len() > MAX_REPORT_BYTES {
+        return None;
+    }
+    let mut body = &bytes[1..];
+    let tried = body.try_get_u16_le().ok()?;
+    if body.len() % ENTRY_BYTES != 0 {
+        return None;
     }
+    let entries = body.chunks_exact(ENTRY_BYTES).filter_map(decode_entry);
+    Some(Report {
+        tried,
+        entries: entries.collect(),
+    })
 }
 
-#[cfg(test)]
-mod tests {
-    use super::*;
-    use proptest::prelude::*;
-
-    proptest! {
-        #[test]
-        fn what_is_written_is_read(tried: u16, of in proptest::collection::vec(any::<(u64, u8, u8, u8)>(), 0..=MOST_ENTRIES)) {
-            let entry = |(server, failed, ok, kind): (u64, u8, u8, u8)| {
-                Entry { server: ServerKey(server), failed, ok, kind: Kind::ALL[usize::from(kind % 4)], ok_age: kind }
-            };
-            let report = Report { tried, entries: of.into_iter().map(entry).collect() };
-            let bytes = report.write();
-            prop_assert!(bytes.len() <= MOST_REPORT && is_report(&bytes));
-            prop_assert_eq!(Report::read(&bytes), Some(report));
-        }
-
-        #[test]
-        fn no_bytes_are_too_odd(bytes in proptest::collection::vec(any::<u8>(), 0..300)) {
-            let _ = Report::read(&bytes);
-        }
-    }
+/// Decodes [`ENTRY_BYTES`] bytes.
+fn decode_entry(mut bytes: &[u8]) -> Option<ReportEntry> {
+    let server = ServerKey(bytes.get_u64_le());
+    let failed_quarters = bytes.get_u8();
+    let succeeded_quarters = bytes.get_u8();
+    let failure_kind = *FailureKind::ALL.get(usize::from(bytes.get_u8()))?;
+    let success_age_tenths = bytes.get_u8();
+    Some(ReportEntry {
+        server,
+        failed_quarters,
+        succeeded_quarters,
+        failure_kind,
+        success_age_tenths,
+    })
 }
+
+#[cfg(test)]
+mod tests;
--- a/crates/outlier-detection/tests/report_bytes.rs
+++ b/crates/outlier-detection/tests/report_bytes.rs
@@ -1,30 +1,64 @@
 //! Golden tests of the reports between nodes: nodes of different versions have to understand each other.
 
-use outlier_detection::{is_report, Action, Event, Kind, NodeKey, ServerKey, Settings, Word};
+use outlier_detection::{
+    is_report, Action, Event, FailureKind, NodeKey, OutlierDetector, ServerKey, Settings,
+};
 
 const SERVER: ServerKey = ServerKey(0x0102_0304_0506_0708);
 const OTHER: ServerKey = ServerKey(0x1112_1314_1516_1718);
 
 /// One report per kind of failure, as version 45ea4e8 writes it: the server failed once at 900 ms, after a success at
 /// 0 ms.
-const REPORTS: [(Kind, &str, &str); 4] = [
-    (Kind::Error, "error", "800100080706050403020104020009"),
+const REPORTS: [(FailureKind, &str, &str); 4] = [
     (
-        Kind::Unreachable,
+        FailureKind::ErrorResponse,
+        "error",
+        "800100080706050403020104020009",
+    ),
+    (
+        FailureKind::Unreachable,
         "unreachable",
         "800100080706050403020104020109",
     ),
-    (Kind::Broken, "broken", "800100080706050403020104020209"),
-    (Kind::Silent, "silent", "800100080706050403020104020309"),
+    (
+        FailureKind::ConnectionBroken,
+        "broken",
+        "800100080706050403020104020209",
+    ),
+    (
+        FailureKind::TimedOut,
+        "silent",
+        "800100080706050403020104020309",
+    ),
 ];
 
-fn detector() -> Word {
-    let mut detector = Word::new(0.0, Settings::default(), 1.0).expect("sound");
-    detector.handle(0.0, Event::Servers(&[SERVER, OTHER]), &mut Vec::new());
-    detector.handle(0.0, Event::Nodes(4), &mut Vec::new());
+fn detector() -> OutlierDetector {
+    let mut detector = OutlierDetector::new(0.0, Settings::default(), 1.0).expect("valid settings");
+    detector.handle(
+        0.0,
+        Event::ServersChanged(&[SERVER, OTHER]),
+        &mut Vec::new(),
+    );
+    detector.handle(0.0, Event::ClusterSize(4), &mut Vec::new());
     detector
 }
 
+fn attempt_ended(failure: Option<FailureKind>) -> Event<'static> {
+    Event::AttemptEnded {
+        server: SERVER,
+        failure,
+    }
+}
+
+fn receive(detector: &mut OutlierDetector, now_ms: f64, node: u64, bytes: &[u8]) {
+    let from = NodeKey(node);
+    detector.handle(
+        now_ms,
+        Event::ReportReceived { from, bytes },
+        &mut Vec::new(),
+    );
+}
+
 fn hex(bytes: &[u8]) -> String {
     use std::fmt::Write;
     bytes.iter().fold(String::new(), |mut text, byte| {
@@ -45,10 +79,10 @@
     for (kind, _, expected) in REPORTS {
         let mut detector = detector();
         let mut actions = Vec::new();
-        detector.handle(0.0, Event::Ended(SERVER, None), &mut actions);
-        detector.handle(900.0, Event::Ended(SERVER, Some(kind)), &mut actions);
+        detector.handle(0.0, attempt_ended(None), &mut actions);
+        detector.handle(900.0, attempt_ended(Some(kind)), &mut actions);
         let reports = actions.iter().filter_map(|action| match action {
-            Action::Tell(bytes) => Some(hex(bytes)),
+            Action::Broadcast(bytes) => Some(hex(bytes)),
             _ => None,
         });
         assert_eq!(reports.collect::<Vec<_>>(), [expected], "{kind:?}");
@@ -62,16 +96,15 @@
         assert!(is_report(&report));
         let mut detector = detector();
         for node in 1..=2 {
-            detector.handle(
-                1_000.0,
-                Event::Said(NodeKey(node), &report),
-                &mut Vec::new(),
-            );
+            receive(&mut detector, 1_000.0, node, &report);
         }
-        let hints: Vec<_> = detector.hints().collect();
-        assert_eq!(hints.len(), 1, "{kind:?}");
-        assert_eq!((hints[0].server, hints[0].kind), (SERVER, kind));
-        assert_eq!((hints[0].kind.name(), hints[0].reporters), (name, 2));
+        let servers: Vec<_> = detector.reported_servers().collect();
+        assert_eq!(servers.len(), 1, "{kind:?}");
+        assert_eq!((servers[0].server, servers[0].failure_kind), (SERVER, kind));
+        assert_eq!(
+            (servers[0].failure_kind.name(), servers[0].reporters),
+            (name, 2)
+        );
     }
 }
 
@@ -88,13 +121,21 @@
         &other_first_byte,
     ] {
         let mut detector = detector();
-        detector.handle(1.0, Event::Said(NodeKey(1), malformed), &mut Vec::new());
-        let figures = detector.figures();
-        assert_eq!((figures.unknown, figures.heard), (1, 0), "{malformed:02x?}");
+        receive(&mut detector, 1.0, 1, malformed);
+        let counters = detector.counters();
+        assert_eq!(
+            (counters.unknown, counters.reports_accepted),
+            (1, 0),
+            "{malformed:02x?}"
+        );
     }
     let unknown_kind = bytes("800100080706050403020104020409");
     let mut detector = detector();
-    detector.handle(1.0, Event::Said(NodeKey(1), &unknown_kind), &mut Vec::new());
-    assert_eq!(detector.figures().heard, 1, "the entry alone is skipped");
-    assert_eq!(detector.hints().count(), 0);
+    receive(&mut detector, 1.0, 1, &unknown_kind);
+    assert_eq!(
+        detector.counters().reports_accepted,
+        1,
+        "the entry alone is skipped"
+    );
+    assert_eq!(detector.reported_servers().count(), 0);
 }
--- a/src/node/admin/config_file/summary.rs
+++ b/src/node/admin/config_file/summary.rs
@@ -65,6 +65,6 @@
 fn outlier_detection_line(settings: &outlier_detection::Settings) -> String {
     format!(
         "outlier detection: {} nodes have to report a server, reports every {} ms",
-        settings.reporters, settings.turn_ms
+        settings.min_reporters, settings.interval_ms
     )
 }
--- a/src/node/admin/config_file/validation.rs
+++ b/src/node/admin/config_file/validation.rs
@@ -288,12 +288,12 @@
     fn validate(section: &Spanned<Self>) -> Result<outlier_detection::Settings, InvalidValue> {
         let (raw, default) = (section.get_ref(), outlier_detection::Settings::default());
         let settings = outlier_detection::Settings {
-            turn_ms: raw.turn_ms.unwrap_or(default.turn_ms),
+            interval_ms: raw.turn_ms.unwrap_or(default.interval_ms),
             half_life_ms: raw.half_life_ms.unwrap_or(default.half_life_ms),
-            reporters: raw.reporters.unwrap_or(default.reporters),
-            share: raw.share.unwrap_or(default.share),
-            floor: raw.floor.unwrap_or(default.floor),
-            panic_share: raw.panic_share.unwrap_or(default.panic_share),
+            min_reporters: raw.reporters.unwrap_or(default.min_reporters),
+            min_failed_fraction: raw.share.unwrap_or(default.min_failed_fraction),
+            outlier_weight: raw.floor.unwrap_or(default.outlier_weight),
+            max_outlier_fraction: raw.panic_share.unwrap_or(default.max_outlier_fraction),
         };
         match settings.check() {
             Ok(()) => Ok(settings),
--- a/src/node/cluster/mod.rs
+++ b/src/node/cluster/mod.rs
@@ -4,8 +4,8 @@
 
 mod duty;
 mod leases;
+mod outlier_detection;
 mod record;
-mod word;
 
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
@@ -187,7 +187,7 @@
     /// Whether the operators' file names the peers, so that a new list of the platform's says nothing.
     names_peers: Cell<bool>,
     leases: Option<leases::Part>,
-    word: Option<word::Part>,
+    outlier_detection: Option<outlier_detection::OutlierDetection>,
     /// Where a keeper writes down what it may grant.
     record: Option<PathBuf>,
 }
@@ -202,7 +202,7 @@
         config: &Config,
         instances: Option<&Instances>,
         keeping: Option<&Keeping>,
-        said: Option<&outlier_detection::Settings>,
+        outlier_settings: Option<&::outlier_detection::Settings>,
         driver: &Rc<Driver>,
     ) -> Result<Option<Rc<Self>>, FleetError> {
         let Some(instances) = instances else {
@@ -244,10 +244,12 @@
             })
             .transpose()
             .map_err(FleetError::Value)?;
-        let word = said
-            .map(|said| word::Part::new(boot_ms(), *said, Rc::clone(driver)))
+        let outlier_detection = outlier_settings
+            .map(|settings| {
+                outlier_detection::OutlierDetection::new(boot_ms(), *settings, Rc::clone(driver))
+            })
             .transpose()
-            .map_err(FleetError::Value)?;
+            .map_err(|error| FleetError::Value(error.to_string()))?;
         let settings = Settings {
             probe_ms: instances.probe_ms,
             suspect_ms: instances.suspect_ms,
@@ -266,7 +268,7 @@
             name,
             names_peers: Cell::new(instances.peers.is_some()),
             leases,
-            word,
+            outlier_detection,
             record: keeping.and_then(|keeping| keeping.fence_file.clone()),
         });
         log::line(format_args!(
@@ -281,8 +283,8 @@
         if fleet.leases.is_some() {
             tokio::task::spawn_local(Rc::clone(&fleet).wake_leases());
         }
-        if fleet.word.is_some() {
-            tokio::task::spawn_local(Rc::clone(&fleet).wake_word());
+        if fleet.outlier_detection.is_some() {
+            tokio::task::spawn_local(Rc::clone(&fleet).run_outlier_detection());
         }
         if let Some(at) = keeping.and_then(|keeping| keeping.fleet_log) {
             tokio::task::spawn_local(duty::fleet_log(Rc::clone(&fleet), at));
@@ -357,8 +359,8 @@
                         self.end_leases();
                     }
                 }
-                Action::Word { from, bytes, .. } if outlier_detection::is_report(&bytes) => {
-                    self.heard_word(from, &bytes);
+                Action::Word { from, bytes, .. } if ::outlier_detection::is_report(&bytes) => {
+                    self.receive_outlier_report(from, &bytes);
                 }
                 Action::Word {
                     from,
@@ -376,7 +378,7 @@
         }
         if is_other {
             self.say_candidates();
-            self.say_how_many();
+            self.update_cluster_size();
         }
     }
 
@@ -490,6 +492,6 @@
         for (why, count) in Refused::ALL.iter().zip(figures.refused) {
             line(&format!("refused.{}", why.word()), count, 'c');
         }
-        text + &self.lease_figures() + &self.word_figures()
+        text + &self.lease_figures() + &self.outlier_detection_metrics()
     }
 }
--- /dev/null
+++ b/src/node/cluster/outlier_detection.rs
@@ -0,0 +1,259 @@
+//! Outlier detection on the node: connects the detector of [`::outlier_detection`] to the driver and to [`gossip`].
+//!
+//! The driver reports how attempts end; reports between nodes are payloads of gossip datagrams; the weights that the
+//! detector sets go to the balancer as hints. This module decides nothing. It owns the mapping between the detector's
+//! keys and the driver's numbers of servers, and keeps it up to date with the driver's endpoint list.
+
+use std::cell::{Cell, RefCell};
+use std::collections::HashMap;
+use std::fmt::Write;
+use std::rc::{Rc, Weak};
+
+use ::outlier_detection::{
+    Action, Event, FailureKind, NodeKey, OutlierDetector, ReportedServer, ServerKey, Settings,
+    SettingsError,
+};
+use balancer::{Ending, ServerId};
+use gossip::{Event as GossipEvent, MemberId, State};
+
+use super::{boot_ms, figure_lines, Fleet};
+use crate::node::admin::log;
+use crate::node::clock::Alarm;
+use crate::node::driver::Driver;
+
+/// A node's part in outlier detection.
+pub struct OutlierDetection {
+    detector: RefCell<OutlierDetector>,
+    driver: Rc<Driver>,
+    timer: Alarm,
+    /// The number of the driver's list that `server_ids` is of.
+    list_number: Cell<Option<u64>>,
+    server_ids: RefCell<HashMap<ServerKey, ServerId>>,
+    /// The highest weight of an outlier.
+    outlier_weight: f64,
+}
+
+/// What the end of an attempt says about the server.
+enum AttemptOutcome {
+    Success,
+    Failure(FailureKind),
+    /// The attempt ended for reasons of this node or its client.
+    NoEvidence,
+}
+
+impl From<Ending> for AttemptOutcome {
+    fn from(ending: Ending) -> Self {
+        match ending {
+            Ending::Served | Ending::Rejected => Self::Success,
+            Ending::Error => Self::Failure(FailureKind::ErrorResponse),
+            Ending::Unreachable => Self::Failure(FailureKind::Unreachable),
+            Ending::Reset | Ending::Spoilt => Self::Failure(FailureKind::ConnectionBroken),
+            Ending::TimedOut => Self::Failure(FailureKind::TimedOut),
+            Ending::Full | Ending::Cancelled | Ending::NotSent => Self::NoEvidence,
+        }
+    }
+}
+
+impl OutlierDetection {
+    /// For a node that starts at `now_ms`, by the clock of [`boot_ms`].
+    ///
+    /// # Errors
+    ///
+    /// A setting is out of its range.
+    pub fn new(now_ms: f64, settings: Settings, driver: Rc<Driver>) -> Result<Self, SettingsError> {
+        let detector = OutlierDetector::new(now_ms, settings, fastrand::f64())?;
+        Ok(Self {
+            detector: RefCell::new(detector),
+            driver,
+            timer: Alarm::new(),
+            list_number: Cell::new(None),
+            server_ids: RefCell::default(),
+            outlier_weight: settings.outlier_weight,
+        })
+    }
+
+    fn handle(&self, event: Event<'_>) -> Vec<Action> {
+        let mut actions = Vec::new();
+        self.update_servers(&mut actions);
+        self.detector
+            .borrow_mut()
+            .handle(boot_ms(), event, &mut actions);
+        actions
+    }
+
+    /// Passes the driver's endpoint list to the detector if it has changed.
+    fn update_servers(&self, actions: &mut Vec<Action>) {
+        let list_number = self.driver.list_number();
+        if self.list_number.replace(Some(list_number)) == Some(list_number) {
+            return;
+        }
+        let mut server_ids = HashMap::new();
+        let mut keys = Vec::new();
+        for (id, key) in self.driver.server_keys() {
+            keys.push(ServerKey(key));
+            server_ids.insert(ServerKey(key), id);
+        }
+        self.server_ids.replace(server_ids);
+        let event = Event::ServersChanged(&keys);
+        self.detector.borrow_mut().handle(boot_ms(), event, actions);
+    }
+
+    fn server_id(&self, key: ServerKey) -> Option<ServerId> {
+        self.server_ids.borrow().get(&key).copied()
+    }
+
+    fn set_weight(&self, key: ServerKey, weight: f64) {
+        let Some(server) = self.server_id(key) else {
+            return;
+        };
+        self.log_weight(server, weight);
+        self.driver.hint(server, weight);
+    }
+
+    /// Logs the begin and the end of a reduced weight; the steps between say nothing new.
+    fn log_weight(&self, server: ServerId, weight: f64) {
+        let name = self.driver.server_name(server).unwrap_or_default();
+        if weight >= 1.0 {
+            log::line(format_args!(
+                "outlier detection: {name} has recovered and gets its whole share again"
+            ));
+        } else if weight <= self.outlier_weight {
+            log::line(format_args!(
+                "outlier detection: {name} is an outlier by the reports of several nodes; its traffic is reduced"
+            ));
+        }
+    }
+
+    /// One row of the response to `HINTS`.
+    fn hint_row(&self, reported: &ReportedServer) -> String {
+        let ReportedServer {
+            server,
+            failure_kind,
+            reporters,
+            age_ms,
+            weight,
+        } = reported;
+        let id = self.server_id(*server);
+        let name = id
+            .and_then(|id| self.driver.server_name(id))
+            .unwrap_or_else(|| "-".to_owned());
+        let kind = failure_kind.name();
+        format!("{name} {kind} {reporters} {age_ms:.0} {weight:.2}")
+    }
+}
+
+impl Fleet {
+    /// Passes an event to the detector and executes what follows. Nothing happens on a node without outlier detection.
+    pub(super) fn handle_outlier_event(self: &Rc<Self>, event: Event<'_>) {
+        let Some(part) = &self.outlier_detection else {
+            return;
+        };
+        for action in part.handle(event) {
+            match action {
+                Action::Broadcast(bytes) => self.broadcast(&bytes),
+                Action::WakeAt(at_ms) => part.timer.set(at_ms),
+                Action::SetWeight { server, weight } => part.set_weight(server, weight),
+            }
+        }
+    }
+
+    /// Sends a payload to all other live nodes.
+    fn broadcast(self: &Rc<Self>, bytes: &[u8]) {
+        let others: Vec<_> = {
+            let gossip = self.gossip.borrow();
+            let others = gossip
+                .members()
+                .filter(|member| !member.is_self && is_live(member.state));
+            others.map(|member| MemberId::of(&member.name)).collect()
+        };
+        for to in others {
+            self.feed(GossipEvent::Say { to, bytes });
+        }
+    }
+
+    /// Passes the number of live nodes, with this one, to the detector.
+    pub(super) fn update_cluster_size(self: &Rc<Self>) {
+        let live_nodes = {
+            let gossip = self.gossip.borrow();
+            gossip
+                .members()
+                .filter(|member| is_live(member.state))
+                .count()
+        };
+        self.handle_outlier_event(Event::ClusterSize(live_nodes));
+    }
+
+    pub(super) fn receive_outlier_report(self: &Rc<Self>, from: MemberId, bytes: &[u8]) {
+        let from = NodeKey(from.0);
+        self.handle_outlier_event(Event::ReportReceived { from, bytes });
+    }
+
+    /// Passes the end of each attempt to the detector from here on, and calls it at its times. Runs for as long as it is
+    /// polled.
+    pub(super) async fn run_outlier_detection(self: Rc<Self>) {
+        let Some(part) = &self.outlier_detection else {
+            return;
+        };
+        let fleet: Weak<Self> = Rc::downgrade(&self);
+        part.driver.watch(move |key, ending| {
+            if let Some(fleet) = fleet.upgrade() {
+                fleet.record_attempt(ServerKey(key), ending.into());
+            }
+        });
+        part.timer.set(0.0);
+        loop {
+            part.timer.rings(boot_ms).await;
+            self.handle_outlier_event(Event::TimerFired);
+        }
+    }
+
+    fn record_attempt(self: &Rc<Self>, server: ServerKey, outcome: AttemptOutcome) {
+        let failure = match outcome {
+            AttemptOutcome::Success => None,
+            AttemptOutcome::Failure(kind) => Some(kind),
+            AttemptOutcome::NoEvidence => return,
+        };
+        self.handle_outlier_event(Event::AttemptEnded { server, failure });
+    }
+
+    /// The rows of the response to `HINTS`; `None` on a node without outlier detection.
+    #[must_use]
+    pub fn hints(&self) -> Option<String> {
+        let part = self.outlier_detection.as_ref()?;
+        let detector = part.detector.borrow();
+        let reported: Vec<_> = detector.reported_servers().collect();
+        let mut rows = format!("self {} {}\n", self.name, reported.len());
+        for server in &reported {
+            let _ = writeln!(rows, "{}", part.hint_row(server)); // Writing to a string cannot fail.
+        }
+        Some(rows)
+    }
+
+    /// The metrics of outlier detection; empty on a node without it.
+    pub(super) fn outlier_detection_metrics(&self) -> String {
+        let Some(part) = &self.outlier_detection else {
+            return String::new();
+        };
+        let detector = part.detector.borrow();
+        let counters = detector.counters();
+        let reduced = detector
+            .reported_servers()
+            .filter(|server| server.weight < 1.0)
+            .count();
+        let lines = [
+            ("spared", reduced as u64, 'g'),
+            ("told", counters.reports_sent, 'c'),
+            ("heard", counters.reports_accepted, 'c'),
+            ("unknown", counters.unknown, 'c'),
+            ("void", counters.implausible_reports, 'c'),
+            ("suspected", counters.ejections, 'c'),
+            ("panics", counters.panics, 'c'),
+        ];
+        figure_lines("word", &lines)
+    }
+}
+
+/// Whether a node takes part: a suspected one may still refute.
+fn is_live(state: State) -> bool {
+    matches!(state, State::Alive | State::Suspect)
+}
