--- a/tests/operations.rs
+++ b/tests/operations.rs
@@ -1,4 +1,4 @@
-//! The node as operators run it: their calls, a drain, and one process that replaces another.
+//! The node as operators run it: admin commands, a drain, and the replacement of its process.
 
 use std::io::{Read, Write};
 use std::net::{TcpListener, TcpStream};
@@ -10,13 +10,16 @@
 
 const UP: &str = "GET /up HTTP/1.1\r\nHost: a\r\n\r\n";
 
-/// A node with an address for operators.
-fn operated(servers: &[&Server]) -> (Node, Discovery) {
+/// A node with an admin address.
+fn node_with_admin_address(servers: &[&Server]) -> (Node, Discovery) {
     let discovery = Discovery::start();
-    (Node::start(&with_control(&discovery, servers)), discovery)
+    (
+        Node::start(&config_with_admin_address(&discovery, servers)),
+        discovery,
+    )
 }
 
-fn with_control(discovery: &Discovery, servers: &[&Server]) -> String {
+fn config_with_admin_address(discovery: &Discovery, servers: &[&Server]) -> String {
     let entries: Vec<_> = servers
         .iter()
         .enumerate()
@@ -30,20 +33,20 @@
     text.replace("\"listen\"", "\"control\":\"127.0.0.1:0\",\"listen\"")
 }
 
-/// A server that answers once it may.
-fn gated() -> (Arc<AtomicBool>, Server) {
-    let go = Arc::<AtomicBool>::default();
-    let gate = Arc::clone(&go);
+/// A server that holds its responses until the returned flag is set.
+fn gated_server() -> (Arc<AtomicBool>, Server) {
+    let gate = Arc::<AtomicBool>::default();
+    let is_open = Arc::clone(&gate);
     let server = Server::start(move |_| {
-        until("it may answer", || gate.load(Ordering::SeqCst));
+        until("the gate is open", || is_open.load(Ordering::SeqCst));
         Reply::ok("yes")
     });
-    (go, server)
+    (gate, server)
 }
 
 #[test]
-fn each_call_has_one_answer_and_nonsense_is_told_so() {
-    let (node, _discovery) = operated(&[]);
+fn admin_command_gets_one_response_and_unknown_commands_get_400() {
+    let (node, _discovery) = node_with_admin_address(&[]);
     assert!(node.call("READY\n").starts_with("200"));
     assert!(node.call("READY\r\n").starts_with("200"));
     for wrong in ["ready\n", "HELP\n", "\n", "\0\n", &"x".repeat(100_000)] {
@@ -56,10 +59,10 @@
     assert!(node.call("STATS\n").ends_with("\nEOF\n"));
 }
 
-/// Guards against callers that hold up others: some say nothing, some take no answer.
+/// Some clients send nothing, some only part of a command.
 #[test]
-fn callers_that_finish_nothing_hold_up_nobody() {
-    let (node, _discovery) = operated(&[]);
+fn unfinished_admin_connections_do_not_block_others() {
+    let (node, _discovery) = node_with_admin_address(&[]);
     let address = node.control();
     let idle: Vec<_> = (0..100)
         .map(|_| TcpStream::connect(address).expect("it listens"))
@@ -72,12 +75,12 @@
 }
 
 #[test]
-fn the_figures_say_what_became_of_each_request() {
+fn metrics_count_each_request_by_its_outcome() {
     let server = Server::start(|request| match request.header("req-id") {
         Some("bad") => Reply::Say(answer("404 Not Found", "", "no")),
         _ => Reply::ok("yes"),
     });
-    let (node, _discovery) = operated(&[&server]);
+    let (node, _discovery) = node_with_admin_address(&[&server]);
     for at in 0..20 {
         assert_eq!(node.ask(&read(&at.to_string(), "15000m")).status(), 200);
     }
@@ -101,38 +104,40 @@
     );
 }
 
-/// Guards against figures that lose sight of a request whose client has left, or whose server is silent.
+/// Of a request whose client has left, and one whose server does not respond yet.
 #[test]
-fn what_is_open_is_told_until_it_ends() {
-    let (go, server) = gated();
-    let (node, _discovery) = operated(&[&server]);
+fn in_flight_metric_counts_requests_until_they_end() {
+    let (gate, server) = gated_server();
+    let (node, _discovery) = node_with_admin_address(&[&server]);
     let mut clients: Vec<_> = (0..2).map(|_| node.connect()).collect();
     for (at, client) in clients.iter_mut().enumerate() {
         client.send(&read(&at.to_string(), "60000m"));
     }
-    until("both are out", || node.figure("attempts.read") == 2);
+    until("both are sent", || node.figure("attempts.read") == 2);
     assert_eq!(node.figure("in_flight"), 2);
     drop(clients.pop());
-    until("a client's end is seen", || node.figure("in_flight") == 1);
-    go.store(true, Ordering::SeqCst);
+    until("the closed client is noticed", || {
+        node.figure("in_flight") == 1
+    });
+    gate.store(true, Ordering::SeqCst);
     assert_eq!(clients[0].answer().expect("an answer").status(), 200);
     until("all have ended", || node.figure("in_flight") == 0);
     assert_eq!(node.figure("served.read"), 1);
 }
 
-/// Guards the course of a drain: a no at once, service for those who still come, an end to every connection that waits
-/// for nothing, and a yes again.
+/// Guards the course of a drain: not ready at once, service for clients that still send requests, an end to every idle
+/// connection, and readiness again.
 #[test]
-fn a_drain_sends_clients_away_and_takes_them_back() {
-    let (go, server) = gated();
-    let (node, _discovery) = operated(&[&server]);
+fn drain_closes_idle_connections_and_undrain_accepts_clients_again() {
+    let (gate, server) = gated_server();
+    let (node, _discovery) = node_with_admin_address(&[&server]);
     let mut busy = node.connect();
     busy.send(&read("busy", "60000m"));
     let mut idle = node.connect();
     idle.send(UP);
     assert_eq!(idle.answer().expect("an answer").status(), 200);
     let mut silent = node.connect();
-    until("its request is out", || node.figure("attempts.read") == 1);
+    until("its request is sent", || node.figure("attempts.read") == 1);
     assert!(node.call("DRAIN\n").starts_with("200"));
     let start = Instant::now();
     assert_ne!(node.ask(UP).status(), 200);
@@ -142,14 +147,14 @@
     );
     assert!(
         idle.is_closed() && silent.is_closed(),
-        "they wait for nothing"
+        "no request is in flight on them"
     );
     assert!(
         start.elapsed() < Duration::from_millis(1_900),
         "{:?}",
         start.elapsed()
     );
-    go.store(true, Ordering::SeqCst);
+    gate.store(true, Ordering::SeqCst);
     let served = busy.answer().expect("an answer");
     assert_eq!(
         (served.status(), served.header("connection")),
@@ -159,7 +164,7 @@
     assert_eq!(
         (late.status(), late.header("connection")),
         (200, Some("close")),
-        "whoever comes is served"
+        "a new client is served"
     );
     assert!(node.call("UNDRAIN\n").starts_with("200"));
     assert_eq!(node.ask(UP).status(), 200);
@@ -167,13 +172,13 @@
     assert_eq!((kept.status(), kept.header("connection")), (200, None));
 }
 
-/// Guards against clients that find nobody while one process of a node replaces another: each request has its answer, on
-/// connections that are new or kept, and the first process ends by itself.
+/// While one process of a node replaces another each request has its response, on new and on kept connections, and the
+/// first process ends by itself.
 #[test]
-fn a_process_is_replaced_with_nobody_turned_away() {
+fn process_replacement_rejects_no_client() {
     let server = Server::start(|_| Reply::ok("yes")).quiet();
     let discovery = Discovery::start();
-    let text = with_control(&discovery, &[&server]);
+    let text = config_with_admin_address(&discovery, &[&server]);
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
     let address = listener.local_addr().expect("an address");
     let mut node = Node::start_on(&text, &listener);
@@ -212,8 +217,8 @@
 }
 
 #[test]
-fn a_descriptor_that_is_no_listening_socket_is_an_error() {
-    let path = write_config(&with_control(&Discovery::start(), &[]));
+fn descriptor_that_is_not_a_listening_socket_is_an_error() {
+    let path = write_config(&config_with_admin_address(&Discovery::start(), &[]));
     for wrong in ["99", "1", "three", "-1"] {
         let output = program()
             .env("ROUTER_CONFIG", &path)
@@ -230,10 +235,11 @@
     std::fs::remove_file(path).expect("a file");
 }
 
-/// Guards against a front that is told of a process which is on its way out, and against servers that drain unseen.
+/// Guards against a front proxy that takes a process which shuts down for ready, and against draining servers that no
+/// metric shows.
 #[test]
-fn readiness_and_drained_servers_are_told_as_they_are() {
-    let (go, server) = gated();
+fn ready_and_metrics_reflect_shutdown_and_draining_servers() {
+    let (gate, server) = gated_server();
     let discovery = Discovery::start();
     let drained = Server::start(|_| Reply::ok("no"));
     let entries = [
@@ -256,12 +262,10 @@
     );
     let mut client = node.connect();
     client.send(&read("a", "60000m"));
-    until("it is out", || node.figure("attempts.read") == 1);
+    until("it is sent", || node.figure("attempts.read") == 1);
     node.terminate();
-    until("it is on its way out", || {
-        node.call("READY\n").starts_with("400")
-    });
-    go.store(true, Ordering::SeqCst);
+    until("it shuts down", || node.call("READY\n").starts_with("400"));
+    gate.store(true, Ordering::SeqCst);
     assert_eq!(client.answer().expect("an answer").status(), 200);
     assert_eq!(node.wait().code(), Some(0));
 }
--- a/tests/operators.rs
+++ b/tests/operators.rs
@@ -1,10 +1,4 @@
-//! The operators' file and the command line, by the program.
-
-#![allow(
-    clippy::format_collect,
-    clippy::needless_for_each,
-    reason = "this file is still to be rewritten: docs/ROADMAP.md, Readability"
-)]
+//! The operators' file and the command line, by running the program.
 
 use std::process::Output;
 
@@ -36,27 +30,27 @@
 const CONSUL: &str =
     "[[consul]]\nname = \"c\"\nservice = \"holds\"\nagents = [\"127.0.0.1:8500\"]\n";
 
+/// The line without its comment sign if it shows a key, a section, or a part of a value.
+fn uncommented(line: &str) -> &str {
+    let key = line.strip_prefix("# ").unwrap_or(line);
+    let is_key = key.starts_with(['[', ']'])
+        || key.trim_start().starts_with("{ address")
+        || key.split(" = ").next().is_some_and(|k| !k.contains(' '));
+    if is_key && key.contains(['=', '[', ']']) {
+        key
+    } else {
+        line
+    }
+}
+
 #[test]
-fn the_file_that_is_shipped_is_sound_and_so_is_all_that_it_shows() {
+fn shipped_file_is_valid_with_and_without_its_commented_keys() {
     let shipped = include_str!("../deploy/silverthread.toml");
     let output = check(shipped);
     assert!(output.status.success(), "{}", text(&output.stderr));
     let opened: String = shipped
         .lines()
-        .map(|line| {
-            let key = line.strip_prefix("# ").unwrap_or(line);
-            let is_key = key.starts_with(['[', ']'])
-                || key.trim_start().starts_with("{ address")
-                || key.split(" = ").next().is_some_and(|k| !k.contains(' '));
-            format!(
-                "{}\n",
-                if is_key && key.contains(['=', '[', ']']) {
-                    key
-                } else {
-                    line
-                }
-            )
-        })
+        .flat_map(|line| [uncommented(line), "\n"])
         .collect();
     let key = key_file("sixteen bytes and more", 0o600);
     let opened = opened.replace("/run/secrets/fleet", key.to_str().expect("text"));
@@ -75,7 +69,7 @@
 }
 
 #[test]
-fn what_makes_no_sense_is_named_by_line_and_key() {
+fn wrong_value_is_reported_with_line_and_key() {
     let more = |line: &str| format!("{CONSUL}{line}\n");
     let server = |address: &str| {
         format!("[[server]]\nid = \"s-0\"\naddresses = [{{address = \"{address}\"}}]\n")
@@ -164,19 +158,19 @@
         ),
     ] {
         let output = check(&file);
-        let said = text(&output.stderr).trim_end();
-        assert_eq!(output.status.code(), Some(2), "{file}\n{said}");
-        assert!(said.contains(&format!(", line {line}")), "{file}\n{said}");
+        let error = text(&output.stderr).trim_end();
+        assert_eq!(output.status.code(), Some(2), "{file}\n{error}");
+        assert!(error.contains(&format!(", line {line}")), "{file}\n{error}");
         assert!(
-            said.contains(&format!("key `{key}`")) || key.is_empty(),
-            "{file}\n{said}"
+            error.contains(&format!("key `{key}`")) || key.is_empty(),
+            "{file}\n{error}"
         );
-        assert!(!said.contains('\n'), "one line: {said}");
+        assert!(!error.contains('\n'), "one line: {error}");
     }
 }
 
 #[test]
-fn a_file_that_cannot_be_read_ends_the_program_with_2_and_nothing_is_started() {
+fn unreadable_file_exits_with_2_before_anything_starts() {
     for arguments in [
         &["--config", "/nowhere/at/all.toml"][..],
         &["check", "/nowhere/at/all.toml"],
@@ -190,7 +184,7 @@
         .args(["check", "/dev/zero"])
         .output()
         .expect("it starts");
-    assert_eq!(endless.status.code(), Some(2), "a file without an end");
+    assert_eq!(endless.status.code(), Some(2), "an endless file");
     let file = write_config("[[consul]]\n");
     let output = program()
         .env("SILVERTHREAD_CONFIG", &file)
@@ -201,7 +195,7 @@
 }
 
 #[test]
-fn without_arguments_and_variables_it_fails_as_ever() {
+fn program_without_arguments_and_variables_fails() {
     let output = program().output().expect("it starts");
     assert_eq!(output.status.code(), Some(1));
     assert_eq!(
@@ -211,8 +205,8 @@
 }
 
 #[test]
-fn what_is_wrong_with_instances_is_named_by_line_and_key() {
-    let sound = key_file("sixteen bytes and more", 0o600);
+fn wrong_instances_section_is_reported_with_line_and_key() {
+    let valid = key_file("sixteen bytes and more", 0o600);
     let open = key_file("sixteen bytes and more", 0o640);
     let short = key_file("  only fifteen b  \n", 0o600);
     let file = |key: &std::path::Path, more: &str| {
@@ -234,26 +228,26 @@
         ),
         (file(&open, ""), 3, "key_file"),
         (file(&short, ""), 3, "key_file"),
-        (file(&sound, "name = \"two words\""), 4, "name"),
-        (file(&sound, "listen = \"localhost:1\""), 4, "listen"),
-        (file(&sound, "probe_ms = 1"), 4, "probe_ms"),
+        (file(&valid, "name = \"two words\""), 4, "name"),
+        (file(&valid, "listen = \"localhost:1\""), 4, "listen"),
+        (file(&valid, "probe_ms = 1"), 4, "probe_ms"),
         (
-            file(&sound, "probe_ms = 1000\nsuspect_ms = 2000"),
+            file(&valid, "probe_ms = 1000\nsuspect_ms = 2000"),
             5,
             "suspect_ms",
         ),
-        (file(&sound, "gossip = true"), 4, "gossip"),
+        (file(&valid, "gossip = true"), 4, "gossip"),
     ] {
         let output = check(&text_of);
-        let said = text(&output.stderr);
-        assert_eq!(output.status.code(), Some(2), "{text_of}: {said}");
+        let error = text(&output.stderr);
+        assert_eq!(output.status.code(), Some(2), "{text_of}: {error}");
         assert!(
-            said.contains(&format!("line {line}, key `{key}`")),
-            "{text_of}: {said}"
+            error.contains(&format!("line {line}, key `{key}`")),
+            "{text_of}: {error}"
         );
     }
-    assert!(check(&file(&sound, "")).status.success());
-    [sound, open, short]
-        .iter()
-        .for_each(|file| std::fs::remove_file(file).expect("the test's own"));
+    assert!(check(&file(&valid, "")).status.success());
+    for file in [valid, open, short] {
+        std::fs::remove_file(file).expect("the test's own");
+    }
 }
