--- /dev/null
+++ b/tests/discovery_requests.rs
@@ -0,0 +1,145 @@
+//! Golden tests of the requests that the node sends to the platform's discovery and to Consul, byte for byte.
+
+use std::io::{Read, Write};
+use std::net::{SocketAddr, TcpListener, TcpStream};
+
+use testkit::*;
+
+/// The next connection to a listener, and the bytes of its first request's head.
+fn next_request(listener: &TcpListener) -> (TcpStream, String) {
+    let (mut stream, _) = listener.accept().expect("a connection of the node's");
+    let head = request_head(&mut stream);
+    (stream, head)
+}
+
+/// The next request's head, with the empty line that ends it.
+fn request_head(stream: &mut TcpStream) -> String {
+    stream.set_read_timeout(Some(PATIENCE)).expect("a socket");
+    let mut head = Vec::new();
+    while !head.ends_with(b"\r\n\r\n") {
+        let mut byte = [0];
+        stream.read_exact(&mut byte).expect("a whole head");
+        head.push(byte[0]);
+    }
+    String::from_utf8(head).expect("a head in ASCII")
+}
+
+fn listener() -> (TcpListener, SocketAddr) {
+    let listener = TcpListener::bind("127.0.0.1:0").expect("a free port");
+    let address = listener.local_addr().expect("a bound address");
+    (listener, address)
+}
+
+/// Responds to a Consul query with an empty list at this index.
+fn respond(stream: &mut TcpStream, index: u64) {
+    let headers = format!("X-Consul-Index: {index}\r\nX-Consul-KnownLeader: true\r\n");
+    stream
+        .write_all(&answer("200 OK", &headers, "[]"))
+        .expect("an open connection");
+}
+
+fn node_config(discovery: SocketAddr, settings: &str) -> String {
+    let known = list(
+        7,
+        true,
+        &[entry("s-0", Unreachable::start().address, "ready")],
+    );
+    config(discovery, &known, settings)
+}
+
+#[test]
+fn discovery_watch_request_names_the_known_generation_and_after_malformed_data_none() {
+    for settings in [
+        settings(15_000),
+        settings(15_000).replace("automatic", "subscribe").replace(
+            "\"drain_grace_ms\":0.0",
+            "\"drain_grace_ms\":0.0,\"ask_within_ms\":1000.0",
+        ),
+    ] {
+        let (discovery, address) = listener();
+        let _node = Node::start(&node_config(address, &settings));
+        let (mut stream, head) = next_request(&discovery);
+        assert_eq!(
+            head,
+            format!("GET /discovery/hosts?watch=1&from=7 HTTP/1.1\r\nhost: {address}\r\n\r\n")
+        );
+        stream
+            .write_all(
+                b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n12\r\n{\"generation\":x}\r\n\n\r\n",
+            )
+            .expect("an open connection");
+        let (_stream, head) = next_request(&discovery);
+        assert_eq!(
+            head,
+            format!("GET /discovery/hosts?watch=1 HTTP/1.1\r\nhost: {address}\r\n\r\n")
+        );
+    }
+}
+
+#[test]
+fn consul_requests_with_default_options_are_a_plain_then_a_blocking_query() {
+    let (agent, address) = listener();
+    let (_discovery, discovery_address) = listener();
+    let operators =
+        format!("[[consul]]\nname = \"consul\"\nservice = \"holds\"\nagents = [\"{address}\"]\n");
+    let config = node_config(discovery_address, &settings(15_000));
+    let _node = Node::start_with(&config, Some(&operators));
+    let (mut stream, head) = next_request(&agent);
+    assert_eq!(
+        head,
+        format!(
+            "GET /v1/health/service/holds HTTP/1.1\r\n\
+             host: {address}\r\naccept: application/json\r\n\r\n"
+        )
+    );
+    respond(&mut stream, 41);
+    // On the same connection.
+    assert_eq!(
+        request_head(&mut stream),
+        format!(
+            "GET /v1/health/service/holds?index=41&wait=60s HTTP/1.1\r\n\
+             host: {address}\r\naccept: application/json\r\n\r\n"
+        )
+    );
+}
+
+#[test]
+fn consul_requests_with_every_option_carry_all_parameters_and_the_token() {
+    let (agent, address) = listener();
+    let (_discovery, discovery_address) = listener();
+    let token_file = write_config("c0ffee-token\n");
+    for (api, consistency) in [
+        ("catalog", "stale"),
+        ("health", "consistent"),
+        ("health", "cached"),
+    ] {
+        let operators = format!(
+            "[[consul]]\nname = \"consul\"\nservice = \"a/b c\"\nagents = [\"{address}\"]\n\
+             api = \"{api}\"\nconsistency = \"{consistency}\"\nwait_s = 7\ndatacenter = \"dc 1\"\n\
+             namespace = \"ns\"\npartition = \"p\"\ntags = [\"x\", \"y&z\"]\n\
+             filter = 'Service.Meta.state != \"off\"'\ntoken_file = {token_file:?}\n"
+        );
+        let config = node_config(discovery_address, &settings(15_000));
+        let _node = Node::start_with(&config, Some(&operators));
+        let parameters = format!(
+            "dc=dc%201&ns=ns&partition=p&filter=Service.Meta.state%20%21%3D%20%22off%22\
+             &tag=x&tag=y%26z&{consistency}"
+        );
+        let headers = format!(
+            "host: {address}\r\naccept: application/json\r\nx-consul-token: c0ffee-token\r\n\r\n"
+        );
+        let (mut stream, head) = next_request(&agent);
+        assert_eq!(
+            head,
+            format!("GET /v1/{api}/service/a%2Fb%20c?{parameters} HTTP/1.1\r\n{headers}")
+        );
+        respond(&mut stream, 41);
+        assert_eq!(
+            request_head(&mut stream),
+            format!(
+                "GET /v1/{api}/service/a%2Fb%20c?index=41&wait=7s&{parameters} HTTP/1.1\r\n{headers}"
+            )
+        );
+    }
+    std::fs::remove_file(token_file).expect("the test's own file");
+}
