--- a/crates/endpoint-discovery/src/lib.rs
+++ b/crates/endpoint-discovery/src/lib.rs
@@ -1,44 +1,68 @@
-//! One view of the servers, merged from any number of sources that lag, lie and vanish.
+//! One view of the endpoints, merged from several sources that may lag, be wrong or disappear.
 //!
-//! [`Membership`] has no socket, clock or thread: it is fed [`Event`]s with their time and pushes [`Action`]s. What a
-//! source last said of a server is its *latest* word; what is believed of it is its *effective* word, and the rules
-//! for getting from one to the other (`source`) are what guards against a source that is wrong. What several sources'
-//! effective words make of a server is a table ([`merge`]).
+//! [`EndpointView`] has no socket, clock or thread: it handles [`Event`]s with their time and
+//! appends [`Action`]s. What a source last reported about an endpoint is its *latest* assertion;
+//! the one that counts is its *effective* assertion. The rules that lead from one to the other
+//! (`source`) protect against a source that is wrong; a table ([`merge`]) makes one outcome of the
+//! effective assertions of all sources.
 //!
-//! Times are milliseconds of Unix time, as the starts of servers are.
+//! Times are milliseconds of Unix time, as the start times of servers are.
 //!
 //! ```
-//! use endpoint_discovery::{Action, Authority, Event, Host, List, Membership, State, Trust, Word};
+//! use endpoint_discovery::{
+//!     Action, Assertion, Endpoint, EndpointView, Event, Freshness, Lifecycle, SourcePolicy,
+//!     SourceUpdate,
+//! };
 //!
-//! let mut membership = Membership::new(vec![Trust::roster("roster"), Trust::advisor("consul")]);
+//! let update = |assertion| SourceUpdate {
+//!     freshness: Freshness::Current,
+//!     epoch: 0,
+//!     assertions: vec![assertion],
+//!     removals: vec![],
+//! };
+//! let mut view = EndpointView::new(vec![
+//!     SourcePolicy::authoritative("endpoint list"),
+//!     SourcePolicy::advisory("consul"),
+//! ]);
 //! let mut actions = Vec::new();
-//! let host = Host { address: "10.0.0.7:80".parse().ok(), ..Host::named("s-1") };
-//! let word = Word { key: "s-1".into(), state: State::Ready, index: 1, host: Some(host) };
-//! let list = List { authority: Authority::Fresh, history: 0, words: vec![word], left: vec![] };
-//! membership.handle(1_000.0, Event::Listed { source: 0, list }, &mut actions);
-//! assert!(matches!(&actions[0], Action::Changed(hosts) if hosts[0].state == State::Ready));
+//! let endpoint = Endpoint { address: "10.0.0.7:80".parse().ok(), ..Endpoint::new("s-1") };
+//! let ready = Assertion {
+//!     key: "s-1".into(),
+//!     lifecycle: Lifecycle::Ready,
+//!     version: 1,
+//!     endpoint: Some(endpoint),
+//! };
+//! view.handle(1_000.0, Event::SourceUpdated { source: 0, update: update(ready) }, &mut actions);
+//! assert!(matches!(
+//!     &actions[0],
+//!     Action::Publish(endpoints) if endpoints[0].lifecycle == Lifecycle::Ready
+//! ));
 //!
-//! // Consul alone knows that it drains: that is believed at once.
+//! // Consul alone knows that it drains: that takes effect at once.
 //! actions.clear();
-//! let word = Word { key: "s-1".into(), state: State::Draining, index: 9, host: None };
-//! let list = List { authority: Authority::Fresh, history: 0, words: vec![word], left: vec![] };
-//! membership.handle(2_000.0, Event::Listed { source: 1, list }, &mut actions);
-//! assert!(matches!(&actions[0], Action::Changed(hosts) if hosts[0].state == State::Draining));
+//! let draining = Assertion {
+//!     key: "s-1".into(),
+//!     lifecycle: Lifecycle::Draining,
+//!     version: 9,
+//!     endpoint: None,
+//! };
+//! view.handle(2_000.0, Event::SourceUpdated { source: 1, update: update(draining) }, &mut actions);
+//! assert!(matches!(
+//!     &actions[0],
+//!     Action::Publish(endpoints) if endpoints[0].lifecycle == Lifecycle::Draining
+//! ));
 //! ```
 
-#![allow(
-    clippy::struct_excessive_bools,
-    reason = "this file is still to be rewritten: docs/ROADMAP.md, Readability"
-)]
-
-mod host;
-mod note;
-mod rules;
+mod endpoint;
+mod log_event;
+mod merge;
 mod source;
 mod view;
 
-pub use host::{Host, State, MOST_SERVERS};
-pub use note::Note;
-pub use rules::{merge, Age, Said, Verdict};
-pub use source::{Authority, Damping, List, MatchBy, Trust, Word, MOST_TOMBSTONES};
-pub use view::{Action, Event, Membership, SourceId};
+pub use endpoint::{Endpoint, Lifecycle, MAX_ENDPOINTS};
+pub use log_event::{LogEvent, SourceOpinion};
+pub use merge::{merge, EffectiveAssertion, MergeOutcome, SourceStatus};
+pub use source::{
+    Assertion, FlapDamping, Freshness, MatchBy, Removal, SourcePolicy, SourceUpdate, MAX_TOMBSTONES,
+};
+pub use view::{Action, EndpointView, Event, SourceId};
--- /dev/null
+++ b/crates/endpoint-discovery/src/merge.rs
@@ -0,0 +1,132 @@
+//! The merge table: what the assertions of all sources about one endpoint amount to.
+//!
+//! `docs/endpoint-discovery/design.md` shows it as a table; `tests/merge_table.rs` checks the code
+//! against it, cell by cell.
+
+use crate::endpoint::Lifecycle;
+
+/// Whether a source is reachable and current.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
+pub enum SourceStatus {
+    /// The source responds, with current data.
+    Live,
+    /// The source is unreachable or responds with outdated data: its last assertions are retained.
+    Stale,
+    /// The source has been stale for longer than its assertions are retained.
+    Expired,
+}
+
+/// What one source effectively asserts about an endpoint.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
+pub struct EffectiveAssertion {
+    /// The lifecycle; `None` if the source does not list the endpoint and never has.
+    pub lifecycle: Option<Lifecycle>,
+    /// The source's status.
+    pub source_status: SourceStatus,
+    /// Whether the source may add endpoints that no other source lists.
+    pub may_add_endpoints: bool,
+    /// Whether the server has restarted since the assertion was made.
+    pub superseded_by_restart: bool,
+}
+
+/// What the sources together make of an endpoint.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
+pub enum MergeOutcome {
+    /// It accepts requests.
+    Ready,
+    /// It gets no new requests.
+    Draining,
+    /// A source's assertion removes it.
+    Removed {
+        /// Another source that has not expired asserts that it is ready. Such endpoints are used as
+        /// the last resort if no other is ready.
+        disputed: bool,
+    },
+    /// No source that may add endpoints lists it.
+    Unlisted,
+}
+
+/// What one assertion contributes to the outcome.
+#[derive(Clone, Copy, PartialEq, Eq)]
+enum Contribution {
+    /// Ready, by a source that may add endpoints.
+    Adds,
+    /// Ready, by a source that may not.
+    Confirms,
+    Drains,
+    Removes,
+    Nothing,
+}
+
+impl EffectiveAssertion {
+    fn contribution(self) -> Contribution {
+        let ready = if self.may_add_endpoints {
+            Contribution::Adds
+        } else {
+            Contribution::Confirms
+        };
+        match self.lifecycle {
+            None => Contribution::Nothing,
+            Some(Lifecycle::Ready) => ready,
+            // An assertion about a process does not apply to its successor.
+            Some(Lifecycle::Draining) if self.superseded_by_restart => ready,
+            Some(Lifecycle::Draining) => Contribution::Drains,
+            Some(Lifecycle::Gone)
+                if self.superseded_by_restart || self.source_status == SourceStatus::Expired =>
+            {
+                Contribution::Nothing
+            }
+            Some(Lifecycle::Gone) => Contribution::Removes,
+        }
+    }
+
+    fn is_authoritative_removal(self) -> bool {
+        self.may_add_endpoints && self.contribution() == Contribution::Removes
+    }
+
+    fn is_authoritative_listing(self) -> bool {
+        self.may_add_endpoints
+            && matches!(self.lifecycle, Some(Lifecycle::Ready | Lifecycle::Draining))
+    }
+
+    fn is_unexpired_ready(self) -> bool {
+        self.source_status != SourceStatus::Expired
+            && matches!(
+                self.contribution(),
+                Contribution::Adds | Contribution::Confirms
+            )
+    }
+}
+
+/// Merges what the sources assert about one endpoint. The order of the assertions is irrelevant.
+///
+/// - `Gone` from a source that may add endpoints removes the endpoint, whatever the other sources
+///   assert, until that source expires or the server restarts.
+/// - `Draining` from any source drains it. A drain never expires: only a newer assertion of the
+///   same source or a restart of the server ends it.
+/// - `Gone` from any other source removes it too, until that source expires.
+/// - `Ready` makes it accept requests only if a source that may add endpoints lists it, whatever
+///   that source's status: losing a source removes no endpoint.
+#[must_use]
+pub fn merge(assertions: &[EffectiveAssertion]) -> MergeOutcome {
+    let contributes = |contribution: Contribution| {
+        assertions
+            .iter()
+            .any(|assertion| assertion.contribution() == contribution)
+    };
+    let any = |condition: fn(EffectiveAssertion) -> bool| assertions.iter().copied().any(condition);
+    let drains = contributes(Contribution::Drains);
+    // Remembered so that one source alone cannot empty the view.
+    let disputed = any(EffectiveAssertion::is_unexpired_ready) && !drains;
+    if any(EffectiveAssertion::is_authoritative_removal) {
+        MergeOutcome::Removed { disputed }
+    } else if !any(EffectiveAssertion::is_authoritative_listing) {
+        MergeOutcome::Unlisted
+    } else if drains {
+        MergeOutcome::Draining
+    } else if contributes(Contribution::Removes) {
+        MergeOutcome::Removed { disputed }
+    } else {
+        MergeOutcome::Ready
+    }
+}
--- a/crates/endpoint-discovery/tests/common/mod.rs
+++ b/crates/endpoint-discovery/tests/common/mod.rs
@@ -1,124 +1,145 @@
-//! Short ways to play sources against a view in virtual time.
-#![allow(dead_code)]
+//! A view with two sources, the platform's endpoint list and Consul, in virtual time.
+#![allow(
+    dead_code,
+    reason = "each test file compiles this module and uses a part of it"
+)]
 
 use std::collections::BTreeMap;
 
 use endpoint_discovery::*;
 
-pub const ROSTER: SourceId = 0;
+pub const ENDPOINT_LIST: SourceId = 0;
 pub const CONSUL: SourceId = 1;
 
-pub struct Play {
-    pub membership: Membership,
-    pub now: f64,
-    /// As the driver has it: what was told and not taken back.
-    pub driver: BTreeMap<String, Host>,
-    pub notes: Vec<Note>,
-    pub wake_at: Option<f64>,
+/// A view that carries out its own timers, with what it has published and logged.
+pub struct ViewHarness {
+    pub view: EndpointView,
+    pub now_ms: f64,
+    /// The published changes, added up.
+    pub published: BTreeMap<String, Endpoint>,
+    pub log: Vec<LogEvent>,
+    pub timer_ms: Option<f64>,
 }
 
-impl Play {
-    pub fn new(consul: Trust) -> Self {
-        let sources = vec![Trust::roster("roster"), consul];
+impl ViewHarness {
+    pub fn new(consul: SourcePolicy) -> Self {
+        let sources = vec![SourcePolicy::authoritative("list"), consul];
         Self {
-            membership: Membership::new(sources),
-            now: 1_000_000.0,
-            driver: BTreeMap::new(),
-            notes: Vec::new(),
-            wake_at: None,
+            view: EndpointView::new(sources),
+            now_ms: 1_000_000.0,
+            published: BTreeMap::new(),
+            log: Vec::new(),
+            timer_ms: None,
         }
     }
 
-    pub fn feed(&mut self, event: Event) -> Vec<Host> {
-        let (mut actions, mut all) = (Vec::new(), Vec::new());
-        self.membership.handle(self.now, event, &mut actions);
+    /// A view of which both sources have called so many endpoints ready; Consul adds none.
+    pub fn with_advisory_consul(endpoints: usize) -> Self {
+        let mut harness = Self::new(SourcePolicy::advisory("consul"));
+        harness.report(ENDPOINT_LIST, assertions(0..endpoints, Lifecycle::Ready, 1));
+        harness.report(CONSUL, assertions(0..endpoints, Lifecycle::Ready, 10));
+        assert_eq!(harness.ready_count(), endpoints);
+        harness
+    }
+
+    /// Handles an event; returns the endpoints that it changed.
+    pub fn handle(&mut self, event: Event) -> Vec<Endpoint> {
+        let (mut actions, mut changed) = (Vec::new(), Vec::new());
+        self.view.handle(self.now_ms, event, &mut actions);
         for action in actions {
             match action {
-                Action::Changed(hosts) => {
-                    for host in &hosts {
-                        match host.state {
-                            State::Gone => drop(self.driver.remove(&host.id)),
-                            _ => drop(self.driver.insert(host.id.clone(), host.clone())),
+                Action::Publish(endpoints) => {
+                    for endpoint in &endpoints {
+                        match endpoint.lifecycle {
+                            Lifecycle::Gone => drop(self.published.remove(&endpoint.id)),
+                            _ => drop(self.published.insert(endpoint.id.clone(), endpoint.clone())),
                         }
                     }
-                    all.extend(hosts);
+                    changed.extend(endpoints);
                 }
-                Action::WakeAt(at) => {
-                    assert!(at > self.now, "a time to come");
-                    self.wake_at = Some(at);
+                Action::SetTimer(at_ms) => {
+                    assert!(at_ms > self.now_ms, "a timer lies in the future");
+                    self.timer_ms = Some(at_ms);
                 }
-                Action::Note(note) => self.notes.push(note),
+                Action::Log(event) => self.log.push(event),
             }
         }
-        all
+        changed
     }
 
-    /// Lets time pass, with every wake-up that was asked for.
-    pub fn pass(&mut self, ms: f64) {
-        let end = self.now + ms;
-        while let Some(at) = self.wake_at.filter(|at| *at <= end) {
-            self.now = self.now.max(at);
-            self.wake_at = None;
-            self.feed(Event::Due);
+    /// Advances the time, with every timer that expires meanwhile.
+    pub fn advance_ms(&mut self, ms: f64) {
+        let end_ms = self.now_ms + ms;
+        while let Some(at_ms) = self.timer_ms.filter(|at_ms| *at_ms <= end_ms) {
+            self.now_ms = self.now_ms.max(at_ms);
+            self.timer_ms = None;
+            self.handle(Event::TimerExpired);
         }
-        self.now = end;
+        self.now_ms = end_ms;
     }
 
-    pub fn list(
+    pub fn update(
         &mut self,
         source: SourceId,
-        authority: Authority,
-        history: u64,
-        words: Vec<Word>,
-    ) -> Vec<Host> {
-        self.feed(Event::Listed {
+        freshness: Freshness,
+        epoch: u64,
+        assertions: Vec<Assertion>,
+    ) -> Vec<Endpoint> {
+        self.handle(Event::SourceUpdated {
             source,
-            list: List {
-                authority,
-                history,
-                words,
-                left: vec![],
+            update: SourceUpdate {
+                freshness,
+                epoch,
+                assertions,
+                removals: vec![],
             },
         })
     }
 
-    pub fn say(&mut self, source: SourceId, words: Vec<Word>) -> Vec<Host> {
-        self.list(source, Authority::Fresh, 0, words)
+    /// A current report in the first epoch.
+    pub fn report(&mut self, source: SourceId, assertions: Vec<Assertion>) -> Vec<Endpoint> {
+        self.update(source, Freshness::Current, 0, assertions)
     }
 
-    pub fn leave(
+    /// A current report in the first epoch that no longer lists these keys.
+    pub fn remove(
         &mut self,
         source: SourceId,
-        index: u64,
+        version: u64,
         keys: impl IntoIterator<Item = String>,
-    ) -> Vec<Host> {
-        let left = keys.into_iter().map(|key| (key, index)).collect();
-        let list = List {
-            authority: Authority::Fresh,
-            history: 0,
-            words: vec![],
-            left,
+    ) -> Vec<Endpoint> {
+        let removals = keys
+            .into_iter()
+            .map(|key| Removal { key, version })
+            .collect();
+        let update = SourceUpdate {
+            freshness: Freshness::Current,
+            epoch: 0,
+            assertions: vec![],
+            removals,
         };
-        self.feed(Event::Listed { source, list })
+        self.handle(Event::SourceUpdated { source, update })
     }
 
-    /// What the driver has of a server: `Gone` where it has nothing.
-    pub fn state(&self, id: &str) -> State {
-        self.driver.get(id).map_or(State::Gone, |host| host.state)
+    /// The published lifecycle of an endpoint: `Gone` if it is not in the view.
+    pub fn lifecycle(&self, id: &str) -> Lifecycle {
+        self.published
+            .get(id)
+            .map_or(Lifecycle::Gone, |endpoint| endpoint.lifecycle)
     }
 
-    pub fn ready(&self) -> usize {
-        self.driver
+    pub fn ready_count(&self) -> usize {
+        self.published
             .values()
-            .filter(|host| host.state == State::Ready)
+            .filter(|endpoint| endpoint.lifecycle == Lifecycle::Ready)
             .count()
     }
 }
 
-pub fn host(id: &str) -> Host {
-    Host {
+pub fn endpoint(id: &str) -> Endpoint {
+    Endpoint {
         address: Some(address(id)),
-        ..Host::named(id)
+        ..Endpoint::new(id)
     }
 }
 
@@ -131,16 +152,20 @@
     ([10, 0, 0, 1], 1_000 + number).into()
 }
 
-pub fn word(id: &str, state: State, index: u64) -> Word {
-    Word {
+pub fn assertion(id: &str, lifecycle: Lifecycle, version: u64) -> Assertion {
+    Assertion {
         key: id.into(),
-        state,
-        index,
-        host: Some(host(id)),
+        lifecycle,
+        version,
+        endpoint: Some(endpoint(id)),
     }
 }
 
-pub fn words(ids: std::ops::Range<usize>, state: State, index: u64) -> Vec<Word> {
-    ids.map(|id| word(&format!("s-{id}"), state, index))
+pub fn assertions(
+    ids: std::ops::Range<usize>,
+    lifecycle: Lifecycle,
+    version: u64,
+) -> Vec<Assertion> {
+    ids.map(|id| assertion(&format!("s-{id}"), lifecycle, version))
         .collect()
 }
--- a/crates/measure/src/following.rs
+++ b/crates/measure/src/following.rs
@@ -4,7 +4,9 @@
 use std::time::{Duration, Instant};
 
 use consul::{Event, Mapping, Query, Watch, WatchSettings};
-use endpoint_discovery::{Authority, Host, List, Membership, State, Trust, Word};
+use endpoint_discovery::{
+    Assertion, Endpoint, EndpointView, Freshness, Lifecycle, SourcePolicy, SourceUpdate,
+};
 use testkit::consul::{Consul, Instance};
 use testkit::{config, list, settings, until, Discovery, Load, Node, Reply, Server, Watch as Open};
 
@@ -218,37 +220,49 @@
         "{:<44} {:>12} {:>10} {:>8}",
         "", "bytes alloc.", "allocs", "ms"
     );
-    let mut membership = Membership::new(vec![Trust::roster("roster"), Trust::advisor("consul")]);
-    let host = |at: usize| Host {
+    let mut view = EndpointView::new(vec![
+        SourcePolicy::authoritative("roster"),
+        SourcePolicy::advisory("consul"),
+    ]);
+    let endpoint = |at: usize| Endpoint {
         address: Some(([10, 0, 0, 1], 1_000 + at as u16).into()),
-        ..Host::named(name(at))
+        ..Endpoint::new(name(at))
     };
-    let word = |at: usize, state, index| Word {
+    let assertion = |at: usize, lifecycle, version| Assertion {
         key: name(at),
-        state,
-        index,
-        host: Some(host(at)),
+        lifecycle,
+        version,
+        endpoint: Some(endpoint(at)),
     };
-    let ready = || (0..MANY).map(|at| word(at, State::Ready, 1)).collect();
-    for (now, what, source, words) in [
+    let ready = || {
+        (0..MANY)
+            .map(|at| assertion(at, Lifecycle::Ready, 1))
+            .collect()
+    };
+    for (now, what, source, assertions) in [
         (0.0, "the first words of the roster", Some(0), ready()),
         (1.0, "the first words of Consul", Some(1), ready()),
-        (2.0, "one word", Some(1), vec![word(7, State::Draining, 2)]),
+        (
+            2.0,
+            "one word",
+            Some(1),
+            vec![assertion(7, Lifecycle::Draining, 2)],
+        ),
         (3.0, "Consul is out of touch", None, vec![]),
         (4.0, "and in touch again", Some(1), vec![]),
     ] {
-        let list = List {
-            authority: Authority::Fresh,
-            history: 0,
-            words,
-            left: vec![],
+        let update = SourceUpdate {
+            freshness: Freshness::Current,
+            epoch: 0,
+            assertions,
+            removals: vec![],
         };
         let event = match source {
-            Some(source) => endpoint_discovery::Event::Listed { source, list },
-            None => endpoint_discovery::Event::Lost { source: 1 },
+            Some(source) => endpoint_discovery::Event::SourceUpdated { source, update },
+            None => endpoint_discovery::Event::SourceLost { source: 1 },
         };
         let (before, start, mut actions) = (ALLOCATOR.stats(), Instant::now(), Vec::new());
-        membership.handle(now, event, &mut actions);
+        view.handle(now, event, &mut actions);
         let (took, after) = (start.elapsed(), ALLOCATOR.stats() - before);
         let ms = took.as_secs_f64() * 1e3;
         println!(
--- a/src/node/admin/operators.rs
+++ b/src/node/admin/operators.rs
@@ -11,7 +11,7 @@
 use std::str::FromStr;
 
 use consul::{Api, Consistency, Mapping, Named, Place, Query, State, WatchSettings};
-use endpoint_discovery::{Damping, MatchBy, Trust};
+use endpoint_discovery::{FlapDamping, MatchBy, SourcePolicy};
 use pool::{Address, Route, MOST_ADDRESSES, ORDINARY_PREFERENCE};
 use serde::{Deserialize, Deserializer};
 use toml::Spanned;
@@ -52,7 +52,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct Merged {
     /// How far the roster is believed against the others.
-    pub roster: Trust,
+    pub roster: SourcePolicy,
     /// The services that are followed in Consul.
     pub consul: Vec<ConsulSource>,
 }
@@ -153,14 +153,14 @@
         };
         let source = |source: &ConsulSource| {
             let query = &source.watch.query;
-            let naming = if source.trust.names {
+            let naming = if source.policy.may_add_endpoints {
                 "names servers"
             } else {
                 "advises on the roster's servers"
             };
             format!(
                 "consul {:?}: service {:?} through {} agents, {naming}",
-                source.trust.name,
+                source.policy.name,
                 query.service,
                 source.agents.len()
             )
@@ -526,7 +526,7 @@
 
 impl Raw {
     fn check(self) -> Result<Operators, Wrong> {
-        let mut roster = Trust::roster("roster");
+        let mut roster = SourcePolicy::authoritative("roster");
         let RawMembership {
             panic_share,
             panic_window_s,
@@ -536,7 +536,7 @@
         let mut consul: Vec<ConsulSource> = Vec::new();
         for raw in self.consul {
             let taken = |name: &str| {
-                name == roster.name || consul.iter().any(|other| other.trust.name == name)
+                name == roster.name || consul.iter().any(|other| other.policy.name == name)
             };
             if taken(raw.name.get_ref()) {
                 return Err(wrong(&raw.name, "there is a source of this name already"));
@@ -766,7 +766,7 @@
 }
 
 fn believe(
-    trust: &mut Trust,
+    trust: &mut SourcePolicy,
     share: Option<Share>,
     window: Option<Seconds>,
     confirm: Option<Seconds>,
@@ -815,14 +815,14 @@
                 "a source that names servers names them by id, and not by address",
             ));
         }
-        let mut trust = Trust::advisor(self.name.into_inner());
+        let mut trust = SourcePolicy::advisory(self.name.into_inner());
         believe(
             &mut trust,
             self.panic_share,
             self.panic_window_s,
             self.confirm_s,
         );
-        trust.names = names;
+        trust.may_add_endpoints = names;
         trust.match_by = if named == Named::Address {
             MatchBy::Address
         } else {
@@ -833,9 +833,9 @@
             let [first_ms, most_ms, half_life_ms] =
                 [damping.first_s, damping.most_s, damping.half_life_s].map(Seconds::ms);
             let half_life_ms = half_life_ms.max(1.0);
-            trust.damping = Some(Damping {
-                first_ms,
-                most_ms,
+            trust.damping = Some(FlapDamping {
+                initial_ms: first_ms,
+                max_ms: most_ms,
                 half_life_ms,
             })
             .filter(|_| most_ms > 0.0);
@@ -900,7 +900,7 @@
             .map(Spanned::into_inner)
             .collect();
         Ok(ConsulSource {
-            trust,
+            policy: trust,
             agents,
             token_file: self.token_file,
             watch,
--- a/src/node/discovery/consul.rs
+++ b/src/node/discovery/consul.rs
@@ -10,7 +10,9 @@
 
 use bytes::Bytes;
 use consul::{Action, Event, News, Said, State as Stated, Trouble, Watch, WatchSettings};
-use endpoint_discovery::{Authority, Host, List, SourceId, State, Trust, Word};
+use endpoint_discovery::{
+    Assertion, Endpoint, Freshness, Lifecycle, Removal, SourceId, SourcePolicy, SourceUpdate,
+};
 use http_body_util::{BodyExt, Empty};
 use hyper::body::Incoming;
 use hyper::header::{HeaderValue, ACCEPT, HOST};
@@ -34,7 +36,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct ConsulSource {
     /// How far it is believed; its name is there, too.
-    pub trust: Trust,
+    pub policy: SourcePolicy,
     /// The agents, in the order in which they are tried.
     pub agents: Vec<SocketAddr>,
     /// The file that holds the token.
@@ -61,7 +63,7 @@
                 Action::HangUp => exchange.hang_up(),
                 Action::WakeAt(at) => wake_at_ms = at,
                 Action::Tell(news) => members.feed(listed(source, news)),
-                Action::Lost => members.feed(endpoint_discovery::Event::Lost { source }),
+                Action::Lost => members.feed(endpoint_discovery::Event::SourceLost { source }),
                 Action::Trouble { agent, trouble } => exchange.log(agent, &trouble),
             }
         }
@@ -99,49 +101,56 @@
 
 /// What Consul tells, in the view's words.
 fn listed(source: SourceId, news: News) -> endpoint_discovery::Event {
-    let authority = if news.fresh {
-        Authority::Fresh
+    let freshness = if news.fresh {
+        Freshness::Current
     } else {
-        Authority::Stale
+        Freshness::Outdated
     };
     let index = news.index;
     let words = news.words.iter().map(|said| word(said, index)).collect();
-    let left = news.left.into_iter().map(|key| (key, index)).collect();
-    let list = List {
-        authority,
-        history: news.history,
-        words,
-        left,
+    let left = news
+        .left
+        .into_iter()
+        .map(|key| Removal {
+            key,
+            version: index,
+        })
+        .collect();
+    let update = SourceUpdate {
+        freshness,
+        epoch: news.history,
+        assertions: words,
+        removals: left,
     };
-    endpoint_discovery::Event::Listed { source, list }
+    endpoint_discovery::Event::SourceUpdated { source, update }
 }
 
-fn word(said: &Said, index: u64) -> Word {
+fn word(said: &Said, index: u64) -> Assertion {
     let facts = &said.facts;
-    let host = Host {
+    let endpoint = Endpoint {
         id: said.key.clone(),
         address: facts.address,
-        others: facts.others.clone(),
-        state: state(said.state),
+        alternate_addresses: facts.others.clone(),
+        lifecycle: state(said.state),
         zone: facts.zone.clone().unwrap_or_default(),
-        kind: facts.kind.clone().unwrap_or_default(),
+        machine_type: facts.kind.clone().unwrap_or_default(),
         cell: facts.cell,
         started_at_ms: facts.started_at_ms.unwrap_or(0.0),
         weight: facts.weight,
     };
-    Word {
+    Assertion {
         key: said.key.clone(),
-        state: state(said.state),
-        index,
-        host: Some(host),
+        lifecycle: state(said.state),
+        version: index,
+        endpoint: Some(endpoint),
     }
 }
 
-fn state(state: Stated) -> State {
+fn state(state: Stated) -> Lifecycle {
     match state {
-        Stated::Ready => State::Ready,
-        Stated::Draining => State::Draining,
-        Stated::Gone => State::Gone,
+        Stated::Ready => Lifecycle::Ready,
+        Stated::Draining => Lifecycle::Draining,
+        Stated::Gone => Lifecycle::Gone,
     }
 }
 
@@ -251,7 +260,7 @@
     }
 
     fn log(&self, agent: usize, trouble: &Trouble) {
-        let (name, agent) = (&self.settings.trust.name, self.settings.agents[agent]);
+        let (name, agent) = (&self.settings.policy.name, self.settings.agents[agent]);
         match trouble {
             Trouble::Unreachable(why) => {
                 log::line(format_args!("{name}: agent {agent} cannot be asked: {why}"));
--- a/src/node/discovery/members.rs
+++ b/src/node/discovery/members.rs
@@ -6,7 +6,8 @@
 use std::rc::Rc;
 
 use endpoint_discovery::{
-    Action, Authority, Event, Host, List, Membership, SourceId, State, Trust, Word,
+    Action, Assertion, Endpoint, EndpointView, Event, Freshness, Lifecycle, Removal, SourceId,
+    SourcePolicy, SourceUpdate,
 };
 
 use crate::node::admin::log;
@@ -25,7 +26,7 @@
 }
 
 struct View {
-    membership: RefCell<Membership>,
+    membership: RefCell<EndpointView>,
     alarm: Alarm,
     /// What the roster named last, and in which version and history.
     named: RefCell<HashSet<String>>,
@@ -42,9 +43,9 @@
 
     /// A view of several sources, which begins with the roster as last known. The driver knows that already.
     #[must_use]
-    pub fn merged(driver: Rc<Driver>, roster: Trust, known: &HostList) -> Rc<Self> {
+    pub fn merged(driver: Rc<Driver>, roster: SourcePolicy, known: &HostList) -> Rc<Self> {
         let view = View {
-            membership: RefCell::new(Membership::new(vec![roster])),
+            membership: RefCell::new(EndpointView::new(vec![roster])),
             alarm: Alarm::new(),
             named: RefCell::default(),
             generation: Cell::new(0),
@@ -55,7 +56,7 @@
             view: Some(view),
         });
         if !known.instances.is_empty() {
-            members.listed(known, Authority::Stale);
+            members.listed(known, Freshness::Outdated);
         }
         tokio::task::spawn_local(Rc::clone(&members).wake_up());
         members
@@ -70,7 +71,7 @@
     /// Takes a list from the roster, or a change of it.
     pub fn roster(&self, list: &HostList) {
         if self.view.is_some() {
-            return self.listed(list, Authority::Fresh);
+            return self.listed(list, Freshness::Current);
         }
         let hosts = roster::read_all(list);
         if list.reset {
@@ -82,7 +83,7 @@
 
     /// The roster is out of touch.
     pub fn roster_lost(&self) {
-        self.feed(Event::Lost { source: ROSTER });
+        self.feed(Event::SourceLost { source: ROSTER });
     }
 
     /// One more source.
@@ -91,16 +92,16 @@
     ///
     /// The roster is followed alone.
     #[must_use]
-    pub fn add(&self, trust: Trust) -> SourceId {
+    pub fn add_source(&self, trust: SourcePolicy) -> SourceId {
         let view = self.view.as_ref().expect("sources are added to a view");
-        view.membership.borrow_mut().add(trust)
+        view.membership.borrow_mut().add_source(trust)
     }
 
     /// Something has happened to a source.
     pub fn feed(&self, event: Event) {
         let Some(view) = &self.view else { return };
         let mut actions = Vec::new();
-        let is_roster = matches!(&event, Event::Listed { source: ROSTER, .. });
+        let is_roster = matches!(&event, Event::SourceUpdated { source: ROSTER, .. });
         view.membership
             .borrow_mut()
             .handle(self.driver.now_ms(), event, &mut actions);
@@ -108,20 +109,20 @@
         if is_roster
             && !actions
                 .iter()
-                .any(|action| matches!(action, Action::Changed(_)))
+                .any(|action| matches!(action, Action::Publish(_)))
         {
             self.driver.changes(&[]);
         }
         for action in actions {
             match action {
-                Action::Changed(hosts) => self.driver.changes(&hosts),
-                Action::WakeAt(at) => view.alarm.set(at),
-                Action::Note(note) => log::line(note),
+                Action::Publish(hosts) => self.driver.changes(&hosts),
+                Action::SetTimer(at) => view.alarm.set(at),
+                Action::Log(note) => log::line(note),
             }
         }
     }
 
-    fn listed(&self, list: &HostList, authority: Authority) {
+    fn listed(&self, list: &HostList, freshness: Freshness) {
         let Some(view) = &self.view else { return };
         // Guards against a roster that has begun anew: what it says now is older by its number alone.
         if list.generation < view.generation.replace(list.generation) {
@@ -129,23 +130,29 @@
         }
         let hosts = roster::read_all(list);
         let left = view.note_names(&hosts, list.reset);
-        let left = left.into_iter().map(|id| (id, list.generation)).collect();
-        let word = |host: Host| Word {
+        let left = left
+            .into_iter()
+            .map(|key| Removal {
+                key,
+                version: list.generation,
+            })
+            .collect();
+        let word = |host: Endpoint| Assertion {
             key: host.id.clone(),
-            state: host.state,
-            index: list.generation,
-            host: Some(host).filter(|host| host.state != State::Gone),
+            lifecycle: host.lifecycle,
+            version: list.generation,
+            endpoint: Some(host).filter(|host| host.lifecycle != Lifecycle::Gone),
         };
         let words = hosts.into_iter().map(word).collect();
-        let list = List {
-            authority,
-            history: view.history.get(),
-            words,
-            left,
+        let update = SourceUpdate {
+            freshness,
+            epoch: view.history.get(),
+            assertions: words,
+            removals: left,
         };
-        self.feed(Event::Listed {
+        self.feed(Event::SourceUpdated {
             source: ROSTER,
-            list,
+            update,
         });
     }
 
@@ -153,14 +160,14 @@
         let Some(view) = &self.view else { return };
         loop {
             view.alarm.rings(|| self.driver.now_ms()).await;
-            self.feed(Event::Due);
+            self.feed(Event::TimerExpired);
         }
     }
 }
 
 impl View {
     /// Keeps in mind whom the roster names; tells whom a whole list leaves out.
-    fn note_names(&self, hosts: &[Host], whole: bool) -> Vec<String> {
+    fn note_names(&self, hosts: &[Endpoint], whole: bool) -> Vec<String> {
         let mut named = self.named.borrow_mut();
         let mut left = Vec::new();
         if whole {
@@ -173,7 +180,7 @@
             named.clear();
         }
         for host in hosts {
-            if host.state == State::Gone {
+            if host.lifecycle == Lifecycle::Gone {
                 named.remove(&host.id);
             } else {
                 named.insert(host.id.clone());
--- a/src/node/discovery/mod.rs
+++ b/src/node/discovery/mod.rs
@@ -56,7 +56,7 @@
             let stays = wanted.contains(&held.settings);
             if !stays {
                 held.task.abort();
-                self.members.feed(Event::Forgotten {
+                self.members.feed(Event::SourceRemoved {
                     source: held.source,
                 });
                 log::line(format_args!("{name} is followed no more"));
@@ -64,11 +64,11 @@
             stays
         });
         for (nth, settings) in wanted.iter().enumerate() {
-            let name = &settings.trust.name;
+            let name = &settings.policy.name;
             if followed.contains_key(name) {
                 continue;
             }
-            let source = self.members.add(settings.trust.clone());
+            let source = self.members.add_source(settings.policy.clone());
             let following = consul::follow(
                 Rc::clone(&self.members),
                 source,
--- a/src/node/discovery/roster.rs
+++ b/src/node/discovery/roster.rs
@@ -1,6 +1,6 @@
 //! The roster: the list of servers as the platform's discovery words it.
 
-use endpoint_discovery::{Host, State};
+use endpoint_discovery::{Endpoint, Lifecycle};
 use serde::Deserialize;
 use serde_json::Value;
 
@@ -29,13 +29,13 @@
 
 /// Reads the entries of a list.
 #[must_use]
-pub fn read_all(list: &HostList) -> Vec<Host> {
+pub fn read_all(list: &HostList) -> Vec<Endpoint> {
     list.instances.iter().filter_map(read).collect()
 }
 
 /// Reads an entry; one that makes no sense is logged and passed over.
 #[must_use]
-pub fn read(value: &Value) -> Option<Host> {
+pub fn read(value: &Value) -> Option<Endpoint> {
     let raw = Raw::deserialize(value)
         .map_err(|error| {
             log::line(format_args!(
@@ -43,10 +43,10 @@
             ));
         })
         .ok()?;
-    let state = match raw.lifecycle.as_str() {
-        "ready" => State::Ready,
-        "draining" => State::Draining,
-        "gone" => State::Gone,
+    let lifecycle = match raw.lifecycle.as_str() {
+        "ready" => Lifecycle::Ready,
+        "draining" => Lifecycle::Draining,
+        "gone" => Lifecycle::Gone,
         other => {
             log::line(format_args!(
                 "the list of servers has an unknown lifecycle: {other:?}"
@@ -55,20 +55,20 @@
         }
     };
     let address = raw.host_port.parse().ok();
-    if address.is_none() && state == State::Ready {
+    if address.is_none() && lifecycle == Lifecycle::Ready {
         log::line(format_args!(
             "the list of servers has a bad address: {:?}",
             raw.host_port
         ));
         return None;
     }
-    Some(Host {
+    Some(Endpoint {
         id: raw.instance_id,
         address,
-        others: Vec::new(),
-        state,
+        alternate_addresses: Vec::new(),
+        lifecycle,
         zone: raw.zone,
-        kind: raw.machine_type,
+        machine_type: raw.machine_type,
         cell: Some(raw.cell),
         started_at_ms: raw.started_at_ms,
         weight: raw.weight.as_f64().unwrap_or(1.0),
--- a/src/node/driver.rs
+++ b/src/node/driver.rs
@@ -7,7 +7,7 @@
 use std::time::{Duration, Instant};
 
 use admin::{Figures, Now};
-use endpoint_discovery::{Host, State};
+use endpoint_discovery::{Endpoint, Lifecycle};
 use tokio::sync::{oneshot, Notify};
 use tokio::task::AbortHandle;
 
@@ -84,11 +84,11 @@
     matches!(ending, Ending::Served | Ending::Rejected)
 }
 
-fn availability(state: State) -> Availability {
-    match state {
-        State::Ready => Availability::Ready,
-        State::Draining => Availability::Draining,
-        State::Gone => Availability::Gone,
+fn availability(lifecycle: Lifecycle) -> Availability {
+    match lifecycle {
+        Lifecycle::Ready => Availability::Ready,
+        Lifecycle::Draining => Availability::Draining,
+        Lifecycle::Gone => Availability::Gone,
     }
 }
 
@@ -102,7 +102,7 @@
 type Watcher = Rc<dyn Fn(u64, Ending)>;
 
 /// What all nodes know a server by in this life of it: one that is replaced under its name is another.
-fn key_of(host: &Host) -> u64 {
+fn key_of(host: &Endpoint) -> u64 {
     crate::simulator::spread(&host.id) ^ stable_hash::mix(host.started_at_ms.to_bits())
 }
 
@@ -229,7 +229,7 @@
     }
 
     /// Takes the whole list of servers.
-    pub fn list(self: &Rc<Self>, hosts: &[Host]) {
+    pub fn list(self: &Rc<Self>, hosts: &[Endpoint]) {
         self.listing(hosts, Listing::Full);
     }
 
@@ -270,7 +270,7 @@
     }
 
     /// Takes the servers that changed.
-    pub fn changes(self: &Rc<Self>, hosts: &[Host]) {
+    pub fn changes(self: &Rc<Self>, hosts: &[Endpoint]) {
         self.listing(hosts, Listing::Changes);
     }
 
@@ -304,7 +304,7 @@
         self.feed(Event::Servers(Listing::Failed));
     }
 
-    fn listing(self: &Rc<Self>, hosts: &[Host], kind: fn(Vec<ServerEntry>) -> Listing) {
+    fn listing(self: &Rc<Self>, hosts: &[Endpoint], kind: fn(Vec<ServerEntry>) -> Listing) {
         if !matches!(kind(Vec::new()), Listing::Changes(_)) {
             self.forget_missing(hosts);
         }
@@ -313,7 +313,7 @@
     }
 
     /// A server that a full list does not name is gone.
-    fn forget_missing(&self, hosts: &[Host]) {
+    fn forget_missing(&self, hosts: &[Endpoint]) {
         let listed: HashSet<&str> = hosts.iter().map(|host| host.id.as_str()).collect();
         self.numbers.borrow_mut().retain(|id, number| {
             let stays = listed.contains(id.as_str());
@@ -326,16 +326,17 @@
     }
 
     /// What the balancer is told of hosts: that they are there, or gone, or that others are gone for them.
-    fn entries(&self, hosts: &[Host]) -> Vec<ServerEntry> {
+    fn entries(&self, hosts: &[Endpoint]) -> Vec<ServerEntry> {
         let mut numbers = self.numbers.borrow_mut();
-        let (gone, there): (Vec<_>, Vec<_>) =
-            hosts.iter().partition(|host| host.state == State::Gone);
+        let (gone, there): (Vec<_>, Vec<_>) = hosts
+            .iter()
+            .partition(|host| host.lifecycle == Lifecycle::Gone);
         let mut gone: Vec<_> = gone
             .into_iter()
             .filter_map(|host| numbers.remove(&host.id))
             .collect();
         gone.iter().for_each(|number| self.servers.forget(*number));
-        let mut numbered: Vec<(ServerId, &Host)> = Vec::with_capacity(there.len());
+        let mut numbered: Vec<(ServerId, &Endpoint)> = Vec::with_capacity(there.len());
         for host in there {
             let number = numbers.entry(host.id.clone()).or_insert_with(|| {
                 let next = self.next_server.get();
@@ -369,15 +370,15 @@
             .collect()
     }
 
-    fn entry(&self, server: ServerId, host: &Host) -> ServerEntry {
+    fn entry(&self, server: ServerId, host: &Endpoint) -> ServerEntry {
         ServerEntry {
             server,
             place: crate::simulator::spread(&host.id),
-            availability: availability(host.state),
+            availability: availability(host.lifecycle),
             started_at: Some(host.started_at_ms).filter(|t| *t > 0.0),
             cell: host.cell.unwrap_or(0),
             zone: self.names.zones.get(&host.zone).unwrap_or(0),
-            kind: self.names.kinds.get(&host.kind).unwrap_or(0),
+            kind: self.names.kinds.get(&host.machine_type).unwrap_or(0),
         }
     }
 
--- a/src/node/upstream/addresses.rs
+++ b/src/node/upstream/addresses.rs
@@ -3,7 +3,7 @@
 use std::collections::HashMap;
 use std::net::SocketAddr;
 
-use endpoint_discovery::Host;
+use endpoint_discovery::Endpoint;
 use pool::{Address, Route};
 
 /// What the operators' file says of a server's addresses.
@@ -21,13 +21,16 @@
 /// The addresses of a server, of which membership names `listed` as its main one. One that is named twice goes by
 /// what the operators say of it.
 #[must_use]
-pub fn routes(said: &AllSaid, host: &Host, listed: Option<SocketAddr>) -> Vec<Route> {
+pub fn routes(said: &AllSaid, host: &Endpoint, listed: Option<SocketAddr>) -> Vec<Route> {
     let own = said.get(&host.id);
     let mut routes = own.map(|said| said.routes.clone()).unwrap_or_default();
     if own.is_some_and(|said| said.only) {
         return routes;
     }
-    for address in listed.into_iter().chain(host.others.iter().copied()) {
+    for address in listed
+        .into_iter()
+        .chain(host.alternate_addresses.iter().copied())
+    {
         let address = Address::Ip(address);
         if routes.iter().all(|route| route.address != address) {
             routes.push(Route::new(address));
--- a/src/node/upstream/addresses/tests.rs
+++ b/src/node/upstream/addresses/tests.rs
@@ -3,9 +3,9 @@
 #[test]
 fn the_operators_word_stands_beside_the_lists_or_instead_of_it() {
     let [own, other] = [1, 2].map(|port| SocketAddr::from(([127, 0, 0, 1], port)));
-    let host = Host {
-        others: vec![other, own],
-        ..Host::named("s-0")
+    let host = Endpoint {
+        alternate_addresses: vec![other, own],
+        ..Endpoint::new("s-0")
     };
     let route = |text: &str, preference| Route {
         preference,
@@ -30,5 +30,5 @@
         ]
     );
     assert_eq!(routes(&said(true), &host, Some(own)), beside[..2]);
-    assert!(routes(&AllSaid::new(), &Host::named("s-1"), None).is_empty());
+    assert!(routes(&AllSaid::new(), &Endpoint::new("s-1"), None).is_empty());
 }
--- a/src/node/upstream/servers.rs
+++ b/src/node/upstream/servers.rs
@@ -10,7 +10,7 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-use endpoint_discovery::{Host, State};
+use endpoint_discovery::{Endpoint, Lifecycle};
 use pool::{
     judge, Action, Address, Age, Closed, ConnId, DialId, Holders, Limits, Next, Pool, Route,
     RouteId, ServerKey, Taken, Ticket, Why,
@@ -59,7 +59,7 @@
 
 /// A server as its connections know it.
 struct Server {
-    host: Host,
+    host: Endpoint,
     /// Where membership has it; a list that says nothing of that leaves it where it was.
     listed: Option<SocketAddr>,
     /// When its grace ends, of one that drains.
@@ -251,7 +251,7 @@
     /// Takes what discovery says of servers that are there; idle connections to one that is somewhere else or has
     /// started anew are of no more use. Tells which servers cannot be there any more: there is one at an address, the
     /// one that started last. What is meant for one that is gone must not reach its successor.
-    pub fn update(self: &Rc<Self>, hosts: &[(ServerId, &Host)]) -> Vec<ServerId> {
+    pub fn update(self: &Rc<Self>, hosts: &[(ServerId, &Endpoint)]) -> Vec<ServerId> {
         let mut moved = BTreeSet::new();
         for (at, host) in hosts {
             self.note(*at, host, &mut moved);
@@ -265,8 +265,8 @@
             .collect()
     }
 
-    fn note(self: &Rc<Self>, at: ServerId, host: &Host, moved: &mut BTreeSet<ServerKey>) {
-        let (key, is_ready) = (ServerKey(at.0), host.state == State::Ready);
+    fn note(self: &Rc<Self>, at: ServerId, host: &Endpoint, moved: &mut BTreeSet<ServerKey>) {
+        let (key, is_ready) = (ServerKey(at.0), host.lifecycle == Lifecycle::Ready);
         let mut table = self.table.borrow_mut();
         let before = table.remove(&at);
         let listed = host
@@ -314,7 +314,7 @@
     /// Takes what the operators' file says of addresses now; tells the servers as they are known, of which some may be
     /// reached in another way.
     #[must_use]
-    pub fn say(&self, said: AllSaid) -> Vec<Host> {
+    pub fn say(&self, said: AllSaid) -> Vec<Endpoint> {
         if *self.said.borrow() == said {
             return Vec::new();
         }
--- a/src/node/upstream/servers/tests.rs
+++ b/src/node/upstream/servers/tests.rs
@@ -34,13 +34,13 @@
 }
 
 /// One server that listens and accepts nothing, and a deadline far away.
-fn one_server() -> (std::net::TcpListener, Rc<Servers>, Host, Instant) {
+fn one_server() -> (std::net::TcpListener, Rc<Servers>, Endpoint, Instant) {
     let listener = std::net::TcpListener::bind("127.0.0.1:0").expect("a port");
     let address = listener.local_addr().expect("an address");
     let servers = servers(address);
-    let host = Host {
+    let host = Endpoint {
         address: Some(address),
-        ..Host::named("s-0")
+        ..Endpoint::new("s-0")
     };
     servers.update(&[(ServerId(0), &host)]);
     (
@@ -68,8 +68,8 @@
     assert!(begun.is_pending(), "it is on its way");
     servers.update(&[(
         ServerId(0),
-        &Host {
-            state: State::Draining,
+        &Endpoint {
+            lifecycle: Lifecycle::Draining,
             ..host
         },
     )]);
@@ -177,7 +177,7 @@
                 only: true,
             },
         )]));
-        servers.update(&[(ServerId(0), &Host::named("s-0"))]);
+        servers.update(&[(ServerId(0), &Endpoint::new("s-0"))]);
         // More than the system takes for a connection whose other end reads nothing.
         let body = RequestBody::Whole(Bytes::from(vec![b'x'; 32 << 20]));
         let message = Rc::new(Message {
--- a/tests/consul.rs
+++ b/tests/consul.rs
@@ -180,7 +180,7 @@
         town.node
             .log()
             .iter()
-            .any(|line| line.contains("withdraws 3 of 3 servers"))
+            .any(|line| line.contains("removes 3 of 3 endpoints at once"))
     });
 }
 
