--- a/src/node/admin/reload.rs
+++ b/src/node/admin/reload.rs
@@ -15,14 +15,14 @@
 use crate::node::admin::operators::Operators;
 use crate::node::cluster::Fleet;
 use crate::node::config::Config;
-use crate::node::discovery::Sources;
+use crate::node::discovery::ConsulFollowers;
 
 /// Reads the file again at each signal and tells where discovery answers now. A file that cannot be used is logged
 /// and the configuration held stands: a slip of the pen must not end a node that serves.
 pub async fn follow(
     mut signals: Signal,
     discovery: watch::Sender<SocketAddr>,
-    operators: Option<(PathBuf, Rc<Sources>)>,
+    operators: Option<(PathBuf, Rc<ConsulFollowers>)>,
     fleet: Option<Rc<Fleet>>,
 ) {
     // Signals that come while one is dealt with are one more: the file is read after the last of them.
@@ -48,7 +48,7 @@
 
 fn follow_again(
     file: &Path,
-    sources: &Sources,
+    sources: &ConsulFollowers,
     fleet: Option<&Rc<Fleet>>,
     config: Option<&Config>,
 ) {
--- a/src/node/config.rs
+++ b/src/node/config.rs
@@ -48,10 +48,10 @@
 
 impl std::error::Error for ConfigError {}
 
-/// A list of servers as discovery words it. Its entries are read one by one, so that one that is malformed
-/// does not hide the others.
+/// An endpoint list in the JSON form of the platform's discovery. Its entries are decoded one by one,
+/// so that a malformed one does not hide the others.
 #[derive(Clone, Debug, Default, Deserialize)]
-pub struct HostList {
+pub struct EndpointList {
     /// Its version.
     pub generation: u64,
     /// Whether it is the whole list.
@@ -163,7 +163,7 @@
     /// What the process may use.
     pub limits: Limits,
     /// The list of servers as last held.
-    pub known: HostList,
+    pub known: EndpointList,
     /// The module's settings.
     pub settings: Settings,
     /// Classes of requests.
@@ -200,7 +200,7 @@
     #[serde(default)]
     limits: Limits,
     #[serde(default)]
-    known: HostList,
+    known: EndpointList,
     settings: Value,
 }
 
--- a/src/node/discovery/connection.rs
+++ b/src/node/discovery/connection.rs
@@ -1,4 +1,4 @@
-//! A connection to a service that the node itself asks: discovery, or a Consul agent.
+//! An HTTP connection to a service that the node itself queries: discovery, or a Consul agent.
 
 use std::io;
 use std::net::SocketAddr;
@@ -12,9 +12,9 @@
 use tokio::net::TcpStream;
 use tokio::task::AbortHandle;
 
-/// The most of an answer's head, and of its body that is read at a time: one piece is dealt with in a fraction of a
-/// millisecond, and other tasks run between two.
-const BUFFER: usize = 64 * 1024;
+/// The most of a response's head, and of its body that is read at once: one piece is processed in a
+/// fraction of a millisecond, and other tasks run between two.
+const MAX_BUFFER_BYTES: usize = 64 * 1024;
 
 /// An open connection. Dropping it closes the socket.
 pub struct Connection {
@@ -23,11 +23,12 @@
 }
 
 impl Connection {
-    /// Connects; `prepare` sees the socket before anything is written. Dropping the future midway leaves nothing open.
+    /// Connects; `prepare` may set options of the socket before anything is written. Cancel safe:
+    /// dropping the future leaves nothing open.
     ///
     /// # Errors
     ///
-    /// There is no connection.
+    /// The connection cannot be established or prepared.
     pub async fn open(
         address: SocketAddr,
         prepare: impl FnOnce(&TcpStream) -> io::Result<()>,
@@ -36,12 +37,12 @@
         stream.set_nodelay(true)?;
         prepare(&stream)?;
         let handshake = Builder::new()
-            .max_buf_size(BUFFER)
+            .max_buf_size(MAX_BUFFER_BYTES)
             .handshake(TokioIo::new(stream))
             .await;
         let (sender, connection) = handshake.map_err(io::Error::other)?;
         let task = tokio::task::spawn_local(async move {
-            let _ = connection.await; // What breaks here shows in the answer.
+            let _ = connection.await; // The response's future reports the same error.
         });
         Ok(Self {
             sender,
@@ -49,18 +50,19 @@
         })
     }
 
-    /// Whether it can be asked now.
+    /// Whether it can take a request now.
     #[must_use]
     pub fn is_ready(&self) -> bool {
         self.sender.is_ready()
     }
 
-    /// Asks, and waits for the answer's head. A connection whose future was dropped midway must be dropped, too.
+    /// Sends a request and waits for the response's head. Not cancel safe: if the future is dropped
+    /// before it completes, the connection must be dropped, too.
     ///
     /// # Errors
     ///
-    /// The connection broke, or what came is no answer.
-    pub async fn ask(
+    /// The connection broke, or the response is not HTTP.
+    pub async fn send(
         &mut self,
         request: Request<Empty<Bytes>>,
     ) -> Result<Response<Incoming>, hyper::Error> {
--- a/src/node/discovery/consul.rs
+++ b/src/node/discovery/consul/mod.rs
@@ -21,7 +21,7 @@
 
 use crate::node::admin::log;
 use crate::node::discovery::connection::Connection;
-use crate::node::discovery::members::ServerMembers;
+use crate::node::discovery::updates::EndpointUpdates;
 
 /// How long a connection to an agent may take: it is near.
 const CONNECTING: Duration = Duration::from_secs(2);
@@ -47,7 +47,7 @@
 
 /// Follows a service for as long as the future is polled. Dropping it ends its connections and nothing else.
 pub async fn follow(
-    members: Rc<ServerMembers>,
+    updates: Rc<EndpointUpdates>,
     source: SourceId,
     settings: ConsulSource,
     seed: u64,
@@ -55,25 +55,25 @@
     let mut watch = Watch::new(settings.watch.clone(), seed);
     let mut exchange = Exchange::new(settings);
     let (mut actions, mut wake_at_ms) = (Vec::new(), 0.0);
-    watch.handle(members.driver().now_ms(), Event::Due, &mut actions);
+    watch.handle(updates.driver().now_ms(), Event::Due, &mut actions);
     loop {
         for action in actions.drain(..) {
             match action {
                 Action::Ask { agent, path } => exchange.ask(agent, &path),
                 Action::HangUp => exchange.hang_up(),
                 Action::WakeAt(at) => wake_at_ms = at,
-                Action::Tell(news) => members.feed(listed(source, news)),
-                Action::Lost => members.feed(endpoint_discovery::Event::SourceLost { source }),
+                Action::Tell(news) => updates.handle(listed(source, news)),
+                Action::Lost => updates.handle(endpoint_discovery::Event::SourceLost { source }),
                 Action::Trouble { agent, trouble } => exchange.log(agent, &trouble),
             }
         }
-        let left_ms = (wake_at_ms - members.driver().now_ms()).max(0.0);
+        let left_ms = (wake_at_ms - updates.driver().now_ms()).max(0.0);
         let left = Duration::try_from_secs_f64(left_ms / 1e3).unwrap_or(Duration::MAX);
         let came = tokio::select! {
             came = exchange.next() => Some(came),
             () = tokio::time::sleep(left) => None,
         };
-        let now = members.driver().now_ms();
+        let now = updates.driver().now_ms();
         match came {
             None => watch.handle(now, Event::Due, &mut actions),
             Some(Came::Head(answer)) => {
@@ -201,7 +201,7 @@
                 Some((_, kept)) => kept,
                 None => connect(address).await?,
             };
-            let answer = connection.ask(request).await;
+            let answer = connection.send(request).await;
             Ok((
                 answer.map_err(|error| error.to_string())?,
                 agent,
--- /dev/null
+++ b/src/node/discovery/endpoint_list/decode.rs
@@ -0,0 +1,107 @@
+//! Decodes the endpoint list's entries from the platform's JSON.
+//!
+//! An entry that cannot be decoded is logged and skipped, so that it hides no other.
+
+use std::fmt;
+
+use endpoint_discovery::{Endpoint, Lifecycle};
+use serde::Deserialize;
+use serde_json::Value;
+
+use crate::node::admin::log;
+use crate::node::config::EndpointList;
+
+/// An entry with the platform's field names.
+#[derive(Deserialize)]
+#[serde(rename_all = "camelCase")]
+struct RawEntry {
+    instance_id: String,
+    #[serde(default)]
+    host_port: String,
+    #[serde(default)]
+    zone: String,
+    #[serde(default)]
+    machine_type: String,
+    #[serde(default)]
+    cell: usize,
+    lifecycle: String,
+    #[serde(default)]
+    started_at_ms: f64,
+    /// Any JSON value: an invalid weight must not hide the server.
+    #[serde(default)]
+    weight: Value,
+}
+
+/// Why an entry of the endpoint list cannot be used.
+#[derive(Debug)]
+pub enum EntryError {
+    /// It is not an object with the required fields, or a field has the wrong type.
+    Malformed(serde_json::Error),
+    /// Its lifecycle is none of the known ones.
+    UnknownLifecycle(String),
+    /// It is ready, but its address cannot be parsed.
+    InvalidAddress(String),
+}
+
+impl fmt::Display for EntryError {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        match self {
+            Self::Malformed(error) => write!(f, "malformed entry: {error}"),
+            Self::UnknownLifecycle(text) => write!(f, "unknown lifecycle {text:?}"),
+            Self::InvalidAddress(text) => write!(f, "invalid address {text:?}"),
+        }
+    }
+}
+
+impl std::error::Error for EntryError {
+    fn source(&self) -> Option<&(dyn std::error::Error + 'static)> {
+        match self {
+            Self::Malformed(error) => Some(error),
+            Self::UnknownLifecycle(_) | Self::InvalidAddress(_) => None,
+        }
+    }
+}
+
+/// Decodes the entries of a list; logs and skips those that cannot be decoded.
+#[must_use]
+pub fn decode_endpoints(list: &EndpointList) -> Vec<Endpoint> {
+    let decode_or_log = |entry| {
+        decode_endpoint(entry)
+            .map_err(|error| log::line(format_args!("endpoint list: {error}")))
+            .ok()
+    };
+    list.instances.iter().filter_map(decode_or_log).collect()
+}
+
+/// Decodes one entry.
+///
+/// # Errors
+///
+/// See [`EntryError`]. An endpoint that is not ready needs no address.
+pub fn decode_endpoint(entry: &Value) -> Result<Endpoint, EntryError> {
+    let raw = RawEntry::deserialize(entry).map_err(EntryError::Malformed)?;
+    let lifecycle = match raw.lifecycle.as_str() {
+        "ready" => Lifecycle::Ready,
+        "draining" => Lifecycle::Draining,
+        "gone" => Lifecycle::Gone,
+        _ => return Err(EntryError::UnknownLifecycle(raw.lifecycle)),
+    };
+    let address = raw.host_port.parse().ok();
+    if address.is_none() && lifecycle == Lifecycle::Ready {
+        return Err(EntryError::InvalidAddress(raw.host_port));
+    }
+    Ok(Endpoint {
+        id: raw.instance_id,
+        address,
+        alternate_addresses: Vec::new(),
+        lifecycle,
+        zone: raw.zone,
+        machine_type: raw.machine_type,
+        cell: Some(raw.cell),
+        started_at_ms: raw.started_at_ms,
+        weight: raw.weight.as_f64().unwrap_or(1.0),
+    })
+}
+
+#[cfg(test)]
+mod tests;
--- /dev/null
+++ b/src/node/discovery/endpoint_list/mod.rs
@@ -0,0 +1,138 @@
+//! Client of the platform's discovery: follows the endpoint list with a watch that is reopened
+//! whenever it ends, falls silent or delivers an invalid list.
+
+pub mod decode;
+mod lines;
+mod timing;
+mod watch;
+
+use std::net::SocketAddr;
+use std::rc::Rc;
+use std::time::Duration;
+
+use tokio::sync::watch::Receiver;
+
+use crate::node::admin::log;
+use crate::node::discovery::updates::EndpointUpdates;
+use timing::{WatchTiming, FIRST_RETRY_DELAY};
+use watch::{run_watch, WatchError, WatchState};
+
+pub use timing::PROPAGATION_DEADLINE;
+
+/// How changes of the endpoint list reach the node.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum Delivery {
+    /// Discovery pushes them: the client keeps a watch open.
+    Pushed {
+        /// The platform's drain grace, within which a change must take effect.
+        grace: Duration,
+    },
+    /// The balancer subscribes: the client opens one watch each time that it is asked to, and
+    /// reports its end.
+    Subscribed,
+}
+
+/// Follows the endpoint list at the latest address for as long as the future is polled. Dropping it
+/// closes the watch.
+pub async fn follow(
+    updates: Rc<EndpointUpdates>,
+    addresses: Receiver<SocketAddr>,
+    delivery: Delivery,
+    generation: Option<u64>,
+) {
+    let timing = match delivery {
+        Delivery::Pushed { grace } => WatchTiming::pushed(grace),
+        Delivery::Subscribed => WatchTiming::subscribed(),
+    };
+    let mut follower = Follower {
+        updates,
+        addresses,
+        delivery,
+        timing,
+        retry_delay: FIRST_RETRY_DELAY,
+    };
+    follower.run(generation).await;
+}
+
+/// How a watch ended, or what comes before the next one.
+#[derive(Clone, Copy, PartialEq, Eq)]
+enum Next {
+    /// Open a watch as usual: when the balancer subscribes, or at once if lists are pushed.
+    Reopen,
+    /// Discovery has moved: open a watch at its new address at once.
+    OpenAtNewAddress,
+}
+
+struct Follower {
+    updates: Rc<EndpointUpdates>,
+    addresses: Receiver<SocketAddr>,
+    delivery: Delivery,
+    timing: WatchTiming,
+    /// The delay before the next attempt, if lists are pushed.
+    retry_delay: Duration,
+}
+
+impl Follower {
+    async fn run(&mut self, generation: Option<u64>) {
+        let mut state = WatchState {
+            generation,
+            has_received: false,
+        };
+        let mut last_address = *self.addresses.borrow_and_update();
+        let mut next = Next::Reopen;
+        loop {
+            if next == Next::Reopen {
+                self.wait_for_subscription().await;
+            }
+            let address = *self.addresses.borrow_and_update();
+            if std::mem::replace(&mut last_address, address) != address {
+                // Generations are one discovery's own: another may count differently, so the whole
+                // list is requested.
+                state.generation = None;
+                self.retry_delay = FIRST_RETRY_DELAY;
+            }
+            state.has_received = false;
+            let open_timeout = self.timing.open_timeout;
+            let ended = tokio::select! {
+                Err(error) = run_watch(&self.updates, address, open_timeout, &mut state) => Some(error),
+                Ok(()) = self.addresses.changed() => None,
+            };
+            next = match ended {
+                None => Next::OpenAtNewAddress,
+                Some(error) => self.handle_failure(&error, &mut state).await,
+            };
+        }
+    }
+
+    /// Waits until a watch may be opened.
+    async fn wait_for_subscription(&mut self) {
+        if self.delivery == Delivery::Subscribed {
+            tokio::select! {
+                () = self.updates.driver().subscribe.notified() => {}
+                Ok(()) = self.addresses.changed() => {}
+            }
+        }
+    }
+
+    async fn handle_failure(&mut self, error: &WatchError, state: &mut WatchState) -> Next {
+        log::line(format_args!("endpoint list: the watch ended: {error}"));
+        if matches!(error, WatchError::Invalid(_)) {
+            state.generation = None;
+        }
+        self.updates.mark_list_lost();
+        if self.delivery == Delivery::Subscribed {
+            self.updates.driver().list_failed();
+            return Next::Reopen;
+        }
+        self.retry_delay = if state.has_received {
+            FIRST_RETRY_DELAY
+        } else {
+            (self.retry_delay * 2).min(self.timing.max_retry_delay)
+        };
+        // A new address ends the delay: the node must not wait for one that is no longer used.
+        tokio::select! {
+            () = tokio::time::sleep(self.retry_delay) => Next::Reopen,
+            Ok(()) = self.addresses.changed() => Next::OpenAtNewAddress,
+        }
+    }
+}
--- a/src/node/discovery/mod.rs
+++ b/src/node/discovery/mod.rs
@@ -1,11 +1,13 @@
-//! Who the servers are: the sources that name them, and which of those are followed beside the roster, as the
-//! operators' file has it now.
+//! Endpoint discovery: the platform's endpoint list, the Consul services that the operators' file
+//! names beside it, and the path of their updates to the driver.
+//!
+//! It owns the sockets to discovery and to Consul's agents. Which assertion of which source takes
+//! effect is decided by the `endpoint-discovery` crate.
 
 mod connection;
 pub mod consul;
 pub mod endpoint_list;
-pub mod members;
-pub(in crate::node) mod roster;
+pub mod updates;
 
 use std::cell::RefCell;
 use std::collections::HashMap;
@@ -17,77 +19,78 @@
 use crate::node::admin::log;
 use crate::node::driver::Driver;
 use consul::ConsulSource;
-use members::ServerMembers;
+use updates::EndpointUpdates;
 
-/// The sources that are followed.
-pub struct Sources {
-    members: Rc<ServerMembers>,
+/// The Consul services that are followed, each by a task of its own.
+pub struct ConsulFollowers {
+    updates: Rc<EndpointUpdates>,
     seed: u64,
-    followed: RefCell<HashMap<String, Followed>>,
+    followers: RefCell<HashMap<String, Follower>>,
 }
 
-struct Followed {
+struct Follower {
     settings: ConsulSource,
     source: SourceId,
     task: AbortHandle,
 }
 
-impl Sources {
-    /// None yet.
+impl ConsulFollowers {
+    /// Follows no service yet. `seed` determines the jitter of the retry delays.
     #[must_use]
-    pub fn new(members: Rc<ServerMembers>, seed: u64) -> Rc<Self> {
+    pub fn new(updates: Rc<EndpointUpdates>, seed: u64) -> Rc<Self> {
         Rc::new(Self {
-            members,
+            updates,
             seed,
-            followed: RefCell::default(),
+            followers: RefCell::default(),
         })
     }
 
-    /// Who is told of the servers.
+    /// The driver that the updates go to.
     #[must_use]
     pub fn driver(&self) -> &Rc<Driver> {
-        self.members.driver()
+        self.updates.driver()
     }
 
-    /// Follows these, and no others. One whose settings have not changed goes on as it is.
-    pub fn follow(&self, wanted: &[ConsulSource]) {
-        let mut followed = self.followed.borrow_mut();
-        followed.retain(|name, held| {
-            let stays = wanted.contains(&held.settings);
-            if !stays {
-                held.task.abort();
-                self.members.feed(Event::SourceRemoved {
-                    source: held.source,
-                });
-                log::line(format_args!("{name} is followed no more"));
+    /// Follows these services and no others. One whose settings have not changed is not
+    /// interrupted.
+    pub fn follow(&self, services: &[ConsulSource]) {
+        let mut followers = self.followers.borrow_mut();
+        followers.retain(|name, follower| {
+            let is_kept = services.contains(&follower.settings);
+            if !is_kept {
+                self.stop(name, follower);
             }
-            stays
+            is_kept
         });
-        for (nth, settings) in wanted.iter().enumerate() {
+        for (position, settings) in services.iter().enumerate() {
             let name = &settings.policy.name;
-            if followed.contains_key(name) {
-                continue;
+            if !followers.contains_key(name) {
+                let follower = self.start(settings, self.seed ^ position as u64);
+                followers.insert(name.clone(), follower);
             }
-            let source = self.members.add_source(settings.policy.clone());
-            let following = consul::follow(
-                Rc::clone(&self.members),
-                source,
-                settings.clone(),
-                self.seed ^ nth as u64,
-            );
-            let task = tokio::task::spawn_local(following).abort_handle();
-            log::line(format_args!(
-                "{name} is followed: service {:?}",
-                settings.watch.query.service
-            ));
-            followed.insert(
-                name.clone(),
-                Followed {
-                    settings: settings.clone(),
-                    source,
-                    task,
-                },
-            );
         }
     }
+
+    fn start(&self, settings: &ConsulSource, seed: u64) -> Follower {
+        let source = self.updates.add_source(settings.policy.clone());
+        let following = consul::follow(Rc::clone(&self.updates), source, settings.clone(), seed);
+        let task = tokio::task::spawn_local(following).abort_handle();
+        log::line(format_args!(
+            "{}: following service {:?}",
+            settings.policy.name, settings.watch.query.service
+        ));
+        Follower {
+            settings: settings.clone(),
+            source,
+            task,
+        }
+    }
+
+    fn stop(&self, name: &str, follower: &Follower) {
+        follower.task.abort();
+        self.updates.handle(Event::SourceRemoved {
+            source: follower.source,
+        });
+        log::line(format_args!("{name}: no longer followed"));
+    }
 }
--- a/src/node/driver.rs
+++ b/src/node/driver.rs
@@ -14,7 +14,7 @@
 use crate::node::admin::log;
 use crate::node::clock::Clock;
 use crate::node::config::{Config, ConfigError, Names};
-use crate::node::discovery::roster;
+use crate::node::discovery::endpoint_list::decode::decode_endpoints;
 use crate::node::upstream::addresses::AllSaid;
 use crate::node::upstream::servers::{Bounds, Servers, Underway};
 use crate::node::upstream::{Ended, Message, RequestBody, Served};
@@ -221,7 +221,7 @@
             latest: Cell::default(),
             ends_by: Cell::default(),
         });
-        driver.listing(&roster::read_all(&config.known), Listing::Cached);
+        driver.listing(&decode_endpoints(&config.known), Listing::Cached);
         tokio::task::spawn_local(Rc::clone(&driver).wake_up());
         tokio::task::spawn_local(Rc::clone(&driver).sweep());
         tokio::task::spawn_local(Rc::clone(&driver.servers).wake_up());
--- a/src/node/mod.rs
+++ b/src/node/mod.rs
@@ -27,8 +27,9 @@
 use self::admin::operators::Operators;
 use self::admin::{calls, log, reload};
 use self::cluster::{Fleet, FleetError};
-use self::discovery::members::ServerMembers;
-use self::discovery::{endpoint_list, Sources};
+use self::discovery::endpoint_list::Delivery;
+use self::discovery::updates::EndpointUpdates;
+use self::discovery::{endpoint_list, ConsulFollowers};
 use self::downstream::clients::{self, FrontOptions, Phase};
 use self::downstream::inherited;
 use config::{Config, ConfigError};
@@ -135,14 +136,15 @@
     log::line(format_args!("serves on {address}"));
     let known = Some(config.known.generation).filter(|_| !config.known.instances.is_empty());
     let (moves, addresses) = watch::channel(config.discovery);
-    let (members, sources) = membership(&driver, &config, &extras.operators);
-    tokio::task::spawn_local(endpoint_list::follow(
-        members,
-        addresses,
-        config.push,
-        config.drain_grace,
-        known,
-    ));
+    let (updates, consul_followers) = endpoint_updates(&driver, &config, &extras.operators);
+    let delivery = if config.push {
+        Delivery::Pushed {
+            grace: config.drain_grace,
+        }
+    } else {
+        Delivery::Subscribed
+    };
+    tokio::task::spawn_local(endpoint_list::follow(updates, addresses, delivery, known));
     let (instances, leases) = (
         extras.operators.instances.as_ref(),
         extras.operators.leases.as_ref(),
@@ -151,7 +153,7 @@
     let fleet = Fleet::start(&config, instances, leases, word, &driver)
         .await
         .map_err(NodeError::Fleet)?;
-    let operators = extras.file.zip(sources);
+    let operators = extras.file.zip(consul_followers);
     tokio::task::spawn_local(reload::follow(reload, moves, operators, fleet.clone()));
     let (phase, phases) = watch::channel(Phase::Serving);
     let longest = driver
@@ -203,19 +205,20 @@
     Ok(())
 }
 
-/// The way of the list to the driver, with the sources beside the roster that the operators name.
-fn membership(
+/// The path of endpoint updates to the driver, with the Consul services that the operators' file
+/// names.
+fn endpoint_updates(
     driver: &Rc<Driver>,
     config: &Config,
     operators: &Operators,
-) -> (Rc<ServerMembers>, Option<Rc<Sources>>) {
+) -> (Rc<EndpointUpdates>, Option<Rc<ConsulFollowers>>) {
     let Some(merged) = &operators.membership else {
-        return (ServerMembers::roster_alone(Rc::clone(driver)), None);
+        return (EndpointUpdates::direct(Rc::clone(driver)), None);
     };
-    let members = ServerMembers::merged(Rc::clone(driver), merged.roster.clone(), &config.known);
-    let sources = Sources::new(Rc::clone(&members), config.seed);
-    sources.follow(&merged.consul);
-    (members, Some(sources))
+    let updates = EndpointUpdates::merged(Rc::clone(driver), merged.roster.clone(), &config.known);
+    let consul_followers = ConsulFollowers::new(Rc::clone(&updates), config.seed);
+    consul_followers.follow(&merged.consul);
+    (updates, Some(consul_followers))
 }
 
 #[cfg(test)]
--- a/tests/watches.rs
+++ b/tests/watches.rs
@@ -5,7 +5,7 @@
 use std::sync::{Arc, Barrier};
 use std::time::{Duration, Instant};
 
-use silverthread::node::discovery::endpoint_list::COUNTS_AS_TOLD;
+use silverthread::node::discovery::endpoint_list::PROPAGATION_DEADLINE;
 use testkit::*;
 
 const HEAD: &str = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
@@ -187,7 +187,7 @@
     });
     for (fault, told) in played {
         let took = told.join().unwrap_or_else(|_| panic!("{fault:?}"));
-        assert!(took < COUNTS_AS_TOLD, "{fault:?}: {took:?}");
+        assert!(took < PROPAGATION_DEADLINE, "{fault:?}: {took:?}");
     }
 }
 
