--- a/tests/watches.rs
+++ b/tests/watches.rs
@@ -1,4 +1,5 @@
-//! A watch on the list of servers that goes wrong in every way it can, and news that must come all the same.
+//! Watches on the endpoint list that fail in every way they can, and changes that must take effect
+//! in time all the same.
 
 use std::io::{BufReader, Read, Write};
 use std::net::{TcpListener, TcpStream};
@@ -9,72 +10,74 @@
 use testkit::*;
 
 const HEAD: &str = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
+/// A change must take effect this long after a signal that moves discovery.
+const MOVE_DEADLINE: Duration = Duration::from_secs(4);
 
 fn chunk(text: &str) -> String {
     format!("{:x}\r\n{text}\r\n", text.len())
 }
 
-/// What becomes of a watch.
+/// How a watch fails.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Fault {
-    /// It is accepted, and nothing more is heard.
-    Unanswered,
-    /// The answer's head comes, and then nothing.
-    HeadAlone,
-    /// Empty lines come, and then nothing.
-    Quiet,
-    /// A part of a line comes, and then nothing.
-    HalfLine,
-    /// A line goes on and does not end.
+    /// The connection is accepted, and nothing is received.
+    NoResponse,
+    /// The response's head is received, and then nothing.
+    HeadOnly,
+    /// Empty lines are received, and then nothing.
+    Silent,
+    /// A part of a line is received, and then nothing.
+    PartialLine,
+    /// A line continues and does not end.
     EndlessLine,
-    /// The call is refused by the service.
+    /// The service responds with 503.
     Unavailable,
-    /// The connection is reset in the midst of a line.
+    /// The connection is reset within a line.
     Reset,
-    /// A line makes no sense.
-    Nonsense,
+    /// A line is not JSON.
+    Malformed,
 }
 
 impl Fault {
     const ALL: [Self; 8] = [
-        Self::Unanswered,
-        Self::HeadAlone,
-        Self::Quiet,
-        Self::HalfLine,
+        Self::NoResponse,
+        Self::HeadOnly,
+        Self::Silent,
+        Self::PartialLine,
         Self::EndlessLine,
         Self::Unavailable,
         Self::Reset,
-        Self::Nonsense,
+        Self::Malformed,
     ];
 
-    /// Plays it on a watch, which is held open as long as the node holds it.
-    fn play(self, stream: &mut TcpStream) {
+    /// Injects the fault into a watch and keeps it open for as long as the node does.
+    fn inject(self, stream: &mut TcpStream) {
         self.begin(stream);
-        self.go_on(stream);
+        self.continue_until_closed(stream);
     }
 
     fn begin(self, stream: &mut TcpStream) {
         let line = list(2, false, &[]);
         let text = match self {
-            Self::Unanswered => String::new(),
-            Self::HeadAlone => HEAD.to_owned(),
-            Self::Quiet => format!("{HEAD}{}{}", chunk("\n"), chunk("\n")),
-            Self::HalfLine | Self::EndlessLine | Self::Reset => {
+            Self::NoResponse => String::new(),
+            Self::HeadOnly => HEAD.to_owned(),
+            Self::Silent => format!("{HEAD}{}{}", chunk("\n"), chunk("\n")),
+            Self::PartialLine | Self::EndlessLine | Self::Reset => {
                 format!("{HEAD}{}", chunk(&line[..20]))
             }
             Self::Unavailable => {
                 "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n".to_owned()
             }
-            Self::Nonsense => format!("{HEAD}{}", chunk("{\"generation\":}\n")),
+            Self::Malformed => format!("{HEAD}{}", chunk("{\"generation\":}\n")),
         };
-        // One that is moved meanwhile may have been ended.
+        // The node may have closed it by now, if discovery has moved.
         let _ = stream.write_all(text.as_bytes());
         if self == Self::Reset {
             let _ = socket2::SockRef::from(&*stream).set_linger(Some(Duration::ZERO));
         }
     }
 
-    fn go_on(self, stream: &mut TcpStream) {
+    fn continue_until_closed(self, stream: &mut TcpStream) {
         if self == Self::Reset {
             return;
         }
@@ -92,47 +95,54 @@
     }
 }
 
-/// Two servers that say which they are, and settings under which a change of the list must be known in a while.
-struct World {
+/// Two servers that respond with their number, and settings under which a change of the list must
+/// take effect within a grace.
+struct Site {
     servers: [Server; 2],
-    text: String,
+    settings: String,
 }
 
-impl World {
-    fn new(asked_for: bool) -> Self {
+impl Site {
+    fn new(subscribed: bool) -> Self {
         let servers = [0, 1].map(|n| Server::start(move |_| Reply::ok(&n.to_string())));
-        let text = settings(15_000).replace(
+        let settings = settings(15_000).replace(
             "\"drain_grace_ms\":0.0",
             "\"drain_grace_ms\":2000.0,\"ask_within_ms\":10000.0",
         );
-        let text = if asked_for {
-            text.replace("automatic", "subscribe")
+        let settings = if subscribed {
+            settings.replace("automatic", "subscribe")
         } else {
-            text
+            settings
         };
-        Self { servers, text }
+        Self { servers, settings }
     }
 
-    fn list(&self, version: u64, is_whole: bool, first: &str) -> String {
-        let states = [first, "ready"];
-        let entries = [0, 1].map(|n| self.servers[n].entry(&format!("s-{n}"), states[n]));
-        list(version, is_whole, &entries)
+    fn list(&self, generation: u64, is_whole: bool, first: &str) -> String {
+        let lifecycles = [first, "ready"];
+        let entries = [0, 1].map(|n| self.servers[n].entry(&format!("s-{n}"), lifecycles[n]));
+        list(generation, is_whole, &entries)
     }
 
-    /// A node that knows the list in this version.
-    fn config(&self, discovery: &TcpListener, version: u64) -> String {
+    /// The configuration of a node that knows the list in this generation.
+    fn config(&self, discovery: &TcpListener, generation: u64) -> String {
         let at = discovery.local_addr().expect("an address");
-        config(at, &self.list(version, true, "ready"), &self.text)
+        config(at, &self.list(generation, true, "ready"), &self.settings)
     }
 
-    /// Says that the first server drains, and waits until no request goes there.
-    fn drains(&self, watch: &mut TcpStream, node: &Node, version: u64, is_whole: bool) {
-        let said = self.list(version, is_whole, "draining") + "\n";
+    /// Sends a list in which the first server drains, and waits until it gets no request.
+    fn drain_first_server(
+        &self,
+        watch: &mut TcpStream,
+        node: &Node,
+        generation: u64,
+        is_whole: bool,
+    ) {
+        let line = self.list(generation, is_whole, "draining") + "\n";
         watch
-            .write_all(format!("{HEAD}{}", chunk(&said)).as_bytes())
+            .write_all(format!("{HEAD}{}", chunk(&line)).as_bytes())
             .expect("an open connection");
         let mut id = 0;
-        until("the change is known", || {
+        until("the change takes effect", || {
             (0..8).all(|_| {
                 id += 1;
                 node.ask(&read(&format!("known-{id}"), "15000m")).body == b"1"
@@ -141,153 +151,153 @@
     }
 }
 
-/// The next call of a node's, and its first line.
-fn next_call(discovery: &TcpListener) -> (TcpStream, String) {
+/// The node's next connection to discovery, and its request line.
+fn next_watch(discovery: &TcpListener) -> (TcpStream, String) {
     discovery.set_nonblocking(true).expect("a socket");
-    let mut came = None;
-    until("the node calls", || {
-        came = discovery.accept().ok();
-        came.is_some()
+    let mut accepted = None;
+    until("the node opens a watch", || {
+        accepted = discovery.accept().ok();
+        accepted.is_some()
     });
-    let (stream, _) = came.expect("it came");
+    let (stream, _) = accepted.expect("`until` has waited for it");
     stream.set_nonblocking(false).expect("a socket");
     stream.set_read_timeout(Some(PATIENCE)).expect("a socket");
-    let call = Message::read(&mut BufReader::new(&stream)).expect("a call");
-    (stream, call.first)
+    let request = Message::read(&mut BufReader::new(&stream)).expect("a request");
+    (stream, request.first)
 }
 
-/// A node whose first watch goes wrong; the second says that the first of two servers drains. Tells how long that took
-/// from the first call on.
-fn told_after(fault: Fault, asked_for: bool) -> Duration {
-    let world = World::new(asked_for);
+/// Runs a node whose first watch fails and whose second one drains the first of two servers.
+/// Returns how long the drain takes to take effect, from the first watch on.
+fn propagation_after_fault(fault: Fault, subscribed: bool) -> Duration {
+    let site = Site::new(subscribed);
     let discovery = TcpListener::bind("127.0.0.1:0").expect("a port");
-    let node = Node::start(&world.config(&discovery, 1));
-    let (mut first, _) = next_call(&discovery);
+    let node = Node::start(&site.config(&discovery, 1));
+    let (mut first, _) = next_watch(&discovery);
     let since = Instant::now();
-    let held = std::thread::spawn(move || fault.play(&mut first));
-    let (mut second, call) = next_call(&discovery);
-    let all_anew = !call.contains("from=");
+    let injection = std::thread::spawn(move || fault.inject(&mut first));
+    let (mut second, request_line) = next_watch(&discovery);
+    let requests_whole_list = !request_line.contains("from=");
     assert_eq!(
-        all_anew,
-        fault == Fault::Nonsense,
-        "after what made no sense the whole list is asked for: {call}"
+        requests_whole_list,
+        fault == Fault::Malformed,
+        "only after a malformed list the whole one is requested: {request_line}"
     );
-    world.drains(&mut second, &node, 3, all_anew);
-    let took = since.elapsed();
-    held.join().expect("it has been played");
-    took
+    site.drain_first_server(&mut second, &node, 3, requests_whole_list);
+    let elapsed = since.elapsed();
+    injection.join().expect("the fault is injected");
+    elapsed
 }
 
-fn all_are_told_in_time(asked_for: bool) {
-    let played = Fault::ALL.map(|fault| {
+fn check_propagation_after_every_fault(subscribed: bool) {
+    let runs = Fault::ALL.map(|fault| {
         (
             fault,
-            std::thread::spawn(move || told_after(fault, asked_for)),
+            std::thread::spawn(move || propagation_after_fault(fault, subscribed)),
         )
     });
-    for (fault, told) in played {
-        let took = told.join().unwrap_or_else(|_| panic!("{fault:?}"));
-        assert!(took < PROPAGATION_DEADLINE, "{fault:?}: {took:?}");
+    for (fault, run) in runs {
+        let elapsed = run.join().unwrap_or_else(|_| panic!("{fault:?}"));
+        assert!(elapsed < PROPAGATION_DEADLINE, "{fault:?}: {elapsed:?}");
     }
 }
 
-/// Guards the rule on when a change counts as told, whatever becomes of a watch.
 #[test]
-fn news_come_in_time_whatever_becomes_of_a_pushed_watch() {
-    all_are_told_in_time(false);
+fn change_after_a_failed_pushed_watch_takes_effect_in_time() {
+    check_propagation_after_every_fault(false);
 }
 
 #[test]
-fn news_come_in_time_whatever_becomes_of_a_watch_that_is_asked_for() {
-    all_are_told_in_time(true);
+fn change_after_a_failed_subscribed_watch_takes_effect_in_time() {
+    check_propagation_after_every_fault(true);
 }
 
-/// A change counts as told this long after a signal that moves discovery.
-const MOVED: Duration = Duration::from_secs(4);
-
-/// A node whose first watch goes wrong and that is told of another discovery, one right after the other: `fault_first` says
-/// which. The other one says that the first of two servers drains. Tells how long that took from the signal on.
-fn told_after_move(fault: Fault, asked_for: bool, fault_first: bool) -> Duration {
-    let world = World::new(asked_for);
+/// Runs a node whose first watch fails and whose discovery moves, one right after the other:
+/// `fault_first` says which comes first. The new discovery drains the first of two servers. Returns
+/// how long the drain takes to take effect, from the signal on.
+fn propagation_after_move(fault: Fault, subscribed: bool, fault_first: bool) -> Duration {
+    let site = Site::new(subscribed);
     let discoveries = [0; 2].map(|_| TcpListener::bind("127.0.0.1:0").expect("a port"));
-    let texts = discoveries
+    let configs = discoveries
         .each_ref()
-        .map(|discovery| world.config(discovery, 7));
-    let node = Node::start(&texts[0]);
-    let (first, call) = next_call(&discoveries[0]);
-    assert!(call.contains("from=7"), "{call}");
-    // Whoever comes second is held up until the other has been done, and no longer.
-    let both = Arc::new(Barrier::new(2));
-    let meets = Arc::clone(&both);
-    let held = std::thread::spawn(move || {
+        .map(|discovery| site.config(discovery, 7));
+    let node = Node::start(&configs[0]);
+    let (first, request_line) = next_watch(&discoveries[0]);
+    assert!(request_line.contains("from=7"), "{request_line}");
+    // Whichever comes second waits until the first is done, and no longer.
+    let barrier = Arc::new(Barrier::new(2));
+    let injection_barrier = Arc::clone(&barrier);
+    let injection = std::thread::spawn(move || {
         let mut first = Some(first);
         if !fault_first {
-            meets.wait();
+            injection_barrier.wait();
         }
         first
             .as_mut()
             .into_iter()
             .for_each(|stream| fault.begin(stream));
-        // It is dropped that is reset.
+        // Dropping the stream resets the connection.
         let mut first = first.filter(|_| fault != Fault::Reset);
         if fault_first {
-            meets.wait();
+            injection_barrier.wait();
         }
         first
             .as_mut()
             .into_iter()
-            .for_each(|stream| fault.go_on(stream));
+            .for_each(|stream| fault.continue_until_closed(stream));
     });
     if fault_first {
-        both.wait();
-        node.reload(&texts[1]);
+        barrier.wait();
+        node.reload(&configs[1]);
     } else {
-        node.reload(&texts[1]);
-        both.wait();
+        node.reload(&configs[1]);
+        barrier.wait();
     }
     let since = Instant::now();
-    let (mut second, call) = next_call(&discoveries[1]);
+    let (mut second, request_line) = next_watch(&discoveries[1]);
     assert!(
-        !call.contains("from="),
-        "versions are one discovery's own: {call}"
+        !request_line.contains("from="),
+        "generations are one discovery's own: {request_line}"
     );
-    world.drains(&mut second, &node, 2, true);
-    let took = since.elapsed();
+    site.drain_first_server(&mut second, &node, 2, true);
+    let elapsed = since.elapsed();
     drop((second, discoveries, node));
-    held.join().expect("it has been played");
-    took
+    injection.join().expect("the fault is injected");
+    elapsed
 }
 
-/// Guards against a node that is held up by the watch it had when it is told of another discovery, whatever becomes of that
-/// watch just before or just after.
+/// Guards against a node that is delayed by its old watch when discovery moves, however that watch
+/// fails just before or just after.
 #[test]
-fn a_move_of_discovery_is_heard_beside_any_fault_of_the_watch_before() {
-    for asked_for in [false, true] {
+fn move_of_discovery_beside_a_failed_watch_takes_effect_in_time() {
+    for subscribed in [false, true] {
         let cases = Fault::ALL
             .iter()
             .flat_map(|fault| [(*fault, true), (*fault, false)]);
-        let played: Vec<_> = cases
+        let runs: Vec<_> = cases
             .map(|case| {
                 (
                     case,
-                    std::thread::spawn(move || told_after_move(case.0, asked_for, case.1)),
+                    std::thread::spawn(move || propagation_after_move(case.0, subscribed, case.1)),
                 )
             })
             .collect();
-        for (case, told) in played {
-            let took = told
+        for (case, run) in runs {
+            let elapsed = run
                 .join()
-                .unwrap_or_else(|_| panic!("{case:?}, asked for: {asked_for}"));
-            assert!(took < MOVED, "{case:?}, asked for: {asked_for}: {took:?}");
+                .unwrap_or_else(|_| panic!("{case:?}, subscribed: {subscribed}"));
+            assert!(
+                elapsed < MOVE_DEADLINE,
+                "{case:?}, subscribed: {subscribed}: {elapsed:?}"
+            );
         }
     }
 }
 
-/// Guards against a node that is told of another discovery while it waits to ask again, and asks that one for what has
-/// changed since a version of the other.
+/// Guards against a node whose discovery moves while it waits to subscribe again, and that requests
+/// from the new one the changes since a generation of the old one.
 #[test]
-fn a_discovery_that_is_new_is_asked_for_the_whole_list() {
-    let text = settings(15_000).replace("automatic", "subscribe").replace(
+fn new_discovery_is_asked_for_the_whole_list() {
+    let settings = settings(15_000).replace("automatic", "subscribe").replace(
         "\"drain_grace_ms\":0.0",
         "\"drain_grace_ms\":0.0,\"ask_within_ms\":600000.0",
     );
@@ -297,14 +307,14 @@
         &[entry("s-0", Unreachable::start().address, "ready")],
     );
     let (old, new) = (Discovery::start(), Discovery::start());
-    let node = Node::start(&config(old.address, &known, &text));
-    // One call after another fails at once, so that the node waits between two of them nearly all the time.
+    let node = Node::start(&config(old.address, &known, &settings));
+    // Each watch fails at once, so that the node waits between two of them nearly all the time.
     for _ in 0..6 {
         assert!(old.watch().asked.contains("from=7"));
     }
-    node.reload(&config(new.address, &known, &text));
+    node.reload(&config(new.address, &known, &settings));
     assert!(
         !new.watch().asked.contains("from="),
-        "versions are one discovery's own"
+        "generations are one discovery's own"
     );
 }
