--- a/crates/consul/src/instance.rs
+++ b/crates/consul/src/instance.rs
@@ -1,4 +1,4 @@
-//! An instance of a service as the two APIs word it.
+//! An instance of a service, as Consul's two API endpoints describe it.
 
 use std::collections::HashMap;
 use std::fmt;
@@ -7,14 +7,19 @@
 
 use crate::query::Api;
 
-/// What a check says.
+/// The check id of a node's maintenance mode.
+const NODE_MAINTENANCE_CHECK: &str = "_node_maintenance";
+/// The prefix of the check ids of services' maintenance modes.
+const SERVICE_MAINTENANCE_PREFIX: &str = "_service_maintenance";
+
+/// A check's status, by severity.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Status {
-    /// All is well.
+    /// The check passes.
     Passing,
-    /// It may go on.
+    /// The check warns.
     Warning,
-    /// It may not.
+    /// The check fails.
     Critical,
     /// An operator has put the node or the service into maintenance mode.
     Maintenance,
@@ -25,50 +30,101 @@
 pub struct Check {
     /// Its id.
     pub id: String,
-    /// What it says.
+    /// Its status.
     pub status: Status,
 }
 
-/// An instance.
+/// A tagged address of a service.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub struct TaggedAddress {
+    /// An IP address or a host name.
+    pub address: String,
+    /// The port.
+    pub port: u16,
+}
+
+/// Consul's load-balancing weights of an instance.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub struct Weights {
+    /// While all checks pass.
+    pub passing: f64,
+    /// While a check warns.
+    pub warning: f64,
+}
+
+/// Consul's own default.
+impl Default for Weights {
+    fn default() -> Self {
+        Self {
+            passing: 1.0,
+            warning: 1.0,
+        }
+    }
+}
+
+/// An instance of a service.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Instance {
     /// The node's name.
     pub node: String,
     /// The node's address.
     pub node_address: String,
-    /// The node's meta data.
+    /// The node's metadata.
     pub node_meta: HashMap<String, String>,
-    /// The service's id, which is its own on its node.
+    /// The service's id, unique on its node.
     pub id: String,
-    /// The service's address; empty where it is the node's.
+    /// The service's address; empty if it is the node's.
     pub address: String,
     /// The service's port.
     pub port: u16,
     /// The service's tags.
     pub tags: Vec<String>,
-    /// The service's meta data.
+    /// The service's metadata.
     pub meta: HashMap<String, String>,
-    /// The service's further addresses.
-    pub tagged: HashMap<String, (String, u16)>,
-    /// Its weights while its checks pass, and while one warns.
-    pub weights: (f64, f64),
-    /// Its checks and its node's.
+    /// The service's further addresses, by tag.
+    pub tagged_addresses: HashMap<String, TaggedAddress>,
+    /// The service's weights.
+    pub weights: Weights,
+    /// The service's checks and its node's.
     pub checks: Vec<Check>,
-    /// When it was last registered, as Consul counts changes.
-    pub index: u64,
+    /// `ModifyIndex`: when it was last registered, as Consul counts changes.
+    pub modify_index: u64,
 }
 
-/// An element of an answer that is no instance.
+/// Why an element of a response is not an instance.
 #[derive(Debug)]
-pub struct Malformed(String);
+pub enum InstanceError {
+    /// It is not JSON, or lacks what makes an instance: the node's name, the service's id, a check's
+    /// status.
+    Json(serde_json::Error),
+    /// A check's status is none of the known ones.
+    UnknownCheckStatus(String),
+}
 
-impl fmt::Display for Malformed {
+impl fmt::Display for InstanceError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "an instance is malformed: {}", self.0)
+        f.write_str("an instance is malformed: ")?;
+        match self {
+            Self::Json(error) => write!(f, "{error}"),
+            Self::UnknownCheckStatus(status) => write!(f, "a check's status is {status:?}"),
+        }
     }
 }
 
-impl std::error::Error for Malformed {}
+impl std::error::Error for InstanceError {
+    fn source(&self) -> Option<&(dyn std::error::Error + 'static)> {
+        match self {
+            Self::Json(error) => Some(error),
+            Self::UnknownCheckStatus(_) => None,
+        }
+    }
+}
+
+impl From<serde_json::Error> for InstanceError {
+    fn from(error: serde_json::Error) -> Self {
+        Self::Json(error)
+    }
+}
 
 #[derive(Deserialize)]
 #[serde(rename_all = "PascalCase")]
@@ -121,13 +177,13 @@
 #[derive(Clone, Copy, Deserialize)]
 #[serde(rename_all = "PascalCase")]
 struct RawWeights {
-    #[serde(default = "one")]
+    #[serde(default = "default_weight")]
     passing: f64,
-    #[serde(default = "one")]
+    #[serde(default = "default_weight")]
     warning: f64,
 }
 
-fn one() -> f64 {
+fn default_weight() -> f64 {
     1.0
 }
 
@@ -166,27 +222,24 @@
 }
 
 impl Instance {
-    /// Reads an element of an answer.
+    /// Parses an element of a response.
     ///
     /// # Errors
     ///
-    /// It is no JSON, or lacks what makes an instance: the node's name, the service's id, a check's status.
-    pub fn read(api: Api, element: &[u8]) -> Result<Self, Malformed> {
-        let malformed = |error: serde_json::Error| Malformed(error.to_string());
+    /// See [`InstanceError`].
+    pub fn parse(api: Api, element: &[u8]) -> Result<Self, InstanceError> {
         match api {
-            Api::Health => Self::from_health(serde_json::from_slice(element).map_err(malformed)?),
-            Api::Catalog => serde_json::from_slice(element)
-                .map(Self::from_catalog)
-                .map_err(malformed),
+            Api::Health => Self::from_health(serde_json::from_slice(element)?),
+            Api::Catalog => Ok(Self::from_catalog(serde_json::from_slice(element)?)),
         }
     }
 
-    fn from_health(raw: RawHealth) -> Result<Self, Malformed> {
+    fn from_health(raw: RawHealth) -> Result<Self, InstanceError> {
         let checks = raw
             .checks
             .unwrap_or_default()
             .into_iter()
-            .map(RawCheck::read);
+            .map(Check::try_from);
         Ok(Self {
             node: raw.node.node,
             node_address: raw.node.address,
@@ -196,10 +249,10 @@
             port: raw.service.port,
             tags: raw.service.tags.unwrap_or_default(),
             meta: raw.service.meta.unwrap_or_default(),
-            tagged: tagged(raw.service.tagged_addresses),
+            tagged_addresses: tagged_addresses(raw.service.tagged_addresses),
             weights: weights(raw.service.weights),
             checks: checks.collect::<Result<_, _>>()?,
-            index: raw.service.modify_index,
+            modify_index: raw.service.modify_index,
         })
     }
 
@@ -213,14 +266,14 @@
             port: raw.service_port,
             tags: raw.service_tags.unwrap_or_default(),
             meta: raw.service_meta.unwrap_or_default(),
-            tagged: tagged(raw.service_tagged_addresses),
+            tagged_addresses: tagged_addresses(raw.service_tagged_addresses),
             weights: weights(raw.service_weights),
             checks: Vec::new(),
-            index: raw.modify_index,
+            modify_index: raw.modify_index,
         }
     }
 
-    /// What its checks say together: the gravest.
+    /// The most severe status of its checks; passing if it has none.
     #[must_use]
     pub fn status(&self) -> Status {
         self.checks
@@ -231,33 +284,34 @@
     }
 }
 
-impl RawCheck {
-    /// Maintenance mode is a critical check of a reserved id.
-    fn read(self) -> Result<Check, Malformed> {
-        let is_reserved =
-            self.id == "_node_maintenance" || self.id.starts_with("_service_maintenance");
-        let status = match self.status.as_str() {
+impl TryFrom<RawCheck> for Check {
+    type Error = InstanceError;
+
+    /// Maintenance mode is a critical check with a reserved id.
+    fn try_from(raw: RawCheck) -> Result<Self, InstanceError> {
+        let is_maintenance_check =
+            raw.id == NODE_MAINTENANCE_CHECK || raw.id.starts_with(SERVICE_MAINTENANCE_PREFIX);
+        let status = match raw.status.as_str() {
             "passing" => Status::Passing,
             "warning" => Status::Warning,
-            "critical" if is_reserved => Status::Maintenance,
+            "critical" if is_maintenance_check => Status::Maintenance,
             "critical" => Status::Critical,
             "maintenance" => Status::Maintenance,
-            other => return Err(Malformed(format!("a check's status is {other:?}"))),
+            _ => return Err(InstanceError::UnknownCheckStatus(raw.status)),
         };
-        Ok(Check {
-            id: self.id,
-            status,
-        })
+        Ok(Self { id: raw.id, status })
     }
 }
 
-fn tagged(raw: Option<HashMap<String, RawAddress>>) -> HashMap<String, (String, u16)> {
+fn tagged_addresses(raw: Option<HashMap<String, RawAddress>>) -> HashMap<String, TaggedAddress> {
     raw.unwrap_or_default()
         .into_iter()
-        .map(|(tag, at)| (tag, (at.address, at.port)))
+        .map(|(tag, RawAddress { address, port })| (tag, TaggedAddress { address, port }))
         .collect()
 }
 
-fn weights(raw: Option<RawWeights>) -> (f64, f64) {
-    raw.map_or((1.0, 1.0), |weights| (weights.passing, weights.warning))
+fn weights(raw: Option<RawWeights>) -> Weights {
+    raw.map_or_else(Weights::default, |RawWeights { passing, warning }| {
+        Weights { passing, warning }
+    })
 }
--- a/crates/consul/src/lib.rs
+++ b/crates/consul/src/lib.rs
@@ -1,48 +1,60 @@
-//! Consul's catalogue and health API as a reader needs it, without a socket: what to ask ([`Query`]), when and whom
-//! ([`Watch`]), what an answer says ([`Instance`], [`Mapping`]) and what has changed since the last one.
+//! A client of Consul's catalog and health API, without a socket: what to query ([`Query`]), when
+//! and from which agent ([`Watch`]), what a response says ([`Instance`], [`Mapping`]) and what has
+//! changed since the last one ([`Snapshot`]).
 //!
-//! A [`Watch`] follows one service by blocking queries through several agents. It is fed what comes over the wire, in
-//! any pieces, and pushes what is to be done. An answer counts whole or not at all. It is read as it comes, one
-//! instance at a time, and an instance that has not changed costs a look at its bytes: so an answer's size bounds no
-//! memory.
+//! A [`Watch`] follows one service by blocking queries through several agents. It handles what
+//! comes over the wire, in pieces of any size, and appends what must be done. A response counts
+//! completely or not at all. It is parsed while it arrives, one instance at a time, and an instance
+//! that has not changed costs a hash of its bytes: the size of a response bounds no memory.
 //!
-//! Source: the published HTTP API pages of Consul ("Blocking Queries", "Consistency Modes", "Health", "Catalog",
-//! "Filtering"). Times are milliseconds of any clock that never runs backwards.
+//! Source: the published HTTP API pages of Consul ("Blocking Queries", "Consistency Modes",
+//! "Health", "Catalog", "Filtering"). Times are milliseconds of any clock that never goes back.
 //!
 //! ```
-//! use consul::{Action, Event, Mapping, Query, State, Watch, WatchSettings};
+//! use consul::{Action, Event, Lifecycle, Mapping, Query, Watch, WatchSettings};
 //!
 //! let settings = WatchSettings::new(Query::health("holds"), Mapping::default(), 1);
 //! let mut watch = Watch::new(settings, 7);
 //! let mut actions = Vec::new();
-//! watch.handle(0.0, Event::Due, &mut actions);
-//! assert!(matches!(&actions[0], Action::Ask { agent: 0, path, .. } if path == "/v1/health/service/holds"));
+//! watch.handle(0.0, Event::TimerExpired, &mut actions);
+//! assert!(matches!(
+//!     &actions[0],
+//!     Action::SendQuery { agent: 0, path } if path == "/v1/health/service/holds"
+//! ));
 //!
 //! actions.clear();
-//! let head = [("x-consul-index", "41"), ("x-consul-knownleader", "true")];
-//! watch.handle(1.0, Event::Head { status: 200, headers: &head }, &mut actions);
+//! let headers = [("x-consul-index", "41"), ("x-consul-knownleader", "true")];
+//! watch.handle(1.0, Event::Head { status: 200, headers: &headers }, &mut actions);
 //! let body = br#"[{"Node": {"Node": "n", "Address": "10.0.0.7"},
 //!     "Service": {"ID": "s-1", "Service": "holds", "Port": 8443, "ModifyIndex": 12},
 //!     "Checks": [{"CheckID": "service:s-1", "Status": "passing"}]}]"#;
 //! watch.handle(1.0, Event::Body(body), &mut actions);
 //! watch.handle(1.0, Event::End, &mut actions);
-//! let news = actions.iter().find_map(|action| if let Action::Tell(news) = action { Some(news) } else { None });
-//! let news = news.expect("the answer is whole");
-//! assert_eq!((news.words[0].key.as_str(), news.words[0].state), ("s-1", State::Ready));
+//! let report = actions.iter().find_map(|action| match action {
+//!     Action::Report(report) => Some(report),
+//!     _ => None,
+//! });
+//! let facts = &report.expect("the response is complete").updated[0];
+//! assert_eq!((facts.key.as_str(), facts.lifecycle), ("s-1", Lifecycle::Ready));
 //! ```
 
-mod elements;
-mod head;
 mod instance;
+mod json_stream;
 mod mapping;
 mod query;
+mod response_head;
+mod snapshot;
 mod watch;
-mod world;
 
-pub use elements::{Elements, NotAnArray, MOST_ELEMENT};
-pub use head::Head;
-pub use instance::{Check, Instance, Malformed, Status};
-pub use mapping::{BadPlace, Facts, Mapping, Named, Place, Said, State, Unusable};
+pub use instance::{Check, Instance, InstanceError, Status, TaggedAddress, Weights};
+pub use json_stream::{JsonArrayStream, JsonStreamError, MAX_ELEMENT_BYTES};
+pub use mapping::{
+    FieldSource, FieldSourceError, InstanceFacts, KeySource, Lifecycle, Mapping, MetaRule,
+    StatusLifecycles, TagRule, UnidentifiedInstance,
+};
 pub use query::{Api, Consistency, Query};
-pub use watch::{Action, Event, News, Trouble, Watch, WatchSettings, MOST_ANSWER};
-pub use world::{Change, World, MOST_INSTANCES};
+pub use response_head::ResponseHead;
+pub use snapshot::{Change, MalformedInstances, Snapshot, TooManyInstances, MAX_INSTANCES};
+pub use watch::{
+    Action, Event, PollError, ResponseError, Watch, WatchEvent, WatchSettings, MAX_RESPONSE_BYTES,
+};
--- a/crates/consul/src/mapping.rs
+++ b/crates/consul/src/mapping.rs
@@ -1,42 +1,43 @@
-//! What an instance means to silverthread, as the operators say: which server it is, and whether it takes requests.
+//! The operators' mapping from instances to endpoints: which endpoint an instance is, whether it
+//! accepts requests, and its attributes.
 
 use std::fmt;
 use std::net::{IpAddr, SocketAddr};
 use std::str::FromStr;
 
-use crate::instance::{Instance, Status};
+use crate::instance::{Instance, Status, TaggedAddress};
 
-/// Whether a server takes requests.
+/// Whether an endpoint accepts requests, by severity.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub enum State {
-    /// It takes requests.
+pub enum Lifecycle {
+    /// It accepts requests.
     Ready,
-    /// It finishes what it has.
+    /// It finishes the requests that it has and gets no new ones.
     Draining,
-    /// It is of no use.
+    /// It is removed.
     Gone,
 }
 
-/// Where in an instance a value stands.
+/// The field of an instance from which a value is taken.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Place {
+pub enum FieldSource {
     /// `service-id`: the service's id.
     ServiceId,
     /// `node`: the node's name.
     Node,
-    /// `meta:KEY`: the service's meta data.
+    /// `meta:KEY`: the service's metadata.
     Meta(String),
-    /// `node-meta:KEY`: the node's meta data.
+    /// `node-meta:KEY`: the node's metadata.
     NodeMeta(String),
     /// `tag:PREFIX`: what follows the prefix in the first tag that has it.
     Tag(String),
 }
 
-/// A place that is not worded as one.
+/// A text that names no [`FieldSource`].
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct BadPlace(String);
+pub struct FieldSourceError(String);
 
-impl fmt::Display for BadPlace {
+impl fmt::Display for FieldSourceError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(
             f,
@@ -46,25 +47,26 @@
     }
 }
 
-impl std::error::Error for BadPlace {}
+impl std::error::Error for FieldSourceError {}
 
-impl FromStr for Place {
-    type Err = BadPlace;
+impl FromStr for FieldSource {
+    type Err = FieldSourceError;
 
-    fn from_str(text: &str) -> Result<Self, BadPlace> {
+    fn from_str(text: &str) -> Result<Self, FieldSourceError> {
         match text.split_once(':') {
             None if text == "service-id" => Ok(Self::ServiceId),
             None if text == "node" => Ok(Self::Node),
             Some(("meta", key)) if !key.is_empty() => Ok(Self::Meta(key.into())),
             Some(("node-meta", key)) if !key.is_empty() => Ok(Self::NodeMeta(key.into())),
             Some(("tag", prefix)) if !prefix.is_empty() => Ok(Self::Tag(prefix.into())),
-            _ => Err(BadPlace(text.into())),
+            _ => Err(FieldSourceError(text.into())),
         }
     }
 }
 
-impl Place {
-    fn of<'a>(&self, instance: &'a Instance) -> Option<&'a str> {
+impl FieldSource {
+    /// The value in an instance; `None` if it is missing or empty.
+    fn value<'a>(&self, instance: &'a Instance) -> Option<&'a str> {
         let value = match self {
             Self::ServiceId => Some(instance.id.as_str()),
             Self::Node => Some(instance.node.as_str()),
@@ -79,53 +81,103 @@
     }
 }
 
-/// What a server is named by.
+/// What identifies the endpoint of an instance.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Named {
-    /// Its id in the roster, which stands at this place.
-    Id(Place),
-    /// Its address.
+pub enum KeySource {
+    /// The endpoint's id, taken from this field.
+    Id(FieldSource),
+    /// The endpoint's address.
     Address,
 }
 
-/// How instances are read.
+/// The lifecycle that the most severe check status of an instance results in.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct StatusLifecycles {
+    /// For [`Status::Passing`].
+    pub passing: Lifecycle,
+    /// For [`Status::Warning`].
+    pub warning: Lifecycle,
+    /// For [`Status::Critical`].
+    pub critical: Lifecycle,
+    /// For [`Status::Maintenance`].
+    pub maintenance: Lifecycle,
+}
+
+impl StatusLifecycles {
+    fn of(self, status: Status) -> Lifecycle {
+        match status {
+            Status::Passing => self.passing,
+            Status::Warning => self.warning,
+            Status::Critical => self.critical,
+            Status::Maintenance => self.maintenance,
+        }
+    }
+}
+
+/// The lifecycle that a tag results in.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub struct TagRule {
+    /// The tag.
+    pub tag: String,
+    /// The resulting lifecycle.
+    pub lifecycle: Lifecycle,
+}
+
+/// The lifecycle that a value in the service's metadata results in.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub struct MetaRule {
+    /// The metadata's key.
+    pub key: String,
+    /// Its value.
+    pub value: String,
+    /// The resulting lifecycle.
+    pub lifecycle: Lifecycle,
+}
+
+/// How instances are mapped to endpoints.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Mapping {
-    /// What a server is named by.
-    pub named: Named,
-    /// A tagged address that is the server's; otherwise the service's own, or else its node's.
+    /// What identifies the endpoint.
+    pub key: KeySource,
+    /// The tagged address that is the endpoint's; without one, the service's own, or else its
+    /// node's.
     pub tagged_address: Option<String>,
-    /// Tagged addresses at which the server is reached, too.
-    pub also_tagged: Vec<String>,
-    /// What its checks' gravest status makes it: passing, warning, critical, maintenance.
-    pub states: [State; 4],
-    /// What tags make it.
-    pub tags: Vec<(String, State)>,
-    /// What meta data make it: key, value, state.
-    pub meta: Vec<(String, String, State)>,
-    /// Where its zone stands.
-    pub zone: Option<Place>,
-    /// Where its machine kind stands.
-    pub kind: Option<Place>,
-    /// Where its cell stands.
-    pub cell: Option<Place>,
-    /// Where its weight stands; otherwise Consul's own weights tell it.
-    pub weight: Option<Place>,
-    /// Where the time of its last start stands, in milliseconds of Unix time.
-    pub started_at_ms: Option<Place>,
+    /// Tagged addresses at which the endpoint is reached, too.
+    pub alternate_tagged_addresses: Vec<String>,
+    /// The lifecycle by check status.
+    pub status_lifecycles: StatusLifecycles,
+    /// The lifecycle by tags.
+    pub tag_rules: Vec<TagRule>,
+    /// The lifecycle by the service's metadata.
+    pub meta_rules: Vec<MetaRule>,
+    /// The field of the zone.
+    pub zone: Option<FieldSource>,
+    /// The field of the machine type.
+    pub machine_type: Option<FieldSource>,
+    /// The field of the cell.
+    pub cell: Option<FieldSource>,
+    /// The field of the weight; without one, Consul's own weights apply.
+    pub weight: Option<FieldSource>,
+    /// The field of the time of the last start, in milliseconds of Unix time.
+    pub started_at_ms: Option<FieldSource>,
 }
 
 impl Default for Mapping {
     fn default() -> Self {
         Self {
-            named: Named::Id(Place::ServiceId),
+            key: KeySource::Id(FieldSource::ServiceId),
             tagged_address: None,
-            also_tagged: Vec::new(),
-            states: [State::Ready, State::Ready, State::Gone, State::Draining],
-            tags: Vec::new(),
-            meta: Vec::new(),
+            alternate_tagged_addresses: Vec::new(),
+            status_lifecycles: StatusLifecycles {
+                passing: Lifecycle::Ready,
+                warning: Lifecycle::Ready,
+                critical: Lifecycle::Gone,
+                maintenance: Lifecycle::Draining,
+            },
+            tag_rules: Vec::new(),
+            meta_rules: Vec::new(),
             zone: None,
-            kind: None,
+            machine_type: None,
             cell: None,
             weight: None,
             started_at_ms: None,
@@ -133,131 +185,132 @@
     }
 }
 
-/// What an instance says of its server beside its state.
-#[derive(Clone, Debug, Default, PartialEq)]
-pub struct Facts {
-    /// Its address; `None`: it is a name, or there is none.
+/// What an instance says about its endpoint.
+#[derive(Clone, Debug, PartialEq)]
+pub struct InstanceFacts {
+    /// The endpoint's key: its id or address, see [`KeySource`].
+    pub key: String,
+    /// Whether it accepts requests.
+    pub lifecycle: Lifecycle,
+    /// Its address; `None` if there is none, or it is a host name.
     pub address: Option<SocketAddr>,
     /// Its further addresses.
-    pub others: Vec<SocketAddr>,
+    pub alternate_addresses: Vec<SocketAddr>,
     /// Its zone.
     pub zone: Option<String>,
-    /// Its machine kind.
-    pub kind: Option<String>,
+    /// Its machine type.
+    pub machine_type: Option<String>,
     /// Its cell.
     pub cell: Option<usize>,
-    /// When it last started.
+    /// When it last started, in milliseconds of Unix time.
     pub started_at_ms: Option<f64>,
-    /// Its weight while its checks are as they are.
+    /// Its weight with its checks as they are.
     pub weight: f64,
+    /// When the instance was last registered: of two instances of one endpoint the later counts.
+    pub modify_index: u64,
 }
 
-/// What an instance says of its server.
-#[derive(Clone, Debug, PartialEq)]
-pub struct Said {
-    /// What the server is named by.
-    pub key: String,
-    /// Whether it takes requests.
-    pub state: State,
-    /// What is known of it.
-    pub facts: Facts,
-    /// When the instance was last registered: of two for one server the later speaks.
-    pub registered: u64,
-}
-
-/// An instance that cannot be any server: what the operators' file says names it is not there.
+/// An instance that identifies no endpoint: the field that [`KeySource`] names is missing.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Unusable {
+pub struct UnidentifiedInstance {
     /// The service's id.
-    pub id: String,
+    pub service_id: String,
+}
+
+impl fmt::Display for UnidentifiedInstance {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        write!(f, "instance {:?} identifies no endpoint", self.service_id)
+    }
 }
 
+impl std::error::Error for UnidentifiedInstance {}
+
 impl Mapping {
-    /// Reads an instance.
+    /// Maps an instance to what it says about its endpoint.
     ///
     /// # Errors
     ///
-    /// What names the server is missing.
-    pub fn read(&self, instance: &Instance) -> Result<Said, Unusable> {
+    /// The instance identifies no endpoint.
+    pub fn apply(&self, instance: &Instance) -> Result<InstanceFacts, UnidentifiedInstance> {
         let status = instance.status();
-        let by_checks = if status == Status::Passing {
-            instance.weights.0
+        let consul_weight = if status == Status::Passing {
+            instance.weights.passing
         } else {
-            instance.weights.1
-        };
-        let facts = Facts {
-            address: self.address(instance),
-            others: self.others(instance),
-            zone: value(self.zone.as_ref(), instance),
-            kind: value(self.kind.as_ref(), instance),
-            cell: value(self.cell.as_ref(), instance),
-            started_at_ms: figure(self.started_at_ms.as_ref(), instance),
-            weight: figure(self.weight.as_ref(), instance).unwrap_or(by_checks),
+            instance.weights.warning
         };
-        let key = match &self.named {
-            Named::Id(place) => place.of(instance).map(str::to_owned),
-            Named::Address => facts.address.map(|address| address.to_string()),
+        let address = self.address(instance);
+        let key = match &self.key {
+            KeySource::Id(field) => field.value(instance).map(str::to_owned),
+            KeySource::Address => address.map(|address| address.to_string()),
         };
-        let key = key.ok_or_else(|| Unusable {
-            id: instance.id.clone(),
+        let key = key.ok_or_else(|| UnidentifiedInstance {
+            service_id: instance.id.clone(),
         })?;
-        Ok(Said {
+        Ok(InstanceFacts {
             key,
-            state: self.state(instance, status),
-            facts,
-            registered: instance.index,
+            lifecycle: self.lifecycle(instance, status),
+            address,
+            alternate_addresses: self.alternate_addresses(instance),
+            zone: parse_field(self.zone.as_ref(), instance),
+            machine_type: parse_field(self.machine_type.as_ref(), instance),
+            cell: parse_field(self.cell.as_ref(), instance),
+            started_at_ms: parse_number(self.started_at_ms.as_ref(), instance),
+            weight: parse_number(self.weight.as_ref(), instance).unwrap_or(consul_weight),
+            modify_index: instance.modify_index,
         })
     }
 
-    /// The gravest of what its checks, its tags and its meta data make it.
-    fn state(&self, instance: &Instance, status: Status) -> State {
-        let by_checks = self.states[status as usize];
-        let tags = self
-            .tags
+    /// The most severe lifecycle that its checks, tags and metadata result in.
+    fn lifecycle(&self, instance: &Instance, status: Status) -> Lifecycle {
+        let by_tags = self
+            .tag_rules
             .iter()
-            .filter(|(tag, _)| instance.tags.contains(tag))
-            .map(|(_, state)| *state);
-        let meta = self
-            .meta
+            .filter(|rule| instance.tags.contains(&rule.tag))
+            .map(|rule| rule.lifecycle);
+        let by_meta = self
+            .meta_rules
             .iter()
-            .filter(|(key, value, _)| instance.meta.get(key) == Some(value));
-        tags.chain(meta.map(|(_, _, state)| *state))
-            .fold(by_checks, State::max)
+            .filter(|rule| instance.meta.get(&rule.key) == Some(&rule.value))
+            .map(|rule| rule.lifecycle);
+        by_tags
+            .chain(by_meta)
+            .fold(self.status_lifecycles.of(status), Lifecycle::max)
     }
 
     fn address(&self, instance: &Instance) -> Option<SocketAddr> {
         let tagged = self
             .tagged_address
             .as_ref()
-            .and_then(|tag| instance.tagged.get(tag));
-        let (address, port) = match tagged {
-            Some((address, port)) => (address, *port),
-            None if instance.address.is_empty() => (&instance.node_address, instance.port),
-            None => (&instance.address, instance.port),
-        };
-        socket(address, port)
+            .and_then(|tag| instance.tagged_addresses.get(tag));
+        match tagged {
+            Some(TaggedAddress { address, port }) => socket_address(address, *port),
+            None if instance.address.is_empty() => {
+                socket_address(&instance.node_address, instance.port)
+            }
+            None => socket_address(&instance.address, instance.port),
+        }
     }
 
-    fn others(&self, instance: &Instance) -> Vec<SocketAddr> {
-        let tagged = self
-            .also_tagged
+    fn alternate_addresses(&self, instance: &Instance) -> Vec<SocketAddr> {
+        self.alternate_tagged_addresses
             .iter()
-            .filter_map(|tag| instance.tagged.get(tag));
-        tagged
-            .filter_map(|(address, port)| socket(address, *port))
+            .filter_map(|tag| instance.tagged_addresses.get(tag))
+            .filter_map(|tagged| socket_address(&tagged.address, tagged.port))
             .collect()
     }
 }
 
-fn socket(address: &str, port: u16) -> Option<SocketAddr> {
+/// `None` for a host name, which is not looked up, and for port 0.
+fn socket_address(address: &str, port: u16) -> Option<SocketAddr> {
     let address: IpAddr = address.parse().ok()?;
     (port > 0).then_some(SocketAddr::new(address, port))
 }
 
-fn value<T: FromStr>(place: Option<&Place>, instance: &Instance) -> Option<T> {
-    place?.of(instance)?.parse().ok()
+fn parse_field<T: FromStr>(field: Option<&FieldSource>, instance: &Instance) -> Option<T> {
+    field?.value(instance)?.parse().ok()
 }
 
-fn figure(place: Option<&Place>, instance: &Instance) -> Option<f64> {
-    value(place, instance).filter(|figure: &f64| figure.is_finite() && *figure >= 0.0)
+/// A finite number that is not negative; any other value is ignored.
+fn parse_number(field: Option<&FieldSource>, instance: &Instance) -> Option<f64> {
+    parse_field(field, instance).filter(|number: &f64| number.is_finite() && *number >= 0.0)
 }
--- /dev/null
+++ b/crates/consul/tests/robustness.rs
@@ -0,0 +1,92 @@
+//! Nothing that an agent sends causes a panic, and an invalid response reports nothing.
+
+use consul::{Action, Api, Event, Instance, Mapping, Query, Watch, WatchSettings};
+use proptest::prelude::*;
+
+const VALID: &str = r#"[{"Node":{"Node":"n","Address":"10.0.0.1"},"Service":{"ID":"a","Port":80,"Weights":{"Passing":1,"Warning":1},"Meta":{"k":"v"}},"Checks":[{"CheckID":"c","Status":"passing"}]}]"#;
+
+fn watch() -> Watch {
+    let mut watch = Watch::new(
+        WatchSettings::new(Query::health("holds"), Mapping::default(), 2),
+        3,
+    );
+    watch.handle(0.0, Event::TimerExpired, &mut Vec::new());
+    watch
+}
+
+proptest! {
+    #![proptest_config(ProptestConfig { cases: 2_000, failure_persistence: None, ..ProptestConfig::default() })]
+
+    #[test]
+    fn body_of_arbitrary_bytes_is_reported_only_if_it_is_a_list(
+        pieces in proptest::collection::vec(proptest::collection::vec(any::<u8>(), 0..60), 0..8),
+        index in ".{0,20}",
+        age in ".{0,8}",
+    ) {
+        let (mut watch, mut actions) = (watch(), Vec::new());
+        let headers = [("X-Consul-Index", index.as_str()), ("Age", age.as_str()), ("X-Cache", "HIT")];
+        watch.handle(1.0, Event::Head { status: 200, headers: &headers }, &mut actions);
+        for piece in &pieces {
+            watch.handle(1.0, Event::Body(piece), &mut actions);
+        }
+        watch.handle(1.0, Event::End, &mut actions);
+        let body: Vec<u8> = pieces.concat();
+        let is_list = serde_json::from_slice::<Vec<serde::de::IgnoredAny>>(&body).is_ok();
+        let is_reported = actions.iter().any(|action| matches!(action, Action::Report(report) if report.is_current));
+        prop_assert!(is_list || !is_reported, "reported from {body:?}");
+    }
+
+    /// It is reported, rejected, or reported as not current.
+    #[test]
+    fn valid_response_with_changed_bytes_is_reported_only_if_it_is_json(changes in proptest::collection::vec((0..VALID.len(), any::<u8>()), 1..4)) {
+        let mut bytes = VALID.as_bytes().to_vec();
+        for (at, byte) in changes {
+            bytes[at] = byte;
+        }
+        let (mut watch, mut actions) = (watch(), Vec::new());
+        watch.handle(1.0, Event::Head { status: 200, headers: &[("X-Consul-Index", "5")] }, &mut actions);
+        watch.handle(1.0, Event::Body(&bytes), &mut actions);
+        watch.handle(1.0, Event::End, &mut actions);
+        let is_reported = actions.iter().any(|action| matches!(action, Action::Report(report) if report.is_current));
+        prop_assert!(!is_reported || serde_json::from_slice::<serde::de::IgnoredAny>(&bytes).is_ok());
+    }
+
+    #[test]
+    fn arbitrary_text_is_parsed_as_an_instance_without_panic(text in "[\\{\\}\\[\\],:\"a-zA-Z0-9 ]{0,120}") {
+        let _ = Instance::parse(Api::Health, text.as_bytes());
+        let _ = Instance::parse(Api::Catalog, text.as_bytes());
+    }
+
+    #[test]
+    fn events_in_any_order_never_send_a_query_while_one_is_under_way(events in proptest::collection::vec(0..6_u8, 1..60)) {
+        let (mut watch, mut now_ms, mut is_under_way) = (watch(), 0.0, true);
+        for event in events {
+            let mut actions = Vec::new();
+            now_ms += 50.0;
+            let event = match event {
+                0 => Event::TimerExpired,
+                1 => Event::Head { status: 200, headers: &[("X-Consul-Index", "5")] },
+                2 => Event::Head { status: 500, headers: &[] },
+                3 => Event::Body(VALID.as_bytes()),
+                4 => Event::End,
+                _ => Event::ConnectionFailed("reset".into()),
+            };
+            let ends = matches!(event, Event::End | Event::ConnectionFailed(_) | Event::Head { status: 500, .. });
+            watch.handle(now_ms, event, &mut actions);
+            for action in &actions {
+                match action {
+                    Action::SendQuery { .. } => {
+                        prop_assert!(!is_under_way, "a query is under way");
+                        is_under_way = true;
+                    }
+                    Action::CloseConnection | Action::Report(_) | Action::ReportLost => is_under_way = false,
+                    Action::SetTimer(at_ms) => prop_assert!(*at_ms >= now_ms),
+                    Action::LogError { .. } => {}
+                }
+            }
+            if ends && !actions.is_empty() {
+                is_under_way = false;
+            }
+        }
+    }
+}
--- a/crates/measure/src/following.rs
+++ b/crates/measure/src/following.rs
@@ -159,7 +159,7 @@
 
 fn answer(watch: &mut Watch, now: f64, index: u64, body: &str) -> usize {
     let mut actions = Vec::new();
-    watch.handle(now, Event::Due, &mut actions);
+    watch.handle(now, Event::TimerExpired, &mut actions);
     let index = index.to_string();
     watch.handle(
         now,
@@ -174,7 +174,7 @@
     }
     watch.handle(now, Event::End, &mut actions);
     let told = actions.into_iter().map(|action| match action {
-        consul::Action::Tell(news) => news.words.len(),
+        consul::Action::Report(report) => report.updated.len(),
         _ => 0,
     });
     told.sum()
--- a/src/node/admin/operators.rs
+++ b/src/node/admin/operators.rs
@@ -10,7 +10,10 @@
 use std::path::{Path, PathBuf};
 use std::str::FromStr;
 
-use consul::{Api, Consistency, Mapping, Named, Place, Query, State, WatchSettings};
+use consul::{
+    Api, Consistency, FieldSource, KeySource, Lifecycle, Mapping, MetaRule, Query,
+    StatusLifecycles, TagRule, WatchSettings,
+};
 use endpoint_discovery::{FlapDamping, MatchBy, SourcePolicy};
 use pool::{Address, Route, MOST_ADDRESSES, ORDINARY_PREFERENCE};
 use serde::{Deserialize, Deserializer};
@@ -389,7 +392,7 @@
     Gone,
 }
 
-impl From<RawState> for State {
+impl From<RawState> for Lifecycle {
     fn from(raw: RawState) -> Self {
         match raw {
             RawState::Ready => Self::Ready,
@@ -498,28 +501,28 @@
     }
 }
 
-struct PlaceText(Place);
+struct PlaceText(FieldSource);
 
 impl<'de> Deserialize<'de> for PlaceText {
     fn deserialize<D: Deserializer<'de>>(from: D) -> Result<Self, D::Error> {
         let text = String::deserialize(from)?;
-        Place::from_str(&text)
+        FieldSource::from_str(&text)
             .map(Self)
             .map_err(serde::de::Error::custom)
     }
 }
 
-struct RawNamed(Named);
+struct RawNamed(KeySource);
 
 impl<'de> Deserialize<'de> for RawNamed {
     fn deserialize<D: Deserializer<'de>>(from: D) -> Result<Self, D::Error> {
         let text = String::deserialize(from)?;
         if text == "address" {
-            return Ok(Self(Named::Address));
+            return Ok(Self(KeySource::Address));
         }
-        let place = Place::from_str(&text);
+        let place = FieldSource::from_str(&text);
         place
-            .map(|place| Self(Named::Id(place)))
+            .map(|place| Self(KeySource::Id(place)))
             .map_err(|error| serde::de::Error::custom(format_args!("{error}, nor `address`")))
     }
 }
@@ -800,7 +803,9 @@
                 format!("there are 1 to {MOST_AGENTS} agents"),
             ));
         }
-        let named = self.id.map_or(Named::Id(Place::ServiceId), |id| id.0);
+        let named = self
+            .id
+            .map_or(KeySource::Id(FieldSource::ServiceId), |id| id.0);
         let names = self
             .names_servers
             .as_ref()
@@ -808,7 +813,7 @@
         if let Some(names) = self
             .names_servers
             .as_ref()
-            .filter(|_| names && named == Named::Address)
+            .filter(|_| names && named == KeySource::Address)
         {
             return Err(wrong(
                 names,
@@ -823,7 +828,7 @@
             self.confirm_s,
         );
         trust.may_add_endpoints = names;
-        trust.match_by = if named == Named::Address {
+        trust.match_by = if named == KeySource::Address {
             MatchBy::Address
         } else {
             MatchBy::Id
@@ -860,39 +865,51 @@
             wait_s: self.wait_s.map_or(60, |wait| wait.0),
         };
         let ordinary = Mapping::default();
-        let [passing, warning, critical, maintenance] = ordinary.states;
-        let or = |raw: Option<RawState>, state: State| raw.map_or(state, State::from);
+        let StatusLifecycles {
+            passing,
+            warning,
+            critical,
+            maintenance,
+        } = ordinary.status_lifecycles;
+        let or = |raw: Option<RawState>, default: Lifecycle| raw.map_or(default, Lifecycle::from);
         let meta = self.states.meta.into_iter().flat_map(|(key, states)| {
-            states
-                .into_iter()
-                .map(move |(value, state)| (key.clone(), value, state.into()))
+            states.into_iter().map(move |(value, state)| MetaRule {
+                key: key.clone(),
+                value,
+                lifecycle: state.into(),
+            })
         });
         let mapping = Mapping {
-            named,
+            key: named,
             tagged_address: self.tagged_address,
-            also_tagged: self.also_tagged,
-            states: [
-                or(self.states.passing, passing),
-                or(self.states.warning, warning),
-                or(self.states.critical, critical),
-                or(self.states.maintenance, maintenance),
-            ],
-            tags: self
+            alternate_tagged_addresses: self.also_tagged,
+            status_lifecycles: StatusLifecycles {
+                passing: or(self.states.passing, passing),
+                warning: or(self.states.warning, warning),
+                critical: or(self.states.critical, critical),
+                maintenance: or(self.states.maintenance, maintenance),
+            },
+            tag_rules: self
                 .states
                 .tags
                 .into_iter()
-                .map(|(tag, state)| (tag, state.into()))
+                .map(|(tag, state)| TagRule {
+                    tag,
+                    lifecycle: state.into(),
+                })
                 .collect(),
-            meta: meta.collect(),
+            meta_rules: meta.collect(),
             zone: self.zone.map(|place| place.0),
-            kind: self.kind.map(|place| place.0),
+            machine_type: self.kind.map(|place| place.0),
             cell: self.cell.map(|place| place.0),
             weight: self.weight.map(|place| place.0),
             started_at_ms: self.started_at_ms.map(|place| place.0),
         };
         let mut watch = WatchSettings::new(query, mapping, count);
-        watch.most_age_ms = self.most_age_s.map_or(watch.most_age_ms, Seconds::ms);
-        watch.pace_ms = self.pace_ms.map_or(watch.pace_ms, |pace| pace.0);
+        watch.max_age_ms = self.most_age_s.map_or(watch.max_age_ms, Seconds::ms);
+        watch.response_interval_ms = self
+            .pace_ms
+            .map_or(watch.response_interval_ms, |pace| pace.0);
         let agents = self
             .agents
             .into_inner()
--- a/tests/consul.rs
+++ b/tests/consul.rs
@@ -392,7 +392,7 @@
     until("it is refused and says so", || {
         node.log()
             .iter()
-            .any(|line| line.contains("does not take the token"))
+            .any(|line| line.contains("rejected the token"))
     });
     std::fs::write(&file, "c0ffee-second").expect("the test's own");
     let before = consul.told().len();
