--- a/crates/measure/src/following.rs
+++ b/crates/measure/src/following.rs
@@ -48,7 +48,7 @@
         .map(|_| Server::start(|_| Reply::ok("rooms: 3\n")).quiet())
         .collect();
     let consul = Consul::start();
-    consul.note_nothing();
+    consul.stop_recording();
     for (at, server) in servers.iter().enumerate() {
         consul.register(Instance::new("holds", &name(at), server.address));
     }
@@ -286,16 +286,16 @@
         ("followed, 100 changes a second", true, CHANGES_A_SECOND),
     ] {
         let town = town(2, with_consul);
-        town.consul.change(|catalogue| {
+        town.consul.change(|catalog| {
             for at in 2..MANY {
-                catalogue.put(Instance::new("holds", &name(at), nobody));
+                catalog.put(Instance::new("holds", &name(at), nobody));
             }
         });
         thread::sleep(time(Duration::from_secs(2)));
         let (start, before, asked) = (
             Instant::now(),
             cpu(town.node.process()),
-            town.consul.asked(),
+            town.consul.query_count(),
         );
         let mut done = 0;
         while start.elapsed() < time(FOLLOWING) {
@@ -311,7 +311,7 @@
         }
         let share =
             (cpu(town.node.process()) - before).as_secs_f64() / start.elapsed().as_secs_f64();
-        let answers = (town.consul.asked() - asked) as f64 / start.elapsed().as_secs_f64();
+        let answers = (town.consul.query_count() - asked) as f64 / start.elapsed().as_secs_f64();
         println!(
             "{what:<44} {:>8.1} {:>10.1} {answers:>12.1}",
             share * 100.0,
--- a/crates/testkit/src/consul.rs
+++ b/crates/testkit/src/consul.rs
@@ -1,10 +1,10 @@
-//! A stand-in for a Consul agent, written from the published HTTP API pages. It holds one catalogue in memory, answers
-//! blocking queries, and lags, lies, forgets and vanishes as it is told.
+//! A fake Consul agent, written from the published HTTP API pages. It holds one catalog in memory, answers blocking
+//! queries, and lags, responds wrongly, loses its data and becomes unreachable on request.
 //!
-//! What it speaks: `/v1/health/service/:name` (with `passing`), `/v1/catalog/service/:name`, `/v1/catalog/services`,
+//! What it implements: `/v1/health/service/:name` (with `passing`), `/v1/catalog/service/:name`, `/v1/catalog/services`,
 //! `/v1/status/leader`, `/v1/agent/self`, and of the agent API `service/register`, `service/deregister/:id`,
 //! `service/maintenance/:id`, `maintenance` and `check/update/:id`. Of the query parameters `index`, `wait`, `tag`,
-//! `stale`, `consistent` and `cached`; others are passed over. One node, one datacenter, no ACLs but one token.
+//! `stale`, `consistent` and `cached`; others are ignored. One node, one datacenter, no ACLs but one token.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::io::{BufReader, Write};
@@ -17,14 +17,16 @@
 
 use crate::message::Message;
 
-/// Worlds that are kept for an agent that lags.
-const MOST_WORLDS: usize = 4_096;
-/// How long a query blocks where it does not say, and at the most (as the API pages have it).
-const WAIT: [Duration; 2] = [Duration::from_secs(300), Duration::from_secs(600)];
-/// Pieces of an answer that has no end: some hundred MB. A client that takes them all is a test that fails.
-const MOST_PIECES: usize = 10_000;
-/// How often an agent that lags looks whether a later world is due.
-const LOOK: Duration = Duration::from_millis(5);
+/// Versions of the catalog that are kept for an agent that lags.
+const MAX_VERSIONS: usize = 4_096;
+/// How long a query blocks if it does not say (as the API pages have it).
+const DEFAULT_WAIT: Duration = Duration::from_secs(300);
+/// The longest wait that a query may ask for (as the API pages have it).
+const MAX_WAIT: Duration = Duration::from_secs(600);
+/// Pieces of a response without an end: some hundred MB. A client that receives them all fails its test.
+const MAX_PIECES: usize = 10_000;
+/// How often an agent that lags checks whether a later version is due.
+const LAG_POLL_INTERVAL: Duration = Duration::from_millis(5);
 
 /// An instance of a service.
 #[derive(Clone, Debug, PartialEq)]
@@ -37,7 +39,7 @@
     pub address: SocketAddr,
     /// Its tags.
     pub tags: Vec<String>,
-    /// Its meta data.
+    /// Its metadata.
     pub meta: BTreeMap<String, String>,
     /// Its weights while it passes and while it warns.
     pub weights: (u32, u32),
@@ -93,7 +95,7 @@
                 &self.id
             };
             json!({
-                "Node": "stand-in", "CheckID": id, "Name": id, "Status": status, "Notes": "", "Output": "",
+                "Node": "fake", "CheckID": id, "Name": id, "Status": status, "Notes": "", "Output": "",
                 "ServiceID": service, "ServiceName": self.service, "ServiceTags": self.tags, "Type": "ttl",
                 "Definition": {}, "CreateIndex": self.create_index, "ModifyIndex": self.modify_index,
             })
@@ -104,7 +106,7 @@
 
     fn catalog_json(&self) -> String {
         json!({
-            "ID": "40e4a748-2192-161a-0510-9bf59fe950b5", "Node": "stand-in", "Address": "127.0.0.1",
+            "ID": "40e4a748-2192-161a-0510-9bf59fe950b5", "Node": "fake", "Address": "127.0.0.1",
             "Datacenter": "dc1", "TaggedAddresses": {"lan": "127.0.0.1"}, "NodeMeta": {},
             "ServiceID": self.id, "ServiceName": self.service, "ServiceTags": self.tags, "ServiceMeta": self.meta,
             "ServiceAddress": self.address.ip().to_string(), "ServicePort": self.address.port(),
@@ -118,29 +120,29 @@
 
 fn node_json() -> Value {
     json!({
-        "ID": "40e4a748-2192-161a-0510-9bf59fe950b5", "Node": "stand-in", "Address": "127.0.0.1",
+        "ID": "40e4a748-2192-161a-0510-9bf59fe950b5", "Node": "fake", "Address": "127.0.0.1",
         "Datacenter": "dc1", "TaggedAddresses": {"lan": "127.0.0.1"}, "Meta": {}, "CreateIndex": 1, "ModifyIndex": 1,
     })
 }
 
-/// An instance with its words, which are made once.
+/// An instance with its JSON, which is built once.
 #[derive(Debug)]
-struct Held {
+struct RegisteredInstance {
     instance: Instance,
     health: String,
     catalog: String,
 }
 
-/// The catalogue at an index.
+/// The catalog at an index.
 #[derive(Clone, Debug, Default)]
-pub struct Catalogue {
+pub struct Catalog {
     /// The index.
     pub index: u64,
-    instances: BTreeMap<String, Arc<Held>>,
+    instances: BTreeMap<String, Arc<RegisteredInstance>>,
 }
 
-impl Catalogue {
-    /// The same at another index.
+impl Catalog {
+    /// The same catalog at another index.
     #[must_use]
     pub fn at_index(self, index: u64) -> Self {
         Self { index, ..self }
@@ -148,83 +150,98 @@
 
     /// The instances.
     pub fn instances(&self) -> impl Iterator<Item = &Instance> {
-        self.instances.values().map(|held| &held.instance)
+        self.instances
+            .values()
+            .map(|registered| &registered.instance)
     }
 }
 
-/// What an agent does to its answers.
+/// What an agent does to its responses.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub enum Fault {
     /// Nothing.
     #[default]
     None,
-    /// It answers with this status.
+    /// It responds with this status.
     Status(u16),
-    /// It ends the connection after so many bytes of the body.
-    Cut(usize),
-    /// It reads the query and never answers.
+    /// It closes the connection after so many bytes of the body.
+    Truncate(usize),
+    /// It reads the query and never responds.
     Never,
-    /// Its answer has no end.
+    /// Its response has no end.
     Endless,
-    /// Its answer has this body.
+    /// Its response has this body.
     Body(String),
-    /// It answers at once, whatever the index.
-    AtOnce,
-    /// It tells this index.
+    /// It responds at once, whatever the index.
+    Immediate,
+    /// It returns this index.
     Index(u64),
     /// It knows no leader.
     NoLeader,
-    /// It heard of the leader so many milliseconds ago.
+    /// It was in contact with the leader so many milliseconds ago.
     LastContact(u64),
-    /// It answers from a cache of so many seconds.
+    /// It responds from a cache of this age, in seconds.
     Cached(u64),
 }
 
-/// What was told of an instance in an answer that was written whole.
+/// A response that was written completely.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Told {
-    /// Before its first byte was written, and after its last.
-    pub at: (Instant, Instant),
-    /// The answer's index.
+pub struct RecordedResponse {
+    /// Before its first byte was written.
+    pub started_at: Instant,
+    /// After its last byte was written.
+    pub completed_at: Instant,
+    /// The index of its catalog.
     pub index: u64,
-    /// Whether the answer was as a sound agent's.
-    pub sound: bool,
     /// The ids of the instances in maintenance mode.
     pub draining: Vec<String>,
     /// The ids of the others.
     pub others: Vec<String>,
 }
 
+/// The catalog since a time; `None`: from the beginning.
+struct Version {
+    since: Option<Instant>,
+    catalog: Arc<Catalog>,
+}
+
 #[derive(Default)]
 struct State {
-    worlds: VecDeque<(Option<Instant>, Arc<Catalogue>)>,
+    versions: VecDeque<Version>,
     fault: Fault,
     lag: Duration,
-    vanished: bool,
+    is_unreachable: bool,
     token: Option<String>,
     queries: Vec<String>,
-    asked: usize,
-    told: Vec<Told>,
-    noting: bool,
-    open: Vec<TcpStream>,
+    query_count: usize,
+    responses: Vec<RecordedResponse>,
+    is_recording: bool,
+    connections: Vec<TcpStream>,
 }
 
 impl State {
-    fn newest(&self) -> &Arc<Catalogue> {
-        &self.worlds.back().expect("there is always a world").1
-    }
-
-    /// The world as the agent has it: of a while ago, where it lags.
-    fn seen(&self) -> &Arc<Catalogue> {
-        let due = |(at, _): &&(Option<Instant>, Arc<Catalogue>)| {
-            at.is_none_or(|at| at.elapsed() >= self.lag)
+    fn newest(&self) -> &Arc<Catalog> {
+        &self
+            .versions
+            .back()
+            .expect("there is always a version")
+            .catalog
+    }
+
+    /// The catalog as the agent sees it: an earlier version, if it lags.
+    fn visible(&self) -> &Arc<Catalog> {
+        let is_visible = |version: &&Version| {
+            version
+                .since
+                .is_none_or(|since| since.elapsed() >= self.lag)
         };
-        let seen = self.worlds.iter().rev().find(due).or(self.worlds.front());
-        &seen.expect("there is always a world").1
+        let visible = self.versions.iter().rev().find(is_visible);
+        let visible = visible.or(self.versions.front());
+        &visible.expect("there is always a version").catalog
     }
 }
 
-/// An agent.
+/// A fake agent. Clones are handles to the same one.
 #[derive(Clone)]
 pub struct Consul {
     /// Where it listens.
@@ -233,13 +250,13 @@
 }
 
 impl Consul {
-    /// An agent with an empty catalogue, on a port that the system gives.
+    /// Starts an agent with an empty catalog on a free port.
     #[must_use]
     pub fn start() -> Self {
         Self::start_at(([127, 0, 0, 1], 0).into()).expect("a port")
     }
 
-    /// An agent at an address.
+    /// Starts an agent at an address.
     ///
     /// # Errors
     ///
@@ -248,16 +265,16 @@
         let listener = TcpListener::bind(address)?;
         let address = listener.local_addr()?;
         let mut state = State {
-            noting: true,
+            is_recording: true,
             ..State::default()
         };
-        state.worlds.push_back((
-            None,
-            Arc::new(Catalogue {
+        state.versions.push_back(Version {
+            since: None,
+            catalog: Arc::new(Catalog {
                 index: 1,
-                ..Catalogue::default()
+                ..Catalog::default()
             }),
-        ));
+        });
         let consul = Self {
             address,
             shared: Arc::new((Mutex::new(state), Condvar::new())),
@@ -265,11 +282,11 @@
         let serving = consul.clone();
         thread::spawn(move || {
             for stream in listener.incoming().map_while(Result::ok) {
-                if serving.state().vanished {
-                    continue; // Dropped: the connection ends.
+                if serving.state().is_unreachable {
+                    continue; // Dropping the stream closes it.
                 }
                 let copy = stream.try_clone().expect("a socket");
-                serving.state().open.push(copy);
+                serving.state().connections.push(copy);
                 let consul = serving.clone();
                 thread::spawn(move || consul.connection(stream));
             }
@@ -278,20 +295,24 @@
     }
 
     fn state(&self) -> MutexGuard<'_, State> {
-        self.shared.0.lock().expect("sound")
+        self.shared
+            .0
+            .lock()
+            .expect("no thread panics with the lock")
     }
 
-    /// Changes the catalogue by one index.
-    pub fn change(&self, change: impl FnOnce(&mut Editor<'_>)) {
+    /// Changes the catalog by one index.
+    pub fn change(&self, change: impl FnOnce(&mut CatalogEditor<'_>)) {
         let mut state = self.state();
-        let mut next = Catalogue::clone(state.newest());
+        let mut next = Catalog::clone(state.newest());
         next.index += 1;
-        change(&mut Editor(&mut next));
-        state
-            .worlds
-            .push_back((Some(Instant::now()), Arc::new(next)));
-        if state.worlds.len() > MOST_WORLDS {
-            state.worlds.pop_front();
+        change(&mut CatalogEditor(&mut next));
+        state.versions.push_back(Version {
+            since: Some(Instant::now()),
+            catalog: Arc::new(next),
+        });
+        if state.versions.len() > MAX_VERSIONS {
+            state.versions.pop_front();
         }
         drop(state);
         self.shared.1.notify_all();
@@ -299,18 +320,23 @@
 
     /// Registers an instance, or registers it anew.
     pub fn register(&self, instance: Instance) {
-        self.change(|catalogue| catalogue.put(instance));
+        self.change(|catalog| catalog.put(instance));
     }
 
     /// Removes an instance.
     pub fn deregister(&self, id: &str) {
-        self.change(|catalogue| catalogue.remove(id));
+        self.change(|catalog| catalog.remove(id));
+    }
+
+    /// Removes all instances.
+    pub fn deregister_all(&self) {
+        self.change(|catalog| catalog.instances_mut().clear());
     }
 
     /// Sets the status of an instance's own check.
     pub fn set_status(&self, id: &str, status: &str) {
-        self.change(|catalogue| {
-            catalogue.edit(id, |instance| {
+        self.change(|catalog| {
+            catalog.edit(id, |instance| {
                 instance
                     .checks
                     .insert(format!("service:{id}"), status.into());
@@ -318,10 +344,10 @@
         });
     }
 
-    /// Puts an instance into maintenance mode or takes it out.
+    /// Sets or ends the maintenance mode of an instance.
     pub fn set_maintenance(&self, id: &str, on: bool) {
-        self.change(|catalogue| {
-            catalogue.edit(id, |instance| {
+        self.change(|catalog| {
+            catalog.edit(id, |instance| {
                 let check = format!("_service_maintenance:{id}");
                 if on {
                     instance.checks.insert(check, "critical".into());
@@ -332,76 +358,79 @@
         });
     }
 
-    /// The catalogue as it stands.
+    /// The current catalog.
     #[must_use]
-    pub fn catalogue(&self) -> Catalogue {
-        Catalogue::clone(self.state().newest())
+    pub fn catalog(&self) -> Catalog {
+        Catalog::clone(self.state().newest())
     }
 
-    /// Takes a catalogue, of another time or another agent, as it is.
-    pub fn restore(&self, catalogue: Catalogue) {
+    /// Replaces the catalog by one of another time or another agent.
+    pub fn restore(&self, catalog: Catalog) {
         let mut state = self.state();
-        state.worlds.clear();
-        state.worlds.push_back((None, Arc::new(catalogue)));
+        state.versions.clear();
+        state.versions.push_back(Version {
+            since: None,
+            catalog: Arc::new(catalog),
+        });
         drop(state);
         self.shared.1.notify_all();
     }
 
-    /// What it does to its answers from now on.
+    /// Injects a fault into all responses from now on.
     pub fn set_fault(&self, fault: Fault) {
         self.state().fault = fault;
         self.shared.1.notify_all();
     }
 
-    /// How far it is behind from now on.
+    /// Sets how far the agent lags from now on.
     pub fn set_lag(&self, lag: Duration) {
         self.state().lag = lag;
     }
 
-    /// It ends all connections and takes no more, or comes back.
-    pub fn set_vanished(&self, vanished: bool) {
+    /// Closes all connections and accepts no more, or accepts connections again.
+    pub fn set_unreachable(&self, is_unreachable: bool) {
         let mut state = self.state();
-        state.vanished = vanished;
-        for stream in state.open.drain(..) {
-            let _ = stream.shutdown(Shutdown::Both); // One that has ended is what is wanted.
+        state.is_unreachable = is_unreachable;
+        for stream in state.connections.drain(..) {
+            let _ = stream.shutdown(Shutdown::Both); // It may have been closed by the client.
         }
     }
 
-    /// Queries must bring this token.
-    pub fn want_token(&self, token: &str) {
+    /// Requires this token from now on.
+    pub fn require_token(&self, token: &str) {
         self.state().token = Some(token.into());
     }
 
-    /// The request lines that came, in their order.
+    /// The request lines of all queries, in order.
     #[must_use]
     pub fn queries(&self) -> Vec<String> {
         self.state().queries.clone()
     }
 
-    /// How many requests have come.
+    /// How many queries were received.
     #[must_use]
-    pub fn asked(&self) -> usize {
-        self.state().asked
+    pub fn query_count(&self) -> usize {
+        self.state().query_count
     }
 
-    /// What its answers told, in their order.
+    /// All responses that were written completely, in order.
     #[must_use]
-    pub fn told(&self) -> Vec<Told> {
-        self.state().told.clone()
+    pub fn responses(&self) -> Vec<RecordedResponse> {
+        self.state().responses.clone()
     }
 
-    /// Notes neither queries nor answers any more: for long runs.
-    pub fn note_nothing(&self) {
-        self.state().noting = false;
+    /// Records neither queries nor responses from now on, for long runs.
+    pub fn stop_recording(&self) {
+        self.state().is_recording = false;
     }
 
     fn connection(&self, mut stream: TcpStream) {
-        let _ = stream.set_nodelay(true); // It only makes answers come sooner.
+        let _ = stream.set_nodelay(true); // It only makes responses arrive sooner.
         let mut input = BufReader::new(stream.try_clone().expect("a socket"));
         while let Some(request) = Message::read(&mut input) {
             let mut state = self.state();
-            state.asked += 1;
-            if state.noting {
+            state.query_count += 1;
+            if state.is_recording {
                 state.queries.push(request.first.clone());
             }
             let allowed = state
@@ -409,19 +438,20 @@
                 .as_ref()
                 .is_none_or(|token| request.header("x-consul-token") == Some(token));
             drop(state);
-            let goes_on = if allowed {
-                self.answer(&mut stream, &request)
+            let stays_open = if allowed {
+                self.respond(&mut stream, &request)
             } else {
-                write_answer(&mut stream, "403 Forbidden", "", b"Permission denied")
+                write_response(&mut stream, "403 Forbidden", "", b"Permission denied")
             };
-            if !goes_on {
+            if !stays_open {
                 let _ = stream.shutdown(Shutdown::Both); // The client sees the end either way.
                 return;
             }
         }
     }
 
-    fn answer(&self, stream: &mut TcpStream, request: &Message) -> bool {
+    /// Responds to a request; returns whether the connection stays open.
+    fn respond(&self, stream: &mut TcpStream, request: &Message) -> bool {
         let mut words = request.first.split(' ');
         let (method, target) = (
             words.next().unwrap_or_default(),
@@ -435,52 +465,53 @@
         let path: Vec<_> = path
             .trim_start_matches("/v1/")
             .split('/')
-            .map(decode)
+            .map(percent_decode)
             .collect();
         let path: Vec<_> = path.iter().map(String::as_str).collect();
         match (method, path.as_slice()) {
             ("GET", ["health" | "catalog", "service", service]) => {
-                self.list(stream, path[0] == "health", service, &query)
+                self.list_instances(stream, path[0] == "health", service, &query)
             }
             ("GET", ["catalog", "services"]) => {
                 let mut services = BTreeMap::<_, Vec<String>>::new();
-                let catalogue = self.catalogue();
-                for instance in catalogue.instances() {
+                let catalog = self.catalog();
+                for instance in catalog.instances() {
                     services
                         .entry(&instance.service)
                         .or_default()
                         .extend(instance.tags.clone());
                 }
                 let body = json!(services).to_string();
-                write_answer(
+                write_response(
                     stream,
                     "200 OK",
-                    &head(&Fault::None, catalogue.index),
+                    &headers(&Fault::None, catalog.index),
                     body.as_bytes(),
                 )
             }
             ("GET", ["status", "leader"]) => {
-                write_answer(stream, "200 OK", "", b"\"127.0.0.1:8300\"")
+                write_response(stream, "200 OK", "", b"\"127.0.0.1:8300\"")
             }
             ("GET", ["agent", "self"]) => {
-                let body = json!({"Config": {"Datacenter": "dc1", "NodeName": "stand-in", "Server": true}});
-                write_answer(stream, "200 OK", "", body.to_string().as_bytes())
+                let body =
+                    json!({"Config": {"Datacenter": "dc1", "NodeName": "fake", "Server": true}});
+                write_response(stream, "200 OK", "", body.to_string().as_bytes())
             }
             ("PUT", ["agent", rest @ ..]) => {
-                let done = self.agent(rest, &query, &request.body);
-                write_answer(
+                let done = self.handle_agent_api(rest, &query, &request.body);
+                write_response(
                     stream,
                     if done { "200 OK" } else { "400 Bad Request" },
                     "",
                     b"",
                 )
             }
-            _ => write_answer(stream, "404 Not Found", "", b"no such page"),
+            _ => write_response(stream, "404 Not Found", "", b"no such page"),
         }
     }
 
-    /// The agent API, for trying things. `false`: it makes no sense.
-    fn agent(&self, path: &[&str], query: &[(&str, &str)], body: &[u8]) -> bool {
+    /// Handles a request of the agent API; returns whether it is valid.
+    fn handle_agent_api(&self, path: &[&str], query: &[(&str, &str)], body: &[u8]) -> bool {
         let enable = query.contains(&("enable", "true"));
         match path {
             ["service", "register"] => {
@@ -498,7 +529,7 @@
                 true
             }
             ["maintenance"] => {
-                self.change(|catalogue| catalogue.node_maintenance(enable));
+                self.change(|catalog| catalog.node_maintenance(enable));
                 true
             }
             ["check", "update", check] => {
@@ -514,7 +545,7 @@
         }
     }
 
-    fn list(
+    fn list_instances(
         &self,
         stream: &mut TcpStream,
         health: bool,
@@ -531,27 +562,31 @@
             .and_then(|index| index.parse().ok())
             .unwrap_or(0);
         let wait = value("wait")
-            .and_then(duration)
-            .unwrap_or(WAIT[0])
-            .min(WAIT[1]);
-        let Some((fault, catalogue)) = self.block(index, wait) else {
+            .and_then(parse_duration)
+            .unwrap_or(DEFAULT_WAIT)
+            .min(MAX_WAIT);
+        let Some((fault, catalog)) = self.block(index, wait) else {
             return false;
         };
         let tags: Vec<_> = query
             .iter()
             .filter(|(name, _)| *name == "tag")
-            .map(|(_, tag)| decode(tag))
+            .map(|(_, tag)| percent_decode(tag))
             .collect();
-        let wanted = |held: &&Arc<Held>| {
-            let instance = &held.instance;
+        let is_selected = |registered: &&Arc<RegisteredInstance>| {
+            let instance = &registered.instance;
             instance.service == service
                 && tags.iter().all(|tag| instance.tags.contains(tag))
                 && (value("passing").is_none() || instance.is_passing())
         };
-        let found: Vec<_> = catalogue.instances.values().filter(wanted).collect();
-        let texts = found
-            .iter()
-            .map(|held| if health { &held.health } else { &held.catalog });
+        let selected: Vec<_> = catalog.instances.values().filter(is_selected).collect();
+        let texts = selected.iter().map(|registered| {
+            if health {
+                &registered.health
+            } else {
+                &registered.catalog
+            }
+        });
         let body = match &fault {
             Fault::Body(body) => body.clone(),
             _ => format!(
@@ -559,12 +594,12 @@
                 texts.map(String::as_str).collect::<Vec<_>>().join(",")
             ),
         };
-        let head = head(&fault, catalogue.index);
+        let head = headers(&fault, catalog.index);
         match fault {
             Fault::Status(status) => {
-                write_answer(stream, &format!("{status} Trouble"), &head, b"trouble")
+                write_response(stream, &format!("{status} Fault"), &head, b"fault")
             }
-            Fault::Cut(at) => {
+            Fault::Truncate(at) => {
                 let whole = format!(
                     "HTTP/1.1 200 OK\r\n{head}Content-Length: {}\r\n\r\n",
                     body.len()
@@ -574,89 +609,101 @@
                 false
             }
             Fault::Endless => {
-                let begun = format!("HTTP/1.1 200 OK\r\n{head}Connection: close\r\n\r\n[");
+                let start = format!("HTTP/1.1 200 OK\r\n{head}Connection: close\r\n\r\n[");
                 let one = format!(
                     "{},",
-                    found.first().map_or("{}", |held| held.health.as_str())
+                    selected
+                        .first()
+                        .map_or("{}", |registered| registered.health.as_str())
                 )
                 .repeat(64);
-                let mut goes_on = stream.write_all(begun.as_bytes()).is_ok();
-                for _ in 0..MOST_PIECES {
-                    goes_on = goes_on && stream.write_all(one.as_bytes()).is_ok();
+                let mut is_open = stream.write_all(start.as_bytes()).is_ok();
+                for _ in 0..MAX_PIECES {
+                    is_open = is_open && stream.write_all(one.as_bytes()).is_ok();
                 }
                 false
             }
             fault => {
-                let begun = Instant::now();
-                let whole = write_answer(stream, "200 OK", &head, body.as_bytes());
-                self.note(whole.then_some(begun), &fault, &catalogue, &found);
-                whole
+                let started_at = Instant::now();
+                let is_complete = write_response(stream, "200 OK", &head, body.as_bytes());
+                if is_complete {
+                    self.record_response(started_at, &fault, &catalog, &selected);
+                }
+                is_complete
             }
         }
     }
 
-    fn note(
+    fn record_response(
         &self,
-        begun: Option<Instant>,
+        started_at: Instant,
         fault: &Fault,
-        catalogue: &Catalogue,
-        found: &[&Arc<Held>],
+        catalog: &Catalog,
+        selected: &[&Arc<RegisteredInstance>],
     ) {
         let mut state = self.state();
-        let noted = begun.filter(|_| state.noting && !matches!(fault, Fault::Body(_)));
-        let Some(begun) = noted else { return };
+        if !state.is_recording || matches!(fault, Fault::Body(_)) {
+            return;
+        }
         let ids = |draining: bool| {
-            let some = found
+            let some = selected
                 .iter()
-                .filter(|held| held.instance.is_in_maintenance() == draining);
-            some.map(|held| held.instance.id.clone()).collect()
+                .filter(|registered| registered.instance.is_in_maintenance() == draining);
+            some.map(|registered| registered.instance.id.clone())
+                .collect()
         };
-        let told = Told {
-            at: (begun, Instant::now()),
-            index: catalogue.index,
-            sound: matches!(fault, Fault::None | Fault::AtOnce),
+        let response = RecordedResponse {
+            started_at,
+            completed_at: Instant::now(),
+            index: catalog.index,
             draining: ids(true),
             others: ids(false),
         };
-        state.told.push(told);
+        state.responses.push(response);
     }
 
-    /// Waits until the world as it is seen is newer than `index`, or the wait is over. `None`: there is no answer.
-    fn block(&self, index: u64, wait: Duration) -> Option<(Fault, Arc<Catalogue>)> {
+    /// Waits until the visible catalog is newer than `index`, or the wait is over. `None`: the agent has become
+    /// unreachable, and there is no response.
+    fn block(&self, index: u64, wait: Duration) -> Option<(Fault, Arc<Catalog>)> {
         let end = Instant::now() + wait;
         let mut state = self.state();
         loop {
             let now = Instant::now();
-            let seen = Arc::clone(state.seen());
-            let answers = match state.fault {
-                _ if state.vanished => return None,
+            let visible = Arc::clone(state.visible());
+            let responds = match state.fault {
+                _ if state.is_unreachable => return None,
                 Fault::Never => false,
                 Fault::None | Fault::NoLeader | Fault::LastContact(_) | Fault::Cached(_) => {
-                    seen.index > index || now >= end
+                    visible.index > index || now >= end
                 }
                 _ => true,
             };
-            if answers {
-                return Some((state.fault.clone(), seen));
+            if responds {
+                return Some((state.fault.clone(), visible));
             }
-            let look = if state.lag.is_zero() {
+            let interval = if state.lag.is_zero() {
                 Duration::from_millis(200)
             } else {
-                LOOK
+                LAG_POLL_INTERVAL
             };
             let left = end
                 .saturating_duration_since(now)
-                .clamp(Duration::from_millis(1), look);
-            state = self.shared.1.wait_timeout(state, left).expect("sound").0;
+                .clamp(Duration::from_millis(1), interval);
+            state = self
+                .shared
+                .1
+                .wait_timeout(state, left)
+                .expect("no thread panics with the lock")
+                .0;
         }
     }
 }
 
-/// Changes a catalogue.
-pub struct Editor<'a>(&'a mut Catalogue);
+/// Edits a catalog, within one index.
+pub struct CatalogEditor<'a>(&'a mut Catalog);
 
-impl Editor<'_> {
-    /// Puts an instance in, or in place of the one of its id.
+impl CatalogEditor<'_> {
+    /// Adds an instance, or replaces the one of the same id.
     pub fn put(&mut self, mut instance: Instance) {
         let before = self.0.instances.get(&instance.id);
         instance.create_index = before.map_or(self.0.index, |before| before.instance.create_index);
@@ -665,7 +712,7 @@
         let id = instance.id.clone();
         self.0.instances.insert(
             id,
-            Arc::new(Held {
+            Arc::new(RegisteredInstance {
                 instance,
                 health,
                 catalog,
@@ -673,23 +720,22 @@
         );
     }
 
-    /// Takes an instance out.
+    /// Removes an instance.
     pub fn remove(&mut self, id: &str) {
         self.0.instances.remove(id);
     }
 
-    /// Changes an instance, where it is there.
+    /// Edits an instance, if it exists.
     pub fn edit(&mut self, id: &str, edit: impl FnOnce(&mut Instance)) {
-        if let Some(held) = self.0.instances.get(id) {
-            let mut instance = held.instance.clone();
+        if let Some(registered) = self.0.instances.get(id) {
+            let mut instance = registered.instance.clone();
             edit(&mut instance);
             self.put(instance);
         }
     }
 
-    /// Takes all instances out.
-    pub fn clear(&mut self) {
-        self.0.instances.clear();
+    fn instances_mut(&mut self) -> &mut BTreeMap<String, Arc<RegisteredInstance>> {
+        &mut self.0.instances
     }
 
     fn node_maintenance(&mut self, on: bool) {
@@ -729,7 +775,8 @@
     Some(instance)
 }
 
-fn head(fault: &Fault, index: u64) -> String {
+/// The headers of a response.
+fn headers(fault: &Fault, index: u64) -> String {
     let index = if let Fault::Index(index) = fault {
         *index
     } else {
@@ -751,7 +798,7 @@
     )
 }
 
-fn write_answer(stream: &mut TcpStream, status: &str, headers: &str, body: &[u8]) -> bool {
+fn write_response(stream: &mut TcpStream, status: &str, headers: &str, body: &[u8]) -> bool {
     let head = format!(
         "HTTP/1.1 {status}\r\n{headers}Content-Length: {}\r\n\r\n",
         body.len()
@@ -759,8 +806,8 @@
     stream.write_all(head.as_bytes()).is_ok() && stream.write_all(body).is_ok()
 }
 
-/// A duration as Go words one: a number and one unit.
-fn duration(text: &str) -> Option<Duration> {
+/// Parses a duration in Go's format: a number and one unit.
+fn parse_duration(text: &str) -> Option<Duration> {
     let unit = text.find(|c: char| !c.is_ascii_digit() && c != '.')?;
     let number: f64 = text[..unit].parse().ok()?;
     let seconds = match &text[unit..] {
@@ -773,7 +820,8 @@
     Duration::try_from_secs_f64(number * seconds).ok()
 }
 
-fn decode(text: &str) -> String {
+/// Decodes percent-encoding.
+fn percent_decode(text: &str) -> String {
     let (mut bytes, mut rest) = (Vec::new(), text.as_bytes());
     while let [first, more @ ..] = rest {
         rest = more;
--- a/examples/demo.rs
+++ b/examples/demo.rs
@@ -1,6 +1,6 @@
-//! A node with five stand-in servers, a roster and Consul on loopback, under some load: `cargo run --release --example
-//! demo`. It says how to talk to the node, and each second what it does; every ten seconds Consul drains another
-//! server. Ctrl-C ends it.
+//! A node with five fake servers, a fake discovery and a fake Consul on loopback, under some load: `cargo run --release --example
+//! demo`. It prints how to send requests to the node, and each second what it does; every ten seconds Consul drains
+//! another server. Ctrl-C ends it.
 
 use std::net::TcpListener;
 use std::thread;
@@ -15,8 +15,8 @@
 const SERVERS: usize = 5;
 const CLIENTS: usize = 4;
 const PAUSE: Duration = Duration::from_millis(2);
-/// A drain moves on after so many seconds.
-const DRAIN: usize = 10;
+/// Another server drains after so many seconds.
+const DRAIN_S: usize = 10;
 
 fn main() -> Result<(), Box<dyn std::error::Error>> {
     let servers: Vec<_> = (0..SERVERS)
@@ -26,7 +26,7 @@
     for (at, server) in servers.iter().enumerate() {
         consul.register(Instance::new("holds", &format!("s-{at}"), server.address));
     }
-    consul.note_nothing();
+    consul.stop_recording();
     let discovery = Discovery::start();
     let entries: Vec<_> = servers
         .iter()
@@ -59,7 +59,7 @@
         .map_err(|error| error.to_string())
     });
     println!(
-        "a node serves on {address}, and a Consul stand-in answers on {}",
+        "a node serves on {address}, and a fake Consul agent on {}",
         consul.address
     );
     println!("ask it:   curl -i -H 'Req-Id: me1' -H 'Req-Kind: read' -H 'Req-Deadline: 1000m' http://{address}/api");
@@ -92,8 +92,8 @@
             _ = tokio::signal::ctrl_c() => return,
             _ = seconds.tick() => {}
         }
-        if second % DRAIN == 0 {
-            let at = second / DRAIN;
+        if second % DRAIN_S == 0 {
+            let at = second / DRAIN_S;
             consul.set_maintenance(&format!("s-{}", (at + SERVERS - 1) % SERVERS), false);
             consul.set_maintenance(&format!("s-{}", at % SERVERS), true);
         }
@@ -109,7 +109,7 @@
             totals.sent - before.0,
             totals.quantile(0.99).as_secs_f64() * 1e3,
             totals.lost,
-            second / DRAIN % SERVERS
+            second / DRAIN_S % SERVERS
         );
         before = (totals.sent, now);
     }
--- a/tests/consul.rs
+++ b/tests/consul.rs
@@ -1,21 +1,18 @@
-//! The node with a roster and Consul, over loopback: agents that lag, lie and vanish.
-
-#![allow(
-    clippy::redundant_closure_for_method_calls,
-    reason = "this file is still to be rewritten: docs/ROADMAP.md, Readability"
-)]
+//! The node with an endpoint list and Consul, over loopback: agents that lag, respond wrongly, or
+//! become unreachable.
 
 use std::collections::HashMap;
 use std::time::{Duration, Instant};
 
 use testkit::consul::{Consul, Fault, Instance};
-use testkit::link::{Fault as Spoils, Link, Plan};
+use testkit::link::{Fault as LinkFault, Link, Plan};
 use testkit::*;
 
-/// The rule on drains.
-const DRAINED: Duration = Duration::from_secs(2);
+/// A server must get no request this long after it has begun to drain.
+const DRAIN_DEADLINE: Duration = Duration::from_secs(2);
 
-struct Town {
+/// A node with its servers, its discovery and Consul.
+struct Site {
     servers: Vec<Server>,
     consul: Consul,
     node: Node,
@@ -24,7 +21,7 @@
     generation: u64,
 }
 
-fn operators(consul: &Consul, more: &str) -> String {
+fn operators_file(consul: &Consul, more: &str) -> String {
     format!(
         "[[consul]]\nname = \"consul\"\nservice = \"holds\"\nagents = [\"{}\"]\nwait_s = 2\n{more}\n",
         consul.address
@@ -35,8 +32,8 @@
     format!("s-{at}")
 }
 
-fn servers(count: usize) -> Vec<Server> {
-    // An answer takes a while, so that requests at once are spread.
+fn start_servers(count: usize) -> Vec<Server> {
+    // A response takes a while, so that simultaneous requests are spread.
     let reply = |_: &Message| {
         Reply::SayThen(
             Vec::new(),
@@ -47,7 +44,8 @@
     (0..count).map(|_| Server::start(reply)).collect()
 }
 
-fn registered(servers: &[Server]) -> Consul {
+/// A Consul agent with an instance for each server.
+fn start_consul(servers: &[Server]) -> Consul {
     let consul = Consul::start();
     for (at, server) in servers.iter().enumerate() {
         consul.register(Instance::new("holds", &name(at), server.address));
@@ -55,24 +53,24 @@
     consul
 }
 
-fn entries(servers: &[Server], state: impl Fn(usize) -> &'static str) -> Vec<String> {
+fn entries(servers: &[Server], lifecycle: impl Fn(usize) -> &'static str) -> Vec<String> {
     servers
         .iter()
         .enumerate()
-        .map(|(at, server)| server.entry(&name(at), state(at)))
+        .map(|(at, server)| server.entry(&name(at), lifecycle(at)))
         .collect()
 }
 
-impl Town {
+impl Site {
     fn new(count: usize, more: &str) -> Self {
-        let servers = servers(count);
-        let consul = registered(&servers);
+        let servers = start_servers(count);
+        let consul = start_consul(&servers);
         let discovery = Discovery::start();
         let known = list(1, true, &entries(&servers, |_| "ready"));
         let config = config(discovery.address, &known, &settings(15_000));
-        let node = Node::start_with(&config, Some(&operators(&consul, more)));
+        let node = Node::start_with(&config, Some(&operators_file(&consul, more)));
         let watch = discovery.watch();
-        let town = Self {
+        let site = Self {
             servers,
             consul,
             node,
@@ -80,23 +78,26 @@
             watch,
             generation: 1,
         };
-        until("Consul is read", || !town.consul.told().is_empty());
-        town
+        until("Consul has responded", || {
+            !site.consul.responses().is_empty()
+        });
+        site
     }
 
-    fn roster(&mut self, at: usize, state: &str) {
+    /// Sends a change of the endpoint list.
+    fn update_list(&mut self, at: usize, lifecycle: &str) {
         self.generation += 1;
-        let entry = self.servers[at].entry(&name(at), state);
+        let entry = self.servers[at].entry(&name(at), lifecycle);
         self.watch
             .say(&format!("{}\n", list(self.generation, false, &[entry])));
     }
 
-    /// Waits until Consul has told that an instance is in maintenance, or is not.
-    fn told(&self, at: usize, draining: bool) {
+    /// Waits until Consul has responded with an instance in maintenance mode, or not in it.
+    fn wait_for_response(&self, at: usize, draining: bool) {
         let name = name(at);
-        until("Consul tells", || {
-            let told = self.consul.told();
-            let last = told.last().expect("it was read");
+        until("Consul responds", || {
+            let responses = self.consul.responses();
+            let last = responses.last().expect("a response");
             (if draining {
                 &last.draining
             } else {
@@ -106,8 +107,9 @@
         });
     }
 
-    /// Which servers get requests, out of so many at once: one at a time could all go to the fastest.
-    fn asked(&self, count: usize) -> Vec<usize> {
+    /// Sends so many simultaneous requests; returns the servers that got any. One at a time could all go to the
+    /// fastest server.
+    fn servers_used_by(&self, count: usize) -> Vec<usize> {
         let before: Vec<_> = self
             .servers
             .iter()
@@ -138,46 +140,46 @@
             .collect()
     }
 
-    /// Until only these get requests.
-    fn until_asked(&self, servers: &[usize]) {
-        until(&format!("only {servers:?} are asked"), || {
-            self.asked(4 * self.servers.len()) == servers
+    /// Waits until only these servers get requests.
+    fn wait_until_used(&self, servers: &[usize]) {
+        until(&format!("only {servers:?} are used"), || {
+            self.servers_used_by(4 * self.servers.len()) == servers
         });
     }
 }
 
 #[test]
-fn a_drain_that_consul_alone_knows_is_kept_and_ended_by_consul_alone() {
-    let mut town = Town::new(3, "");
-    town.until_asked(&[0, 1, 2]);
-    town.consul.set_maintenance("s-1", true);
-    town.until_asked(&[0, 2]);
-    town.roster(1, "ready");
+fn drain_known_to_consul_alone_is_ended_by_consul_alone() {
+    let mut site = Site::new(3, "");
+    site.wait_until_used(&[0, 1, 2]);
+    site.consul.set_maintenance("s-1", true);
+    site.wait_until_used(&[0, 2]);
+    site.update_list(1, "ready");
     assert!(
-        !town.asked(12).contains(&1),
-        "the roster's word is not Consul's"
+        !site.servers_used_by(12).contains(&1),
+        "the endpoint list does not end Consul's drain"
     );
-    town.consul.set_maintenance("s-1", false);
-    town.until_asked(&[0, 1, 2]);
-    town.roster(2, "draining");
-    town.until_asked(&[0, 1]);
+    site.consul.set_maintenance("s-1", false);
+    site.wait_until_used(&[0, 1, 2]);
+    site.update_list(2, "draining");
+    site.wait_until_used(&[0, 1]);
 }
 
 #[test]
-fn a_failing_check_takes_one_server_out_and_all_at_once_none() {
-    let town = Town::new(3, "");
-    town.consul.set_status("s-0", "critical");
-    town.until_asked(&[1, 2]);
-    town.consul.change(|catalogue| catalogue.clear());
-    until("it is told", || {
-        town.consul
-            .told()
+fn failing_check_removes_one_server_and_mass_removal_none() {
+    let site = Site::new(3, "");
+    site.consul.set_status("s-0", "critical");
+    site.wait_until_used(&[1, 2]);
+    site.consul.deregister_all();
+    until("Consul responds", || {
+        site.consul
+            .responses()
             .last()
-            .is_some_and(|told| told.others.is_empty())
+            .is_some_and(|response| response.others.is_empty())
     });
-    town.until_asked(&[1, 2]);
+    site.wait_until_used(&[1, 2]);
     until("it is logged", || {
-        town.node
+        site.node
             .log()
             .iter()
             .any(|line| line.contains("removes 3 of 3 endpoints at once"))
@@ -185,35 +187,35 @@
 }
 
 #[test]
-fn what_only_consul_names_is_served_by_where_the_file_allows_it() {
-    for (more, all) in [("", &[0, 1][..]), ("names_servers = true", &[0, 1, 2])] {
-        let mut town = Town::new(2, more);
-        town.servers.push(Server::start(|_| Reply::ok("yes")));
-        town.consul
-            .register(Instance::new("holds", "s-2", town.servers[2].address));
-        town.told(2, false);
-        if all.len() == 3 {
-            town.until_asked(all);
+fn server_known_to_consul_alone_is_used_only_if_allowed() {
+    for (more, used) in [("", &[0, 1][..]), ("names_servers = true", &[0, 1, 2])] {
+        let mut site = Site::new(2, more);
+        site.servers.push(Server::start(|_| Reply::ok("yes")));
+        site.consul
+            .register(Instance::new("holds", "s-2", site.servers[2].address));
+        site.wait_for_response(2, false);
+        if used.len() == 3 {
+            site.wait_until_used(used);
         } else {
-            assert!(!town.asked(20).contains(&2));
+            assert!(!site.servers_used_by(20).contains(&2));
         }
     }
 }
 
-/// Guards against a node that does not serve, or logs without end, where Consul has never been there.
+/// Guards against a node that rejects requests, or logs incessantly, if Consul was never reachable.
 #[test]
-fn with_consul_gone_for_the_whole_run_as_much_is_served_as_without_it() {
+fn unreachable_consul_does_not_reduce_the_served_share() {
     let shares: Vec<f64> = [None, Some(Unreachable::start())]
         .iter()
-        .map(|gone| {
-            let servers = servers(3);
+        .map(|agent| {
+            let servers = start_servers(3);
             let discovery = Discovery::start();
             let known = list(1, true, &entries(&servers, |_| "ready"));
             let config = config(discovery.address, &known, &settings(15_000));
-            let operators = gone.as_ref().map(|gone| {
+            let operators = agent.as_ref().map(|agent| {
                 format!(
                     "[[consul]]\nname = \"c\"\nservice = \"holds\"\nagents = [\"{}\"]\n",
-                    gone.address
+                    agent.address
                 )
             });
             let node = Node::start_with(&config, operators.as_deref());
@@ -234,20 +236,19 @@
     assert!(shares.iter().all(|share| *share > 0.99), "{shares:?}");
 }
 
-/// Each thing that an agent may do: no request is lost, the server that drains gets none, the others do.
 #[test]
-fn whatever_an_agent_answers_no_request_is_lost_and_a_drain_is_kept() {
-    let town = Town::new(3, "");
-    town.consul.set_maintenance("s-1", true);
-    town.until_asked(&[0, 2]);
-    let older = town.consul.catalogue();
-    let load = Load::start(town.node.address, 2, Duration::from_millis(1));
+fn faulty_responses_of_an_agent_lose_no_request_and_end_no_drain() {
+    let site = Site::new(3, "");
+    site.consul.set_maintenance("s-1", true);
+    site.wait_until_used(&[0, 2]);
+    let older = site.consul.catalog();
+    let load = Load::start(site.node.address, 2, Duration::from_millis(1));
     for fault in [
         Fault::Status(500),
         Fault::Status(429),
         Fault::Status(403),
-        Fault::Cut(0),
-        Fault::Cut(300),
+        Fault::Truncate(0),
+        Fault::Truncate(300),
         Fault::Endless,
         Fault::Body("[]".into()),
         Fault::Body("{}".into()),
@@ -258,80 +259,86 @@
         Fault::NoLeader,
         Fault::LastContact(60_000),
         Fault::Cached(60),
-        Fault::AtOnce,
+        Fault::Immediate,
     ] {
-        let asked = town.consul.queries().len();
-        town.consul.set_fault(fault.clone());
-        // What it holds changes, so that the query that is out is answered, with the fault.
-        town.consul.set_status("s-2", "passing");
-        until("it is asked again", || town.consul.queries().len() > asked);
-        assert!(!town.asked(6).contains(&1), "{fault:?}");
-        // A sound answer ends the row of failures, and with it the waits between queries.
-        town.consul.set_fault(Fault::None);
-        let told = town.consul.told().len();
-        town.consul.set_status("s-2", "passing");
-        until("it answers again", || town.consul.told().len() > told);
+        let queries = site.consul.queries().len();
+        site.consul.set_fault(fault.clone());
+        // A change lets the agent respond to the blocking query, with the fault.
+        site.consul.set_status("s-2", "passing");
+        until("the agent is queried again", || {
+            site.consul.queries().len() > queries
+        });
+        assert!(!site.servers_used_by(6).contains(&1), "{fault:?}");
+        // A valid response ends the backoff.
+        site.consul.set_fault(Fault::None);
+        let responses = site.consul.responses().len();
+        site.consul.set_status("s-2", "passing");
+        until("the agent responds again", || {
+            site.consul.responses().len() > responses
+        });
     }
-    town.consul.restore(older.at_index(3));
-    town.consul.set_vanished(true);
-    assert!(!town.asked(6).contains(&1));
-    town.consul.set_vanished(false);
+    site.consul.restore(older.at_index(3));
+    site.consul.set_unreachable(true);
+    assert!(!site.servers_used_by(6).contains(&1));
+    site.consul.set_unreachable(false);
     let totals = load.end();
     assert_eq!(totals.lost, 0);
     assert!(totals.share_served() > 0.99, "{:?}", totals.answers);
-    let log = town.node.log();
+    let log = site.node.log();
     assert!(log.len() < 120, "{} lines", log.len());
 }
 
-/// Two agents with different worlds that answer in turn: the one that is behind undoes nothing.
+/// Two agents with different data respond in turn.
 #[test]
-fn an_agent_that_is_behind_another_undoes_no_drain() {
-    let servers = servers(3);
-    let (ahead, behind) = (registered(&servers), registered(&servers));
+fn agent_that_lags_behind_another_ends_no_drain() {
+    let servers = start_servers(3);
+    let (ahead, behind) = (start_consul(&servers), start_consul(&servers));
     ahead.set_maintenance("s-1", true);
     let discovery = Discovery::start();
     let known = list(1, true, &entries(&servers, |_| "ready"));
     let config = config(discovery.address, &known, &settings(15_000));
-    let both = format!(
+    let operators = format!(
         "[[consul]]\nname = \"c\"\nservice = \"holds\"\nagents = [\"{}\", \"{}\"]\nwait_s = 1\n",
         ahead.address, behind.address
     );
-    let town = Town {
-        node: Node::start_with(&config, Some(&both)),
+    let site = Site {
+        node: Node::start_with(&config, Some(&operators)),
         watch: discovery.watch(),
         consul: ahead.clone(),
         servers,
         discovery,
         generation: 1,
     };
-    town.until_asked(&[0, 2]);
+    site.wait_until_used(&[0, 2]);
     for turn in 0..6 {
-        let (gone, there) = if turn % 2 == 0 {
+        let (unreachable, reachable) = if turn % 2 == 0 {
             (&ahead, &behind)
         } else {
             (&behind, &ahead)
         };
-        there.set_vanished(false);
-        let told = there.told().len();
-        gone.set_vanished(true);
-        until("the other agent answers", || there.told().len() > told);
-        assert!(!town.asked(6).contains(&1), "turn {turn}");
+        reachable.set_unreachable(false);
+        let responses = reachable.responses().len();
+        unreachable.set_unreachable(true);
+        until("the other agent responds", || {
+            reachable.responses().len() > responses
+        });
+        assert!(!site.servers_used_by(6).contains(&1), "turn {turn}");
     }
 }
 
-/// The way to the agent cuts, delays and repeats at bytes all through its answers.
+/// The link to the agent cuts, delays and repeats bytes at every position of its responses.
 #[test]
-fn a_link_that_spoils_answers_loses_no_request_and_no_drain() {
-    let servers = servers(3);
-    let consul = registered(&servers);
+fn faulty_link_to_an_agent_loses_no_request_and_ends_no_drain() {
+    let servers = start_servers(3);
+    let consul = start_consul(&servers);
     consul.set_maintenance("s-1", true);
     let link = Link::start(consul.address, |nth| {
         let fault = [
-            Spoils::Cut,
-            Spoils::Repeat(40),
-            Spoils::Delay(Duration::from_millis(30)),
+            LinkFault::Cut,
+            LinkFault::Repeat(40),
+            LinkFault::Delay(Duration::from_millis(30)),
         ][nth / 2 % 3];
-        // Every other connection is sound, so that the waits between queries stay short.
+        // Every other connection has no fault, so that the backoff stays short.
         let plan = if nth % 2 == 0 {
             Plan::at(60 + nth * 150, fault)
         } else {
@@ -343,8 +350,8 @@
     let known = list(1, true, &entries(&servers, |_| "ready"));
     let config = config(discovery.address, &known, &settings(15_000));
     let file =
-        operators(&consul, "").replace(&consul.address.to_string(), &link.address.to_string());
-    let town = Town {
+        operators_file(&consul, "").replace(&consul.address.to_string(), &link.address.to_string());
+    let site = Site {
         node: Node::start_with(&config, Some(&file)),
         watch: discovery.watch(),
         consul,
@@ -352,32 +359,32 @@
         discovery,
         generation: 1,
     };
-    town.until_asked(&[0, 2]);
-    let load = Load::start(town.node.address, 2, Duration::from_millis(1));
+    site.wait_until_used(&[0, 2]);
+    let load = Load::start(site.node.address, 2, Duration::from_millis(1));
     for _ in 0..8 {
         let before = link.connections();
         link.cut_all();
         until("the node connects again", || link.connections() > before);
-        town.consul.set_status("s-0", "passing");
-        assert!(!town.asked(6).contains(&1));
+        site.consul.set_status("s-0", "passing");
+        assert!(!site.servers_used_by(6).contains(&1));
     }
-    until("a connection is sound", || {
+    until("a connection has no fault", || {
         link.cut_all();
         std::thread::sleep(Duration::from_millis(300));
         link.connections() % 2 == 0
     });
-    town.consul.set_maintenance("s-1", false);
-    town.until_asked(&[0, 1, 2]);
+    site.consul.set_maintenance("s-1", false);
+    site.wait_until_used(&[0, 1, 2]);
     let totals = load.end();
     assert_eq!(totals.lost, 0);
     assert!(totals.share_served() > 0.99, "{:?}", totals.answers);
 }
 
 #[test]
-fn the_token_goes_to_the_agent_and_into_no_log_and_a_new_one_is_taken() {
-    let servers = servers(2);
-    let consul = registered(&servers);
-    consul.want_token("c0ffee-first");
+fn token_is_reread_for_each_query_and_never_logged() {
+    let servers = start_servers(2);
+    let consul = start_consul(&servers);
+    consul.require_token("c0ffee-first");
     let file = write_config("c0ffee-first\n");
     let discovery = Discovery::start();
     let config = config(
@@ -386,56 +393,59 @@
         &settings(15_000),
     );
     let more = format!("token_file = {file:?}");
-    let node = Node::start_with(&config, Some(&operators(&consul, &more)));
-    until("it is let in", || !consul.told().is_empty());
-    consul.want_token("c0ffee-second");
-    until("it is refused and says so", || {
+    let node = Node::start_with(&config, Some(&operators_file(&consul, &more)));
+    until("the token is accepted", || !consul.responses().is_empty());
+    consul.require_token("c0ffee-second");
+    until("the rejection is logged", || {
         node.log()
             .iter()
             .any(|line| line.contains("rejected the token"))
     });
-    std::fs::write(&file, "c0ffee-second").expect("the test's own");
-    let before = consul.told().len();
-    until("it is let in again", || consul.told().len() > before);
+    std::fs::write(&file, "c0ffee-second").expect("the test's own file");
+    let before = consul.responses().len();
+    until("the new token is accepted", || {
+        consul.responses().len() > before
+    });
     assert!(
         !node.log().iter().any(|line| line.contains("c0ffee")),
         "{:?}",
         node.log()
     );
-    std::fs::remove_file(file).expect("the test's own");
+    std::fs::remove_file(file).expect("the test's own file");
 }
 
 #[test]
-fn consul_is_turned_off_and_on_while_the_node_runs() {
-    let town = Town::new(2, "");
-    town.consul.set_maintenance("s-1", true);
-    town.until_asked(&[0]);
-    town.node.reload_operators("[membership]\n");
-    town.until_asked(&[0, 1]);
-    town.node.reload_operators("nonsense = 1\n");
-    until("it is refused", || {
-        town.node
+fn consul_source_is_turned_off_and_on_by_a_reload() {
+    let site = Site::new(2, "");
+    site.consul.set_maintenance("s-1", true);
+    site.wait_until_used(&[0]);
+    site.node.reload_operators("[membership]\n");
+    site.wait_until_used(&[0, 1]);
+    site.node.reload_operators("nonsense = 1\n");
+    until("the invalid file is logged", || {
+        site.node
             .log()
             .iter()
             .any(|line| line.contains("the operators' file is not used"))
     });
-    town.until_asked(&[0, 1]);
-    town.node.reload_operators(&operators(&town.consul, ""));
-    town.until_asked(&[0]);
+    site.wait_until_used(&[0, 1]);
+    site.node
+        .reload_operators(&operators_file(&site.consul, ""));
+    site.wait_until_used(&[0]);
 }
 
-/// The platform's way: no operators' file, and nothing of this is there.
+/// The platform starts the node without an operators' file.
 #[test]
-fn without_a_file_nobody_but_the_roster_is_asked() {
-    let servers = servers(2);
-    let consul = registered(&servers);
+fn consul_is_not_queried_without_an_operators_file() {
+    let servers = start_servers(2);
+    let consul = start_consul(&servers);
     consul.set_maintenance("s-1", true);
     let (node, _discovery, _watch) = Node::with(&[&servers[0], &servers[1]], 15_000);
-    let mut asked = 0;
-    until("both are asked", || {
-        asked += 1;
+    let mut sent = 0;
+    until("both servers are used", || {
+        sent += 1;
         assert_eq!(
-            node.ask_until_taken(&read(&format!("r{asked}"), "15000m"))
+            node.ask_until_taken(&read(&format!("r{sent}"), "15000m"))
                 .status(),
             200
         );
@@ -444,69 +454,83 @@
     assert!(consul.queries().is_empty());
 }
 
-/// The proof: several hundred steps of lag, lies and loss from a seed, under load.
+/// From when to when a server must get no request.
+struct DrainSpan {
+    server: usize,
+    since: Instant,
+    /// `None`: to the end of the run.
+    until: Option<Instant>,
+}
+
+/// Several hundred random faults from a fixed seed, under load.
 #[test]
-fn through_lag_lies_and_loss_no_request_reaches_a_drained_server_after_its_time_and_none_is_lost() {
+fn drained_server_gets_no_request_after_its_deadline_under_random_faults() {
     const STEPS: usize = 400;
     const STEP: Duration = Duration::from_millis(25);
     const SERVERS: usize = 8;
     let mut random = fastrand::Rng::with_seed(0x5eed);
-    let mut town = Town::new(SERVERS, "confirm_s = 600");
-    let load = Load::start(town.node.address, 4, Duration::from_millis(2));
-    let mut roster_drains: HashMap<usize, Instant> = HashMap::new();
-    let mut spans: Vec<(usize, Instant, Option<Instant>)> = Vec::new();
-    let mut snapshots = vec![town.consul.catalogue()];
+    let mut site = Site::new(SERVERS, "confirm_s = 600");
+    let load = Load::start(site.node.address, 4, Duration::from_millis(2));
+    let mut list_drains: HashMap<usize, Instant> = HashMap::new();
+    let mut spans: Vec<DrainSpan> = Vec::new();
+    let mut snapshots = vec![site.consul.catalog()];
     for _ in 0..STEPS {
-        // Two servers are never drained, so that there is always one to serve.
+        // Two servers are never drained, so that there is always one to use.
         let at = random.usize(2..SERVERS);
         match random.u8(..20) {
-            0..=3 => town.consul.set_maintenance(&name(at), true),
-            4 => town.consul.set_maintenance(&name(at), false),
-            5 => town
+            0..=3 => site.consul.set_maintenance(&name(at), true),
+            4 => site.consul.set_maintenance(&name(at), false),
+            5 => site
                 .consul
                 .set_status(&name(random.usize(..SERVERS)), "critical"),
-            6 | 7 => town.consul.set_status(&name(at), "passing"),
-            8 => town.consul.deregister(&name(at)),
-            9 => town
+            6 | 7 => site.consul.set_status(&name(at), "passing"),
+            8 => site.consul.deregister(&name(at)),
+            9 => site
                 .consul
-                .register(Instance::new("holds", &name(at), town.servers[at].address)),
-            10 => town
+                .register(Instance::new("holds", &name(at), site.servers[at].address)),
+            10 => site
                 .consul
                 .set_lag(Duration::from_millis(random.u64(..300))),
-            11 => snapshots.push(town.consul.catalogue()),
-            12 => town
+            11 => snapshots.push(site.consul.catalog()),
+            12 => site
                 .consul
                 .restore(random.choice(&snapshots).expect("one").clone()),
-            13 => town.consul.set_vanished(random.bool()),
-            14 => town.consul.set_fault(Fault::Cut(random.usize(..2_000))),
+            13 => site.consul.set_unreachable(random.bool()),
+            14 => site
+                .consul
+                .set_fault(Fault::Truncate(random.usize(..2_000))),
             15 => {
                 let faults = [
                     Fault::Status(500),
                     Fault::NoLeader,
                     Fault::Body("[]".into()),
-                    Fault::AtOnce,
+                    Fault::Immediate,
                 ];
-                town.consul.set_fault(random.choice(faults).expect("one"));
+                site.consul.set_fault(random.choice(faults).expect("one"));
             }
-            16 | 17 => town.consul.set_fault(Fault::None),
+            16 | 17 => site.consul.set_fault(Fault::None),
             18 => {
-                town.roster(at, "draining");
+                site.update_list(at, "draining");
                 let since = Instant::now();
-                roster_drains.entry(at).or_insert(since);
+                list_drains.entry(at).or_insert(since);
             }
             _ => {
-                // The end counts from before the word goes out.
-                if let Some(since) = roster_drains.remove(&at) {
-                    spans.push((at, since, Some(Instant::now())));
+                // The drain ends before the list is sent.
+                if let Some(since) = list_drains.remove(&at) {
+                    spans.push(DrainSpan {
+                        server: at,
+                        since,
+                        until: Some(Instant::now()),
+                    });
                 }
-                town.roster(at, "ready");
+                site.update_list(at, "ready");
             }
         }
         std::thread::sleep(STEP);
     }
-    // What drains now stays so, with Consul gone: the rule holds on.
-    town.consul.set_vanished(true);
-    std::thread::sleep(DRAINED + Duration::from_millis(500));
+    // Servers that drain now stay drained while Consul is unreachable.
+    site.consul.set_unreachable(true);
+    std::thread::sleep(DRAIN_DEADLINE + Duration::from_millis(500));
     let totals = load.end();
     assert_eq!(totals.lost, 0, "{:?}", totals.answers);
     assert!(
@@ -514,52 +538,65 @@
         "{:?}",
         totals.answers
     );
-    spans.extend(
-        roster_drains
-            .into_iter()
-            .map(|(at, since)| (at, since, None)),
-    );
-    spans.extend(consul_drains(&town));
-    let long = spans.iter().filter(|(_, since, until)| {
-        until.unwrap_or_else(Instant::now).duration_since(*since)
-            > DRAINED + Duration::from_millis(100)
+    spans.extend(list_drains.into_iter().map(|(server, since)| DrainSpan {
+        server,
+        since,
+        until: None,
+    }));
+    spans.extend(consul_drains(&site));
+    let long = spans.iter().filter(|span| {
+        let until = span.until.unwrap_or_else(Instant::now);
+        until.duration_since(span.since) > DRAIN_DEADLINE + Duration::from_millis(100)
     });
     assert!(
         long.count() >= 5,
-        "the script must drain for longer than the rule allows sends"
+        "the run must contain drains that outlast the deadline"
     );
-    for (at, since, until) in spans {
-        let late = town.servers[at].arrivals().into_iter().find(|arrival| {
-            *arrival > since + DRAINED && until.is_none_or(|until| *arrival < until)
+    for DrainSpan {
+        server,
+        since,
+        until,
+    } in spans
+    {
+        let late = site.servers[server].arrivals().into_iter().find(|arrival| {
+            *arrival > since + DRAIN_DEADLINE && until.is_none_or(|until| *arrival < until)
         });
         assert!(
             late.is_none(),
-            "server {at} drained for {:?}",
+            "server {server} drained for {:?}",
             late.map(|late| late - since)
         );
     }
-    drop(town.discovery);
+    drop(site.discovery);
 }
 
-/// From when to when Consul's word that a server drains held: until a whole answer of a later index, or of any where
-/// the index had gone back, named it without. What an answer of an earlier index says is no newer word.
-fn consul_drains(town: &Town) -> Vec<(usize, Instant, Option<Instant>)> {
+/// From when to when servers drained by Consul: until a complete response of a later index does not drain them. A response
+/// of an earlier index is not newer.
+fn consul_drains(site: &Site) -> Vec<DrainSpan> {
     let mut spans = Vec::new();
-    for at in 0..town.servers.len() {
+    for at in 0..site.servers.len() {
         let (name, mut open) = (name(at), None::<(Instant, u64)>);
-        for told in town.consul.told() {
-            if told.draining.contains(&name) {
-                let since = open.map_or(told.at.1, |(since, _)| since);
-                open = Some((since, told.index));
+        for response in site.consul.responses() {
+            if response.draining.contains(&name) {
+                let since = open.map_or(response.completed_at, |(since, _)| since);
+                open = Some((since, response.index));
             } else if let Some((since, index)) = open {
-                // In a later version it is named without, or not named at all: either is a newer word.
-                if told.index > index {
-                    spans.push((at, since, Some(told.at.0)));
+                // A later version lists it without maintenance mode, or not at all: either is newer.
+                if response.index > index {
+                    spans.push(DrainSpan {
+                        server: at,
+                        since,
+                        until: Some(response.started_at),
+                    });
                     open = None;
                 }
             }
         }
-        spans.extend(open.map(|(since, _)| (at, since, None)));
+        spans.extend(open.map(|(since, _)| DrainSpan {
+            server: at,
+            since,
+            until: None,
+        }));
     }
     spans
 }
