--- a/src/node/admin/config_file.rs
+++ b/src/node/admin/config_file.rs
@@ -19,7 +19,7 @@
 use std::io::{self, Read};
 use std::path::Path;
 
-use endpoint_discovery::Trust;
+use endpoint_discovery::SourcePolicy;
 
 pub use self::error::{ConfigFileError, Location, Problem};
 use self::raw::RawConfig;
@@ -52,7 +52,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct EndpointSources {
     /// How far the roster (the platform's discovery) is trusted against the other sources.
-    pub roster: Trust,
+    pub roster: SourcePolicy,
     /// The services that are watched in Consul.
     pub consul: Vec<ConsulSource>,
 }
--- a/src/node/admin/config_file/bounded_value.rs
+++ b/src/node/admin/config_file/bounded_value.rs
@@ -2,7 +2,7 @@
 
 use std::str::FromStr;
 
-use consul::{Named, Place};
+use consul::{FieldSource, KeySource};
 use pool::Address;
 use serde::de::Error;
 use serde::{Deserialize, Deserializer};
@@ -100,26 +100,28 @@
 }
 
 /// A field of an instance in Consul.
-pub struct FieldText(pub Place);
+pub struct FieldText(pub FieldSource);
 
 impl<'de> Deserialize<'de> for FieldText {
     fn deserialize<D: Deserializer<'de>>(deserializer: D) -> Result<Self, D::Error> {
         let text = String::deserialize(deserializer)?;
-        Place::from_str(&text).map(Self).map_err(Error::custom)
+        FieldSource::from_str(&text)
+            .map(Self)
+            .map_err(Error::custom)
     }
 }
 
 /// How an instance in Consul identifies a server: by a field, or by its address.
-pub struct ServerIdText(pub Named);
+pub struct ServerIdText(pub KeySource);
 
 impl<'de> Deserialize<'de> for ServerIdText {
     fn deserialize<D: Deserializer<'de>>(deserializer: D) -> Result<Self, D::Error> {
         let text = String::deserialize(deserializer)?;
         if text == "address" {
-            return Ok(Self(Named::Address));
+            return Ok(Self(KeySource::Address));
         }
-        match Place::from_str(&text) {
-            Ok(field) => Ok(Self(Named::Id(field))),
+        match FieldSource::from_str(&text) {
+            Ok(field) => Ok(Self(KeySource::Id(field))),
             Err(error) => Err(Error::custom(format_args!("{error}, nor `address`"))),
         }
     }
--- a/src/node/admin/config_file/consul_source.rs
+++ b/src/node/admin/config_file/consul_source.rs
@@ -1,13 +1,16 @@
 //! Turns a `[[consul]]` section into the settings of a source: what is watched, through which agents, what an instance
 //! means, and how far the source is trusted.
 
-use consul::{Api, Consistency, Mapping, Named, Place, Query, State, WatchSettings};
-use endpoint_discovery::{Damping, MatchBy, Trust};
+use consul::{
+    Api, Consistency, FieldSource, KeySource, Lifecycle, Mapping, MetaRule, Query,
+    StatusLifecycles, TagRule, WatchSettings,
+};
+use endpoint_discovery::{FlapDamping, MatchBy, SourcePolicy};
 
 use super::bounded_value::{FieldText, Seconds};
 use super::error::{InvalidValue, Problem};
 use super::raw::{RawApi, RawConsistency, RawConsul, RawDamping, RawState, RawStates};
-use super::validation::{check_name_length, override_trust};
+use super::validation::{check_name_length, override_policy};
 use crate::node::discovery::consul::ConsulSource;
 
 /// The most agents of a source: each takes a connection.
@@ -26,7 +29,7 @@
         self.check_agent_count()?;
         self.check_naming()?;
         Ok(ConsulSource {
-            trust: self.trust(),
+            policy: self.policy(),
             agents: self
                 .agents
                 .get_ref()
@@ -61,31 +64,31 @@
     }
 
     fn identifies_by_address(&self) -> bool {
-        matches!(&self.id, Some(id) if id.0 == Named::Address)
+        matches!(&self.id, Some(id) if id.0 == KeySource::Address)
     }
 
-    fn trust(&self) -> Trust {
-        let mut trust = Trust::advisor(self.name.get_ref().clone());
-        override_trust(
-            &mut trust,
+    fn policy(&self) -> SourcePolicy {
+        let mut policy = SourcePolicy::advisory(self.name.get_ref().clone());
+        override_policy(
+            &mut policy,
             self.panic_share,
             self.panic_window_s,
             self.confirm_s,
         );
-        trust.names = self
+        policy.may_add_endpoints = self
             .names_servers
             .as_ref()
             .is_some_and(|names| *names.get_ref());
-        trust.match_by = if self.identifies_by_address() {
+        policy.match_by = if self.identifies_by_address() {
             MatchBy::Address
         } else {
             MatchBy::Id
         };
-        trust.hold_ms = self.hold_s.map_or(trust.hold_ms, Seconds::as_ms);
+        policy.hold_ms = self.hold_s.map_or(policy.hold_ms, Seconds::as_ms);
         if let Some(damping) = &self.damping {
-            trust.damping = damping.enabled();
+            policy.damping = damping.enabled();
         }
-        trust
+        policy
     }
 
     fn watch_settings(self) -> WatchSettings {
@@ -103,74 +106,82 @@
             wait_s: self.wait_s.map_or(DEFAULT_QUERY_WAIT_S, |wait| wait.0),
         };
         let mapping = Mapping {
-            named: self.id.map_or(Named::Id(Place::ServiceId), |id| id.0),
+            key: self
+                .id
+                .map_or(KeySource::Id(FieldSource::ServiceId), |id| id.0),
             tagged_address: self.tagged_address,
-            also_tagged: self.also_tagged,
-            states: self.states.by_check(),
-            tags: self.states.by_tag(),
-            meta: self.states.by_meta(),
+            alternate_tagged_addresses: self.also_tagged,
+            status_lifecycles: self.states.by_status(),
+            tag_rules: self.states.tag_rules(),
+            meta_rules: self.states.meta_rules(),
             zone: field(self.zone),
-            kind: field(self.kind),
+            machine_type: field(self.kind),
             cell: field(self.cell),
             weight: field(self.weight),
             started_at_ms: field(self.started_at_ms),
         };
         let mut watch = WatchSettings::new(query, mapping, agents);
-        watch.most_age_ms = max_age.map_or(watch.most_age_ms, Seconds::as_ms);
-        watch.pace_ms = poll_interval.map_or(watch.pace_ms, |interval| interval.0);
+        watch.max_age_ms = max_age.map_or(watch.max_age_ms, Seconds::as_ms);
+        watch.response_interval_ms =
+            poll_interval.map_or(watch.response_interval_ms, |interval| interval.0);
         watch
     }
 }
 
-fn field(text: Option<FieldText>) -> Option<Place> {
+fn field(text: Option<FieldText>) -> Option<FieldSource> {
     text.map(|text| text.0)
 }
 
 impl RawDamping {
     /// `most_s = 0` turns damping off.
-    fn enabled(&self) -> Option<Damping> {
-        let most_ms = self.most_s.as_ms();
-        (most_ms > 0.0).then(|| Damping {
-            first_ms: self.first_s.as_ms(),
-            most_ms,
+    fn enabled(&self) -> Option<FlapDamping> {
+        let max_ms = self.most_s.as_ms();
+        (max_ms > 0.0).then(|| FlapDamping {
+            initial_ms: self.first_s.as_ms(),
+            max_ms,
             half_life_ms: self.half_life_s.as_ms().max(MIN_DAMPING_HALF_LIFE_MS),
         })
     }
 }
 
 impl RawStates {
-    /// For passing, warning and critical checks, and for maintenance.
-    fn by_check(&self) -> [State; 4] {
-        let [passing, warning, critical, maintenance] = Mapping::default().states;
-        let or_default = |raw: Option<RawState>, default: State| raw.map_or(default, State::from);
-        [
-            or_default(self.passing, passing),
-            or_default(self.warning, warning),
-            or_default(self.critical, critical),
-            or_default(self.maintenance, maintenance),
-        ]
+    fn by_status(&self) -> StatusLifecycles {
+        let defaults = Mapping::default().status_lifecycles;
+        let or_default = |raw: Option<RawState>, default| raw.map_or(default, Lifecycle::from);
+        StatusLifecycles {
+            passing: or_default(self.passing, defaults.passing),
+            warning: or_default(self.warning, defaults.warning),
+            critical: or_default(self.critical, defaults.critical),
+            maintenance: or_default(self.maintenance, defaults.maintenance),
+        }
     }
 
-    fn by_tag(&self) -> Vec<(String, State)> {
+    fn tag_rules(&self) -> Vec<TagRule> {
         self.tags
             .iter()
-            .map(|(tag, state)| (tag.clone(), (*state).into()))
+            .map(|(tag, state)| TagRule {
+                tag: tag.clone(),
+                lifecycle: (*state).into(),
+            })
             .collect()
     }
 
-    /// Key, value and state of each.
-    fn by_meta(&self) -> Vec<(String, String, State)> {
-        let mut states = Vec::new();
+    fn meta_rules(&self) -> Vec<MetaRule> {
+        let mut rules = Vec::new();
         for (key, by_value) in &self.meta {
             for (value, state) in by_value {
-                states.push((key.clone(), value.clone(), (*state).into()));
+                rules.push(MetaRule {
+                    key: key.clone(),
+                    value: value.clone(),
+                    lifecycle: (*state).into(),
+                });
             }
         }
-        states
+        rules
     }
 }
 
-impl From<RawState> for State {
+impl From<RawState> for Lifecycle {
     fn from(raw: RawState) -> Self {
         match raw {
             RawState::Ready => Self::Ready,
--- a/src/node/admin/config_file/summary.rs
+++ b/src/node/admin/config_file/summary.rs
@@ -31,9 +31,9 @@
 }
 
 fn consul_line(source: &ConsulSource) -> String {
-    let (name, agents) = (&source.trust.name, source.agents.len());
+    let (name, agents) = (&source.policy.name, source.agents.len());
     let service = &source.watch.query.service;
-    let role = if source.trust.names {
+    let role = if source.policy.may_add_endpoints {
         "names servers"
     } else {
         "advises on the roster's servers"
--- a/src/node/admin/config_file/validation.rs
+++ b/src/node/admin/config_file/validation.rs
@@ -3,7 +3,7 @@
 
 use std::collections::HashMap;
 
-use endpoint_discovery::Trust;
+use endpoint_discovery::SourcePolicy;
 use pool::{Address, Route, MAX_ADDRESSES};
 use toml::Spanned;
 
@@ -34,7 +34,7 @@
 
 impl RawConfig {
     pub fn validate(self) -> Result<OperatorConfig, InvalidValue> {
-        let roster = self.membership.roster_trust();
+        let roster = self.membership.roster_policy();
         let consul = validate_sources(self.consul)?;
         let addresses = validate_addresses(self.server)?;
         let instances = self.instances.map(RawInstances::validate).transpose()?;
@@ -65,35 +65,35 @@
 }
 
 impl RawMembership {
-    fn roster_trust(&self) -> Trust {
-        let mut trust = Trust::roster(ROSTER_NAME);
-        override_trust(
-            &mut trust,
+    fn roster_policy(&self) -> SourcePolicy {
+        let mut policy = SourcePolicy::authoritative(ROSTER_NAME);
+        override_policy(
+            &mut policy,
             self.panic_share,
             self.panic_window_s,
             self.confirm_s,
         );
-        trust
+        policy
     }
 }
 
 /// Replaces the values that the file names.
-pub(super) fn override_trust(
-    trust: &mut Trust,
+pub(super) fn override_policy(
+    policy: &mut SourcePolicy,
     panic_share: Option<Fraction>,
     panic_window: Option<Seconds>,
     confirm: Option<Seconds>,
 ) {
-    trust.panic_share = panic_share.map_or(trust.panic_share, |share| share.0);
-    trust.panic_window_ms = panic_window.map_or(trust.panic_window_ms, Seconds::as_ms);
-    trust.confirm_ms = confirm.map_or(trust.confirm_ms, Seconds::as_ms);
+    policy.panic_share = panic_share.map_or(policy.panic_share, |share| share.0);
+    policy.panic_window_ms = panic_window.map_or(policy.panic_window_ms, Seconds::as_ms);
+    policy.confirm_ms = confirm.map_or(policy.confirm_ms, Seconds::as_ms);
 }
 
 fn validate_sources(sections: Vec<RawConsul>) -> Result<Vec<ConsulSource>, InvalidValue> {
     let mut sources: Vec<ConsulSource> = Vec::new();
     for section in sections {
         let name = section.name.get_ref();
-        if name == ROSTER_NAME || sources.iter().any(|source| source.trust.name == *name) {
+        if name == ROSTER_NAME || sources.iter().any(|source| source.policy.name == *name) {
             return Err(InvalidValue::new(&section.name, Problem::DuplicateSource));
         }
         if sources.len() >= MAX_SOURCES {
--- a/src/node/admin/reload.rs
+++ b/src/node/admin/reload.rs
@@ -15,14 +15,14 @@
 use crate::node::admin::log;
 use crate::node::cluster::Fleet;
 use crate::node::config::Config;
-use crate::node::discovery::Sources;
+use crate::node::discovery::ConsulFollowers;
 
 /// An operators' file and the sources that it configures.
 pub struct WatchedFile {
     /// Where the file is.
     pub path: PathBuf,
     /// The sources of the endpoint view.
-    pub sources: Rc<Sources>,
+    pub sources: Rc<ConsulFollowers>,
 }
 
 /// Reads the configuration and the operators' file again at each signal and applies what can change. A file that is not
@@ -76,7 +76,7 @@
 
 fn apply(
     config: OperatorConfig,
-    sources: &Sources,
+    sources: &ConsulFollowers,
     fleet: Option<&Rc<Fleet>>,
     platform: Option<&Config>,
 ) {
--- a/src/node/driver.rs
+++ b/src/node/driver.rs
@@ -7,14 +7,14 @@
 use std::time::{Duration, Instant};
 
 use admin::{Metrics, ServerGauges};
-use endpoint_discovery::{Host, State};
+use endpoint_discovery::{Endpoint, Lifecycle};
 use tokio::sync::{oneshot, Notify};
 use tokio::task::AbortHandle;
 
 use crate::node::admin::log;
 use crate::node::clock::Clock;
 use crate::node::config::{Config, ConfigError, Names};
-use crate::node::discovery::roster;
+use crate::node::discovery::endpoint_list::decode::decode_endpoints;
 use crate::node::upstream::addresses::ConfiguredAddresses;
 use crate::node::upstream::servers::{PoolLimits, Servers, Underway};
 use crate::node::upstream::{Ended, Message, RequestBody, Served};
@@ -84,11 +84,11 @@
     matches!(ending, Ending::Served | Ending::Rejected)
 }
 
-fn availability(state: State) -> Availability {
-    match state {
-        State::Ready => Availability::Ready,
-        State::Draining => Availability::Draining,
-        State::Gone => Availability::Gone,
+fn availability(lifecycle: Lifecycle) -> Availability {
+    match lifecycle {
+        Lifecycle::Ready => Availability::Ready,
+        Lifecycle::Draining => Availability::Draining,
+        Lifecycle::Gone => Availability::Gone,
     }
 }
 
@@ -102,7 +102,7 @@
 type Watcher = Rc<dyn Fn(u64, Ending)>;
 
 /// What all nodes know a server by in this life of it: one that is replaced under its name is another.
-fn key_of(host: &Host) -> u64 {
+fn key_of(host: &Endpoint) -> u64 {
     crate::simulator::spread(&host.id) ^ stable_hash::mix(host.started_at_ms.to_bits())
 }
 
@@ -221,7 +221,7 @@
             latest: Cell::default(),
             ends_by: Cell::default(),
         });
-        driver.listing(&roster::read_all(&config.known), Listing::Cached);
+        driver.listing(&decode_endpoints(&config.known), Listing::Cached);
         tokio::task::spawn_local(Rc::clone(&driver).wake_up());
         tokio::task::spawn_local(Rc::clone(&driver).sweep());
         tokio::task::spawn_local(Rc::clone(&driver.servers).wake_up());
@@ -229,7 +229,7 @@
     }
 
     /// Takes the whole list of servers.
-    pub fn list(self: &Rc<Self>, hosts: &[Host]) {
+    pub fn list(self: &Rc<Self>, hosts: &[Endpoint]) {
         self.listing(hosts, Listing::Full);
     }
 
@@ -270,7 +270,7 @@
     }
 
     /// Takes the servers that changed.
-    pub fn changes(self: &Rc<Self>, hosts: &[Host]) {
+    pub fn changes(self: &Rc<Self>, hosts: &[Endpoint]) {
         self.listing(hosts, Listing::Changes);
     }
 
@@ -302,7 +302,7 @@
         self.feed(Event::Servers(Listing::Failed));
     }
 
-    fn listing(self: &Rc<Self>, hosts: &[Host], kind: fn(Vec<ServerEntry>) -> Listing) {
+    fn listing(self: &Rc<Self>, hosts: &[Endpoint], kind: fn(Vec<ServerEntry>) -> Listing) {
         if !matches!(kind(Vec::new()), Listing::Changes(_)) {
             self.forget_missing(hosts);
         }
@@ -311,7 +311,7 @@
     }
 
     /// A server that a full list does not name is gone.
-    fn forget_missing(&self, hosts: &[Host]) {
+    fn forget_missing(&self, hosts: &[Endpoint]) {
         let listed: HashSet<&str> = hosts.iter().map(|host| host.id.as_str()).collect();
         self.numbers.borrow_mut().retain(|id, number| {
             let stays = listed.contains(id.as_str());
@@ -324,16 +324,17 @@
     }
 
     /// What the balancer is told of hosts: that they are there, or gone, or that others are gone for them.
-    fn entries(&self, hosts: &[Host]) -> Vec<ServerEntry> {
+    fn entries(&self, hosts: &[Endpoint]) -> Vec<ServerEntry> {
         let mut numbers = self.numbers.borrow_mut();
-        let (gone, there): (Vec<_>, Vec<_>) =
-            hosts.iter().partition(|host| host.state == State::Gone);
+        let (gone, there): (Vec<_>, Vec<_>) = hosts
+            .iter()
+            .partition(|host| host.lifecycle == Lifecycle::Gone);
         let mut gone: Vec<_> = gone
             .into_iter()
             .filter_map(|host| numbers.remove(&host.id))
             .collect();
         gone.iter().for_each(|number| self.servers.forget(*number));
-        let mut numbered: Vec<(ServerId, &Host)> = Vec::with_capacity(there.len());
+        let mut numbered: Vec<(ServerId, &Endpoint)> = Vec::with_capacity(there.len());
         for host in there {
             let number = numbers.entry(host.id.clone()).or_insert_with(|| {
                 let next = self.next_server.get();
@@ -367,15 +368,15 @@
             .collect()
     }
 
-    fn entry(&self, server: ServerId, host: &Host) -> ServerEntry {
+    fn entry(&self, server: ServerId, host: &Endpoint) -> ServerEntry {
         ServerEntry {
             server,
             place: crate::simulator::spread(&host.id),
-            availability: availability(host.state),
+            availability: availability(host.lifecycle),
             started_at: Some(host.started_at_ms).filter(|t| *t > 0.0),
             cell: host.cell.unwrap_or(0),
             zone: self.names.zones.get(&host.zone).unwrap_or(0),
-            kind: self.names.kinds.get(&host.kind).unwrap_or(0),
+            kind: self.names.kinds.get(&host.machine_type).unwrap_or(0),
         }
     }
 
--- a/src/node/mod.rs
+++ b/src/node/mod.rs
@@ -29,8 +29,9 @@
 use self::admin::reload::{self, WatchedFile};
 use self::admin::server::{self as admin_server, AdminServer};
 use self::cluster::{Fleet, FleetError};
-use self::discovery::members::ServerMembers;
-use self::discovery::{endpoint_list, Sources};
+use self::discovery::endpoint_list::Delivery;
+use self::discovery::updates::EndpointUpdates;
+use self::discovery::{endpoint_list, ConsulFollowers};
 use self::downstream::clients::{self, FrontOptions, Phase};
 use self::downstream::inherited;
 use config::{Config, ConfigError};
@@ -141,14 +142,15 @@
     log::line(format_args!("serves on {address}"));
     let known = Some(config.known.generation).filter(|_| !config.known.instances.is_empty());
     let (moves, addresses) = watch::channel(config.discovery);
-    let (members, sources) = endpoint_sources(&driver, &config, &operator_config);
-    tokio::task::spawn_local(endpoint_list::follow(
-        members,
-        addresses,
-        config.push,
-        config.drain_grace,
-        known,
-    ));
+    let (updates, consul_followers) = endpoint_updates(&driver, &config, &operator_config);
+    let delivery = if config.push {
+        Delivery::Pushed {
+            grace: config.drain_grace,
+        }
+    } else {
+        Delivery::Subscribed
+    };
+    tokio::task::spawn_local(endpoint_list::follow(updates, addresses, delivery, known));
     let fleet = Fleet::start(
         &config,
         operator_config.instances.as_ref(),
@@ -158,7 +160,7 @@
     )
     .await
     .map_err(NodeError::Fleet)?;
-    let file = match (config_path, sources) {
+    let file = match (config_path, consul_followers) {
         (Some(path), Some(sources)) => Some(WatchedFile { path, sources }),
         _ => None,
     };
@@ -213,20 +215,21 @@
     Ok(())
 }
 
-/// The way of the endpoint list to the driver, and the sources beside the roster that the operators' file names.
-fn endpoint_sources(
+/// The path of endpoint updates to the driver, with the Consul services that the operators' file
+/// names.
+fn endpoint_updates(
     driver: &Rc<Driver>,
     config: &Config,
     operator_config: &OperatorConfig,
-) -> (Rc<ServerMembers>, Option<Rc<Sources>>) {
+) -> (Rc<EndpointUpdates>, Option<Rc<ConsulFollowers>>) {
     let Some(configured) = &operator_config.endpoint_sources else {
-        return (ServerMembers::roster_alone(Rc::clone(driver)), None);
+        return (EndpointUpdates::direct(Rc::clone(driver)), None);
     };
-    let members =
-        ServerMembers::merged(Rc::clone(driver), configured.roster.clone(), &config.known);
-    let sources = Sources::new(Rc::clone(&members), config.seed);
-    sources.follow(&configured.consul);
-    (members, Some(sources))
+    let updates =
+        EndpointUpdates::merged(Rc::clone(driver), configured.roster.clone(), &config.known);
+    let consul_followers = ConsulFollowers::new(Rc::clone(&updates), config.seed);
+    consul_followers.follow(&configured.consul);
+    (updates, Some(consul_followers))
 }
 
 #[cfg(test)]
--- a/src/node/upstream/addresses.rs
+++ b/src/node/upstream/addresses.rs
@@ -3,7 +3,7 @@
 use std::collections::HashMap;
 use std::net::SocketAddr;
 
-use endpoint_discovery::Host;
+use endpoint_discovery::Endpoint;
 use pool::{Address, Route};
 
 /// The addresses of one server in the operators' file.
@@ -23,7 +23,7 @@
 #[must_use]
 pub fn routes(
     configured: &ConfiguredAddresses,
-    host: &Host,
+    host: &Endpoint,
     listed: Option<SocketAddr>,
 ) -> Vec<Route> {
     let own = configured.get(&host.id);
@@ -31,7 +31,10 @@
     if own.is_some_and(|own| own.exclusive) {
         return routes;
     }
-    for address in listed.into_iter().chain(host.others.iter().copied()) {
+    for address in listed
+        .into_iter()
+        .chain(host.alternate_addresses.iter().copied())
+    {
         let address = Address::Ip(address);
         if routes.iter().all(|route| route.address != address) {
             routes.push(Route::new(address));
--- a/src/node/upstream/addresses/tests.rs
+++ b/src/node/upstream/addresses/tests.rs
@@ -3,9 +3,9 @@
 #[test]
 fn configured_addresses_add_to_or_replace_the_listed_ones() {
     let [own, other] = [1, 2].map(|port| SocketAddr::from(([127, 0, 0, 1], port)));
-    let host = Host {
-        others: vec![other, own],
-        ..Host::named("s-0")
+    let host = Endpoint {
+        alternate_addresses: vec![other, own],
+        ..Endpoint::new("s-0")
     };
     let route = |text: &str, preference| Route {
         preference,
@@ -30,5 +30,5 @@
         ]
     );
     assert_eq!(routes(&configured(true), &host, Some(own)), beside[..2]);
-    assert!(routes(&ConfiguredAddresses::new(), &Host::named("s-1"), None).is_empty());
+    assert!(routes(&ConfiguredAddresses::new(), &Endpoint::new("s-1"), None).is_empty());
 }
