--- a/crates/consul/src/json_stream/tests.rs
+++ b/crates/consul/src/json_stream/tests.rs
@@ -14,9 +14,9 @@
 #[test]
 fn elements_are_the_same_wherever_the_stream_is_split() {
     let text = br#" [ {"a": "],}\"\\", "b": [1, {}]} , 7,"x, y" , [ ] ] "#;
-    let whole = elements_of(&[text]).expect("an array");
+    let expected = elements_of(&[text]).expect("an array");
     assert_eq!(
-        whole,
+        expected,
         [r#"{"a": "],}\"\\", "b": [1, {}]}"#, "7", r#""x, y""#, "[ ]"]
     );
     for first in 0..text.len() {
@@ -24,7 +24,7 @@
             let pieces = [&text[..first], &text[first..second], &text[second..]];
             assert_eq!(
                 elements_of(&pieces),
-                Ok(whole.clone()),
+                Ok(expected.clone()),
                 "split at {first} and {second}"
             );
         }
--- a/crates/consul/tests/robustness.rs
+++ b/crates/consul/tests/robustness.rs
@@ -38,7 +38,7 @@
 
     /// It is reported, rejected, or reported as not current.
     #[test]
-    fn valid_response_with_changed_bytes_is_reported_only_if_it_is_json(changes in proptest::collection::vec((0..VALID.len(), any::<u8>()), 1..4)) {
+    fn corrupted_response_is_reported_only_if_it_is_json(changes in proptest::collection::vec((0..VALID.len(), any::<u8>()), 1..4)) {
         let mut bytes = VALID.as_bytes().to_vec();
         for (at, byte) in changes {
             bytes[at] = byte;
@@ -58,7 +58,7 @@
     }
 
     #[test]
-    fn events_in_any_order_never_send_a_query_while_one_is_under_way(events in proptest::collection::vec(0..6_u8, 1..60)) {
+    fn events_in_any_order_send_one_query_at_a_time(events in proptest::collection::vec(0..6_u8, 1..60)) {
         let (mut watch, mut now_ms, mut is_under_way) = (watch(), 0.0, true);
         for event in events {
             let mut actions = Vec::new();
--- a/crates/consul/tests/watch.rs
+++ b/crates/consul/tests/watch.rs
@@ -181,7 +181,7 @@
 }
 
 #[test]
-fn index_that_goes_back_begins_a_new_epoch_and_a_query_that_does_not_block() {
+fn index_that_goes_back_begins_a_new_epoch_without_blocking() {
     let mut harness = WatchHarness::new(1);
     harness.respond(41, &list(&[instance("a", "critical")]));
     harness.expire_timer();
@@ -210,7 +210,7 @@
 }
 
 #[test]
-fn index_that_jumps_ahead_is_accepted_and_its_successor_begins_a_new_epoch() {
+fn index_that_jumps_ahead_and_back_begins_a_new_epoch() {
     let mut harness = WatchHarness::new(1);
     harness.respond(41, &list(&[]));
     harness.expire_timer();
@@ -233,18 +233,18 @@
 fn agent_that_does_not_block_is_queried_less_and_less_often() {
     for index in ["41", "0", "none", "-3"] {
         let mut harness = WatchHarness::new(1);
-        let mut asked = 0;
+        let mut queries = 0;
         while harness.now_ms < 60_000.0 {
             harness.respond_with_headers(
                 &[("X-Consul-Index", index)],
                 &list(&[instance("a", "passing")]),
             );
             harness.expire_timer();
-            asked += 1;
+            queries += 1;
         }
         assert!(
-            (20..50).contains(&asked),
-            "{asked} times in a minute with index {index}"
+            (20..50).contains(&queries),
+            "{queries} queries in a minute with index {index}"
         );
     }
 }
@@ -253,16 +253,16 @@
 #[test]
 fn incessant_changes_are_rate_limited() {
     let mut harness = WatchHarness::new(1);
-    let (mut asked, mut index) = (0, 1);
+    let (mut queries, mut index) = (0, 1);
     while harness.now_ms < 10_000.0 {
         index += 1;
         harness.respond(index, &list(&[instance(&format!("a{index}"), "passing")]));
         harness.expire_timer();
-        asked += 1;
+        queries += 1;
     }
     assert!(
-        (90..=110).contains(&asked),
-        "{asked} in ten seconds at a pace of 100 ms"
+        (90..=110).contains(&queries),
+        "{queries} queries in ten seconds at an interval of 100 ms"
     );
 }
 
@@ -335,9 +335,9 @@
         waits[30..].iter().all(|wait| *wait >= 15_000.0),
         "{waits:?}"
     );
-    let spread: std::collections::HashSet<_> =
+    let distinct: std::collections::HashSet<_> =
         waits[30..].iter().map(|wait| *wait as u64).collect();
-    assert!(spread.len() > 5, "with jitter");
+    assert!(distinct.len() > 5, "with jitter");
     // One that responds again is queried for everything, and its response is reported.
     harness.respond(41, &list(&[instance("a", "passing")]));
     assert!(harness.report().is_current);
@@ -349,13 +349,13 @@
 #[test]
 fn error_is_logged_when_it_begins_and_not_while_it_continues() {
     let mut harness = WatchHarness::new(2);
-    let mut told = 0;
+    let mut logged = 0;
     while harness.now_ms < 3_600_000.0 {
         harness.handle(Event::ConnectionFailed("refused".into()));
-        told += harness.errors().len();
+        logged += harness.errors().len();
         harness.expire_timer();
     }
-    assert_eq!(told, 2);
+    assert_eq!(logged, 2);
     harness.handle(Event::Head {
         status: 403,
         headers: &[],
@@ -379,17 +379,17 @@
 #[test]
 fn index_that_is_always_invalid_is_logged_once() {
     for (first, second) in [(41, 7), (41, 41), (0, 0)] {
-        let (mut harness, mut told) = (WatchHarness::new(1), 0);
+        let (mut harness, mut logged) = (WatchHarness::new(1), 0);
         for turn in 0..100 {
             let index = if turn % 2 == 0 { first } else { second };
             harness.respond(
                 index,
                 &list(&[instance("a", ["passing", "critical"][turn % 2])]),
             );
-            told += harness.errors().len();
+            logged += harness.errors().len();
             harness.expire_timer();
         }
-        assert_eq!(told, 1, "{first}, {second}");
+        assert_eq!(logged, 1, "{first}, {second}");
     }
 }
 
@@ -460,9 +460,9 @@
     let mut harness = WatchHarness::new(2);
     harness.respond(41, "[]");
     harness.expire_timer();
-    let asked = harness.now_ms;
+    let sent_at_ms = harness.now_ms;
     harness.expire_timer();
-    assert!(harness.now_ms - asked > 60_000.0 && harness.now_ms - asked < 70_000.0);
+    assert!(harness.now_ms - sent_at_ms > 60_000.0 && harness.now_ms - sent_at_ms < 70_000.0);
     assert!(harness.actions.contains(&Action::CloseConnection));
     assert_eq!(harness.errors(), [&PollError::Timeout]);
     harness.expire_timer();
@@ -525,7 +525,7 @@
 }
 
 #[test]
-fn malformed_response_is_rejected_and_malformed_instance_hides_no_other() {
+fn malformed_response_is_rejected_and_instance_skipped() {
     for body in ["", "null", "{}", "\"[]\"", "[1,", "<html>", "[] trailing"] {
         let mut harness = WatchHarness::new(1);
         harness.respond(41, body);
@@ -567,7 +567,7 @@
 }
 
 #[test]
-fn instances_that_identify_no_endpoint_are_logged_and_remove_nothing() {
+fn unidentified_instances_are_logged_and_remove_nothing() {
     let mapping = Mapping {
         key: consul::KeySource::Address,
         ..Mapping::default()
--- a/crates/endpoint-discovery/src/source/mod.rs
+++ b/crates/endpoint-discovery/src/source/mod.rs
@@ -1,10 +1,10 @@
 //! One source: its latest assertions, and which of them are in effect.
 //!
-//! A source may be wrong: it lags, forgets, is restored from an old snapshot, or fails all its
-//! checks at once. So an assertion that could take many endpoints away takes effect only once it
-//! has been confirmed, while a drain takes effect at once. Invariant: a record is in `pending` if
-//! and only if its latest lifecycle differs from the effective one.
+//! It records what the source reports, and whether the source is live. When a latest assertion takes
+//! effect is decided in `pending`. Invariant: a key is in the pending set if and only if its latest
+//! lifecycle differs from the effective one.
 
+mod pending;
 mod policy;
 mod record;
 mod update;
@@ -14,7 +14,7 @@
 use crate::endpoint::{Endpoint, Lifecycle, MAX_ENDPOINTS};
 use crate::log_event::LogEvent;
 use crate::merge::SourceStatus;
-use record::{LatestAssertion, Record};
+use record::Record;
 use update::{EpochVersion, Receipt};
 
 pub use policy::{FlapDamping, MatchBy, SourcePolicy};
@@ -40,28 +40,12 @@
     Expired,
 }
 
-/// When a pending assertion takes effect.
-#[derive(Clone, Copy, PartialEq)]
-enum TakesEffect {
-    /// At this time, in milliseconds.
-    At(f64),
-    /// Not before a current report confirms it.
-    OnceConfirmed,
-}
-
 /// A removal that has taken effect.
 struct RecentRemoval {
     removed_at_ms: f64,
     key: String,
 }
 
-/// Removals within the panic window, with those that would come on top.
-struct RemovalCount {
-    removed: usize,
-    /// Endpoints that the source had before them.
-    total: usize,
-}
-
 /// One source.
 pub(crate) struct Source {
     pub policy: SourcePolicy,
@@ -277,225 +261,6 @@
         self.records.insert(key, record);
     }
 
-    /// Puts every pending assertion into effect that is due; returns when to call this again.
-    ///
-    /// `ready_elsewhere` are the pending keys that another source calls ready; they matter only if
-    /// the policy defers disputed removals alone.
-    pub fn settle(
-        &mut self,
-        now_ms: f64,
-        ready_elsewhere: &KeySet,
-        affected: &mut KeySet,
-        log_events: &mut Vec<LogEvent>,
-    ) -> Option<f64> {
-        self.drop_old_removals(now_ms);
-        let is_mass_removal = self.is_mass_removal();
-        let next_effect_ms = self.apply_pending(now_ms, is_mass_removal, ready_elsewhere, affected);
-        self.report_mass_removal(is_mass_removal, log_events);
-        self.evict_tombstones(affected);
-        let expires_at_ms = self.expire(now_ms, affected, log_events);
-        next_effect_ms
-            .into_iter()
-            .chain(expires_at_ms)
-            .reduce(f64::min)
-    }
-
-    fn drop_old_removals(&mut self, now_ms: f64) {
-        let window_start_ms = now_ms - self.policy.panic_window_ms;
-        let records = &self.records;
-        self.recent_removals.retain(|removal| {
-            removal.removed_at_ms > window_start_ms
-                && records
-                    .get(&removal.key)
-                    .is_some_and(|record| record.effective == Some(Lifecycle::Gone))
-        });
-    }
-
-    /// Returns when the next of the remaining ones takes effect.
-    fn apply_pending(
-        &mut self,
-        now_ms: f64,
-        is_mass_removal: bool,
-        ready_elsewhere: &KeySet,
-        affected: &mut KeySet,
-    ) -> Option<f64> {
-        let mut next_ms: Option<f64> = None;
-        for key in std::mem::take(&mut self.pending) {
-            let Some(record) = self.records.get(&key) else {
-                continue;
-            };
-            let is_disputed =
-                self.policy.defers_undisputed_removals || ready_elsewhere.contains(&key);
-            match self.takes_effect(record, is_mass_removal && is_disputed) {
-                TakesEffect::At(at_ms) if at_ms <= now_ms => {
-                    self.put_into_effect(now_ms, &key);
-                    affected.insert(key);
-                }
-                TakesEffect::At(at_ms) => {
-                    next_ms = Some(next_ms.map_or(at_ms, |next_ms| next_ms.min(at_ms)));
-                    self.pending.insert(key);
-                }
-                TakesEffect::OnceConfirmed => {
-                    self.pending.insert(key);
-                }
-            }
-        }
-        next_ms
-    }
-
-    fn report_mass_removal(&mut self, was_mass_removal: bool, log_events: &mut Vec<LogEvent>) {
-        // If no removal is still pending, nothing was deferred and there is nothing to report.
-        let is_deferred = was_mass_removal && self.pending_removals().count() > 0;
-        if is_deferred == self.is_mass_removal_reported {
-            return;
-        }
-        self.is_mass_removal_reported = is_deferred;
-        let source = self.policy.name.clone();
-        let RemovalCount { removed, total } = self.count_removals();
-        log_events.push(if is_deferred {
-            LogEvent::MassRemovalDeferred {
-                source,
-                removed,
-                total,
-            }
-        } else {
-            LogEvent::MassRemovalSettled { source }
-        });
-    }
-
-    /// Expires a source that has been stale for too long; returns when that is otherwise due.
-    fn expire(
-        &mut self,
-        now_ms: f64,
-        affected: &mut KeySet,
-        log_events: &mut Vec<LogEvent>,
-    ) -> Option<f64> {
-        let Contact::StaleSince(since_ms) = self.contact else {
-            return None;
-        };
-        let expires_at_ms = since_ms + self.policy.hold_ms;
-        if expires_at_ms > now_ms {
-            return Some(expires_at_ms).filter(|at_ms| at_ms.is_finite());
-        }
-        self.contact = Contact::Expired;
-        log_events.push(LogEvent::SourceExpired {
-            source: self.policy.name.clone(),
-        });
-        affected.extend(self.keys());
-        None
-    }
-
-    /// Records whose latest assertion would remove an endpoint that is ready or unknown so far.
-    fn pending_removals(&self) -> impl Iterator<Item = &Record> {
-        self.pending
-            .iter()
-            .filter_map(|key| self.records.get(key))
-            .filter(|record| record.has_pending_removal())
-    }
-
-    fn count_removals(&self) -> RemovalCount {
-        let pending = self.pending_removals().count();
-        let unknown_before = self
-            .pending_removals()
-            .filter(|record| record.effective.is_none())
-            .count();
-        let removed = self.recent_removals.len();
-        RemovalCount {
-            removed: removed + pending,
-            total: self.ready_count + removed + unknown_before,
-        }
-    }
-
-    /// Whether more endpoints are removed within the window than take effect at once. Guards
-    /// against a source that lost its data, or whose checks all fail for a reason of its own.
-    fn is_mass_removal(&self) -> bool {
-        let RemovalCount { removed, total } = self.count_removals();
-        self.pending_removals().count() > 0
-            && removed as f64 > self.policy.panic_share * total as f64
-    }
-
-    /// When a record's latest assertion takes effect; `is_deferred` says that a removal waits.
-    fn takes_effect(&self, record: &Record, is_deferred: bool) -> TakesEffect {
-        let LatestAssertion {
-            lifecycle,
-            version,
-            since_ms,
-            is_confirmed,
-        } = record.latest;
-        if lifecycle == Lifecycle::Draining {
-            return TakesEffect::At(f64::NEG_INFINITY); // A drain never waits.
-        }
-        if !is_confirmed {
-            return TakesEffect::OnceConfirmed;
-        }
-        let is_new_epoch =
-            self.policy.defers_new_epochs && version.epoch != record.effective_version.epoch;
-        let earliest_ms = since_ms
-            + if is_new_epoch {
-                self.policy.confirm_ms
-            } else {
-                0.0
-            };
-        TakesEffect::At(match (record.effective, lifecycle) {
-            (None | Some(Lifecycle::Ready), Lifecycle::Gone) if is_deferred => {
-                since_ms + self.policy.confirm_ms
-            }
-            (_, Lifecycle::Ready) => {
-                let delay_ms = self.policy.damping.map_or(0.0, |damping| {
-                    record.flaps.damping_delay_ms(since_ms, damping)
-                });
-                earliest_ms.max(since_ms + delay_ms)
-            }
-            _ => earliest_ms,
-        })
-    }
-
-    fn put_into_effect(&mut self, now_ms: f64, key: &str) {
-        let half_life_ms = self
-            .policy
-            .damping
-            .map_or(f64::INFINITY, |damping| damping.half_life_ms);
-        let Some(record) = self.records.get_mut(key) else {
-            return;
-        };
-        let before = record.effective;
-        if before == Some(Lifecycle::Ready) {
-            self.ready_count -= 1;
-            record.flaps.increment(now_ms, half_life_ms);
-        }
-        record.effective = Some(record.latest.lifecycle);
-        record.effective_version = record.latest.version;
-        record.effective_since_ms = now_ms;
-        match record.latest.lifecycle {
-            Lifecycle::Ready => self.ready_count += 1,
-            Lifecycle::Draining => {}
-            Lifecycle::Gone => {
-                if before != Some(Lifecycle::Draining) {
-                    self.recent_removals.push_back(RecentRemoval {
-                        removed_at_ms: now_ms,
-                        key: key.to_owned(),
-                    });
-                }
-                self.tombstones.push_back(key.to_owned());
-            }
-        }
-    }
-
-    /// Forgets the endpoints that were removed first, beyond the limit.
-    fn evict_tombstones(&mut self, affected: &mut KeySet) {
-        while self.tombstones.len() > MAX_TOMBSTONES {
-            let Some(key) = self.tombstones.pop_front() else {
-                return;
-            };
-            let is_tombstone = self.records.get(&key).is_some_and(Record::is_tombstone);
-            if is_tombstone && !self.tombstones.contains(&key) {
-                self.records.remove(&key);
-                self.is_limit_reported = false;
-                affected.insert(key);
-            }
-        }
-    }
-
     fn keys(&self) -> KeySet {
         self.records.keys().cloned().collect()
     }
--- a/crates/endpoint-discovery/tests/drain.rs
+++ b/crates/endpoint-discovery/tests/drain.rs
@@ -6,7 +6,7 @@
 use endpoint_discovery::*;
 
 #[test]
-fn drain_by_either_source_takes_effect_at_once_and_is_ended_only_by_that_source() {
+fn drain_takes_effect_at_once_and_is_ended_by_its_source_alone() {
     for (source, other) in [(ENDPOINT_LIST, CONSUL), (CONSUL, ENDPOINT_LIST)] {
         let mut harness = ViewHarness::with_advisory_consul(4);
         let changed = harness.report(source, vec![assertion("s-2", Lifecycle::Draining, 11)]);
@@ -43,7 +43,7 @@
 /// Guards against a process that is kept out because its predecessor drained, and against a drain that
 /// ends because an earlier start is learnt late.
 #[test]
-fn drain_ends_with_a_restart_after_it_and_not_with_an_earlier_one() {
+fn drain_ends_with_a_later_start_and_not_with_an_earlier_one() {
     let mut harness = ViewHarness::with_advisory_consul(4);
     harness.advance_ms(5_000.0);
     let drained_at_ms = harness.now_ms;
--- a/crates/endpoint-discovery/tests/matching.rs
+++ b/crates/endpoint-discovery/tests/matching.rs
@@ -6,7 +6,7 @@
 use endpoint_discovery::*;
 
 #[test]
-fn endpoint_listed_by_consul_alone_is_used_only_if_consul_may_add_endpoints() {
+fn endpoint_listed_by_consul_alone_is_used_only_if_allowed() {
     let mut harness = ViewHarness::new(SourcePolicy::advisory("consul"));
     harness.report(CONSUL, assertions(0..2, Lifecycle::Ready, 10));
     assert!(harness.published.is_empty());
--- a/crates/endpoint-discovery/tests/merge_table.rs
+++ b/crates/endpoint-discovery/tests/merge_table.rs
@@ -136,7 +136,7 @@
 /// No ready assertion of a third source cancels a drain, and only sources that may add endpoints
 /// list one.
 #[test]
-fn third_source_cannot_undo_a_drain_or_list_an_endpoint_by_itself() {
+fn third_source_cannot_end_a_drain_or_list_an_endpoint() {
     let assertion = |lifecycle, may_add_endpoints| EffectiveAssertion {
         lifecycle: Some(lifecycle),
         source_status: SourceStatus::Live,
--- a/crates/endpoint-discovery/tests/removal.rs
+++ b/crates/endpoint-discovery/tests/removal.rs
@@ -6,7 +6,7 @@
 use endpoint_discovery::*;
 
 #[test]
-fn single_removal_takes_effect_at_once_and_mass_removal_once_confirmed() {
+fn single_removal_takes_effect_at_once_and_mass_removal_later() {
     let mut harness = ViewHarness::with_advisory_consul(10);
     harness.report(CONSUL, vec![assertion("s-0", Lifecycle::Gone, 11)]);
     assert_eq!(harness.ready_count(), 9);
@@ -62,7 +62,7 @@
 }
 
 #[test]
-fn mass_removal_by_the_endpoint_list_is_deferred_only_if_disputed() {
+fn mass_removal_by_the_list_is_deferred_only_if_disputed() {
     let mut harness = ViewHarness::new(SourcePolicy::advisory("consul"));
     harness.report(ENDPOINT_LIST, assertions(0..10, Lifecycle::Ready, 1));
     harness.report(CONSUL, assertions(0..4, Lifecycle::Ready, 10));
@@ -92,7 +92,7 @@
 
 /// Guards against an empty view while one source still calls the endpoints ready.
 #[test]
-fn removal_of_all_endpoints_by_one_source_starts_the_last_resort() {
+fn removal_of_all_by_one_source_starts_the_last_resort() {
     for (source, version) in [(CONSUL, 11), (ENDPOINT_LIST, 2)] {
         let mut harness = ViewHarness::with_advisory_consul(6);
         harness.remove(source, version, (0..6).map(|id| format!("s-{id}")));
--- a/src/node/discovery/endpoint_list/timing/tests.rs
+++ b/src/node/discovery/endpoint_list/timing/tests.rs
@@ -16,7 +16,7 @@
 
 /// Guards the platform's rule on when a change must take effect, whatever the settings.
 #[test]
-fn steps_of_a_watch_add_up_to_less_than_the_propagation_deadline() {
+fn steps_of_a_watch_fit_into_the_propagation_deadline() {
     for grace_ms in [0, 300, 1_000, 1_500, 2_000, 10_000, 600_000] {
         let grace = Duration::from_millis(grace_ms);
         let pushed = WatchTiming::pushed(grace);
--- a/tests/consul.rs
+++ b/tests/consul.rs
@@ -237,7 +237,7 @@
 }
 
 #[test]
-fn faulty_responses_of_an_agent_lose_no_request_and_end_no_drain() {
+fn faulty_responses_lose_no_request_and_end_no_drain() {
     let site = Site::new(3, "");
     site.consul.set_maintenance("s-1", true);
     site.wait_until_used(&[0, 2]);
@@ -464,7 +464,7 @@
 
 /// Several hundred random faults from a fixed seed, under load.
 #[test]
-fn drained_server_gets_no_request_after_its_deadline_under_random_faults() {
+fn drained_server_gets_no_late_request_under_random_faults() {
     const STEPS: usize = 400;
     const STEP: Duration = Duration::from_millis(25);
     const SERVERS: usize = 8;
--- a/tests/discovery_requests.rs
+++ b/tests/discovery_requests.rs
@@ -48,7 +48,7 @@
 }
 
 #[test]
-fn discovery_watch_request_names_the_known_generation_and_after_malformed_data_none() {
+fn watch_request_has_a_generation_except_after_a_malformed_list() {
     for settings in [
         settings(15_000),
         settings(15_000).replace("automatic", "subscribe").replace(
@@ -77,7 +77,7 @@
 }
 
 #[test]
-fn consul_requests_with_default_options_are_a_plain_then_a_blocking_query() {
+fn consul_requests_with_default_options_match_recorded_bytes() {
     let (agent, address) = listener();
     let (_discovery, discovery_address) = listener();
     let operators =
@@ -104,7 +104,7 @@
 }
 
 #[test]
-fn consul_requests_with_every_option_carry_all_parameters_and_the_token() {
+fn consul_requests_with_every_option_match_recorded_bytes() {
     let (agent, address) = listener();
     let (_discovery, discovery_address) = listener();
     let token_file = write_config("c0ffee-token\n");
