--- /dev/null
+++ b/crates/testkit/src/consul/service_query.rs
@@ -0,0 +1,67 @@
+//! A query for a service's instances: its parameters, and what it selects.
+
+use std::sync::Arc;
+use std::time::Duration;
+
+use super::catalog::{Instance, RegisteredInstance};
+use super::http::{parse_duration, percent_decode};
+
+/// How long a query blocks if it does not say (as the API pages have it).
+const DEFAULT_WAIT: Duration = Duration::from_secs(300);
+/// The longest wait that a query may ask for (as the API pages have it).
+const MAX_WAIT: Duration = Duration::from_secs(600);
+
+/// A query for a service's instances.
+pub(super) struct ServiceQuery<'a> {
+    with_health: bool,
+    service: &'a str,
+    tags: Vec<String>,
+    passing_only: bool,
+    /// The index that the query blocks on; 0: it does not block.
+    pub index: u64,
+    pub wait: Duration,
+}
+
+impl<'a> ServiceQuery<'a> {
+    pub fn parse(with_health: bool, service: &'a str, parameters: &[(&str, &str)]) -> Self {
+        let value = |name: &str| {
+            let mut named = parameters.iter().filter(|(other, _)| *other == name);
+            named.next().map(|(_, value)| *value)
+        };
+        Self {
+            with_health,
+            service,
+            tags: parameters
+                .iter()
+                .filter(|(name, _)| *name == "tag")
+                .map(|(_, tag)| percent_decode(tag))
+                .collect(),
+            passing_only: value("passing").is_some(),
+            index: value("index")
+                .and_then(|index| index.parse().ok())
+                .unwrap_or(0),
+            wait: value("wait")
+                .and_then(parse_duration)
+                .unwrap_or(DEFAULT_WAIT)
+                .min(MAX_WAIT),
+        }
+    }
+
+    pub fn selects(&self, instance: &Instance) -> bool {
+        instance.service == self.service
+            && self.tags.iter().all(|tag| instance.tags.contains(tag))
+            && (!self.passing_only || instance.is_passing())
+    }
+
+    /// The body of the response, in the JSON of the queried API.
+    pub fn body(&self, selected: &[&Arc<RegisteredInstance>]) -> String {
+        let texts = selected.iter().map(|registered| {
+            if self.with_health {
+                registered.health.as_str()
+            } else {
+                registered.catalog.as_str()
+            }
+        });
+        format!("[{}]", texts.collect::<Vec<_>>().join(","))
+    }
+}
--- /dev/null
+++ b/crates/testkit/src/consul/state.rs
@@ -0,0 +1,50 @@
+//! What a fake agent holds: versions of its catalog, faults, and records.
+
+use std::collections::VecDeque;
+use std::net::TcpStream;
+use std::sync::Arc;
+use std::time::{Duration, Instant};
+
+use super::{Catalog, Fault, RecordedResponse};
+
+/// The catalog since a time; `None`: from the beginning.
+pub(super) struct Version {
+    pub since: Option<Instant>,
+    pub catalog: Arc<Catalog>,
+}
+
+#[derive(Default)]
+pub(super) struct State {
+    pub versions: VecDeque<Version>,
+    pub fault: Fault,
+    pub lag: Duration,
+    pub is_unreachable: bool,
+    pub token: Option<String>,
+    pub queries: Vec<String>,
+    pub query_count: usize,
+    pub responses: Vec<RecordedResponse>,
+    pub is_recording: bool,
+    pub connections: Vec<TcpStream>,
+}
+
+impl State {
+    pub fn newest(&self) -> &Arc<Catalog> {
+        &self
+            .versions
+            .back()
+            .expect("there is always a version")
+            .catalog
+    }
+
+    /// The catalog as the agent sees it: an earlier version, if it lags.
+    pub fn visible(&self) -> &Arc<Catalog> {
+        let is_visible = |version: &&Version| {
+            version
+                .since
+                .is_none_or(|since| since.elapsed() >= self.lag)
+        };
+        let visible = self.versions.iter().rev().find(is_visible);
+        let visible = visible.or(self.versions.front());
+        &visible.expect("there is always a version").catalog
+    }
+}
