--- a/crates/measure/src/following.rs
+++ b/crates/measure/src/following.rs
@@ -1,4 +1,5 @@
-//! What following Consul gains and costs.
+//! What following Consul gains and costs: propagation delay, allocations, CPU, memory, and the request
+//! path.
 
 use std::thread;
 use std::time::{Duration, Instant};
@@ -14,24 +15,24 @@
 use crate::ALLOCATOR;
 
 const CHANGES: usize = 50;
-/// Between two changes: within the pace at which answers are read.
-const GAP: Duration = Duration::from_millis(300);
-const MANY: usize = 5_000;
-const CHANGES_A_SECOND: u64 = 100;
-const FOLLOWING: Duration = Duration::from_secs(10);
+/// The pause between two changes: longer than the interval between responses.
+const CHANGE_INTERVAL: Duration = Duration::from_millis(300);
+const INSTANCES: usize = 5_000;
+const CHANGES_PER_S: u64 = 100;
+const FOLLOW_DURATION: Duration = Duration::from_secs(10);
 const ROUNDS: usize = 15;
-const ROUND: Duration = Duration::from_millis(1_500);
+const ROUND_DURATION: Duration = Duration::from_millis(1_500);
 
-/// Prints all of it.
+/// Prints every measurement.
 pub fn measure() {
-    time_to_know();
+    propagation_delay();
     allocations();
     merging();
     many_instances();
     requests();
 }
 
-struct Town {
+struct Site {
     servers: Vec<Server>,
     consul: Consul,
     node: Node,
@@ -43,7 +44,7 @@
     format!("s-{at}")
 }
 
-fn town(count: usize, with_consul: bool) -> Town {
+fn site(count: usize, with_consul: bool) -> Site {
     let servers: Vec<_> = (0..count)
         .map(|_| Server::start(|_| Reply::ok("rooms: 3\n")).quiet())
         .collect();
@@ -66,7 +67,7 @@
     let file = operators(&consul);
     let node = Node::start_with(&text, with_consul.then_some(&file));
     let watch = discovery.watch();
-    Town {
+    Site {
         servers,
         consul,
         node,
@@ -76,7 +77,7 @@
 }
 
 fn operators(consul: &Consul) -> String {
-    // One server drains again and again here, which damping would answer by keeping it out.
+    // One server drains again and again here, which flap damping would keep out.
     format!(
         "[[consul]]\nname = \"consul\"\nservice = \"holds\"\nagents = [\"{}\"]\n\
          damping = {{ first_s = 0, most_s = 0, half_life_s = 1 }}\n",
@@ -84,12 +85,12 @@
     )
 }
 
-/// From a drain at the source to the last request that a decision without it sent there.
-fn time_to_know() {
+/// From a drain at the source to the last request that the server got.
+fn propagation_delay() {
     println!("\nfrom a drain to the last request that reached the server ({CHANGES} drains, 16 clients), ms");
     println!("{:<44} {:>8} {:>8}", "", "median", "p99");
-    let roster = drains(false, Duration::ZERO);
-    row("roster alone, told at once", roster);
+    let list_alone = drains(false, Duration::ZERO);
+    row("roster alone, told at once", list_alone);
     row(
         "roster alone, told 3 s late (10 drains)",
         drains(false, Duration::from_secs(3)),
@@ -108,36 +109,40 @@
     );
 }
 
-fn drains(by_consul: bool, late: Duration) -> Vec<f64> {
-    let mut town = town(2, by_consul);
-    let load = Load::start(town.node.address, 16, Duration::ZERO);
+fn drains(by_consul: bool, delay: Duration) -> Vec<f64> {
+    let mut site = site(2, by_consul);
+    let load = Load::start(site.node.address, 16, Duration::ZERO);
     let mut generation = 1;
-    let changes = if late.is_zero() { CHANGES } else { CHANGES / 5 };
+    let changes = if delay.is_zero() {
+        CHANGES
+    } else {
+        CHANGES / 5
+    };
     let mut times = Vec::new();
     for _ in 0..count(changes, 2) {
-        let asked = town.servers[1].count();
-        until("the server is asked", || {
-            town.servers[1].count() > asked + 20
+        let requests = site.servers[1].count();
+        until("the server gets requests", || {
+            site.servers[1].count() > requests + 20
         });
-        let mut say = |town: &mut Town, draining: bool| {
+        let mut set_draining = |site: &mut Site, draining: bool| {
             if by_consul {
-                town.consul.set_maintenance("s-1", draining);
+                site.consul.set_maintenance("s-1", draining);
             } else {
                 generation += 1;
                 let entry =
-                    town.servers[1].entry("s-1", if draining { "draining" } else { "ready" });
-                town.watch
+                    site.servers[1].entry("s-1", if draining { "draining" } else { "ready" });
+                site.watch
                     .say(&format!("{}\n", list(generation, false, &[entry])));
             }
         };
         let drained = Instant::now();
-        thread::sleep(time(late));
-        say(&mut town, true);
-        thread::sleep(GAP);
-        let last = town.servers[1].last().unwrap_or(drained);
+        thread::sleep(time(delay));
+        set_draining(&mut site, true);
+        thread::sleep(CHANGE_INTERVAL);
+        let last = site.servers[1].last().unwrap_or(drained);
         times.push(last.saturating_duration_since(drained).as_secs_f64() * 1e3);
-        say(&mut town, false);
-        thread::sleep(GAP);
+        set_draining(&mut site, false);
+        thread::sleep(CHANGE_INTERVAL);
     }
     assert_eq!(load.end().lost, 0, "no request is lost");
     times
@@ -153,16 +158,16 @@
     };
     format!(
         "[{}]",
-        (0..MANY).map(instance).collect::<Vec<_>>().join(",")
+        (0..INSTANCES).map(instance).collect::<Vec<_>>().join(",")
     )
 }
 
-fn answer(watch: &mut Watch, now: f64, index: u64, body: &str) -> usize {
+fn respond(watch: &mut Watch, now_ms: f64, index: u64, body: &str) -> usize {
     let mut actions = Vec::new();
-    watch.handle(now, Event::TimerExpired, &mut actions);
+    watch.handle(now_ms, Event::TimerExpired, &mut actions);
     let index = index.to_string();
     watch.handle(
-        now,
+        now_ms,
         Event::Head {
             status: 200,
             headers: &[("X-Consul-Index", &index)],
@@ -170,24 +175,24 @@
         &mut actions,
     );
     for piece in body.as_bytes().chunks(64 * 1024) {
-        watch.handle(now, Event::Body(piece), &mut actions);
+        watch.handle(now_ms, Event::Body(piece), &mut actions);
     }
-    watch.handle(now, Event::End, &mut actions);
-    let told = actions.into_iter().map(|action| match action {
+    watch.handle(now_ms, Event::End, &mut actions);
+    let updated = actions.into_iter().map(|action| match action {
         consul::Action::Report(report) => report.updated.len(),
         _ => 0,
     });
-    told.sum()
+    updated.sum()
 }
 
-/// What reading an answer allocates and takes.
+/// What parsing a response allocates, and how long it takes.
 fn allocations() {
     let mut watch = Watch::new(
         WatchSettings::new(Query::health("holds"), Mapping::default(), 1),
         1,
     );
     println!(
-        "\nreading an answer of {MANY} instances ({} MB)",
+        "\nreading an answer of {INSTANCES} instances ({} MB)",
         body(0).len() / 1_000_000
     );
     println!(
@@ -203,7 +208,7 @@
     ] {
         let body = body(changed);
         let (before, start) = (ALLOCATOR.stats(), Instant::now());
-        answer(&mut watch, now, now as u64 + 1, &body);
+        respond(&mut watch, now, now as u64 + 1, &body);
         let (took, after) = (start.elapsed(), ALLOCATOR.stats() - before);
         let ms = took.as_secs_f64() * 1e3;
         println!(
@@ -213,9 +218,9 @@
     }
 }
 
-/// What the merge of so many servers takes.
+/// What merging so many endpoints allocates, and how long it takes.
 fn merging() {
-    println!("\nmerging {MANY} servers of two sources");
+    println!("\nmerging {INSTANCES} servers of two sources");
     println!(
         "{:<44} {:>12} {:>10} {:>8}",
         "", "bytes alloc.", "allocs", "ms"
@@ -235,7 +240,7 @@
         endpoint: Some(endpoint(at)),
     };
     let ready = || {
-        (0..MANY)
+        (0..INSTANCES)
             .map(|at| assertion(at, Lifecycle::Ready, 1))
             .collect()
     };
@@ -274,34 +279,38 @@
 
 /// A node that follows many instances while they change.
 fn many_instances() {
-    println!("\nfollowing {MANY} instances for {} s", FOLLOWING.as_secs());
+    println!(
+        "\nfollowing {INSTANCES} instances for {} s",
+        FOLLOW_DURATION.as_secs()
+    );
     println!(
         "{:<44} {:>8} {:>10} {:>12}",
         "", "CPU %", "memory MB", "answers/s"
     );
-    let nobody = std::net::SocketAddr::from(([127, 0, 0, 1], 9));
+    let unused = std::net::SocketAddr::from(([127, 0, 0, 1], 9));
     for (what, with_consul, changes) in [
         ("not followed", false, 0),
         ("followed, nothing changes", true, 0),
-        ("followed, 100 changes a second", true, CHANGES_A_SECOND),
+        ("followed, 100 changes a second", true, CHANGES_PER_S),
     ] {
-        let town = town(2, with_consul);
-        town.consul.change(|catalog| {
-            for at in 2..MANY {
-                catalog.put(Instance::new("holds", &name(at), nobody));
+        let site = site(2, with_consul);
+        site.consul.change(|catalog| {
+            for at in 2..INSTANCES {
+                catalog.put(Instance::new("holds", &name(at), unused));
             }
         });
         thread::sleep(time(Duration::from_secs(2)));
-        let (start, before, asked) = (
+        let (start, cpu_before, queries_before) = (
             Instant::now(),
-            cpu(town.node.process()),
-            town.consul.query_count(),
+            cpu(site.node.process()),
+            site.consul.query_count(),
         );
         let mut done = 0;
-        while start.elapsed() < time(FOLLOWING) {
+        while start.elapsed() < time(FOLLOW_DURATION) {
             if changes > 0 {
                 let status = if done % 2 == 0 { "warning" } else { "passing" };
-                town.consul.set_status(&name(2 + done % (MANY - 2)), status);
+                site.consul
+                    .set_status(&name(2 + done % (INSTANCES - 2)), status);
                 done += 1;
                 let due = Duration::from_secs_f64(done as f64 / changes as f64);
                 thread::sleep(due.saturating_sub(start.elapsed()));
@@ -310,27 +319,28 @@
             }
         }
         let share =
-            (cpu(town.node.process()) - before).as_secs_f64() / start.elapsed().as_secs_f64();
-        let answers = (town.consul.query_count() - asked) as f64 / start.elapsed().as_secs_f64();
+            (cpu(site.node.process()) - cpu_before).as_secs_f64() / start.elapsed().as_secs_f64();
+        let responses =
+            (site.consul.query_count() - queries_before) as f64 / start.elapsed().as_secs_f64();
         println!(
-            "{what:<44} {:>8.1} {:>10.1} {answers:>12.1}",
+            "{what:<44} {:>8.1} {:>10.1} {responses:>12.1}",
             share * 100.0,
-            memory_mb(town.node.process())
+            memory_mb(site.node.process())
         );
     }
 }
 
-/// The figures of each of a round's nodes.
+/// The figures of each node of a round.
 type Round = [[f64; 4]; 3];
-/// One figure of a round, made of its nodes'.
+/// One figure of a round, computed from those of its nodes.
 type Of<'a> = &'a dyn Fn(&Round, usize) -> f64;
 
-/// What it costs a request. Two processes of one program differ by some percent, for as long as they live: so each round
-/// has fresh ones, in another order, and beside the pair that is asked about one of two alike.
+/// What it costs a request. Two processes of one program differ by some percent for as long as they live: so each round
+/// starts new ones, in another order, and compares two identical ones beside the pair in question.
 pub fn requests() {
     println!(
         "\na request's path, {ROUNDS} rounds of fresh nodes, {} s each, 8 clients, 4 servers",
-        ROUND.as_secs_f64()
+        ROUND_DURATION.as_secs_f64()
     );
     println!(
         "{:<44} {:>10} {:>8} {:>8} {:>10}",
@@ -341,7 +351,7 @@
     for round in 0..count(ROUNDS, 1) {
         let mut figures: Round = [[0.0; 4]; 3];
         for at in (0..kinds.len()).map(|at| (at + round) % kinds.len()) {
-            figures[at] = path(&town(4, kinds[at]));
+            figures[at] = path(&site(4, kinds[at]));
         }
         rounds.push(figures);
     }
@@ -405,12 +415,12 @@
     }
 }
 
-fn path(town: &Town) -> [f64; 4] {
-    let (start, before) = (Instant::now(), cpu(town.node.process()));
-    let load = Load::start(town.node.address, 8, Duration::ZERO);
-    thread::sleep(time(ROUND));
+fn path(site: &Site) -> [f64; 4] {
+    let (start, before) = (Instant::now(), cpu(site.node.process()));
+    let load = Load::start(site.node.address, 8, Duration::ZERO);
+    thread::sleep(time(ROUND_DURATION));
     let totals = load.end();
-    let cpu = (cpu(town.node.process()) - before).as_secs_f64();
+    let cpu = (cpu(site.node.process()) - before).as_secs_f64();
     assert_eq!(totals.lost, 0, "no request is lost");
     let [p50, p99] = [0.5, 0.99].map(|part| totals.quantile(part).as_secs_f64() * 1e3);
     [
