--- /dev/null
+++ b/crates/balancer/src/event.rs
@@ -0,0 +1,144 @@
+//! What the embedding node tells a balancer: client requests, results of attempts, list updates,
+//! timers and health checks.
+//!
+//! Times are milliseconds. Events carry durations; the instant that they happened at is passed to
+//! [`Balancer::handle`](crate::Balancer::handle) beside them.
+
+use crate::server_list::{ServerId, ServerListUpdate};
+
+/// A client's request, numbered by the embedding node and never reused.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
+pub struct RequestId(pub u64);
+
+/// A client's request.
+#[derive(Clone, Debug, PartialEq)]
+pub struct Request {
+    /// Its id.
+    pub id: RequestId,
+    /// Index of its class in [`Settings::classes`](crate::Settings::classes).
+    pub class: usize,
+    /// Index of its tenant.
+    pub tenant: usize,
+    /// Its key, if it has one.
+    pub key: Option<Box<str>>,
+    /// Milliseconds until the client stops waiting.
+    pub timeout_ms: f64,
+}
+
+impl Request {
+    /// A request of the first tenant, without a key.
+    #[must_use]
+    pub fn new(id: RequestId, class: usize, timeout_ms: f64) -> Self {
+        Self {
+            id,
+            class,
+            tenant: 0,
+            key: None,
+            timeout_ms,
+        }
+    }
+}
+
+/// A server's own account of its load; a figure that it does not report is absent.
+#[derive(Clone, Copy, Debug, Default, PartialEq)]
+pub struct LoadReport {
+    /// Requests in flight there.
+    pub in_flight: Option<f64>,
+    /// Requests queued there.
+    pub queued: Option<f64>,
+}
+
+/// How an attempt ended.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum AttemptResult {
+    /// Served.
+    Served,
+    /// An error response; the request may have run.
+    Error,
+    /// Rejected by the server's own load shedding, before it ran.
+    Overloaded,
+    /// No response in time; the request may have run.
+    TimedOut,
+    /// No connection could be made; the request never ran.
+    Unreachable,
+    /// The connection broke; the request may have run.
+    Reset,
+    /// The response cannot be parsed or is incomplete; the request may have run.
+    Malformed,
+    /// The server objects to the request itself, as any other server would; that is the client's answer.
+    ClientError,
+    /// Cancelled by the node; the request may have run.
+    Cancelled,
+    /// It was never sent.
+    NotSent,
+}
+
+impl AttemptResult {
+    /// Whether the request may have taken effect.
+    #[must_use]
+    pub fn may_have_run(self) -> bool {
+        !matches!(self, Self::Overloaded | Self::Unreachable | Self::NotSent)
+    }
+
+    /// Whether the request may still be running on the server.
+    pub(crate) fn may_still_run(self) -> bool {
+        matches!(self, Self::TimedOut | Self::Reset | Self::Cancelled)
+    }
+}
+
+/// The end of one attempt.
+#[derive(Clone, Debug, PartialEq)]
+pub struct Outcome {
+    /// The request.
+    pub request: RequestId,
+    /// The attempt, numbered from zero in the order of sending.
+    pub attempt: usize,
+    /// Milliseconds since it was sent.
+    pub elapsed_ms: f64,
+    /// How it ended.
+    pub result: AttemptResult,
+    /// Whether the request is finished, by this outcome or before it.
+    pub complete: bool,
+    /// The server's load report, if the response carried one.
+    pub report: Option<LoadReport>,
+}
+
+/// Something that happened to the node.
+#[derive(Clone, Debug, PartialEq)]
+pub enum Event {
+    /// An update of the server list.
+    ServerList(ServerListUpdate),
+    /// A client's request, which is owed exactly one final answer from now on.
+    Request(Request),
+    /// A streamed response has begun; the attempt belongs to the client from now on.
+    StreamStarted {
+        /// The request.
+        request: RequestId,
+        /// The attempt.
+        attempt: usize,
+    },
+    /// An attempt ended.
+    Outcome(Outcome),
+    /// Other nodes suspect a server. A server that is the only candidate is used all the same.
+    Hint {
+        /// The server.
+        server: ServerId,
+        /// The fraction, 0 to 1, of its ordinary traffic that it should receive; 1 withdraws an earlier hint.
+        weight: f64,
+    },
+    /// The client disconnected; no answer is owed any more.
+    ClientGone(RequestId),
+    /// A timer set by [`Action::SetTimer`](crate::Action::SetTimer) expired.
+    Timer(u64),
+    /// A health check ended.
+    HealthChecked {
+        /// The server.
+        server: ServerId,
+        /// Milliseconds since it was sent.
+        elapsed_ms: f64,
+        /// How it ended.
+        result: AttemptResult,
+        /// The server's load report, if there was one.
+        report: Option<LoadReport>,
+    },
+}
--- a/crates/balancer/src/lib.rs
+++ b/crates/balancer/src/lib.rs
@@ -1,40 +1,53 @@
-//! The decisions of a reverse proxy that spreads requests over HTTP servers.
+//! The decisions of a load balancer that distributes requests over HTTP servers.
 //!
 //! A [`Balancer`] is one node's decision logic, without clock, threads or I/O. It is built from
-//! [`Settings`] and a seed, is fed events with the time they happened at, and pushes the actions
-//! that the node is to carry out. Its core is HSQ (Islam, "Network Load Balancing Methods",
-//! section IV.E): one array with a count per ready server, the lowest count gets the request.
+//! [`Settings`] and a seed, is passed events with the time that they happened at, and returns the
+//! actions that the node is to carry out. Its core is HSQ (Islam, "Network Load Balancing Methods",
+//! section IV.E): one count for each ready server, and the lowest count gets the request.
+//!
+//! | module | decides |
+//! | --- | --- |
+//! | `subscription` | which servers there are, and when to subscribe to the list again |
+//! | `selection`, `sampling` | which server gets a request |
+//! | `admission` | which requests are shed under overload |
+//! | `retry`, `request` | whether a request is attempted again, and its final answer |
+//! | `queue` | when a request may run whose key must be in order |
+//! | `outlier` | which servers are ejected |
+//! | `slow_start` | how much a server that warms up gets |
+//! | `health_check` | whether servers are polled for their load before a send |
+//! | `idle_connections` | whether an idle connection is used |
+//! | `latency`, `traffic`, `window` | nothing: the estimates that the others go by |
 //!
 //! # Example
 //!
-//! A node's event loop calls [`Balancer::handle`] and carries out what it is told:
+//! A node's event loop calls [`Balancer::handle`] and carries out the actions:
 //!
 //! ```
 //! use balancer::{
-//!     Action, Availability, Balancer, Class, Effect, Ending, Event, Listing, Outcome, Request,
-//!     RequestId, ServerEntry, ServerId, Settings,
+//!     Action, AttemptResult, Availability, Balancer, Class, Event, Idempotency, Outcome, Request,
+//!     RequestId, ServerEntry, ServerId, ServerListUpdate, Settings,
 //! };
 //!
-//! let mut settings = Settings::new(vec![Class::new(200.0, 600.0, Effect::Safe)]);
+//! let mut settings = Settings::new(vec![Class::new(200.0, 600.0, Idempotency::Idempotent)]);
 //! settings.nodes = 3;
 //! let mut balancer = Balancer::new(settings, 42)?;
 //! let mut actions = Vec::new();
 //!
 //! // Discovery names two servers.
 //! let servers = (0..2).map(|i| ServerEntry::new(ServerId(i), Availability::Ready)).collect();
-//! balancer.handle(0.0, Event::Servers(Listing::Full(servers)), &mut actions);
+//! balancer.handle(0.0, Event::ServerList(ServerListUpdate::Full(servers)), &mut actions);
 //!
-//! // A client asks; the balancer names the server to send to.
+//! // A client sends a request; the balancer selects the server.
 //! let request = Request::new(RequestId(7), 0, 600.0);
 //! balancer.handle(1.0, Event::Request(request), &mut actions);
 //! let Some(Action::Send { server, .. }) = actions.pop() else { panic!("nothing sent") };
 //!
-//! // The server answers, and its load report becomes its count.
+//! // The server answers. A load report would become its count.
 //! let outcome = Outcome {
 //!     request: RequestId(7),
 //!     attempt: 0,
 //!     elapsed_ms: 18.5,
-//!     ending: Ending::Served,
+//!     result: AttemptResult::Served,
 //!     complete: true,
 //!     report: None,
 //! };
@@ -43,17 +56,33 @@
 //! # Ok::<(), balancer::SettingsError>(())
 //! ```
 
-#![allow(
-    clippy::missing_errors_doc,
-    clippy::struct_excessive_bools,
-    clippy::struct_field_names,
-    clippy::too_many_lines,
-    reason = "this file is still to be rewritten: docs/ROADMAP.md, Readability"
-)]
-
-mod choice;
-mod interface;
-mod state;
+mod action;
+mod admission;
+mod balancer;
+mod event;
+mod health_check;
+mod idle_connections;
+mod latency;
+mod outlier;
+mod queue;
+mod request;
+mod retry;
+mod sampling;
+mod selection;
+mod server;
+mod server_list;
+mod settings;
+mod slow_start;
+mod subscription;
+mod timer;
+mod traffic;
+mod window;
 
-pub use choice::{Balancer, LONGEST_RESUBSCRIBE_MS};
-pub use interface::*;
+pub use action::{Action, LogEvent};
+pub use balancer::Balancer;
+pub use event::{AttemptResult, Event, LoadReport, Outcome, Request, RequestId};
+pub use server_list::{Availability, ServerEntry, ServerId, ServerListUpdate};
+pub use settings::{
+    Class, DiscoveryMode, Idempotency, KeyScope, ReportSource, RetryBudget, Settings, SettingsError,
+};
+pub use subscription::MAX_RESUBSCRIBE_DELAY_MS;
--- /dev/null
+++ b/crates/balancer/src/request.rs
@@ -0,0 +1,255 @@
+//! A request that is owed an answer or has an attempt in flight: its record, and its way from
+//! acceptance to the final answer.
+//!
+//! `Balancer::pending` owns the records. A request leaves it when it has its final answer and no
+//! attempt is in flight; exactly one final answer is given.
+
+use crate::action::Action;
+use crate::balancer::Balancer;
+use crate::event::{Outcome, Request, RequestId};
+use crate::server::Server;
+use crate::server_list::{ServerEntry, ServerId};
+use crate::timer::TimerKind;
+
+/// Attempt lists that are kept for reuse, so that a request allocates nothing; a busier node
+/// allocates beyond that.
+const MAX_SPARE_ATTEMPT_LISTS: usize = 256;
+
+/// One attempt of a request.
+pub(crate) struct Attempt {
+    pub server: usize,
+    /// The server as it was then: it may be forgotten before the request is finished.
+    pub entry: ServerEntry,
+    pub sent_at_ms: f64,
+    /// Requests in flight at the server, this one included.
+    pub depth: f64,
+    pub expected_latency_ms: f64,
+    /// Whether it was sent on a connection that had been idle for a latency objective.
+    pub on_idle_connection: bool,
+    pub in_flight: bool,
+}
+
+/// A request that waits for its turn or for load reports, or has attempts in flight.
+#[derive(Default)]
+pub(crate) struct PendingRequest {
+    pub class: usize,
+    /// What a server may be overloaded for alone: the tenant where there are several, else the class.
+    pub quota_group: usize,
+    /// The key, of a request that must run in order.
+    pub ordering_key: Option<Box<str>>,
+    pub accepted_at_ms: f64,
+    pub deadline_ms: f64,
+    /// Servers polled for their load, and those of them that responded.
+    pub polled: Vec<usize>,
+    pub responded: Vec<usize>,
+    pub attempts: Vec<Attempt>,
+    /// Index of the first attempt that may have run or may still run.
+    pub first_run: Option<usize>,
+    pub answered: bool,
+    /// When there may be capacity, if the last selection found none.
+    pub retry_after_ms: Option<f64>,
+}
+
+impl PendingRequest {
+    /// Records by how much the shortest wait exceeds what the request can wait for: by then that much
+    /// of the queue will have drained, and the client can be told so.
+    pub fn set_retry_after(&mut self, excess_ms: f64) {
+        self.retry_after_ms = Some(excess_ms).filter(|ms| ms.is_finite() && *ms > 0.0);
+    }
+
+    /// The first attempt that may have run.
+    pub fn first_run_attempt(&self) -> Option<&Attempt> {
+        self.first_run.map(|index| &self.attempts[index])
+    }
+}
+
+impl Balancer {
+    pub(crate) fn accept(&mut self, request: Request) {
+        let (id, now_ms) = (request.id, self.now_ms);
+        let Some(class) = self.settings.classes.get(request.class) else {
+            return self.actions.push(Action::Fail { request: id });
+        };
+        let several_tenants = self.settings.tenant_quotas_per_s.len() > 1;
+        let pending = PendingRequest {
+            class: request.class,
+            quota_group: if several_tenants {
+                request.tenant
+            } else {
+                request.class
+            },
+            ordering_key: request.key.filter(|_| class.ordered_by_key),
+            accepted_at_ms: now_ms,
+            deadline_ms: now_ms + request.timeout_ms,
+            attempts: self.spare_attempt_lists.pop().unwrap_or_default(),
+            ..PendingRequest::default()
+        };
+        self.observe_arrival();
+        self.retries.request_accepted(now_ms);
+        self.refresh_warm_capacity();
+        if !self.too_late(&pending) && self.wait_for_turn(id, &pending, request.timeout_ms) {
+            self.pending.insert(id, pending);
+            return;
+        }
+        self.dispatch(id, pending);
+    }
+
+    /// Sends a request, for the first time or as a retry, polls for loads before, or answers it.
+    pub(crate) fn dispatch(&mut self, id: RequestId, mut request: PendingRequest) {
+        if request.answered || self.too_late(&request) || !self.may_attempt(&request) {
+            return self.finish_or_wait(id, request);
+        }
+        if self.health_checks.enabled
+            && request.polled.is_empty()
+            && self.poll_candidates(id, &mut request)
+        {
+            self.pending.insert(id, request);
+            return;
+        }
+        let server = if request.attempts.is_empty() {
+            self.select_first(&mut request)
+        } else {
+            self.select_for_retry(&mut request)
+        };
+        if let Some(server) = server {
+            self.send(id, &mut request, server);
+            self.pending.insert(id, request);
+        } else {
+            self.finish_or_wait(id, request);
+        }
+    }
+
+    fn send(&mut self, id: RequestId, request: &mut PendingRequest, at: usize) {
+        let now_ms = self.now_ms;
+        let server = self
+            .servers
+            .get_mut(&at)
+            .expect("a selected server is known");
+        let idle = server.contacted
+            && server.in_flight == 0
+            && now_ms - server.last_used_at_ms > self.objective_ms;
+        let close_idle = idle && self.idle_connections.should_close(&mut self.random);
+        if close_idle {
+            let server = ServerId(at);
+            self.actions.push(Action::CloseIdle { server });
+        }
+        server.last_used_at_ms = now_ms;
+        server.in_flight += 1;
+        server.count = server.count.map(|count| count + 1.0);
+        let started_at_ms = server.entry.started_at_ms;
+        if started_at_ms.is_some_and(|at_ms| now_ms - at_ms < self.settings.slow_start_ms) {
+            server.slow_start_sends.push(now_ms);
+        }
+        if !request.attempts.is_empty() {
+            self.retries.retry_sent(now_ms);
+        }
+        let by_health_check = self.health_checks.enabled;
+        let depth = server
+            .count
+            .filter(|_| by_health_check)
+            .unwrap_or(server.in_flight as f64);
+        let entry = server.entry.clone();
+        request.polled.clear();
+        let expected_latency_ms = self.expected_latency_ms(depth);
+        request.attempts.push(Attempt {
+            server: at,
+            entry,
+            sent_at_ms: now_ms,
+            depth,
+            expected_latency_ms,
+            on_idle_connection: idle && !close_idle,
+            in_flight: true,
+        });
+        request.first_run = request.first_run.or(Some(request.attempts.len() - 1));
+        self.actions.push(Action::Send {
+            request: id,
+            server: ServerId(at),
+        });
+        let overdue_is_useful = by_health_check && self.settings.cancel;
+        if overdue_is_useful && expected_latency_ms > 0.0 && self.may_attempt(request) {
+            let usual = self.latency.by_class[request.class];
+            let after_ms = (usual.mean + usual.deviation) * expected_latency_ms;
+            self.set_request_timer(id, TimerKind::AttemptOverdue, after_ms);
+        }
+    }
+
+    /// What an answer takes at this depth, by what all servers have shown.
+    fn expected_latency_ms(&self, depth: f64) -> f64 {
+        let relative_depth = if self.health_checks.enabled {
+            depth / self.latency.all.depth.mean.max(1.0)
+        } else {
+            1.0
+        };
+        self.latency.all.latency.mean * relative_depth
+    }
+
+    pub(crate) fn attempt_ended(&mut self, outcome: &Outcome) {
+        let (id, index) = (outcome.request, outcome.attempt);
+        let Some(mut request) = self.pending.remove(&id) else {
+            return;
+        };
+        if !request.attempts.get(index).is_some_and(|a| a.in_flight) {
+            self.pending.insert(id, request);
+            return;
+        }
+        request.attempts[index].in_flight = false;
+        let server = request.attempts[index].server;
+        self.apply_report(server, outcome.report);
+        self.record_result(&request, &request.attempts[index], outcome);
+        let forgettable = self.servers.get(&server);
+        if forgettable.is_some_and(Server::is_forgettable) {
+            self.servers.remove(&server);
+        }
+        if request.first_run == Some(index) && !outcome.result.may_have_run() {
+            request.first_run = None;
+        }
+        if outcome.result.may_still_run() {
+            self.start_quiet_period(&request);
+        }
+        request.answered |= outcome.complete;
+        self.dispatch(id, request);
+    }
+
+    pub(crate) fn client_gone(&mut self, id: RequestId) {
+        let Some(mut request) = self.pending.remove(&id) else {
+            return;
+        };
+        request.answered = true;
+        if self.settings.cancel {
+            let attempts = request.attempts.iter().enumerate();
+            let in_flight = attempts.filter(|(_, attempt)| attempt.in_flight);
+            self.actions
+                .extend(in_flight.map(|(attempt, _)| Action::Cancel {
+                    request: id,
+                    attempt,
+                }));
+        }
+        self.finish_or_wait(id, request);
+    }
+
+    /// Gives the final answer if one is owed and no attempt is in flight; then the next request of the
+    /// key may run. A rejection says that a repeat is harmless, so it is given only where that is true.
+    pub(crate) fn finish_or_wait(&mut self, id: RequestId, mut request: PendingRequest) {
+        request.polled.clear();
+        if request.attempts.iter().any(|attempt| attempt.in_flight) {
+            self.pending.insert(id, request);
+            return;
+        }
+        let idempotency = self.settings.classes[request.class].idempotency;
+        let harmless = request.first_run.is_none() || idempotency.repeat_is_harmless();
+        if !request.answered {
+            self.actions.push(if harmless {
+                Action::Reject {
+                    request: id,
+                    retry_after_ms: request.retry_after_ms,
+                }
+            } else {
+                Action::Fail { request: id }
+            });
+        }
+        self.leave_key_queue(id, request.ordering_key.as_deref());
+        if self.spare_attempt_lists.len() < MAX_SPARE_ATTEMPT_LISTS {
+            request.attempts.clear();
+            self.spare_attempt_lists.push(request.attempts);
+        }
+    }
+}
--- /dev/null
+++ b/crates/balancer/src/settings.rs
@@ -0,0 +1,296 @@
+//! The settings of a balancer, and their validation.
+//!
+//! The platform's own names for them are mapped where they are parsed; see `settings_file` in the
+//! root package.
+
+use std::fmt;
+
+use crate::server_list::ServerEntry;
+
+/// The servers that discard repeats of a request with an idempotency key.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum KeyScope {
+    /// Every server.
+    All,
+    /// The servers of one zone.
+    Zone,
+    /// The servers of one cell.
+    Cell,
+}
+
+/// What happens if a request is executed twice.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub enum Idempotency {
+    /// It is idempotent: it may be repeated freely.
+    Idempotent,
+    /// It has an idempotency key: the servers of a scope discard repeats for some time.
+    IdempotencyKey {
+        /// The servers that discard repeats.
+        scope: KeyScope,
+        /// For how long, from the sending of the first attempt that may have run.
+        window_ms: f64,
+    },
+    /// It must never be executed twice.
+    NonIdempotent,
+}
+
+impl Idempotency {
+    /// Whether a rejection is truthful for a request that may have run: its repeat has no second
+    /// effect on any server.
+    #[must_use]
+    pub fn repeat_is_harmless(self) -> bool {
+        matches!(
+            self,
+            Self::Idempotent
+                | Self::IdempotencyKey {
+                    scope: KeyScope::All,
+                    ..
+                }
+        )
+    }
+
+    /// Whether a request that may have run on `first` may be sent to `other` without a second effect.
+    #[must_use]
+    pub fn may_retry_on(self, first: &ServerEntry, other: &ServerEntry) -> bool {
+        match self {
+            Self::Idempotent
+            | Self::IdempotencyKey {
+                scope: KeyScope::All,
+                ..
+            } => true,
+            Self::IdempotencyKey {
+                scope: KeyScope::Zone,
+                ..
+            } => first.zone == other.zone,
+            Self::IdempotencyKey {
+                scope: KeyScope::Cell,
+                ..
+            } => first.cell == other.cell,
+            Self::NonIdempotent => false,
+        }
+    }
+}
+
+/// A class of requests.
+#[derive(Clone, Debug, PartialEq)]
+pub struct Class {
+    /// Latency objective: an answer within this time counts in full.
+    pub latency_objective_ms: f64,
+    /// How long a client waits in all, over every attempt.
+    pub deadline_ms: f64,
+    /// What happens if a request is executed twice.
+    pub idempotency: Idempotency,
+    /// Value of an answer in time, relative to other classes. Under overload the lowest is shed first.
+    pub priority_weight: f64,
+    /// Whether requests with the same key run one at a time, in the order in which this node accepted them.
+    pub ordered_by_key: bool,
+}
+
+impl Class {
+    /// A class of priority weight one whose requests may run in any order.
+    #[must_use]
+    pub fn new(latency_objective_ms: f64, deadline_ms: f64, idempotency: Idempotency) -> Self {
+        Self {
+            latency_objective_ms,
+            deadline_ms,
+            idempotency,
+            priority_weight: 1.0,
+            ordered_by_key: false,
+        }
+    }
+}
+
+/// How the server list reaches a node.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum DiscoveryMode {
+    /// Changes arrive unasked.
+    Push,
+    /// Changes arrive only at a node that has subscribed.
+    Subscribe,
+}
+
+/// Where the servers' load reports come from.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum ReportSource {
+    /// Every response, and health checks.
+    Inline,
+    /// Health checks only.
+    HealthCheck,
+    /// There are none.
+    Off,
+}
+
+/// How many retries a node may send.
+#[derive(Clone, Copy, Debug, Default, PartialEq)]
+pub struct RetryBudget {
+    /// Retries in any window, however few requests the node accepted ...
+    pub min_retries: f64,
+    /// ... and so many more for each request that it accepted in the window.
+    pub retries_per_request: f64,
+    /// Length of the window.
+    pub window_ms: f64,
+}
+
+/// All that a balancer is told when it starts.
+#[derive(Clone, Debug, PartialEq)]
+pub struct Settings {
+    /// Classes of requests; a request names one by index.
+    pub classes: Vec<Class>,
+    /// Requests per second that each tenant may send through all nodes together.
+    pub tenant_quotas_per_s: Vec<f64>,
+    /// Number of nodes that share the servers.
+    pub nodes: usize,
+    /// The node's own number among them, from zero.
+    pub node_index: usize,
+    /// The node's own zone.
+    pub zone: usize,
+    /// Number of machine kinds.
+    pub machine_kinds: usize,
+    /// How the server list arrives.
+    pub discovery: DiscoveryMode,
+    /// Where load reports come from.
+    pub report_source: ReportSource,
+    /// Whether servers may be health checked.
+    pub health_checks: bool,
+    /// Quiet period of a key after an attempt that may still be running, where classes are ordered by key.
+    pub key_quiet_ms: f64,
+    /// The retry budget, where one is set.
+    pub retry_budget: Option<RetryBudget>,
+    /// A node without a subscription must poll again within this time.
+    pub max_poll_interval_ms: f64,
+    /// Attempts allowed for one request.
+    pub max_attempts: usize,
+    /// Whether an attempt may be cancelled.
+    pub cancel: bool,
+    /// Slow start: a server starts with at least this fraction of its capacity ...
+    pub slow_start_fraction: f64,
+    /// ... and has all of it after this time.
+    pub slow_start_ms: f64,
+    /// A server that warms up collapses when sent more than this multiple of its capacity ...
+    pub collapse_multiple: f64,
+    /// ... for this long.
+    pub collapse_after_ms: f64,
+    /// Price of one health check for each request, as a fraction of the value of a result.
+    pub health_check_price: f64,
+}
+
+impl Default for Settings {
+    fn default() -> Self {
+        Self::new(Vec::new())
+    }
+}
+
+impl Settings {
+    /// Settings for one node with these classes, and no restriction beyond the defaults.
+    #[must_use]
+    pub fn new(classes: Vec<Class>) -> Self {
+        Self {
+            classes,
+            tenant_quotas_per_s: Vec::new(),
+            nodes: 1,
+            node_index: 0,
+            zone: 0,
+            machine_kinds: 1,
+            discovery: DiscoveryMode::Push,
+            report_source: ReportSource::Inline,
+            health_checks: false,
+            key_quiet_ms: 0.0,
+            retry_budget: None,
+            max_poll_interval_ms: 10_000.0,
+            max_attempts: 3,
+            cancel: true,
+            slow_start_fraction: 1.0,
+            slow_start_ms: 0.0,
+            collapse_multiple: 2.0,
+            collapse_after_ms: 1_000.0,
+            health_check_price: 0.0,
+        }
+    }
+
+    /// Checks that every value is in range.
+    ///
+    /// # Errors
+    ///
+    /// Names the first setting that is not, by the name under which it is documented to users of the
+    /// previous versions.
+    pub fn validate(&self) -> Result<(), SettingsError> {
+        require(!self.classes.is_empty(), "classes")?;
+        for class in &self.classes {
+            class.validate()?;
+        }
+        let quotas = &self.tenant_quotas_per_s;
+        require(
+            quotas.iter().all(|quota| not_negative(*quota)),
+            "quotas_per_s",
+        )?;
+        require(self.nodes > 0, "nodes")?;
+        require(positive(self.max_poll_interval_ms), "ask_within_ms")?;
+        require(self.max_attempts > 0, "max_attempts")?;
+        let fraction = self.slow_start_fraction;
+        require(positive(fraction) && fraction <= 1.0, "cold_from")?;
+        require(not_negative(self.slow_start_ms), "cold_ms")?;
+        require(positive(self.collapse_multiple), "tip_multiple")?;
+        require(positive(self.collapse_after_ms), "tip_after_ms")?;
+        require(self.node_index < self.nodes, "me")?;
+        require(not_negative(self.key_quiet_ms), "key_quiet_ms")?;
+        if let Some(budget) = self.retry_budget {
+            require(not_negative(budget.min_retries), "resends.free")?;
+            require(
+                not_negative(budget.retries_per_request),
+                "resends.per_request",
+            )?;
+            require(positive(budget.window_ms), "resends.span_ms")?;
+        }
+        require(not_negative(self.health_check_price), "probe_price")
+    }
+}
+
+impl Class {
+    fn validate(&self) -> Result<(), SettingsError> {
+        require(positive(self.latency_objective_ms), "classes[].aim_ms")?;
+        require(positive(self.deadline_ms), "classes[].deadline_ms")?;
+        require(not_negative(self.priority_weight), "classes[].worth")?;
+        if let Idempotency::IdempotencyKey { window_ms, .. } = self.idempotency {
+            require(not_negative(window_ms), "classes[].window_ms")?;
+        }
+        Ok(())
+    }
+}
+
+fn require(holds: bool, key: &'static str) -> Result<(), SettingsError> {
+    if holds {
+        Ok(())
+    } else {
+        Err(SettingsError { key })
+    }
+}
+
+fn positive(value: f64) -> bool {
+    value.is_finite() && value > 0.0
+}
+
+fn not_negative(value: f64) -> bool {
+    value.is_finite() && value >= 0.0
+}
+
+/// A setting that is missing or out of range.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub struct SettingsError {
+    key: &'static str,
+}
+
+impl SettingsError {
+    /// The name of the setting, as error messages have always given it.
+    #[must_use]
+    pub fn key(&self) -> &str {
+        self.key
+    }
+}
+
+impl fmt::Display for SettingsError {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        write!(f, "setting `{}` is missing or out of range", self.key)
+    }
+}
+
+impl std::error::Error for SettingsError {}
--- /dev/null
+++ b/crates/balancer/tests/server_list.rs
@@ -0,0 +1,148 @@
+//! Following the server list: updates, subscriptions, and what is forgotten.
+
+mod common;
+use common::*;
+
+use balancer::*;
+
+#[test]
+fn draining_and_removed_servers_get_no_new_requests() {
+    let mut node = Node::new(one_class(Idempotency::Idempotent), 1);
+    node.servers(ready(0..3));
+    let mut entry = ServerEntry::new(ServerId(0), Availability::Draining);
+    node.feed(Event::ServerList(ServerListUpdate::Changes(vec![
+        entry.clone()
+    ])));
+    entry.server = ServerId(1);
+    entry.availability = Availability::Gone;
+    node.feed(Event::ServerList(ServerListUpdate::Changes(vec![entry])));
+    assert!((0..20).all(|id| node.sent_to(id) == 2));
+    // A complete list without it removes the last one, too.
+    node.servers(ready(3..4));
+    assert!((20..40).all(|id| node.sent_to(id) == 3));
+}
+
+#[test]
+fn subscription_is_renewed_with_backoff_after_failures() {
+    let mut settings = one_class(Idempotency::Idempotent);
+    settings.discovery = DiscoveryMode::Subscribe;
+    settings.max_poll_interval_ms = 10_000.0;
+    let mut node = Node::new(settings, 1);
+    let actions = node.feed(Event::ServerList(ServerListUpdate::Cached(ready(0..2))));
+    assert_eq!(actions, [Action::Subscribe]);
+    let mut waits = Vec::new();
+    for call in 0..8 {
+        let actions = node.feed(Event::ServerList(ServerListUpdate::Failed));
+        let notes = actions
+            .iter()
+            .filter(|a| matches!(a, Action::Log(_)))
+            .count();
+        assert_eq!(
+            notes,
+            usize::from(call == 0),
+            "the loss is noted once: {actions:?}"
+        );
+        let [.., Action::SetTimer { timer, after_ms }] = actions[..] else {
+            panic!("{actions:?}")
+        };
+        assert!(
+            node.feed(Event::ServerList(ServerListUpdate::Failed))
+                .is_empty(),
+            "one call at a time"
+        );
+        waits.push(after_ms);
+        node.now += after_ms;
+        assert_eq!(node.feed(Event::Timer(timer)), [Action::Subscribe]);
+        assert!(
+            node.feed(Event::Timer(timer)).is_empty(),
+            "a timer is used once"
+        );
+    }
+    assert!(
+        waits[0] < waits[4] && waits.iter().all(|w| *w <= MAX_RESUBSCRIBE_DELAY_MS),
+        "{waits:?}"
+    );
+    let list = || Event::ServerList(ServerListUpdate::Full(ready(0..2)));
+    let noted = node.feed(list());
+    assert!(
+        matches!(noted[..], [Action::Log(_)]),
+        "and so is the end of it: {noted:?}"
+    );
+    assert!(node.feed(list()).is_empty(), "once");
+}
+
+/// Guards against a node that remembers every server there ever was; one with an attempt out is remembered until
+/// that is over.
+#[test]
+fn removed_server_is_forgotten_once_nothing_is_in_flight() {
+    let mut node = Node::new(one_class(Idempotency::Idempotent), 1);
+    for n in 0..100 {
+        node.now += 10.0;
+        let entry = |availability| vec![ServerEntry::new(ServerId(n), availability)];
+        node.feed(Event::ServerList(ServerListUpdate::Changes(entry(
+            Availability::Ready,
+        ))));
+        let id = n as u64;
+        assert_eq!(node.sent_to(id), n);
+        node.feed(Event::ServerList(ServerListUpdate::Changes(entry(
+            Availability::Gone,
+        ))));
+        assert_eq!(node.balancer.servers_known(), 1, "its answer is to come");
+        assert!(!refused(&node.end(id, 0, 5.0, AttemptResult::Served)));
+        assert_eq!(node.balancer.servers_known(), 0);
+    }
+}
+
+/// Guards one discovery service against all nodes at once: they hear of its end in the same instant, and of each call's
+/// failure as soon as it is made. The calls of 300 nodes spread over the wait, each time, and none waits longer than it may.
+#[test]
+fn resubscriptions_of_many_nodes_are_spread_over_time() {
+    const NODES: usize = 300;
+    const WITHIN_MS: f64 = 100.0;
+    let wait = |node: &mut Node| {
+        let actions = node.feed(Event::ServerList(ServerListUpdate::Failed));
+        let timer = actions.iter().find_map(|action| match action {
+            Action::SetTimer { timer, after_ms } => Some((*timer, *after_ms)),
+            _ => None,
+        });
+        let (timer, after_ms) = timer.expect("it calls again");
+        node.now += after_ms;
+        assert!(node.feed(Event::Timer(timer)).contains(&Action::Subscribe));
+        after_ms
+    };
+    let mut waits = vec![Vec::new(); 8];
+    for seed in 0..NODES {
+        let mut settings = one_class(Idempotency::Idempotent);
+        (settings.discovery, settings.max_poll_interval_ms) = (DiscoveryMode::Subscribe, 10_000.0);
+        (settings.nodes, settings.node_index) = (NODES, seed);
+        let mut node = Node::new(settings, seed as u64);
+        node.servers(ready(0..4));
+        for waits in &mut waits {
+            waits.push(wait(&mut node));
+        }
+    }
+    for (call, waits) in waits.iter_mut().enumerate() {
+        waits.sort_by(f64::total_cmp);
+        let (least, most) = (waits[0], waits[NODES - 1]);
+        assert!(
+            most <= MAX_RESUBSCRIBE_DELAY_MS && most >= 1.8 * least,
+            "{call}: {least} to {most}"
+        );
+        let together = |from: f64| {
+            waits
+                .iter()
+                .filter(|at| (from..from + WITHIN_MS).contains(*at))
+                .count()
+        };
+        let crowd = waits
+            .iter()
+            .map(|from| together(*from))
+            .max()
+            .expect("some");
+        // The first calls come soon, as most watches end alone; from the fifth on a quarter is the most.
+        assert!(
+            call < 4 || crowd * 4 <= NODES,
+            "{call}: {crowd} in {WITHIN_MS} ms"
+        );
+    }
+}
--- a/crates/measure/src/cold.rs
+++ b/crates/measure/src/cold.rs
@@ -5,8 +5,8 @@
 
 use fastrand::Rng;
 use silverthread::{
-    Action, Availability, Balancer, Class, Effect, Ending, Event, Listing, Outcome, Report,
-    Request, RequestId, ServerEntry, ServerId, Settings,
+    Action, AttemptResult, Availability, Balancer, Class, Event, Idempotency, LoadReport, Outcome,
+    Request, RequestId, ServerEntry, ServerId, ServerListUpdate, Settings,
 };
 
 use crate::event_queue::Agenda;
@@ -122,10 +122,18 @@
 impl World {
     fn new(nodes: usize, busy: f64, with_budget: bool, seed: u64) -> Self {
         let node = |me| {
-            let mut settings = Settings::new(vec![Class::new(AIM_MS, DEADLINE_MS, Effect::Safe)]);
-            (settings.nodes, settings.me, settings.cold_from) = (nodes, me, COLD_FROM);
-            settings.cold_ms = if with_budget { COLD_MS } else { 0.0 };
-            (settings.tip_multiple, settings.tip_after_ms) = (TIP_MULTIPLE, TIP_AFTER_MS);
+            let mut settings = Settings::new(vec![Class::new(
+                AIM_MS,
+                DEADLINE_MS,
+                Idempotency::Idempotent,
+            )]);
+            (
+                settings.nodes,
+                settings.node_index,
+                settings.slow_start_fraction,
+            ) = (nodes, me, COLD_FROM);
+            settings.slow_start_ms = if with_budget { COLD_MS } else { 0.0 };
+            (settings.collapse_multiple, settings.collapse_after_ms) = (TIP_MULTIPLE, TIP_AFTER_MS);
             let balancer = Balancer::new(settings, seed * 1_000 + me as u64).expect("sound");
             Node {
                 balancer,
@@ -157,7 +165,7 @@
     /// All nodes hear of all servers. One that started anew is another.
     fn list(&mut self) {
         let entry = |(at, server): (usize, &Server)| ServerEntry {
-            started_at: server.started,
+            started_at_ms: server.started,
             ..ServerEntry::new(
                 ServerId(at + usize::from(server.started.is_some()) * SERVERS),
                 Availability::Ready,
@@ -165,7 +173,10 @@
         };
         let entries: Vec<_> = self.servers.iter().enumerate().map(entry).collect();
         for node in 0..self.nodes.len() {
-            self.feed(node, Event::Servers(Listing::Full(entries.clone())));
+            self.feed(
+                node,
+                Event::ServerList(ServerListUpdate::Full(entries.clone())),
+            );
         }
     }
 
@@ -216,11 +227,11 @@
                     server,
                     sent,
                 } => {
-                    let report = Some(self.servers[server].in_flight(now)).map(|held| Report {
+                    let report = Some(self.servers[server].in_flight(now)).map(|held| LoadReport {
                         in_flight: Some(held),
-                        ..Report::default()
+                        ..LoadReport::default()
                     });
-                    self.ended(node, request, attempt, sent, Ending::Served, report);
+                    self.ended(node, request, attempt, sent, AttemptResult::Served, report);
                 }
                 Due::Over(node, request) => {
                     let out = self.nodes[node]
@@ -228,7 +239,7 @@
                         .get(&request)
                         .and_then(|open| open.out);
                     if let Some((attempt, sent)) = out {
-                        self.ended(node, request, attempt, sent, Ending::TimedOut, None);
+                        self.ended(node, request, attempt, sent, AttemptResult::TimedOut, None);
                     }
                     self.nodes[node].open.remove(&request);
                 }
@@ -251,8 +262,8 @@
         request: u64,
         attempt: usize,
         sent: f64,
-        ending: Ending,
-        report: Option<Report>,
+        ending: AttemptResult,
+        report: Option<LoadReport>,
     ) {
         let now = self.agenda.now;
         let Some(open) = self.nodes[node].open.get_mut(&request) else {
@@ -261,7 +272,7 @@
         if open.out.take_if(|(out, _)| *out == attempt).is_none() {
             return;
         }
-        let complete = ending == Ending::Served;
+        let complete = ending == AttemptResult::Served;
         if complete {
             let is_good = Self::counts(open.arrived) && now - open.arrived <= AIM_MS;
             self.played.in_aim += f64::from(u8::from(is_good));
@@ -275,7 +286,7 @@
                 request,
                 attempt,
                 elapsed_ms,
-                ending,
+                result: ending,
                 complete,
                 report,
             }),
@@ -306,7 +317,7 @@
                     };
                     self.agenda.push(through - now + WAY_MS, answer);
                 }
-                Action::Refuse { request, .. } | Action::Fail { request } => {
+                Action::Reject { request, .. } | Action::Fail { request } => {
                     if let Some(open) = self.nodes[node].open.remove(&request.0) {
                         let counts = Self::counts(open.arrived) && open.attempts == 0;
                         self.played.refused += f64::from(u8::from(counts));
--- a/crates/measure/src/decisions.rs
+++ b/crates/measure/src/decisions.rs
@@ -3,8 +3,8 @@
 use std::time::Instant;
 
 use silverthread::{
-    Action, Availability, Balancer, Class, Effect, Ending, Event, Listing, Outcome, Request,
-    RequestId, ServerEntry, ServerId, Settings,
+    Action, AttemptResult, Availability, Balancer, Class, Event, Idempotency, Outcome, Request,
+    RequestId, ServerEntry, ServerId, ServerListUpdate, Settings,
 };
 
 use crate::system::{count, quantile};
@@ -46,8 +46,8 @@
 fn entry(server: usize) -> ServerEntry {
     let mut entry = ServerEntry::new(ServerId(server), Availability::Ready);
     // Spread as a hash of the name would be.
-    entry.place = (server as u64).wrapping_mul(0x9e37_79b9_7f4a_7c15);
-    entry.kind = server % 2;
+    entry.ring_position = (server as u64).wrapping_mul(0x9e37_79b9_7f4a_7c15);
+    entry.machine_kind = server % 2;
     entry.zone = server % 4;
     entry
 }
@@ -76,12 +76,12 @@
         self.actions.clear();
         if sent {
             let elapsed_ms = 40.0 + (self.next % 80) as f64;
-            let ending = Ending::Served;
+            let ending = AttemptResult::Served;
             let outcome = Outcome {
                 request: id,
                 attempt: 0,
                 elapsed_ms,
-                ending,
+                result: ending,
                 complete: true,
                 report: None,
             };
@@ -91,16 +91,16 @@
         }
     }
 
-    fn list(&mut self, listing: Listing) {
+    fn list(&mut self, listing: ServerListUpdate) {
         self.balancer
-            .handle(self.now, Event::Servers(listing), &mut self.actions);
+            .handle(self.now, Event::ServerList(listing), &mut self.actions);
         self.actions.clear();
     }
 }
 
 fn round(servers: usize, seed: u64) -> [f64; 4] {
-    let mut settings = Settings::new(vec![Class::new(300.0, 750.0, Effect::Safe)]);
-    (settings.nodes, settings.me, settings.kinds) = (300, 7, 2);
+    let mut settings = Settings::new(vec![Class::new(300.0, 750.0, Idempotency::Idempotent)]);
+    (settings.nodes, settings.node_index, settings.machine_kinds) = (300, 7, 2);
     let balancer = Balancer::new(settings, seed).expect("sound settings");
     let mut subject = Subject {
         balancer,
@@ -108,7 +108,7 @@
         next: 0,
         actions: Vec::with_capacity(8),
     };
-    subject.list(Listing::Full((0..servers).map(entry).collect()));
+    subject.list(ServerListUpdate::Full((0..servers).map(entry).collect()));
     let requests = count(REQUESTS, 20);
     (0..count(BEFORE, 20)).for_each(|_| subject.request());
     let (before, start) = (ALLOCATOR.stats(), Instant::now());
@@ -124,7 +124,7 @@
         } else {
             Availability::Ready
         };
-        subject.list(Listing::Changes(vec![changed]));
+        subject.list(ServerListUpdate::Changes(vec![changed]));
     }
     let changes = start.elapsed().as_secs_f64() * 1e6 / CHANGES as f64;
     let bytes = stats.bytes_allocated as f64;
--- a/src/node/cluster/word.rs
+++ b/src/node/cluster/word.rs
@@ -13,7 +13,7 @@
 use crate::node::admin::log;
 use crate::node::clock::Alarm;
 use crate::node::driver::Driver;
-use balancer::{Ending, ServerId};
+use balancer::{AttemptResult, ServerId};
 
 /// A node's part in it.
 pub struct Part {
@@ -28,14 +28,14 @@
 }
 
 /// How an attempt failed; none: it did not, or that says nothing of the server.
-fn failed(ending: Ending) -> Option<Option<Kind>> {
+fn failed(ending: AttemptResult) -> Option<Option<Kind>> {
     match ending {
-        Ending::Served | Ending::Rejected => Some(None),
-        Ending::Error => Some(Some(Kind::Error)),
-        Ending::Unreachable => Some(Some(Kind::Unreachable)),
-        Ending::Reset | Ending::Spoilt => Some(Some(Kind::Broken)),
-        Ending::TimedOut => Some(Some(Kind::Silent)),
-        Ending::Full | Ending::Cancelled | Ending::NotSent => None,
+        AttemptResult::Served | AttemptResult::ClientError => Some(None),
+        AttemptResult::Error => Some(Some(Kind::Error)),
+        AttemptResult::Unreachable => Some(Some(Kind::Unreachable)),
+        AttemptResult::Reset | AttemptResult::Malformed => Some(Some(Kind::Broken)),
+        AttemptResult::TimedOut => Some(Some(Kind::Silent)),
+        AttemptResult::Overloaded | AttemptResult::Cancelled | AttemptResult::NotSent => None,
     }
 }
 
--- a/src/node/config.rs
+++ b/src/node/config.rs
@@ -10,7 +10,7 @@
 use serde_json::Value;
 
 use crate::simulator::{read_settings, WireError};
-use balancer::{Discovery, Settings};
+use balancer::{DiscoveryMode, Settings};
 
 /// The variable that names the configuration file.
 const VARIABLE: &str = "ROUTER_CONFIG";
@@ -294,7 +294,7 @@
         let raw: Raw = serde_json::from_str(text).map_err(ConfigError::Malformed)?;
         let mut settings = read_settings(&raw.settings).map_err(ConfigError::Settings)?;
         // This node cannot probe: the balancer is told so, and goes by the reports in answers alone.
-        settings.probes = false;
+        settings.health_checks = false;
         settings
             .validate()
             .map_err(|error| ConfigError::Settings(WireError::other(&error)))?;
@@ -314,7 +314,7 @@
                 .map(|at| address("control", at))
                 .transpose()?,
             discovery: address("discovery", &raw.discovery)?,
-            push: settings.discovery == Discovery::Push,
+            push: settings.discovery == DiscoveryMode::Push,
             seed: u64::from_str_radix(&raw.seed, 16)
                 .map_err(|_| ConfigError::Value("seed", raw.seed))?,
             limits: raw.limits,
--- a/src/node/discovery/endpoint_list.rs
+++ b/src/node/discovery/endpoint_list.rs
@@ -17,7 +17,7 @@
 use crate::node::config::HostList;
 use crate::node::discovery::connection::Connection;
 use crate::node::discovery::members::ServerMembers;
-use balancer::LONGEST_RESUBSCRIBE_MS;
+use balancer::MAX_RESUBSCRIBE_DELAY_MS;
 
 /// A change counts as told this long after discovery had it and could be reached.
 pub const COUNTS_AS_TOLD: Duration = Duration::from_secs(6);
@@ -60,7 +60,7 @@
     pub fn asked() -> Self {
         Self {
             opening: OPENING_ASKED,
-            longest_wait: Duration::from_secs_f64(LONGEST_RESUBSCRIBE_MS / 1e3),
+            longest_wait: Duration::from_secs_f64(MAX_RESUBSCRIBE_DELAY_MS / 1e3),
         }
     }
 
--- a/src/node/downstream/clients.rs
+++ b/src/node/downstream/clients.rs
@@ -34,7 +34,7 @@
 use crate::node::driver::{Answer, Driver};
 use crate::node::upstream::answers::{MOST_BODY, MOST_HELD, MOST_PASSED};
 use crate::node::upstream::{Message, RequestBody, ResponseBody, Served};
-use balancer::Effect;
+use balancer::Idempotency;
 
 /// The most of a message's head that is read, and of a body that is read at a time.
 const BUFFER: usize = 32 * 1024;
@@ -477,7 +477,7 @@
     let counted = state.driver.figures.take(metadata.class);
     let answer = match answer_to(metadata, head, body, state).await {
         Ok(Answer::Served(served)) => return Ok(pass_on(served, counted, tracked)),
-        Ok(Answer::Refused { after_ms }) => Ok(refusal(after_ms)),
+        Ok(Answer::Rejected { after_ms }) => Ok(refusal(after_ms)),
         Ok(Answer::Failed) => Ok(plain(StatusCode::BAD_GATEWAY, "")),
         Err(rejection) => Err(rejection),
     };
@@ -556,7 +556,7 @@
     // Where another process listens on the same socket, clients get connections as ever.
     let is_left = matches!(*state.phases.borrow(), Phase::Draining(_)) && !state.options.is_shared;
     if is_left && state.table.few_free() {
-        return Ok(Answer::Refused {
+        return Ok(Answer::Rejected {
             after_ms: Some(FREE_AGAIN_MS),
         });
     }
@@ -584,7 +584,7 @@
         until: Cell::default(),
     };
     let Some(mut taken) = driver.take(class, tenant, key, message, arrived, time) else {
-        return Ok(Answer::Refused { after_ms: None });
+        return Ok(Answer::Rejected { after_ms: None });
     };
     if let Some(feeder) = feeder {
         let fed = tokio::select! {
@@ -767,9 +767,9 @@
             return Err(bad("Idempotency-Key is empty or bad\n"));
         }
         let (right, has_key) = match rule.effect {
-            Effect::Safe => (Method::GET, false),
-            Effect::Keyed { .. } => (Method::POST, true),
-            Effect::Unsafe => (Method::POST, false),
+            Idempotency::Idempotent => (Method::GET, false),
+            Idempotency::IdempotencyKey { .. } => (Method::POST, true),
+            Idempotency::NonIdempotent => (Method::POST, false),
         };
         if *method != right || keyed != has_key {
             return Err(bad(
--- a/src/node/driver.rs
+++ b/src/node/driver.rs
@@ -20,8 +20,8 @@
 use crate::node::upstream::{Ended, Message, RequestBody, Served};
 use crate::simulator::WireError;
 use balancer::{
-    Action, Availability, Balancer, Class, Effect, Ending, Event, Listing, Outcome, Request,
-    RequestId, ServerEntry, ServerId,
+    Action, AttemptResult, Availability, Balancer, Class, Event, Idempotency, Outcome, Request,
+    RequestId, ServerEntry, ServerId, ServerListUpdate,
 };
 
 /// An answer must reach the client within its time: this much before its end the node stops waiting.
@@ -44,8 +44,8 @@
 pub enum Answer {
     /// A server's own.
     Served(Served),
-    /// Refused: trying again is harmless.
-    Refused {
+    /// Rejected: a retry is harmless.
+    Rejected {
         /// When the client should, where the balancer names a time.
         after_ms: Option<f64>,
     },
@@ -80,8 +80,8 @@
 }
 
 /// Whether a server's answer is the request's.
-fn is_final(ending: Ending) -> bool {
-    matches!(ending, Ending::Served | Ending::Rejected)
+fn is_final(ending: AttemptResult) -> bool {
+    matches!(ending, AttemptResult::Served | AttemptResult::ClientError)
 }
 
 fn availability(state: State) -> Availability {
@@ -99,7 +99,7 @@
 }
 
 /// Hears of the server, by the key that other nodes know it by, and how an attempt there ended.
-type Watcher = Rc<dyn Fn(u64, Ending)>;
+type Watcher = Rc<dyn Fn(u64, AttemptResult)>;
 
 /// What all nodes know a server by in this life of it: one that is replaced under its name is another.
 fn key_of(host: &Host) -> u64 {
@@ -157,7 +157,7 @@
 /// What holds for the requests of a class.
 pub struct ClassRule {
     /// What running one twice does.
-    pub effect: Effect,
+    pub effect: Idempotency,
     /// How long a client waits at the most.
     pub longest: Duration,
 }
@@ -184,7 +184,7 @@
     ) -> Result<Rc<Self>, ConfigError> {
         let settings = config.settings.clone();
         let rules = |class: &Class| ClassRule {
-            effect: class.effect,
+            effect: class.idempotency,
             longest: Duration::from_secs_f64(class.deadline_ms.min(1e9) / 1e3),
         };
         let names = SettingNames {
@@ -221,7 +221,7 @@
             latest: Cell::default(),
             ends_by: Cell::default(),
         });
-        driver.listing(&roster::read_all(&config.known), Listing::Cached);
+        driver.listing(&roster::read_all(&config.known), ServerListUpdate::Cached);
         tokio::task::spawn_local(Rc::clone(&driver).wake_up());
         tokio::task::spawn_local(Rc::clone(&driver).sweep());
         tokio::task::spawn_local(Rc::clone(&driver.servers).wake_up());
@@ -230,11 +230,11 @@
 
     /// Takes the whole list of servers.
     pub fn list(self: &Rc<Self>, hosts: &[Host]) {
-        self.listing(hosts, Listing::Full);
+        self.listing(hosts, ServerListUpdate::Full);
     }
 
     /// Has somebody told how attempts end, from here on.
-    pub fn watch(&self, watcher: impl Fn(u64, Ending) + 'static) {
+    pub fn watch(&self, watcher: impl Fn(u64, AttemptResult) + 'static) {
         self.watcher.replace(Some(Rc::new(watcher)));
     }
 
@@ -271,7 +271,7 @@
 
     /// Takes the servers that changed.
     pub fn changes(self: &Rc<Self>, hosts: &[Host]) {
-        self.listing(hosts, Listing::Changes);
+        self.listing(hosts, ServerListUpdate::Changes);
     }
 
     /// Takes what the operators say now of servers' addresses.
@@ -301,15 +301,15 @@
 
     /// The list could not be had, or its changes come no more.
     pub fn list_failed(self: &Rc<Self>) {
-        self.feed(Event::Servers(Listing::Failed));
+        self.feed(Event::ServerList(ServerListUpdate::Failed));
     }
 
-    fn listing(self: &Rc<Self>, hosts: &[Host], kind: fn(Vec<ServerEntry>) -> Listing) {
-        if !matches!(kind(Vec::new()), Listing::Changes(_)) {
+    fn listing(self: &Rc<Self>, hosts: &[Host], kind: fn(Vec<ServerEntry>) -> ServerListUpdate) {
+        if !matches!(kind(Vec::new()), ServerListUpdate::Changes(_)) {
             self.forget_missing(hosts);
         }
         let entries = self.entries(hosts);
-        self.feed(Event::Servers(kind(entries)));
+        self.feed(Event::ServerList(kind(entries)));
     }
 
     /// A server that a full list does not name is gone.
@@ -372,12 +372,12 @@
     fn entry(&self, server: ServerId, host: &Host) -> ServerEntry {
         ServerEntry {
             server,
-            place: crate::simulator::spread(&host.id),
+            ring_position: crate::simulator::spread(&host.id),
             availability: availability(host.state),
-            started_at: Some(host.started_at_ms).filter(|t| *t > 0.0),
+            started_at_ms: Some(host.started_at_ms).filter(|t| *t > 0.0),
             cell: host.cell.unwrap_or(0),
             zone: self.names.zones.get(&host.zone).unwrap_or(0),
-            kind: self.names.kinds.get(&host.kind).unwrap_or(0),
+            machine_kind: self.names.kinds.get(&host.kind).unwrap_or(0),
         }
     }
 
@@ -402,10 +402,10 @@
         let (answer, answered) = oneshot::channel();
         let message = Rc::new(message);
         let window = match self.names.rules[class].effect {
-            Effect::Keyed { window_ms, .. } => {
+            Idempotency::IdempotencyKey { window_ms, .. } => {
                 Duration::try_from_secs_f64(window_ms * REPEAT_PART / 1e3).ok()
             }
-            Effect::Safe | Effect::Unsafe => None,
+            Idempotency::Idempotent | Idempotency::NonIdempotent => None,
         };
         let open = Open {
             answer: Some(answer),
@@ -425,8 +425,8 @@
             id: RequestId(number),
             class,
             tenant,
-            item,
-            budget_ms,
+            key: item,
+            timeout_ms: budget_ms,
         }));
         Some(Taken {
             driver: Rc::clone(self),
@@ -482,8 +482,11 @@
         match action {
             Action::Send { request, server } => self.send(request.0, server),
             Action::Cancel { request, attempt } => self.cancel(request.0, attempt),
-            Action::Refuse { request, after_ms } => {
-                self.answer(request.0, Answer::Refused { after_ms });
+            Action::Reject {
+                request,
+                retry_after_ms: after_ms,
+            } => {
+                self.answer(request.0, Answer::Rejected { after_ms });
             }
             Action::Fail { request } => self.answer(request.0, Answer::Failed),
             Action::SetTimer { timer, after_ms } => {
@@ -491,10 +494,10 @@
                     Duration::try_from_secs_f64(after_ms.max(0.0) / 1e3).unwrap_or(LONGEST_TIMER);
                 self.wake_at(Instant::now() + after.min(LONGEST_TIMER), Due::Timer(timer));
             }
-            Action::Close { server } => self.servers.close_idle(server),
+            Action::CloseIdle { server } => self.servers.close_idle(server),
             Action::Subscribe => self.subscribe.notify_one(),
-            Action::Probe { server } => self.refuse_probe(server),
-            Action::Note(text) => log::line(text),
+            Action::HealthCheck { server } => self.refuse_probe(server),
+            Action::Log(event) => log::line(event),
         }
     }
 
@@ -510,7 +513,12 @@
         let over = request.answer.is_none() || now >= request.deadline || !request.message.can_go();
         if over || attempt >= self.max_attempts || request.out.is_some() {
             drop(open);
-            return self.outcome(number, attempt, Duration::ZERO, Ending::NotSent.into());
+            return self.outcome(
+                number,
+                attempt,
+                Duration::ZERO,
+                AttemptResult::NotSent.into(),
+            );
         }
         let message = Rc::clone(&request.message);
         // Guards against a repeat whose connection comes up late: what counts is when it goes out.
@@ -538,7 +546,7 @@
     }
 
     /// Tells whoever wants to know how an attempt ended.
-    fn tell(&self, server: ServerId, ending: Ending) {
+    fn tell(&self, server: ServerId, ending: AttemptResult) {
         let watcher = self.watcher.borrow().clone();
         let key = watcher
             .as_ref()
@@ -624,7 +632,7 @@
             request: RequestId(number),
             attempt,
             elapsed_ms: elapsed.as_secs_f64() * 1e3,
-            ending: ended.ending,
+            result: ended.ending,
             complete,
             report: ended.report,
         }));
@@ -650,7 +658,7 @@
                 number,
                 attempt,
                 out.sent.elapsed(),
-                Ending::Cancelled.into(),
+                AttemptResult::Cancelled.into(),
             );
         }
     }
@@ -659,12 +667,12 @@
     /// has failed.
     fn out_of_time(self: &Rc<Self>, number: u64) {
         if let Some(out) = self.give_up(number, None) {
-            self.tell(out.server, Ending::TimedOut);
+            self.tell(out.server, AttemptResult::TimedOut);
             self.outcome(
                 number,
                 out.number,
                 out.sent.elapsed(),
-                Ending::TimedOut.into(),
+                AttemptResult::TimedOut.into(),
             );
         }
         let late = self
@@ -718,11 +726,11 @@
 
     /// A node that is told of no probes gets none to make; one that is asked for all the same was not sent.
     fn refuse_probe(&self, server: ServerId) {
-        let ending = Ending::NotSent;
-        self.events.borrow_mut().push_back(Event::Probed {
+        let ending = AttemptResult::NotSent;
+        self.events.borrow_mut().push_back(Event::HealthChecked {
             server,
             elapsed_ms: 0.0,
-            ending,
+            result: ending,
             report: None,
         });
     }
--- a/src/node/upstream/answers.rs
+++ b/src/node/upstream/answers.rs
@@ -4,7 +4,7 @@
 use hyper::StatusCode;
 
 use crate::node::admin::log;
-use balancer::{Ending, Report};
+use balancer::{AttemptResult, LoadReport};
 
 /// The largest body of a message that is held without a look at what else is.
 pub const MOST_BODY: usize = 64 * 1024;
@@ -16,12 +16,14 @@
 
 /// What an answer that came whole, or whose body is of no matter, means.
 #[must_use]
-pub fn ending(status: StatusCode, declined: bool) -> Ending {
+pub fn ending(status: StatusCode, declined: bool) -> AttemptResult {
     match status {
-        StatusCode::OK => Ending::Served,
-        StatusCode::SERVICE_UNAVAILABLE | StatusCode::GATEWAY_TIMEOUT if declined => Ending::Full,
-        status if blames_request(status) => Ending::Rejected,
-        _ => Ending::Error,
+        StatusCode::OK => AttemptResult::Served,
+        StatusCode::SERVICE_UNAVAILABLE | StatusCode::GATEWAY_TIMEOUT if declined => {
+            AttemptResult::Overloaded
+        }
+        status if blames_request(status) => AttemptResult::ClientError,
+        _ => AttemptResult::Error,
     }
 }
 
@@ -38,7 +40,7 @@
 
 /// Reads a load report; one that is malformed is passed over.
 #[must_use]
-pub fn read_report(value: &HeaderValue) -> Option<Report> {
+pub fn read_report(value: &HeaderValue) -> Option<LoadReport> {
     let text = value
         .to_str()
         .ok()
@@ -47,7 +49,7 @@
         log::line("a load report is malformed");
         return None;
     };
-    let mut report = Report::default();
+    let mut report = LoadReport::default();
     for field in fields.split(',') {
         let Some((name, figure)) = field.split_once('=') else {
             log::line("a load report is malformed");
--- a/src/node/upstream/http1/exchange.rs
+++ b/src/node/upstream/http1/exchange.rs
@@ -25,7 +25,7 @@
 use crate::node::upstream::answers::{ending, read_report, MOST_BODY, MOST_PASSED};
 use crate::node::upstream::stream::Stream;
 use crate::node::upstream::{Broken, Ended, Message, ResponseBody, Served};
-use balancer::Ending;
+use balancer::AttemptResult;
 
 /// The most of a message's head that is read, and of a body that is read at a time.
 const BUFFER: usize = 32 * 1024;
@@ -153,7 +153,7 @@
             content_type: content_type.clone(),
         };
         let begin = |passing| begin(served(ResponseBody::Passing(passing)));
-        let begin: Option<&dyn Fn(Passing)> = if ending == Ending::Served {
+        let begin: Option<&dyn Fn(Passing)> = if ending == AttemptResult::Served {
             Some(&begin)
         } else {
             None
@@ -163,12 +163,14 @@
             self.connection = None;
         }
         let (ending, body) = match (ending, read) {
-            (Ending::Served, Err(Cut::Broke(Broke::Connection))) => (Ending::Reset, None),
-            (Ending::Served, Err(Cut::Broke(_))) => (Ending::Spoilt, None),
-            (Ending::Served, Err(Cut::ClientLeft)) => (Ending::Cancelled, None),
-            (Ending::Served, Ok(body)) => (Ending::Served, body),
-            (Ending::Rejected, read) => (
-                Ending::Rejected,
+            (AttemptResult::Served, Err(Cut::Broke(Broke::Connection))) => {
+                (AttemptResult::Reset, None)
+            }
+            (AttemptResult::Served, Err(Cut::Broke(_))) => (AttemptResult::Malformed, None),
+            (AttemptResult::Served, Err(Cut::ClientLeft)) => (AttemptResult::Cancelled, None),
+            (AttemptResult::Served, Ok(body)) => (AttemptResult::Served, body),
+            (AttemptResult::ClientError, read) => (
+                AttemptResult::ClientError,
                 Some(read.ok().flatten().unwrap_or_default()),
             ),
             (ending, _) => (ending, None),
--- a/src/node/upstream/mod.rs
+++ b/src/node/upstream/mod.rs
@@ -21,7 +21,7 @@
 use pool::{Address, Broke, Closed, Sent};
 
 use crate::node::downstream::passing::{Passing, Upload};
-use balancer::{Ending, Report};
+use balancer::{AttemptResult, LoadReport};
 use stream::Stream;
 
 /// What goes to a server, the same with each attempt but for the deadline.
@@ -84,15 +84,15 @@
 #[derive(Debug)]
 pub struct Ended {
     /// The outcome.
-    pub ending: Ending,
+    pub ending: AttemptResult,
     /// The server's load report, if one came.
-    pub report: Option<Report>,
+    pub report: Option<LoadReport>,
     /// The answer of one that was served or rejected.
     pub served: Option<Served>,
 }
 
-impl From<Ending> for Ended {
-    fn from(ending: Ending) -> Self {
+impl From<AttemptResult> for Ended {
+    fn from(ending: AttemptResult) -> Self {
         Self {
             ending,
             report: None,
--- a/src/node/upstream/servers.rs
+++ b/src/node/upstream/servers.rs
@@ -23,7 +23,7 @@
 use crate::node::config::Config;
 use crate::node::upstream::addresses::{routes, AllSaid};
 use crate::node::upstream::{Conn, Ended, Message, Served};
-use balancer::{Ending, ServerId};
+use balancer::{AttemptResult, ServerId};
 
 /// Turns of one attempt. Each takes away an idle connection that has ended or an address that has broken, so this many
 /// are a server that closes what it accepts, again and again.
@@ -126,7 +126,7 @@
             holders: RefCell::default(),
             said: RefCell::new(said),
             alarm: Alarm::new(),
-            cold_ms: config.settings.cold_ms,
+            cold_ms: config.settings.slow_start_ms,
             drain_grace: config.drain_grace,
             clock,
         })
@@ -410,15 +410,15 @@
         begin: impl Fn(Served),
     ) -> Ended {
         let mut avoid = Vec::new();
-        let mut gone = Ending::NotSent;
+        let mut gone = AttemptResult::NotSent;
         for _ in 0..MOST_TURNS {
             let mut lease = match self.take(at, &avoid).await {
                 Ok(lease) => lease,
                 Err(Why::Full) if avoid.is_empty() => {
                     log::line("all connections to servers are in use");
-                    return Ending::NotSent.into();
+                    return AttemptResult::NotSent.into();
                 }
-                Err(_) => return Ending::Unreachable.into(),
+                Err(_) => return AttemptResult::Unreachable.into(),
             };
             if !message.can_go() {
                 return gone.into(); // Its last byte never went out, and shall not.
@@ -426,7 +426,7 @@
             // The last look before anything is written: the list may have changed while the connection came up.
             let now = Instant::now();
             if !self.is_open(at) || now >= deadline {
-                return Ending::NotSent.into();
+                return AttemptResult::NotSent.into();
             }
             match lease.exchange(&message, deadline - now, &begin).await {
                 Ok(ended) => {
@@ -436,13 +436,13 @@
                 Err((Next::Again, _)) => {}
                 Err((Next::Elsewhere, by)) => {
                     avoid.extend(by);
-                    gone = Ending::Unreachable;
+                    gone = AttemptResult::Unreachable;
                 }
-                Err((Next::Reset, _)) => return Ending::Reset.into(),
-                Err((Next::Spoilt, _)) => return Ending::Spoilt.into(),
+                Err((Next::Reset, _)) => return AttemptResult::Reset.into(),
+                Err((Next::Spoilt, _)) => return AttemptResult::Malformed.into(),
             }
         }
-        Ending::Unreachable.into()
+        AttemptResult::Unreachable.into()
     }
 }
 
--- a/src/simulator.rs
+++ b/src/simulator.rs
@@ -6,8 +6,9 @@
 use serde_json::Value;
 
 use balancer::{
-    Action, Availability, Class, Discovery, Effect, Ending, Event, Group, Listing, Outcome, Report,
-    Reports, Request, RequestId, ResendBudget, ServerEntry, ServerId, Settings,
+    Action, AttemptResult, Availability, Class, DiscoveryMode, Event, Idempotency, KeyScope,
+    LoadReport, LogEvent, Outcome, ReportSource, Request, RequestId, RetryBudget, ServerEntry,
+    ServerId, ServerListUpdate, Settings,
 };
 
 /// What is wrong with a line.
@@ -169,11 +170,11 @@
         let entry = ServerEntry {
             server: ServerId(0),
             availability,
-            started_at: line.figure("launched_ms")?.filter(|t| *t > 0.0),
+            started_at_ms: line.figure("launched_ms")?.filter(|t| *t > 0.0),
             cell: or_zero("block")?,
             zone: or_zero("site")?,
-            kind: or_zero("type")?,
-            place: spread(line.text("server")?),
+            machine_kind: or_zero("type")?,
+            ring_position: spread(line.text("server")?),
         };
         Ok(Self {
             server: line.text("server")?.to_owned(),
@@ -210,7 +211,7 @@
         ServerId(id)
     }
 
-    fn report(&self, line: &Line<'_>) -> Result<Option<Report>, WireError> {
+    fn report(&self, line: &Line<'_>) -> Result<Option<LoadReport>, WireError> {
         let Some(row) = line
             .get("server_stats")
             .filter(|r| !r.is_empty() && *r != "-")
@@ -222,7 +223,7 @@
             .map(|v| figure("server_stats", v))
             .collect::<Result<_, _>>()?;
         let at = |i: Option<usize>| i.and_then(|i| values.get(i).copied());
-        Ok(Some(Report {
+        Ok(Some(LoadReport {
             in_flight: at(self.in_flight_at),
             queued: at(self.queued_at),
         }))
@@ -255,13 +256,13 @@
         lists: &[Option<Vec<Member>>; 16],
     ) -> Result<Option<Event>, WireError> {
         Ok(Some(match line.message {
-            "REGISTRY" => Event::Servers(self.listing(line, lists)?),
+            "REGISTRY" => Event::ServerList(self.listing(line, lists)?),
             "CALL" => Event::Request(Request {
                 id: RequestId(line.need_whole("txn")?),
                 class: line.index("grade")?,
                 tenant: line.whole("party")?.unwrap_or(0) as usize,
-                item: line.get("item").map(Into::into),
-                budget_ms: line.need_figure("budget_ms")?,
+                key: line.get("item").map(Into::into),
+                timeout_ms: line.need_figure("budget_ms")?,
             }),
             "ACK_FIRST" => Event::StreamStarted {
                 request: RequestId(line.need_whole("txn")?),
@@ -271,7 +272,7 @@
                 request: RequestId(line.need_whole("txn")?),
                 attempt: line.index("try")?,
                 elapsed_ms: line.need_figure("rtt_ms")?,
-                ending: ending(line)?,
+                result: ending(line)?,
                 complete: match line.text("complete")? {
                     "1" => true,
                     "0" => false,
@@ -285,10 +286,10 @@
                 Ok(timer) => Event::Timer(timer),
                 Err(_) => return Ok(None),
             },
-            "HEALTH" => Event::Probed {
+            "HEALTH" => Event::HealthChecked {
                 server: self.intern(line.text("server")?),
                 elapsed_ms: line.figure("rtt_ms")?.unwrap_or(0.0),
-                ending: ending(line)?,
+                result: ending(line)?,
                 report: self.report(line)?,
             },
             _ => return Ok(None),
@@ -299,10 +300,10 @@
         &mut self,
         line: &Line<'_>,
         lists: &[Option<Vec<Member>>; 16],
-    ) -> Result<Listing, WireError> {
+    ) -> Result<ServerListUpdate, WireError> {
         let mode = line.text("mode")?;
         if mode == "3" {
-            return Ok(Listing::Failed);
+            return Ok(ServerListUpdate::Failed);
         }
         let number = line.index("roster_id")?;
         let Some(list) = lists.get(number).and_then(Option::as_ref) else {
@@ -316,9 +317,9 @@
             })
             .collect();
         match mode {
-            "0" => Ok(Listing::Changes(entries)),
-            "1" => Ok(Listing::Full(entries)),
-            "2" => Ok(Listing::Cached(entries)),
+            "0" => Ok(ServerListUpdate::Changes(entries)),
+            "1" => Ok(ServerListUpdate::Full(entries)),
+            "2" => Ok(ServerListUpdate::Cached(entries)),
             other => wrong(format!("`mode={other}` is unknown")),
         }
     }
@@ -333,10 +334,10 @@
                     request.0, self.names[server.0]
                 )
             }
-            Action::Probe { server } => {
+            Action::HealthCheck { server } => {
                 write!(out, "SOUND_OUT node={node} server={}", self.names[server.0])
             }
-            Action::Close { server } => {
+            Action::CloseIdle { server } => {
                 write!(out, "CLOSE node={node} server={}", self.names[server.0])
             }
             Action::Cancel { request, attempt } => {
@@ -346,15 +347,15 @@
                     request.0
                 )
             }
-            Action::Refuse {
+            Action::Reject {
                 request,
-                after_ms: None,
+                retry_after_ms: None,
             } => {
                 write!(out, "PUSH_BACK node={node} txn={}", request.0)
             }
-            Action::Refuse {
+            Action::Reject {
                 request,
-                after_ms: Some(ms),
+                retry_after_ms: Some(ms),
             } => {
                 write!(
                     out,
@@ -370,29 +371,41 @@
                     "SCHEDULE node={node} nonce={timer} offset_ms={after_ms:.3}"
                 )
             }
-            Action::Note(text) => write!(out, "NOTE_DOWN node={node} note_text={}", one_line(text)),
+            Action::Log(event) => {
+                write!(out, "NOTE_DOWN node={node} note_text={}", note_text(*event))
+            }
         };
         debug_assert!(done.is_ok(), "writing to a string cannot fail");
         out.push('\n');
     }
 }
 
+/// The text of a note, which the simulator's records hold: it stays as it is where the node's log is reworded.
+fn note_text(event: LogEvent) -> String {
+    match event {
+        LogEvent::ServerListUnavailable => "the list of servers does not come".to_owned(),
+        LogEvent::ServerListAvailable => "the list of servers comes again".to_owned(),
+        LogEvent::ServerEjected(server) => format!("server {} is taken out", server.0),
+        LogEvent::ServerRecovered(server) => format!("server {} is back", server.0),
+    }
+}
+
 /// Text without line breaks.
 #[must_use]
 pub fn one_line(text: &str) -> String {
     text.replace(['\n', '\r'], " ")
 }
 
-fn ending(line: &Line<'_>) -> Result<Ending, WireError> {
+fn ending(line: &Line<'_>) -> Result<AttemptResult, WireError> {
     Ok(match line.text("ending")? {
-        "S" => Ending::Served,
-        "E" => Ending::Error,
-        "F" => Ending::Full,
-        "T" => Ending::TimedOut,
-        "C" => Ending::Unreachable,
-        "R" => Ending::Reset,
-        "X" => Ending::Cancelled,
-        "N" => Ending::NotSent,
+        "S" => AttemptResult::Served,
+        "E" => AttemptResult::Error,
+        "F" => AttemptResult::Overloaded,
+        "T" => AttemptResult::TimedOut,
+        "C" => AttemptResult::Unreachable,
+        "R" => AttemptResult::Reset,
+        "X" => AttemptResult::Cancelled,
+        "N" => AttemptResult::NotSent,
         other => return wrong(format!("`ending={other}` is unknown")),
     })
 }
@@ -417,41 +430,41 @@
     for party in parties {
         let mut quota = f64::MAX;
         read(party, "quota_per_s", &mut quota)?;
-        settings.quotas_per_s.push(quota);
+        settings.tenant_quotas_per_s.push(quota);
     }
     read_index(facts, "n_instances", &mut settings.nodes)?;
-    read_index(facts, "me", &mut settings.me)?;
+    read_index(facts, "me", &mut settings.node_index)?;
     read_index(facts, "az", &mut settings.zone)?;
-    settings.kinds = facts["kinds"].as_array().map_or(1, |k| k.len().max(1));
+    settings.machine_kinds = facts["kinds"].as_array().map_or(1, |k| k.len().max(1));
     if facts["discovery"] == "subscribe" {
-        settings.discovery = Discovery::Subscribe;
+        settings.discovery = DiscoveryMode::Subscribe;
     }
-    settings.reports = match facts["stats"]["source"].as_str() {
-        Some("on_probe") => Reports::OnProbe,
-        Some("off") => Reports::Off,
-        _ => Reports::Inline,
+    settings.report_source = match facts["stats"]["source"].as_str() {
+        Some("on_probe") => ReportSource::HealthCheck,
+        Some("off") => ReportSource::Off,
+        _ => ReportSource::Inline,
     };
     let rules = &facts["rules"];
-    read(rules, "ask_within_ms", &mut settings.ask_within_ms)?;
-    read(rules, "cold_from", &mut settings.cold_from)?;
-    read(rules, "cold_ms", &mut settings.cold_ms)?;
-    read(rules, "tip_multiple", &mut settings.tip_multiple)?;
-    read(rules, "tip_after_ms", &mut settings.tip_after_ms)?;
+    read(rules, "ask_within_ms", &mut settings.max_poll_interval_ms)?;
+    read(rules, "cold_from", &mut settings.slow_start_fraction)?;
+    read(rules, "cold_ms", &mut settings.slow_start_ms)?;
+    read(rules, "tip_multiple", &mut settings.collapse_multiple)?;
+    read(rules, "tip_after_ms", &mut settings.collapse_after_ms)?;
     read(rules, "key_quiet_ms", &mut settings.key_quiet_ms)?;
-    let mut budget = ResendBudget {
-        free: 0.0,
-        per_request: 0.0,
-        span_ms: f64::NAN,
+    let mut budget = RetryBudget {
+        min_retries: 0.0,
+        retries_per_request: 0.0,
+        window_ms: f64::NAN,
     };
-    read(rules, "free_resends", &mut budget.free)?;
-    read(rules, "extra_per_request", &mut budget.per_request)?;
-    read(rules, "budget_span_ms", &mut budget.span_ms)?;
-    settings.resends = (!budget.span_ms.is_nan()).then_some(budget);
+    read(rules, "free_resends", &mut budget.min_retries)?;
+    read(rules, "extra_per_request", &mut budget.retries_per_request)?;
+    read(rules, "budget_span_ms", &mut budget.window_ms)?;
+    settings.retry_budget = (!budget.window_ms.is_nan()).then_some(budget);
     let allowed = &facts["allowed"];
     read_index(allowed, "max_attempts", &mut settings.max_attempts)?;
     read_flag(allowed, "cancel", &mut settings.cancel)?;
-    read_flag(allowed, "probes", &mut settings.probes)?;
-    read(&facts["prices"], "probe", &mut settings.probe_price)?;
+    read_flag(allowed, "probes", &mut settings.health_checks)?;
+    read(&facts["prices"], "probe", &mut settings.health_check_price)?;
     Ok(settings)
 }
 
@@ -465,24 +478,24 @@
     read(class, "promise_ms", &mut aim)?;
     read(class, "dedup_window_ms", &mut window)?;
     let effect = match class["effect"].as_str() {
-        Some("retryable") => Effect::Safe,
+        Some("retryable") => Idempotency::Idempotent,
         Some("dedup") => {
             let group = match class["group"].as_str() {
-                Some("all") => Group::All,
-                Some("zone") => Group::Zone,
-                _ => Group::Cell,
+                Some("all") => KeyScope::All,
+                Some("zone") => KeyScope::Zone,
+                _ => KeyScope::Cell,
             };
-            Effect::Keyed {
-                group,
+            Idempotency::IdempotencyKey {
+                scope: group,
                 window_ms: window,
             }
         }
         // An effect that is not known is treated as the one that allows least.
-        _ => Effect::Unsafe,
+        _ => Idempotency::NonIdempotent,
     };
     let mut read_class = Class::new(if aim.is_nan() { deadline } else { aim }, deadline, effect);
-    read(class, "worth", &mut read_class.worth)?;
-    read_flag(class, "by_arrival", &mut read_class.in_order)?;
+    read(class, "worth", &mut read_class.priority_weight)?;
+    read_flag(class, "by_arrival", &mut read_class.ordered_by_key)?;
     Ok(read_class)
 }
 
