--- a/crates/stable-hash/src/lib.rs
+++ b/crates/stable-hash/src/lib.rs
@@ -12,3 +12,16 @@
     x = (x ^ (x >> 27)).wrapping_mul(0x94d0_49bb_1331_11eb);
     x ^ (x >> 31)
 }
+
+/// A number from a name: 64-bit FNV-1a, its bits mixed once more, so that the servers of one list are evenly distributed
+/// on the ring that all nodes share.
+///
+/// ```
+/// assert_eq!(stable_hash::hash_name("10.0.0.1:80"), 0x4aff_b0b3_15f6_7a66);
+/// ```
+#[must_use]
+pub fn hash_name(name: &str) -> u64 {
+    let mix = |hash: u64, byte: u8| (hash ^ u64::from(byte)).wrapping_mul(0x0100_0000_01b3);
+    let hash = name.bytes().fold(0xcbf2_9ce4_8422_2325, mix);
+    (hash ^ (hash >> 32)).wrapping_mul(0x9e37_79b9_7f4a_7c15)
+}
--- a/src/bin/silverthread-simulator-adapter.rs
+++ b/src/bin/silverthread-simulator-adapter.rs
@@ -1,177 +1,172 @@
-//! Drives balancers over the text wire on standard input and output, one for each instance.
-
-#![allow(
-    clippy::format_push_string,
-    reason = "this file is still to be rewritten: docs/ROADMAP.md, Readability"
-)]
+//! Runs balancers by the simulator's line protocol on standard input and output, one balancer for
+//! each simulated node.
+//!
+//! It replies to each batch when the batch is complete. Malformed input ends it with one line on
+//! standard error that says where and what.
 
 use std::collections::{BTreeMap, BTreeSet};
+use std::fmt::{self, Write as _};
 use std::io::{self, BufRead, Write};
 use std::panic::{self, AssertUnwindSafe};
 use std::process::ExitCode;
 
-use silverthread::simulator::{one_line, Dialect, Line, Member, WireError};
-use silverthread::{Action, Balancer};
+use silverthread::simulator::{Instance, Line, ProtocolError, ServerLists};
+use silverthread::text::one_line;
+use silverthread::Action;
+
+const PROGRAM: &str = "silverthread-simulator-adapter";
 
-/// One instance: its balancer and the names only it has been told.
-struct Instance {
-    balancer: Balancer,
-    dialect: Dialect,
+/// Whether a line ended its batch.
+enum Progress {
+    More,
+    EndOfBatch,
 }
 
+/// The instances, and the batch being read.
 #[derive(Default)]
-struct BenchLink {
-    now: f64,
+struct Adapter {
+    now_ms: f64,
     instances: BTreeMap<String, Instance>,
-    lists: [Option<Vec<Member>>; 16],
-    /// The list being read: its number, the entries due and those read so far.
-    reading: Option<(usize, usize, Vec<Member>)>,
-    passed_over: BTreeSet<String>,
+    lists: ServerLists,
+    /// What was ignored and has been reported once.
+    reported: BTreeSet<String>,
     reply: String,
     actions: Vec<Action>,
 }
 
-enum Step {
-    More,
-    EndOfBatch,
-}
-
-impl BenchLink {
-    fn line(&mut self, text: &str) -> Result<Step, WireError> {
-        if let Some((number, due, mut members)) = self.reading.take() {
-            members.push(Member::parse(text)?);
-            if members.len() < due {
-                self.reading = Some((number, due, members));
-            } else {
-                self.lists[number] = Some(members);
-            }
-            return Ok(Step::More);
+impl Adapter {
+    fn handle_line(&mut self, text: &str) -> Result<Progress, ProtocolError> {
+        if self.lists.receive(text)? {
+            return Ok(Progress::More);
+        }
+        if text.is_empty() {
+            return Ok(Progress::More); // It separates batches.
         }
         let line = Line::parse(text)?;
         match line.message {
-            "CLOCK" => self.now = line.need_figure("wall_ms")?,
+            "CLOCK" => self.now_ms = line.required_number("wall_ms")?,
             "EOB" => {
                 self.reply.push_str("NEXT\n");
-                return Ok(Step::EndOfBatch);
+                return Ok(Progress::EndOfBatch);
             }
-            "CENSUS" => self.census(&line)?,
+            "CENSUS" => self.lists.begin(&line)?,
             "BOOT" => {
-                let mut dialect = Dialect::default();
-                let settings = dialect.settings(line.text("facts")?)?;
-                let seed = line.whole("seed")?.unwrap_or(0);
-                let balancer = Balancer::new(settings, seed).map_err(|e| WireError::other(&e))?;
-                self.instances.insert(
-                    line.text("node")?.to_owned(),
-                    Instance { balancer, dialect },
-                );
+                let instance = Instance::start(&line)?;
+                let node = line.text("node")?.to_owned();
+                self.instances.insert(node, instance);
             }
             "TEARDOWN" => drop(self.instances.remove(line.text("node")?)),
             "REGISTRY" | "CALL" | "ACK_FIRST" | "ENDED" | "HANGUP" | "FIRED" | "HEALTH" => {
-                self.event(&line)?;
+                self.handle_event(&line)?;
             }
-            "FROM_PEER" => {} // peers tell a balancer nothing
-            other => self.note(other, "passed over an unknown message"),
+            "FROM_PEER" => {} // A balancer takes no messages from its peers.
+            other => self.report_ignored(other, "ignored an unknown message"),
         }
-        Ok(Step::More)
+        Ok(Progress::More)
     }
 
-    fn census(&mut self, line: &Line<'_>) -> Result<(), WireError> {
-        let need = |name| {
-            line.whole(name)?
-                .map_or_else(|| line.text(name).map(|_| 0), Ok)
-        };
-        let (number, due) = (need("roster_id")? as usize, need("hosts")? as usize);
-        if number >= self.lists.len() {
-            return Err(WireError::other(&format!(
-                "`roster_id={number}` is out of range"
-            )));
-        }
-        if due == 0 {
-            self.lists[number] = Some(Vec::new());
-        } else {
-            self.reading = Some((number, due, Vec::new()));
-        }
-        Ok(())
-    }
-
-    fn event(&mut self, line: &Line<'_>) -> Result<(), WireError> {
+    fn handle_event(&mut self, line: &Line<'_>) -> Result<(), ProtocolError> {
         let node = line.text("node")?;
         let Some(instance) = self.instances.get_mut(node) else {
-            self.note(
-                node,
-                "passed over a message to an instance that is not running",
-            );
+            self.report_ignored(node, "ignored a message to an instance that is not running");
             return Ok(());
         };
-        let Some(event) = instance.dialect.event(line, &self.lists)? else {
+        let Some(event) = instance.parse_event(line, &self.lists)? else {
             return Ok(());
         };
-        let (now, actions) = (self.now, &mut self.actions);
+        let (now_ms, actions) = (self.now_ms, &mut self.actions);
+        // A fault in one instance must not end the others.
         let handled = panic::catch_unwind(AssertUnwindSafe(|| {
-            instance.balancer.handle(now, event, actions);
+            instance.handle(now_ms, event, actions);
         }));
         if handled.is_ok() {
             for action in self.actions.drain(..) {
-                instance.dialect.print(node, &action, &mut self.reply);
+                instance.print(node, &action, &mut self.reply);
             }
         } else {
             self.actions.clear();
-            self.reply.push_str(&format!(
-                "INTERNAL_ERROR node={node} note_text=the balancer panicked\n"
-            ));
             self.instances.remove(node);
+            writeln!(
+                self.reply,
+                "INTERNAL_ERROR node={node} note_text=the balancer panicked"
+            )
+            .expect("writing to a string cannot fail");
         }
         Ok(())
     }
 
-    fn note(&mut self, what: &str, why: &str) {
-        if self.passed_over.insert(what.to_owned()) {
-            eprintln!("silverthread-simulator-adapter: {why}: {}", one_line(what));
+    /// Reports what is ignored, once for each kind.
+    fn report_ignored(&mut self, what: &str, why: &str) {
+        if self.reported.insert(what.to_owned()) {
+            eprintln!("{PROGRAM}: {why}: {}", one_line(what));
         }
     }
 }
 
-fn main() -> ExitCode {
-    let (mut input, mut output) = (io::stdin().lock(), io::stdout().lock());
-    let mut host = BenchLink::default();
-    let (mut text, mut number) = (String::new(), 0_u64);
-    loop {
+/// Why the adapter ends before its input does, and at which line.
+struct AdapterError {
+    line: u64,
+    cause: Cause,
+}
+
+enum Cause {
+    Read(io::Error),
+    Reply(io::Error),
+    /// A message is malformed.
+    Protocol {
+        message: String,
+        error: ProtocolError,
+    },
+}
+
+impl fmt::Display for AdapterError {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        write!(f, "line {}: ", self.line)?;
+        match &self.cause {
+            Cause::Read(error) => error.fmt(f),
+            Cause::Reply(error) => write!(f, "cannot reply: {error}"),
+            Cause::Protocol { message, error } => write!(f, "{message}: {error}"),
+        }
+    }
+}
+
+/// Reads and replies until the input ends.
+fn run(mut input: impl BufRead, mut output: impl Write) -> Result<(), AdapterError> {
+    let mut adapter = Adapter::default();
+    let mut text = String::new();
+    for line_number in 1.. {
+        let fail = |cause| AdapterError {
+            line: line_number,
+            cause,
+        };
         text.clear();
-        number += 1;
-        match input.read_line(&mut text) {
-            Ok(0) => return ExitCode::SUCCESS,
-            Ok(_) => {}
-            Err(error) => {
-                eprintln!("silverthread-simulator-adapter: line {number}: {error}");
-                return ExitCode::FAILURE;
-            }
+        let bytes = input.read_line(&mut text);
+        let bytes = bytes.map_err(|error| fail(Cause::Read(error)))?;
+        if bytes == 0 {
+            break;
         }
         let line = text.trim_end_matches(['\n', '\r']);
-        // A blank line sets batches apart.
-        let step = if line.is_empty() && host.reading.is_none() {
-            Ok(Step::More)
-        } else {
-            host.line(line)
-        };
-        match step {
-            Ok(Step::More) => {}
-            Ok(Step::EndOfBatch) => {
-                let written = output
-                    .write_all(host.reply.as_bytes())
-                    .and_then(|()| output.flush());
-                if let Err(error) = written {
-                    eprintln!(
-                        "silverthread-simulator-adapter: line {number}: cannot reply: {error}"
-                    );
-                    return ExitCode::FAILURE;
-                }
-                host.reply.clear();
-            }
-            Err(error) => {
-                let message = line.split(' ').next().unwrap_or_default();
-                eprintln!("silverthread-simulator-adapter: line {number}: {message}: {error}");
-                return ExitCode::FAILURE;
-            }
+        let progress = adapter.handle_line(line).map_err(|error| {
+            let message = line.split(' ').next().unwrap_or_default().to_owned();
+            fail(Cause::Protocol { message, error })
+        })?;
+        if matches!(progress, Progress::EndOfBatch) {
+            let written = output
+                .write_all(adapter.reply.as_bytes())
+                .and_then(|()| output.flush());
+            written.map_err(|error| fail(Cause::Reply(error)))?;
+            adapter.reply.clear();
+        }
+    }
+    Ok(())
+}
+
+fn main() -> ExitCode {
+    match run(io::stdin().lock(), io::stdout().lock()) {
+        Ok(()) => ExitCode::SUCCESS,
+        Err(error) => {
+            eprintln!("{PROGRAM}: {error}");
+            ExitCode::FAILURE
         }
     }
 }
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -13,7 +13,9 @@
 )]
 
 pub mod node;
+pub mod settings;
 pub mod simulator;
+pub mod text;
 
 pub use balancer::*;
 
--- a/src/main.rs
+++ b/src/main.rs
@@ -9,7 +9,7 @@
 use silverthread::node::admin::operators::Operators;
 use silverthread::node::cluster::FleetError;
 use silverthread::node::{config::Config, run, Extras, NodeError};
-use silverthread::simulator::one_line;
+use silverthread::text::one_line;
 
 /// The variable that names the operators' file where the command line does not.
 const VARIABLE: &str = "SILVERTHREAD_CONFIG";
--- a/src/node/admin/log.rs
+++ b/src/node/admin/log.rs
@@ -25,9 +25,6 @@
     };
     WINDOW.set(Some((since, lines.saturating_add(1))));
     if lines < MOST {
-        eprintln!(
-            "silverthread: {}",
-            crate::simulator::one_line(&text.to_string())
-        );
+        eprintln!("silverthread: {}", crate::text::one_line(&text.to_string()));
     }
 }
--- a/src/node/config.rs
+++ b/src/node/config.rs
@@ -9,7 +9,7 @@
 use serde::Deserialize;
 use serde_json::Value;
 
-use crate::simulator::{read_settings, WireError};
+use crate::settings::{parse_settings, SettingsFormatError};
 use balancer::{DiscoveryMode, Settings};
 
 /// The variable that names the configuration file.
@@ -27,7 +27,7 @@
     /// A value makes no sense.
     Value(&'static str, String),
     /// The settings are not what the module takes.
-    Settings(WireError),
+    Settings(SettingsFormatError),
 }
 
 impl fmt::Display for ConfigError {
@@ -209,7 +209,7 @@
     name: String,
 }
 
-/// The settings that concern the sockets alone; the module's own are read by `read_settings`.
+/// The settings that concern the sockets alone; the module's own are read by `parse_settings`.
 #[derive(Deserialize)]
 #[serde(default)]
 struct SocketSettings {
@@ -292,12 +292,12 @@
     /// It cannot be used.
     pub fn parse(text: &str) -> Result<Self, ConfigError> {
         let raw: Raw = serde_json::from_str(text).map_err(ConfigError::Malformed)?;
-        let mut settings = read_settings(&raw.settings).map_err(ConfigError::Settings)?;
+        let mut settings = parse_settings(&raw.settings).map_err(ConfigError::Settings)?;
         // This node cannot probe: the balancer is told so, and goes by the reports in answers alone.
         settings.health_checks = false;
         settings
             .validate()
-            .map_err(|error| ConfigError::Settings(WireError::other(&error)))?;
+            .map_err(|error| ConfigError::Settings(SettingsFormatError::OutOfRange(error)))?;
         let sockets: SocketSettings =
             serde_json::from_value(raw.settings).map_err(ConfigError::Malformed)?;
         let names = |named: Vec<Named>| Names::new(named.into_iter().map(|n| n.name));
--- a/src/node/driver.rs
+++ b/src/node/driver.rs
@@ -18,7 +18,7 @@
 use crate::node::upstream::addresses::AllSaid;
 use crate::node::upstream::servers::{Bounds, Servers, Underway};
 use crate::node::upstream::{Ended, Message, RequestBody, Served};
-use crate::simulator::WireError;
+use crate::settings::SettingsFormatError;
 use balancer::{
     Action, AttemptResult, Availability, Balancer, Class, Event, Idempotency, Outcome, Request,
     RequestId, ServerEntry, ServerId, ServerListUpdate,
@@ -103,7 +103,7 @@
 
 /// What all nodes know a server by in this life of it: one that is replaced under its name is another.
 fn key_of(host: &Host) -> u64 {
-    crate::simulator::spread(&host.id) ^ stable_hash::mix(host.started_at_ms.to_bits())
+    stable_hash::hash_name(&host.id) ^ stable_hash::mix(host.started_at_ms.to_bits())
 }
 
 /// Owns the balancer. See the module's page.
@@ -196,7 +196,7 @@
         };
         let max_attempts = settings.max_attempts;
         let balancer = Balancer::new(settings, config.seed)
-            .map_err(|error| ConfigError::Settings(WireError::other(&error)))?;
+            .map_err(|error| ConfigError::Settings(SettingsFormatError::OutOfRange(error)))?;
         let clock = Clock::new();
         let driver = Rc::new(Self {
             balancer: RefCell::new(balancer),
@@ -372,7 +372,7 @@
     fn entry(&self, server: ServerId, host: &Host) -> ServerEntry {
         ServerEntry {
             server,
-            ring_position: crate::simulator::spread(&host.id),
+            ring_position: stable_hash::hash_name(&host.id),
             availability: availability(host.state),
             started_at_ms: Some(host.started_at_ms).filter(|t| *t > 0.0),
             cell: host.cell.unwrap_or(0),
--- /dev/null
+++ b/src/simulator/instance.rs
@@ -0,0 +1,222 @@
+//! One simulated node: its balancer, and what its messages need beside themselves, that is the names
+//! of its servers and the columns of their load reports.
+
+use std::collections::HashMap;
+
+use balancer::{
+    Action, AttemptResult, Balancer, Event, LoadReport, Outcome, Request, RequestId, ServerEntry,
+    ServerId, ServerListUpdate,
+};
+use serde_json::Value;
+
+use super::line::parse_number;
+use super::{print_action, Line, ProtocolError, ServerLists};
+use crate::settings::{parse_settings, SettingsFormatError};
+
+/// Names of the columns of a load report that are used.
+const IN_FLIGHT_COLUMN: &str = "active";
+const QUEUED_COLUMN: &str = "waiting";
+
+/// Where a load report holds the figures that are used, if it does.
+#[derive(Debug, Default)]
+struct ReportColumns {
+    in_flight: Option<usize>,
+    queued: Option<usize>,
+}
+
+impl ReportColumns {
+    fn from_settings(settings: &Value) -> Self {
+        let fields = settings["stats"]["fields"].as_array();
+        let fields = fields.map_or(&[][..], Vec::as_slice);
+        let column = |name: &str| fields.iter().position(|field| field == name);
+        Self {
+            in_flight: column(IN_FLIGHT_COLUMN),
+            queued: column(QUEUED_COLUMN),
+        }
+    }
+
+    fn parse(&self, line: &Line<'_>) -> Result<Option<LoadReport>, ProtocolError> {
+        const NAME: &str = "server_stats";
+        let row = line.get(NAME).filter(|row| !row.is_empty() && *row != "-");
+        let Some(row) = row else {
+            return Ok(None);
+        };
+        let values: Vec<f64> = row
+            .split(',')
+            .map(|value| parse_number(NAME, value))
+            .collect::<Result<_, _>>()?;
+        let value = |column: Option<usize>| column.and_then(|column| values.get(column).copied());
+        Ok(Some(LoadReport {
+            in_flight: value(self.in_flight),
+            queued: value(self.queued),
+        }))
+    }
+}
+
+/// The servers' names, numbered in the order in which the instance learned them.
+#[derive(Debug, Default)]
+pub(super) struct ServerNames {
+    names: Vec<String>,
+    ids: HashMap<String, ServerId>,
+}
+
+impl ServerNames {
+    fn id(&mut self, name: &str) -> ServerId {
+        if let Some(id) = self.ids.get(name) {
+            return *id;
+        }
+        let id = ServerId(self.names.len());
+        self.names.push(name.to_owned());
+        self.ids.insert(name.to_owned(), id);
+        id
+    }
+
+    pub(super) fn name(&self, server: ServerId) -> &str {
+        &self.names[server.0]
+    }
+}
+
+/// One instance.
+pub struct Instance {
+    balancer: Balancer,
+    servers: ServerNames,
+    columns: ReportColumns,
+}
+
+impl Instance {
+    /// Starts an instance by a `BOOT` line.
+    ///
+    /// # Errors
+    ///
+    /// The line is malformed, or its settings cannot be used.
+    pub fn start(line: &Line<'_>) -> Result<Self, ProtocolError> {
+        let settings: Value =
+            serde_json::from_str(line.text("facts")?).map_err(SettingsFormatError::Json)?;
+        let columns = ReportColumns::from_settings(&settings);
+        let settings = parse_settings(&settings)?;
+        let seed = line.integer("seed")?.unwrap_or(0);
+        let balancer = Balancer::new(settings, seed).map_err(SettingsFormatError::OutOfRange)?;
+        Ok(Self {
+            balancer,
+            servers: ServerNames::default(),
+            columns,
+        })
+    }
+
+    /// Passes an event to the balancer, which appends its actions.
+    pub fn handle(&mut self, now_ms: f64, event: Event, actions: &mut Vec<Action>) {
+        self.balancer.handle(now_ms, event, actions);
+    }
+
+    /// Appends the line of an action.
+    pub fn print(&self, node: &str, action: &Action, out: &mut String) {
+        print_action(node, &self.servers, action, out);
+    }
+
+    /// Parses an event; `Ok(None)` is a message that is unknown or not used.
+    ///
+    /// # Errors
+    ///
+    /// The line is malformed, or names a list that was not received.
+    pub fn parse_event(
+        &mut self,
+        line: &Line<'_>,
+        lists: &ServerLists,
+    ) -> Result<Option<Event>, ProtocolError> {
+        Ok(Some(match line.message {
+            "REGISTRY" => Event::ServerList(self.parse_update(line, lists)?),
+            "CALL" => Event::Request(parse_request(line)?),
+            "ACK_FIRST" => Event::StreamStarted {
+                request: parse_request_id(line)?,
+                attempt: line.required_index("try")?,
+            },
+            "ENDED" => Event::Outcome(self.parse_outcome(line)?),
+            "HANGUP" => Event::ClientGone(parse_request_id(line)?),
+            "FIRED" => match line.text("nonce")?.parse() {
+                Ok(timer) => Event::Timer(timer),
+                // A token of another form is no timer of this instance.
+                Err(_) => return Ok(None),
+            },
+            "HEALTH" => Event::HealthChecked {
+                server: self.servers.id(line.text("server")?),
+                elapsed_ms: line.number("rtt_ms")?.unwrap_or(0.0),
+                result: parse_result(line)?,
+                report: self.columns.parse(line)?,
+            },
+            _ => return Ok(None),
+        }))
+    }
+
+    fn parse_update(
+        &mut self,
+        line: &Line<'_>,
+        lists: &ServerLists,
+    ) -> Result<ServerListUpdate, ProtocolError> {
+        let mode = line.text("mode")?;
+        if mode == "3" {
+            return Ok(ServerListUpdate::Failed);
+        }
+        let list = lists.get(line.required_index("roster_id")?)?;
+        let entries = list.iter().map(|listed| ServerEntry {
+            server: self.servers.id(&listed.name),
+            ..listed.entry.clone()
+        });
+        let entries = entries.collect();
+        match mode {
+            "0" => Ok(ServerListUpdate::Changes(entries)),
+            "1" => Ok(ServerListUpdate::Full(entries)),
+            "2" => Ok(ServerListUpdate::Cached(entries)),
+            other => Err(Line::unknown("mode", other)),
+        }
+    }
+
+    fn parse_outcome(&self, line: &Line<'_>) -> Result<Outcome, ProtocolError> {
+        Ok(Outcome {
+            request: parse_request_id(line)?,
+            attempt: line.required_index("try")?,
+            elapsed_ms: line.required_number("rtt_ms")?,
+            result: parse_result(line)?,
+            complete: parse_flag(line, "complete")?,
+            report: self.columns.parse(line)?,
+        })
+    }
+}
+
+fn parse_request_id(line: &Line<'_>) -> Result<RequestId, ProtocolError> {
+    Ok(RequestId(line.required_integer("txn")?))
+}
+
+fn parse_request(line: &Line<'_>) -> Result<Request, ProtocolError> {
+    Ok(Request {
+        id: parse_request_id(line)?,
+        class: line.required_index("grade")?,
+        tenant: line.integer("party")?.unwrap_or(0) as usize,
+        key: line.get("item").map(Into::into),
+        timeout_ms: line.required_number("budget_ms")?,
+    })
+}
+
+fn parse_flag(line: &Line<'_>, name: &str) -> Result<bool, ProtocolError> {
+    match line.text(name)? {
+        "1" => Ok(true),
+        "0" => Ok(false),
+        other => Err(ProtocolError::NotAFlag {
+            name: name.to_owned(),
+            value: other.to_owned(),
+        }),
+    }
+}
+
+fn parse_result(line: &Line<'_>) -> Result<AttemptResult, ProtocolError> {
+    Ok(match line.text("ending")? {
+        "S" => AttemptResult::Served,
+        "E" => AttemptResult::Error,
+        "F" => AttemptResult::Overloaded,
+        "T" => AttemptResult::TimedOut,
+        "C" => AttemptResult::Unreachable,
+        "R" => AttemptResult::Reset,
+        "X" => AttemptResult::Cancelled,
+        "N" => AttemptResult::NotSent,
+        other => return Err(Line::unknown("ending", other)),
+    })
+}
