--- a/crates/balancer/tests/common/mod.rs
+++ b/crates/balancer/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! What the tests of the module share: short ways to build events, and to feed a balancer.
+//! Helpers of the tests: short ways to build events, and to feed a balancer.
 #![allow(dead_code)]
 
 use balancer::*;
@@ -11,7 +11,7 @@
 impl Node {
     pub fn new(settings: Settings, seed: u64) -> Self {
         Self {
-            balancer: Balancer::new(settings, seed).expect("sound settings"),
+            balancer: Balancer::new(settings, seed).expect("valid settings"),
             now: 1_000.0,
         }
     }
@@ -26,18 +26,18 @@
         self.feed(Event::ServerList(ServerListUpdate::Full(entries)))
     }
 
-    pub fn request(&mut self, id: u64, class: usize, budget_ms: f64) -> Vec<Action> {
+    pub fn request(&mut self, id: u64, class: usize, timeout_ms: f64) -> Vec<Action> {
         self.feed(Event::Request(Request::new(
             RequestId(id),
             class,
-            budget_ms,
+            timeout_ms,
         )))
     }
 
-    /// Where a request is sent; it must be.
+    /// The server that a request is sent to; it must be sent.
     pub fn sent_to(&mut self, id: u64) -> usize {
         let actions = self.request(id, 0, 80_000.0);
-        send_of(&actions).unwrap_or_else(|| panic!("request {id} was not sent: {actions:?}"))
+        sent_server(&actions).unwrap_or_else(|| panic!("request {id} was not sent: {actions:?}"))
     }
 
     pub fn end(
@@ -45,9 +45,9 @@
         id: u64,
         attempt: usize,
         elapsed_ms: f64,
-        ending: AttemptResult,
+        result: AttemptResult,
     ) -> Vec<Action> {
-        self.report(id, attempt, elapsed_ms, ending, None)
+        self.report(id, attempt, elapsed_ms, result, None)
     }
 
     pub fn report(
@@ -55,15 +55,15 @@
         id: u64,
         attempt: usize,
         elapsed_ms: f64,
-        ending: AttemptResult,
+        result: AttemptResult,
         held: Option<f64>,
     ) -> Vec<Action> {
         self.feed(Event::Outcome(Outcome {
             request: RequestId(id),
             attempt,
             elapsed_ms,
-            result: ending,
-            complete: ending == AttemptResult::Served,
+            result,
+            complete: result == AttemptResult::Served,
             report: held.map(|n| LoadReport {
                 in_flight: Some(n),
                 queued: None,
@@ -72,33 +72,33 @@
     }
 }
 
-pub fn ready(servers: std::ops::Range<usize>) -> Vec<ServerEntry> {
+pub fn ready_servers(servers: std::ops::Range<usize>) -> Vec<ServerEntry> {
     servers
         .map(|i| ServerEntry::new(ServerId(i), Availability::Ready))
         .collect()
 }
 
-pub fn send_of(actions: &[Action]) -> Option<usize> {
+pub fn sent_server(actions: &[Action]) -> Option<usize> {
     actions.iter().find_map(|a| match a {
         Action::Send { server, .. } => Some(server.0),
         _ => None,
     })
 }
 
-pub fn refused(actions: &[Action]) -> bool {
+pub fn is_rejected(actions: &[Action]) -> bool {
     actions.iter().any(|a| matches!(a, Action::Reject { .. }))
 }
 
-pub fn failed(actions: &[Action]) -> bool {
+pub fn is_failed(actions: &[Action]) -> bool {
     actions.iter().any(|a| matches!(a, Action::Fail { .. }))
 }
 
-pub fn one_class(effect: Idempotency) -> Settings {
-    Settings::new(vec![Class::new(400.0, 800.0, effect)])
+pub fn one_class(idempotency: Idempotency) -> Settings {
+    Settings::new(vec![Class::new(400.0, 800.0, idempotency)])
 }
 
-/// Settings whose aim is so far off that nothing is refused.
-pub fn patient() -> Settings {
+/// Settings whose latency objective is so distant that nothing is shed.
+pub fn settings_with_distant_objective() -> Settings {
     Settings::new(vec![Class::new(
         40_000.0,
         80_000.0,
@@ -106,8 +106,8 @@
     )])
 }
 
-pub fn one_of_many(me: usize) -> Node {
-    let effect = Idempotency::IdempotencyKey {
+pub fn node_of_many(me: usize) -> Node {
+    let idempotency = Idempotency::IdempotencyKey {
         scope: KeyScope::Cell,
         window_ms: 6_000.0,
     };
@@ -115,42 +115,47 @@
     settings.classes = vec![
         Class::new(300.0, 750.0, Idempotency::Idempotent),
         Class::new(500.0, 1_500.0, Idempotency::Idempotent),
-        Class::new(1_200.0, 6_000.0, effect),
+        Class::new(1_200.0, 6_000.0, idempotency),
     ];
     (settings.nodes, settings.node_index) = (300, me);
     (settings.slow_start_fraction, settings.slow_start_ms) = (0.35, 8_000.0);
     (settings.collapse_multiple, settings.collapse_after_ms) = (3.0, 1_500.0);
     let mut node = Node::new(settings, me as u64);
-    node.servers(ready(0..180));
+    node.servers(ready_servers(0..180));
     node
 }
 
-/// Requests of its classes in turn, answered after so long by class; whom they were sent to, and how many were refused.
-pub fn ordinary(node: &mut Node, ids: std::ops::Range<u64>, took: [f64; 3]) -> (Vec<usize>, usize) {
-    let (mut sent, mut refusals) = (Vec::new(), 0);
+/// Sends requests of the node's classes in turn, each answered after its class's time. Returns the servers that
+/// they were sent to, and how many were rejected.
+pub fn serve_in_turn(
+    node: &mut Node,
+    ids: std::ops::Range<u64>,
+    took: [f64; 3],
+) -> (Vec<usize>, usize) {
+    let (mut sent, mut rejections) = (Vec::new(), 0);
     for id in ids {
         node.now += 60.0;
         let class = (id % 3) as usize;
         let actions = node.request(id, class, 700.0);
-        refusals += usize::from(refused(&actions));
-        if let Some(server) = send_of(&actions) {
+        rejections += usize::from(is_rejected(&actions));
+        if let Some(server) = sent_server(&actions) {
             sent.push(server);
             node.now += 1.0;
             node.end(id, 0, took[class], AttemptResult::Served);
         }
     }
-    (sent, refusals)
+    (sent, rejections)
 }
 
-/// Settings under which servers are asked for their load before each send.
-pub fn asking(effect: Idempotency) -> Settings {
-    let mut settings = one_class(effect);
+/// Settings under which servers are polled for their load before each send.
+pub fn polling_settings(idempotency: Idempotency) -> Settings {
+    let mut settings = one_class(idempotency);
     (settings.health_checks, settings.report_source) = (true, ReportSource::HealthCheck);
     settings
 }
 
-/// Fires the timer of one kind that was set for a request, as long after as it asked for.
-pub fn fire(node: &mut Node, actions: &[Action], kind: u64) -> Vec<Action> {
+/// Expires the timer of one kind that was set for a request, at its time.
+pub fn expire_timer(node: &mut Node, actions: &[Action], kind: u64) -> Vec<Action> {
     let due = actions.iter().find_map(|a| match a {
         Action::SetTimer { timer, after_ms } if timer & 7 == kind => Some((*timer, *after_ms)),
         _ => None,
--- a/crates/balancer/tests/final_answer.rs
+++ b/crates/balancer/tests/final_answer.rs
@@ -7,7 +7,7 @@
 
 #[test]
 fn request_without_servers_is_rejected_at_once() {
-    for effect in [
+    for idempotency in [
         Idempotency::Idempotent,
         Idempotency::IdempotencyKey {
             scope: KeyScope::Cell,
@@ -15,52 +15,51 @@
         },
         Idempotency::NonIdempotent,
     ] {
-        let mut node = Node::new(one_class(effect), 1);
+        let mut node = Node::new(one_class(idempotency), 1);
         assert!(
-            refused(&node.request(1, 0, 100.0)),
-            "nothing ran, so a refusal is true"
+            is_rejected(&node.request(1, 0, 100.0)),
+            "nothing ran, so a rejection is truthful"
         );
         node.servers(Vec::new());
-        assert!(refused(&node.request(2, 0, 100.0)));
+        assert!(is_rejected(&node.request(2, 0, 100.0)));
     }
 }
 
 #[test]
 fn request_of_unknown_class_fails() {
     let mut node = Node::new(one_class(Idempotency::Idempotent), 1);
-    node.servers(ready(0..2));
-    assert!(failed(&node.request(1, 7, 100.0)));
+    node.servers(ready_servers(0..2));
+    assert!(is_failed(&node.request(1, 7, 100.0)));
 }
 
 #[test]
 fn time_out_at_the_deadline_fails_at_once() {
     let mut node = Node::new(one_class(Idempotency::NonIdempotent), 1);
-    node.servers(ready(0..3));
+    node.servers(ready_servers(0..3));
     node.sent_to(1);
     node.now += 800.0;
-    assert!(failed(&node.end(1, 0, 800.0, AttemptResult::TimedOut)));
+    assert!(is_failed(&node.end(1, 0, 800.0, AttemptResult::TimedOut)));
     assert!(
         node.end(1, 0, 801.0, AttemptResult::Served).is_empty(),
-        "an ending comes once"
+        "a result comes once"
     );
 }
 
 #[test]
 fn request_of_disconnected_client_gets_no_further_action() {
     let mut node = Node::new(one_class(Idempotency::Idempotent), 1);
-    node.servers(ready(0..3));
+    node.servers(ready_servers(0..3));
     node.sent_to(1);
     node.feed(Event::ClientGone(RequestId(1)));
     node.now += 5.0;
-    assert!(send_of(&node.end(1, 0, 5.0, AttemptResult::Error)).is_none());
+    assert!(sent_server(&node.end(1, 0, 5.0, AttemptResult::Error)).is_none());
     assert!(node.feed(Event::ClientGone(RequestId(1))).is_empty());
 }
 
-/// Events about things never heard of must not disturb anything.
 #[test]
 fn events_with_unknown_ids_are_ignored() {
     let mut node = Node::new(one_class(Idempotency::Idempotent), 1);
-    node.servers(ready(0..2));
+    node.servers(ready_servers(0..2));
     assert!(node.end(77, 0, 5.0, AttemptResult::Served).is_empty());
     assert!(node.feed(Event::ClientGone(RequestId(77))).is_empty());
     assert!(node.feed(Event::Timer(0)).is_empty() && node.feed(Event::Timer(5)).is_empty());
@@ -84,11 +83,11 @@
     );
 }
 
-/// What a server objects to is no fault of the server, and another would say the same.
+/// A client error is no fault of the server, and another server would give the same answer.
 #[test]
 fn client_error_ends_the_request_and_ejects_no_server() {
     let mut node = Node::new(one_class(Idempotency::Idempotent), 1);
-    node.servers(ready(0..2));
+    node.servers(ready_servers(0..2));
     let at = node.sent_to(1);
     let outcome = Outcome {
         request: RequestId(1),
--- a/crates/balancer/tests/outlier.rs
+++ b/crates/balancer/tests/outlier.rs
@@ -5,11 +5,11 @@
 
 use balancer::*;
 
-/// A server that fails quickly reports a short queue and would draw more.
+/// A server that fails quickly reports a short queue and would attract more requests.
 #[test]
 fn server_that_fails_quickly_is_ejected_until_it_serves() {
     let mut node = Node::new(one_class(Idempotency::Idempotent), 1);
-    node.servers(ready(0..4));
+    node.servers(ready_servers(0..4));
     let run = |node: &mut Node, from: u64, bad: bool| {
         let mut sent = 0;
         for id in from..from + 400 {
@@ -18,7 +18,7 @@
             sent += usize::from(at == 0);
             if bad && at == 0 {
                 let again = node.report(id, 0, 2.0, AttemptResult::Error, Some(0.0));
-                let attempt = usize::from(send_of(&again).is_some());
+                let attempt = usize::from(sent_server(&again).is_some());
                 node.end(id, attempt, 30.0, AttemptResult::Served);
             } else {
                 node.end(id, 0, 30.0, AttemptResult::Served);
@@ -29,22 +29,22 @@
     assert!(run(&mut node, 0, false) > 50);
     assert!(
         run(&mut node, 1_000, true) < 25,
-        "a failing server kept its traffic"
+        "a failing server keeps its traffic"
     );
     run(&mut node, 2_000, false);
     node.now += 10_000.0;
     run(&mut node, 2_500, false);
-    assert!(run(&mut node, 3_000, false) > 50, "it never came back");
+    assert!(run(&mut node, 3_000, false) > 50, "it does not recover");
 }
 
-/// A server that takes requests and answers none has an ordinary count.
+/// A server that accepts requests and answers none has an ordinary count.
 #[test]
 fn silent_server_is_passed_over() {
     let mut node = Node::new(one_class(Idempotency::Idempotent), 1);
-    node.servers(ready(0..4));
+    node.servers(ready_servers(0..4));
     let mut hung = 0;
     for id in 0..600 {
-        let at = send_of(&node.request(id, 0, 800.0));
+        let at = sent_server(&node.request(id, 0, 800.0));
         node.now += 10.0;
         if id > 200 && at == Some(0) {
             hung += 1;
@@ -61,24 +61,24 @@
     assert!(hung < 12, "{hung} requests went to a silent server");
 }
 
-/// Where a node seldom hears of a server, three failures in a row take half a minute; one is enough.
+/// Where a node seldom hears of a server, three failures in a row take half a minute: one is enough.
 #[test]
 fn one_failure_ejects_where_little_is_heard() {
     let mut settings = one_class(Idempotency::Idempotent);
     settings.nodes = 200;
     let mut node = Node::new(settings, 1);
-    node.servers(ready(0..40));
-    let (mut failures, mut met) = (0, Vec::new());
+    node.servers(ready_servers(0..40));
+    let (mut failures, mut contacted) = (0, Vec::new());
     for id in 0..400 {
         let (mut at, mut attempt) = (node.sent_to(id), 0);
-        if id < 50 && !met.contains(&at) {
-            met.push(at);
+        if id < 50 && !contacted.contains(&at) {
+            contacted.push(at);
         }
         node.now += 100.0;
-        // From the fiftieth request on, half of the servers it has met are down.
-        while id >= 50 && met.iter().step_by(2).any(|down| *down == at) {
+        // From the fiftieth request on, half of the servers that it has contacted are unreachable.
+        while id >= 50 && contacted.iter().step_by(2).any(|down| *down == at) {
             failures += 1;
-            let Some(next) = send_of(&node.end(id, attempt, 5.0, AttemptResult::Unreachable))
+            let Some(next) = sent_server(&node.end(id, attempt, 5.0, AttemptResult::Unreachable))
             else {
                 break;
             };
@@ -86,30 +86,29 @@
         }
         node.end(id, attempt, 50.0, AttemptResult::Served);
     }
-    // By turns they would be sent half of all; trials are a sixteenth at the most.
-    let down = met.len().div_ceil(2);
+    // In turn they would be sent half of all requests; trials are a sixteenth at the most.
+    let down = contacted.len().div_ceil(2);
     assert!(
         (1..=down + 350 / 16).contains(&failures),
         "{failures} attempts at {down} servers that are down"
     );
 }
 
-/// Guards against taking out good servers for an answer that any of them spoils at times; one that does nothing else
-/// is taken out.
+/// One malformed response may come from any server; a server that sends nothing else is ejected.
 #[test]
 fn only_repeated_malformed_responses_eject() {
     let mut node = Node::new(one_class(Idempotency::Idempotent), 1);
-    node.servers(ready(0..2));
+    node.servers(ready_servers(0..2));
     let mut outs = 0;
     for id in 0..3 {
         let sent = node.request(id, 0, 800.0);
-        let mut at = send_of(&sent).expect("sent");
+        let mut at = sent_server(&sent).expect("sent");
         let mut attempt = 0;
         while at != 0 {
             node.now += 1.0;
             let again = node.end(id, attempt, 1.0, AttemptResult::Error);
             attempt += 1;
-            at = send_of(&again).expect("sent again");
+            at = sent_server(&again).expect("sent again");
         }
         node.now += 1.0;
         let notes = node.end(id, attempt, 1.0, AttemptResult::Malformed);
@@ -120,7 +119,7 @@
         assert_eq!(
             outs,
             usize::from(id == 2),
-            "after {} spoilt answers",
+            "after {} malformed responses",
             id + 1
         );
         node.feed(Event::ClientGone(RequestId(id)));
@@ -128,33 +127,32 @@
     }
 }
 
-/// Guards against taking out one server after another for connections that break now and then; the second in a row is
-/// no accident.
+/// Connections break now and then, and must not eject one server after another; the second reset in a row does.
 #[test]
 fn only_repeated_connection_resets_eject() {
     for (breaks, stays) in [(1, true), (2, false)] {
         let mut node = Node::new(one_class(Idempotency::Idempotent), 1);
-        node.servers(ready(0..2));
+        node.servers(ready_servers(0..2));
         for id in 0..breaks {
-            // The other server is not listed meanwhile, so that all go to the first.
-            node.servers(ready(0..1));
+            // The other server is not listed meanwhile, so that every request goes to the first.
+            node.servers(ready_servers(0..1));
             node.sent_to(id);
-            node.servers(ready(0..2));
+            node.servers(ready_servers(0..2));
             node.end(id, 0, 1.0, AttemptResult::Reset);
         }
         node.now += 10.0;
-        let met = (10..40).any(|id| node.sent_to(id) == 0);
-        assert_eq!(met, stays, "after {breaks}");
+        let contacted = (10..40).any(|id| node.sent_to(id) == 0);
+        assert_eq!(contacted, stays, "after {breaks}");
     }
 }
 
-/// Guards against taking a connection that fell silent for a server that hangs: it has answered what was sent later.
-/// One that has not is taken out.
+/// A server that has answered a later request does not hang: only the connection fell silent. Without such an
+/// answer the time-out ejects it.
 #[test]
 fn time_out_overtaken_by_a_later_answer_does_not_eject() {
     for answers in [true, false] {
         let mut node = Node::new(one_class(Idempotency::Idempotent), 1);
-        node.servers(ready(0..1));
+        node.servers(ready_servers(0..1));
         node.sent_to(0);
         node.now += 10.0;
         node.sent_to(1);
@@ -162,21 +160,21 @@
         if answers {
             node.end(1, 0, 20.0, AttemptResult::Served);
         }
-        node.servers(ready(0..2));
+        node.servers(ready_servers(0..2));
         node.now += 770.0;
         node.end(0, 0, 800.0, AttemptResult::TimedOut);
-        let met = (10..30).any(|id| send_of(&node.request(id, 0, 800.0)) == Some(0));
-        assert_eq!(met, answers);
+        let contacted = (10..30).any(|id| sent_server(&node.request(id, 0, 800.0)) == Some(0));
+        assert_eq!(contacted, answers);
     }
 }
 
-/// Servers that turned one tenant away were taken out for all, and the rest choked.
+/// A server that rejects one tenant must not be lost for the others.
 #[test]
 fn server_overloaded_for_one_tenant_serves_the_others() {
     let mut settings = one_class(Idempotency::Idempotent);
     (settings.tenant_quotas_per_s, settings.nodes) = (vec![1_000.0; 2], 2);
     let mut node = Node::new(settings, 1);
-    node.servers(ready(0..2));
+    node.servers(ready_servers(0..2));
     let mut sent = [0; 2];
     for id in 0..200 {
         node.now += 20.0;
@@ -186,7 +184,7 @@
             ..Request::new(RequestId(id), 0, 800.0)
         }));
         let mut attempt = 0;
-        while let Some(at) = send_of(&actions) {
+        while let Some(at) = sent_server(&actions) {
             sent[tenant] += usize::from(at == 0);
             let full = at == 0 && tenant == 0;
             actions = node.end(
@@ -202,6 +200,9 @@
             attempt += 1;
         }
     }
-    assert!(sent[1] > 20, "the other tenant lost the server: {sent:?}");
-    assert!(sent[0] < 15, "and the first kept trying: {sent:?}");
+    assert!(
+        sent[1] > 20,
+        "the other tenant does not use the server any more: {sent:?}"
+    );
+    assert!(sent[0] < 15, "and the first keeps trying: {sent:?}");
 }
--- a/crates/balancer/tests/recorded.rs
+++ b/crates/balancer/tests/recorded.rs
@@ -8,15 +8,15 @@
 #[test]
 fn same_seed_and_events_give_the_same_actions() {
     let run = || {
-        let mut node = Node::new(patient(), 9);
-        node.servers(ready(0..7));
+        let mut node = Node::new(settings_with_distant_objective(), 9);
+        node.servers(ready_servers(0..7));
         (0..20).map(|id| node.sent_to(id)).collect::<Vec<_>>()
     };
     assert_eq!(run(), run());
 }
 
-/// The text by which [`RECORDED`] was taken: what `Debug` of the actions gave then. Written out here, so that a type that is
-/// renamed changes no digest.
+/// The text from which [`RECORDED`] was computed: what `Debug` of the actions gave then. It is written out here, so
+/// that a renamed type changes no digest.
 fn recorded_text(actions: &[Action]) -> String {
     let one = |action: &Action| match action {
         Action::Send { request, server } => {
@@ -46,9 +46,9 @@
     )
 }
 
-/// Feeds a balancer of few servers a day from a seed, with every ending, reports, drains and cold successors, and a request
-/// every `gap_ms`; a digest of all that it did.
-fn digest_of_a_day(seed: u64, servers: usize, gap_ms: f64) -> u64 {
+/// Feeds a balancer of few servers a script from a seed, with every result, reports, drains and warming successors,
+/// and a request every `gap_ms` on average. Returns a digest of all actions.
+fn digest_of_a_script(seed: u64, servers: usize, gap_ms: f64) -> u64 {
     use AttemptResult::*;
     let endings = [
         Error,
@@ -63,11 +63,13 @@
     ];
     let mut random = fastrand::Rng::with_seed(seed);
     let mut settings = one_class(Idempotency::Idempotent);
-    let effect = Idempotency::IdempotencyKey {
+    let idempotency = Idempotency::IdempotencyKey {
         scope: KeyScope::Cell,
         window_ms: 6_000.0,
     };
-    settings.classes.push(Class::new(1_200.0, 6_000.0, effect));
+    settings
+        .classes
+        .push(Class::new(1_200.0, 6_000.0, idempotency));
     (
         settings.nodes,
         settings.machine_kinds,
@@ -75,7 +77,7 @@
         settings.slow_start_ms,
     ) = (4, 2, 0.35, 8_000.0);
     let mut node = Node::new(settings, seed);
-    let mut entries = ready(0..servers);
+    let mut entries = ready_servers(0..servers);
     for e in &mut entries {
         (e.machine_kind, e.zone, e.cell) = (e.server.0 % 2, e.server.0 % 4, e.server.0 / 4);
     }
@@ -91,31 +93,31 @@
         let mut actions = node.request(id, random.usize(0..2), 400.0 + random.f64() * 400.0);
         for attempt in 0..4 {
             all += &recorded_text(&actions);
-            if send_of(&actions).is_none() {
+            if sent_server(&actions).is_none() {
                 break;
             }
             node.now += random.f64() * 5.0;
-            let ending = endings.get(random.usize(0..60)).copied().unwrap_or(Served);
+            let result = endings.get(random.usize(0..60)).copied().unwrap_or(Served);
             let held = (random.usize(0..3) == 0).then(|| random.usize(0..12) as f64);
-            actions = node.report(id, attempt, 20.0 + random.f64() * 200.0, ending, held);
+            actions = node.report(id, attempt, 20.0 + random.f64() * 200.0, result, held);
         }
     }
     digest(&all)
 }
 
-/// Where the list is short every server is looked at, and the choices are those that were recorded before long lists were
-/// sampled. A change of what is decided changes them: record them anew then, with the reason in the commit.
+/// On a short list every server is looked at, and the selections are those recorded before long lists were
+/// sampled. A change of a decision changes them: record them anew then, with the reason in the commit.
 #[test]
 fn selections_on_short_lists_are_as_recorded() {
-    let days = [
+    let scripts = [
         (1, 5, 10.0),
         (2, 12, 10.0),
         (3, 64, 10.0),
         (4, 12, 90.0),
         (5, 64, 90.0),
     ];
-    let days = days.map(|(seed, servers, gap_ms)| digest_of_a_day(seed, servers, gap_ms));
-    assert_eq!(days, RECORDED, "{days:#x?}");
+    let scripts = scripts.map(|(seed, servers, gap_ms)| digest_of_a_script(seed, servers, gap_ms));
+    assert_eq!(scripts, RECORDED, "{scripts:#x?}");
 }
 
 const RECORDED: [u64; 5] = [
--- a/crates/balancer/tests/retry.rs
+++ b/crates/balancer/tests/retry.rs
@@ -5,10 +5,10 @@
 
 use balancer::*;
 
-/// An unsafe request is sent again only with proof that nothing ran, and otherwise not refused either.
+/// Without proof that it did not run, a non-idempotent request is neither retried nor rejected.
 #[test]
 fn non_idempotent_request_is_retried_only_if_it_cannot_have_run() {
-    for (ending, again) in [
+    for (result, again) in [
         (AttemptResult::Overloaded, true),
         (AttemptResult::Unreachable, true),
         (AttemptResult::NotSent, true),
@@ -18,13 +18,13 @@
         (AttemptResult::Cancelled, false),
     ] {
         let mut node = Node::new(one_class(Idempotency::NonIdempotent), 1);
-        node.servers(ready(0..3));
+        node.servers(ready_servers(0..3));
         node.sent_to(1);
         node.now += 5.0;
-        let actions = node.end(1, 0, 5.0, ending);
-        assert_eq!(send_of(&actions).is_some(), again, "{ending:?}");
-        assert_eq!(failed(&actions), !again, "{ending:?}");
-        assert!(!refused(&actions), "{ending:?}");
+        let actions = node.end(1, 0, 5.0, result);
+        assert_eq!(sent_server(&actions).is_some(), again, "{result:?}");
+        assert_eq!(is_failed(&actions), !again, "{result:?}");
+        assert!(!is_rejected(&actions), "{result:?}");
     }
 }
 
@@ -37,7 +37,7 @@
     for (wait, again) in [(5.0, true), (399.0, true), (401.0, false), (600.0, false)] {
         for seed in 0..20 {
             let mut node = Node::new(settings.clone(), seed);
-            let mut entries = ready(0..6);
+            let mut entries = ready_servers(0..6);
             for (i, entry) in entries.iter_mut().enumerate() {
                 entry.cell = i / 2;
             }
@@ -46,12 +46,12 @@
             node.now += wait;
             let actions = node.end(1, 0, wait, AttemptResult::Error);
             assert!(
-                !refused(&actions),
-                "a refusal would promise that nothing ran"
+                !is_rejected(&actions),
+                "a rejection would promise that nothing ran"
             );
-            match send_of(&actions) {
+            match sent_server(&actions) {
                 Some(at) => assert!(again && at / 2 == first / 2, "{wait} ms: {first} then {at}"),
-                None => assert!(!again && failed(&actions), "{wait} ms"),
+                None => assert!(!again && is_failed(&actions), "{wait} ms"),
             }
         }
     }
@@ -65,26 +65,26 @@
     });
     settings.max_attempts = 1;
     let mut node = Node::new(settings, 1);
-    node.servers(ready(0..3));
+    node.servers(ready_servers(0..3));
     node.sent_to(1);
     node.now += 5.0;
-    assert!(refused(&node.end(1, 0, 5.0, AttemptResult::Error)));
+    assert!(is_rejected(&node.end(1, 0, 5.0, AttemptResult::Error)));
 }
 
-/// Guards against a repeat that is bound to a cell, of which the sample of a long list holds no server.
+/// The sample of a long list may hold no server of the cell to which a retry is bound.
 #[test]
 fn retry_bound_to_a_cell_finds_its_servers_in_a_long_list() {
-    let mut node = one_of_many(5);
-    let mut entries = ready(0..180);
+    let mut node = node_of_many(5);
+    let mut entries = ready_servers(0..180);
     for entry in &mut entries {
         entry.cell = entry.server.0 % 60;
     }
     node.servers(entries);
-    ordinary(&mut node, 0..60, [60.0; 3]);
+    serve_in_turn(&mut node, 0..60, [60.0; 3]);
     for id in 100..110 {
         node.now += 60.0;
-        let first = send_of(&node.request(id, 2, 5_000.0)).expect("sent");
-        let second = send_of(&node.end(id, 0, 50.0, AttemptResult::Error)).expect("sent again");
+        let first = sent_server(&node.request(id, 2, 5_000.0)).expect("sent");
+        let second = sent_server(&node.end(id, 0, 50.0, AttemptResult::Error)).expect("sent again");
         assert!(
             second != first && second % 60 == first % 60,
             "{first}, then {second}"
@@ -92,15 +92,15 @@
     }
 }
 
-/// A request resent at the very end of its client's time was answered too late.
+/// A request that is sent just before its deadline would be answered too late.
 #[test]
 fn request_near_its_deadline_is_not_sent() {
-    let mut node = Node::new(asking(Idempotency::Idempotent), 1);
-    node.servers(ready(0..3));
-    assert!(refused(&node.request(1, 0, 20.0)));
+    let mut node = Node::new(polling_settings(Idempotency::Idempotent), 1);
+    node.servers(ready_servers(0..3));
+    assert!(is_rejected(&node.request(1, 0, 20.0)));
 }
 
-/// Further attempts stay within the budget just after a start, and when traffic falls away.
+/// Retries stay within the budget just after a start and when traffic falls away, too.
 #[test]
 fn retries_never_exceed_the_budget() {
     let mut settings = one_class(Idempotency::Idempotent);
@@ -110,10 +110,10 @@
         window_ms: 1_000.0,
     });
     let mut node = Node::new(settings, 1);
-    node.servers(ready(0..4));
+    node.servers(ready_servers(0..4));
     let again = |node: &mut Node, id: u64| {
         node.request(id, 0, 800.0);
-        usize::from(send_of(&node.end(id, 0, 1.0, AttemptResult::Unreachable)).is_some())
+        usize::from(sent_server(&node.end(id, 0, 1.0, AttemptResult::Unreachable)).is_some())
     };
     assert_eq!(
         (0..9).map(|id| again(&mut node, id)).sum::<usize>(),
--- a/crates/balancer/tests/selection.rs
+++ b/crates/balancer/tests/selection.rs
@@ -8,8 +8,8 @@
 /// Each of the first sends goes to a server that has had none yet: every own send counts one.
 #[test]
 fn own_sends_raise_the_count() {
-    let mut node = Node::new(patient(), 1);
-    node.servers(ready(0..5));
+    let mut node = Node::new(settings_with_distant_objective(), 1);
+    node.servers(ready_servers(0..5));
     for round in 0..3 {
         let mut seen: Vec<usize> = (0..5).map(|i| node.sent_to(round * 5 + i)).collect();
         seen.sort_unstable();
@@ -21,17 +21,17 @@
 fn ties_are_broken_at_random() {
     let mut first = [0; 4];
     for seed in 0..400 {
-        let mut node = Node::new(patient(), seed);
-        node.servers(ready(0..4));
+        let mut node = Node::new(settings_with_distant_objective(), seed);
+        node.servers(ready_servers(0..4));
         first[node.sent_to(1)] += 1;
     }
     assert!(first.iter().all(|n| (60..140).contains(n)), "{first:?}");
 }
 
-/// Answers all alike, so that every server is learned to be of one size.
-fn warmed(servers: usize, settings: Settings) -> Node {
+/// Has every server answer alike, so that all are known to have the same capacity.
+fn warmed_up_node(servers: usize, settings: Settings) -> Node {
     let mut node = Node::new(settings, 3);
-    node.servers(ready(0..servers));
+    node.servers(ready_servers(0..servers));
     for id in 10_000..10_000 + 20 * servers as u64 {
         node.now += 10.0;
         node.sent_to(id);
@@ -44,25 +44,25 @@
 
 #[test]
 fn report_overwrites_the_count_of_its_server_alone() {
-    let mut node = warmed(3, patient());
+    let mut node = warmed_up_node(3, settings_with_distant_objective());
     // One attempt is put on each server; server by server its answer reports another load.
     let at: Vec<usize> = (0..3).map(|id| node.sent_to(id)).collect();
     for (id, held) in [(0, 9.0), (1, 2.0), (2, 9.0)] {
         node.now += 40.0;
         node.report(id, 0, 40.0, AttemptResult::Served, Some(held));
     }
-    // The second now stands 7 under the others: it gets the next sends, as far as it is not backed up.
+    // The second now stands 7 under the others: it gets the next sends, until it is backed up.
     assert_eq!(node.sent_to(100), at[1]);
     assert_eq!(node.sent_to(101), at[1]);
 }
 
 #[test]
 fn completion_does_not_lower_a_count() {
-    let mut node = Node::new(patient(), 1);
-    node.servers(ready(0..2));
+    let mut node = Node::new(settings_with_distant_objective(), 1);
+    node.servers(ready_servers(0..2));
     let first = node.sent_to(1);
     node.now += 40.0;
-    // It takes what is expected of unknown servers, a quarter of the aim: they stay of one size.
+    // It takes what is expected of unknown servers, a quarter of the objective: their capacities stay equal.
     node.end(1, 0, 10_000.0, AttemptResult::Served);
     // Without a report the answered send still counts, so the other server is next.
     assert_ne!(node.sent_to(2), first);
@@ -70,23 +70,23 @@
 
 #[test]
 fn failure_does_not_lower_a_count() {
-    for ending in [
+    for result in [
         AttemptResult::Error,
         AttemptResult::Overloaded,
         AttemptResult::Unreachable,
         AttemptResult::Reset,
     ] {
-        let mut settings = patient();
+        let mut settings = settings_with_distant_objective();
         settings.max_attempts = 1;
-        let mut node = warmed(2, settings);
+        let mut node = warmed_up_node(2, settings);
         let first = node.sent_to(1);
         node.now += 40.0;
-        node.end(1, 0, 40.0, ending);
-        assert_ne!(node.sent_to(2), first, "{ending:?} gave the send back");
+        node.end(1, 0, 40.0, result);
+        assert_ne!(node.sent_to(2), first, "{result:?} lowered the count");
     }
 }
 
-/// Readings of both servers that change with every second answer teach the usual interval.
+/// Sends requests whose reports change with every second answer of a server.
 fn teach_interval(node: &mut Node) {
     let mut answers = [0; 2];
     for id in 500..560 {
@@ -103,12 +103,12 @@
     }
 }
 
-/// Guards against answers that repeat one reading of the report: a repeat is no news.
+/// Several answers may carry one and the same report: a repeated one must not erase own sends.
 #[test]
 fn repeated_report_does_not_erase_own_sends() {
-    let mut node = warmed(2, patient());
+    let mut node = warmed_up_node(2, settings_with_distant_objective());
     teach_interval(&mut node);
-    // One answer from each, both of them news and alike: the counts are even and nothing is out.
+    // One answer from each, with the same report: the counts are equal and nothing is in flight.
     let mut out = [None; 2];
     for id in 1..100 {
         match &mut out[node.sent_to(id)] {
@@ -128,7 +128,7 @@
     }
     let sends: Vec<usize> = (100..102).map(|id| node.sent_to(id)).collect();
     assert_ne!(sends[0], sends[1]);
-    // One repeats its 5 at once; were that taken for news, its own send would be forgotten and it
+    // One repeats its 5 at once; if that were taken as fresh, its own send would be forgotten and it
     // would get the next two.
     let repeating = sends[0];
     node.now += 1.0;
@@ -140,17 +140,17 @@
     );
 }
 
-/// An idle server's report stays the same: past the usual interval it is fresh all the same.
+/// An idle server's report stays the same: one that repeats late is fresh all the same.
 #[test]
 fn report_repeated_late_is_fresh() {
-    let mut node = warmed(2, patient());
+    let mut node = warmed_up_node(2, settings_with_distant_objective());
     teach_interval(&mut node);
     let mut out = [Vec::new(), Vec::new()];
     for id in 1..13 {
         out[node.sent_to(id)].push(id);
     }
     node.now += 10_000.0;
-    // Every answer takes 40 ms for each request its server held, so that both stay of one size.
+    // Every answer takes 40 ms for each request its server held, so that their capacities stay equal.
     for (ids, reading) in out.iter().zip([0.0, 6.0]) {
         for (id, held) in ids.iter().zip(1..) {
             let report = (held == ids.len()).then_some(reading);
@@ -165,41 +165,45 @@
     node.sent_to(30);
     node.report(30, 0, 40.0, AttemptResult::Served, Some(0.0));
     for id in 40..44 {
-        assert_eq!(node.sent_to(id), 0, "the second 0 was no news");
+        assert_eq!(node.sent_to(id), 0, "the second 0 was not fresh");
         node.end(id, 0, 40.0, AttemptResult::Served);
     }
 }
 
 #[test]
 fn server_without_a_report_starts_at_the_mean_count() {
-    let mut node = warmed(2, patient());
+    let mut node = warmed_up_node(2, settings_with_distant_objective());
     let at: Vec<usize> = (0..2).map(|id| node.sent_to(id)).collect();
     node.now += 40.0;
     node.report(0, 0, 40.0, AttemptResult::Served, Some(1.0));
     node.report(1, 0, 40.0, AttemptResult::Served, Some(9.0));
-    node.servers(ready(0..3));
+    node.servers(ready_servers(0..3));
     // Counts are 1, 9 and, new, their mean 5: the low one first, four times, as nothing backs up.
     for id in 100..104 {
-        assert_eq!(node.sent_to(id), at[0], "the new server was taken for idle");
+        assert_eq!(
+            node.sent_to(id),
+            at[0],
+            "the new server was taken to be idle"
+        );
         node.end(id, 0, 40.0, AttemptResult::Served);
     }
 }
 
 #[test]
 fn equal_servers_are_ranked_by_count_alone() {
-    let mut node = warmed(4, patient());
+    let mut node = warmed_up_node(4, settings_with_distant_objective());
     let mut seen: Vec<usize> = (0..4).map(|id| node.sent_to(id)).collect();
     seen.sort_unstable();
     assert_eq!(seen, [0, 1, 2, 3]);
 }
 
-/// Guards against sending alike to unlike servers: a slower one gets less.
+/// Unlike servers must not be sent alike: a slower one gets less.
 #[test]
 fn slower_server_is_sent_less() {
     let mut sent = [0; 2];
     for seed in 0..12 {
-        let mut node = Node::new(patient(), seed);
-        node.servers(ready(0..2));
+        let mut node = Node::new(settings_with_distant_objective(), seed);
+        node.servers(ready_servers(0..2));
         for id in 0..300 {
             let at = node.sent_to(id);
             sent[at] += 1;
@@ -217,13 +221,13 @@
     assert!(sent[0] > sent[1] * 3 / 2, "{sent:?}");
 }
 
-/// Near servers take what comes until the best of them is backed up; then the far ones are counted too.
+/// Servers of the same zone get the requests until the best of them is backed up; then others count, too.
 #[test]
 fn same_zone_is_preferred_while_not_backed_up() {
-    let mut settings = patient();
+    let mut settings = settings_with_distant_objective();
     settings.zone = 1;
     let mut node = Node::new(settings, 4);
-    let mut entries = ready(0..4);
+    let mut entries = ready_servers(0..4);
     entries[2].zone = 1;
     entries[3].zone = 1;
     node.servers(entries);
@@ -236,24 +240,27 @@
     assert!(sent.iter().any(|at| *at < 2), "then the far ones: {sent:?}");
 }
 
-/// A zone of which nothing is healthy is left, however near.
+/// A zone without a healthy server is left, however near.
 #[test]
 fn failing_servers_of_the_same_zone_are_left_for_others() {
-    let mut settings = patient();
+    let mut settings = settings_with_distant_objective();
     settings.zone = 1;
     let mut node = Node::new(settings, 4);
-    let mut entries = ready(0..3);
+    let mut entries = ready_servers(0..3);
     entries[2].zone = 1;
     node.servers(entries);
     for id in 0..3 {
         assert!(id > 0 || node.sent_to(id) == 2);
         if id > 0 {
-            assert!(node.sent_to(id) < 2, "it is taken out");
+            assert!(node.sent_to(id) < 2, "it is ejected");
             continue;
         }
         node.now += 1.0;
-        let further = node.end(id, 0, 1.0, AttemptResult::Unreachable);
-        assert!(send_of(&further).is_some_and(|at| at < 2), "{further:?}");
+        let retried = node.end(id, 0, 1.0, AttemptResult::Unreachable);
+        assert!(
+            sent_server(&retried).is_some_and(|at| at < 2),
+            "{retried:?}"
+        );
         node.end(id, 1, 20.0, AttemptResult::Served);
     }
     assert!(node.sent_to(3) < 2);
--- a/crates/balancer/tests/server_list.rs
+++ b/crates/balancer/tests/server_list.rs
@@ -8,7 +8,7 @@
 #[test]
 fn draining_and_removed_servers_get_no_new_requests() {
     let mut node = Node::new(one_class(Idempotency::Idempotent), 1);
-    node.servers(ready(0..3));
+    node.servers(ready_servers(0..3));
     let mut entry = ServerEntry::new(ServerId(0), Availability::Draining);
     node.feed(Event::ServerList(ServerListUpdate::Changes(vec![
         entry.clone()
@@ -18,7 +18,7 @@
     node.feed(Event::ServerList(ServerListUpdate::Changes(vec![entry])));
     assert!((0..20).all(|id| node.sent_to(id) == 2));
     // A complete list without it removes the last one, too.
-    node.servers(ready(3..4));
+    node.servers(ready_servers(3..4));
     assert!((20..40).all(|id| node.sent_to(id) == 3));
 }
 
@@ -28,7 +28,9 @@
     settings.discovery = DiscoveryMode::Subscribe;
     settings.max_poll_interval_ms = 10_000.0;
     let mut node = Node::new(settings, 1);
-    let actions = node.feed(Event::ServerList(ServerListUpdate::Cached(ready(0..2))));
+    let actions = node.feed(Event::ServerList(ServerListUpdate::Cached(ready_servers(
+        0..2,
+    ))));
     assert_eq!(actions, [Action::Subscribe]);
     let mut waits = Vec::new();
     for call in 0..8 {
@@ -40,7 +42,7 @@
         assert_eq!(
             notes,
             usize::from(call == 0),
-            "the loss is noted once: {actions:?}"
+            "the failure is logged once: {actions:?}"
         );
         let [.., Action::SetTimer { timer, after_ms }] = actions[..] else {
             panic!("{actions:?}")
@@ -48,7 +50,7 @@
         assert!(
             node.feed(Event::ServerList(ServerListUpdate::Failed))
                 .is_empty(),
-            "one call at a time"
+            "one poll at a time"
         );
         waits.push(after_ms);
         node.now += after_ms;
@@ -62,17 +64,16 @@
         waits[0] < waits[4] && waits.iter().all(|w| *w <= MAX_RESUBSCRIBE_DELAY_MS),
         "{waits:?}"
     );
-    let list = || Event::ServerList(ServerListUpdate::Full(ready(0..2)));
+    let list = || Event::ServerList(ServerListUpdate::Full(ready_servers(0..2)));
     let noted = node.feed(list());
     assert!(
         matches!(noted[..], [Action::Log(_)]),
-        "and so is the end of it: {noted:?}"
+        "and so is its end: {noted:?}"
     );
     assert!(node.feed(list()).is_empty(), "once");
 }
 
-/// Guards against a node that remembers every server there ever was; one with an attempt out is remembered until
-/// that is over.
+/// Memory is bounded by the servers that there are; one with an attempt in flight is kept until that ends.
 #[test]
 fn removed_server_is_forgotten_once_nothing_is_in_flight() {
     let mut node = Node::new(one_class(Idempotency::Idempotent), 1);
@@ -87,14 +88,18 @@
         node.feed(Event::ServerList(ServerListUpdate::Changes(entry(
             Availability::Gone,
         ))));
-        assert_eq!(node.balancer.servers_known(), 1, "its answer is to come");
-        assert!(!refused(&node.end(id, 0, 5.0, AttemptResult::Served)));
+        assert_eq!(
+            node.balancer.servers_known(),
+            1,
+            "its result is outstanding"
+        );
+        assert!(!is_rejected(&node.end(id, 0, 5.0, AttemptResult::Served)));
         assert_eq!(node.balancer.servers_known(), 0);
     }
 }
 
-/// Guards one discovery service against all nodes at once: they hear of its end in the same instant, and of each call's
-/// failure as soon as it is made. The calls of 300 nodes spread over the wait, each time, and none waits longer than it may.
+/// All nodes notice a failure of discovery at the same instant, and each poll's failure as soon as it is made.
+/// The polls of 300 nodes spread over the backoff each time, and none waits longer than is allowed.
 #[test]
 fn resubscriptions_of_many_nodes_are_spread_over_time() {
     const NODES: usize = 300;
@@ -105,7 +110,7 @@
             Action::SetTimer { timer, after_ms } => Some((*timer, *after_ms)),
             _ => None,
         });
-        let (timer, after_ms) = timer.expect("it calls again");
+        let (timer, after_ms) = timer.expect("it polls again");
         node.now += after_ms;
         assert!(node.feed(Event::Timer(timer)).contains(&Action::Subscribe));
         after_ms
@@ -116,7 +121,7 @@
         (settings.discovery, settings.max_poll_interval_ms) = (DiscoveryMode::Subscribe, 10_000.0);
         (settings.nodes, settings.node_index) = (NODES, seed);
         let mut node = Node::new(settings, seed as u64);
-        node.servers(ready(0..4));
+        node.servers(ready_servers(0..4));
         for waits in &mut waits {
             waits.push(wait(&mut node));
         }
@@ -139,7 +144,7 @@
             .map(|from| together(*from))
             .max()
             .expect("some");
-        // The first calls come soon, as most watches end alone; from the fifth on a quarter is the most.
+        // The first polls come soon, as most subscriptions break alone; from the fifth on, a quarter is the most.
         assert!(
             call < 4 || crowd * 4 <= NODES,
             "{call}: {crowd} in {WITHIN_MS} ms"
--- a/crates/balancer/tests/slow_start.rs
+++ b/crates/balancer/tests/slow_start.rs
@@ -7,8 +7,8 @@
 
 use balancer::*;
 
-/// A cold server reports nothing queued and would draw everything; one node carrying most of the
-/// traffic must stay under the budget that all nodes share.
+/// A warming server reports no queue and would attract all requests. A node that carries most of the traffic
+/// must stay within the budget that all nodes share.
 #[test]
 fn warming_server_gets_no_more_than_its_budget() {
     let mut settings = one_class(Idempotency::Idempotent);
@@ -18,39 +18,39 @@
     settings.collapse_multiple = 2.5;
     settings.collapse_after_ms = 3_000.0;
     let mut node = Node::new(settings, 1);
-    node.servers(ready(0..10));
+    node.servers(ready_servers(0..10));
     let mut at = BTreeMap::new();
-    let mut cold_sends = Vec::new();
+    let mut slow_start_sends = Vec::new();
     for id in 0..3_000 {
         if id == 1_500 {
-            let mut entries = ready(0..11);
+            let mut entries = ready_servers(0..11);
             entries[10].started_at_ms = Some(node.now);
             node.servers(entries);
         }
         at.insert(id, node.sent_to(id));
         if at[&id] == 10 {
-            cold_sends.push(node.now);
+            slow_start_sends.push(node.now);
         }
         node.now += 4.0;
         if id >= 10 {
-            // Cold as it is, it answers fast and reports next to nothing held.
-            let cold = at[&(id - 10)] == 10;
-            let held = if cold {
+            // While it warms up it answers fast and reports hardly any load.
+            let warming = at[&(id - 10)] == 10;
+            let held = if warming {
                 0.1 * (id % 2) as f64
             } else {
                 (300 + id % 2) as f64
             };
-            let elapsed = if cold { 10.0 } else { 40.0 };
+            let elapsed = if warming { 10.0 } else { 40.0 };
             // ReportSource come now and then, so that counts rise in between.
-            let held = (cold || id % 16 == 0).then_some(held);
+            let held = (warming || id % 16 == 0).then_some(held);
             node.report(id - 10, 0, elapsed, AttemptResult::Served, held);
         }
     }
-    // The fleet serves 250 a second on ten servers; a cold one's capacity begins at 0.3 of a tenth.
+    // All nodes together serve 250 requests a second on ten servers; a warming one's capacity begins at 0.3 of a tenth.
     let start = 1_000.0 + 1_500.0 * 4.0;
     for window in 0..6 {
         let from = start + f64::from(window) * 500.0;
-        let sent = cold_sends
+        let sent = slow_start_sends
             .iter()
             .filter(|t| (from..from + 3_000.0).contains(*t))
             .count() as f64;
@@ -60,26 +60,26 @@
             "{sent} in window {window}, capacity {capacity}"
         );
     }
-    assert!(!cold_sends.is_empty(), "it gets some work");
+    assert!(!slow_start_sends.is_empty(), "it gets some requests");
 }
 
-/// A node that restarted has served nothing yet; what it knows of starts is in its list.
+/// A restarted node has served nothing yet; which servers warm up it knows from its list.
 #[test]
 fn restarted_node_sends_one_request_to_a_warming_server() {
     let mut settings = one_class(Idempotency::Idempotent);
     (settings.slow_start_fraction, settings.slow_start_ms) = (0.3, 9_000.0);
     (settings.collapse_multiple, settings.collapse_after_ms) = (2.5, 3_000.0);
     let mut node = Node::new(settings, 1);
-    let mut entries = ready(0..2);
+    let mut entries = ready_servers(0..2);
     entries[1].started_at_ms = Some(node.now - 100.0);
     node.feed(Event::ServerList(ServerListUpdate::Cached(entries)));
-    let cold = (0..40)
-        .filter(|id| send_of(&node.request(*id, 0, 800.0)) == Some(1))
+    let warming = (0..40)
+        .filter(|id| sent_server(&node.request(*id, 0, 800.0)) == Some(1))
         .count();
-    assert_eq!(cold, 1);
+    assert_eq!(warming, 1);
 }
 
-/// Where a node's part of a cold server's budget is under one request, most nodes must send it none at all.
+/// Where a node's part of a warming server's budget is less than one request, most nodes must send none.
 #[test]
 fn many_nodes_share_the_budget_of_a_warming_server() {
     let mut settings = one_class(Idempotency::Idempotent);
@@ -89,22 +89,22 @@
     let (mut senders, mut sends) = (0, 0);
     for seed in 0..200 {
         let mut node = Node::new(settings.clone(), seed);
-        let mut entries = ready(0..60);
+        let mut entries = ready_servers(0..60);
         node.servers(entries.clone());
-        let mut cold = 0;
+        let mut warming = 0;
         for id in 0..60 {
             if id == 30 {
-                // Half of the fleet is gone, so that most nodes look for servers they have not met.
+                // Half of the servers are removed, so that most nodes look for servers that they have not contacted.
                 entries[59].started_at_ms = Some(node.now);
                 node.servers(entries.split_off(30));
             }
             let at = node.sent_to(id);
-            cold += usize::from(id >= 30 && at == 59);
+            warming += usize::from(id >= 30 && at == 59);
             node.now += 100.0;
             node.end(id, 0, 50.0, AttemptResult::Served);
         }
-        senders += usize::from(cold > 0);
-        sends += cold;
+        senders += usize::from(warming > 0);
+        sends += warming;
     }
     // 200 nodes send 10 a second each to the 30 servers left: a warm one carries 67 a second, and this one
     // may get 2.5 times 0.3 of that for three seconds.
@@ -114,7 +114,8 @@
     );
 }
 
-/// In a release servers that started of late stand idle beside crowded ones if nodes keep to those they met.
+/// In a release, new servers must not stand idle beside overloaded ones because nodes keep to those that they
+/// have contacted.
 #[test]
 fn newly_started_servers_are_used_beside_contacted_ones() {
     let mut settings = one_class(Idempotency::Idempotent);
@@ -124,11 +125,11 @@
     let mut new = 0;
     for seed in 0..8 {
         let mut node = Node::new(settings.clone(), seed);
-        let mut entries = ready(0..60);
+        let mut entries = ready_servers(0..60);
         node.servers(entries.clone());
         for id in 0..150 {
             if id == 100 {
-                entries.extend(ready(60..70));
+                entries.extend(ready_servers(60..70));
                 entries[60..]
                     .iter_mut()
                     .for_each(|e| e.started_at_ms = Some(node.now));
@@ -145,44 +146,44 @@
     );
 }
 
-/// A third of the servers are gone, and others have started in their places.
-fn a_third_starts(node: &mut Node) {
-    let mut entries = ready(0..180);
+/// Replaces a third of the servers by new ones.
+fn restart_a_third(node: &mut Node) {
+    let mut entries = ready_servers(0..180);
     for entry in &mut entries[120..] {
         (entry.server, entry.started_at_ms) = (ServerId(entry.server.0 + 1_000), Some(node.now));
     }
     node.servers(entries);
 }
 
-/// Guards against cold servers left idle beside warm ones that drown: a node that sees little met few of them, and so did
-/// all others. And against cold servers that all nodes together push over.
+/// Warming servers must not be idle beside overloaded warm ones, although each node has contacted few of them;
+/// and all nodes together must not overload them.
 #[test]
 fn many_nodes_fill_warming_servers_to_their_share_and_no_further() {
     let mut sends = std::collections::BTreeMap::<usize, Vec<f64>>::new();
-    let (mut cold, mut all) = (0.0, 0.0);
+    let (mut warming, mut all) = (0.0, 0.0);
     for me in 0..300 {
-        let mut node = one_of_many(me);
-        ordinary(&mut node, 0..120, [60.0; 3]);
-        a_third_starts(&mut node);
-        let (sent, _) = ordinary(&mut node, 120..186, [60.0; 3]);
+        let mut node = node_of_many(me);
+        serve_in_turn(&mut node, 0..120, [60.0; 3]);
+        restart_a_third(&mut node);
+        let (sent, _) = serve_in_turn(&mut node, 120..186, [60.0; 3]);
         for (nth, server) in sent
             .iter()
             .enumerate()
             .filter(|(_, server)| **server >= 1_000)
         {
             sends.entry(*server).or_default().push(nth as f64 * 61.0);
-            cold += 1.0;
+            warming += 1.0;
         }
         all += sent.len() as f64;
     }
-    // Over 4 s they have 0.35 to 0.67 of their capacity: a fifth of what there is.
+    // Over 4 s they have 0.35 to 0.67 of their capacity: a fifth of the whole.
     assert!(
-        (0.14..0.24).contains(&(cold / all)),
-        "cold servers had {:.3} of the requests",
-        cold / all
+        (0.14..0.24).contains(&(warming / all)),
+        "warming servers had {:.3} of the requests",
+        warming / all
     );
-    // A warm server bears what it was sent before, at least: of that they have 0.35 or more.
-    let falls_at = 3.0 * 0.35 * 300.0 * 1_500.0 / 61.0 / 180.0;
+    // A warm server bears at least what it was sent before, and a warming one 0.35 of that or more.
+    let collapses_at = 3.0 * 0.35 * 300.0 * 1_500.0 / 61.0 / 180.0;
     let within = |times: &[f64], from: f64| {
         times
             .iter()
@@ -195,51 +196,51 @@
         .max();
     let most = most.expect("some were sent");
     assert!(
-        (most as f64) < falls_at,
-        "a cold server had {most} in 1.5 s, and falls over at {falls_at:.0}"
+        (most as f64) < collapses_at,
+        "a warming server had {most} in 1.5 s, and collapses at {collapses_at:.0}"
     );
 }
 
-/// Guards against queues that grow before a node hears of them: while much of the capacity is cold, less is expected of it.
-/// And against a node that goes on to do so once all are warm, where no list comes any more.
+/// Queues must not grow before a node hears of them: while much of the capacity warms up, less is admitted.
+/// That ends once all are warm, also if no list arrives any more.
 #[test]
 fn less_is_admitted_only_while_many_servers_warm_up() {
-    // Whatever answers take, near what is still taken: slower and slower, until all is refused.
-    let refused_with = |cold: bool, after: u64| {
+    // Slower and slower answers, until every request is rejected.
+    let rejected_with = |warming: bool, after: u64| {
         let slower = (100..300).step_by(10).map(|took| {
-            let (mut node, took) = (one_of_many(7), [f64::from(took); 3]);
-            ordinary(&mut node, 0..200, took);
-            if cold {
-                a_third_starts(&mut node);
+            let (mut node, took) = (node_of_many(7), [f64::from(took); 3]);
+            serve_in_turn(&mut node, 0..200, took);
+            if warming {
+                restart_a_third(&mut node);
             }
-            ordinary(&mut node, 200..200 + after, took);
-            ordinary(&mut node, 500..560, took).1
+            serve_in_turn(&mut node, 200..200 + after, took);
+            serve_in_turn(&mut node, 500..560, took).1
         });
         slower.sum::<usize>()
     };
-    let (warm, cold) = (refused_with(false, 0), refused_with(true, 0));
+    let (warm, warming) = (rejected_with(false, 0), rejected_with(true, 0));
     assert!(
-        cold > warm + 20,
-        "{cold} refused beside cold servers, {warm} beside warm ones"
+        warming > warm + 20,
+        "{warming} rejected beside warming servers, {warm} beside warm ones"
     );
-    let (warm, warmed) = (refused_with(false, 200), refused_with(true, 200));
+    let (warm, warmed) = (rejected_with(false, 200), rejected_with(true, 200));
     assert!(
         warmed <= warm + 20,
-        "{warmed} refused after they warmed up, {warm} beside warm ones"
+        "{warmed} rejected after they warmed up, {warm} beside warm ones"
     );
 }
 
-/// Requests that all nodes together send a second to each of `SERVERS` servers, before some of them start anew.
-const RATE: f64 = 27.0;
+/// Requests per second that all nodes together send to each of [`SERVERS`] servers before some are replaced.
+const REQUESTS_PER_S: f64 = 27.0;
 
 const SERVERS: usize = 12;
 
-/// The most that any of four servers, which start at once, gets in 1.5 s from so many nodes together: each sees as much
-/// as the others, or the first of them three times as much; half of them are restarted a second later, or none.
-fn most_to_a_cold_server(nodes: usize, uneven: bool, restarts: bool, seed: u64) -> usize {
+/// The most that any of four servers that start together is sent in 1.5 s by all nodes. The nodes have equal
+/// traffic, or the first of them three times as much; half of them are restarted a second later, or none.
+fn max_sent_to_a_warming_server(nodes: usize, uneven: bool, restarts: bool, seed: u64) -> usize {
     let starts_at = 9_000.0;
     let listed = |now: f64| {
-        let mut entries = ready(0..SERVERS);
+        let mut entries = ready_servers(0..SERVERS);
         for entry in entries[8..].iter_mut().filter(|_| now >= starts_at) {
             (entry.server, entry.started_at_ms) =
                 (ServerId(entry.server.0 + 1_000), Some(starts_at));
@@ -260,7 +261,7 @@
     let parts = nodes as f64 + if uneven { 2.0 } else { 0.0 };
     for me in 0..nodes {
         let part = if uneven && me == 0 { 3.0 } else { 1.0 } / parts;
-        let mean_gap = 1e3 / (RATE * SERVERS as f64 * part);
+        let mean_gap = 1e3 / (REQUESTS_PER_S * SERVERS as f64 * part);
         let mut random = fastrand::Rng::with_seed(seed ^ (me as u64) << 16);
         let (mut node, mut id, mut started, mut restarted) =
             (start(me, 1_000.0, 0), 0, false, !restarts || me % 2 == 1);
@@ -277,10 +278,10 @@
                 (node, restarted) = (start(me, now, 1), true);
             }
             id += 1;
-            if let Some(server) = send_of(&node.request(id, 0, 700.0)) {
+            if let Some(server) = sent_server(&node.request(id, 0, 700.0)) {
                 sends.entry(server).or_default().push(now);
-                // The others are busy, and what has just started says that it is not: all are drawn to it. Of the
-                // others not every answer has news, so that their counts rise above what a newcomer begins at.
+                // The others report load and a server that has just started none: it attracts all nodes. Of the
+                // others not every answer has a report, so that their counts rise above the initial count.
                 let report = if server >= 1_000 {
                     Some(0.0)
                 } else {
@@ -290,9 +291,9 @@
             }
         }
     }
-    let mut cold: Vec<_> = sends.split_off(&1_000).into_values().collect();
-    assert_eq!(cold.len(), 4, "cold servers are used at all");
-    for times in &mut cold {
+    let mut warming: Vec<_> = sends.split_off(&1_000).into_values().collect();
+    assert_eq!(warming.len(), 4, "warming servers are used at all");
+    for times in &mut warming {
         times.sort_by(f64::total_cmp);
     }
     let within = |times: &[f64], from: f64| {
@@ -301,22 +302,23 @@
             .filter(|t| (from..from + 1_500.0).contains(*t))
             .count()
     };
-    cold.iter()
+    warming
+        .iter()
         .flat_map(|times| times.iter().map(|from| within(times, *from)))
         .max()
         .expect("some were sent")
 }
 
-/// Guards cold servers against the sum of what all nodes send, be they few or many, where traffic is uneven and where
-/// nodes are restarted that then remember nothing of what they sent: beyond the budget of N only 2 root N + 2 is chance.
+/// A warming server bears what all nodes together send, few or many, with uneven traffic, and when nodes are
+/// restarted and forget what they sent: of a budget of N, only 2 root N + 2 more is chance.
 #[test]
 fn warming_servers_bear_the_sum_of_few_nodes_and_of_many() {
-    let budget = 3.0 * 0.35 * RATE * 1.5;
+    let budget = 3.0 * 0.35 * REQUESTS_PER_S * 1.5;
     let bears = budget + 2.0 * budget.sqrt() + 2.0;
     for nodes in [2, 5, 20, 30, 300] {
         for (uneven, restarts) in [(false, false), (true, false), (false, true), (true, true)] {
             let most = (0..3)
-                .map(|seed| most_to_a_cold_server(nodes, uneven, restarts, seed))
+                .map(|seed| max_sent_to_a_warming_server(nodes, uneven, restarts, seed))
                 .max()
                 .expect("three");
             println!("{nodes} nodes, uneven {uneven}, restarts {restarts}: {most} of {bears:.0}");
--- a/tests/settings.rs
+++ b/tests/settings.rs
@@ -1,4 +1,4 @@
-//! Two customers' settings: a process goes by those that it was started with, and by no others.
+//! Two customers' settings: a process uses those that it was started with, and no others.
 
 use std::time::Duration;
 
@@ -7,8 +7,8 @@
 /// How long the clients of the other customer wait.
 const OTHERS_DEADLINE: Duration = Duration::from_millis(150);
 
-/// Other names, effects, times and tenants than [`settings`] has.
-fn of_another_customer() -> String {
+/// Settings with other names, idempotency, times and tenants than [`settings`].
+fn settings_of_another_customer() -> String {
     settings(OTHERS_DEADLINE.as_millis() as u64)
         .replace("\"read\"", "\"search\"")
         .replace("\"hold\"", "\"read\"")
@@ -21,11 +21,11 @@
         .replace("\"max_attempts\":3", "\"max_attempts\":1")
 }
 
-/// Guards against a customer that sees another's settings: one configuration after the other comes by SIGHUP, and of it
-/// nothing holds but where discovery answers. Names keep what they stand for, as do effects, deadlines, attempts and the
-/// budget of further ones.
+/// One configuration after the other is loaded by SIGHUP, and nothing of it takes effect but the address of discovery.
+/// Names keep their meaning, as do idempotency, deadlines, attempts and the retry budget, so that no customer is served
+/// by another's settings.
 #[test]
-fn a_process_goes_by_the_settings_that_it_was_started_with() {
+fn reloaded_process_keeps_the_settings_that_it_was_started_with() {
     let failing = Server::start(|_| Reply::Close);
     let budget = |free: f64| {
         format!(
@@ -33,35 +33,35 @@
         )
     };
     let own = settings(15_000).replace("\"cold_from\"", &budget(1_000.0));
-    let other = of_another_customer().replace("\"cold_from\"", &budget(0.0));
+    let other = settings_of_another_customer().replace("\"cold_from\"", &budget(0.0));
     assert_ne!(own, other);
     let known = list(1, true, &[failing.entry("s-0", "ready")]);
     let discoveries: Vec<_> = (0..4).map(|_| Discovery::start()).collect();
     let node = Node::start(&config(discoveries[0].address, &known, &own));
-    let mut held = vec![discoveries[0].watch()];
+    let mut watches = vec![discoveries[0].watch()];
     for (round, discovery) in discoveries.iter().enumerate() {
         if round > 0 {
             let text = [&own, &other][round % 2];
             node.reload(&config(discovery.address, &list(1, true, &[]), text));
-            held.push(discovery.watch());
-            held[round].say(&(list(1, true, &[failing.entry("s-0", "ready")]) + "\n"));
+            watches.push(discovery.watch());
+            watches[round].say(&(list(1, true, &[failing.entry("s-0", "ready")]) + "\n"));
         }
         let id = |kind: &str| format!("{kind}-{round}");
-        let had = |id: &str| {
+        let attempts_of = |id: &str| {
             failing
                 .requests()
                 .iter()
                 .filter(|request| request.header("req-id") == Some(id))
                 .count()
         };
-        // An unsafe one may have run, and is the other's safe one.
+        // This request is not idempotent and may have run; by the other settings it is idempotent.
         let answer = node.ask(&post(&id("pay"), "pay", "", "x"));
         assert_eq!(
-            (answer.status(), had(&id("pay"))),
+            (answer.status(), attempts_of(&id("pay"))),
             (502, 1),
             "round {round}"
         );
-        // A keyed one goes by its key, a safe one without, and both more than once.
+        // A request with an idempotency key and an idempotent one are both attempted again.
         for (kind, request) in [
             (
                 "hold",
@@ -72,22 +72,22 @@
             let answer = node.ask(&request);
             assert_eq!(answer.status(), 503, "{kind} in round {round}");
             assert_eq!(
-                had(&id(kind)),
+                attempts_of(&id(kind)),
                 3,
                 "{kind} in round {round}: as often as the own settings allow"
             );
         }
-        // What the other one has a name for means nothing here.
+        // A name of the other settings has no meaning here.
         let unknown = read(&id("search"), "15000m").replace("Req-Kind: read", "Req-Kind: search");
         assert_eq!(node.ask(&unknown).status(), 400, "round {round}");
     }
-    // A deadline is its class's own; the other's would be over.
+    // The deadline is that of the own settings; the other's would have passed.
     let slow = Server::start(|_| {
         std::thread::sleep(4 * OTHERS_DEADLINE);
         Reply::ok("slow")
     });
     let said = list(2, true, &[slow.entry("s-1", "ready")]) + "\n";
-    held.last_mut().expect("one is open").say(&said);
+    watches.last_mut().expect("one is open").say(&said);
     until("the slow one is known", || {
         node.ask(&read("slow", "15000m")).body == b"slow"
     });
--- a/tests/wire.rs
+++ b/tests/wire.rs
@@ -1,23 +1,18 @@
-//! Round trips through the binary on literal batches.
-
-#![allow(
-    clippy::format_push_string,
-    reason = "this file is still to be rewritten: docs/ROADMAP.md, Readability"
-)]
+//! The simulator's line protocol, by batches of literal lines through the adapter's program.
 
 use std::io::Write;
 use std::process::{Command, Output, Stdio};
 
 const BOOT: &str = r#"BOOT node=node-1 seed=7 facts={"classes": [{"deadline_ms": 800.0, "promise_ms": 400.0, "effect": "retryable", "name": "a"}], "n_instances": 1, "stats": {"fields": ["waiting", "active"], "source": "inline"}}"#;
 
-fn benchlink(input: &str) -> Output {
+fn run_adapter(input: &str) -> Output {
     let mut child = Command::new(env!("CARGO_BIN_EXE_silverthread-simulator-adapter"))
         .stdin(Stdio::piped())
         .stdout(Stdio::piped())
         .stderr(Stdio::piped())
         .spawn()
         .expect("the binary starts");
-    // An adapter that stops early closes its input; what it said before that is what is tested.
+    // An adapter that ends early closes its input; what it printed before that is what is tested.
     let _ = child
         .stdin
         .take()
@@ -31,21 +26,21 @@
 }
 
 #[test]
-fn an_empty_batch_is_answered() {
-    let output = benchlink("CLOCK wall_ms=1.0\nEOB\n");
+fn empty_batch_is_answered() {
+    let output = run_adapter("CLOCK wall_ms=1.0\nEOB\n");
     assert!(output.status.success());
     assert_eq!(text(&output.stdout), "NEXT\n");
 }
 
 #[test]
-fn a_request_is_sent_and_its_answer_ends_it() {
+fn request_is_sent_and_its_answer_ends_it() {
     let input = format!(
         "CLOCK wall_ms=1.0\n{BOOT}\nCENSUS roster_id=0 hosts=1\nM availability=2 server=10.0.0.1:80\n\
          REGISTRY node=node-1 mode=2 roster_id=0 epoch=1\nEOB\n\n\
          CLOCK wall_ms=2.0\nCALL node=node-1 txn=5 grade=0 budget_ms=800.0\nEOB\n\n\
          CLOCK wall_ms=9.0\nENDED node=node-1 txn=5 rtt_ms=7.0 server=10.0.0.1:80 try=0 complete=1 ending=S\nEOB\n"
     );
-    let output = benchlink(&input);
+    let output = run_adapter(&input);
     assert!(output.status.success());
     assert_eq!(
         text(&output.stdout),
@@ -58,13 +53,13 @@
                     M availability=2 launched_ms=6100.0 block=0 units=1.5 type=0 site=1 server=10.0.0.2:80\n\
                     REGISTRY node=node-1 mode=2 roster_id=0 epoch=1\n";
 
-fn started() -> String {
+fn start_lines() -> String {
     format!("CLOCK wall_ms=1.0\n{BOOT}\n{LIST}EOB\n\n")
 }
 
-/// Every event in one day, and the actions they lead to.
+/// Every event in one script, and the actions that they lead to.
 #[test]
-fn every_event_is_read_and_every_action_printed() {
+fn every_event_is_parsed_and_every_action_printed() {
     let boot = BOOT.replace(
         "\"n_instances\"",
         "\"discovery\": \"subscribe\", \"n_instances\"",
@@ -80,7 +75,7 @@
          CLOCK wall_ms=2010.0\nACK_FIRST node=node-1 txn=5 try=0 server=10.0.0.1:80 rtt_ms=10.0\n\
          HANGUP node=node-1 txn=6\nTEARDOWN node=node-1\nEOB\n"
     );
-    let output = benchlink(&input);
+    let output = run_adapter(&input);
     assert!(output.status.success());
     let replies: Vec<&str> = text(&output.stdout).split("NEXT\n").collect();
     assert_eq!(replies[0], "TRACK node=node-1 want=1\n");
@@ -111,20 +106,20 @@
 }
 
 #[test]
-fn without_servers_a_request_is_pushed_back() {
+fn request_without_servers_is_rejected() {
     let input = format!(
         "CLOCK wall_ms=1.0\n{BOOT}\nCENSUS roster_id=3 hosts=0\nREGISTRY node=node-1 mode=2 roster_id=3 epoch=1\n\
          CALL node=node-1 txn=5 grade=0 budget_ms=800.0\nEOB\n"
     );
     assert_eq!(
-        text(&benchlink(&input).stdout),
+        text(&run_adapter(&input).stdout),
         "PUSH_BACK node=node-1 txn=5\nNEXT\n"
     );
 }
 
-/// A list number is resolved where the event stands, not where the batch ends.
+/// A list number is resolved at the event's place in the batch, not at the end of the batch.
 #[test]
-fn list_numbers_are_reused_within_a_batch() {
+fn list_number_reused_within_a_batch_means_the_latest_list() {
     let second = BOOT.replace("node-1", "node-2");
     let input = format!(
         "CLOCK wall_ms=1.0\n{BOOT}\nCENSUS roster_id=0 hosts=1\nM availability=2 server=10.0.0.1:80\n\
@@ -134,63 +129,77 @@
          CALL node=node-1 txn=5 grade=0 budget_ms=800.0\nCALL node=node-2 txn=6 grade=0 budget_ms=800.0\nEOB\n"
     );
     assert_eq!(
-        text(&benchlink(&input).stdout),
+        text(&run_adapter(&input).stdout),
         "PLACE node=node-1 txn=5 server=10.0.0.1:80\nPLACE node=node-2 txn=6 server=10.0.0.2:80\nNEXT\n"
     );
 }
 
-/// A day of two instances, and each alone: what one does must not depend on who shares its process.
-#[test]
-fn instances_act_alike_together_and_apart() {
-    let day = |nodes: &[u32]| {
-        let mut input = String::from("CLOCK wall_ms=1.0\n");
-        for n in nodes {
-            input += &BOOT
-                .replace("node-1", &format!("node-{n}"))
-                .replace("seed=7", &format!("seed={n}"));
-            // The instances come to know the servers in orders of their own.
-            let (first, second) = if *n == 1 { (1, 9) } else { (9, 1) };
-            input += &format!(
-                "\nCENSUS roster_id=0 hosts=2\nM availability=2 server=10.0.0.{first}:80\n\
-                 M availability=2 server=10.0.0.{second}:80\nREGISTRY node=node-{n} mode=2 roster_id=0 epoch=1\n"
-            );
-        }
-        input += "EOB\n\n";
-        for t in 0..200 {
-            input += &format!("CLOCK wall_ms={}.0\n", 10 + t * 10);
-            for n in nodes {
-                let txn = 1_000 * n + t;
-                input += &format!("CALL node=node-{n} txn={txn} grade=0 budget_ms=800.0\n");
-                if t > 3 {
-                    let (txn, held) = (txn - 3, t % 5);
-                    input += &format!(
-                        "ENDED node=node-{n} txn={txn} rtt_ms=30.0 server=10.0.0.1:80 try=0 complete=1 ending=S \
-                         server_stats=0,{held}\n"
-                    );
-                }
-            }
-            input += "EOB\n\n";
+/// The input of a script for some instances, numbered as they are named.
+fn script_of(nodes: &[u32]) -> String {
+    let mut input = String::from("CLOCK wall_ms=1.0\n");
+    for n in nodes {
+        let boot = BOOT
+            .replace("node-1", &format!("node-{n}"))
+            .replace("seed=7", &format!("seed={n}"));
+        // Each instance learns the servers in another order.
+        let (first, second) = if *n == 1 { (1, 9) } else { (9, 1) };
+        let lines = [
+            boot,
+            "CENSUS roster_id=0 hosts=2".to_owned(),
+            format!("M availability=2 server=10.0.0.{first}:80"),
+            format!("M availability=2 server=10.0.0.{second}:80"),
+            format!("REGISTRY node=node-{n} mode=2 roster_id=0 epoch=1"),
+        ];
+        input += &(lines.join("\n") + "\n");
+    }
+    input += "EOB\n\n";
+    for step in 0..200 {
+        input += &batch_of(nodes, step);
+    }
+    input
+}
+
+/// One batch of [`script_of`]: a request for each instance, and the end of an earlier one.
+fn batch_of(nodes: &[u32], step: u32) -> String {
+    let mut lines = vec![format!("CLOCK wall_ms={}.0", 10 + step * 10)];
+    for n in nodes {
+        let txn = 1_000 * n + step;
+        lines.push(format!(
+            "CALL node=node-{n} txn={txn} grade=0 budget_ms=800.0"
+        ));
+        if step > 3 {
+            let (txn, in_flight) = (txn - 3, step % 5);
+            lines.push(format!(
+                "ENDED node=node-{n} txn={txn} rtt_ms=30.0 server=10.0.0.1:80 try=0 complete=1 ending=S \
+                 server_stats=0,{in_flight}"
+            ));
         }
-        text(&benchlink(&input).stdout).to_owned()
-    };
-    let of = |all: &str, n: u32| -> Vec<String> {
-        let name = format!("node=node-{n} ");
-        all.lines()
-            .filter(|l| l.contains(&name))
-            .map(str::to_owned)
-            .collect()
-    };
-    let together = day(&[1, 2]);
-    for n in [1, 2] {
-        let apart = of(&day(&[n]), n);
-        assert!(apart.len() >= 200, "{} actions", apart.len());
-        assert_eq!(of(&together, n), apart);
+    }
+    lines.join("\n") + "\nEOB\n\n"
+}
+
+/// The actions of one instance.
+fn actions_of(output: &str, node: u32) -> Vec<String> {
+    let name = format!("node=node-{node} ");
+    let lines = output.lines().filter(|line| line.contains(&name));
+    lines.map(str::to_owned).collect()
+}
+
+/// A script of two instances, and of each alone: what one does must not depend on others in its process.
+#[test]
+fn instances_act_alike_in_one_process_and_alone() {
+    let run = |nodes: &[u32]| text(&run_adapter(&script_of(nodes)).stdout).to_owned();
+    let together = run(&[1, 2]);
+    for node in [1, 2] {
+        let alone = actions_of(&run(&[node]), node);
+        assert!(alone.len() >= 200, "{} actions", alone.len());
+        assert_eq!(actions_of(&together, node), alone);
     }
 }
 
-/// What is malformed ends the adapter with one plain line that says where and what.
+/// The error is one line that says where and what.
 #[test]
-fn malformed_input_ends_it_with_one_line() {
+fn malformed_line_ends_the_adapter_with_one_error() {
     let cases = [
         (
             "CALL node=node-1 grade=0 budget_ms=800.0",
@@ -245,42 +254,42 @@
         ("CLOCK", "CLOCK: `wall_ms` is missing"),
     ];
     for (line, message) in cases {
-        let input = format!("{}CLOCK wall_ms=2.0\n{line}\nEOB\n", started());
-        let number = started().lines().count() + 1 + line.lines().count();
-        let output = benchlink(&input);
-        let said = text(&output.stderr);
+        let input = format!("{}CLOCK wall_ms=2.0\n{line}\nEOB\n", start_lines());
+        let number = start_lines().lines().count() + 1 + line.lines().count();
+        let output = run_adapter(&input);
+        let error = text(&output.stderr);
         assert!(!output.status.success(), "{line}");
         assert_eq!(text(&output.stdout), "NEXT\n", "{line}");
-        assert_eq!(said.lines().count(), 1, "{said}");
+        assert_eq!(error.lines().count(), 1, "{error}");
         assert!(
-            said.contains(message) && said.contains(&format!("line {number}:")),
-            "{line}: {said}"
+            error.contains(message) && error.contains(&format!("line {number}:")),
+            "{line}: {error}"
         );
     }
 }
 
 #[test]
-fn unknown_keys_and_messages_are_passed_over() {
+fn unknown_keys_and_messages_are_ignored() {
     let input = format!(
         "{}CLOCK wall_ms=2.0 mood=fine\nWEATHER node=node-1 sky=blue\nWEATHER node=node-1 sky=grey\n\
          CALL node=node-1 txn=5 grade=0 budget_ms=800.0 colour=red\nEOB\n",
-        started()
+        start_lines()
     );
-    let output = benchlink(&input);
+    let output = run_adapter(&input);
     assert!(output.status.success());
     assert!(text(&output.stdout).starts_with("NEXT\nPLACE node=node-1 txn=5 server="));
     assert_eq!(
         text(&output.stderr).lines().count(),
         1,
-        "one note on a kind of message"
+        "each kind of message is reported once"
     );
 }
 
 #[test]
-fn the_end_of_input_within_a_batch_is_a_clean_exit() {
-    let output = benchlink(&format!(
+fn end_of_input_within_a_batch_is_a_clean_exit() {
+    let output = run_adapter(&format!(
         "{}CLOCK wall_ms=2.0\nCALL node=node-1 txn=5 grade=0 budget_ms=800.0\n",
-        started()
+        start_lines()
     ));
     assert!(output.status.success());
     assert_eq!(
@@ -290,15 +299,15 @@
     );
 }
 
-/// Settings that are missing keep a default that allows least; those not known are passed over.
+/// A missing setting keeps a default that allows least; an unknown one is ignored.
 #[test]
-fn settings_may_be_missing_or_unknown() {
+fn settings_missing_or_unknown_keep_safe_defaults() {
     let boot = r#"BOOT node=node-1 seed=7 facts={"classes": [{"deadline_ms": 800.0, "tone": 3}], "news": {"a": []}}"#;
     let input = format!(
         "CLOCK wall_ms=1.0\n{boot}\n{LIST}CALL node=node-1 txn=5 grade=0 budget_ms=800.0\nEOB\n\n\
          CLOCK wall_ms=9.0\nENDED node=node-1 txn=5 rtt_ms=7.0 try=0 complete=0 ending=E\nEOB\n"
     );
-    let output = benchlink(&input);
+    let output = run_adapter(&input);
     assert!(output.status.success());
     let failed = "REPORT_FAILURE node=node-1 txn=5\nNEXT\n";
     assert!(
@@ -308,10 +317,10 @@
     );
 }
 
-/// Where servers may be probed at no price, a request is held until its probes are answered, and an overdue
-/// attempt whose server holds nothing is cancelled and its idle connections closed.
+/// Where health checks are free, a request waits for the reports of the polled servers, and an overdue attempt
+/// whose server holds no request is cancelled and its idle connections closed.
 #[test]
-fn probes_and_closes_are_printed() {
+fn health_checks_and_closed_connections_are_printed() {
     let boot = BOOT.replace(
         "\"n_instances\"",
         "\"allowed\": {\"probes\": true, \"cancel\": true}, \"n_instances\"",
@@ -327,7 +336,7 @@
          CLOCK wall_ms=143.0\nFIRED node=node-1 nonce={}\nEOB\n\nCLOCK wall_ms=144.0\n{health}EOB\n",
         (6 << 3) | 4
     );
-    let output = benchlink(&input);
+    let output = run_adapter(&input);
     let replies: Vec<&str> = text(&output.stdout).split("NEXT\n").collect();
     assert!(
         replies[0].starts_with("SOUND_OUT node=node-1 server=10.0.0.1:80\nSCHEDULE "),
@@ -350,7 +359,7 @@
 /// to, every kind of line out. The reply was recorded from the adapter and stays as it is, byte for byte.
 #[test]
 fn recorded_transcript_gives_the_recorded_reply() {
-    let output = benchlink(include_str!("golden/simulator-input.txt"));
+    let output = run_adapter(include_str!("golden/simulator-input.txt"));
     assert!(output.status.success());
     let recorded = include_str!("golden/simulator-output.txt");
     for kind in [
