--- a/crates/balancer/src/outlier.rs
+++ b/crates/balancer/src/outlier.rs
@@ -9,7 +9,6 @@
 use crate::latency::{LatencySample, RunningMean, HALF_LIFE_OBJECTIVES};
 use crate::request::{Attempt, PendingRequest};
 use crate::server::Server;
-use crate::server_list::ServerId;
 
 /// A server is ejected, or not sent a quota group that it is overloaded for, for this many mean
 /// latency objectives.
@@ -54,6 +53,16 @@
         let longest = self.usual.mean + TIMEOUT_DEVIATIONS * self.usual.deviation;
         self.elapsed_ms >= longest * attempt.expected_latency_ms
     }
+
+    /// Whether the time it took is a measure of the server's latency. Where counts are fresh a time-out
+    /// tells of the one answer, not of the load.
+    fn measures_latency(&self, counts_are_fresh: bool) -> bool {
+        match self.result {
+            AttemptResult::Served => true,
+            AttemptResult::TimedOut => !counts_are_fresh && !self.overtaken,
+            _ => false,
+        }
+    }
 }
 
 impl Server {
@@ -69,12 +78,34 @@
         self.consecutive_resets = next(self.consecutive_resets, AttemptResult::Reset);
     }
 
-    /// Ejects it, or does so again after a failed trial. Whether it was not ejected before.
-    fn eject(&mut self, now_ms: f64, until_ms: f64) -> bool {
-        let ejected = self
-            .ejected_until_ms
-            .is_some_and(|until_ms| until_ms > now_ms);
-        !ejected && self.ejected_until_ms.replace(until_ms).is_none()
+    fn attempt_ended(&mut self, result: AttemptResult, now_ms: f64) {
+        self.in_flight = self.in_flight.saturating_sub(1);
+        self.last_used_at_ms = now_ms;
+        self.count_consecutive(result);
+    }
+
+    /// Whether it was reached now, and not by the attempt before.
+    fn newly_contacted(&mut self, result: AttemptResult) -> bool {
+        let reached = !matches!(result, AttemptResult::Unreachable | AttemptResult::Reset);
+        !std::mem::replace(&mut self.contacted, reached) && reached
+    }
+
+    fn request_served(&mut self, sent_at_ms: f64) -> Option<LogEvent> {
+        self.latest_served_sent_at_ms = self.latest_served_sent_at_ms.max(sent_at_ms);
+        let ejected = self.ejected_until_ms.take();
+        ejected.map(|_| LogEvent::ServerRecovered(self.entry.server))
+    }
+
+    /// Ejects it, or does so again after a failed trial, which is not logged.
+    fn eject(&mut self, now_ms: f64, until_ms: f64) -> Option<LogEvent> {
+        let ejected = self.ejected_until_ms;
+        if ejected.is_some_and(|until_ms| until_ms > now_ms) {
+            return None;
+        }
+        self.ejected_until_ms = Some(until_ms);
+        ejected
+            .is_none()
+            .then_some(LogEvent::ServerEjected(self.entry.server))
     }
 }
 
@@ -86,18 +117,16 @@
         attempt: &Attempt,
         outcome: &Outcome,
     ) {
-        let (now_ms, at) = (self.now_ms, attempt.server);
+        let now_ms = self.now_ms;
         let server = self
             .servers
-            .get_mut(&at)
+            .get_mut(&attempt.server)
             .expect("a server with an attempt in flight is kept");
-        server.in_flight = server.in_flight.saturating_sub(1);
-        server.last_used_at_ms = now_ms;
+        server.attempt_ended(outcome.result, now_ms);
         if !request.answered {
             self.idle_connections
                 .record(attempt.on_idle_connection, outcome.result);
         }
-        server.count_consecutive(outcome.result);
         let observation = Observation {
             result: outcome.result,
             elapsed_ms: outcome.elapsed_ms.max(MIN_ELAPSED_MS),
@@ -107,15 +136,11 @@
         let Some(fault) = observation.is_fault(server, attempt) else {
             return;
         };
-        let ejected_until_ms = now_ms + EJECTION_OBJECTIVES * self.objective_ms;
+        let until_ms = now_ms + EJECTION_OBJECTIVES * self.objective_ms;
         if outcome.result == AttemptResult::Overloaded {
-            server.mark_overloaded(request.quota_group, ejected_until_ms);
+            server.mark_overloaded(request.quota_group, until_ms);
         }
-        // Where counts are fresh a time-out tells of the one answer, not of the load.
-        let late = outcome.result == AttemptResult::TimedOut
-            && !self.health_checks.enabled
-            && !observation.overtaken;
-        if outcome.result == AttemptResult::Served || late {
+        if observation.measures_latency(self.health_checks.enabled) {
             let sample = LatencySample {
                 now_ms,
                 half_life_ms: self.traffic.half_life_ms,
@@ -128,24 +153,17 @@
             };
             self.latency.record(&sample, &mut server.estimate);
         }
-        let reached = !matches!(
-            outcome.result,
-            AttemptResult::Unreachable | AttemptResult::Reset
-        );
-        if !std::mem::replace(&mut server.contacted, reached) && reached {
-            self.sampler.server_contacted(at);
+        if server.newly_contacted(outcome.result) {
+            self.sampler.server_contacted(attempt.server);
         }
-        if outcome.result == AttemptResult::Served {
+        let event = if outcome.result == AttemptResult::Served {
             self.served.push(now_ms);
-            server.latest_served_sent_at_ms =
-                server.latest_served_sent_at_ms.max(attempt.sent_at_ms);
-            if server.ejected_until_ms.take().is_some() {
-                let recovered = LogEvent::ServerRecovered(ServerId(at));
-                self.actions.push(Action::Log(recovered));
-            }
-        } else if fault && server.eject(now_ms, ejected_until_ms) {
-            let ejected = LogEvent::ServerEjected(ServerId(at));
-            self.actions.push(Action::Log(ejected));
-        }
+            server.request_served(attempt.sent_at_ms)
+        } else if fault {
+            server.eject(now_ms, until_ms)
+        } else {
+            None
+        };
+        self.actions.extend(event.map(Action::Log));
     }
 }
--- a/crates/balancer/src/request.rs
+++ b/crates/balancer/src/request.rs
@@ -124,30 +124,23 @@
             .servers
             .get_mut(&at)
             .expect("a selected server is known");
-        let idle = server.contacted
-            && server.in_flight == 0
-            && now_ms - server.last_used_at_ms > self.objective_ms;
+        let idle = server.is_idle(now_ms, self.objective_ms);
         let close_idle = idle && self.idle_connections.should_close(&mut self.random);
         if close_idle {
             let server = ServerId(at);
             self.actions.push(Action::CloseIdle { server });
         }
-        server.last_used_at_ms = now_ms;
-        server.in_flight += 1;
-        server.count = server.count.map(|count| count + 1.0);
-        let started_at_ms = server.entry.started_at_ms;
-        if started_at_ms.is_some_and(|at_ms| now_ms - at_ms < self.settings.slow_start_ms) {
-            server.slow_start_sends.push(now_ms);
-        }
+        server.record_send(now_ms, self.settings.slow_start_ms);
+        let own_depth = server.in_flight as f64;
+        let depth = if self.health_checks.enabled {
+            server.count.unwrap_or(own_depth)
+        } else {
+            own_depth
+        };
+        let entry = server.entry.clone();
         if !request.attempts.is_empty() {
             self.retries.retry_sent(now_ms);
         }
-        let by_health_check = self.health_checks.enabled;
-        let depth = server
-            .count
-            .filter(|_| by_health_check)
-            .unwrap_or(server.in_flight as f64);
-        let entry = server.entry.clone();
         request.polled.clear();
         let expected_latency_ms = self.expected_latency_ms(depth);
         request.attempts.push(Attempt {
@@ -164,10 +157,15 @@
             request: id,
             server: ServerId(at),
         });
-        let overdue_is_useful = by_health_check && self.settings.cancel;
-        if overdue_is_useful && expected_latency_ms > 0.0 && self.may_attempt(request) {
+        self.schedule_overdue_poll(id, request, expected_latency_ms);
+    }
+
+    /// Sets a timer for an answer that is late, where the server can be asked and the attempt replaced.
+    fn schedule_overdue_poll(&mut self, id: RequestId, request: &PendingRequest, expected_ms: f64) {
+        let replaceable = self.settings.cancel && self.may_attempt(request);
+        if self.health_checks.enabled && replaceable && expected_ms > 0.0 {
             let usual = self.latency.by_class[request.class];
-            let after_ms = (usual.mean + usual.deviation) * expected_latency_ms;
+            let after_ms = (usual.mean + usual.deviation) * expected_ms;
             self.set_request_timer(id, TimerKind::AttemptOverdue, after_ms);
         }
     }
--- a/crates/balancer/src/selection.rs
+++ b/crates/balancer/src/selection.rs
@@ -4,6 +4,8 @@
 //! All else here decides which servers are candidates, and keeps many nodes from acting alike on the
 //! same old report.
 
+use std::collections::BTreeMap;
+
 use crate::balancer::Balancer;
 use crate::latency::{Expectation, HALF_LIFE_OBJECTIVES};
 use crate::request::PendingRequest;
@@ -77,6 +79,40 @@
     fn capacity(&self, server: &Server) -> f64 {
         self.of(server).capacity()
     }
+
+    /// Capacity of so many ready servers of each machine kind.
+    fn total_capacity(&self, ready_by_kind: &[f64]) -> f64 {
+        let kinds = self.by_kind.iter().zip(ready_by_kind);
+        kinds
+            .map(|(kind, ready)| ready * kind.depth / kind.latency_ms)
+            .sum()
+    }
+}
+
+/// The servers by which a candidate is measured.
+struct Subset<'a> {
+    servers: &'a BTreeMap<usize, Server>,
+    members: &'a [usize],
+    size: usize,
+}
+
+impl<'a> Subset<'a> {
+    fn iter(&self) -> impl Iterator<Item = &'a Server> + Clone + '_ {
+        let members = self.members.iter().take(self.size);
+        members.filter_map(|at| self.servers.get(at))
+    }
+
+    fn total_capacity(&self, priors: &Priors) -> f64 {
+        self.iter().map(|server| priors.capacity(server)).sum()
+    }
+
+    /// Mean count for each unit of capacity, of the servers that have a count.
+    fn mean_count(&self, priors: &Priors) -> f64 {
+        let counts = self
+            .iter()
+            .filter_map(|server| Some(server.count? / priors.capacity(server)));
+        counts.clone().sum::<f64>() / counts.count().max(1) as f64
+    }
 }
 
 /// What is the same for all servers while one request's candidates are assessed.
@@ -332,24 +368,23 @@
         served: f64,
         max_found: usize,
     ) -> Vec<Candidate> {
-        let considered = if sample.is_empty() {
+        let mut candidates = std::mem::take(&mut self.scratch.candidates);
+        candidates.clear();
+        let members = if sample.is_empty() {
             &self.ring[..]
         } else {
             sample
         };
-        let subset = || {
-            let servers = considered.iter().take(max_found);
-            servers.filter_map(|at| self.servers.get(at))
+        let subset = Subset {
+            servers: &self.servers,
+            members,
+            size: max_found,
         };
         let total_capacity = if sample.is_empty() {
-            subset().map(|server| priors.capacity(server)).sum()
+            subset.total_capacity(priors)
         } else {
-            let kinds = priors.by_kind.iter().zip(self.sampler.ready_by_kind());
-            kinds
-                .map(|(kind, ready)| ready * kind.depth / kind.latency_ms)
-                .sum()
+            priors.total_capacity(self.sampler.ready_by_kind())
         };
-        let counts = subset().filter_map(|server| Some(server.count? / priors.capacity(server)));
         let assessment = Assessment {
             settings: &self.settings,
             request,
@@ -359,19 +394,18 @@
             well_informed: self.traffic.well_informed,
             by_health_check: self.health_checks.enabled,
             priors,
-            mean_count: counts.clone().sum::<f64>() / counts.count().max(1) as f64,
+            mean_count: subset.mean_count(priors),
             total_capacity,
             served,
             slow_start_multiple: self.slow_start_multiple(),
             first_run_on: request.first_run_attempt().map(|attempt| &attempt.entry),
         };
         let considered = if request.responded.is_empty() {
-            considered
+            members
         } else {
             &request.responded
         };
-        let (mut found, mut candidates) = (0, std::mem::take(&mut self.scratch.candidates));
-        candidates.clear();
+        let mut found = 0;
         for at in considered.iter().copied() {
             let server = self.servers.get_mut(&at).filter(|server| server.is_ready());
             let candidate =
--- a/crates/balancer/src/server.rs
+++ b/crates/balancer/src/server.rs
@@ -11,7 +11,7 @@
     pub until_ms: f64,
 }
 
-/// One server's record. Nothing here decides.
+/// One server's record.
 #[derive(Default)]
 pub(crate) struct Server {
     pub entry: ServerEntry,
@@ -60,6 +60,22 @@
         self.entry.availability == Availability::Gone && self.in_flight == 0
     }
 
+    /// Whether its connections have not been used for `idle_ms`.
+    pub fn is_idle(&self, now_ms: f64, idle_ms: f64) -> bool {
+        self.contacted && self.in_flight == 0 && now_ms - self.last_used_at_ms > idle_ms
+    }
+
+    /// Takes note of an attempt: every own send adds one to the count.
+    pub fn record_send(&mut self, now_ms: f64, slow_start_ms: f64) {
+        self.last_used_at_ms = now_ms;
+        self.in_flight += 1;
+        self.count = self.count.map(|count| count + 1.0);
+        let started_at_ms = self.entry.started_at_ms;
+        if started_at_ms.is_some_and(|at_ms| now_ms - at_ms < slow_start_ms) {
+            self.slow_start_sends.push(now_ms);
+        }
+    }
+
     pub fn is_overloaded_for(&self, quota_group: usize, now_ms: f64) -> bool {
         self.overloads
             .iter()
--- a/crates/balancer/tests/health_check.rs
+++ b/crates/balancer/tests/health_check.rs
@@ -40,14 +40,14 @@
     for seed in 0..50 {
         let mut node = Node::new(polling_settings(Idempotency::Idempotent), seed);
         node.servers(ready_servers(0..20));
-        let asked = polled_servers(&node.request(1, 0, 800.0));
-        assert_eq!(asked.len(), 5);
+        let polled = polled_servers(&node.request(1, 0, 800.0));
+        assert_eq!(polled.len(), 5);
         let mut last = Vec::new();
-        for (held, server) in [3.0, 2.0, 1.0, 2.0, 3.0].iter().zip(&asked) {
+        for (held, server) in [3.0, 2.0, 1.0, 2.0, 3.0].iter().zip(&polled) {
             assert_eq!(sent_server(&last), None, "sent before all had responded");
             last = respond_to_poll(&mut node, *server, *held);
         }
-        assert_eq!(sent_server(&last), Some(asked[2]));
+        assert_eq!(sent_server(&last), Some(polled[2]));
     }
 }
 
@@ -58,12 +58,12 @@
     let mut node = Node::new(polling_settings(Idempotency::Idempotent), 1);
     node.servers(ready_servers(0..20));
     let actions = node.request(1, 0, 800.0);
-    let asked = polled_servers(&actions);
-    respond_to_poll(&mut node, asked[1], 4.0);
+    let polled = polled_servers(&actions);
+    respond_to_poll(&mut node, polled[1], 4.0);
     let since = node.now;
     assert_eq!(
         sent_server(&expire_timer(&mut node, &actions, LOAD_POLL)),
-        Some(asked[1])
+        Some(polled[1])
     );
     assert!(node.now - since <= 8.0);
 }
@@ -74,15 +74,15 @@
     for seed in 0..20 {
         let mut node = Node::new(polling_settings(Idempotency::Idempotent), seed);
         node.servers(ready_servers(0..5));
-        let asked = polled_servers(&node.request(1, 0, 800.0));
-        respond_to_poll(&mut node, asked[0], 0.0);
-        let draining = ServerEntry::new(ServerId(asked[0]), Availability::Draining);
+        let polled = polled_servers(&node.request(1, 0, 800.0));
+        respond_to_poll(&mut node, polled[0], 0.0);
+        let draining = ServerEntry::new(ServerId(polled[0]), Availability::Draining);
         node.feed(Event::ServerList(ServerListUpdate::Changes(vec![draining])));
-        let last = asked[1..]
+        let last = polled[1..]
             .iter()
             .map(|server| respond_to_poll(&mut node, *server, 2.0))
             .last();
-        assert!(sent_server(&last.expect("asked")).is_some_and(|at| at != asked[0]));
+        assert!(sent_server(&last.expect("polled")).is_some_and(|at| at != polled[0]));
     }
 }
 
@@ -104,8 +104,8 @@
 #[test]
 fn lost_answer_costs_an_attempt_and_not_the_request() {
     let (mut node, sent) = one_in_flight(Idempotency::Idempotent);
-    let asked = expire_timer(&mut node, &sent, ATTEMPT_OVERDUE);
-    assert_eq!(polled_servers(&asked), [0]);
+    let polled = expire_timer(&mut node, &sent, ATTEMPT_OVERDUE);
+    assert_eq!(polled_servers(&polled), [0]);
     let busy = respond_to_poll(&mut node, 0, 1.0);
     assert!(
         !busy.iter().any(|a| matches!(a, Action::Cancel { .. })),
@@ -138,12 +138,12 @@
     let mut node = Node::new(polling_settings(Idempotency::Idempotent), 1);
     node.servers(ready_servers(0..2));
     let actions = node.request(1, 0, 800.0);
-    let (asked, mut sent) = (
+    let (polled, mut sent) = (
         polled_servers(&actions),
         expire_timer(&mut node, &actions, LOAD_POLL),
     );
     let at = sent_server(&sent).expect("by the counts known before");
-    for server in asked {
+    for server in polled {
         sent.extend(respond_to_poll(&mut node, server, 0.0));
     }
     assert!(
@@ -154,7 +154,7 @@
 
 /// An overdue non-idempotent request may have run: it could not be retried.
 #[test]
-fn overdue_non_idempotent_attempt_is_not_polled() {
+fn overdue_non_idempotent_attempt_is_not_asked() {
     let (_, sent) = one_in_flight(Idempotency::NonIdempotent);
     assert!(!sent
         .iter()
