--- a/src/main.rs
+++ b/src/main.rs
@@ -12,7 +12,7 @@
 use silverthread::node::admin::config_file::OperatorConfig;
 use silverthread::node::cluster::FleetError;
 use silverthread::node::{config::Config, run, NodeError, NodeOptions};
-use silverthread::simulator::one_line;
+use silverthread::text::one_line;
 
 /// The environment variable that names the operators' file where the command line does not.
 const CONFIG_FILE_VARIABLE: &str = "SILVERTHREAD_CONFIG";
--- a/src/node/admin/log.rs
+++ b/src/node/admin/log.rs
@@ -30,10 +30,7 @@
         ..window
     }));
     if window.lines < MAX_LINES_PER_SECOND {
-        eprintln!(
-            "silverthread: {}",
-            crate::simulator::one_line(&text.to_string())
-        );
+        eprintln!("silverthread: {}", crate::text::one_line(&text.to_string()));
     }
 }
 
--- a/src/node/cluster/outlier_detection.rs
+++ b/src/node/cluster/outlier_detection.rs
@@ -13,7 +13,7 @@
     Action, Event, FailureKind, NodeKey, OutlierDetector, ReportedServer, ServerKey, Settings,
     SettingsError,
 };
-use balancer::{Ending, ServerId};
+use balancer::{AttemptResult, ServerId};
 use gossip::{Event as GossipEvent, MemberId, State};
 
 use super::{boot_ms, figure_lines, Fleet};
@@ -41,15 +41,19 @@
     NoEvidence,
 }
 
-impl From<Ending> for AttemptOutcome {
-    fn from(ending: Ending) -> Self {
+impl From<AttemptResult> for AttemptOutcome {
+    fn from(ending: AttemptResult) -> Self {
         match ending {
-            Ending::Served | Ending::Rejected => Self::Success,
-            Ending::Error => Self::Failure(FailureKind::ErrorResponse),
-            Ending::Unreachable => Self::Failure(FailureKind::Unreachable),
-            Ending::Reset | Ending::Spoilt => Self::Failure(FailureKind::ConnectionBroken),
-            Ending::TimedOut => Self::Failure(FailureKind::TimedOut),
-            Ending::Full | Ending::Cancelled | Ending::NotSent => Self::NoEvidence,
+            AttemptResult::Served | AttemptResult::ClientError => Self::Success,
+            AttemptResult::Error => Self::Failure(FailureKind::ErrorResponse),
+            AttemptResult::Unreachable => Self::Failure(FailureKind::Unreachable),
+            AttemptResult::Reset | AttemptResult::Malformed => {
+                Self::Failure(FailureKind::ConnectionBroken)
+            }
+            AttemptResult::TimedOut => Self::Failure(FailureKind::TimedOut),
+            AttemptResult::Overloaded | AttemptResult::Cancelled | AttemptResult::NotSent => {
+                Self::NoEvidence
+            }
         }
     }
 }
--- a/src/node/discovery/endpoint_list/timing.rs
+++ b/src/node/discovery/endpoint_list/timing.rs
@@ -3,7 +3,7 @@
 
 use std::time::Duration;
 
-use balancer::LONGEST_RESUBSCRIBE_MS;
+use balancer::MAX_RESUBSCRIBE_DELAY_MS;
 
 /// A change must take effect this long after discovery had it and was reachable.
 pub const PROPAGATION_DEADLINE: Duration = Duration::from_secs(6);
@@ -71,7 +71,7 @@
     pub fn subscribed() -> Self {
         Self {
             open_timeout: SUBSCRIBED_OPEN_TIMEOUT,
-            max_retry_delay: Duration::from_secs_f64(LONGEST_RESUBSCRIBE_MS / 1e3),
+            max_retry_delay: Duration::from_secs_f64(MAX_RESUBSCRIBE_DELAY_MS / 1e3),
         }
     }
 }
