--- /dev/null
+++ b/crates/testkit/src/consul/mod.rs
@@ -0,0 +1,485 @@
+//! A fake Consul agent, written from the published HTTP API pages. It holds one catalog in memory, answers blocking
+//! queries, and lags, responds wrongly, loses its data and becomes unreachable on request.
+//!
+//! What it implements: `/v1/health/service/:name` (with `passing`), `/v1/catalog/service/:name`, `/v1/catalog/services`,
+//! `/v1/status/leader`, `/v1/agent/self`, and of the agent API `service/register`, `service/deregister/:id`,
+//! `service/maintenance/:id`, `maintenance` and `check/update/:id`. Of the query parameters `index`, `wait`, `tag`,
+//! `stale`, `consistent` and `cached`; others are ignored. One node, one datacenter, no ACLs but one token.
+
+mod catalog;
+mod http;
+mod service_query;
+mod state;
+
+use std::collections::BTreeMap;
+use std::io::BufReader;
+use std::net::{Shutdown, SocketAddr, TcpListener, TcpStream};
+use std::sync::{Arc, Condvar, Mutex, MutexGuard};
+use std::thread;
+use std::time::{Duration, Instant};
+
+use serde_json::{json, Value};
+
+use crate::message::Message;
+use catalog::{parse_registration, RegisteredInstance};
+use http::{headers, percent_decode, write_endless, write_response, write_truncated};
+use service_query::ServiceQuery;
+use state::{State, Version};
+
+pub use catalog::{Catalog, CatalogEditor, Instance};
+
+/// Versions of the catalog that are kept for an agent that lags.
+const MAX_VERSIONS: usize = 4_096;
+/// How often an agent that lags checks whether a later version is due.
+const LAG_POLL_INTERVAL: Duration = Duration::from_millis(5);
+
+/// What an agent does to its responses.
+#[derive(Clone, Debug, Default, PartialEq)]
+pub enum Fault {
+    /// Nothing.
+    #[default]
+    None,
+    /// It responds with this status.
+    Status(u16),
+    /// It closes the connection after so many bytes of the body.
+    Truncate(usize),
+    /// It reads the query and never responds.
+    Never,
+    /// Its response has no end.
+    Endless,
+    /// Its response has this body.
+    Body(String),
+    /// It responds at once, whatever the index.
+    Immediate,
+    /// It returns this index.
+    Index(u64),
+    /// It knows no leader.
+    NoLeader,
+    /// It was in contact with the leader so many milliseconds ago.
+    LastContact(u64),
+    /// It responds from a cache of this age, in seconds.
+    Cached(u64),
+}
+
+/// A response that was written completely.
+#[derive(Clone, Debug, PartialEq)]
+pub struct RecordedResponse {
+    /// Before its first byte was written.
+    pub started_at: Instant,
+    /// After its last byte was written.
+    pub completed_at: Instant,
+    /// The index of its catalog.
+    pub index: u64,
+    /// The ids of the instances in maintenance mode.
+    pub draining: Vec<String>,
+    /// The ids of the others.
+    pub others: Vec<String>,
+}
+
+/// A fake agent. Clones are handles to the same one.
+#[derive(Clone)]
+pub struct Consul {
+    /// Where it listens.
+    pub address: SocketAddr,
+    shared: Arc<(Mutex<State>, Condvar)>,
+}
+
+impl Consul {
+    /// Starts an agent with an empty catalog on a free port.
+    #[must_use]
+    pub fn start() -> Self {
+        Self::start_at(([127, 0, 0, 1], 0).into()).expect("a port")
+    }
+
+    /// Starts an agent at an address.
+    ///
+    /// # Errors
+    ///
+    /// It cannot listen there.
+    pub fn start_at(address: SocketAddr) -> std::io::Result<Self> {
+        let listener = TcpListener::bind(address)?;
+        let address = listener.local_addr()?;
+        let mut state = State {
+            is_recording: true,
+            ..State::default()
+        };
+        state.versions.push_back(Version {
+            since: None,
+            catalog: Arc::new(Catalog {
+                index: 1,
+                ..Catalog::default()
+            }),
+        });
+        let consul = Self {
+            address,
+            shared: Arc::new((Mutex::new(state), Condvar::new())),
+        };
+        let serving = consul.clone();
+        thread::spawn(move || {
+            for stream in listener.incoming().map_while(Result::ok) {
+                if serving.state().is_unreachable {
+                    continue; // Dropping the stream closes it.
+                }
+                let copy = stream.try_clone().expect("a socket");
+                serving.state().connections.push(copy);
+                let consul = serving.clone();
+                thread::spawn(move || consul.connection(stream));
+            }
+        });
+        Ok(consul)
+    }
+
+    fn state(&self) -> MutexGuard<'_, State> {
+        self.shared
+            .0
+            .lock()
+            .expect("no thread panics with the lock")
+    }
+
+    /// Changes the catalog by one index.
+    pub fn change(&self, change: impl FnOnce(&mut CatalogEditor<'_>)) {
+        let mut state = self.state();
+        let mut next = Catalog::clone(state.newest());
+        next.index += 1;
+        change(&mut CatalogEditor(&mut next));
+        state.versions.push_back(Version {
+            since: Some(Instant::now()),
+            catalog: Arc::new(next),
+        });
+        if state.versions.len() > MAX_VERSIONS {
+            state.versions.pop_front();
+        }
+        drop(state);
+        self.shared.1.notify_all();
+    }
+
+    /// Registers an instance, or registers it anew.
+    pub fn register(&self, instance: Instance) {
+        self.change(|catalog| catalog.put(instance));
+    }
+
+    /// Removes an instance.
+    pub fn deregister(&self, id: &str) {
+        self.change(|catalog| catalog.remove(id));
+    }
+
+    /// Removes all instances.
+    pub fn deregister_all(&self) {
+        self.change(|catalog| catalog.0.instances.clear());
+    }
+
+    /// Sets the status of an instance's own check.
+    pub fn set_status(&self, id: &str, status: &str) {
+        self.change(|catalog| {
+            catalog.edit(id, |instance| {
+                instance
+                    .checks
+                    .insert(format!("service:{id}"), status.into());
+            });
+        });
+    }
+
+    /// Sets or ends the maintenance mode of an instance.
+    pub fn set_maintenance(&self, id: &str, on: bool) {
+        self.change(|catalog| {
+            catalog.edit(id, |instance| {
+                let check = format!("_service_maintenance:{id}");
+                if on {
+                    instance.checks.insert(check, "critical".into());
+                } else {
+                    instance.checks.remove(&check);
+                }
+            });
+        });
+    }
+
+    /// The current catalog.
+    #[must_use]
+    pub fn catalog(&self) -> Catalog {
+        Catalog::clone(self.state().newest())
+    }
+
+    /// Replaces the catalog by one of another time or another agent.
+    pub fn restore(&self, catalog: Catalog) {
+        let mut state = self.state();
+        state.versions.clear();
+        state.versions.push_back(Version {
+            since: None,
+            catalog: Arc::new(catalog),
+        });
+        drop(state);
+        self.shared.1.notify_all();
+    }
+
+    /// Injects a fault into all responses from now on.
+    pub fn set_fault(&self, fault: Fault) {
+        self.state().fault = fault;
+        self.shared.1.notify_all();
+    }
+
+    /// Sets how far the agent lags from now on.
+    pub fn set_lag(&self, lag: Duration) {
+        self.state().lag = lag;
+    }
+
+    /// Closes all connections and accepts no more, or accepts connections again.
+    pub fn set_unreachable(&self, is_unreachable: bool) {
+        let mut state = self.state();
+        state.is_unreachable = is_unreachable;
+        for stream in state.connections.drain(..) {
+            let _ = stream.shutdown(Shutdown::Both); // It may have been closed by the client.
+        }
+    }
+
+    /// Requires this token from now on.
+    pub fn require_token(&self, token: &str) {
+        self.state().token = Some(token.into());
+    }
+
+    /// The request lines of all queries, in order.
+    #[must_use]
+    pub fn queries(&self) -> Vec<String> {
+        self.state().queries.clone()
+    }
+
+    /// How many queries were received.
+    #[must_use]
+    pub fn query_count(&self) -> usize {
+        self.state().query_count
+    }
+
+    /// All responses that were written completely, in order.
+    #[must_use]
+    pub fn responses(&self) -> Vec<RecordedResponse> {
+        self.state().responses.clone()
+    }
+
+    /// Records neither queries nor responses from now on, for long runs.
+    pub fn stop_recording(&self) {
+        self.state().is_recording = false;
+    }
+
+    fn connection(&self, mut stream: TcpStream) {
+        let _ = stream.set_nodelay(true); // It only makes responses arrive sooner.
+        let mut input = BufReader::new(stream.try_clone().expect("a socket"));
+        while let Some(request) = Message::read(&mut input) {
+            let mut state = self.state();
+            state.query_count += 1;
+            if state.is_recording {
+                state.queries.push(request.first.clone());
+            }
+            let allowed = state
+                .token
+                .as_ref()
+                .is_none_or(|token| request.header("x-consul-token") == Some(token));
+            drop(state);
+            let stays_open = if allowed {
+                self.respond(&mut stream, &request)
+            } else {
+                write_response(&mut stream, "403 Forbidden", "", b"Permission denied")
+            };
+            if !stays_open {
+                let _ = stream.shutdown(Shutdown::Both); // The client sees the end either way.
+                return;
+            }
+        }
+    }
+
+    /// Responds to a request; returns whether the connection stays open.
+    fn respond(&self, stream: &mut TcpStream, request: &Message) -> bool {
+        let mut words = request.first.split(' ');
+        let (method, target) = (
+            words.next().unwrap_or_default(),
+            words.next().unwrap_or_default(),
+        );
+        let (path, query) = target.split_once('?').unwrap_or((target, ""));
+        let query: Vec<_> = query
+            .split('&')
+            .map(|pair| pair.split_once('=').unwrap_or((pair, "")))
+            .collect();
+        let path: Vec<_> = path
+            .trim_start_matches("/v1/")
+            .split('/')
+            .map(percent_decode)
+            .collect();
+        let path: Vec<_> = path.iter().map(String::as_str).collect();
+        match (method, path.as_slice()) {
+            ("GET", ["health" | "catalog", "service", service]) => {
+                let query = ServiceQuery::parse(path[0] == "health", service, &query);
+                self.list_instances(stream, &query)
+            }
+            ("GET", ["catalog", "services"]) => {
+                let mut services = BTreeMap::<_, Vec<String>>::new();
+                let catalog = self.catalog();
+                for instance in catalog.instances() {
+                    services
+                        .entry(&instance.service)
+                        .or_default()
+                        .extend(instance.tags.clone());
+                }
+                let body = json!(services).to_string();
+                write_response(
+                    stream,
+                    "200 OK",
+                    &headers(&Fault::None, catalog.index),
+                    body.as_bytes(),
+                )
+            }
+            ("GET", ["status", "leader"]) => {
+                write_response(stream, "200 OK", "", b"\"127.0.0.1:8300\"")
+            }
+            ("GET", ["agent", "self"]) => {
+                let body =
+                    json!({"Config": {"Datacenter": "dc1", "NodeName": "fake", "Server": true}});
+                write_response(stream, "200 OK", "", body.to_string().as_bytes())
+            }
+            ("PUT", ["agent", rest @ ..]) => {
+                let done = self.handle_agent_api(rest, &query, &request.body);
+                write_response(
+                    stream,
+                    if done { "200 OK" } else { "400 Bad Request" },
+                    "",
+                    b"",
+                )
+            }
+            _ => write_response(stream, "404 Not Found", "", b"no such page"),
+        }
+    }
+
+    /// Handles a request of the agent API; returns whether it is valid.
+    fn handle_agent_api(&self, path: &[&str], query: &[(&str, &str)], body: &[u8]) -> bool {
+        let enable = query.contains(&("enable", "true"));
+        match path {
+            ["service", "register"] => {
+                let instance = serde_json::from_slice(body)
+                    .ok()
+                    .and_then(|body| parse_registration(&body));
+                instance.map(|instance| self.register(instance)).is_some()
+            }
+            ["service", "deregister", id] => {
+                self.deregister(id);
+                true
+            }
+            ["service", "maintenance", id] => {
+                self.set_maintenance(id, enable);
+                true
+            }
+            ["maintenance"] => {
+                self.change(|catalog| catalog.set_node_maintenance(enable));
+                true
+            }
+            ["check", "update", check] => {
+                let body: Value = serde_json::from_slice(body).unwrap_or_default();
+                let status = body["Status"].as_str().unwrap_or_default().to_owned();
+                let Some(id) = check.strip_prefix("service:") else {
+                    return false;
+                };
+                self.set_status(id, &status);
+                matches!(status.as_str(), "passing" | "warning" | "critical")
+            }
+            _ => false,
+        }
+    }
+
+    /// Responds to a query for a service's instances; returns whether the connection stays open.
+    fn list_instances(&self, stream: &mut TcpStream, query: &ServiceQuery<'_>) -> bool {
+        let Some((fault, catalog)) = self.block(query.index, query.wait) else {
+            return false;
+        };
+        let selected: Vec<_> = catalog
+            .instances
+            .values()
+            .filter(|registered| query.selects(&registered.instance))
+            .collect();
+        let body = match &fault {
+            Fault::Body(body) => body.clone(),
+            _ => query.body(&selected),
+        };
+        let headers = headers(&fault, catalog.index);
+        match fault {
+            Fault::Status(status) => {
+                write_response(stream, &format!("{status} Fault"), &headers, b"fault")
+            }
+            Fault::Truncate(at) => {
+                write_truncated(stream, &headers, &body, at);
+                false
+            }
+            Fault::Endless => {
+                write_endless(stream, &headers, selected.first().copied());
+                false
+            }
+            fault => {
+                let started_at = Instant::now();
+                let is_complete = write_response(stream, "200 OK", &headers, body.as_bytes());
+                if is_complete {
+                    self.record_response(started_at, &fault, &catalog, &selected);
+                }
+                is_complete
+            }
+        }
+    }
+
+    fn record_response(
+        &self,
+        started_at: Instant,
+        fault: &Fault,
+        catalog: &Catalog,
+        selected: &[&Arc<RegisteredInstance>],
+    ) {
+        let mut state = self.state();
+        if !state.is_recording || matches!(fault, Fault::Body(_)) {
+            return;
+        }
+        let ids = |draining: bool| {
+            let some = selected
+                .iter()
+                .filter(|registered| registered.instance.is_in_maintenance() == draining);
+            some.map(|registered| registered.instance.id.clone())
+                .collect()
+        };
+        let response = RecordedResponse {
+            started_at,
+            completed_at: Instant::now(),
+            index: catalog.index,
+            draining: ids(true),
+            others: ids(false),
+        };
+        state.responses.push(response);
+    }
+
+    /// Waits until the visible catalog is newer than `index`, or the wait is over. `None`: the agent has become
+    /// unreachable, and there is no response.
+    fn block(&self, index: u64, wait: Duration) -> Option<(Fault, Arc<Catalog>)> {
+        let end = Instant::now() + wait;
+        let mut state = self.state();
+        loop {
+            let now = Instant::now();
+            let visible = Arc::clone(state.visible());
+            let responds = match state.fault {
+                _ if state.is_unreachable => return None,
+                Fault::Never => false,
+                Fault::None | Fault::NoLeader | Fault::LastContact(_) | Fault::Cached(_) => {
+                    visible.index > index || now >= end
+                }
+                _ => true,
+            };
+            if responds {
+                return Some((state.fault.clone(), visible));
+            }
+            let interval = if state.lag.is_zero() {
+                Duration::from_millis(200)
+            } else {
+                LAG_POLL_INTERVAL
+            };
+            let left = end
+                .saturating_duration_since(now)
+                .clamp(Duration::from_millis(1), interval);
+            state = self
+                .shared
+                .1
+                .wait_timeout(state, left)
+                .expect("no thread panics with the lock")
+                .0;
+        }
+    }
+}
--- a/src/node/config.rs
+++ b/src/node/config.rs
@@ -9,8 +9,8 @@
 use serde::Deserialize;
 use serde_json::Value;
 
-use crate::simulator::{read_settings, WireError};
-use balancer::{Discovery, Settings};
+use crate::settings::{parse_settings, SettingsFormatError};
+use balancer::{DiscoveryMode, Settings};
 
 /// The variable that names the configuration file.
 const VARIABLE: &str = "ROUTER_CONFIG";
@@ -27,7 +27,7 @@
     /// A value makes no sense.
     Value(&'static str, String),
     /// The settings are not what the module takes.
-    Settings(WireError),
+    Settings(SettingsFormatError),
 }
 
 impl fmt::Display for ConfigError {
@@ -48,10 +48,10 @@
 
 impl std::error::Error for ConfigError {}
 
-/// A list of servers as discovery words it. Its entries are read one by one, so that one that is malformed
-/// does not hide the others.
+/// An endpoint list in the JSON form of the platform's discovery. Its entries are decoded one by one,
+/// so that a malformed one does not hide the others.
 #[derive(Clone, Debug, Default, Deserialize)]
-pub struct HostList {
+pub struct EndpointList {
     /// Its version.
     pub generation: u64,
     /// Whether it is the whole list.
@@ -163,7 +163,7 @@
     /// What the process may use.
     pub limits: Limits,
     /// The list of servers as last held.
-    pub known: HostList,
+    pub known: EndpointList,
     /// The module's settings.
     pub settings: Settings,
     /// Classes of requests.
@@ -200,7 +200,7 @@
     #[serde(default)]
     limits: Limits,
     #[serde(default)]
-    known: HostList,
+    known: EndpointList,
     settings: Value,
 }
 
@@ -209,7 +209,7 @@
     name: String,
 }
 
-/// The settings that concern the sockets alone; the module's own are read by `read_settings`.
+/// The settings that concern the sockets alone; the module's own are read by `parse_settings`.
 #[derive(Deserialize)]
 #[serde(default)]
 struct SocketSettings {
@@ -292,12 +292,12 @@
     /// It cannot be used.
     pub fn parse(text: &str) -> Result<Self, ConfigError> {
         let raw: Raw = serde_json::from_str(text).map_err(ConfigError::Malformed)?;
-        let mut settings = read_settings(&raw.settings).map_err(ConfigError::Settings)?;
+        let mut settings = parse_settings(&raw.settings).map_err(ConfigError::Settings)?;
         // This node cannot probe: the balancer is told so, and goes by the reports in answers alone.
-        settings.probes = false;
+        settings.health_checks = false;
         settings
             .validate()
-            .map_err(|error| ConfigError::Settings(WireError::other(&error)))?;
+            .map_err(|error| ConfigError::Settings(SettingsFormatError::OutOfRange(error)))?;
         let sockets: SocketSettings =
             serde_json::from_value(raw.settings).map_err(ConfigError::Malformed)?;
         let names = |named: Vec<Named>| Names::new(named.into_iter().map(|n| n.name));
@@ -314,7 +314,7 @@
                 .map(|at| address("control", at))
                 .transpose()?,
             discovery: address("discovery", &raw.discovery)?,
-            push: settings.discovery == Discovery::Push,
+            push: settings.discovery == DiscoveryMode::Push,
             seed: u64::from_str_radix(&raw.seed, 16)
                 .map_err(|_| ConfigError::Value("seed", raw.seed))?,
             limits: raw.limits,
--- /dev/null
+++ b/src/node/discovery/consul/mod.rs
@@ -0,0 +1,179 @@
+//! Client of Consul's agents: carries out what a [`Watch`] asks for, and reports to the merged view
+//! what the watch reports.
+
+mod exchange;
+mod token;
+
+use std::net::SocketAddr;
+use std::path::PathBuf;
+use std::rc::Rc;
+use std::time::Duration;
+
+use consul::{Action, Event, InstanceFacts, Watch, WatchEvent, WatchSettings};
+use endpoint_discovery::{
+    Assertion, Endpoint, Freshness, Lifecycle, Removal, SourceId, SourcePolicy, SourceUpdate,
+};
+
+use crate::node::admin::log;
+use crate::node::discovery::updates::EndpointUpdates;
+use exchange::{Exchange, Progress};
+
+/// A service in Consul that is followed.
+#[derive(Clone, Debug, PartialEq)]
+pub struct ConsulSource {
+    /// How far it is trusted, with its name.
+    pub policy: SourcePolicy,
+    /// The agents, in the order in which they are tried.
+    pub agents: Vec<SocketAddr>,
+    /// The file that holds the token.
+    pub token_file: Option<PathBuf>,
+    /// The query, and the mapping of its response.
+    pub watch: WatchSettings,
+}
+
+/// Follows a service for as long as the future is polled. Dropping it closes its connection and has
+/// no other effect.
+pub async fn follow(
+    updates: Rc<EndpointUpdates>,
+    source: SourceId,
+    settings: ConsulSource,
+    seed: u64,
+) {
+    let mut follower = Follower {
+        watch: Watch::new(settings.watch.clone(), seed),
+        exchange: Exchange::new(settings.agents.clone(), settings.token_file),
+        source_name: settings.policy.name,
+        agents: settings.agents,
+        updates,
+        source,
+        timer_ms: 0.0,
+    };
+    follower.handle(Event::TimerExpired);
+    loop {
+        let left_ms = (follower.timer_ms - follower.updates.driver().now_ms()).max(0.0);
+        let left = Duration::try_from_secs_f64(left_ms / 1e3).unwrap_or(Duration::MAX);
+        let progress = tokio::select! {
+            progress = follower.exchange.next() => Some(progress),
+            () = tokio::time::sleep(left) => None,
+        };
+        match progress {
+            None => follower.handle(Event::TimerExpired),
+            Some(progress) => follower.handle_progress(progress),
+        }
+    }
+}
+
+struct Follower {
+    watch: Watch,
+    exchange: Exchange,
+    source_name: String,
+    agents: Vec<SocketAddr>,
+    updates: Rc<EndpointUpdates>,
+    source: SourceId,
+    /// The watch's timer, in milliseconds of the driver's clock.
+    timer_ms: f64,
+}
+
+impl Follower {
+    /// Passes an event to the watch and carries out its actions.
+    fn handle(&mut self, event: Event<'_>) {
+        let mut actions = Vec::new();
+        let now_ms = self.updates.driver().now_ms();
+        self.watch.handle(now_ms, event, &mut actions);
+        for action in actions {
+            self.carry_out(action);
+        }
+    }
+
+    fn handle_progress(&mut self, progress: Progress) {
+        match progress {
+            Progress::Head(response) => {
+                let headers: Vec<_> = response
+                    .headers()
+                    .iter()
+                    .filter_map(|(name, value)| Some((name.as_str(), value.to_str().ok()?)))
+                    .collect();
+                self.handle(Event::Head {
+                    status: response.status().as_u16(),
+                    headers: &headers,
+                });
+                self.exchange.receive_body(response.into_body());
+            }
+            Progress::Body(piece) => self.handle(Event::Body(&piece)),
+            Progress::End => self.handle(Event::End),
+            Progress::Failed(error) => self.handle(Event::ConnectionFailed(error.to_string())),
+        }
+    }
+
+    fn carry_out(&mut self, action: Action) {
+        let source = self.source;
+        match action {
+            Action::SendQuery { agent, path } => self.exchange.send(agent, &path),
+            Action::CloseConnection => self.exchange.close(),
+            Action::SetTimer(at_ms) => self.timer_ms = at_ms,
+            Action::Report(report) => {
+                let update = source_update(report);
+                self.updates
+                    .handle(endpoint_discovery::Event::SourceUpdated { source, update });
+            }
+            Action::ReportLost => self
+                .updates
+                .handle(endpoint_discovery::Event::SourceLost { source }),
+            Action::LogError { agent, error } => log::line(format_args!(
+                "{}: agent {}: {error}",
+                self.source_name, self.agents[agent]
+            )),
+        }
+    }
+}
+
+/// What a watch reports, as an update of the merged view.
+fn source_update(report: WatchEvent) -> SourceUpdate {
+    let version = report.index;
+    SourceUpdate {
+        freshness: if report.is_current {
+            Freshness::Current
+        } else {
+            Freshness::Outdated
+        },
+        epoch: report.epoch,
+        assertions: report
+            .updated
+            .iter()
+            .map(|facts| assertion(facts, version))
+            .collect(),
+        removals: report
+            .removed
+            .into_iter()
+            .map(|key| Removal { key, version })
+            .collect(),
+    }
+}
+
+fn assertion(facts: &InstanceFacts, version: u64) -> Assertion {
+    let lifecycle = lifecycle(facts.lifecycle);
+    Assertion {
+        key: facts.key.clone(),
+        lifecycle,
+        version,
+        endpoint: Some(Endpoint {
+            id: facts.key.clone(),
+            address: facts.address,
+            alternate_addresses: facts.alternate_addresses.clone(),
+            lifecycle,
+            zone: facts.zone.clone().unwrap_or_default(),
+            machine_type: facts.machine_type.clone().unwrap_or_default(),
+            cell: facts.cell,
+            started_at_ms: facts.started_at_ms.unwrap_or(0.0),
+            weight: facts.weight,
+        }),
+    }
+}
+
+fn lifecycle(lifecycle: consul::Lifecycle) -> Lifecycle {
+    match lifecycle {
+        consul::Lifecycle::Ready => Lifecycle::Ready,
+        consul::Lifecycle::Draining => Lifecycle::Draining,
+        consul::Lifecycle::Gone => Lifecycle::Gone,
+    }
+}
--- a/src/node/driver.rs
+++ b/src/node/driver.rs
@@ -6,22 +6,22 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-use admin::{Figures, Now};
-use endpoint_discovery::{Host, State};
+use admin::{Metrics, ServerGauges};
+use endpoint_discovery::{Endpoint, Lifecycle};
 use tokio::sync::{oneshot, Notify};
 use tokio::task::AbortHandle;
 
 use crate::node::admin::log;
 use crate::node::clock::Clock;
 use crate::node::config::{Config, ConfigError, Names};
-use crate::node::discovery::roster;
-use crate::node::upstream::addresses::AllSaid;
-use crate::node::upstream::servers::{Bounds, Servers, Underway};
+use crate::node::discovery::endpoint_list::decode::decode_endpoints;
+use crate::node::upstream::addresses::ConfiguredAddresses;
+use crate::node::upstream::servers::{PoolLimits, Servers, Underway};
 use crate::node::upstream::{Ended, Message, RequestBody, Served};
-use crate::simulator::WireError;
+use crate::settings::SettingsFormatError;
 use balancer::{
-    Action, Availability, Balancer, Class, Effect, Ending, Event, Listing, Outcome, Request,
-    RequestId, ServerEntry, ServerId,
+    Action, AttemptResult, Availability, Balancer, Class, Event, Idempotency, Outcome, Request,
+    RequestId, ServerEntry, ServerId, ServerListUpdate,
 };
 
 /// An answer must reach the client within its time: this much before its end the node stops waiting.
@@ -44,8 +44,8 @@
 pub enum Answer {
     /// A server's own.
     Served(Served),
-    /// Refused: trying again is harmless.
-    Refused {
+    /// Rejected: a retry is harmless.
+    Rejected {
         /// When the client should, where the balancer names a time.
         after_ms: Option<f64>,
     },
@@ -80,15 +80,15 @@
 }
 
 /// Whether a server's answer is the request's.
-fn is_final(ending: Ending) -> bool {
-    matches!(ending, Ending::Served | Ending::Rejected)
+fn is_final(ending: AttemptResult) -> bool {
+    matches!(ending, AttemptResult::Served | AttemptResult::ClientError)
 }
 
-fn availability(state: State) -> Availability {
-    match state {
-        State::Ready => Availability::Ready,
-        State::Draining => Availability::Draining,
-        State::Gone => Availability::Gone,
+fn availability(lifecycle: Lifecycle) -> Availability {
+    match lifecycle {
+        Lifecycle::Ready => Availability::Ready,
+        Lifecycle::Draining => Availability::Draining,
+        Lifecycle::Gone => Availability::Gone,
     }
 }
 
@@ -99,11 +99,11 @@
 }
 
 /// Hears of the server, by the key that other nodes know it by, and how an attempt there ended.
-type Watcher = Rc<dyn Fn(u64, Ending)>;
+type Watcher = Rc<dyn Fn(u64, AttemptResult)>;
 
 /// What all nodes know a server by in this life of it: one that is replaced under its name is another.
-fn key_of(host: &Host) -> u64 {
-    crate::simulator::spread(&host.id) ^ stable_hash::mix(host.started_at_ms.to_bits())
+fn key_of(host: &Endpoint) -> u64 {
+    stable_hash::hash_name(&host.id) ^ stable_hash::mix(host.started_at_ms.to_bits())
 }
 
 /// Owns the balancer. See the module's page.
@@ -111,7 +111,7 @@
     balancer: RefCell<Balancer>,
     clock: Clock,
     /// What became of requests.
-    pub figures: Figures,
+    pub metrics: Metrics,
     /// The names of the settings.
     pub names: SettingNames,
     servers: Rc<Servers>,
@@ -157,7 +157,7 @@
 /// What holds for the requests of a class.
 pub struct ClassRule {
     /// What running one twice does.
-    pub effect: Effect,
+    pub effect: Idempotency,
     /// How long a client waits at the most.
     pub longest: Duration,
 }
@@ -169,7 +169,7 @@
     ///
     /// The module does not take the settings.
     pub fn start(config: &Config) -> Result<Rc<Self>, ConfigError> {
-        Self::start_with(config, AllSaid::new(), Bounds::default())
+        Self::start_with(config, ConfiguredAddresses::new(), PoolLimits::default())
     }
 
     /// The same, with what the operators say of servers' addresses and of connections to them.
@@ -179,12 +179,12 @@
     /// The module does not take the settings.
     pub fn start_with(
         config: &Config,
-        said: AllSaid,
-        bounds: Bounds,
+        configured_addresses: ConfiguredAddresses,
+        pool_limits: PoolLimits,
     ) -> Result<Rc<Self>, ConfigError> {
         let settings = config.settings.clone();
         let rules = |class: &Class| ClassRule {
-            effect: class.effect,
+            effect: class.idempotency,
             longest: Duration::from_secs_f64(class.deadline_ms.min(1e9) / 1e3),
         };
         let names = SettingNames {
@@ -196,14 +196,14 @@
         };
         let max_attempts = settings.max_attempts;
         let balancer = Balancer::new(settings, config.seed)
-            .map_err(|error| ConfigError::Settings(WireError::other(&error)))?;
+            .map_err(|error| ConfigError::Settings(SettingsFormatError::OutOfRange(error)))?;
         let clock = Clock::new();
         let driver = Rc::new(Self {
             balancer: RefCell::new(balancer),
             clock,
-            figures: Figures::new(names.classes.in_order()),
+            metrics: Metrics::new(names.classes.in_order()),
             names,
-            servers: Servers::new(config, said, bounds, clock),
+            servers: Servers::new(config, configured_addresses, pool_limits, clock),
             numbers: RefCell::default(),
             next_server: Cell::new(0),
             max_attempts,
@@ -221,7 +221,7 @@
             latest: Cell::default(),
             ends_by: Cell::default(),
         });
-        driver.listing(&roster::read_all(&config.known), Listing::Cached);
+        driver.listing(&decode_endpoints(&config.known), ServerListUpdate::Cached);
         tokio::task::spawn_local(Rc::clone(&driver).wake_up());
         tokio::task::spawn_local(Rc::clone(&driver).sweep());
         tokio::task::spawn_local(Rc::clone(&driver.servers).wake_up());
@@ -229,12 +229,12 @@
     }
 
     /// Takes the whole list of servers.
-    pub fn list(self: &Rc<Self>, hosts: &[Host]) {
-        self.listing(hosts, Listing::Full);
+    pub fn list(self: &Rc<Self>, hosts: &[Endpoint]) {
+        self.listing(hosts, ServerListUpdate::Full);
     }
 
     /// Has somebody told how attempts end, from here on.
-    pub fn watch(&self, watcher: impl Fn(u64, Ending) + 'static) {
+    pub fn watch(&self, watcher: impl Fn(u64, AttemptResult) + 'static) {
         self.watcher.replace(Some(Rc::new(watcher)));
     }
 
@@ -270,13 +270,13 @@
     }
 
     /// Takes the servers that changed.
-    pub fn changes(self: &Rc<Self>, hosts: &[Host]) {
-        self.listing(hosts, Listing::Changes);
+    pub fn changes(self: &Rc<Self>, hosts: &[Endpoint]) {
+        self.listing(hosts, ServerListUpdate::Changes);
     }
 
-    /// Takes what the operators say now of servers' addresses.
-    pub fn say_addresses(self: &Rc<Self>, said: AllSaid) {
-        let hosts = self.servers.say(said);
+    /// Replaces the servers' configured addresses.
+    pub fn set_configured_addresses(self: &Rc<Self>, configured: ConfiguredAddresses) {
+        let hosts = self.servers.set_configured_addresses(configured);
         if !hosts.is_empty() {
             self.changes(&hosts);
         }
@@ -290,30 +290,32 @@
 
     /// How many servers there are, and how many of them are avoided.
     #[must_use]
-    pub fn servers_now(&self) -> Now {
-        let servers_known = self.numbers.borrow().len();
-        let servers_excluded = self.balancer.borrow().servers_excluded(self.now_ms());
-        Now {
-            servers_known,
-            servers_excluded,
+    pub fn server_gauges(&self) -> ServerGauges {
+        ServerGauges {
+            known: self.numbers.borrow().len(),
+            excluded: self.balancer.borrow().servers_excluded(self.now_ms()),
         }
     }
 
     /// The list could not be had, or its changes come no more.
     pub fn list_failed(self: &Rc<Self>) {
-        self.feed(Event::Servers(Listing::Failed));
+        self.feed(Event::ServerList(ServerListUpdate::Failed));
     }
 
-    fn listing(self: &Rc<Self>, hosts: &[Host], kind: fn(Vec<ServerEntry>) -> Listing) {
-        if !matches!(kind(Vec::new()), Listing::Changes(_)) {
+    fn listing(
+        self: &Rc<Self>,
+        hosts: &[Endpoint],
+        kind: fn(Vec<ServerEntry>) -> ServerListUpdate,
+    ) {
+        if !matches!(kind(Vec::new()), ServerListUpdate::Changes(_)) {
             self.forget_missing(hosts);
         }
         let entries = self.entries(hosts);
-        self.feed(Event::Servers(kind(entries)));
+        self.feed(Event::ServerList(kind(entries)));
     }
 
     /// A server that a full list does not name is gone.
-    fn forget_missing(&self, hosts: &[Host]) {
+    fn forget_missing(&self, hosts: &[Endpoint]) {
         let listed: HashSet<&str> = hosts.iter().map(|host| host.id.as_str()).collect();
         self.numbers.borrow_mut().retain(|id, number| {
             let stays = listed.contains(id.as_str());
@@ -326,16 +328,17 @@
     }
 
     /// What the balancer is told of hosts: that they are there, or gone, or that others are gone for them.
-    fn entries(&self, hosts: &[Host]) -> Vec<ServerEntry> {
+    fn entries(&self, hosts: &[Endpoint]) -> Vec<ServerEntry> {
         let mut numbers = self.numbers.borrow_mut();
-        let (gone, there): (Vec<_>, Vec<_>) =
-            hosts.iter().partition(|host| host.state == State::Gone);
+        let (gone, there): (Vec<_>, Vec<_>) = hosts
+            .iter()
+            .partition(|host| host.lifecycle == Lifecycle::Gone);
         let mut gone: Vec<_> = gone
             .into_iter()
             .filter_map(|host| numbers.remove(&host.id))
             .collect();
         gone.iter().for_each(|number| self.servers.forget(*number));
-        let mut numbered: Vec<(ServerId, &Host)> = Vec::with_capacity(there.len());
+        let mut numbered: Vec<(ServerId, &Endpoint)> = Vec::with_capacity(there.len());
         for host in there {
             let number = numbers.entry(host.id.clone()).or_insert_with(|| {
                 let next = self.next_server.get();
@@ -369,15 +372,15 @@
             .collect()
     }
 
-    fn entry(&self, server: ServerId, host: &Host) -> ServerEntry {
+    fn entry(&self, server: ServerId, host: &Endpoint) -> ServerEntry {
         ServerEntry {
             server,
-            place: crate::simulator::spread(&host.id),
-            availability: availability(host.state),
-            started_at: Some(host.started_at_ms).filter(|t| *t > 0.0),
+            ring_position: stable_hash::hash_name(&host.id),
+            availability: availability(host.lifecycle),
+            started_at_ms: Some(host.started_at_ms).filter(|t| *t > 0.0),
             cell: host.cell.unwrap_or(0),
             zone: self.names.zones.get(&host.zone).unwrap_or(0),
-            kind: self.names.kinds.get(&host.kind).unwrap_or(0),
+            machine_kind: self.names.kinds.get(&host.machine_type).unwrap_or(0),
         }
     }
 
@@ -402,10 +405,10 @@
         let (answer, answered) = oneshot::channel();
         let message = Rc::new(message);
         let window = match self.names.rules[class].effect {
-            Effect::Keyed { window_ms, .. } => {
+            Idempotency::IdempotencyKey { window_ms, .. } => {
                 Duration::try_from_secs_f64(window_ms * REPEAT_PART / 1e3).ok()
             }
-            Effect::Safe | Effect::Unsafe => None,
+            Idempotency::Idempotent | Idempotency::NonIdempotent => None,
         };
         let open = Open {
             answer: Some(answer),
@@ -425,8 +428,8 @@
             id: RequestId(number),
             class,
             tenant,
-            item,
-            budget_ms,
+            key: item,
+            timeout_ms: budget_ms,
         }));
         Some(Taken {
             driver: Rc::clone(self),
@@ -482,8 +485,11 @@
         match action {
             Action::Send { request, server } => self.send(request.0, server),
             Action::Cancel { request, attempt } => self.cancel(request.0, attempt),
-            Action::Refuse { request, after_ms } => {
-                self.answer(request.0, Answer::Refused { after_ms });
+            Action::Reject {
+                request,
+                retry_after_ms: after_ms,
+            } => {
+                self.answer(request.0, Answer::Rejected { after_ms });
             }
             Action::Fail { request } => self.answer(request.0, Answer::Failed),
             Action::SetTimer { timer, after_ms } => {
@@ -491,10 +497,10 @@
                     Duration::try_from_secs_f64(after_ms.max(0.0) / 1e3).unwrap_or(LONGEST_TIMER);
                 self.wake_at(Instant::now() + after.min(LONGEST_TIMER), Due::Timer(timer));
             }
-            Action::Close { server } => self.servers.close_idle(server),
+            Action::CloseIdle { server } => self.servers.close_idle(server),
             Action::Subscribe => self.subscribe.notify_one(),
-            Action::Probe { server } => self.refuse_probe(server),
-            Action::Note(text) => log::line(text),
+            Action::HealthCheck { server } => self.refuse_probe(server),
+            Action::Log(event) => log::line(event),
         }
     }
 
@@ -510,7 +516,12 @@
         let over = request.answer.is_none() || now >= request.deadline || !request.message.can_go();
         if over || attempt >= self.max_attempts || request.out.is_some() {
             drop(open);
-            return self.outcome(number, attempt, Duration::ZERO, Ending::NotSent.into());
+            return self.outcome(
+                number,
+                attempt,
+                Duration::ZERO,
+                AttemptResult::NotSent.into(),
+            );
         }
         let message = Rc::clone(&request.message);
         // Guards against a repeat whose connection comes up late: what counts is when it goes out.
@@ -538,7 +549,7 @@
     }
 
     /// Tells whoever wants to know how an attempt ended.
-    fn tell(&self, server: ServerId, ending: Ending) {
+    fn tell(&self, server: ServerId, ending: AttemptResult) {
         let watcher = self.watcher.borrow().clone();
         let key = watcher
             .as_ref()
@@ -624,7 +635,7 @@
             request: RequestId(number),
             attempt,
             elapsed_ms: elapsed.as_secs_f64() * 1e3,
-            ending: ended.ending,
+            result: ended.ending,
             complete,
             report: ended.report,
         }));
@@ -650,7 +661,7 @@
                 number,
                 attempt,
                 out.sent.elapsed(),
-                Ending::Cancelled.into(),
+                AttemptResult::Cancelled.into(),
             );
         }
     }
@@ -659,12 +670,12 @@
     /// has failed.
     fn out_of_time(self: &Rc<Self>, number: u64) {
         if let Some(out) = self.give_up(number, None) {
-            self.tell(out.server, Ending::TimedOut);
+            self.tell(out.server, AttemptResult::TimedOut);
             self.outcome(
                 number,
                 out.number,
                 out.sent.elapsed(),
-                Ending::TimedOut.into(),
+                AttemptResult::TimedOut.into(),
             );
         }
         let late = self
@@ -718,11 +729,11 @@
 
     /// A node that is told of no probes gets none to make; one that is asked for all the same was not sent.
     fn refuse_probe(&self, server: ServerId) {
-        let ending = Ending::NotSent;
-        self.events.borrow_mut().push_back(Event::Probed {
+        let ending = AttemptResult::NotSent;
+        self.events.borrow_mut().push_back(Event::HealthChecked {
             server,
             elapsed_ms: 0.0,
-            ending,
+            result: ending,
             report: None,
         });
     }
--- a/src/node/upstream/servers.rs
+++ b/src/node/upstream/servers.rs
@@ -10,7 +10,7 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-use endpoint_discovery::{Host, State};
+use endpoint_discovery::{Endpoint, Lifecycle};
 use pool::{
     recovery, Action, Address, AddressOwners, Checkout, CheckoutError, CheckoutId, CloseReason,
     ConnectionAge, ConnectionId, DialId, Limits, Pool, Recovery, Route, RouteId, ServerKey,
@@ -21,9 +21,9 @@
 use crate::node::admin::log;
 use crate::node::clock::{Alarm, Clock};
 use crate::node::config::Config;
-use crate::node::upstream::addresses::{routes, AllSaid};
+use crate::node::upstream::addresses::{routes, ConfiguredAddresses};
 use crate::node::upstream::{Conn, Ended, Message, Served};
-use balancer::{Ending, ServerId};
+use balancer::{AttemptResult, ServerId};
 
 /// Turns of one attempt. Each takes away an idle connection that has ended or an address that has broken, so this many
 /// are a server that closes what it accepts, again and again.
@@ -59,7 +59,7 @@
 
 /// A server as its connections know it.
 struct Server {
-    host: Host,
+    host: Endpoint,
     /// Where membership has it; a list that says nothing of that leaves it where it was.
     listed: Option<SocketAddr>,
     /// When its grace ends, of one that drains.
@@ -73,17 +73,17 @@
     age: ConnectionAge,
 }
 
-/// What the operators' file says of connections to servers; where it says nothing, [`Limits`] does.
+/// Limits on connections to servers in the operators' file; [`Limits`] has the defaults.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Bounds {
+pub struct PoolLimits {
     /// Connections to one server, over all its addresses.
-    pub most_per_server: Option<usize>,
+    pub max_connections_per_server: Option<usize>,
     /// Races to one server at a time.
-    pub most_dials: Option<usize>,
+    pub max_concurrent_dials: Option<usize>,
     /// Dials a second to a server that has just started.
     pub cold_dials_per_s: Option<f64>,
     /// Whether one connection more than needed is dialled under a rising load.
-    pub ahead: bool,
+    pub dial_ahead: bool,
 }
 
 /// The connections to all servers.
@@ -94,7 +94,7 @@
     dials: RefCell<HashMap<DialId, AbortHandle>>,
     table: RefCell<BTreeMap<ServerId, Server>>,
     address_owners: RefCell<AddressOwners>,
-    said: RefCell<AllSaid>,
+    configured_addresses: RefCell<ConfiguredAddresses>,
     alarm: Alarm,
     cold_ms: f64,
     drain_grace: Duration,
@@ -104,18 +104,28 @@
 impl Servers {
     /// No servers yet. [`Servers::wake_up`] is to be run beside.
     #[must_use]
-    pub fn new(config: &Config, said: AllSaid, bounds: Bounds, clock: Clock) -> Rc<Self> {
+    pub fn new(
+        config: &Config,
+        configured_addresses: ConfiguredAddresses,
+        pool_limits: PoolLimits,
+        clock: Clock,
+    ) -> Rc<Self> {
         let ms = |time: Duration| time.as_secs_f64() * 1e3;
-        let most_open = config.limits.server_connections();
-        let ordinary = Limits::default();
+        let max_connections = config.limits.server_connections();
+        let defaults = Limits::default();
         let limits = Limits {
-            max_connections: most_open,
-            max_connections_per_server: bounds.most_per_server.unwrap_or(most_open).min(most_open),
-            max_races_per_server: bounds.most_dials.unwrap_or(ordinary.max_races_per_server),
-            slow_start_dials_per_s: bounds
+            max_connections,
+            max_connections_per_server: pool_limits
+                .max_connections_per_server
+                .unwrap_or(max_connections)
+                .min(max_connections),
+            max_races_per_server: pool_limits
+                .max_concurrent_dials
+                .unwrap_or(defaults.max_races_per_server),
+            slow_start_dials_per_s: pool_limits
                 .cold_dials_per_s
-                .unwrap_or(ordinary.slow_start_dials_per_s),
-            dial_ahead: bounds.ahead,
+                .unwrap_or(defaults.slow_start_dials_per_s),
+            dial_ahead: pool_limits.dial_ahead,
             dial_timeout_ms: ms(config.dial_timeout),
             idle_timeout_ms: ms(config.idle_limit),
         };
@@ -126,9 +136,9 @@
             dials: RefCell::default(),
             table: RefCell::default(),
             address_owners: RefCell::default(),
-            said: RefCell::new(said),
+            configured_addresses: RefCell::new(configured_addresses),
             alarm: Alarm::new(),
-            cold_ms: config.settings.cold_ms,
+            cold_ms: config.settings.slow_start_ms,
             drain_grace: config.drain_grace,
             clock,
         })
@@ -261,7 +271,7 @@
     /// Takes what discovery says of servers that are there; idle connections to one that is somewhere else or has
     /// started anew are of no more use. Tells which servers cannot be there any more: there is one at an address, the
     /// one that started last. What is meant for one that is gone must not reach its successor.
-    pub fn update(self: &Rc<Self>, hosts: &[(ServerId, &Host)]) -> Vec<ServerId> {
+    pub fn update(self: &Rc<Self>, hosts: &[(ServerId, &Endpoint)]) -> Vec<ServerId> {
         let mut moved = BTreeSet::new();
         for (at, host) in hosts {
             self.note(*at, host, &mut moved);
@@ -275,8 +285,8 @@
             .collect()
     }
 
-    fn note(self: &Rc<Self>, at: ServerId, host: &Host, moved: &mut BTreeSet<ServerKey>) {
-        let (key, is_ready) = (ServerKey(at.0), host.state == State::Ready);
+    fn note(self: &Rc<Self>, at: ServerId, host: &Endpoint, moved: &mut BTreeSet<ServerKey>) {
+        let (key, is_ready) = (ServerKey(at.0), host.lifecycle == Lifecycle::Ready);
         let mut table = self.table.borrow_mut();
         let before = table.remove(&at);
         let listed = host
@@ -298,7 +308,7 @@
             },
         );
         drop(table);
-        let routes = routes(&self.said.borrow(), host, listed);
+        let routes = routes(&self.configured_addresses.borrow(), host, listed);
         self.address_owners
             .borrow_mut()
             .claim(key, routes, host.started_at_ms, is_ready, moved);
@@ -321,14 +331,14 @@
         }
     }
 
-    /// Takes what the operators' file says of addresses now; tells the servers as they are known, of which some may be
-    /// reached in another way.
+    /// Replaces the configured addresses. Returns the known servers if anything changed: the routes of any of them may
+    /// have.
     #[must_use]
-    pub fn say(&self, said: AllSaid) -> Vec<Host> {
-        if *self.said.borrow() == said {
+    pub fn set_configured_addresses(&self, configured: ConfiguredAddresses) -> Vec<Endpoint> {
+        if *self.configured_addresses.borrow() == configured {
             return Vec::new();
         }
-        *self.said.borrow_mut() = said;
+        *self.configured_addresses.borrow_mut() = configured;
         self.table
             .borrow()
             .values()
@@ -427,15 +437,15 @@
         begin: impl Fn(Served),
     ) -> Ended {
         let mut avoid = Vec::new();
-        let mut gone = Ending::NotSent;
+        let mut gone = AttemptResult::NotSent;
         for _ in 0..MOST_TURNS {
             let mut lease = match self.take(at, &avoid).await {
                 Ok(lease) => lease,
                 Err(CheckoutError::LimitReached) if avoid.is_empty() => {
                     log::line("all connections to servers are in use");
-                    return Ending::NotSent.into();
+                    return AttemptResult::NotSent.into();
                 }
-                Err(_) => return Ending::Unreachable.into(),
+                Err(_) => return AttemptResult::Unreachable.into(),
             };
             if !message.can_go() {
                 return gone.into(); // Its last byte never went out, and shall not.
@@ -443,7 +453,7 @@
             // The last look before anything is written: the list may have changed while the connection came up.
             let now = Instant::now();
             if !self.is_open(at) || now >= deadline {
-                return Ending::NotSent.into();
+                return AttemptResult::NotSent.into();
             }
             match lease.exchange(&message, deadline - now, &begin).await {
                 Ok(ended) => {
@@ -453,13 +463,13 @@
                 Err((Recovery::AnyConnection, _)) => {}
                 Err((Recovery::OtherAddress, by)) => {
                     avoid.extend(by);
-                    gone = Ending::Unreachable;
+                    gone = AttemptResult::Unreachable;
                 }
-                Err((Recovery::Reset, _)) => return Ending::Reset.into(),
-                Err((Recovery::Malformed, _)) => return Ending::Spoilt.into(),
+                Err((Recovery::Reset, _)) => return AttemptResult::Reset.into(),
+                Err((Recovery::Malformed, _)) => return AttemptResult::Malformed.into(),
             }
         }
-        Ending::Unreachable.into()
+        AttemptResult::Unreachable.into()
     }
 }
 
--- a/src/node/upstream/servers/tests.rs
+++ b/src/node/upstream/servers/tests.rs
@@ -25,8 +25,8 @@
     );
     let servers = Servers::new(
         &Config::parse(&text).expect("sound"),
-        AllSaid::new(),
-        Bounds::default(),
+        ConfiguredAddresses::new(),
+        PoolLimits::default(),
         Clock::new(),
     );
     tokio::task::spawn_local(Rc::clone(&servers).wake_up());
@@ -34,13 +34,13 @@
 }
 
 /// One server that listens and accepts nothing, and a deadline far away.
-fn one_server() -> (std::net::TcpListener, Rc<Servers>, Host, Instant) {
+fn one_server() -> (std::net::TcpListener, Rc<Servers>, Endpoint, Instant) {
     let listener = std::net::TcpListener::bind("127.0.0.1:0").expect("a port");
     let address = listener.local_addr().expect("an address");
     let servers = servers(address);
-    let host = Host {
+    let host = Endpoint {
         address: Some(address),
-        ..Host::named("s-0")
+        ..Endpoint::new("s-0")
     };
     servers.update(&[(ServerId(0), &host)]);
     (
@@ -68,8 +68,8 @@
     assert!(begun.is_pending(), "it is on its way");
     servers.update(&[(
         ServerId(0),
-        &Host {
-            state: State::Draining,
+        &Endpoint {
+            lifecycle: Lifecycle::Draining,
             ..host
         },
     )]);
@@ -85,7 +85,7 @@
     let ended = tokio::time::timeout(Duration::from_secs(5), attempt)
         .await
         .expect("it sends, and waits");
-    assert_eq!(ended.ending, Ending::NotSent);
+    assert_eq!(ended.ending, AttemptResult::NotSent);
     drop(servers.standing.borrow_mut().drain().collect::<Vec<_>>());
     let (mut connection, _) = listener.accept().expect("a connection");
     let mut bytes = Vec::new();
@@ -174,14 +174,14 @@
         };
         let listed = vec![route(&broken, 1), route(&other, 2)];
         let servers = servers(SocketAddr::from(([127, 0, 0, 1], 1)));
-        let _ = servers.say(AllSaid::from([(
+        let _ = servers.set_configured_addresses(ConfiguredAddresses::from([(
             "s-0".to_owned(),
-            crate::node::upstream::addresses::Said {
+            crate::node::upstream::addresses::ServerAddresses {
                 routes: listed,
-                only: true,
+                exclusive: true,
             },
         )]));
-        servers.update(&[(ServerId(0), &Host::named("s-0"))]);
+        servers.update(&[(ServerId(0), &Endpoint::new("s-0"))]);
         // More than the system takes for a connection whose other end reads nothing.
         let body = RequestBody::Whole(Bytes::from(vec![b'x'; 32 << 20]));
         let message = Rc::new(Message {
@@ -196,7 +196,7 @@
             .expect("it goes on");
         assert_eq!(
             (ended.ending, up.count()),
-            (Ending::Served, 1),
+            (AttemptResult::Served, 1),
             "{kind:?}, closes: {closes}"
         );
     }
