--- a/crates/gossip/src/wire.rs
+++ b/crates/gossip/src/wire.rs
@@ -482,6 +482,9 @@
     }
 }
 
+#[cfg(test)]
+mod golden_tests;
+
 #[cfg(test)]
 mod tests {
     use super::*;
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -528,3 +528,82 @@
     assert_eq!(udp_sockets(node.process()), 0);
     assert_eq!(fleet.passed().datagrams, 0);
 }
+
+/// Guards the names that scripts and dashboards read.
+#[test]
+fn metrics_and_member_fields_keep_their_recorded_names() {
+    let fleet = started(2, 11);
+    let stats = fleet.node(0).call("STATS\n");
+    let names: Vec<_> = stats
+        .lines()
+        .filter_map(|line| line.strip_prefix("edge_router.fleet_"))
+        .map(|line| {
+            let (name, value) = line.split_once(':').expect("a value after the name");
+            let (_, kind) = value.split_once('|').expect("a kind after the value");
+            format!("{name}|{kind}")
+        })
+        .collect();
+    assert_eq!(
+        names,
+        [
+            "members.alive|g",
+            "members.suspect|g",
+            "members.gone|g",
+            "members.left|g",
+            "health|g",
+            "verdicts|c",
+            "refutations|c",
+            "datagrams_in|c",
+            "bytes_in|c",
+            "datagrams_out|c",
+            "bytes_out|c",
+            "refused.malformed|c",
+            "refused.version|c",
+            "refused.fleet|c",
+            "refused.seal|c",
+            "refused.replayed|c",
+            "refused.other_life|c",
+            "refused.stranger|c",
+            "refused.flood|c",
+            "refused.full|c",
+        ]
+    );
+    let members = fleet.node(0).call("MEMBERS\n");
+    let lines: Vec<Vec<_>> = members
+        .lines()
+        .map(|line| line.split(' ').collect())
+        .collect();
+    assert_eq!(
+        (&lines[0][..3], lines[0][4]),
+        (&["self", "n0", "well"][..], "alive")
+    );
+    assert_eq!((&lines[1][..2], lines[1].len()), (&["n1", "alive"][..], 6));
+    assert_eq!(lines[2..], [["EOF"]]);
+    let output = testkit::program()
+        .args(["members", "--json", "--at"])
+        .arg(fleet.node(0).control().to_string())
+        .output()
+        .expect("the program starts");
+    let json: serde_json::Value = serde_json::from_slice(&output.stdout).expect("JSON");
+    let keys = |value: &serde_json::Value| -> Vec<String> {
+        value
+            .as_object()
+            .expect("an object")
+            .keys()
+            .cloned()
+            .collect()
+    };
+    assert_eq!(keys(&json), ["members", "self"]);
+    assert_eq!(keys(&json["self"]), ["health", "incarnation", "name"]);
+    assert_eq!(
+        keys(&json["members"][0]),
+        [
+            "address",
+            "heard_ms",
+            "incarnation",
+            "name",
+            "since_ms",
+            "state"
+        ]
+    );
+}
