--- /dev/null
+++ b/crates/gossip/src/join.rs
@@ -0,0 +1,335 @@
+//! How nodes find each other: contacting addresses, introductions, name conflicts, and leaving.
+//!
+//! Addresses are not gossiped, as a node may have a different address at each of its peers. Instead every configured
+//! address is contacted, which also finds restarted nodes and repaired links.
+
+use crate::dissemination::Dissemination;
+use crate::event::{Action, Change, ChangeCause, LogEvent, PeerId};
+use crate::member::{Health, State};
+use crate::member_table::{MemberEntry, TableFull};
+use crate::node::Gossip;
+use crate::own_status::OwnStatus;
+use crate::peers::{Peer, ScanCursor};
+use crate::wire::{Datagram, Header, MemberId, Record, RejectReason};
+
+/// Unknown addresses that are contacted in one tick. A cluster of 300 is covered in some seconds with at most a few
+/// hundred datagrams a second. Also the number of random nodes that are notified of a leave.
+const MAX_CONTACTS_PER_TICK: usize = 16;
+/// How often an address is contacted in a row at first, and at which interval. Later it has its turn among the addresses
+/// at which no node is known to be alive.
+const INITIAL_CONTACTS: u32 = 4;
+const INITIAL_CONTACT_INTERVAL_MS: f64 = 1_000.0;
+/// Addresses without a live node that are contacted in each probe interval.
+const DEAD_CONTACTS_PER_PROBE: usize = 2;
+/// An address with a live node is contacted, in turn, every so many probe intervals.
+const LIVE_CONTACT_PROBES: u64 = 4;
+/// For how many ticks after a start or a pause a live address is contacted in each.
+const HURRIED_TICKS: u32 = 8;
+
+/// Which addresses are contacted next.
+#[derive(Debug)]
+pub(crate) struct Discovery {
+    known_cursor: ScanCursor,
+    dead_cursor: ScanCursor,
+    /// Whether there may be addresses with fewer than [`INITIAL_CONTACTS`].
+    has_new_addresses: bool,
+    /// Ticks in which a live address is contacted out of turn.
+    hurried_ticks: u32,
+    has_logged_full_table: bool,
+}
+
+impl Discovery {
+    pub fn new() -> Self {
+        Self {
+            known_cursor: ScanCursor::default(),
+            dead_cursor: ScanCursor::default(),
+            has_new_addresses: true,
+            hurried_ticks: HURRIED_TICKS,
+            has_logged_full_table: false,
+        }
+    }
+
+    /// Has live addresses contacted out of turn for a while, to catch up.
+    pub fn hurry(&mut self) {
+        self.hurried_ticks = HURRIED_TICKS;
+    }
+}
+
+impl Gossip {
+    /// Replaces the peers' addresses. What is known of the nodes stays.
+    pub(crate) fn set_peers(&mut self, addresses: &[PeerId]) {
+        let removed: Vec<_> = self
+            .peers
+            .keys()
+            .filter(|address| !addresses.contains(address))
+            .copied()
+            .collect();
+        for address in removed {
+            let peer = self.peers.remove(&address);
+            if let Some(member) = peer.and_then(|peer| peer.member) {
+                self.clear_address(member, address);
+            }
+        }
+        for address in addresses {
+            self.peers.entry(*address).or_default();
+        }
+        self.discovery.has_new_addresses = true;
+    }
+
+    /// Forgets an address of a node, if it is the current one.
+    fn clear_address(&mut self, member: MemberId, address: PeerId) {
+        if let Some(entry) = self.table.get_mut(member) {
+            entry.peer = entry.peer.filter(|current| *current != address);
+        }
+    }
+
+    /// Handles the first datagram of a process that is new at an address and knows this process, so that its content
+    /// cannot be older than this process. Returns `false`, and does not bind the address, if the datagram does not
+    /// introduce the sender or comes from an earlier process of a node.
+    pub(crate) fn accept_hello(&mut self, from: PeerId, datagram: &Datagram) -> bool {
+        let header = datagram.header;
+        let hello = datagram.records.iter().find_map(|record| match record {
+            Record::Hello { incarnation, name } => Some((*incarnation, name.clone())),
+            _ => None,
+        });
+        let Some((incarnation, name)) = hello else {
+            self.request_hello(from, header);
+            return false;
+        };
+        let member = MemberId::of(&name);
+        if member == self.id {
+            self.receive_own_name(incarnation, header.from_process, NameSource::Hello);
+            return false;
+        }
+        if self.is_superseded(member, incarnation, header.from_process) {
+            // The sender learns of the process that supersedes it.
+            if let Some(record) = self.table.record(member, self.now_ms) {
+                self.send_to_process(from, header.from_process, &[record]);
+            }
+            return false;
+        }
+        if self.table.get(member).is_none() {
+            let entry = MemberEntry::new(name, incarnation, header.from_process, self.now_ms);
+            if self
+                .add_member(member, entry, ChangeCause::Received)
+                .is_err()
+            {
+                return false;
+            }
+        }
+        self.bind_address(from, header.from_process, member);
+        let cause = ChangeCause::Received;
+        self.mark_alive(member, incarnation, header.from_process, &cause);
+        true
+    }
+
+    fn request_hello(&mut self, from: PeerId, header: Header) {
+        let ack = Record::Ack {
+            sequence: header.sequence,
+            hello_requested: true,
+        };
+        self.send_to_process(from, header.from_process, &[ack]);
+    }
+
+    /// Whether a later incarnation of a node is known, or another process in the same one.
+    fn is_superseded(&self, member: MemberId, incarnation: u64, process_id: u64) -> bool {
+        self.table.get(member).is_some_and(|known| {
+            let is_other_process = known.process_id != process_id && known.process_id != 0;
+            incarnation < known.incarnation
+                || (incarnation == known.incarnation && is_other_process)
+        })
+    }
+
+    fn bind_address(&mut self, address: PeerId, process_id: u64, member: MemberId) {
+        let Some(peer) = self.peers.get_mut(&address) else {
+            return;
+        };
+        let before = peer.member.replace(member);
+        peer.bind_process(process_id);
+        if let Some(before) = before.filter(|before| *before != member) {
+            self.clear_address(before, address);
+        }
+        if let Some(entry) = self.table.get_mut(member) {
+            entry.peer = Some(address);
+        }
+    }
+
+    /// Unbinds a node that was removed from the table from its address, so that it is accepted as a new one. The address
+    /// keeps its process and sequence numbers, so that no old datagram is accepted again.
+    pub(crate) fn unbind_member(&mut self, member: MemberId) {
+        for peer in self.peers.values_mut() {
+            if peer.member == Some(member) {
+                peer.member = None;
+            }
+        }
+    }
+
+    /// Adds a node that was unknown.
+    ///
+    /// # Errors
+    ///
+    /// The member table is full of live nodes. This is counted, and logged once.
+    pub(crate) fn add_member(
+        &mut self,
+        member: MemberId,
+        entry: MemberEntry,
+        cause: ChangeCause,
+    ) -> Result<(), TableFull> {
+        let change = Change {
+            name: entry.name.clone(),
+            from: None,
+            to: entry.state,
+            incarnation: entry.incarnation,
+            cause,
+        };
+        match self.table.insert(member, entry) {
+            Ok(Some(removed)) => self.unbind_member(removed),
+            Ok(None) => {}
+            Err(error) => {
+                self.metrics.reject(RejectReason::TableFull);
+                if !std::mem::replace(&mut self.discovery.has_logged_full_table, true) {
+                    self.log(LogEvent::TableFull);
+                }
+                return Err(error);
+            }
+        }
+        self.detector.is_stale = true;
+        self.actions.push(Action::Changed(change));
+        Ok(())
+    }
+
+    /// Another process uses this node's name, as it says itself or as others report.
+    pub(crate) fn receive_own_name(
+        &mut self,
+        incarnation: u64,
+        process_id: u64,
+        source: NameSource,
+    ) {
+        let own_incarnation = self.incarnation();
+        if process_id == self.settings.process_id {
+            // This node's own update came back.
+            return;
+        }
+        if incarnation < own_incarnation {
+            self.table.enqueue_update(self.id);
+            if source == NameSource::Hello {
+                self.log_name_conflict(incarnation, false);
+            }
+            return;
+        }
+        if self.may_take_over() && self.own.status != OwnStatus::Leaving {
+            // Either an earlier process whose clock was ahead, or one that is still running and now gives way.
+            self.take_over(incarnation);
+            if source == NameSource::Hello {
+                self.log_name_conflict(incarnation, false);
+            }
+        } else if self.own.is_member() {
+            self.own.status = OwnStatus::Superseded { incarnation };
+            self.log_name_conflict(incarnation, true);
+            self.set_health(Health::Isolated);
+        } else if let OwnStatus::Superseded { incarnation: known } = &mut self.own.status {
+            *known = incarnation.max(*known);
+        }
+    }
+
+    /// Contacts addresses at which no node is known yet, and now and then others, so that restarted nodes and repaired
+    /// links are found.
+    pub(crate) fn contact_peers(&mut self) {
+        let mut addresses = self.new_addresses();
+        if self.is_every(1) {
+            for _ in 0..DEAD_CONTACTS_PER_PROBE {
+                let table = &self.table;
+                let is_not_alive =
+                    |peer: &Peer| !peer.member.is_some_and(|member| table.is_alive(member));
+                addresses.extend(self.discovery.dead_cursor.next(&self.peers, is_not_alive));
+            }
+        }
+        if self.discovery.hurried_ticks > 0 || self.is_every(LIVE_CONTACT_PROBES) {
+            self.discovery.hurried_ticks = self.discovery.hurried_ticks.saturating_sub(1);
+            let is_known = |peer: &Peer| peer.process_id != 0;
+            addresses.extend(self.discovery.known_cursor.next(&self.peers, is_known));
+        }
+        addresses.sort_unstable();
+        addresses.dedup();
+        let probe = Record::Probe {
+            ack_requested: true,
+            to_observer: false,
+        };
+        let records = [probe, Record::Digest(self.table.digest())];
+        for address in addresses {
+            if let Some(peer) = self.peers.get_mut(&address) {
+                peer.last_contact_ms = Some(self.now_ms);
+                peer.contacts += 1;
+            }
+            self.send(address, &records);
+        }
+    }
+
+    /// Addresses that are due for one of their initial contacts; a random choice if there are many.
+    fn new_addresses(&mut self) -> Vec<PeerId> {
+        if !self.discovery.has_new_addresses {
+            return Vec::new();
+        }
+        let now_ms = self.now_ms;
+        let is_new =
+            |peer: &Peer| peer.process_id == 0 && !peer.is_self && peer.contacts < INITIAL_CONTACTS;
+        let is_due = |peer: &Peer| {
+            peer.last_contact_ms
+                .is_none_or(|last| now_ms - last >= INITIAL_CONTACT_INTERVAL_MS)
+        };
+        let new: Vec<_> = self.peers.iter().filter(|(_, peer)| is_new(peer)).collect();
+        self.discovery.has_new_addresses = !new.is_empty();
+        let due: Vec<_> = new
+            .into_iter()
+            .filter(|(_, peer)| is_due(peer))
+            .map(|(address, _)| *address)
+            .collect();
+        if due.len() > MAX_CONTACTS_PER_TICK {
+            self.random_choice(&due, MAX_CONTACTS_PER_TICK)
+        } else {
+            due
+        }
+    }
+
+    /// Draws `count` times from `from`, with repetition; fewer if `from` is shorter.
+    pub(crate) fn random_choice<T: Copy>(&mut self, from: &[T], count: usize) -> Vec<T> {
+        (0..from.len().min(count))
+            .map(|_| from[self.rng.usize(..from.len())])
+            .collect()
+    }
+
+    /// Notifies the neighbours, and some random nodes, that this node leaves.
+    pub(crate) fn leave(&mut self) {
+        self.own.status = OwnStatus::Leaving;
+        let incarnation = self.incarnation();
+        self.table
+            .update(self.id, self.now_ms, State::Left, incarnation);
+        self.dissemination.flood_limit = Dissemination::flood_limit(self.now_ms);
+        let mut to = self.neighbours();
+        let known: Vec<_> = self
+            .peers
+            .iter()
+            .filter(|(_, peer)| peer.process_id != 0)
+            .map(|(address, _)| *address)
+            .collect();
+        to.extend(self.random_choice(&known, MAX_CONTACTS_PER_TICK));
+        to.sort_unstable();
+        to.dedup();
+        let left = Record::Left {
+            member: self.id,
+            incarnation,
+        };
+        for address in to {
+            self.send(address, std::slice::from_ref(&left));
+        }
+    }
+}
+
+/// How this node learned that another process uses its name.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(crate) enum NameSource {
+    /// The process introduced itself.
+    Hello,
+    /// Another node reported it.
+    Gossip,
+}
--- /dev/null
+++ b/crates/gossip/src/node.rs
@@ -0,0 +1,245 @@
+//! The state machine of one node: it owns all state and dispatches events to the modules that hold the protocol's parts.
+
+use std::collections::BTreeMap;
+
+use fastrand::Rng;
+
+use crate::anti_entropy::AntiEntropy;
+use crate::dissemination::Dissemination;
+use crate::event::{Action, Event, LogEvent, PeerId};
+use crate::failure_detector::FailureDetector;
+use crate::join::Discovery;
+use crate::local_health::LocalHealth;
+use crate::member::{Health, Member, State};
+use crate::member_table::{MemberEntry, MemberTable};
+use crate::metrics::Metrics;
+use crate::own_status::{OwnState, OwnStatus};
+use crate::peers::Peer;
+use crate::settings::{InjectedFault, Settings};
+use crate::wire::{MemberId, Record, RejectReason};
+
+/// Ticks in a probe interval: silence is examined more often than probes are sent.
+pub(crate) const TICKS_PER_PROBE: u64 = 2;
+/// How often expired nodes are removed from the member table, in ticks.
+const EXPIRY_TICKS: u64 = 256;
+/// An observer has to answer every second probe: no probe alone decides anything.
+const ACK_EVERY_PROBES: u64 = 2;
+/// The highest first incarnation, whatever the wall clock says, so that there is room for any number of refutations.
+const MAX_FIRST_INCARNATION: u64 = 1 << 61;
+
+/// One node of the cluster. See the [crate's documentation](crate).
+#[derive(Debug)]
+pub struct Gossip {
+    pub(crate) settings: Settings,
+    pub(crate) id: MemberId,
+    pub(crate) rng: Rng,
+    pub(crate) now_ms: f64,
+    pub(crate) tick: u64,
+    next_tick_ms: f64,
+    pub(crate) table: MemberTable,
+    pub(crate) peers: BTreeMap<PeerId, Peer>,
+    pub(crate) discovery: Discovery,
+    pub(crate) detector: FailureDetector,
+    pub(crate) dissemination: Dissemination,
+    pub(crate) anti_entropy: AntiEntropy,
+    pub(crate) own: OwnState,
+    pub(crate) local_health: LocalHealth,
+    pub(crate) metrics: Metrics,
+    pub(crate) actions: Vec<Action>,
+}
+
+impl Gossip {
+    /// A node that knows no other. `now_ms` is the time since boot; see [`handle`](Self::handle).
+    #[must_use]
+    pub fn new(now_ms: f64, settings: Settings) -> Self {
+        let id = MemberId::of(&settings.name);
+        let mut rng = Rng::with_seed(settings.seed);
+        let mut table = MemberTable::default();
+        let incarnation = settings.incarnation.min(MAX_FIRST_INCARNATION);
+        let own_entry = MemberEntry::new(
+            settings.name.clone(),
+            incarnation,
+            settings.process_id,
+            now_ms,
+        );
+        let _ = table.insert(id, own_entry); // An empty table has room.
+                                             // A random phase, so that nodes that start together do not probe at the same moments.
+        let phase = rng.f64();
+        let tick_ms = settings.probe_interval_ms / TICKS_PER_PROBE as f64;
+        Self {
+            id,
+            rng,
+            now_ms,
+            tick: 0,
+            next_tick_ms: now_ms + tick_ms * phase,
+            table,
+            peers: BTreeMap::new(),
+            discovery: Discovery::new(),
+            detector: FailureDetector::new(now_ms),
+            dissemination: Dissemination::new(now_ms),
+            anti_entropy: AntiEntropy::new(now_ms),
+            own: OwnState::new(now_ms),
+            local_health: LocalHealth::new(),
+            metrics: Metrics::default(),
+            actions: Vec::new(),
+            settings,
+        }
+    }
+
+    /// Handles an event and appends what is to be done to `actions`.
+    ///
+    /// `now_ms` is the time since boot in milliseconds, suspends included. It must not go back; an earlier time counts as
+    /// the latest one seen.
+    pub fn handle(&mut self, now_ms: f64, event: Event<'_>, actions: &mut Vec<Action>) {
+        self.now_ms = self.now_ms.max(now_ms);
+        self.detect_pause();
+        match event {
+            Event::Datagram { from, bytes } => self.receive_datagram(from, bytes),
+            Event::Timer => {}
+            Event::SetPeers(peers) => self.set_peers(&peers),
+            Event::SetTimings {
+                probe_interval_ms,
+                suspicion_timeout_ms,
+            } => {
+                self.settings.probe_interval_ms = probe_interval_ms;
+                self.settings.suspicion_timeout_ms = suspicion_timeout_ms;
+            }
+            Event::Leave => self.leave(),
+            Event::SendPayload { to, bytes } => {
+                if let Some(peer) = self.table.peer_of(to) {
+                    self.send(peer, &[Record::Payload(bytes.to_vec())]);
+                }
+            }
+        }
+        if self.now_ms >= self.next_tick_ms {
+            // One tick, however many were missed: what was due meanwhile is not made up for.
+            self.run_tick();
+            self.next_tick_ms = self.now_ms + self.tick_ms();
+        }
+        self.flood_updates();
+        actions.append(&mut self.actions);
+        actions.push(Action::WakeAt(self.next_tick_ms));
+    }
+
+    /// All known nodes, this one among them, in no particular order.
+    pub fn members(&self) -> impl Iterator<Item = Member> + '_ {
+        self.table.iter().map(|(id, entry)| Member {
+            name: entry.name.clone(),
+            is_self: id == self.id,
+            state: self.state_of(id, entry),
+            incarnation: entry.incarnation,
+            since_ms: entry.since_ms,
+            last_received_ms: entry.last_received_ms,
+            address: entry.peer,
+        })
+    }
+
+    /// How well this node communicates.
+    #[must_use]
+    pub fn health(&self) -> Health {
+        self.local_health.current
+    }
+
+    /// Its counters.
+    #[must_use]
+    pub fn metrics(&self) -> Metrics {
+        self.metrics
+    }
+
+    /// Counts a datagram that the driver rejected before it became an event.
+    pub fn reject(&mut self, reason: RejectReason) {
+        self.metrics.reject(reason);
+    }
+
+    /// The state of a node as this one reports it, suspicions included.
+    pub(crate) fn state_of(&self, id: MemberId, entry: &MemberEntry) -> State {
+        if id == self.id {
+            return match self.own.status {
+                OwnStatus::Alive => State::Alive,
+                OwnStatus::DeclaredDead { .. } | OwnStatus::Superseded { .. } => State::Dead,
+                OwnStatus::Leaving => State::Left,
+            };
+        }
+        let is_suspected = entry.suspicion.is_some() || entry.suspected_until_ms > self.now_ms;
+        if entry.is_alive() && is_suspected {
+            State::Suspect
+        } else {
+            entry.state
+        }
+    }
+
+    fn tick_ms(&self) -> f64 {
+        self.settings.probe_interval_ms / TICKS_PER_PROBE as f64
+    }
+
+    /// A number of probe intervals in milliseconds.
+    pub(crate) fn probe_intervals_ms(&self, count: f64) -> f64 {
+        count * self.settings.probe_interval_ms
+    }
+
+    /// Whether this is every `probes`-th probe interval's first tick.
+    pub(crate) fn is_every(&self, probes: u64) -> bool {
+        self.tick % (probes * TICKS_PER_PROBE) == 0
+    }
+
+    pub(crate) fn has_fault(&self, fault: InjectedFault) -> bool {
+        cfg!(feature = "injected-fault") && self.settings.injected_fault == fault
+    }
+
+    /// This node's incarnation.
+    pub(crate) fn incarnation(&self) -> u64 {
+        self.table.get(self.id).map_or(0, |own| own.incarnation)
+    }
+
+    pub(crate) fn log(&mut self, event: LogEvent) {
+        self.actions.push(Action::Log(event));
+    }
+
+    /// Detects that the process did not run for more than a probe interval. Silence then counts from now, and open
+    /// suspicions, questions and pending deaths are dropped: whatever still holds will be reported again.
+    fn detect_pause(&mut self) {
+        let pause_ms = self.now_ms - self.next_tick_ms;
+        let is_pause = pause_ms > self.settings.probe_interval_ms;
+        if !is_pause || self.has_fault(InjectedFault::PauseAtFaceValue) {
+            return;
+        }
+        self.detector.restart_listening(self.now_ms);
+        self.own.acked_since_ms = None;
+        self.dissemination.pending_removals.clear();
+        self.discovery.hurry();
+        for (_, entry) in self.table.iter_mut() {
+            entry.clear_suspicion();
+        }
+        self.log(LogEvent::ResumedAfterPause { pause_ms });
+    }
+
+    /// Everything that happens periodically.
+    fn run_tick(&mut self) {
+        self.tick += 1;
+        self.rebuild_rings_if_stale();
+        if self.own.is_member() {
+            if self.is_every(1) {
+                self.probe_observers(self.needs_acks());
+            }
+            self.check_subjects();
+        }
+        self.apply_due_removals();
+        if self.own.status != OwnStatus::Leaving {
+            self.contact_peers();
+        }
+        self.update_acked_since();
+        self.try_refute();
+        self.update_local_health();
+        if self.tick % EXPIRY_TICKS == 0 {
+            for id in self.table.remove_expired(self.now_ms) {
+                self.unbind_member(id);
+            }
+        }
+    }
+
+    fn needs_acks(&self) -> bool {
+        self.is_every(ACK_EVERY_PROBES)
+            || self.own.status != OwnStatus::Alive
+            || self.local_health.current != Health::Well
+    }
+}
--- /dev/null
+++ b/crates/gossip/src/own_status.rs
@@ -0,0 +1,211 @@
+//! What the others believe of this node, and how it refutes a wrong belief: with a higher incarnation, once enough of its
+//! observers acknowledge its probes.
+
+use crate::event::LogEvent;
+use crate::member::{Health, State};
+use crate::node::Gossip;
+use crate::wire::MemberId;
+
+/// For how long after its start a process may take over its name from another one. Later it is the older of the two.
+const TAKEOVER_WINDOW_MS: f64 = 10_000.0;
+/// How often it may.
+const MAX_TAKEOVERS: u32 = 4;
+/// Within this many probe intervals an observer must have acknowledged a probe for this node to refute its death.
+const REFUTE_ACK_PROBES: f64 = 4.0;
+/// Refutations within this window count towards the backoff. Also the interval at which name conflicts are logged.
+const REFUTATION_WINDOW_MS: f64 = 60_000.0;
+/// Refutations within the window that are not delayed.
+const IMMEDIATE_REFUTATIONS: usize = 2;
+/// Delay of the next refutation, doubled with each one after it up to the maximum, so that a node does not flap forever.
+const MIN_REFUTATION_BACKOFF_MS: f64 = 2_000.0;
+const MAX_REFUTATION_BACKOFF_MS: f64 = 30_000.0;
+
+/// This node's standing among the others.
+#[derive(Clone, Debug, PartialEq)]
+pub(crate) enum OwnStatus {
+    Alive,
+    /// The others have declared it dead.
+    DeclaredDead {
+        /// The highest incarnation in which they have.
+        incarnation: u64,
+        /// Since when this node knows.
+        since_ms: f64,
+    },
+    /// A later process has its name; this one gives way.
+    Superseded {
+        /// The incarnation of that process.
+        incarnation: u64,
+    },
+    Leaving,
+}
+
+/// This node's standing and what decides when it may change.
+#[derive(Debug)]
+pub(crate) struct OwnState {
+    pub status: OwnStatus,
+    started_ms: f64,
+    takeovers: u32,
+    last_conflict_log_ms: f64,
+    /// Times of recent refutations that count towards the backoff.
+    recent_refutations: Vec<f64>,
+    /// Since when enough observers have acknowledged probes without a break.
+    pub acked_since_ms: Option<f64>,
+}
+
+impl OwnState {
+    pub fn new(now_ms: f64) -> Self {
+        Self {
+            status: OwnStatus::Alive,
+            started_ms: now_ms,
+            takeovers: 0,
+            last_conflict_log_ms: f64::NEG_INFINITY,
+            recent_refutations: Vec::new(),
+            acked_since_ms: None,
+        }
+    }
+
+    /// Whether this process takes part in failure detection: it does also while it is declared dead.
+    pub fn is_member(&self) -> bool {
+        matches!(
+            self.status,
+            OwnStatus::Alive | OwnStatus::DeclaredDead { .. }
+        )
+    }
+
+    /// How long a refutation is delayed.
+    fn refutation_backoff_ms(&self) -> f64 {
+        let recent = self.recent_refutations.len();
+        match recent.checked_sub(IMMEDIATE_REFUTATIONS) {
+            None => 0.0,
+            Some(doublings) => (MIN_REFUTATION_BACKOFF_MS * 2_f64.powi(doublings as i32))
+                .min(MAX_REFUTATION_BACKOFF_MS),
+        }
+    }
+}
+
+impl Gossip {
+    /// Another node reports that this one is dead or has left.
+    pub(crate) fn receive_own_death(&mut self, incarnation: u64, reported_by: &str) {
+        let own_incarnation = self.incarnation();
+        let may_take_over = self.may_take_over();
+        let declared_dead = OwnStatus::DeclaredDead {
+            incarnation,
+            since_ms: self.now_ms,
+        };
+        match &mut self.own.status {
+            OwnStatus::Leaving => {}
+            OwnStatus::Superseded { incarnation: known } => {
+                if incarnation >= *known {
+                    self.own.status = declared_dead;
+                }
+            }
+            OwnStatus::DeclaredDead {
+                incarnation: known, ..
+            } => *known = incarnation.max(*known),
+            OwnStatus::Alive if incarnation < own_incarnation => {
+                self.table.enqueue_update(self.id);
+            }
+            OwnStatus::Alive if incarnation > own_incarnation && may_take_over => {
+                // It is an earlier process, whose clock was ahead, that is dead.
+                self.take_over(incarnation);
+            }
+            OwnStatus::Alive => {
+                self.own.status = declared_dead;
+                self.log(LogEvent::DeclaredDead {
+                    by: reported_by.to_owned(),
+                });
+                self.set_health(Health::Isolated);
+                // The sooner the observers answer, the fewer nodes act on the report before it is refuted.
+                self.probe_observers(true);
+            }
+        }
+        self.try_refute();
+    }
+
+    /// Refutes this node's death once half of its observers acknowledge its probes: one that only a few can reach would
+    /// flap forever.
+    pub(crate) fn try_refute(&mut self) {
+        let OwnStatus::DeclaredDead {
+            incarnation,
+            since_ms,
+        } = self.own.status
+        else {
+            return;
+        };
+        let now_ms = self.now_ms;
+        self.own
+            .recent_refutations
+            .retain(|refuted| now_ms - refuted < REFUTATION_WINDOW_MS);
+        // A node whose probes were acknowledged for longer than any verdict takes was never unreachable: it hears the
+        // verdict of the other side of a healed partition, and need not wait.
+        let verdict_ms = 2.0 * self.settings.suspicion_timeout_ms;
+        let was_unreachable = self
+            .own
+            .acked_since_ms
+            .is_none_or(|acked| since_ms - acked < verdict_ms);
+        let backoff_ms = if was_unreachable {
+            self.own.refutation_backoff_ms()
+        } else {
+            0.0
+        };
+        if now_ms < since_ms + backoff_ms || !self.is_acked_by_observers() {
+            return;
+        }
+        if was_unreachable {
+            self.own.recent_refutations.push(now_ms);
+        }
+        self.own.status = OwnStatus::Alive;
+        self.metrics.refutations += 1;
+        let incarnation = incarnation.max(self.incarnation()) + 1;
+        self.table
+            .update(self.id, now_ms, State::Alive, incarnation);
+        self.log(LogEvent::Refuted { incarnation });
+    }
+
+    /// Whether at least half of the observers have acknowledged a probe lately.
+    fn is_acked_by_observers(&self) -> bool {
+        let window_ms = self.probe_intervals_ms(REFUTE_ACK_PROBES);
+        let has_acked = |id: &&MemberId| {
+            let last_ack = self.table.get(**id).and_then(|entry| entry.last_ack_ms);
+            last_ack.is_some_and(|acked| {
+                self.now_ms - acked < window_ms && acked >= self.detector.listening_since_ms
+            })
+        };
+        let observers = &self.detector.observers;
+        let acked = observers.iter().filter(has_acked).count();
+        acked > 0 && 2 * acked >= observers.len()
+    }
+
+    pub(crate) fn update_acked_since(&mut self) {
+        self.own.acked_since_ms = if self.is_acked_by_observers() {
+            self.own.acked_since_ms.or(Some(self.now_ms))
+        } else {
+            None
+        };
+    }
+
+    /// Whether this process is young enough to take over its name from another one.
+    pub(crate) fn may_take_over(&self) -> bool {
+        self.now_ms - self.own.started_ms < TAKEOVER_WINDOW_MS && self.own.takeovers < MAX_TAKEOVERS
+    }
+
+    /// Takes an incarnation above the one of another process with this node's name.
+    pub(crate) fn take_over(&mut self, their_incarnation: u64) {
+        self.own.takeovers += 1;
+        self.table
+            .update(self.id, self.now_ms, State::Alive, their_incarnation + 1);
+    }
+
+    pub(crate) fn log_name_conflict(&mut self, theirs: u64, yields: bool) {
+        let is_due = self.now_ms - self.own.last_conflict_log_ms > REFUTATION_WINDOW_MS;
+        if yields || is_due {
+            self.own.last_conflict_log_ms = self.now_ms;
+            let own = self.incarnation();
+            self.log(LogEvent::NameConflict {
+                theirs,
+                own,
+                yields,
+            });
+        }
+    }
+}
--- a/crates/gossip/src/tests.rs
+++ b/crates/gossip/src/tests.rs
@@ -1,78 +1,81 @@
-//! One node among scripted peers: what it does at its bounds, and with what nobody sound would send.
+//! One node among scripted peers: its bounds, and datagrams that no correct node would send.
 
-use crate::core::Gossip;
-use crate::kinds::{Action, Event, Note, Settings, State};
-use crate::wire::{Head, MemberId, Record, Refused, Seal, Writer};
-use crate::MOST_MEMBERS;
+use crate::wire::{DatagramWriter, DeathNotice, Header, Record};
+use crate::{
+    Action, ClusterKey, Event, Gossip, LogEvent, MemberId, RejectReason, Settings, State,
+    MAX_MEMBERS,
+};
 
-const OWN: u64 = 77;
-const HOUR: f64 = 3_600_000.0;
+const OWN_PROCESS: u64 = 77;
+const OWN_INCARNATION: u64 = 5;
+const PEER_INCARNATION: u64 = 9;
+const TIMER_STEP_MS: f64 = 250.0;
+const HOUR_MS: f64 = 3_600_000.0;
 
 struct Node {
     gossip: Gossip,
-    now: f64,
-    numbers: Vec<u32>,
-    notes: Vec<Note>,
+    now_ms: f64,
+    sequences: Vec<u32>,
+    log: Vec<LogEvent>,
 }
 
 impl Node {
-    /// A node with so many peers, whose processes are 1000 and up.
+    /// A node with `peers` peers, whose process ids start at 1000.
     fn new(peers: usize) -> Self {
+        let settings = Settings::new("me", OWN_PROCESS, OWN_INCARNATION, key());
         let mut node = Self {
-            gossip: Gossip::new(0.0, Settings::new("me", OWN, 5, seal())),
-            now: 0.0,
-            numbers: vec![0; peers],
-            notes: Vec::new(),
+            gossip: Gossip::new(0.0, settings),
+            now_ms: 0.0,
+            sequences: vec![0; peers],
+            log: Vec::new(),
         };
-        node.handle(Event::Peers((0..peers).collect()));
+        node.handle(Event::SetPeers((0..peers).collect()));
         node
     }
 
     fn handle(&mut self, event: Event<'_>) {
         let mut actions = Vec::new();
-        self.gossip.handle(self.now, event, &mut actions);
-        self.notes
-            .extend(actions.into_iter().filter_map(|action| match action {
-                Action::Note(note) => Some(note),
-                _ => None,
-            }));
+        self.gossip.handle(self.now_ms, event, &mut actions);
+        let log_events = actions.into_iter().filter_map(|action| match action {
+            Action::Log(event) => Some(event),
+            _ => None,
+        });
+        self.log.extend(log_events);
     }
 
     fn run(&mut self, ms: f64) {
-        let until = self.now + ms;
-        while self.now < until {
-            self.now += 250.0;
-            self.handle(Event::Due);
+        let until_ms = self.now_ms + ms;
+        while self.now_ms < until_ms {
+            self.now_ms += TIMER_STEP_MS;
+            self.handle(Event::Timer);
         }
     }
 
-    /// A datagram of a peer's, with its next number.
-    fn hear(&mut self, peer: usize, records: &[Record]) {
-        self.numbers[peer] += 1;
-        self.hear_numbered(peer, self.numbers[peer], records);
+    /// Receives a datagram of a peer with the peer's next sequence number.
+    fn receive(&mut self, peer: usize, records: &[Record]) {
+        self.sequences[peer] += 1;
+        self.receive_with_sequence(peer, self.sequences[peer], records);
     }
 
-    fn hear_numbered(&mut self, peer: usize, number: u32, records: &[Record]) {
-        let mut writer = Writer::new(
-            &seal(),
-            Head {
-                from: 1_000 + peer as u64,
-                to: OWN,
-                number,
-            },
-        );
-        records
-            .iter()
-            .for_each(|record| assert!(writer.push(record), "it fits"));
-        let bytes = writer.seal(&seal());
+    fn receive_with_sequence(&mut self, peer: usize, sequence: u32, records: &[Record]) {
+        let header = Header {
+            from_process: 1_000 + peer as u64,
+            to_process: OWN_PROCESS,
+            sequence,
+        };
+        let mut writer = DatagramWriter::new(&key(), header);
+        for record in records {
+            assert!(writer.push(record), "{record:?} does not fit");
+        }
+        let bytes = writer.seal(&key());
         self.handle(Event::Datagram {
             from: peer,
             bytes: &bytes,
         });
     }
 
-    fn meet(&mut self, peer: usize) {
-        self.hear(peer, &[hello(peer, 9)]);
+    fn introduce(&mut self, peer: usize) {
+        self.receive(peer, &[hello(peer, PEER_INCARNATION)]);
     }
 
     fn state(&self, name: &str) -> Option<State> {
@@ -82,17 +85,25 @@
             .map(|member| member.state)
     }
 
-    fn refused(&self, why: Refused) -> u64 {
-        let at = Refused::ALL
+    fn own_incarnation(&self) -> u64 {
+        self.gossip
+            .members()
+            .find(|member| member.is_self)
+            .map(|own| own.incarnation)
+            .expect("a node knows itself")
+    }
+
+    fn rejected(&self, reason: RejectReason) -> u64 {
+        let at = RejectReason::ALL
             .iter()
-            .position(|one| *one == why)
-            .expect("one of them");
-        self.gossip.figures().refused[at]
+            .position(|one| *one == reason)
+            .expect("a listed reason");
+        self.gossip.metrics().rejected[at]
     }
 }
 
-fn seal() -> Seal {
-    Seal::new("holds", b"0123456789abcdef")
+fn key() -> ClusterKey {
+    ClusterKey::new("holds", b"0123456789abcdef")
 }
 
 fn hello(peer: usize, incarnation: u64) -> Record {
@@ -105,134 +116,145 @@
 fn alive(name: &str, incarnation: u64) -> Record {
     Record::Alive {
         incarnation,
-        process: 3,
+        process_id: 3,
         name: name.into(),
     }
 }
 
-/// Guards against a node that grows with whatever names it is told, and against one that turns everybody away for ever.
+fn dead(name: &str, incarnation: u64) -> Record {
+    Record::Dead(DeathNotice {
+        member: MemberId::of(name),
+        incarnation,
+        age_quarter_seconds: 0,
+    })
+}
+
+fn left(name: &str, incarnation: u64) -> Record {
+    Record::Left {
+        member: MemberId::of(name),
+        incarnation,
+    }
+}
+
+/// Guards against a node that grows with the names it receives, and against one that rejects new nodes forever.
 #[test]
-fn no_more_nodes_are_held_than_the_bound_and_gone_ones_make_room() {
+fn full_member_table_rejects_new_nodes_until_one_leaves() {
     let mut node = Node::new(2);
-    node.meet(0);
-    for n in 0..MOST_MEMBERS + 500 {
-        node.hear(0, &[alive(&format!("n{n}"), 1)]);
+    node.introduce(0);
+    for n in 0..MAX_MEMBERS + 500 {
+        node.receive(0, &[alive(&format!("n{n}"), 1)]);
     }
-    assert_eq!(node.gossip.members().count(), MOST_MEMBERS);
+    assert_eq!(node.gossip.members().count(), MAX_MEMBERS);
     assert_eq!(
-        node.refused(Refused::Full),
+        node.rejected(RejectReason::TableFull),
         502,
         "with this node and the peer"
     );
-    assert_eq!(
-        node.notes
-            .iter()
-            .filter(|note| **note == Note::Full)
-            .count(),
-        1,
-        "it says so once"
-    );
-    node.meet(1);
-    assert_eq!(node.state("p1"), None, "a newcomer is turned away");
-    node.hear(0, &[Record::Left(MemberId::of("n3"), 1)]);
-    node.hear(1, &[hello(1, 9)]);
+    let logged = node
+        .log
+        .iter()
+        .filter(|event| **event == LogEvent::TableFull);
+    assert_eq!(logged.count(), 1, "it is logged once");
+    node.introduce(1);
+    assert_eq!(node.state("p1"), None, "a new node is rejected");
+    node.receive(0, &[left("n3", 1)]);
+    node.receive(1, &[hello(1, PEER_INCARNATION)]);
     assert_eq!(
         (node.state("p1"), node.state("n3")),
         (Some(State::Alive), None),
-        "one that left makes room"
+        "a node that has left makes room"
     );
-    assert_eq!(node.gossip.members().count(), MOST_MEMBERS);
+    assert_eq!(node.gossip.members().count(), MAX_MEMBERS);
 }
 
-/// Guards against a node that is lost for good to whoever has forgotten it but not its address.
+/// Guards against a node that is lost forever to others that have forgotten it but not its address.
 #[test]
-fn one_that_was_forgotten_is_met_anew_and_nothing_old_of_it_is_taken() {
+fn expired_member_is_accepted_anew_and_its_old_datagrams_are_rejected() {
     let mut node = Node::new(2);
-    node.meet(0);
-    node.meet(1);
-    node.hear(0, &[Record::Left(MemberId::of("p1"), 9)]);
+    node.introduce(0);
+    node.introduce(1);
+    node.receive(0, &[left("p1", PEER_INCARNATION)]);
     assert_eq!(node.state("p1"), Some(State::Left));
-    node.hear(
+    node.receive(
         1,
-        &[Record::Ping {
-            answer: true,
-            observer: false,
+        &[Record::Probe {
+            ack_requested: true,
+            to_observer: false,
         }],
     );
     assert_eq!(
         node.state("p1"),
         Some(State::Left),
-        "in the same incarnation it does not come back"
+        "the same incarnation does not return"
     );
-    node.run(HOUR + 120_000.0);
-    assert_eq!(node.state("p1"), None, "it is forgotten");
-    node.hear_numbered(1, 1, &[hello(1, 9)]);
+    node.run(HOUR_MS + 120_000.0);
+    assert_eq!(node.state("p1"), None, "it has expired");
+    node.receive_with_sequence(1, 1, &[hello(1, PEER_INCARNATION)]);
     assert_eq!(
-        node.refused(Refused::Replayed),
+        node.rejected(RejectReason::Replayed),
         1,
-        "what was said before is not taken again"
+        "an old datagram is not accepted again"
     );
     assert_eq!(node.state("p1"), None);
-    node.hear(1, &[hello(1, 10)]);
+    node.receive(1, &[hello(1, PEER_INCARNATION + 1)]);
     assert_eq!(node.state("p1"), Some(State::Alive));
 }
 
-/// Guards against a number that cannot be counted on from: the node would panic, or begin again at nothing.
+/// Guards against an incarnation that cannot be incremented: the node would panic, or start again at 0.
 #[test]
-fn the_highest_incarnations_do_no_harm() {
+fn highest_incarnations_are_rejected_or_refuted() {
     let mut node = Node::new(2);
-    node.meet(0);
+    node.introduce(0);
     for incarnation in [u64::MAX, u64::MAX - 1, (1 << 62) + 1] {
-        node.hear(0, &[alive("me", incarnation), alive("other", incarnation)]);
-        node.hear(0, &[Record::Gone(MemberId::of("me"), incarnation, 0)]);
-        node.hear(0, &[Record::Left(MemberId::of("p0"), incarnation)]);
+        node.receive(0, &[alive("me", incarnation), alive("other", incarnation)]);
+        node.receive(0, &[dead("me", incarnation)]);
+        node.receive(0, &[left("p0", incarnation)]);
     }
     assert_eq!(
         (node.state("other"), node.state("p0")),
         (None, Some(State::Alive)),
-        "they are not read"
+        "the records are skipped"
     );
-    let own = |node: &Node| {
-        node.gossip
-            .members()
-            .find(|member| member.is_self)
-            .map(|own| own.incarnation)
-    };
-    assert_eq!(own(&node), Some(5));
+    assert_eq!(node.own_incarnation(), OWN_INCARNATION);
     for _ in 0..20 {
-        node.hear(0, &[alive("me", 1 << 62)]);
-        node.hear(0, &[Record::Gone(MemberId::of("me"), 1 << 62, 0)]);
+        node.receive(0, &[alive("me", 1 << 62)]);
+        node.receive(0, &[dead("me", 1 << 62)]);
         node.run(1_000.0);
     }
-    assert!(own(&node).is_some_and(|at| at > 5));
+    assert!(node.own_incarnation() > OWN_INCARNATION);
 }
 
-/// Guards against a doubt that nobody is left to be asked about, as all were asked and none answered in time.
+/// Guards against a suspicion that nobody is left to be asked about, as all were asked and none answered in time.
 #[test]
-fn who_did_not_answer_once_is_asked_again() {
+fn unresponsive_voters_are_asked_again_and_confirm_the_death() {
     let mut node = Node::new(4);
     for peer in 0..4 {
-        node.meet(peer);
+        node.introduce(peer);
     }
     node.run(1_000.0);
-    // The last falls silent; the others are heard, and answer no question for a long time.
-    let gone = MemberId::of("p3");
+    // The last peer falls silent. The others are alive, and answer no indirect probe for a long time.
+    let suspect = MemberId::of("p3");
+    let probe = Record::Probe {
+        ack_requested: false,
+        to_observer: true,
+    };
     for _ in 0..80 {
-        (0..3).for_each(|peer| {
-            node.hear(
-                peer,
-                &[Record::Ping {
-                    answer: false,
-                    observer: true,
-                }],
-            );
-        });
-        node.run(250.0);
+        for peer in 0..3 {
+            node.receive(peer, std::slice::from_ref(&probe));
+        }
+        node.run(TIMER_STEP_MS);
     }
-    assert_eq!(node.state("p3"), Some(State::Suspect), "nobody agrees");
+    assert_eq!(node.state("p3"), Some(State::Suspect), "nobody confirms it");
+    let vote = Record::Vote {
+        member: suspect,
+        incarnation: PEER_INCARNATION,
+        is_reachable: false,
+    };
     for _ in 0..20 {
-        (0..3).for_each(|peer| node.hear(peer, &[Record::Vote(gone, 9, false)]));
-        node.run(250.0);
+        for peer in 0..3 {
+            node.receive(peer, std::slice::from_ref(&vote));
+        }
+        node.run(TIMER_STEP_MS);
     }
-    assert_eq!(node.state("p3"), Some(State::Gone));
+    assert_eq!(node.state("p3"), Some(State::Dead));
 }
--- a/crates/gossip/src/wire.rs
+++ b/crates/gossip/src/wire.rs
@@ -1,52 +1,60 @@
-//! The datagrams: their layout, their seal, and what a reader makes of bytes from anywhere.
+//! The datagram format: header, records and seal, and how untrusted bytes are decoded.
 //!
 //! All numbers are little-endian.
 //!
-//! | bytes | what |
+//! | bytes | field |
 //! | --- | --- |
 //! | 1 | version, 1 |
-//! | 4 | the fleet, the first bytes of its name's hash |
-//! | 8 | the sender's process |
-//! | 8 | the receiver's process; 0: the sender does not know it |
-//! | 4 | number, rising by one with each datagram from this process to this receiver |
-//! | ... | records: one byte of kind, one of length, then so many bytes |
-//! | 16 | seal: the keyed hash (BLAKE3) of all that comes before, cut short |
+//! | 4 | cluster: the first bytes of the hash of its name |
+//! | 8 | process id of the sender |
+//! | 8 | process id of the receiver; 0 if the sender does not know it |
+//! | 4 | sequence number, incremented with each datagram from this process to this receiver |
+//! | ... | records: one byte of kind, one byte of length, then so many bytes |
+//! | 16 | seal: keyed hash (BLAKE3) of everything before it, truncated |
 //!
-//! A record of a kind that a reader does not know is passed over, and so is what a known one has beyond its fields: so
-//! versions mix. 256 bytes in all are never exceeded.
+//! A reader skips records of an unknown kind and bytes beyond the known fields of a known record, so that nodes of
+//! different versions can share a cluster. A datagram never exceeds [`MAX_DATAGRAM_BYTES`].
 
 use std::fmt;
 
 use bytes::Buf;
 use constant_time_eq::constant_time_eq_16;
 
-/// The longest datagram; the platform voids a run with a longer one.
-pub const MOST_DATAGRAM: usize = 256;
-/// The longest name of a node: two of them and all else fit a datagram.
-pub const MOST_NAME: usize = 64;
-/// The longest word of another part: with head, seal and the news that have to go along it fits.
-pub const MOST_WORD: usize = 180;
-/// Into how many parts what is known is taken apart, to find where two differ: in a fleet of 300 each has some twenty nodes.
-pub const PARTS: usize = 16;
-/// The shortest key, before it is derived.
-pub const LEAST_KEY: usize = 16;
-
-/// The highest incarnation that is taken: what comes after a higher one could not be counted. Unix time in milliseconds is
-/// a millionth of it.
-const MOST_INCARNATION: u64 = 1 << 62;
+#[cfg(test)]
+mod golden_tests;
+#[cfg(test)]
+mod tests;
+
+/// The longest datagram. The platform voids a run in which a longer one is sent.
+pub const MAX_DATAGRAM_BYTES: usize = 256;
+/// The longest node name: a datagram holds two of them and everything else it must carry.
+pub const MAX_NAME_BYTES: usize = 64;
+/// The longest application payload: it fits beside the header, the seal and the records that must accompany it.
+pub const MAX_PAYLOAD_BYTES: usize = 180;
+/// Buckets into which the member table is divided for anti-entropy. With 300 nodes each has about twenty.
+pub const DIGEST_BUCKETS: usize = 16;
+/// The shortest shared key, before key derivation.
+pub const MIN_KEY_BYTES: usize = 16;
+/// Unit of [`DeathNotice::age_quarter_seconds`], in milliseconds.
+pub const DEATH_AGE_UNIT_MS: f64 = 250.0;
+
+/// The highest incarnation that is decoded, so that there is always room to increment. Unix time in milliseconds, from
+/// which incarnations start, is a millionth of it.
+const MAX_INCARNATION: u64 = 1 << 62;
 
 const VERSION: u8 = 1;
-const HEAD: usize = 1 + 4 + 8 + 8 + 4;
-const SEAL: usize = 16;
-/// Makes the keys of this use differ from those of any other that is made of the same file.
-const CONTEXT: &str = "silverthread 2026-12-01 datagrams between nodes, version 1";
+const HEADER_BYTES: usize = 1 + 4 + 8 + 8 + 4;
+const RECORD_HEADER_BYTES: usize = 2;
+const SEAL_BYTES: usize = 16;
+/// Key derivation context: separates this use of the key file from any other.
+const KEY_CONTEXT: &str = "silverthread 2026-12-01 datagrams between nodes, version 1";
 
-/// A node's number: its name's hash. All nodes make the same of the same name.
+/// Identifies a node: the hash of its name, equal on all nodes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct MemberId(pub u64);
 
 impl MemberId {
-    /// Of a name.
+    /// The id of the node with this name.
     #[must_use]
     pub fn of(name: &str) -> Self {
         let hash = blake3::hash(name.as_bytes());
@@ -56,233 +64,294 @@
     }
 }
 
-/// What seals and opens the datagrams of a fleet.
+/// The secret that authenticates the datagrams of one cluster.
 #[derive(Clone)]
-pub struct Seal {
-    fleet: u32,
+pub struct ClusterKey {
+    cluster: u32,
     key: [u8; 32],
 }
 
-impl fmt::Debug for Seal {
-    /// Says nothing of the key.
+impl fmt::Debug for ClusterKey {
+    /// Does not print the key.
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        f.debug_struct("Seal")
-            .field("fleet", &self.fleet)
+        f.debug_struct("ClusterKey")
+            .field("cluster", &self.cluster)
             .finish_non_exhaustive()
     }
 }
 
-impl Seal {
-    /// Of a fleet's name and the key that its nodes share.
+impl ClusterKey {
+    /// Derives the key of the cluster `cluster` from the secret `key` that its nodes share.
     #[must_use]
-    pub fn new(fleet: &str, key: &[u8]) -> Self {
-        let mut material = (fleet.len() as u64).to_le_bytes().to_vec();
-        material.extend_from_slice(fleet.as_bytes());
+    pub fn new(cluster: &str, key: &[u8]) -> Self {
+        let mut material = (cluster.len() as u64).to_le_bytes().to_vec();
+        material.extend_from_slice(cluster.as_bytes());
         material.extend_from_slice(key);
-        let MemberId(hash) = MemberId::of(fleet);
+        let MemberId(hash) = MemberId::of(cluster);
         Self {
-            fleet: hash as u32,
-            key: blake3::derive_key(CONTEXT, &material),
+            cluster: hash as u32,
+            key: blake3::derive_key(KEY_CONTEXT, &material),
         }
     }
 
-    fn of(&self, bytes: &[u8]) -> [u8; SEAL] {
-        let mut seal = [0; SEAL];
-        seal.copy_from_slice(&blake3::keyed_hash(&self.key, bytes).as_bytes()[..SEAL]);
+    fn seal(&self, bytes: &[u8]) -> [u8; SEAL_BYTES] {
+        let mut seal = [0; SEAL_BYTES];
+        seal.copy_from_slice(&blake3::keyed_hash(&self.key, bytes).as_bytes()[..SEAL_BYTES]);
         seal
     }
 }
 
-/// Whom a datagram is from and for.
+/// The processes between which a datagram travels.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Head {
-    /// The sender's process.
-    pub from: u64,
-    /// The receiver's, as the sender knows it; 0 for one that it does not know.
-    pub to: u64,
-    /// Its number on the way between the two.
-    pub number: u32,
+pub struct Header {
+    /// Process id of the sender.
+    pub from_process: u64,
+    /// Process id of the receiver as the sender knows it; 0 if it does not.
+    pub to_process: u64,
+    /// Sequence number from this sender to this receiver.
+    pub sequence: u32,
 }
 
-/// One of the things that a datagram says.
+/// That a node was declared dead.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct DeathNotice {
+    /// Which node.
+    pub member: MemberId,
+    /// In which incarnation.
+    pub incarnation: u64,
+    /// How long ago, in quarters of a second; the highest value means that or longer. 0 if the sender does not say.
+    pub age_quarter_seconds: u8,
+}
+
+/// One of the messages in a datagram.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Record {
-    /// Who the sender is.
+    /// Introduces the sender.
     Hello {
         /// Its incarnation.
         incarnation: u64,
         /// Its name.
         name: String,
     },
-    /// The sender is there.
-    Ping {
-        /// Whether it wants to hear that this has come.
-        answer: bool,
-        /// Whether the sender counts on the receiver as one of its observers.
-        observer: bool,
+    /// The sender is alive.
+    Probe {
+        /// Whether the receiver is to answer with [`Record::Ack`].
+        ack_requested: bool,
+        /// Whether the sender counts the receiver among its observers.
+        to_observer: bool,
     },
-    /// A datagram has come.
+    /// A datagram was received.
     Ack {
-        /// Its number.
-        number: u32,
-        /// Whether its sender is not known here by name.
-        introduce: bool,
+        /// Its sequence number.
+        sequence: u32,
+        /// Whether the receiver of that datagram does not know its sender by name and asks for [`Record::Hello`].
+        hello_requested: bool,
     },
-    /// A node is there.
+    /// A node is alive.
     Alive {
         /// Its incarnation.
         incarnation: u64,
-        /// Its process.
-        process: u64,
+        /// Its process id.
+        process_id: u64,
         /// Its name.
         name: String,
     },
-    /// A node is gone, in an incarnation, and how long ago it was found so, in quarters of a second; the most is that or
-    /// longer ago. One who does not tell found it now.
-    Gone(MemberId, u64, u8),
-    /// A node has said goodbye.
-    Left(MemberId, u64),
-    /// The sender does not hear a node: does the receiver?
-    Ask(MemberId, u64),
-    /// The sender hears a node, or does not.
-    Vote(MemberId, u64, bool),
-    /// What all that the sender knows of the nodes comes to.
+    /// A node is dead.
+    Dead(DeathNotice),
+    /// A node has left on its own.
+    Left {
+        /// Which node.
+        member: MemberId,
+        /// In which incarnation.
+        incarnation: u64,
+    },
+    /// The sender does not receive anything from a node and asks whether the receiver does.
+    IndirectProbe {
+        /// Which node.
+        member: MemberId,
+        /// In which incarnation.
+        incarnation: u64,
+    },
+    /// The answer to [`Record::IndirectProbe`].
+    Vote {
+        /// Which node.
+        member: MemberId,
+        /// In which incarnation.
+        incarnation: u64,
+        /// Whether the sender receives datagrams from it.
+        is_reachable: bool,
+    },
+    /// Digest of the sender's whole member table.
     Digest(u64),
-    /// The same, part by part.
-    Parts([u16; PARTS]),
-    /// A word of another part of the program.
-    Word(Vec<u8>),
+    /// Digests of the buckets of the sender's member table.
+    BucketDigests([u16; DIGEST_BUCKETS]),
+    /// Opaque bytes of another subsystem.
+    Payload(Vec<u8>),
 }
 
-const HELLO: u8 = 1;
-const PING: u8 = 2;
-const ACK: u8 = 3;
-const ALIVE: u8 = 4;
-const GONE: u8 = 5;
-const LEFT: u8 = 6;
-const ASK: u8 = 7;
-const VOTE: u8 = 8;
-const DIGEST: u8 = 9;
-const PARTS_KIND: u8 = 10;
-const WORD: u8 = 11;
+/// The kind byte of each record.
+mod kind {
+    pub const HELLO: u8 = 1;
+    pub const PROBE: u8 = 2;
+    pub const ACK: u8 = 3;
+    pub const ALIVE: u8 = 4;
+    pub const DEAD: u8 = 5;
+    pub const LEFT: u8 = 6;
+    pub const INDIRECT_PROBE: u8 = 7;
+    pub const VOTE: u8 = 8;
+    pub const DIGEST: u8 = 9;
+    pub const BUCKET_DIGESTS: u8 = 10;
+    pub const PAYLOAD: u8 = 11;
+}
+
+/// Flags of [`Record::Probe`].
+const ACK_REQUESTED: u8 = 1;
+const TO_OBSERVER: u8 = 2;
+
+fn encode_member(member: MemberId, incarnation: u64, to: &mut Vec<u8>) {
+    to.extend_from_slice(&member.0.to_le_bytes());
+    to.extend_from_slice(&incarnation.to_le_bytes());
+}
 
 impl Record {
-    fn write(&self, to: &mut Vec<u8>) {
-        let at = to.len();
-        to.extend_from_slice(&[0, 0]);
-        let id = |to: &mut Vec<u8>, id: &MemberId, incarnation: &u64| {
-            to.extend_from_slice(&id.0.to_le_bytes());
-            to.extend_from_slice(&incarnation.to_le_bytes());
-        };
-        let kind = match self {
+    fn kind(&self) -> u8 {
+        match self {
+            Self::Hello { .. } => kind::HELLO,
+            Self::Probe { .. } => kind::PROBE,
+            Self::Ack { .. } => kind::ACK,
+            Self::Alive { .. } => kind::ALIVE,
+            Self::Dead(_) => kind::DEAD,
+            Self::Left { .. } => kind::LEFT,
+            Self::IndirectProbe { .. } => kind::INDIRECT_PROBE,
+            Self::Vote { .. } => kind::VOTE,
+            Self::Digest(_) => kind::DIGEST,
+            Self::BucketDigests(_) => kind::BUCKET_DIGESTS,
+            Self::Payload(_) => kind::PAYLOAD,
+        }
+    }
+
+    fn encode(&self, to: &mut Vec<u8>) {
+        let start = to.len();
+        to.extend_from_slice(&[self.kind(), 0]);
+        self.encode_body(to);
+        // Names and payloads are bounded, so the length of every body fits one byte.
+        to[start + 1] = (to.len() - start - RECORD_HEADER_BYTES) as u8;
+    }
+
+    fn encode_body(&self, to: &mut Vec<u8>) {
+        match self {
             Self::Hello { incarnation, name } => {
                 to.extend_from_slice(&incarnation.to_le_bytes());
                 to.extend_from_slice(name.as_bytes());
-                HELLO
             }
-            Self::Ping { answer, observer } => {
-                to.push(u8::from(*answer) | u8::from(*observer) << 1);
-                PING
+            Self::Probe {
+                ack_requested,
+                to_observer,
+            } => {
+                let ack_requested = u8::from(*ack_requested) * ACK_REQUESTED;
+                let to_observer = u8::from(*to_observer) * TO_OBSERVER;
+                to.push(ack_requested | to_observer);
             }
-            Self::Ack { number, introduce } => {
-                to.extend_from_slice(&number.to_le_bytes());
-                to.push(u8::from(*introduce));
-                ACK
+            Self::Ack {
+                sequence,
+                hello_requested,
+            } => {
+                to.extend_from_slice(&sequence.to_le_bytes());
+                to.push(u8::from(*hello_requested));
             }
             Self::Alive {
                 incarnation,
-                process,
+                process_id,
                 name,
             } => {
                 to.extend_from_slice(&incarnation.to_le_bytes());
-                to.extend_from_slice(&process.to_le_bytes());
+                to.extend_from_slice(&process_id.to_le_bytes());
                 to.extend_from_slice(name.as_bytes());
-                ALIVE
             }
-            Self::Gone(member, incarnation, ago) => {
-                id(to, member, incarnation);
-                to.push(*ago);
-                GONE
+            Self::Dead(notice) => {
+                encode_member(notice.member, notice.incarnation, to);
+                to.push(notice.age_quarter_seconds);
             }
-            Self::Left(member, incarnation) => {
-                id(to, member, incarnation);
-                LEFT
-            }
-            Self::Ask(member, incarnation) => {
-                id(to, member, incarnation);
-                ASK
-            }
-            Self::Vote(member, incarnation, hears) => {
-                id(to, member, incarnation);
-                to.push(u8::from(*hears));
-                VOTE
+            Self::Left {
+                member,
+                incarnation,
             }
-            Self::Digest(digest) => {
-                to.extend_from_slice(&digest.to_le_bytes());
-                DIGEST
+            | Self::IndirectProbe {
+                member,
+                incarnation,
+            } => encode_member(*member, *incarnation, to),
+            Self::Vote {
+                member,
+                incarnation,
+                is_reachable,
+            } => {
+                encode_member(*member, *incarnation, to);
+                to.push(u8::from(*is_reachable));
             }
-            Self::Parts(parts) => {
-                parts
-                    .iter()
-                    .for_each(|part| to.extend_from_slice(&part.to_le_bytes()));
-                PARTS_KIND
+            Self::Digest(digest) => to.extend_from_slice(&digest.to_le_bytes()),
+            Self::BucketDigests(digests) => {
+                for digest in digests {
+                    to.extend_from_slice(&digest.to_le_bytes());
+                }
             }
-            Self::Word(bytes) => {
-                to.extend_from_slice(&bytes[..bytes.len().min(MOST_WORD)]);
-                WORD
+            Self::Payload(bytes) => {
+                to.extend_from_slice(&bytes[..bytes.len().min(MAX_PAYLOAD_BYTES)]);
             }
-        };
-        to[at] = kind;
-        // Names are no longer than `MOST_NAME`, so a record's length fits its byte.
-        to[at + 1] = (to.len() - at - 2) as u8;
+        }
     }
 
-    /// `None`: a kind that is not known here, or a body that stops short.
-    fn read(kind: u8, body: &[u8]) -> Option<Self> {
+    /// Returns `None` for an unknown kind and for a body that is too short or holds an invalid value: the record is
+    /// skipped.
+    fn decode(kind: u8, body: &[u8]) -> Option<Self> {
         let mut body = Body(body);
         Some(match kind {
-            HELLO => Self::Hello {
+            kind::HELLO => Self::Hello {
                 incarnation: body.incarnation()?,
                 name: body.name()?,
             },
-            PING => {
+            kind::PROBE => {
                 let flags = body.u8()?;
-                Self::Ping {
-                    answer: flags & 1 == 1,
-                    observer: flags & 2 == 2,
+                Self::Probe {
+                    ack_requested: flags & ACK_REQUESTED != 0,
+                    to_observer: flags & TO_OBSERVER != 0,
                 }
             }
-            ACK => Self::Ack {
-                number: body.u32()?,
-                introduce: body.flag()?,
+            kind::ACK => Self::Ack {
+                sequence: body.u32()?,
+                hello_requested: body.flag()?,
             },
-            ALIVE => Self::Alive {
+            kind::ALIVE => Self::Alive {
                 incarnation: body.incarnation()?,
-                process: body.u64()?,
+                process_id: body.u64()?,
                 name: body.name()?,
             },
-            GONE => Self::Gone(
-                MemberId(body.u64()?),
-                body.incarnation()?,
-                body.u8().unwrap_or(0),
-            ),
-            LEFT => Self::Left(MemberId(body.u64()?), body.incarnation()?),
-            ASK => Self::Ask(MemberId(body.u64()?), body.incarnation()?),
-            VOTE => Self::Vote(MemberId(body.u64()?), body.incarnation()?, body.flag()?),
-            DIGEST => Self::Digest(body.u64()?),
-            PARTS_KIND => {
-                let mut parts = [0; PARTS];
-                for part in &mut parts {
-                    *part = body.0.try_get_u16_le().ok()?;
-                }
-                Self::Parts(parts)
-            }
-            WORD => Self::Word(body.0.to_vec()),
+            kind::DEAD => Self::Dead(DeathNotice {
+                member: body.member()?,
+                incarnation: body.incarnation()?,
+                age_quarter_seconds: body.u8().unwrap_or(0),
+            }),
+            kind::LEFT => Self::Left {
+                member: body.member()?,
+                incarnation: body.incarnation()?,
+            },
+            kind::INDIRECT_PROBE => Self::IndirectProbe {
+                member: body.member()?,
+                incarnation: body.incarnation()?,
+            },
+            kind::VOTE => Self::Vote {
+                member: body.member()?,
+                incarnation: body.incarnation()?,
+                is_reachable: body.flag()?,
+            },
+            kind::DIGEST => Self::Digest(body.u64()?),
+            kind::BUCKET_DIGESTS => Self::BucketDigests(body.bucket_digests()?),
+            kind::PAYLOAD => Self::Payload(body.0.to_vec()),
             _ => return None,
         })
     }
 }
 
+/// The bytes of a record that are not decoded yet.
 struct Body<'a>(&'a [u8]);
 
 impl Body<'_> {
@@ -290,321 +359,196 @@
         self.0.try_get_u8().ok()
     }
 
+    fn u32(&mut self) -> Option<u32> {
+        self.0.try_get_u32_le().ok()
+    }
+
     fn u64(&mut self) -> Option<u64> {
         self.0.try_get_u64_le().ok()
     }
 
-    fn incarnation(&mut self) -> Option<u64> {
-        self.u64()
-            .filter(|incarnation| *incarnation <= MOST_INCARNATION)
+    fn flag(&mut self) -> Option<bool> {
+        self.u8().map(|byte| byte & 1 == 1)
     }
 
-    fn u32(&mut self) -> Option<u32> {
-        self.0.try_get_u32_le().ok()
+    fn member(&mut self) -> Option<MemberId> {
+        self.u64().map(MemberId)
     }
 
-    fn flag(&mut self) -> Option<bool> {
-        self.u8().map(|byte| byte & 1 == 1)
+    fn incarnation(&mut self) -> Option<u64> {
+        self.u64()
+            .filter(|incarnation| *incarnation <= MAX_INCARNATION)
     }
 
+    fn bucket_digests(&mut self) -> Option<[u16; DIGEST_BUCKETS]> {
+        let mut digests = [0; DIGEST_BUCKETS];
+        for digest in &mut digests {
+            *digest = self.0.try_get_u16_le().ok()?;
+        }
+        Some(digests)
+    }
+
+    /// All that is left, as a name.
     fn name(&mut self) -> Option<String> {
         std::str::from_utf8(self.0)
             .ok()
-            .filter(|name| is_name(name))
+            .filter(|name| is_valid_node_name(name))
             .map(str::to_owned)
     }
 }
 
-/// Whether this can be a node's name: it stands in lines of text that are split at spaces.
+/// Whether `name` may be a node's name: printable ASCII without spaces, as it appears in lines of text that are split at
+/// spaces, and at most [`MAX_NAME_BYTES`] long.
 #[must_use]
-pub fn is_name(name: &str) -> bool {
-    (1..=MOST_NAME).contains(&name.len()) && name.bytes().all(|byte| byte.is_ascii_graphic())
+pub fn is_valid_node_name(name: &str) -> bool {
+    (1..=MAX_NAME_BYTES).contains(&name.len()) && name.bytes().all(|byte| byte.is_ascii_graphic())
 }
 
-/// A datagram that is being written.
-pub struct Writer {
+/// Encodes one datagram.
+pub struct DatagramWriter {
     bytes: Vec<u8>,
 }
 
-impl Writer {
-    /// Begins one.
+impl DatagramWriter {
+    /// Starts a datagram with its header.
     #[must_use]
-    pub fn new(seal: &Seal, head: Head) -> Self {
-        let mut bytes = Vec::with_capacity(MOST_DATAGRAM);
+    pub fn new(key: &ClusterKey, header: Header) -> Self {
+        let mut bytes = Vec::with_capacity(MAX_DATAGRAM_BYTES);
         bytes.push(VERSION);
-        bytes.extend_from_slice(&seal.fleet.to_le_bytes());
-        bytes.extend_from_slice(&head.from.to_le_bytes());
-        bytes.extend_from_slice(&head.to.to_le_bytes());
-        bytes.extend_from_slice(&head.number.to_le_bytes());
+        bytes.extend_from_slice(&key.cluster.to_le_bytes());
+        bytes.extend_from_slice(&header.from_process.to_le_bytes());
+        bytes.extend_from_slice(&header.to_process.to_le_bytes());
+        bytes.extend_from_slice(&header.sequence.to_le_bytes());
         Self { bytes }
     }
 
-    /// Adds a record. `false`: there is no room for it, and it is left out.
+    /// Appends a record. Returns `false`, and leaves it out, if there is no room for it.
     pub fn push(&mut self, record: &Record) -> bool {
         let before = self.bytes.len();
-        record.write(&mut self.bytes);
-        let fits = self.bytes.len() + SEAL <= MOST_DATAGRAM;
+        record.encode(&mut self.bytes);
+        let fits = self.bytes.len() + SEAL_BYTES <= MAX_DATAGRAM_BYTES;
         if !fits {
             self.bytes.truncate(before);
         }
         fits
     }
 
-    /// Seals it.
+    /// Appends the seal and returns the datagram.
     #[must_use]
-    pub fn seal(mut self, seal: &Seal) -> Vec<u8> {
-        let of = seal.of(&self.bytes);
-        self.bytes.extend_from_slice(&of);
+    pub fn seal(mut self, key: &ClusterKey) -> Vec<u8> {
+        let seal = key.seal(&self.bytes);
+        self.bytes.extend_from_slice(&seal);
         self.bytes
     }
 }
 
-/// Why bytes are not taken.
+/// Why a datagram, or a node, was rejected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub enum Refused {
-    /// They are no datagram of this layout.
+pub enum RejectReason {
+    /// It does not have the layout of a datagram.
     Malformed,
-    /// They are of a version that is not known here.
-    Version,
-    /// They are of another fleet.
-    Fleet,
-    /// The seal is wrong: another key, or a byte has changed on the way.
-    Seal,
-    /// They have come before, or far too late.
+    /// Its version is unknown.
+    UnsupportedVersion,
+    /// It belongs to another cluster.
+    WrongCluster,
+    /// Its seal does not match: another key, or a byte changed in transit.
+    BadSeal,
+    /// Its sequence number was received before, or is too old to tell.
     Replayed,
-    /// They are for an earlier process, or from one.
-    OtherLife,
-    /// They come from an address that is not among the peers'.
-    Stranger,
-    /// More came than is read in so short a time, and reading paused: once for each pause.
-    Flood,
-    /// There is no room for one more node.
-    Full,
+    /// It is for or from an earlier process of a node, or for an earlier incarnation.
+    StaleIncarnation,
+    /// Its source address is not among the peers'.
+    UnknownSender,
+    /// The receive rate limit was reached and reading paused. Counted once for each pause.
+    RateLimited,
+    /// The member table is full.
+    TableFull,
 }
 
-impl Refused {
-    /// All of them.
+impl RejectReason {
+    /// All reasons, in the order of [`Metrics::rejected`](crate::Metrics::rejected).
     pub const ALL: [Self; 9] = [
         Self::Malformed,
-        Self::Version,
-        Self::Fleet,
-        Self::Seal,
+        Self::UnsupportedVersion,
+        Self::WrongCluster,
+        Self::BadSeal,
         Self::Replayed,
-        Self::OtherLife,
-        Self::Stranger,
-        Self::Flood,
-        Self::Full,
+        Self::StaleIncarnation,
+        Self::UnknownSender,
+        Self::RateLimited,
+        Self::TableFull,
     ];
 
-    /// A word for it.
+    /// The last part of its metric's name, which is external and does not follow the name of the variant.
     #[must_use]
-    pub fn word(self) -> &'static str {
+    pub fn metric_name(self) -> &'static str {
         match self {
             Self::Malformed => "malformed",
-            Self::Version => "version",
-            Self::Fleet => "fleet",
-            Self::Seal => "seal",
+            Self::UnsupportedVersion => "version",
+            Self::WrongCluster => "fleet",
+            Self::BadSeal => "seal",
             Self::Replayed => "replayed",
-            Self::OtherLife => "other_life",
-            Self::Stranger => "stranger",
-            Self::Flood => "flood",
-            Self::Full => "full",
+            Self::StaleIncarnation => "other_life",
+            Self::UnknownSender => "stranger",
+            Self::RateLimited => "flood",
+            Self::TableFull => "full",
         }
     }
 }
 
-/// Opens a datagram.
+/// A datagram whose seal was checked.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub struct Datagram {
+    /// Its header.
+    pub header: Header,
+    /// Its records, without those that this version does not know.
+    pub records: Vec<Record>,
+}
+
+/// Checks the seal of a datagram and decodes it.
 ///
 /// # Errors
 ///
-/// It is not one of this fleet, or has changed on the way.
-pub fn open(seal: &Seal, bytes: &[u8]) -> Result<(Head, Vec<Record>), Refused> {
-    if !(HEAD + SEAL..=MOST_DATAGRAM).contains(&bytes.len()) {
-        return Err(Refused::Malformed);
+/// [`RejectReason::Malformed`], [`UnsupportedVersion`](RejectReason::UnsupportedVersion),
+/// [`WrongCluster`](RejectReason::WrongCluster) or [`BadSeal`](RejectReason::BadSeal).
+pub fn open_datagram(key: &ClusterKey, bytes: &[u8]) -> Result<Datagram, RejectReason> {
+    if !(HEADER_BYTES + SEAL_BYTES..=MAX_DATAGRAM_BYTES).contains(&bytes.len()) {
+        return Err(RejectReason::Malformed);
     }
     if bytes[0] != VERSION {
-        return Err(Refused::Version);
+        return Err(RejectReason::UnsupportedVersion);
     }
-    if bytes[1..5] != seal.fleet.to_le_bytes() {
-        return Err(Refused::Fleet);
+    if bytes[1..5] != key.cluster.to_le_bytes() {
+        return Err(RejectReason::WrongCluster);
     }
-    let (said, told) = bytes.split_at(bytes.len() - SEAL);
-    let told: &[u8; SEAL] = told.try_into().map_err(|_| Refused::Malformed)?;
-    if !constant_time_eq_16(&seal.of(said), told) {
-        return Err(Refused::Seal);
+    let (content, seal) = bytes
+        .split_last_chunk::<SEAL_BYTES>()
+        .ok_or(RejectReason::Malformed)?;
+    if !constant_time_eq_16(&key.seal(content), seal) {
+        return Err(RejectReason::BadSeal);
     }
-    let mut head = Body(&said[5..]);
-    let read = (head.u64(), head.u64(), head.u32());
-    let (Some(from), Some(to), Some(number)) = read else {
-        return Err(Refused::Malformed);
-    };
-    let mut records = Vec::new();
-    let mut rest = head.0;
-    while let [kind, length, after @ ..] = rest {
-        let Some((body, next)) = after.split_at_checked(usize::from(*length)) else {
-            return Err(Refused::Malformed);
-        };
-        records.extend(Record::read(*kind, body));
-        rest = next;
-    }
-    Ok((Head { from, to, number }, records))
-}
-
-/// Which numbers of a sender have come. Numbers that are 64 or more behind the highest are taken for ones that have.
-#[derive(Clone, Copy, Debug, Default)]
-pub struct Window {
-    highest: u32,
-    seen: u64,
+    let mut body = Body(&content[5..]);
+    let header = decode_header(&mut body).ok_or(RejectReason::Malformed)?;
+    let records = decode_records(body.0)?;
+    Ok(Datagram { header, records })
 }
 
-impl Window {
-    /// Takes a number that has not come before. `false`: it has, or may have. The first is always taken.
-    pub fn take(&mut self, number: u32) -> bool {
-        if self.seen == 0 || number > self.highest {
-            let by = if self.seen == 0 {
-                64
-            } else {
-                number - self.highest
-            };
-            self.seen = if by >= 64 { 1 } else { (self.seen << by) | 1 };
-            self.highest = number;
-            return true;
-        }
-        let behind = self.highest - number;
-        let bit = if behind >= 64 {
-            return false;
-        } else {
-            1_u64 << behind
-        };
-        let is_new = self.seen & bit == 0;
-        self.seen |= bit;
-        is_new
-    }
+fn decode_header(body: &mut Body<'_>) -> Option<Header> {
+    Some(Header {
+        from_process: body.u64()?,
+        to_process: body.u64()?,
+        sequence: body.u32()?,
+    })
 }
 
-#[cfg(test)]
-mod golden_tests;
-
-#[cfg(test)]
-mod tests {
-    use super::*;
-    use proptest::prelude::*;
-
-    fn record() -> impl Strategy<Value = Record> {
-        let at = || 0..=MOST_INCARNATION;
-        let id = || (any::<u64>().prop_map(MemberId), at());
-        prop_oneof![
-            (at(), "[!-~]{1,64}")
-                .prop_map(|(incarnation, name)| Record::Hello { incarnation, name }),
-            any::<(bool, bool)>().prop_map(|(answer, observer)| Record::Ping { answer, observer }),
-            (any::<u32>(), any::<bool>())
-                .prop_map(|(number, introduce)| Record::Ack { number, introduce }),
-            (at(), any::<u64>(), "[!-~]{1,64}").prop_map(|(incarnation, process, name)| {
-                Record::Alive {
-                    incarnation,
-                    process,
-                    name,
-                }
-            }),
-            (id(), any::<u8>()).prop_map(|((id, at), ago)| Record::Gone(id, at, ago)),
-            id().prop_map(|(id, at)| Record::Left(id, at)),
-            id().prop_map(|(id, at)| Record::Ask(id, at)),
-            (id(), any::<bool>()).prop_map(|((id, at), hears)| Record::Vote(id, at, hears)),
-            any::<u64>().prop_map(Record::Digest),
-            any::<[u16; PARTS]>().prop_map(Record::Parts),
-            proptest::collection::vec(any::<u8>(), 0..=MOST_WORD).prop_map(Record::Word),
-        ]
-    }
-
-    fn seal() -> Seal {
-        Seal::new("holds", b"0123456789abcdef")
-    }
-
-    proptest! {
-        #[test]
-        fn what_is_written_is_read_and_never_too_long(
-            (from, to, number) in any::<(u64, u64, u32)>(),
-            records in proptest::collection::vec(record(), 0..30),
-        ) {
-            let mut writer = Writer::new(&seal(), Head { from, to, number });
-            let fits: Vec<_> = records.into_iter().filter(|record| writer.push(record)).collect();
-            let bytes = writer.seal(&seal());
-            prop_assert!(bytes.len() <= MOST_DATAGRAM);
-            prop_assert_eq!(open(&seal(), &bytes), Ok((Head { from, to, number }, fits)));
-        }
-
-        /// Guards against a byte that changes on the way, whichever it is.
-        #[test]
-        fn a_changed_byte_is_found(at in 0..60_usize, by in 1..=255_u8) {
-            let mut writer = Writer::new(&seal(), Head { from: 1, to: 2, number: 3 });
-            writer.push(&Record::Gone(MemberId(7), 8, 9));
-            let mut bytes = writer.seal(&seal());
-            let at = at % bytes.len();
-            bytes[at] ^= by;
-            prop_assert!(open(&seal(), &bytes).is_err());
-        }
-
-        #[test]
-        fn no_bytes_are_too_odd(bytes in proptest::collection::vec(any::<u8>(), 0..400)) {
-            prop_assert!(open(&seal(), &bytes).is_err());
-        }
-
-        /// Guards against a number that is taken twice, in any order of arrival.
-        #[test]
-        fn no_number_is_taken_twice(numbers in proptest::collection::vec(0..200_u32, 0..400)) {
-            let (mut window, mut taken) = (Window::default(), std::collections::BTreeSet::new());
-            for number in numbers {
-                if window.take(number) {
-                    prop_assert!(taken.insert(number));
-                }
-            }
-        }
-    }
-
-    /// Guards against a fleet that stops to talk while half of it has a later version.
-    #[test]
-    fn what_a_later_version_adds_is_passed_over() {
-        let mut writer = Writer::new(
-            &seal(),
-            Head {
-                from: 1,
-                to: 2,
-                number: 3,
-            },
-        );
-        writer.push(&Record::Ping {
-            answer: true,
-            observer: false,
-        });
-        writer
-            .bytes
-            .extend_from_slice(&[200, 3, 1, 2, 3, PING, 4, 1, 9, 9, 9]);
-        let (_, records) = open(&seal(), &writer.seal(&seal())).expect("sound");
-        let ping = Record::Ping {
-            answer: true,
-            observer: false,
-        };
-        assert_eq!(records, [ping.clone(), ping]);
-    }
-
-    #[test]
-    fn other_keys_and_fleets_are_told_apart() {
-        let bytes = Writer::new(
-            &seal(),
-            Head {
-                from: 1,
-                to: 2,
-                number: 3,
-            },
-        )
-        .seal(&seal());
-        assert_eq!(
-            open(&Seal::new("holds", b"another key of 16"), &bytes),
-            Err(Refused::Seal)
-        );
-        assert_eq!(
-            open(&Seal::new("other", b"0123456789abcdef"), &bytes),
-            Err(Refused::Fleet)
-        );
+fn decode_records(mut rest: &[u8]) -> Result<Vec<Record>, RejectReason> {
+    let mut records = Vec::new();
+    while let [kind, length, after @ ..] = rest {
+        let (body, next) = after
+            .split_at_checked(usize::from(*length))
+            .ok_or(RejectReason::Malformed)?;
+        records.extend(Record::decode(*kind, body));
+        rest = next;
     }
+    Ok(records)
 }
--- a/crates/gossip/src/wire/golden_tests.rs
+++ b/crates/gossip/src/wire/golden_tests.rs
@@ -1,21 +1,23 @@
 //! Recorded bytes of every kind of record: nodes of different versions share a cluster, so the layout must not change.
 
+use std::fmt::Write;
+
 use super::*;
 
 fn datagram(records: &[Record]) -> String {
-    let seal = Seal::new("holds", b"0123456789abcdef");
-    let head = Head {
-        from: 0x1122_3344_5566_7788,
-        to: 0x99aa_bbcc_ddee_ff00,
-        number: 0x0102_0304,
+    let key = ClusterKey::new("holds", b"0123456789abcdef");
+    let header = Header {
+        from_process: 0x1122_3344_5566_7788,
+        to_process: 0x99aa_bbcc_ddee_ff00,
+        sequence: 0x0102_0304,
     };
-    let mut writer = Writer::new(&seal, head);
+    let mut writer = DatagramWriter::new(&key, header);
     for record in records {
         assert!(writer.push(record), "{record:?} does not fit");
     }
     let mut hex = String::new();
-    for byte in writer.seal(&seal) {
-        hex += &format!("{byte:02x}");
+    for byte in writer.seal(&key) {
+        write!(hex, "{byte:02x}").expect("a string grows");
     }
     hex
 }
@@ -33,51 +35,51 @@
             "01d885c397887766554433221100ffeeddccbbaa9904030201010a002f9f33a20100006e31462f5839e1f9c2580351306dc8ec9728",
         ),
         (
-            &[Record::Ping { answer: false, observer: false }],
+            &[Record::Probe { ack_requested: false, to_observer: false }],
             "01d885c397887766554433221100ffeeddccbbaa99040302010201002fde8388ab770eac01e7a7d32a81ddb7",
         ),
         (
-            &[Record::Ping { answer: true, observer: false }],
+            &[Record::Probe { ack_requested: true, to_observer: false }],
             "01d885c397887766554433221100ffeeddccbbaa990403020102010143d7990ec71316dc0bc7e4b81b1a4d06",
         ),
         (
-            &[Record::Ping { answer: false, observer: true }],
+            &[Record::Probe { ack_requested: false, to_observer: true }],
             "01d885c397887766554433221100ffeeddccbbaa99040302010201023d21ec09f0786d181c84dc8b08506af4",
         ),
         (
-            &[Record::Ping { answer: true, observer: true }],
+            &[Record::Probe { ack_requested: true, to_observer: true }],
             "01d885c397887766554433221100ffeeddccbbaa9904030201020103e0ce5122b7cfa23f1ff8c0b78b3d3892",
         ),
         (
-            &[Record::Ack { number: 0x0a0b_0c0d, introduce: false }],
+            &[Record::Ack { sequence: 0x0a0b_0c0d, hello_requested: false }],
             "01d885c397887766554433221100ffeeddccbbaa990403020103050d0c0b0a00da7dfbdd020aafc3a3ddf34b6f723da6",
         ),
         (
-            &[Record::Ack { number: 0x0a0b_0c0d, introduce: true }],
+            &[Record::Ack { sequence: 0x0a0b_0c0d, hello_requested: true }],
             "01d885c397887766554433221100ffeeddccbbaa990403020103050d0c0b0a017cee2948a436c5b60b30258804f1089d",
         ),
         (
-            &[Record::Alive { incarnation: 5, process: 0x77, name: "n7".into() }],
+            &[Record::Alive { incarnation: 5, process_id: 0x77, name: "n7".into() }],
             "01d885c397887766554433221100ffeeddccbbaa99040302010412050000000000000077000000000000006e37442f54a996796d521025da00dca9b529",
         ),
         (
-            &[Record::Gone(id, 6, 9)],
+            &[Record::Dead(DeathNotice { member: id, incarnation: 6, age_quarter_seconds: 9 })],
             "01d885c397887766554433221100ffeeddccbbaa9904030201051144e625cdc9d9f17306000000000000000996b2d835681746f46d9498449a56b4f4",
         ),
         (
-            &[Record::Left(id, 7)],
+            &[Record::Left { member: id, incarnation: 7 }],
             "01d885c397887766554433221100ffeeddccbbaa9904030201061044e625cdc9d9f173070000000000000026576ea98380495a0a747bff28a3a353",
         ),
         (
-            &[Record::Ask(id, 8)],
+            &[Record::IndirectProbe { member: id, incarnation: 8 }],
             "01d885c397887766554433221100ffeeddccbbaa9904030201071044e625cdc9d9f1730800000000000000c7b00c74c30415d8b90c0e76169b6c69",
         ),
         (
-            &[Record::Vote(id, 9, true)],
+            &[Record::Vote { member: id, incarnation: 9, is_reachable: true }],
             "01d885c397887766554433221100ffeeddccbbaa9904030201081144e625cdc9d9f17309000000000000000186c7000e28d19dfba612b8ed18bd8592",
         ),
         (
-            &[Record::Vote(id, 9, false)],
+            &[Record::Vote { member: id, incarnation: 9, is_reachable: false }],
             "01d885c397887766554433221100ffeeddccbbaa9904030201081144e625cdc9d9f173090000000000000000faaf7ab8451915a4c67f6c257de7dd51",
         ),
         (
@@ -85,15 +87,15 @@
             "01d885c397887766554433221100ffeeddccbbaa990403020109081032547698badcfe6b2000c069fafaa176d91f49a15667b5",
         ),
         (
-            &[Record::Parts(std::array::from_fn(|part| 0x1000 + part as u16))],
+            &[Record::BucketDigests(std::array::from_fn(|bucket| 0x1000 + bucket as u16))],
             "01d885c397887766554433221100ffeeddccbbaa99040302010a2000100110021003100410051006100710081009100a100b100c100d100e100f10638ebfa62d6855a309c2783be8d52160",
         ),
         (
-            &[Record::Word(b"opaque".to_vec())],
+            &[Record::Payload(b"opaque".to_vec())],
             "01d885c397887766554433221100ffeeddccbbaa99040302010b066f706171756504eb34c04a16aff9c133148084ecf84a",
         ),
         (
-            &[Record::Ping { answer: true, observer: true }, Record::Gone(id, 6, 9), Record::Word(vec![0, 255])],
+            &[Record::Probe { ack_requested: true, to_observer: true }, Record::Dead(DeathNotice { member: id, incarnation: 6, age_quarter_seconds: 9 }), Record::Payload(vec![0, 255])],
             "01d885c397887766554433221100ffeeddccbbaa9904030201020103051144e625cdc9d9f1730600000000000000090b0200ff4168672cfab5362caa5d5ec342b2ea86",
         ),
     ];
@@ -103,17 +105,26 @@
             .step_by(2)
             .map(|at| u8::from_str_radix(&hex[at..at + 2], 16).expect("recorded in hex"))
             .collect();
-        let seal = Seal::new("holds", b"0123456789abcdef");
-        let (_, read) = open(&seal, &bytes).expect("recorded datagrams are sound");
-        assert_eq!(read, records);
+        let key = ClusterKey::new("holds", b"0123456789abcdef");
+        let datagram = open_datagram(&key, &bytes).expect("recorded datagrams are well-formed");
+        assert_eq!(datagram.records, records);
     }
 }
 
-/// These words end the metric names `edge_router.fleet_refused.*`.
+/// These words end the names of the metrics `edge_router.fleet_refused.*`.
 #[test]
 fn rejection_metric_names_are_the_recorded_ones() {
+    let positions: Vec<_> = RejectReason::ALL
+        .iter()
+        .map(|reason| *reason as usize)
+        .collect();
+    assert_eq!(
+        positions,
+        [0, 1, 2, 3, 4, 5, 6, 7, 8],
+        "they index the counters"
+    );
     assert_eq!(
-        Refused::ALL.map(Refused::word),
+        RejectReason::ALL.map(RejectReason::metric_name),
         [
             "malformed",
             "version",
@@ -131,8 +142,8 @@
 /// `MEMBERS` and `members --json` show these words, and `edge_router.fleet_health` these numbers.
 #[test]
 fn state_and_health_names_are_the_recorded_ones() {
-    use crate::kinds::{Health, State};
-    let states = [State::Alive, State::Suspect, State::Gone, State::Left];
+    use crate::member::{Health, State};
+    let states = [State::Alive, State::Suspect, State::Dead, State::Left];
     assert_eq!(
         states.map(|state| state.to_string()),
         ["alive", "suspect", "gone", "left"]
--- a/crates/gossip/tests/recorded_stream.rs
+++ b/crates/gossip/tests/recorded_stream.rs
@@ -1,6 +1,6 @@
 //! A seeded cluster sends, byte for byte, the datagrams that were recorded from the version that nodes in service run.
 
-use gossip::{Action, Event, Gossip, Seal, Settings, State};
+use gossip::{Action, ClusterKey, Event, Gossip, Settings, State};
 use stable_hash::mix;
 
 const NODES: usize = 9;
@@ -45,10 +45,10 @@
 
 #[test]
 fn seeded_cluster_sends_recorded_datagrams() {
-    let seal = Seal::new("holds", b"0123456789abcdef");
+    let key = ClusterKey::new("holds", b"0123456789abcdef");
     let mut nodes: Vec<Gossip> = (0..NODES)
         .map(|node| {
-            let settings = Settings::new(&format!("n{node}"), 100 + node as u64, 7, seal.clone());
+            let settings = Settings::new(&format!("n{node}"), 100 + node as u64, 7, key.clone());
             Gossip::new(0.0, settings)
         })
         .collect();
@@ -76,7 +76,7 @@
                 continue;
             }
             if step == 0 {
-                gossip.handle(now, Event::Peers((0..NODES).collect()), &mut actions);
+                gossip.handle(now, Event::SetPeers((0..NODES).collect()), &mut actions);
             }
             if now == 50_000.0 && node == LEAVING {
                 gossip.handle(now, Event::Leave, &mut actions);
@@ -84,9 +84,9 @@
             if now == 55_000.0 && node == 1 {
                 let to = gossip::MemberId::of("n2");
                 let bytes = b"opaque".as_slice();
-                gossip.handle(now, Event::Say { to, bytes }, &mut actions);
+                gossip.handle(now, Event::SendPayload { to, bytes }, &mut actions);
             }
-            gossip.handle(now, Event::Due, &mut actions);
+            gossip.handle(now, Event::Timer, &mut actions);
             emitted.extend(actions.drain(..).map(|action| (node, action)));
         }
         for (from, action) in emitted {
@@ -97,7 +97,7 @@
                     in_transit.push(Datagram { from, to, bytes });
                 }
                 Action::WakeAt(at) => hash.add(&at.to_bits().to_le_bytes()),
-                Action::Word { .. } => payloads += 1,
+                Action::Payload { .. } => payloads += 1,
                 _ => {}
             }
         }
@@ -105,11 +105,11 @@
     let states: Vec<State> = nodes[1].members().map(|member| member.state).collect();
     let count = |state| states.iter().filter(|held| **held == state).count();
     assert_eq!(
-        [State::Alive, State::Gone, State::Left].map(count),
+        [State::Alive, State::Dead, State::Left].map(count),
         [7, 1, 1]
     );
-    let returned: u64 = nodes.iter().map(|node| node.figures().refutations).sum();
-    let verdicts: u64 = nodes.iter().map(|node| node.figures().verdicts).sum();
+    let returned: u64 = nodes.iter().map(|node| node.metrics().refutations).sum();
+    let verdicts: u64 = nodes.iter().map(|node| node.metrics().verdicts).sum();
     assert_eq!((verdicts, returned), (15, 2));
     assert_eq!((sent, payloads), (16_582, 1));
     assert_eq!(hash.0, 0xfa6a_09bd_432c_6467, "{:#018x}", hash.0);
--- a/crates/measure/src/members.rs
+++ b/crates/measure/src/members.rs
@@ -8,7 +8,7 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-use gossip::{Planted, State};
+use gossip::{InjectedFault, State};
 use simulation::{draw, Bounds, Link, Trouble};
 use testkit::nodes::judge::{bounds, excuses, trial};
 use testkit::nodes::{Fleet as Virtual, Said};
@@ -72,7 +72,7 @@
 }
 
 fn trial_of(seed: u64, with_script: bool) -> String {
-    match trial(seed, bounds(seed, MOST_NODES), Planted::None) {
+    match trial(seed, bounds(seed, MOST_NODES), InjectedFault::None) {
         Ok(trial) => format!("{AGREED} {:.0} {}", trial.agreed_ms, trial.gone),
         Err(error) if with_script => error,
         Err(error) => error.lines().next().unwrap_or_default().to_owned(),
@@ -163,7 +163,7 @@
     let mut seen = BTreeMap::new();
     for (by, at, said) in fleet.said() {
         if let Said::Change(change) = said {
-            if change.to == State::Gone && change.name == killed && at >= at_ms {
+            if change.to == State::Dead && change.name == killed && at >= at_ms {
                 seen.entry(by).or_insert(at - at_ms);
             }
         }
--- a/crates/testkit/src/fleet.rs
+++ b/crates/testkit/src/fleet.rs
@@ -482,7 +482,7 @@
         let own = self
             .gone_lines()
             .into_iter()
-            .filter(|(.., why)| why.contains("do not hear it and"));
+            .filter(|(.., why)| why.contains("confirmed by quorum"));
         own.map(|(by, _, name, _)| (by, name)).collect()
     }
 
--- a/crates/testkit/src/nodes/judge.rs
+++ b/crates/testkit/src/nodes/judge.rs
@@ -1,7 +1,7 @@
 //! Trials under drawn troubles, and a judge that knows the script and what the nodes said, and nothing of how they decide.
 use std::collections::{BTreeMap, BTreeSet};
 
-use gossip::{Planted, State};
+use gossip::{InjectedFault, State};
 use simulation::{draw, Bounds, NodeId, Script, Trouble};
 
 use super::{Fleet, Said};
@@ -183,7 +183,7 @@
         let Said::Change(change) = said else { continue };
         let key = (by, change.name.clone());
         match change.to {
-            State::Gone | State::Left => {
+            State::Dead | State::Left => {
                 gone.insert(key, change.incarnation);
             }
             State::Alive
@@ -218,10 +218,10 @@
 /// # Errors
 ///
 /// What was wrong, with the script.
-pub fn trial(seed: u64, bounds: Bounds, planted: Planted) -> Result<Trial, String> {
+pub fn trial(seed: u64, bounds: Bounds, fault: InjectedFault) -> Result<Trial, String> {
     let script = draw(seed, bounds);
     let mut fleet = Fleet::new(seed, bounds.nodes);
-    fleet.planted = planted;
+    fleet.injected_fault = fault;
     fleet.start_all(1_000.0);
     fleet.run(12_000.0);
     let start = fleet.world.now_ms();
@@ -253,7 +253,7 @@
     if let Some(what) = returned_as_it_was(&fleet) {
         return Err(told(what));
     }
-    if fleet.world.totals().longest > gossip::MOST_DATAGRAM {
+    if fleet.world.totals().longest > gossip::MAX_DATAGRAM_BYTES {
         return Err(told("a datagram is too long".into()));
     }
     Ok(Trial {
--- a/crates/testkit/src/nodes/mod.rs
+++ b/crates/testkit/src/nodes/mod.rs
@@ -3,7 +3,10 @@
 pub mod judge;
 use std::collections::BTreeMap;
 
-use gossip::{Action, Change, Event, Gossip, Health, Note, Planted, Seal, Settings, State};
+use gossip::{
+    Action, Change, ClusterKey, Event, Gossip, Health, InjectedFault, LogEvent, Metrics, Settings,
+    State,
+};
 use simulation::{Clock, Link, NodeId, Outbox, Process, Script, Trouble, World};
 
 /// What a node said, and when by the world's time.
@@ -14,7 +17,7 @@
     /// Of how it hears.
     Health(Health),
     /// For the operators.
-    Note(Note),
+    Log(LogEvent),
 }
 
 /// A node, and what it said.
@@ -37,8 +40,8 @@
                 Action::WakeAt(at) => out.wake_at(at),
                 Action::Changed(change) => self.said.push((at, Said::Change(change))),
                 Action::Health(health) => self.said.push((at, Said::Health(health))),
-                Action::Note(note) => self.said.push((at, Said::Note(note))),
-                Action::Word { .. } => {}
+                Action::Log(event) => self.said.push((at, Said::Log(event))),
+                Action::Payload { .. } => {}
             }
         }
     }
@@ -55,9 +58,9 @@
     fn wake(&mut self, own_ms: f64, out: &mut Outbox) {
         let peers = self.peers.clone();
         let event = if std::mem::take(&mut self.is_new) {
-            Event::Peers(peers)
+            Event::SetPeers(peers)
         } else {
-            Event::Due
+            Event::Timer
         };
         self.act(own_ms, event, out);
     }
@@ -80,10 +83,10 @@
     pub names: Vec<String>,
     /// Their clocks, from the next start on.
     pub clocks: Vec<Clock>,
-    /// The mistake that they make.
-    pub planted: Planted,
-    /// Their seals, from the next start on.
-    pub seals: Vec<Seal>,
+    /// The protocol fault that is injected into them.
+    pub injected_fault: InjectedFault,
+    /// Their cluster keys, from the next start on.
+    pub keys: Vec<ClusterKey>,
     lives: u64,
     /// What processes that have ended said.
     past: Vec<(NodeId, f64, Said)>,
@@ -98,8 +101,8 @@
             seed,
             names: (0..nodes).map(|node| format!("n{node}")).collect(),
             clocks: vec![Clock::default(); nodes],
-            planted: Planted::None,
-            seals: vec![Seal::new("holds", KEY); nodes],
+            injected_fault: InjectedFault::None,
+            keys: vec![ClusterKey::new("holds", KEY); nodes],
             lives: 0,
             past: Vec::new(),
         }
@@ -135,9 +138,8 @@
         let mut rng = fastrand::Rng::with_seed(self.seed ^ (self.lives << 20));
         self.world.set_clock(node, self.clocks[node]);
         let process = rng.u64(1..);
-        let mut settings =
-            Settings::new(&self.names[node], process, born, self.seals[node].clone());
-        settings.planted = self.planted;
+        let mut settings = Settings::new(&self.names[node], process, born, self.keys[node].clone());
+        settings.injected_fault = self.injected_fault;
         let gossip = Gossip::new(self.world.own_ms(node), settings);
         let peers = (0..self.names.len()).collect();
         let clock = self.clocks[node];
@@ -239,6 +241,16 @@
         self.world.process(of).expect("it runs").gossip.health()
     }
 
+    /// The counters of a node.
+    ///
+    /// # Panics
+    ///
+    /// The node is not running.
+    #[must_use]
+    pub fn metrics(&self, of: NodeId) -> Metrics {
+        self.world.process(of).expect("it runs").gossip.metrics()
+    }
+
     /// Whether all that run agree that all that run are there and the rest are not; else who errs on whom.
     #[must_use]
     pub fn disagreement(&self) -> Option<String> {
@@ -257,7 +269,7 @@
                     (Some(own), Some((state, at))) => *state == State::Alive && *at == own,
                     (Some(_), None) => false,
                     (None, held) => {
-                        held.is_none_or(|(state, _)| matches!(state, State::Gone | State::Left))
+                        held.is_none_or(|(state, _)| matches!(state, State::Dead | State::Left))
                     }
                 };
                 if !is_right {
@@ -307,7 +319,7 @@
     #[must_use]
     pub fn gone_since(&self, since_ms: f64) -> Vec<(NodeId, f64, String)> {
         let gone = |(by, at, said): (NodeId, f64, Said)| match said {
-            Said::Change(change) if change.to == State::Gone && at >= since_ms => {
+            Said::Change(change) if change.to == State::Dead && at >= since_ms => {
                 Some((by, at, change.name))
             }
             _ => None,
@@ -315,11 +327,11 @@
         self.said().into_iter().filter_map(gone).collect()
     }
 
-    /// What a node told its operators.
+    /// The log events of a node's process.
     #[must_use]
-    pub fn notes(&self, of: NodeId) -> Vec<Note> {
-        let notes = |(_, said): &(f64, Said)| match said {
-            Said::Note(note) => Some(note.clone()),
+    pub fn log_events(&self, of: NodeId) -> Vec<LogEvent> {
+        let log_event = |(_, said): &(f64, Said)| match said {
+            Said::Log(event) => Some(event.clone()),
             _ => None,
         };
         self.world
@@ -327,7 +339,7 @@
             .expect("it runs")
             .said
             .iter()
-            .filter_map(notes)
+            .filter_map(log_event)
             .collect()
     }
 }
--- a/src/node/admin/operators.rs
+++ b/src/node/admin/operators.rs
@@ -627,7 +627,11 @@
     fn check(self) -> Result<Keeping, Wrong> {
         let ordinary = Keeping::default();
         for names in self.before.iter().chain([&self.keepers]) {
-            if let Some(name) = names.get_ref().iter().find(|name| !gossip::is_name(name)) {
+            if let Some(name) = names
+                .get_ref()
+                .iter()
+                .find(|name| !gossip::is_valid_node_name(name))
+            {
                 return Err(wrong(names, format!("{name:?} cannot be a node's name")));
             }
         }
@@ -669,9 +673,9 @@
         if let Some(name) = self
             .name
             .as_ref()
-            .filter(|name| !gossip::is_name(name.get_ref()))
+            .filter(|name| !gossip::is_valid_node_name(name.get_ref()))
         {
-            let most = gossip::MOST_NAME;
+            let most = gossip::MAX_NAME_BYTES;
             return Err(wrong(
                 name,
                 format!("a node's name is 1 to {most} characters of ASCII without spaces"),
@@ -686,11 +690,11 @@
         if let Some(peers) = self
             .peers
             .as_ref()
-            .filter(|peers| peers.get_ref().len() > gossip::MOST_MEMBERS)
+            .filter(|peers| peers.get_ref().len() > gossip::MAX_MEMBERS)
         {
             return Err(wrong(
                 peers,
-                format!("there are at most {} peers", gossip::MOST_MEMBERS),
+                format!("there are at most {} peers", gossip::MAX_MEMBERS),
             ));
         }
         let probe_ms = self.probe_ms.map_or(ordinary.probe_ms, |probe| probe.0);
--- a/src/node/cluster/leases.rs
+++ b/src/node/cluster/leases.rs
@@ -166,7 +166,7 @@
         for action in actions {
             match action {
                 Action::Send { to, bytes } => {
-                    self.feed(Gossiped::Say {
+                    self.feed(Gossiped::SendPayload {
                         to: MemberId(to.0),
                         bytes: &bytes,
                     });
--- a/src/node/cluster/mod.rs
+++ b/src/node/cluster/mod.rs
@@ -16,7 +16,10 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use gossip::{Action, Event, Gossip, Note, PeerId, Refused, Seal, Settings, State, MOST_DATAGRAM};
+use gossip::{
+    Action, ClusterKey, Event, Gossip, LogEvent, PeerId, RejectReason, Settings, State,
+    MAX_DATAGRAM_BYTES,
+};
 use rustix::time::{clock_gettime, ClockId};
 use tokio::net::UdpSocket;
 
@@ -55,9 +58,9 @@
     pub key_file: PathBuf,
     /// Where in the operators' file that stands.
     pub key_at: usize,
-    /// See [`Settings::probe_ms`].
+    /// See [`Settings::probe_interval_ms`].
     pub probe_ms: f64,
-    /// See [`Settings::suspect_ms`].
+    /// See [`Settings::suspicion_timeout_ms`].
     pub suspect_ms: f64,
 }
 
@@ -100,8 +103,8 @@
             .read_to_end(&mut bytes)
             .map_err(failed)?;
         let key = bytes.trim_ascii();
-        if key.len() < gossip::LEAST_KEY || bytes.len() as u64 > MOST_KEY {
-            let least = gossip::LEAST_KEY;
+        if key.len() < gossip::MIN_KEY_BYTES || bytes.len() as u64 > MOST_KEY {
+            let least = gossip::MIN_KEY_BYTES;
             return Err(format!(
                 "{}: a key has {least} to {MOST_KEY} bytes",
                 self.key_file.display()
@@ -217,7 +220,7 @@
             .clone()
             .or_else(|| config.name.clone())
             .ok_or(FleetError::Missing("name"))?;
-        if !gossip::is_name(&name) {
+        if !gossip::is_valid_node_name(&name) {
             return Err(FleetError::Value(format!(
                 "{name:?} cannot be a node's name"
             )));
@@ -249,13 +252,13 @@
             .transpose()
             .map_err(FleetError::Value)?;
         let settings = Settings {
-            probe_ms: instances.probe_ms,
-            suspect_ms: instances.suspect_ms,
+            probe_interval_ms: instances.probe_ms,
+            suspicion_timeout_ms: instances.suspect_ms,
             ..Settings::new(
                 &name,
                 process,
                 unix.as_millis() as u64,
-                Seal::new(&instances.fleet, &key),
+                ClusterKey::new(&instances.fleet, &key),
             )
         };
         let fleet = Rc::new(Self {
@@ -312,9 +315,9 @@
             suspect_ms,
             ..
         } = *instances;
-        self.feed(Event::Timings {
-            probe_ms,
-            suspect_ms,
+        self.feed(Event::SetTimings {
+            probe_interval_ms: probe_ms,
+            suspicion_timeout_ms: suspect_ms,
         });
     }
 
@@ -330,7 +333,7 @@
             addresses.set(peers);
             addresses.now.clone()
         };
-        self.feed(Event::Peers(numbers));
+        self.feed(Event::SetPeers(numbers));
     }
 
     fn feed(self: &Rc<Self>, event: Event<'_>) {
@@ -351,24 +354,24 @@
                     is_other = true;
                     log::line(format_args!("fleet: this node is {health}"));
                 }
-                Action::Note(note) => {
-                    log::line(format_args!("fleet: {note}"));
-                    if matches!(note, Note::Rival { yields: true, .. }) {
+                Action::Log(event) => {
+                    log::line(format_args!("fleet: {event}"));
+                    if matches!(event, LogEvent::NameConflict { yields: true, .. }) {
                         self.end_leases();
                     }
                 }
-                Action::Word { from, bytes, .. } if outlier_detection::is_report(&bytes) => {
+                Action::Payload { from, bytes, .. } if outlier_detection::is_report(&bytes) => {
                     self.heard_word(from, &bytes);
                 }
-                Action::Word {
+                Action::Payload {
                     from,
-                    process,
+                    process_id,
                     bytes,
                 } => {
                     let from = lease::NodeId(from.0);
                     self.lease_event(lease::Event::Word {
                         from,
-                        process,
+                        process: process_id,
                         bytes: &bytes,
                     });
                 }
@@ -391,13 +394,13 @@
     async fn wake_up(self: Rc<Self>) {
         loop {
             self.alarm.rings(boot_ms).await;
-            self.feed(Event::Due);
+            self.feed(Event::Timer);
         }
     }
 
     async fn listen(self: Rc<Self>) {
         // One more than the longest, to see that one is longer.
-        let mut buffer = [0; MOST_DATAGRAM + 1];
+        let mut buffer = [0; MAX_DATAGRAM_BYTES + 1];
         let (mut left, mut at) = (READS_IN_A_HEAP, boot_ms());
         loop {
             if self.socket.readable().await.is_err() {
@@ -408,7 +411,7 @@
             left = (left + (now - at) / 1e3 * READS_PER_S).min(READS_IN_A_HEAP);
             at = now;
             if left < 1.0 {
-                self.gossip.borrow_mut().refuse(Refused::Flood);
+                self.gossip.borrow_mut().reject(RejectReason::RateLimited);
                 tokio::time::sleep(PAUSE).await;
                 continue;
             }
@@ -429,7 +432,7 @@
         let from = self.addresses.borrow().numbers.get(&from).copied();
         match from {
             Some(from) => self.feed(Event::Datagram { from, bytes }),
-            None => self.gossip.borrow_mut().refuse(Refused::Stranger),
+            None => self.gossip.borrow_mut().reject(RejectReason::UnknownSender),
         }
     }
 
@@ -451,7 +454,7 @@
             }
             let since = (now - member.since_ms).max(0.0);
             let heard = member
-                .heard_ms
+                .last_received_ms
                 .map_or("-".into(), |at| format!("{:.0}", (now - at).max(0.0)));
             let address = member.address.and_then(|at| addresses.all.get(at));
             let address = address.map_or("-".into(), ToString::to_string);
@@ -468,12 +471,12 @@
     #[must_use]
     pub fn figures(&self) -> String {
         let gossip = self.gossip.borrow();
-        let figures = gossip.figures();
+        let metrics = gossip.metrics();
         let mut text = String::new();
         let mut line = |name: &str, value: u64, kind: char| {
             let _ = writeln!(text, "edge_router.fleet_{name}:{value}|{kind}"); // Text grows without fail.
         };
-        for state in [State::Alive, State::Suspect, State::Gone, State::Left] {
+        for state in [State::Alive, State::Suspect, State::Dead, State::Left] {
             let count = gossip
                 .members()
                 .filter(|member| !member.is_self && member.state == state)
@@ -481,14 +484,14 @@
             line(&format!("members.{state}"), count as u64, 'g');
         }
         line("health", gossip.health() as u64, 'g');
-        line("verdicts", figures.verdicts, 'c');
-        line("refutations", figures.refutations, 'c');
-        line("datagrams_in", figures.received.0, 'c');
-        line("bytes_in", figures.received.1, 'c');
-        line("datagrams_out", figures.sent.0, 'c');
-        line("bytes_out", figures.sent.1, 'c');
-        for (why, count) in Refused::ALL.iter().zip(figures.refused) {
-            line(&format!("refused.{}", why.word()), count, 'c');
+        line("verdicts", metrics.verdicts, 'c');
+        line("refutations", metrics.refutations, 'c');
+        line("datagrams_in", metrics.received.datagrams, 'c');
+        line("bytes_in", metrics.received.bytes, 'c');
+        line("datagrams_out", metrics.sent.datagrams, 'c');
+        line("bytes_out", metrics.sent.bytes, 'c');
+        for (why, count) in RejectReason::ALL.iter().zip(metrics.rejected) {
+            line(&format!("refused.{}", why.metric_name()), count, 'c');
         }
         text + &self.lease_figures() + &self.word_figures()
     }
--- a/src/node/cluster/word.rs
+++ b/src/node/cluster/word.rs
@@ -115,7 +115,7 @@
         };
         others
             .into_iter()
-            .for_each(|to| self.feed(Gossiped::Say { to, bytes }));
+            .for_each(|to| self.feed(Gossiped::SendPayload { to, bytes }));
     }
 
     pub(super) fn say_how_many(self: &Rc<Self>) {
