--- a/crates/testkit/src/fleet.rs
+++ b/crates/testkit/src/fleet.rs
@@ -504,7 +504,7 @@
                 .map(move |line| (node, line))
         });
         let read = |(by, (at, line)): (usize, (Instant, String))| {
-            let rest = line.split_once("fleet: ")?.1;
+            let rest = line.split_once("gossip: ")?.1;
             let (name, why) = rest.split_once(" is gone")?;
             (name != "this node").then(|| (by, at, name.to_owned(), why.to_owned()))
         };
--- a/src/main.rs
+++ b/src/main.rs
@@ -7,7 +7,7 @@
 use clap::{Parser, Subcommand};
 use silverthread::node::admin::ask;
 use silverthread::node::admin::operators::Operators;
-use silverthread::node::cluster::FleetError;
+use silverthread::node::cluster::ClusterError;
 use silverthread::node::{config::Config, run, Extras, NodeError};
 use silverthread::simulator::one_line;
 
@@ -89,7 +89,7 @@
         .and_then(|config| run(config, extras))
     {
         Ok(()) => ExitCode::SUCCESS,
-        Err(error @ NodeError::Fleet(FleetError::Missing(_))) => fail(&error, WRONG),
+        Err(error @ NodeError::Cluster(ClusterError::MissingSetting(_))) => fail(&error, WRONG),
         Err(error) => fail(&error, 1),
     }
 }
--- a/src/node/admin/calls.rs
+++ b/src/node/admin/calls.rs
@@ -11,7 +11,7 @@
 use tokio::task::AbortHandle;
 
 use crate::node::admin::log;
-use crate::node::cluster::Fleet;
+use crate::node::cluster::Cluster;
 use crate::node::downstream::clients::{FrontOptions, Phase, ACCEPT_AGAIN};
 use crate::node::driver::Driver;
 
@@ -27,13 +27,13 @@
 pub struct Desk {
     driver: Rc<Driver>,
     options: FrontOptions,
-    fleet: Option<Rc<Fleet>>,
+    fleet: Option<Rc<Cluster>>,
 }
 
 impl Desk {
     /// Of a node's driver, of the entrance to it, and of what it knows of other nodes, where it looks.
     #[must_use]
-    pub fn new(driver: Rc<Driver>, options: FrontOptions, fleet: Option<Rc<Fleet>>) -> Self {
+    pub fn new(driver: Rc<Driver>, options: FrontOptions, fleet: Option<Rc<Cluster>>) -> Self {
         Self {
             driver,
             options,
@@ -51,7 +51,7 @@
                 let fleet = self
                     .fleet
                     .as_ref()
-                    .map(|fleet| fleet.figures())
+                    .map(|fleet| fleet.metrics())
                     .unwrap_or_default();
                 format!(
                     "{}{fleet}EOF\n",
--- a/src/node/admin/operators.rs
+++ b/src/node/admin/operators.rs
@@ -16,7 +16,7 @@
 use serde::{Deserialize, Deserializer};
 use toml::Spanned;
 
-use crate::node::cluster::{Instances, Keeping};
+use crate::node::cluster::{ClusterSettings, Keeping};
 use crate::node::discovery::consul::ConsulSource;
 use crate::node::upstream::addresses::{AllSaid, Said};
 use crate::node::upstream::servers::Bounds;
@@ -41,7 +41,7 @@
     /// Bounds on connections to servers.
     pub pool: Bounds,
     /// How the other nodes of the fleet are found.
-    pub instances: Option<Instances>,
+    pub instances: Option<ClusterSettings>,
     /// Who keeps leases for them.
     pub leases: Option<Keeping>,
     /// How they tell each other of bad servers.
@@ -118,11 +118,11 @@
         }
         let operators = Self::parse(file, &text)?;
         if let Some(instances) = &operators.instances {
-            let at = instances.key_at;
-            instances.read_key().map_err(|why| OperatorsError {
+            let at = instances.key_file_offset;
+            instances.read_key().map_err(|error| OperatorsError {
                 file: file.to_owned(),
                 at: Some(place(&text, at)),
-                why,
+                why: error.to_string(),
             })?;
         }
         Ok(operators)
@@ -179,7 +179,7 @@
                 });
             format!(
                 "instances of the fleet {:?}: {places}, probed every {} ms",
-                instances.fleet, instances.probe_ms
+                instances.cluster, instances.probe_interval_ms
             )
         });
         let leases = self.leases.as_ref().map(|leases| {
@@ -668,8 +668,8 @@
 }
 
 impl RawInstances {
-    fn check(self) -> Result<Instances, Wrong> {
-        let ordinary = Instances::default();
+    fn check(self) -> Result<ClusterSettings, Wrong> {
+        let ordinary = ClusterSettings::default();
         if let Some(name) = self
             .name
             .as_ref()
@@ -697,7 +697,9 @@
                 format!("there are at most {} peers", gossip::MAX_MEMBERS),
             ));
         }
-        let probe_ms = self.probe_ms.map_or(ordinary.probe_ms, |probe| probe.0);
+        let probe_ms = self
+            .probe_ms
+            .map_or(ordinary.probe_interval_ms, |probe| probe.0);
         // The platform names times for none of this: five missed in a row are needed for a doubt.
         let suspect_ms = self
             .suspect_ms
@@ -709,15 +711,15 @@
                 "a node is probed three times at the least before it is suspected",
             ));
         }
-        Ok(Instances {
+        Ok(ClusterSettings {
             name: self.name.map(Spanned::into_inner),
             listen: self.listen,
             peers: self.peers.map(Spanned::into_inner),
-            fleet: self.fleet.into_inner(),
-            key_at: self.key_file.span().start,
+            cluster: self.fleet.into_inner(),
+            key_file_offset: self.key_file.span().start,
             key_file: self.key_file.into_inner(),
-            probe_ms,
-            suspect_ms,
+            probe_interval_ms: probe_ms,
+            suspicion_timeout_ms: suspect_ms,
         })
     }
 }
--- a/src/node/admin/reload.rs
+++ b/src/node/admin/reload.rs
@@ -13,7 +13,7 @@
 
 use crate::node::admin::log;
 use crate::node::admin::operators::Operators;
-use crate::node::cluster::Fleet;
+use crate::node::cluster::Cluster;
 use crate::node::config::Config;
 use crate::node::discovery::Sources;
 
@@ -23,7 +23,7 @@
     mut signals: Signal,
     discovery: watch::Sender<SocketAddr>,
     operators: Option<(PathBuf, Rc<Sources>)>,
-    fleet: Option<Rc<Fleet>>,
+    fleet: Option<Rc<Cluster>>,
 ) {
     // Signals that come while one is dealt with are one more: the file is read after the last of them.
     while signals.recv().await.is_some() {
@@ -49,7 +49,7 @@
 fn follow_again(
     file: &Path,
     sources: &Sources,
-    fleet: Option<&Rc<Fleet>>,
+    fleet: Option<&Rc<Cluster>>,
     config: Option<&Config>,
 ) {
     match Operators::read(file) {
@@ -62,7 +62,7 @@
             );
             sources.driver().say_addresses(operators.addresses);
             if let (Some(fleet), Some(instances)) = (fleet, &operators.instances) {
-                fleet.change(config, instances, operators.leases.as_ref());
+                fleet.reconfigure(config, instances, operators.leases.as_ref());
             }
         }
         Err(error) => log::line(format_args!("the operators' file is not used: {error}")),
--- a/src/node/cluster/duty.rs
+++ b/src/node/cluster/duty.rs
@@ -13,7 +13,7 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpStream;
 
-use super::{boot_ms, Fleet};
+use super::{boot_ms, Cluster};
 use crate::node::admin::log;
 
 const NAME: &str = "fleet-log";
@@ -33,11 +33,11 @@
 }
 
 /// Appends for as long as it is polled.
-pub async fn fleet_log(fleet: Rc<Fleet>, at: SocketAddr) {
+pub async fn fleet_log(fleet: Rc<Cluster>, at: SocketAddr) {
     let shards = fleet.shards().max(1);
     let shard = (MemberId::of(NAME).0 % u64::from(shards)) as Shard;
     let (mut number, mut was_said) = (0_u64, false);
-    let last = |fleet: &Fleet| {
+    let last = |fleet: &Cluster| {
         fleet
             .told(shard)
             .and_then(|bytes| Some(u64::from_le_bytes(bytes.try_into().ok()?)))
@@ -73,7 +73,7 @@
     }
 }
 
-async fn append(fleet: &Fleet, at: SocketAddr, shard: Shard, number: u64) -> io::Result<Came> {
+async fn append(fleet: &Cluster, at: SocketAddr, shard: Shard, number: u64) -> io::Result<Came> {
     let mut stream = TcpStream::connect(at).await?;
     stream.writable().await?;
     // The line fits the socket's buffer, so it goes out in this one step or not at all.
--- a/src/node/cluster/leases.rs
+++ b/src/node/cluster/leases.rs
@@ -12,7 +12,7 @@
     Action, Change, Event, Fence, Leases, NodeId, Note, Permit, Settings, Shard, Standing,
 };
 
-use super::{boot_ms, figure_lines, Fleet};
+use super::{boot_ms, metric_lines, Cluster};
 use crate::node::admin::log;
 use crate::node::clock::Alarm;
 
@@ -155,7 +155,7 @@
     }
 }
 
-impl Fleet {
+impl Cluster {
     /// Something happens to the leases.
     pub(super) fn lease_event(self: &Rc<Self>, event: Event<'_>) {
         let Some(part) = &self.leases else { return };
@@ -166,7 +166,7 @@
         for action in actions {
             match action {
                 Action::Send { to, bytes } => {
-                    self.feed(Gossiped::SendPayload {
+                    self.handle_gossip_event(Gossiped::SendPayload {
                         to: MemberId(to.0),
                         bytes: &bytes,
                     });
@@ -379,6 +379,6 @@
             ("words_out", figures.sent.0, 'c'),
             ("bytes_out", figures.sent.1, 'c'),
         ];
-        figure_lines("lease", &lines)
+        metric_lines("lease", &lines)
     }
 }
--- a/src/node/cluster/mod.rs
+++ b/src/node/cluster/mod.rs
@@ -1,498 +1,259 @@
-//! Datagrams between the nodes of the fleet: the socket round [`gossip`], which decides all of it.
+//! The cluster of nodes: the socket, clock and timers around [`gossip`], which makes all decisions, and the subsystems
+//! whose messages travel in its datagrams.
 //!
-//! Nothing of it is there unless the operators' file asks for it and the platform's settings allow it.
+//! It runs only if the operators' file has a section `[instances]` and the platform's settings allow it. [`Cluster`] owns
+//! the gossip state, the socket and the numbers of the peers' addresses.
 
+mod address_book;
 mod duty;
+mod error;
 mod leases;
 mod record;
+mod settings;
+mod socket;
+mod status;
 mod word;
 
 use std::cell::{Cell, RefCell};
-use std::collections::HashMap;
-use std::fmt::{self, Write};
-use std::io;
+use std::fmt::Write;
 use std::net::SocketAddr;
 use std::path::PathBuf;
 use std::rc::Rc;
-use std::time::Duration;
+use std::time::{SystemTime, UNIX_EPOCH};
 
-use gossip::{
-    Action, ClusterKey, Event, Gossip, LogEvent, PeerId, RejectReason, Settings, State,
-    MAX_DATAGRAM_BYTES,
-};
+use gossip::{Action, ClusterKey, Event, Gossip, LogEvent, MemberId, Settings};
 use rustix::time::{clock_gettime, ClockId};
 use tokio::net::UdpSocket;
 
-pub use leases::Keeping;
-
+use self::address_book::AddressBook;
+use self::settings::ResolvedSettings;
 use crate::node::admin::log;
 use crate::node::clock::Alarm;
 use crate::node::config::Config;
 use crate::node::driver::Driver;
 
-/// Datagrams that are read a second, whoever sends them: three times what a node of any fleet is sent while all of them
-/// start at once, and less than a hundredth of a core. What comes beyond waits in the socket, and is lost there once that
-/// is full: requests go first.
-const READS_PER_S: f64 = 1_000.0;
-/// How many of them may come in a heap, and how many are read in a row before requests have their turn.
-const READS_IN_A_HEAP: f64 = 250.0;
-const READS_AT_ONCE: usize = 16;
-/// How long nothing is read once the heap is used up: the system wakes this thread for each datagram that the socket has
-/// room for, so the room is made seldom and not bit by bit.
-const PAUSE: Duration = Duration::from_millis(100);
-/// The longest key file that is read.
-const MOST_KEY: u64 = 4_096;
-
-/// What the operators' file says of the other nodes.
-#[derive(Clone, Debug, PartialEq)]
-pub struct Instances {
-    /// This node's name; else the platform's.
-    pub name: Option<String>,
-    /// Where it hears others; else where the platform says.
-    pub listen: Option<SocketAddr>,
-    /// Where they are; else where the platform says.
-    pub peers: Option<Vec<SocketAddr>>,
-    /// The fleet's name.
-    pub fleet: String,
-    /// Where the key is that all nodes share.
-    pub key_file: PathBuf,
-    /// Where in the operators' file that stands.
-    pub key_at: usize,
-    /// See [`Settings::probe_interval_ms`].
-    pub probe_ms: f64,
-    /// See [`Settings::suspicion_timeout_ms`].
-    pub suspect_ms: f64,
-}
-
-impl Default for Instances {
-    fn default() -> Self {
-        Self {
-            name: None,
-            listen: None,
-            peers: None,
-            fleet: String::new(),
-            key_file: PathBuf::new(),
-            key_at: 0,
-            probe_ms: 500.0,
-            suspect_ms: 2_500.0,
-        }
-    }
-}
-
-impl Instances {
-    /// The key: the file's bytes without white space at the ends.
-    ///
-    /// # Errors
-    ///
-    /// The file cannot be read, others than its owner may read it, or it holds too little: in words.
-    pub fn read_key(&self) -> Result<Vec<u8>, String> {
-        use std::io::Read;
-        use std::os::unix::fs::PermissionsExt;
-        let failed = |error: io::Error| format!("cannot read {}: {error}", self.key_file.display());
-        let file = std::fs::File::open(&self.key_file).map_err(failed)?;
-        let mode = file.metadata().map_err(failed)?.permissions().mode();
-        if mode & 0o077 != 0 {
-            let mode = mode & 0o777;
-            return Err(format!(
-                "{}: others than its owner may use it (mode {mode:03o})",
-                self.key_file.display()
-            ));
-        }
-        let mut bytes = Vec::new();
-        file.take(MOST_KEY + 1)
-            .read_to_end(&mut bytes)
-            .map_err(failed)?;
-        let key = bytes.trim_ascii();
-        if key.len() < gossip::MIN_KEY_BYTES || bytes.len() as u64 > MOST_KEY {
-            let least = gossip::MIN_KEY_BYTES;
-            return Err(format!(
-                "{}: a key has {least} to {MOST_KEY} bytes",
-                self.key_file.display()
-            ));
-        }
-        Ok(key.to_vec())
-    }
-}
-
-/// Why other nodes cannot be looked for.
-#[derive(Debug)]
-pub enum FleetError {
-    /// Neither the operators' file nor the platform says this.
-    Missing(&'static str),
-    /// What is said makes no sense.
-    Value(String),
-    /// The system does not let it listen.
-    Listen(SocketAddr, io::Error),
-}
+pub use self::error::ClusterError;
+pub use self::leases::Keeping;
+pub use self::settings::{ClusterSettings, KeyFileError};
 
-impl fmt::Display for FleetError {
-    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        match self {
-            Self::Missing(key) => {
-                write!(
-                    f,
-                    "[instances]: neither the operators' file nor the platform says `{key}`"
-                )
-            }
-            Self::Value(why) => write!(f, "[instances]: {why}"),
-            Self::Listen(address, error) => {
-                write!(f, "cannot hear other nodes at {address}: {error}")
-            }
-        }
+/// Lines of `STATS` for one subsystem: the name, value and kind (`g` gauge, `c` counter) of each metric.
+fn metric_lines(subsystem: &str, metrics: &[(&str, u64, char)]) -> String {
+    let mut lines = String::new();
+    for (name, value, kind) in metrics {
+        // A string grows without fail.
+        let _ = writeln!(lines, "edge_router.{subsystem}_{name}:{value}|{kind}");
     }
+    lines
 }
 
-impl std::error::Error for FleetError {}
-
-/// A part's lines among the figures: name, value and kind of each.
-fn figure_lines(part: &str, lines: &[(&str, u64, char)]) -> String {
-    let line = |(name, value, kind): &(&str, u64, char)| {
-        format!("edge_router.{part}_{name}:{value}|{kind}\n")
-    };
-    lines.iter().map(line).collect()
-}
-
-/// Milliseconds since boot, time in suspend included: a process that was suspended has to see that it was.
+/// Milliseconds since boot, suspends included: a process has to notice that it was suspended.
 fn boot_ms() -> f64 {
     let now = clock_gettime(ClockId::Boottime);
     now.tv_sec as f64 * 1e3 + now.tv_nsec as f64 / 1e6
 }
 
-/// Numbers for addresses; one never stands for another address.
-#[derive(Debug, Default)]
-struct Addresses {
-    numbers: HashMap<SocketAddr, PeerId>,
-    all: Vec<SocketAddr>,
-    now: Vec<PeerId>,
+fn unix_ms() -> u64 {
+    SystemTime::now()
+        .duration_since(UNIX_EPOCH)
+        .unwrap_or_default()
+        .as_millis() as u64
 }
 
-impl Addresses {
-    fn set(&mut self, peers: &[SocketAddr]) {
-        self.now.clear();
-        for address in peers {
-            let all = &mut self.all;
-            let number = *self.numbers.entry(*address).or_insert_with(|| {
-                all.push(*address);
-                all.len() - 1
-            });
-            self.now.push(number);
-        }
-    }
-}
-
-/// What this node knows of the others.
-pub struct Fleet {
+/// This node's part in the cluster.
+pub struct Cluster {
     gossip: RefCell<Gossip>,
     socket: UdpSocket,
-    addresses: RefCell<Addresses>,
+    addresses: RefCell<AddressBook>,
     alarm: Alarm,
     name: String,
-    /// Whether the operators' file names the peers, so that a new list of the platform's says nothing.
-    names_peers: Cell<bool>,
+    /// Whether the operators' file lists the peers, so that the platform's list is ignored.
+    has_configured_peers: Cell<bool>,
     leases: Option<leases::Part>,
     word: Option<word::Part>,
-    /// Where a keeper writes down what it may grant.
+    /// The fence file, if this node has one.
     record: Option<PathBuf>,
 }
 
-impl Fleet {
-    /// Begins to look for other nodes, where that is asked for and allowed.
+impl Cluster {
+    /// Joins the cluster, if that is configured and allowed; `None` otherwise. Its tasks run on the current
+    /// [`LocalSet`](tokio::task::LocalSet).
     ///
     /// # Errors
     ///
-    /// Something that it takes is missing or makes no sense, or it cannot listen.
+    /// A setting is missing or invalid, a subsystem cannot start, or the address cannot be bound.
     pub async fn start(
         config: &Config,
-        instances: Option<&Instances>,
-        keeping: Option<&Keeping>,
-        said: Option<&outlier_detection::Settings>,
+        settings: Option<&ClusterSettings>,
+        lease_settings: Option<&Keeping>,
+        outlier_settings: Option<&outlier_detection::Settings>,
         driver: &Rc<Driver>,
-    ) -> Result<Option<Rc<Self>>, FleetError> {
-        let Some(instances) = instances else {
+    ) -> Result<Option<Rc<Self>>, ClusterError> {
+        let Some(settings) = settings else {
             return Ok(None);
         };
         if !config.peers_allowed {
-            log::line("the settings do not allow word between nodes: [instances] stays off");
+            log::line("the settings do not allow datagrams between nodes: [instances] stays off");
             return Ok(None);
         }
-        let name = instances
-            .name
-            .clone()
-            .or_else(|| config.name.clone())
-            .ok_or(FleetError::Missing("name"))?;
-        if !gossip::is_valid_node_name(&name) {
-            return Err(FleetError::Value(format!(
-                "{name:?} cannot be a node's name"
-            )));
-        }
-        let listen = instances
-            .listen
-            .or(config.peer_listen)
-            .ok_or(FleetError::Missing("listen"))?;
-        let peers = instances
-            .peers
-            .clone()
-            .unwrap_or_else(|| config.peers.clone());
-        let key = instances.read_key().map_err(FleetError::Value)?;
+        let resolved = ResolvedSettings::new(config, settings)?;
+        let listen = resolved.listen;
         let socket = UdpSocket::bind(listen)
             .await
-            .map_err(|error| FleetError::Listen(listen, error))?;
-        let unix = std::time::SystemTime::now()
-            .duration_since(std::time::UNIX_EPOCH)
-            .unwrap_or_default();
-        let process = fastrand::u64(1..);
-        let leases = keeping
-            .map(|keeping| {
-                leases::Part::new(boot_ms(), keeping, &name, process, unix.as_millis() as u64)
+            .map_err(|source| ClusterError::Listen {
+                address: listen,
+                source,
+            })?;
+        let (process_id, started_unix_ms) = (fastrand::u64(1..), unix_ms());
+        let leases = lease_settings
+            .map(|leases| {
+                leases::Part::new(
+                    boot_ms(),
+                    leases,
+                    &resolved.name,
+                    process_id,
+                    started_unix_ms,
+                )
             })
             .transpose()
-            .map_err(FleetError::Value)?;
-        let word = said
-            .map(|said| word::Part::new(boot_ms(), *said, Rc::clone(driver)))
+            .map_err(ClusterError::subsystem("leases"))?;
+        let word = outlier_settings
+            .map(|outlier| word::Part::new(boot_ms(), *outlier, Rc::clone(driver)))
             .transpose()
-            .map_err(FleetError::Value)?;
-        let settings = Settings {
-            probe_interval_ms: instances.probe_ms,
-            suspicion_timeout_ms: instances.suspect_ms,
-            ..Settings::new(
-                &name,
-                process,
-                unix.as_millis() as u64,
-                ClusterKey::new(&instances.fleet, &key),
-            )
+            .map_err(ClusterError::subsystem("word"))?;
+        let key = ClusterKey::new(&settings.cluster, &resolved.key);
+        let gossip_settings = Settings {
+            probe_interval_ms: settings.probe_interval_ms,
+            suspicion_timeout_ms: settings.suspicion_timeout_ms,
+            ..Settings::new(&resolved.name, process_id, started_unix_ms, key)
         };
-        let fleet = Rc::new(Self {
-            gossip: RefCell::new(Gossip::new(boot_ms(), settings)),
+        let cluster = Rc::new(Self {
+            gossip: RefCell::new(Gossip::new(boot_ms(), gossip_settings)),
             socket,
             addresses: RefCell::default(),
             alarm: Alarm::new(),
-            name,
-            names_peers: Cell::new(instances.peers.is_some()),
+            name: resolved.name,
+            has_configured_peers: Cell::new(settings.peers.is_some()),
             leases,
             word,
-            record: keeping.and_then(|keeping| keeping.fence_file.clone()),
+            record: lease_settings.and_then(|leases| leases.fence_file.clone()),
         });
         log::line(format_args!(
-            "{} looks for {} other nodes of {:?} at {listen}",
-            fleet.name,
-            peers.len(),
-            instances.fleet
+            "gossip: {} joins cluster {:?} at {listen} with {} peers",
+            cluster.name,
+            settings.cluster,
+            resolved.peers.len()
         ));
-        fleet.set_peers(&peers);
-        tokio::task::spawn_local(Rc::clone(&fleet).wake_up());
-        tokio::task::spawn_local(Rc::clone(&fleet).listen());
-        if fleet.leases.is_some() {
-            tokio::task::spawn_local(Rc::clone(&fleet).wake_leases());
+        cluster.set_peers(&resolved.peers);
+        cluster.spawn_tasks(lease_settings.and_then(|leases| leases.fleet_log));
+        Ok(Some(cluster))
+    }
+
+    fn spawn_tasks(self: &Rc<Self>, fleet_log: Option<SocketAddr>) {
+        tokio::task::spawn_local(Rc::clone(self).run_timer());
+        tokio::task::spawn_local(Rc::clone(self).run_receive_loop());
+        if self.leases.is_some() {
+            tokio::task::spawn_local(Rc::clone(self).wake_leases());
         }
-        if fleet.word.is_some() {
-            tokio::task::spawn_local(Rc::clone(&fleet).wake_word());
+        if self.word.is_some() {
+            tokio::task::spawn_local(Rc::clone(self).wake_word());
         }
-        if let Some(at) = keeping.and_then(|keeping| keeping.fleet_log) {
-            tokio::task::spawn_local(duty::fleet_log(Rc::clone(&fleet), at));
+        if let Some(address) = fleet_log {
+            tokio::task::spawn_local(duty::fleet_log(Rc::clone(self), address));
         }
-        Ok(Some(fleet))
     }
 
-    /// Takes what may change without a restart: peers, timings and keepers.
-    pub fn change(
+    /// Applies what may change without a restart: peers, timings and lease acceptors.
+    pub fn reconfigure(
         self: &Rc<Self>,
         config: Option<&Config>,
-        instances: &Instances,
-        keeping: Option<&Keeping>,
+        settings: &ClusterSettings,
+        lease_settings: Option<&Keeping>,
     ) {
-        if let Some(keeping) = keeping {
-            self.change_keepers(keeping);
+        if let Some(leases) = lease_settings {
+            self.change_keepers(leases);
         }
-        self.names_peers.set(instances.peers.is_some());
-        let platform = config
-            .filter(|_| !self.names_peers.get())
-            .map(|config| config.peers.clone());
-        if let Some(peers) = instances.peers.clone().or(platform) {
-            self.set_peers(&peers);
+        self.has_configured_peers.set(settings.peers.is_some());
+        let platform_peers = config.map(|config| &config.peers);
+        if let Some(peers) = settings.peers.as_ref().or(platform_peers) {
+            self.set_peers(peers);
         }
-        let Instances {
-            probe_ms,
-            suspect_ms,
-            ..
-        } = *instances;
-        self.feed(Event::SetTimings {
-            probe_interval_ms: probe_ms,
-            suspicion_timeout_ms: suspect_ms,
+        self.handle_gossip_event(Event::SetTimings {
+            probe_interval_ms: settings.probe_interval_ms,
+            suspicion_timeout_ms: settings.suspicion_timeout_ms,
         });
     }
 
-    /// Says goodbye, and gives to others what it owns.
+    /// Transfers the leases of this node, and notifies the others that it leaves.
     pub fn leave(self: &Rc<Self>) {
         self.lease_event(lease::Event::Leave);
-        self.feed(Event::Leave);
+        self.handle_gossip_event(Event::Leave);
     }
 
     fn set_peers(self: &Rc<Self>, peers: &[SocketAddr]) {
-        let numbers = {
+        let ids = {
             let mut addresses = self.addresses.borrow_mut();
-            addresses.set(peers);
-            addresses.now.clone()
+            peers
+                .iter()
+                .map(|address| addresses.assign(*address))
+                .collect()
         };
-        self.feed(Event::SetPeers(numbers));
+        self.handle_gossip_event(Event::SetPeers(ids));
     }
 
-    fn feed(self: &Rc<Self>, event: Event<'_>) {
+    async fn run_timer(self: Rc<Self>) {
+        loop {
+            self.alarm.rings(boot_ms).await;
+            self.handle_gossip_event(Event::Timer);
+        }
+    }
+
+    fn handle_gossip_event(self: &Rc<Self>, event: Event<'_>) {
         let mut actions = Vec::new();
         self.gossip
             .borrow_mut()
             .handle(boot_ms(), event, &mut actions);
-        let mut is_other = false;
+        let is_view_changed = actions
+            .iter()
+            .any(|action| matches!(action, Action::Changed(_) | Action::Health(_)));
         for action in actions {
-            match action {
-                Action::Send { to, bytes } => self.send(to, &bytes),
-                Action::WakeAt(at) => self.alarm.set(at),
-                Action::Changed(change) => {
-                    is_other = true;
-                    log::line(format_args!("fleet: {change}"));
-                }
-                Action::Health(health) => {
-                    is_other = true;
-                    log::line(format_args!("fleet: this node is {health}"));
-                }
-                Action::Log(event) => {
-                    log::line(format_args!("fleet: {event}"));
-                    if matches!(event, LogEvent::NameConflict { yields: true, .. }) {
-                        self.end_leases();
-                    }
-                }
-                Action::Payload { from, bytes, .. } if outlier_detection::is_report(&bytes) => {
-                    self.heard_word(from, &bytes);
-                }
-                Action::Payload {
-                    from,
-                    process_id,
-                    bytes,
-                } => {
-                    let from = lease::NodeId(from.0);
-                    self.lease_event(lease::Event::Word {
-                        from,
-                        process: process_id,
-                        bytes: &bytes,
-                    });
-                }
-            }
+            self.execute(action);
         }
-        if is_other {
+        if is_view_changed {
             self.say_candidates();
             self.say_how_many();
         }
     }
 
-    fn send(&self, to: PeerId, bytes: &[u8]) {
-        let address = self.addresses.borrow().all.get(to).copied();
-        if let Some(address) = address {
-            // One that the system does not take is lost, as it may be anywhere on its way.
-            let _ = self.socket.try_send_to(bytes, address);
-        }
-    }
-
-    async fn wake_up(self: Rc<Self>) {
-        loop {
-            self.alarm.rings(boot_ms).await;
-            self.feed(Event::Timer);
-        }
-    }
-
-    async fn listen(self: Rc<Self>) {
-        // One more than the longest, to see that one is longer.
-        let mut buffer = [0; MAX_DATAGRAM_BYTES + 1];
-        let (mut left, mut at) = (READS_IN_A_HEAP, boot_ms());
-        loop {
-            if self.socket.readable().await.is_err() {
-                tokio::time::sleep(PAUSE).await;
-                continue;
-            }
-            let now = boot_ms();
-            left = (left + (now - at) / 1e3 * READS_PER_S).min(READS_IN_A_HEAP);
-            at = now;
-            if left < 1.0 {
-                self.gossip.borrow_mut().reject(RejectReason::RateLimited);
-                tokio::time::sleep(PAUSE).await;
-                continue;
-            }
-            for _ in 0..READS_AT_ONCE {
-                // An error is another node's: that it is not there. The silence tells as much.
-                match self.socket.try_recv_from(&mut buffer) {
-                    Ok((length, from)) => self.came(from, &buffer[..length]),
-                    Err(error) if error.kind() == io::ErrorKind::WouldBlock => break,
-                    Err(_) => {}
+    fn execute(self: &Rc<Self>, action: Action) {
+        match action {
+            Action::Send { to, bytes } => self.send_datagram(to, &bytes),
+            Action::WakeAt(at_ms) => self.alarm.set(at_ms),
+            Action::Changed(change) => log::line(format_args!("gossip: {change}")),
+            Action::Health(health) => log::line(format_args!("gossip: this node is {health}")),
+            Action::Log(event) => {
+                log::line(format_args!("gossip: {event}"));
+                if matches!(event, LogEvent::NameConflict { yields: true, .. }) {
+                    self.end_leases();
                 }
-                left -= 1.0;
-            }
-            tokio::task::yield_now().await;
-        }
-    }
-
-    fn came(self: &Rc<Self>, from: SocketAddr, bytes: &[u8]) {
-        let from = self.addresses.borrow().numbers.get(&from).copied();
-        match from {
-            Some(from) => self.feed(Event::Datagram { from, bytes }),
-            None => self.gossip.borrow_mut().reject(RejectReason::UnknownSender),
-        }
-    }
-
-    /// What `MEMBERS` answers, but for its last line.
-    #[must_use]
-    pub fn members(&self) -> String {
-        let (gossip, addresses) = (self.gossip.borrow(), self.addresses.borrow());
-        let now = boot_ms();
-        let mut lines = Vec::new();
-        let mut own = String::new();
-        for member in gossip.members() {
-            if member.is_self {
-                let (health, incarnation) = (gossip.health(), member.incarnation);
-                own = format!(
-                    "self {} {health} {incarnation} {}\n",
-                    member.name, member.state
-                );
-                continue;
             }
-            let since = (now - member.since_ms).max(0.0);
-            let heard = member
-                .last_received_ms
-                .map_or("-".into(), |at| format!("{:.0}", (now - at).max(0.0)));
-            let address = member.address.and_then(|at| addresses.all.get(at));
-            let address = address.map_or("-".into(), ToString::to_string);
-            let (name, state, incarnation) = (&member.name, member.state, member.incarnation);
-            lines.push(format!(
-                "{name} {state} {incarnation} {since:.0} {heard} {address}\n"
-            ));
+            Action::Payload {
+                from,
+                process_id,
+                bytes,
+            } => self.deliver_payload(from, process_id, &bytes),
         }
-        lines.sort_unstable();
-        own + &lines.concat()
     }
 
-    /// Its lines among the figures.
-    #[must_use]
-    pub fn figures(&self) -> String {
-        let gossip = self.gossip.borrow();
-        let metrics = gossip.metrics();
-        let mut text = String::new();
-        let mut line = |name: &str, value: u64, kind: char| {
-            let _ = writeln!(text, "edge_router.fleet_{name}:{value}|{kind}"); // Text grows without fail.
-        };
-        for state in [State::Alive, State::Suspect, State::Dead, State::Left] {
-            let count = gossip
-                .members()
-                .filter(|member| !member.is_self && member.state == state)
-                .count();
-            line(&format!("members.{state}"), count as u64, 'g');
-        }
-        line("health", gossip.health() as u64, 'g');
-        line("verdicts", metrics.verdicts, 'c');
-        line("refutations", metrics.refutations, 'c');
-        line("datagrams_in", metrics.received.datagrams, 'c');
-        line("bytes_in", metrics.received.bytes, 'c');
-        line("datagrams_out", metrics.sent.datagrams, 'c');
-        line("bytes_out", metrics.sent.bytes, 'c');
-        for (why, count) in RejectReason::ALL.iter().zip(metrics.rejected) {
-            line(&format!("refused.{}", why.metric_name()), count, 'c');
+    /// Delivers a payload to the subsystem that it belongs to.
+    fn deliver_payload(self: &Rc<Self>, from: MemberId, process_id: u64, bytes: &[u8]) {
+        if outlier_detection::is_report(bytes) {
+            self.heard_word(from, bytes);
+        } else {
+            self.lease_event(lease::Event::Word {
+                from: lease::NodeId(from.0),
+                process: process_id,
+                bytes,
+            });
         }
-        text + &self.lease_figures() + &self.word_figures()
     }
 }
--- a/src/node/cluster/record.rs
+++ b/src/node/cluster/record.rs
@@ -8,7 +8,7 @@
 
 use lease::{read_record, write_record, Event, Fence, MOST_RECORD};
 
-use super::Fleet;
+use super::Cluster;
 use crate::node::admin::log;
 
 /// How long a disk that failed is left alone.
@@ -49,7 +49,7 @@
 
 /// Writes down up to which fence this keeper grants, beside the thread that serves, and says so to the leases. A disk that
 /// fails is tried again, from a new file; until then nothing is granted beyond what was written.
-pub async fn reserve(fleet: Rc<Fleet>, fence: Fence) {
+pub async fn reserve(fleet: Rc<Cluster>, fence: Fence) {
     let Some(path) = fleet.record.clone() else {
         return;
     };
--- a/src/node/cluster/word.rs
+++ b/src/node/cluster/word.rs
@@ -9,7 +9,7 @@
 use gossip::{Event as Gossiped, MemberId, State};
 use outlier_detection::{Action, Event, Hint, Kind, NodeKey, ServerKey, Settings, Word};
 
-use super::{boot_ms, figure_lines, Fleet};
+use super::{boot_ms, metric_lines, Cluster};
 use crate::node::admin::log;
 use crate::node::clock::Alarm;
 use crate::node::driver::Driver;
@@ -72,7 +72,7 @@
     }
 }
 
-impl Fleet {
+impl Cluster {
     /// Something happens to what is said of servers.
     pub(super) fn word_event(self: &Rc<Self>, event: Event<'_>) {
         let Some(part) = &self.word else { return };
@@ -115,7 +115,7 @@
         };
         others
             .into_iter()
-            .for_each(|to| self.feed(Gossiped::SendPayload { to, bytes }));
+            .for_each(|to| self.handle_gossip_event(Gossiped::SendPayload { to, bytes }));
     }
 
     pub(super) fn say_how_many(self: &Rc<Self>) {
@@ -191,6 +191,6 @@
             ("suspected", figures.suspected, 'c'),
             ("panics", figures.panics, 'c'),
         ];
-        figure_lines("word", &lines)
+        metric_lines("word", &lines)
     }
 }
--- a/src/node/mod.rs
+++ b/src/node/mod.rs
@@ -26,7 +26,7 @@
 
 use self::admin::operators::Operators;
 use self::admin::{calls, log, reload};
-use self::cluster::{Fleet, FleetError};
+use self::cluster::{Cluster, ClusterError};
 use self::discovery::members::ServerMembers;
 use self::discovery::{endpoint_list, Sources};
 use self::downstream::clients::{self, FrontOptions, Phase};
@@ -57,7 +57,7 @@
     /// The configuration is missing or broken.
     Config(ConfigError),
     /// Other nodes are to be found, and something that it takes is missing.
-    Fleet(FleetError),
+    Cluster(ClusterError),
     /// It could not listen, or the system failed it.
     System {
         /// What it tried.
@@ -71,7 +71,7 @@
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         match self {
             Self::Config(error) => error.fmt(f),
-            Self::Fleet(error) => error.fmt(f),
+            Self::Cluster(error) => error.fmt(f),
             Self::System { doing, error } => write!(f, "cannot {doing}: {error}"),
         }
     }
@@ -148,9 +148,9 @@
         extras.operators.leases.as_ref(),
     );
     let word = extras.operators.word.as_ref();
-    let fleet = Fleet::start(&config, instances, leases, word, &driver)
+    let fleet = Cluster::start(&config, instances, leases, word, &driver)
         .await
-        .map_err(NodeError::Fleet)?;
+        .map_err(NodeError::Cluster)?;
     let operators = extras.file.zip(sources);
     tokio::task::spawn_local(reload::follow(reload, moves, operators, fleet.clone()));
     let (phase, phases) = watch::channel(Phase::Serving);
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -1,53 +1,54 @@
-//! Several processes of the program that look for each other, with faults between them.
+//! Clusters of several processes of the program, with faults in the network between them.
 
 use std::net::UdpSocket;
 use std::time::Duration;
 
 use testkit::{config, list, settings, until, Discovery, Fleet, Link, Load, Node, Trouble};
 
-/// What the suspicion time is here: short, so that a test of several cases takes seconds.
+/// Short timings, so that a test of several cases takes seconds.
 const TIMES: &str = "probe_ms = 200\nsuspect_ms = 1000\n";
-/// Long after anything that must come comes, on a machine that is busy.
-const PATIENCE: Duration = Duration::from_secs(30);
+/// How long a test waits for what must happen; a busy machine may need most of it.
+const TIMEOUT: Duration = Duration::from_secs(30);
 
 fn ms(ms: u64) -> Duration {
     Duration::from_millis(ms)
 }
 
-fn started(nodes: usize, seed: u64) -> Fleet {
+fn started_cluster(nodes: usize, seed: u64) -> Fleet {
     let mut fleet = Fleet::start(nodes, seed, TIMES);
-    fleet.agree_within(PATIENCE);
-    fleet.wait_for("all are well", PATIENCE, |fleet| {
-        all(fleet, |fleet, node| fleet.members(node).health == "well")
+    fleet.agree_within(TIMEOUT);
+    fleet.wait_for("all nodes are well", TIMEOUT, |fleet| {
+        at_all_nodes(fleet, |fleet, node| fleet.members(node).health == "well")
     });
     fleet
 }
 
-fn all(fleet: &Fleet, so: impl Fn(&Fleet, usize) -> bool) -> Result<(), String> {
-    let not: Vec<_> = (0..fleet.len())
-        .filter(|node| fleet.is_up(*node) && !so(fleet, *node))
+/// Whether a condition holds at all running nodes; the error lists those at which it does not.
+fn at_all_nodes(fleet: &Fleet, condition: impl Fn(&Fleet, usize) -> bool) -> Result<(), String> {
+    let failing: Vec<_> = (0..fleet.len())
+        .filter(|node| fleet.is_up(*node) && !condition(fleet, *node))
         .collect();
-    if not.is_empty() {
+    if failing.is_empty() {
         Ok(())
     } else {
-        Err(format!("not so at {not:?}"))
+        Err(format!("not at nodes {failing:?}"))
     }
 }
 
-/// Waits until all that run hold a node for this.
-fn held_for(fleet: &mut Fleet, node: usize, state: &str) {
-    fleet.wait_for(&format!("n{node} is {state}"), PATIENCE, |fleet| {
-        all(fleet, |fleet, of| {
+/// Waits until all other running nodes report a node in this state.
+fn wait_for_state(fleet: &mut Fleet, node: usize, state: &str) {
+    fleet.wait_for(&format!("n{node} is {state}"), TIMEOUT, |fleet| {
+        at_all_nodes(fleet, |fleet, of| {
             of == node || fleet.members(of).state(&format!("n{node}")) == state
         })
     });
 }
 
-/// Waits until a node's log says something.
-fn says(fleet: &mut Fleet, node: usize, what: &str) {
-    fleet.wait_for(what, PATIENCE, |fleet| {
+/// Waits until a node's log contains a text.
+fn wait_for_log(fleet: &mut Fleet, node: usize, text: &str) {
+    fleet.wait_for(text, TIMEOUT, |fleet| {
         let log = fleet.log(node);
-        if log.iter().any(|line| line.contains(what)) {
+        if log.iter().any(|line| line.contains(text)) {
             Ok(())
         } else {
             Err(log.join("\n"))
@@ -55,7 +56,8 @@
     });
 }
 
-fn gone_of_others(fleet: &Fleet, node: usize) -> Vec<(usize, String)> {
+/// Which nodes but one were declared dead, and by which.
+fn deaths_except(fleet: &Fleet, node: usize) -> Vec<(usize, String)> {
     fleet
         .gone()
         .into_iter()
@@ -64,92 +66,96 @@
 }
 
 #[test]
-fn a_kill_a_goodbye_and_a_restart_are_seen_by_all() {
-    let mut fleet = started(5, 1);
+fn kill_leave_and_restart_are_detected_by_all() {
+    let mut fleet = started_cluster(5, 1);
     fleet.kill(2);
-    held_for(&mut fleet, 2, "gone");
+    wait_for_state(&mut fleet, 2, "gone");
     fleet.run(2);
-    fleet.agree_within(PATIENCE);
+    fleet.agree_within(TIMEOUT);
     fleet.terminate(4);
-    held_for(&mut fleet, 4, "left");
+    wait_for_state(&mut fleet, 4, "left");
     fleet.run(4);
-    fleet.agree_within(PATIENCE);
-    assert_eq!(gone_of_others(&fleet, 2), []);
+    fleet.agree_within(TIMEOUT);
+    assert_eq!(deaths_except(&fleet, 2), []);
+    // The logs are parsed, so that the absence of deaths in other tests means something.
+    assert!(fleet.gone().iter().any(|(_, name)| name == "n2"));
+    assert!(fleet.verdicts().iter().any(|(_, name)| name == "n2"));
 }
 
 #[test]
-fn pauses_are_borne_and_who_wakes_up_is_back() {
-    let mut fleet = started(7, 2);
+fn short_pauses_are_tolerated_and_resumed_nodes_refute_their_death() {
+    let mut fleet = started_cluster(7, 2);
     for node in [0, 3, 0] {
         fleet.apply(&Trouble::Pause { node, ms: 300.0 });
         fleet.wait(ms(1_000));
     }
-    fleet.agree_within(PATIENCE);
+    fleet.agree_within(TIMEOUT);
     assert_eq!(
         fleet.gone(),
         [],
-        "a pause below the suspicion time is never an end"
+        "a pause below the suspicion timeout never causes a death"
     );
-    // A third at the same moment, for far longer.
+    // A third of the cluster at the same moment, for far longer.
     fleet.stop(0);
     fleet.stop(1);
-    held_for(&mut fleet, 0, "gone");
-    held_for(&mut fleet, 1, "gone");
+    wait_for_state(&mut fleet, 0, "gone");
+    wait_for_state(&mut fleet, 1, "gone");
     fleet.wait(ms(3_000));
     fleet.go_on(0);
     fleet.go_on(1);
-    fleet.agree_within(PATIENCE);
+    fleet.agree_within(TIMEOUT);
     let is_wrong = |(by, name): &(usize, String)| *by < 2 || !["n0", "n1"].contains(&name.as_str());
     assert!(
         !fleet.verdicts().iter().any(is_wrong),
-        "who wakes up accuses nobody: {:?}",
+        "a resumed node declares nobody dead: {:?}",
         fleet.verdicts()
     );
-    says(&mut fleet, 0, "stood still");
-    says(&mut fleet, 0, "comes back as incarnation");
+    wait_for_log(&mut fleet, 0, "this process was paused");
+    wait_for_log(&mut fleet, 0, "this node refutes its death as incarnation");
 }
 
 #[test]
-fn one_sided_cuts_end_only_whom_they_should() {
-    let mut fleet = started(6, 3);
-    // None is heard by n0: nobody is gone, and it says that it is alone.
+fn one_way_partitions_kill_only_the_node_that_cannot_send() {
+    let mut fleet = started_cluster(6, 3);
+    // n0 receives nothing: nobody is declared dead, and n0 reports that it is isolated.
     (1..6).for_each(|from| fleet.apply(&Trouble::Cut { from, to: 0 }));
-    fleet.wait_for("it knows", PATIENCE, |fleet| {
-        all(fleet, |fleet, node| {
+    fleet.wait_for("n0 notices", TIMEOUT, |fleet| {
+        at_all_nodes(fleet, |fleet, node| {
             node != 0 || fleet.members(0).health == "isolated"
         })
     });
     fleet.wait(ms(4_000));
     assert_eq!(fleet.gone(), []);
     fleet.apply(&Trouble::HealAll);
-    fleet.agree_within(PATIENCE);
-    // Two are deaf to each other.
+    fleet.agree_within(TIMEOUT);
+    // Two receive nothing from each other, and one nothing from another.
     fleet.apply(&Trouble::Cut { from: 1, to: 2 });
     fleet.apply(&Trouble::Cut { from: 2, to: 1 });
     fleet.apply(&Trouble::Cut { from: 3, to: 4 });
     fleet.wait(ms(5_000));
     assert_eq!(fleet.gone(), []);
     fleet.apply(&Trouble::HealAll);
-    fleet.agree_within(PATIENCE);
-    // n0 is heard by none: gone to all, and it knows.
+    fleet.agree_within(TIMEOUT);
+    // n0 cannot send: it is dead to all, and is notified of that.
     (1..6).for_each(|to| fleet.apply(&Trouble::Cut { from: 0, to }));
-    held_for(&mut fleet, 0, "gone");
-    fleet.wait_for("it knows", PATIENCE, |fleet| {
-        all(fleet, |fleet, node| {
+    wait_for_state(&mut fleet, 0, "gone");
+    fleet.wait_for("n0 notices", TIMEOUT, |fleet| {
+        at_all_nodes(fleet, |fleet, node| {
             node != 0 || fleet.members(0).own == "gone"
         })
     });
-    says(&mut fleet, 0, "this node is gone to the others");
+    wait_for_log(&mut fleet, 0, "this node was declared dead");
     fleet.apply(&Trouble::HealAll);
-    fleet.agree_within(PATIENCE);
-    assert_eq!(gone_of_others(&fleet, 0), []);
+    fleet.agree_within(TIMEOUT);
+    assert_eq!(deaths_except(&fleet, 0), []);
     assert!(fleet.passed().done.cut > 100, "{:?}", fleet.passed());
 }
 
-/// Each hears nothing of the next; nothing but a ring of one-way links is left; half is deaf to the other half.
+/// Each node receives nothing from the one before; only a ring of one-way links is left; half receives nothing from the
+/// other half.
 #[test]
-fn lopsided_cuts_of_many_end_nobody_that_is_heard() {
-    let mut fleet = started(6, 11);
+fn asymmetric_partitions_kill_no_reachable_node() {
+    let mut fleet = started_cluster(6, 11);
     (0..6).for_each(|node| {
         fleet.apply(&Trouble::Cut {
             from: node,
@@ -157,16 +163,16 @@
         });
     });
     fleet.wait(ms(4_000));
-    assert_eq!(fleet.gone(), [], "each is cut off from one");
+    assert_eq!(fleet.gone(), [], "each is partitioned from one");
     let others = (0..6).flat_map(|from| (0..6).map(move |to| (from, to)));
     for (from, to) in others.filter(|(from, to)| from != to && *to != (from + 2) % 6) {
         fleet.apply(&Trouble::Cut { from, to });
     }
     fleet.wait(ms(4_000));
-    assert_eq!(fleet.gone(), [], "nobody can be answered");
+    assert_eq!(fleet.gone(), [], "no probe can be acknowledged");
     fleet.apply(&Trouble::HealAll);
-    fleet.agree_within(PATIENCE);
-    // It may hold the other half for gone, but all settles, and agrees once it is healed.
+    fleet.agree_within(TIMEOUT);
+    // The other half may be declared dead, but the views settle, and agree after the partition has healed.
     for from in 3..6 {
         (0..3).for_each(|to| fleet.apply(&Trouble::Cut { from, to }));
     }
@@ -176,43 +182,43 @@
     assert_eq!(
         fleet.gone().len(),
         before,
-        "nobody comes and goes: {:?}",
+        "no node flaps: {:?}",
         fleet.gone()
     );
     fleet.apply(&Trouble::HealAll);
-    fleet.agree_within(PATIENCE);
+    fleet.agree_within(TIMEOUT);
     assert!(fleet.passed().done.cut > 100, "{:?}", fleet.passed());
 }
 
 #[test]
-fn one_that_is_restarted_again_and_again_and_most_that_die_at_once_are_borne() {
-    let mut fleet = started(9, 12);
+fn repeated_restarts_and_mass_kill_are_tolerated() {
+    let mut fleet = started_cluster(9, 12);
     for round in 0..6 {
         fleet.kill(2);
         fleet.wait(ms(200 * round));
         fleet.run(2);
         fleet.wait(ms(600));
     }
-    fleet.agree_within(PATIENCE);
+    fleet.agree_within(TIMEOUT);
     for _ in 0..8 {
         (0..9).for_each(|node| fleet.apply(&Trouble::Pause { node, ms: 200.0 }));
         fleet.wait(ms(700));
     }
-    fleet.agree_within(PATIENCE);
+    fleet.agree_within(TIMEOUT);
     assert_eq!(
-        gone_of_others(&fleet, 2),
+        deaths_except(&fleet, 2),
         [],
-        "restarts of one and short pauses of all end nobody else"
+        "restarts of one node and short pauses of all kill no other"
     );
     (3..9).for_each(|node| fleet.kill(node));
-    fleet.agree_within(PATIENCE);
+    fleet.agree_within(TIMEOUT);
     (3..9).for_each(|node| fleet.run(node));
-    fleet.agree_within(PATIENCE);
+    fleet.agree_within(TIMEOUT);
 }
 
 #[test]
-fn three_splits_in_a_row_with_a_restart_in_them_heal_too() {
-    let mut fleet = started(7, 13);
+fn successive_partitions_with_a_restart_heal() {
+    let mut fleet = started_cluster(7, 13);
     for shift in 0..3 {
         fleet.split(|node| (node + shift) / 3 % 2);
         fleet.wait(ms(800 * (1 + shift as u64)));
@@ -221,7 +227,7 @@
     fleet.run(4);
     fleet.wait(ms(4_000));
     fleet.apply(&Trouble::HealAll);
-    fleet.agree_within(PATIENCE);
+    fleet.agree_within(TIMEOUT);
     assert!(
         fleet.passed().done.cut > 100 && !fleet.gone().is_empty(),
         "{:?}",
@@ -230,20 +236,20 @@
 }
 
 #[test]
-fn a_wrong_key_and_another_fleet_are_counted_and_harm_nobody() {
+fn wrong_key_and_other_cluster_are_rejected_and_counted() {
     let mut fleet = Fleet::prepare(5, 14, TIMES);
     let other = fleet.key_file().with_file_name("other");
     std::fs::write(&other, "another key that some share").expect("a file");
     std::fs::set_permissions(&other, std::os::unix::fs::PermissionsExt::from_mode(0o600))
         .expect("a file");
     let wrong_key = fleet.operators(3).replace("/key\"", "/other\"");
-    let wrong_fleet = fleet.operators(4).replace("\"holds\"", "\"stays\"");
-    assert!(wrong_key != fleet.operators(3) && wrong_fleet != fleet.operators(4));
+    let other_cluster = fleet.operators(4).replace("\"holds\"", "\"stays\"");
+    assert!(wrong_key != fleet.operators(3) && other_cluster != fleet.operators(4));
     fleet.set_operators(3, &wrong_key);
-    fleet.set_operators(4, &wrong_fleet);
+    fleet.set_operators(4, &other_cluster);
     (0..5).for_each(|node| fleet.run(node));
-    fleet.wait_for("the three find each other", PATIENCE, |fleet| {
-        all(fleet, |fleet, of| {
+    fleet.wait_for("the three find each other", TIMEOUT, |fleet| {
+        at_all_nodes(fleet, |fleet, of| {
             of > 2 || fleet.members(of).health == "well"
         })
     });
@@ -255,46 +261,50 @@
             .map(|node| format!("n{node}"))
             .collect();
         assert_eq!(names, wanted);
-        let figure = |name: &str| fleet.node(of).figure(name);
-        assert!(figure("fleet_refused.seal") > 0 && figure("fleet_refused.fleet") > 0);
+        let metric = |name: &str| fleet.node(of).figure(name);
+        assert!(metric("fleet_refused.seal") > 0 && metric("fleet_refused.fleet") > 0);
     }
     assert_eq!(fleet.gone(), []);
 }
 
 #[test]
-fn sides_of_a_split_go_on_and_agree_once_it_is_healed() {
-    let mut fleet = started(8, 4);
+fn partitioned_sides_agree_after_heal() {
+    let mut fleet = started_cluster(8, 4);
     for side in [
         (|node| node % 2) as fn(usize) -> usize,
         |node| usize::from(node == 0),
         |node| node % 3,
     ] {
         fleet.split(side);
-        fleet.wait_for("each side has its own", PATIENCE, |fleet| {
-            all(fleet, |fleet, of| {
-                let view = fleet.members(of);
-                let alone = (0..8).filter(|node| side(*node) == side(of)).count() == 1;
-                if alone {
-                    return view.health == "isolated";
-                }
-                (0..8).filter(|node| *node != of).all(|node| {
-                    let state = view.state(&format!("n{node}"));
-                    if side(node) == side(of) {
-                        state == "alive"
-                    } else {
-                        state == "gone"
+        fleet.wait_for(
+            "each side considers exactly its own nodes alive",
+            TIMEOUT,
+            |fleet| {
+                at_all_nodes(fleet, |fleet, of| {
+                    let view = fleet.members(of);
+                    let alone = (0..8).filter(|node| side(*node) == side(of)).count() == 1;
+                    if alone {
+                        return view.health == "isolated";
                     }
+                    (0..8).filter(|node| *node != of).all(|node| {
+                        let state = view.state(&format!("n{node}"));
+                        if side(node) == side(of) {
+                            state == "alive"
+                        } else {
+                            state == "gone"
+                        }
+                    })
                 })
-            })
-        });
+            },
+        );
         fleet.apply(&Trouble::HealAll);
-        fleet.agree_within(PATIENCE);
+        fleet.agree_within(TIMEOUT);
     }
 }
 
 #[test]
-fn bad_links_are_borne() {
-    let mut fleet = started(6, 5);
+fn loss_delay_duplicates_and_corruption_are_tolerated() {
+    let mut fleet = started_cluster(6, 5);
     for link in [
         Link {
             loss: 0.1,
@@ -324,12 +334,12 @@
             > 20,
         "{done:?}"
     );
-    let figure = |name: &str| {
+    let metric = |name: &str| {
         (0..6)
             .map(|node| fleet.node(node).figure(name))
             .sum::<u64>()
     };
-    assert!(figure("fleet_refused.seal") > 0 && figure("fleet_refused.replayed") > 0);
+    assert!(metric("fleet_refused.seal") > 0 && metric("fleet_refused.replayed") > 0);
     fleet.kill(1);
     fleet.apply(&Trouble::All {
         link: Link {
@@ -337,30 +347,30 @@
             ..Link::default()
         },
     });
-    held_for(&mut fleet, 1, "gone");
+    wait_for_state(&mut fleet, 1, "gone");
     fleet.run(1);
     fleet.apply(&Trouble::HealAll);
-    fleet.agree_within(PATIENCE);
+    fleet.agree_within(TIMEOUT);
 }
 
 #[test]
-fn two_processes_of_one_name_say_so_and_harm_no_third() {
+fn two_processes_with_one_name_log_conflict_and_affect_no_other() {
     let mut fleet = Fleet::prepare(5, 6, TIMES);
     fleet.rename(4, "n0");
     (0..4).for_each(|node| fleet.run(node));
     fleet.wait(ms(12_000));
     fleet.run(4);
-    fleet.wait_for("both say so", PATIENCE, |fleet| {
-        let says = |node| {
+    fleet.wait_for("both processes log it", TIMEOUT, |fleet| {
+        let has_logged = |node| {
             fleet
                 .log(node)
                 .iter()
                 .any(|line| line.contains("two processes have this node's name"))
         };
-        if says(0) && says(4) {
+        if has_logged(0) && has_logged(4) {
             Ok(())
         } else {
-            Err(format!("{} {}", says(0), says(4)))
+            Err(format!("{} {}", has_logged(0), has_logged(4)))
         }
     });
     fleet.wait(ms(3_000));
@@ -373,13 +383,13 @@
             "{view:?}"
         );
     }
-    assert_eq!(gone_of_others(&fleet, 0), []);
+    assert_eq!(deaths_except(&fleet, 0), []);
 }
 
-/// Guards who is served while strangers and forgers shout.
+/// Guards requests while unknown senders flood the socket.
 #[test]
-fn garbage_and_floods_are_counted_and_requests_go_on() {
-    let fleet = started(3, 7);
+fn garbage_and_floods_are_counted_and_requests_are_served() {
+    let fleet = started_cluster(3, 7);
     let load = Load::start(fleet.node(0).address, 4, ms(2));
     let at = fleet.hears_at(0);
     let socket = UdpSocket::bind("127.0.0.1:0").expect("a port");
@@ -401,8 +411,8 @@
         "{:?}",
         totals.answers
     );
-    let figure = |name: &str| fleet.node(0).figure(name);
-    assert!(figure("fleet_refused.stranger") > 100 && figure("fleet_refused.flood") > 0);
+    let metric = |name: &str| fleet.node(0).figure(name);
+    assert!(metric("fleet_refused.stranger") > 100 && metric("fleet_refused.flood") > 0);
     assert_eq!(fleet.members(0).others.len(), 2);
 }
 
@@ -433,19 +443,19 @@
 }
 
 #[test]
-fn operators_see_the_others_as_a_table_and_as_json() {
-    let fleet = started(3, 9);
-    let ask = |more: &[&str]| {
+fn members_command_prints_table_and_json() {
+    let fleet = started_cluster(3, 9);
+    let run_members = |arguments: &[&str]| {
         let at = fleet.node(0).control().to_string();
         let output = testkit::program()
             .args(["members", "--at", &at])
-            .args(more)
+            .args(arguments)
             .output()
             .expect("it starts");
         assert!(output.status.success(), "{output:?}");
         String::from_utf8(output.stdout).expect("text")
     };
-    let table = ask(&[]);
+    let table = run_members(&[]);
     assert!(table.starts_with("n0 is well, incarnation "), "{table}");
     assert_eq!(
         table
@@ -455,7 +465,7 @@
         2,
         "{table}"
     );
-    let json: serde_json::Value = serde_json::from_str(&ask(&["--json"])).expect("JSON");
+    let json: serde_json::Value = serde_json::from_str(&run_members(&["--json"])).expect("JSON");
     assert_eq!(json["self"]["name"], "n0");
     assert_eq!(json["members"][1]["name"], "n2");
     assert!(json["members"][1]["heard_ms"].is_u64(), "{json}");
@@ -468,14 +478,14 @@
     assert_eq!(
         output.status.code(),
         Some(1),
-        "it looks for none: {output:?}"
+        "there is no cluster: {output:?}"
     );
 }
 
-/// SIGHUP brings other peers and times, and the node does not leave for it.
+/// SIGHUP changes peers and timings, and does not make the node leave.
 #[test]
-fn peers_and_times_change_while_a_node_runs() {
-    let mut fleet = started(4, 10);
+fn reload_changes_peers_and_timings() {
+    let mut fleet = started_cluster(4, 10);
     let before = fleet.members(0).incarnation;
     let text = fleet
         .operators(0)
@@ -483,30 +493,33 @@
     fleet
         .node(0)
         .reload_operators(&format!("{text}peers = []\n"));
-    // It says nothing to anybody any more, and hears nobody; the others find it gone.
-    held_for(&mut fleet, 0, "gone");
+    // It neither sends nor receives any more; the others declare it dead.
+    wait_for_state(&mut fleet, 0, "gone");
     fleet.node(0).reload_operators(&text);
-    fleet.agree_within(PATIENCE);
-    assert!(fleet.members(0).incarnation > before, "it came back");
+    fleet.agree_within(TIMEOUT);
+    assert!(
+        fleet.members(0).incarnation > before,
+        "it has refuted its death"
+    );
     assert!(
         !fleet.log(1).iter().any(|line| line.contains("n0 is left")),
-        "it did not leave"
+        "it has not left"
     );
 }
 
-/// Guards the platform's word: where it forbids word between nodes, none is sent, and nothing listens for it.
+/// Guards the platform's permission: without it no datagram is sent and no socket is opened.
 #[test]
-fn nothing_is_opened_where_the_settings_forbid_it_or_nobody_asks() {
+fn no_socket_is_opened_unless_configured_and_allowed() {
     let fleet = Fleet::prepare(2, 8, TIMES);
     let allowed = fleet.config(0);
     let forbidden = allowed.replace("\"peers\":true", "\"peers\":false");
-    let asks = format!(
+    let configured = format!(
         "[instances]\nfleet = \"holds\"\nkey_file = {:?}\n",
         fleet.key_file().display()
     );
-    let node = Node::start_with(&forbidden, Some(&asks));
+    let node = Node::start_with(&forbidden, Some(&configured));
     assert_eq!(udp_sockets(node.process()), 0);
-    until("it says so", || {
+    until("it is logged", || {
         node.log()
             .iter()
             .any(|line| line.contains("[instances] stays off"))
@@ -515,10 +528,10 @@
     assert!(!node.call("STATS\n").contains("fleet"));
     drop(node);
     let node = Node::start(&allowed);
-    assert_eq!(udp_sockets(node.process()), 0, "nobody asks for it");
+    assert_eq!(udp_sockets(node.process()), 0, "it is not configured");
     drop(node);
-    let node = Node::start_with(&allowed, Some(&asks));
-    assert_eq!(udp_sockets(node.process()), 1, "the count counts");
+    let node = Node::start_with(&allowed, Some(&configured));
+    assert_eq!(udp_sockets(node.process()), 1, "the count finds a socket");
     drop(node);
     let discovery = Discovery::start();
     let node = Node::start_with(
@@ -532,7 +545,7 @@
 /// Guards the names that scripts and dashboards read.
 #[test]
 fn metrics_and_member_fields_keep_their_recorded_names() {
-    let fleet = started(2, 11);
+    let fleet = started_cluster(2, 11);
     let stats = fleet.node(0).call("STATS\n");
     let names: Vec<_> = stats
         .lines()
