--- a/crates/gossip/src/anti_entropy.rs
+++ b/crates/gossip/src/anti_entropy.rs
@@ -3,9 +3,10 @@
 
 use crate::event::PeerId;
 use crate::member::State;
+use crate::member_id::MemberId;
 use crate::node::Gossip;
 use crate::rate_limit::RateLimit;
-use crate::wire::{MemberId, Record, DIGEST_BUCKETS};
+use crate::wire::{Record, DIGEST_BUCKETS};
 
 /// How many datagrams of an exchange may follow each other, and how many a second are allowed after that.
 const SYNC_BURST: f64 = 8.0;
--- a/crates/gossip/src/dissemination.rs
+++ b/crates/gossip/src/dissemination.rs
@@ -5,12 +5,13 @@
 use crate::event::{Action, Change, ChangeCause};
 use crate::join::NameSource;
 use crate::member::State;
+use crate::member_id::MemberId;
 use crate::member_table::{MemberEntry, PendingRemoval};
 use crate::node::Gossip;
 use crate::rate_limit::RateLimit;
 use crate::settings::InjectedFault;
 use crate::transport::Sender;
-use crate::wire::{DeathNotice, MemberId, Record, DEATH_AGE_UNIT_MS};
+use crate::wire::{DeathNotice, Record, DEATH_AGE_UNIT_MS};
 
 /// How many floods of updates may follow each other, and how many a second are allowed after that. With 12 neighbours
 /// that is about a hundred datagrams a second.
--- a/crates/gossip/src/event.rs
+++ b/crates/gossip/src/event.rs
@@ -3,7 +3,7 @@
 use std::fmt;
 
 use crate::member::{Health, State};
-use crate::wire::MemberId;
+use crate::member_id::MemberId;
 
 /// A peer address, as the driver numbers them. A number never stands for another address.
 pub type PeerId = usize;
--- a/crates/gossip/src/join.rs
+++ b/crates/gossip/src/join.rs
@@ -6,11 +6,13 @@
 use crate::dissemination::Dissemination;
 use crate::event::{Action, Change, ChangeCause, LogEvent, PeerId};
 use crate::member::{Health, State};
+use crate::member_id::MemberId;
 use crate::member_table::{MemberEntry, TableFull};
 use crate::node::Gossip;
 use crate::own_status::OwnStatus;
 use crate::peers::{Peer, ScanCursor};
-use crate::wire::{Datagram, Header, MemberId, Record, RejectReason};
+use crate::reject_reason::RejectReason;
+use crate::wire::{Datagram, Header, Record};
 
 /// Unknown addresses that are contacted in one tick. A cluster of 300 is covered in some seconds with at most a few
 /// hundred datagrams a second. Also the number of random nodes that are notified of a leave.
--- a/crates/gossip/src/lib.rs
+++ b/crates/gossip/src/lib.rs
@@ -5,8 +5,8 @@
 //!
 //! [`Gossip`] is a state machine without socket, clock, thread or randomness of its own: it handles [`Event`]s at a time
 //! since boot and emits [`Action`]s. Each node is observed by a few others (`observer_rings`), which it probes
-//! periodically. An observer that receives nothing from it asks the others (`failure_detector`), and only a quorum of
-//! votes (`suspicion`) declares it dead. A node that learns of its own death refutes it with a higher incarnation
+//! periodically. An observer that receives nothing from it suspects it (`failure_detector`) and asks the others
+//! (`quorum`, `indirect_probe`), and only their votes (`suspicion`) declare it dead. A node that learns of its own death refutes it with a higher incarnation
 //! (`own_status`) once half of its observers acknowledge its probes. Updates go along with every datagram and are flooded
 //! to the neighbours when they are new (`dissemination`); digests find what was missed (`anti_entropy`). `join` contacts
 //! the configured addresses, `local_health` judges this node's own communication, `transport` accepts and sends datagrams,
@@ -41,19 +41,24 @@
 //! ```
 
 mod anti_entropy;
+mod cluster_key;
 mod dissemination;
 mod event;
 mod failure_detector;
+mod indirect_probe;
 mod join;
 mod local_health;
 mod member;
+mod member_id;
 mod member_table;
 mod metrics;
 mod node;
 mod observer_rings;
 mod own_status;
 mod peers;
+mod quorum;
 mod rate_limit;
+mod reject_reason;
 mod replay_window;
 mod settings;
 mod suspicion;
@@ -62,15 +67,15 @@
 mod transport;
 mod wire;
 
+pub use cluster_key::{ClusterKey, MIN_KEY_BYTES};
 pub use event::{Action, Change, ChangeCause, Event, LogEvent, PeerId};
 pub use member::{Health, Member, State};
+pub use member_id::{is_valid_node_name, MemberId, MAX_NAME_BYTES};
 pub use metrics::{Metrics, Traffic};
 pub use node::Gossip;
+pub use reject_reason::RejectReason;
 pub use settings::{InjectedFault, Settings};
-pub use wire::{
-    is_valid_node_name, ClusterKey, MemberId, RejectReason, MAX_DATAGRAM_BYTES, MAX_NAME_BYTES,
-    MAX_PAYLOAD_BYTES, MIN_KEY_BYTES,
-};
+pub use wire::{MAX_DATAGRAM_BYTES, MAX_PAYLOAD_BYTES};
 
 /// The most nodes in the member table, dead ones among them. Beyond it the node that has been dead for longest is removed;
 /// if all are alive, new nodes are rejected and counted.
--- a/crates/gossip/src/local_health.rs
+++ b/crates/gossip/src/local_health.rs
@@ -2,10 +2,10 @@
 
 use crate::event::Action;
 use crate::member::Health;
+use crate::member_id::MemberId;
 use crate::member_table::MemberEntry;
 use crate::node::Gossip;
 use crate::own_status::OwnStatus;
-use crate::wire::MemberId;
 
 /// Within this many probe intervals a datagram must have been received from a subject for it to count as received.
 const RECEIVED_PROBES: f64 = 5.0;
--- a/crates/gossip/src/member_table.rs
+++ b/crates/gossip/src/member_table.rs
@@ -10,8 +10,9 @@
 
 use crate::event::PeerId;
 use crate::member::State;
+use crate::member_id::MemberId;
 use crate::suspicion::Suspicion;
-use crate::wire::{DeathNotice, MemberId, Record, DEATH_AGE_UNIT_MS, DIGEST_BUCKETS};
+use crate::wire::{DeathNotice, Record, DEATH_AGE_UNIT_MS, DIGEST_BUCKETS};
 use crate::MAX_MEMBERS;
 
 /// How long a dead node is remembered, so that old updates cannot resurrect it, in milliseconds. Updates travel for
--- a/crates/gossip/src/metrics.rs
+++ b/crates/gossip/src/metrics.rs
@@ -1,6 +1,6 @@
 //! Counters of one node.
 
-use crate::wire::RejectReason;
+use crate::reject_reason::RejectReason;
 
 /// Datagrams and their bytes.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
--- a/crates/gossip/src/node.rs
+++ b/crates/gossip/src/node.rs
@@ -11,12 +11,14 @@
 use crate::join::Discovery;
 use crate::local_health::LocalHealth;
 use crate::member::{Health, Member, State};
+use crate::member_id::MemberId;
 use crate::member_table::{MemberEntry, MemberTable};
 use crate::metrics::Metrics;
 use crate::own_status::{OwnState, OwnStatus};
 use crate::peers::Peer;
+use crate::reject_reason::RejectReason;
 use crate::settings::{InjectedFault, Settings};
-use crate::wire::{MemberId, Record, RejectReason};
+use crate::wire::Record;
 
 /// Ticks in a probe interval: silence is examined more often than probes are sent.
 pub(crate) const TICKS_PER_PROBE: u64 = 2;
--- a/crates/gossip/src/observer_rings.rs
+++ b/crates/gossip/src/observer_rings.rs
@@ -4,7 +4,7 @@
 
 use stable_hash::mix;
 
-use crate::wire::MemberId;
+use crate::member_id::MemberId;
 
 #[cfg(test)]
 mod tests;
--- a/crates/gossip/src/own_status.rs
+++ b/crates/gossip/src/own_status.rs
@@ -3,8 +3,8 @@
 
 use crate::event::LogEvent;
 use crate::member::{Health, State};
+use crate::member_id::MemberId;
 use crate::node::Gossip;
-use crate::wire::MemberId;
 
 /// For how long after its start a process may take over its name from another one. Later it is the older of the two.
 const TAKEOVER_WINDOW_MS: f64 = 10_000.0;
--- a/crates/gossip/src/peers.rs
+++ b/crates/gossip/src/peers.rs
@@ -3,8 +3,8 @@
 use std::collections::BTreeMap;
 
 use crate::event::PeerId;
+use crate::member_id::MemberId;
 use crate::replay_window::ReplayWindow;
-use crate::wire::MemberId;
 
 /// Earlier processes of an address that are remembered, so that none of their datagrams is accepted again.
 const MAX_FORMER_PROCESSES: usize = 8;
@@ -68,17 +68,17 @@
 pub struct ScanCursor(PeerId);
 
 impl ScanCursor {
-    /// The next address after the last one examined that is not this node's and satisfies `is_wanted`.
+    /// The next address after the last one examined that is not this node's and satisfies `is_eligible`.
     pub fn next(
         &mut self,
         peers: &BTreeMap<PeerId, Peer>,
-        is_wanted: impl Fn(&Peer) -> bool,
+        is_eligible: impl Fn(&Peer) -> bool,
     ) -> Option<PeerId> {
         let last = self.0;
         let from_last = peers.range(last + 1..).chain(peers.range(..=last));
         for (address, peer) in from_last.take(MAX_SCANNED) {
             self.0 = *address;
-            if !peer.is_self && is_wanted(peer) {
+            if !peer.is_self && is_eligible(peer) {
                 return Some(*address);
             }
         }
--- a/crates/gossip/src/settings.rs
+++ b/crates/gossip/src/settings.rs
@@ -1,6 +1,6 @@
 //! What a node is configured with at its start.
 
-use crate::wire::ClusterKey;
+use crate::cluster_key::ClusterKey;
 
 /// Configuration of one node.
 #[derive(Clone, Debug)]
--- a/crates/gossip/src/suspicion.rs
+++ b/crates/gossip/src/suspicion.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 
-use crate::wire::MemberId;
+use crate::member_id::MemberId;
 
 #[cfg(test)]
 mod tests;
--- a/crates/gossip/src/transport.rs
+++ b/crates/gossip/src/transport.rs
@@ -2,12 +2,12 @@
 //! each one sent.
 
 use crate::event::{Action, ChangeCause, PeerId};
+use crate::member_id::MemberId;
 use crate::member_table::MemberEntry;
 use crate::node::Gossip;
 use crate::peers::Peer;
-use crate::wire::{
-    open_datagram, Datagram, DatagramWriter, Header, MemberId, Record, RejectReason,
-};
+use crate::reject_reason::RejectReason;
+use crate::wire::{open_datagram, Datagram, DatagramWriter, Header, Record};
 
 /// How often datagrams for another process are answered for one address, in milliseconds. An answer is no longer than the
 /// question, so replayed datagrams are not amplified.
--- a/crates/gossip/src/wire/golden_tests.rs
+++ b/crates/gossip/src/wire/golden_tests.rs
@@ -3,6 +3,7 @@
 use std::fmt::Write;
 
 use super::*;
+use crate::member_id::MemberId;
 
 fn datagram(records: &[Record]) -> String {
     let key = ClusterKey::new("holds", b"0123456789abcdef");
--- a/crates/gossip/src/wire/tests.rs
+++ b/crates/gossip/src/wire/tests.rs
@@ -2,7 +2,9 @@
 
 use proptest::prelude::*;
 
+use super::record::kind;
 use super::*;
+use crate::member_id::MemberId;
 
 fn record() -> impl Strategy<Value = Record> {
     let incarnation = || 0..=MAX_INCARNATION;
--- a/crates/gossip/tests/recorded_stream.rs
+++ b/crates/gossip/tests/recorded_stream.rs
@@ -9,6 +9,8 @@
 const PAUSED: usize = 3;
 const KILLED: usize = 5;
 const LEAVING: usize = 6;
+const LEAVE_MS: f64 = 50_000.0;
+const PAYLOAD_MS: f64 = 55_000.0;
 
 struct Datagram {
     from: usize,
@@ -43,74 +45,118 @@
     is_partitioned || mix(sent) % 10 == 0
 }
 
-#[test]
-fn seeded_cluster_sends_recorded_datagrams() {
-    let key = ClusterKey::new("holds", b"0123456789abcdef");
-    let mut nodes: Vec<Gossip> = (0..NODES)
-        .map(|node| {
+/// Nodes whose datagrams arrive one step after they were sent.
+struct RecordedCluster {
+    nodes: Vec<Gossip>,
+    now_ms: f64,
+    in_transit: Vec<Datagram>,
+    sent: u64,
+    payloads: usize,
+    hash: StreamHash,
+}
+
+impl RecordedCluster {
+    fn new() -> Self {
+        let key = ClusterKey::new("holds", b"0123456789abcdef");
+        let start = |node| {
             let settings = Settings::new(&format!("n{node}"), 100 + node as u64, 7, key.clone());
             Gossip::new(0.0, settings)
-        })
-        .collect();
-    let (mut hash, mut sent, mut payloads) = (StreamHash(0), 0_u64, 0);
-    let mut in_transit: Vec<Datagram> = Vec::new();
-    let mut actions = Vec::new();
-    for step in 0..STEPS {
-        let now = f64::from(step) * STEP_MS;
-        let arrived = std::mem::take(&mut in_transit);
-        let mut emitted: Vec<(usize, Action)> = Vec::new();
-        for datagram in arrived {
-            let is_received = is_running(datagram.to, now) && !is_lost(&datagram, now, sent);
-            sent += 1;
+        };
+        Self {
+            nodes: (0..NODES).map(start).collect(),
+            now_ms: 0.0,
+            in_transit: Vec::new(),
+            sent: 0,
+            payloads: 0,
+            hash: StreamHash(0),
+        }
+    }
+
+    fn run_step(&mut self, step: u32) {
+        self.now_ms = f64::from(step) * STEP_MS;
+        let now_ms = self.now_ms;
+        let mut emitted = Vec::new();
+        self.deliver(&mut emitted);
+        for node in (0..NODES).filter(|node| is_running(*node, now_ms)) {
+            for event in scheduled_events(node, now_ms) {
+                self.handle(node, event, &mut emitted);
+            }
+        }
+        for (node, action) in emitted {
+            self.execute(node, action);
+        }
+    }
+
+    fn deliver(&mut self, emitted: &mut Vec<(usize, Action)>) {
+        for datagram in std::mem::take(&mut self.in_transit) {
+            let is_received =
+                is_running(datagram.to, self.now_ms) && !is_lost(&datagram, self.now_ms, self.sent);
+            self.sent += 1;
             if is_received {
                 let event = Event::Datagram {
                     from: datagram.from,
                     bytes: &datagram.bytes,
                 };
-                nodes[datagram.to].handle(now, event, &mut actions);
-                emitted.extend(actions.drain(..).map(|action| (datagram.to, action)));
+                self.handle(datagram.to, event, emitted);
             }
         }
-        for (node, gossip) in nodes.iter_mut().enumerate() {
-            if !is_running(node, now) {
-                continue;
-            }
-            if step == 0 {
-                gossip.handle(now, Event::SetPeers((0..NODES).collect()), &mut actions);
-            }
-            if now == 50_000.0 && node == LEAVING {
-                gossip.handle(now, Event::Leave, &mut actions);
-            }
-            if now == 55_000.0 && node == 1 {
-                let to = gossip::MemberId::of("n2");
-                let bytes = b"opaque".as_slice();
-                gossip.handle(now, Event::SendPayload { to, bytes }, &mut actions);
-            }
-            gossip.handle(now, Event::Timer, &mut actions);
-            emitted.extend(actions.drain(..).map(|action| (node, action)));
-        }
-        for (from, action) in emitted {
-            match action {
-                Action::Send { to, bytes } => {
-                    hash.add(&[from as u8, to as u8]);
-                    hash.add(&bytes);
-                    in_transit.push(Datagram { from, to, bytes });
-                }
-                Action::WakeAt(at) => hash.add(&at.to_bits().to_le_bytes()),
-                Action::Payload { .. } => payloads += 1,
-                _ => {}
+    }
+
+    fn handle(&mut self, node: usize, event: Event<'_>, emitted: &mut Vec<(usize, Action)>) {
+        let mut actions = Vec::new();
+        self.nodes[node].handle(self.now_ms, event, &mut actions);
+        emitted.extend(actions.into_iter().map(|action| (node, action)));
+    }
+
+    fn execute(&mut self, from: usize, action: Action) {
+        match action {
+            Action::Send { to, bytes } => {
+                self.hash.add(&[from as u8, to as u8]);
+                self.hash.add(&bytes);
+                self.in_transit.push(Datagram { from, to, bytes });
             }
+            Action::WakeAt(at) => self.hash.add(&at.to_bits().to_le_bytes()),
+            Action::Payload { .. } => self.payloads += 1,
+            _ => {}
         }
     }
+}
+
+fn scheduled_events(node: usize, now_ms: f64) -> Vec<Event<'static>> {
+    let mut events = Vec::new();
+    if now_ms == 0.0 {
+        events.push(Event::SetPeers((0..NODES).collect()));
+    }
+    if now_ms == LEAVE_MS && node == LEAVING {
+        events.push(Event::Leave);
+    }
+    if now_ms == PAYLOAD_MS && node == 1 {
+        events.push(Event::SendPayload {
+            to: gossip::MemberId::of("n2"),
+            bytes: b"opaque",
+        });
+    }
+    events.push(Event::Timer);
+    events
+}
+
+#[test]
+fn seeded_cluster_sends_recorded_datagrams() {
+    let mut cluster = RecordedCluster::new();
+    for step in 0..STEPS {
+        cluster.run_step(step);
+    }
+    let nodes = &cluster.nodes;
     let states: Vec<State> = nodes[1].members().map(|member| member.state).collect();
     let count = |state| states.iter().filter(|held| **held == state).count();
     assert_eq!(
         [State::Alive, State::Dead, State::Left].map(count),
         [7, 1, 1]
     );
-    let returned: u64 = nodes.iter().map(|node| node.metrics().refutations).sum();
     let verdicts: u64 = nodes.iter().map(|node| node.metrics().verdicts).sum();
-    assert_eq!((verdicts, returned), (15, 2));
-    assert_eq!((sent, payloads), (16_582, 1));
-    assert_eq!(hash.0, 0xfa6a_09bd_432c_6467, "{:#018x}", hash.0);
+    let refutations: u64 = nodes.iter().map(|node| node.metrics().refutations).sum();
+    assert_eq!((verdicts, refutations), (15, 2));
+    assert_eq!((cluster.sent, cluster.payloads), (16_582, 1));
+    let hash = cluster.hash.0;
+    assert_eq!(hash, 0xfa6a_09bd_432c_6467, "{hash:#018x}");
 }
--- a/src/node/cluster/mod.rs
+++ b/src/node/cluster/mod.rs
@@ -21,7 +21,7 @@
 use std::rc::Rc;
 use std::time::{SystemTime, UNIX_EPOCH};
 
-use gossip::{Action, ClusterKey, Event, Gossip, LogEvent, MemberId, Settings};
+use gossip::{Action, Event, Gossip, LogEvent, MemberId, Settings};
 use rustix::time::{clock_gettime, ClockId};
 use tokio::net::UdpSocket;
 
@@ -59,6 +59,12 @@
         .as_millis() as u64
 }
 
+async fn bind(address: SocketAddr) -> Result<UdpSocket, ClusterError> {
+    UdpSocket::bind(address)
+        .await
+        .map_err(|source| ClusterError::Listen { address, source })
+}
+
 /// This node's part in the cluster.
 pub struct Cluster {
     gossip: RefCell<Gossip>,
@@ -96,14 +102,9 @@
             return Ok(None);
         }
         let resolved = ResolvedSettings::new(config, settings)?;
-        let listen = resolved.listen;
-        let socket = UdpSocket::bind(listen)
-            .await
-            .map_err(|source| ClusterError::Listen {
-                address: listen,
-                source,
-            })?;
-        let (process_id, started_unix_ms) = (fastrand::u64(1..), unix_ms());
+        let socket = bind(resolved.listen).await?;
+        let process_id = fastrand::u64(1..);
+        let started_unix_ms = unix_ms();
         let leases = lease_settings
             .map(|leases| {
                 leases::Part::new(
@@ -120,11 +121,17 @@
             .map(|outlier| word::Part::new(boot_ms(), *outlier, Rc::clone(driver)))
             .transpose()
             .map_err(ClusterError::subsystem("word"))?;
-        let key = ClusterKey::new(&settings.cluster, &resolved.key);
+        log::line(format_args!(
+            "gossip: {} joins cluster {:?} at {} with {} peers",
+            resolved.name,
+            settings.cluster,
+            resolved.listen,
+            resolved.peers.len()
+        ));
         let gossip_settings = Settings {
             probe_interval_ms: settings.probe_interval_ms,
             suspicion_timeout_ms: settings.suspicion_timeout_ms,
-            ..Settings::new(&resolved.name, process_id, started_unix_ms, key)
+            ..Settings::new(&resolved.name, process_id, started_unix_ms, resolved.key)
         };
         let cluster = Rc::new(Self {
             gossip: RefCell::new(Gossip::new(boot_ms(), gossip_settings)),
@@ -137,12 +144,6 @@
             word,
             record: lease_settings.and_then(|leases| leases.fence_file.clone()),
         });
-        log::line(format_args!(
-            "gossip: {} joins cluster {:?} at {listen} with {} peers",
-            cluster.name,
-            settings.cluster,
-            resolved.peers.len()
-        ));
         cluster.set_peers(&resolved.peers);
         cluster.spawn_tasks(lease_settings.and_then(|leases| leases.fleet_log));
         Ok(Some(cluster))
--- a/src/node/cluster/settings.rs
+++ b/src/node/cluster/settings.rs
@@ -7,6 +7,8 @@
 use std::os::unix::fs::PermissionsExt;
 use std::path::PathBuf;
 
+use gossip::ClusterKey;
+
 use super::ClusterError;
 use crate::node::config::Config;
 
@@ -141,7 +143,7 @@
     pub name: String,
     pub listen: SocketAddr,
     pub peers: Vec<SocketAddr>,
-    pub key: Vec<u8>,
+    pub key: ClusterKey,
 }
 
 impl ResolvedSettings {
@@ -166,6 +168,7 @@
             .clone()
             .unwrap_or_else(|| config.peers.clone());
         let key = settings.read_key().map_err(ClusterError::KeyFile)?;
+        let key = ClusterKey::new(&settings.cluster, &key);
         Ok(Self {
             name,
             listen,
