--- a/crates/gossip/tests/drawn_faults.rs
+++ b/crates/gossip/tests/drawn_faults.rs
@@ -1,8 +1,8 @@
 //! Faults drawn from seeds, and protocol faults injected into the nodes, which the checker detects.
 
 use gossip::InjectedFault;
-use testkit::nodes::judge::{bounds, trial};
-use testkit::nodes::Fleet;
+use testkit::nodes::checker::{bounds, trial};
+use testkit::nodes::VirtualCluster;
 
 /// As many as run within a minute; `measure -- members` runs more.
 const SEEDS: u64 = 300;
@@ -12,7 +12,7 @@
     let mut declared_dead = 0;
     for seed in 0..SEEDS {
         match trial(seed, bounds(seed, 16), InjectedFault::None) {
-            Ok(trial) => declared_dead += trial.gone,
+            Ok(trial) => declared_dead += trial.deaths,
             Err(error) => panic!("{error}"),
         }
     }
@@ -40,21 +40,22 @@
 /// Six of nine nodes pause for ten seconds, receive nothing of what is sent meanwhile and resume at the same moment on lossy
 /// links, as the nodes of one suspended machine do. Counts how often one of the three others is declared dead then.
 fn deaths_after_most_resume(seed: u64, fault: InjectedFault) -> usize {
-    let mut fleet = Fleet::new(seed, 9);
-    fleet.injected_fault = fault;
-    fleet.start_all(1_000.0);
-    fleet.run(10_000.0);
-    let before = fleet.world.now_ms();
-    (0..6).for_each(|node| fleet.world.pause(node, 10_000.0));
-    fleet.split(|node| if node < 6 { node } else { 6 });
-    fleet.run(9_990.0);
-    fleet.all_links(simulation::Link {
+    let mut cluster = VirtualCluster::new(seed, 9);
+    cluster.injected_fault = fault;
+    cluster.start_all(1_000.0);
+    cluster.run(10_000.0);
+    let before = cluster.world.now_ms();
+    (0..6).for_each(|node| cluster.world.pause(node, 10_000.0));
+    cluster.partition(|node| if node < 6 { node } else { 6 });
+    cluster.run(9_990.0);
+    cluster.all_links(simulation::Link {
         loss: 0.6,
         ..simulation::Link::default()
     });
-    fleet.run(30_000.0);
-    let gone = fleet.gone_since(before).into_iter();
-    gone.filter(|(_, _, name)| ["n6", "n7", "n8"].contains(&name.as_str()))
+    cluster.run(30_000.0);
+    let deaths = cluster.deaths_since(before).into_iter();
+    deaths
+        .filter(|(_, _, name)| ["n6", "n7", "n8"].contains(&name.as_str()))
         .count()
 }
 
@@ -79,9 +80,9 @@
 fn same_seed_gives_same_run() {
     let run = |seed| {
         let bounds = bounds(seed, 16);
-        let mut fleet = Fleet::started(seed, bounds.nodes);
-        fleet.play(&simulation::draw(seed, bounds));
-        format!("{:?}{:?}", fleet.said(), fleet.world.totals())
+        let mut cluster = VirtualCluster::started(seed, bounds.nodes);
+        cluster.play(&simulation::draw(seed, bounds));
+        format!("{:?}{:?}", cluster.outputs(), cluster.world.totals())
     };
     assert_eq!(run(5), run(5));
 }
--- a/crates/gossip/tests/scenarios/main.rs
+++ b/crates/gossip/tests/scenarios/main.rs
@@ -7,7 +7,7 @@
 mod restarts;
 
 use gossip::State;
-use testkit::nodes::Fleet;
+use testkit::nodes::VirtualCluster;
 
 /// Within this time all nodes detect a kill.
 const DETECTION_MS: f64 = 5_000.0;
@@ -18,29 +18,29 @@
 /// The default of the settings.
 const SUSPICION_TIMEOUT_MS: f64 = 2_500.0;
 
-fn assert_none_declared_dead(fleet: &Fleet, since_ms: f64) {
-    let gone = fleet.gone_since(since_ms);
-    assert!(gone.is_empty(), "seed {}: {gone:?}", fleet.seed);
+fn assert_none_declared_dead(cluster: &VirtualCluster, since_ms: f64) {
+    let deaths = cluster.deaths_since(since_ms);
+    assert!(deaths.is_empty(), "seed {}: {deaths:?}", cluster.seed);
 }
 
 /// Runs until all other nodes have declared a node dead, and returns how long it took.
-fn run_until_dead_to_all(fleet: &mut Fleet, node: usize, within_ms: f64) -> f64 {
-    let start = fleet.world.now_ms();
-    let others: Vec<_> = (0..fleet.names.len())
-        .filter(|of| *of != node && fleet.world.is_up(*of))
+fn run_until_dead_to_all(cluster: &mut VirtualCluster, node: usize, within_ms: f64) -> f64 {
+    let start = cluster.world.now_ms();
+    let others: Vec<_> = (0..cluster.names.len())
+        .filter(|of| *of != node && cluster.world.is_up(*of))
         .collect();
     while !others
         .iter()
-        .all(|of| fleet.state(*of, node) == Some(State::Dead))
+        .all(|of| cluster.state(*of, node) == Some(State::Dead))
     {
-        fleet.run(50.0);
-        let passed = fleet.world.now_ms() - start;
-        let holds: Vec<_> = others.iter().map(|of| fleet.state(*of, node)).collect();
+        cluster.run(50.0);
+        let passed = cluster.world.now_ms() - start;
+        let holds: Vec<_> = others.iter().map(|of| cluster.state(*of, node)).collect();
         assert!(
             passed < within_ms,
             "seed {}: n{node} is {holds:?} after {passed} ms",
-            fleet.seed
+            cluster.seed
         );
     }
-    fleet.world.now_ms() - start
+    cluster.world.now_ms() - start
 }
--- a/crates/gossip/tests/scenarios/partitions.rs
+++ b/crates/gossip/tests/scenarios/partitions.rs
@@ -1,17 +1,17 @@
 //! One-way and two-way partitions, and what follows once they heal.
 
 use gossip::{Event, Health, LogEvent, State};
-use testkit::nodes::Fleet;
+use testkit::nodes::VirtualCluster;
 
 use crate::{assert_none_declared_dead, run_until_dead_to_all, CONVERGENCE_MS, DETECTION_MS};
 
 #[test]
 fn killed_node_of_two_stays_suspect() {
-    let mut fleet = Fleet::started(1, 2);
-    fleet.kill(0);
-    fleet.run(60_000.0);
+    let mut cluster = VirtualCluster::started(1, 2);
+    cluster.kill(0);
+    cluster.run(60_000.0);
     assert_eq!(
-        (fleet.state(1, 0), fleet.health(1)),
+        (cluster.state(1, 0), cluster.health(1)),
         (Some(State::Suspect), Health::Isolated)
     );
 }
@@ -19,82 +19,85 @@
 #[test]
 fn node_that_receives_nothing_declares_nobody_dead() {
     for (seed, nodes) in [(1, 4), (2, 7), (3, 20)] {
-        let mut fleet = Fleet::started(seed, nodes);
-        let before = fleet.world.now_ms();
-        (1..nodes).for_each(|from| fleet.cut(from, 0));
-        fleet.run(60_000.0);
-        assert_none_declared_dead(&fleet, before);
-        assert_eq!(fleet.health(0), Health::Isolated);
+        let mut cluster = VirtualCluster::started(seed, nodes);
+        let before = cluster.world.now_ms();
+        (1..nodes).for_each(|from| cluster.cut(from, 0));
+        cluster.run(60_000.0);
+        assert_none_declared_dead(&cluster, before);
+        assert_eq!(cluster.health(0), Health::Isolated);
         assert!(
-            (1..nodes).all(|of| fleet.state(of, 0) == Some(State::Alive)),
+            (1..nodes).all(|of| cluster.state(of, 0) == Some(State::Alive)),
             "its probes are received"
         );
-        fleet.heal();
-        fleet.agree_within(CONVERGENCE_MS);
+        cluster.heal();
+        cluster.agree_within(CONVERGENCE_MS);
     }
 }
 
 #[test]
 fn node_that_cannot_send_is_declared_dead_and_notified() {
     for (seed, nodes) in [(1, 4), (2, 7), (3, 20)] {
-        let mut fleet = Fleet::started(seed, nodes);
-        let before = fleet.world.now_ms();
-        (1..nodes).for_each(|to| fleet.cut(0, to));
-        run_until_dead_to_all(&mut fleet, 0, DETECTION_MS);
-        fleet.run(10_000.0);
-        assert!(fleet
+        let mut cluster = VirtualCluster::started(seed, nodes);
+        let before = cluster.world.now_ms();
+        (1..nodes).for_each(|to| cluster.cut(0, to));
+        run_until_dead_to_all(&mut cluster, 0, DETECTION_MS);
+        cluster.run(10_000.0);
+        assert!(cluster
             .log_events(0)
             .iter()
             .any(|event| matches!(event, LogEvent::DeclaredDead { .. })));
         assert_eq!(
-            (fleet.health(0), fleet.state(0, 0)),
+            (cluster.health(0), cluster.state(0, 0)),
             (Health::Isolated, Some(State::Dead))
         );
-        fleet.run(60_000.0);
-        assert!(fleet
-            .gone_since(before)
+        cluster.run(60_000.0);
+        assert!(cluster
+            .deaths_since(before)
             .iter()
             .all(|(_, _, name)| name == "n0"));
         assert!(
-            (1..nodes).all(|of| fleet.state(of, 0) == Some(State::Dead)),
+            (1..nodes).all(|of| cluster.state(of, 0) == Some(State::Dead)),
             "it stays dead"
         );
-        fleet.heal();
-        fleet.agree_within(CONVERGENCE_MS);
+        cluster.heal();
+        cluster.agree_within(CONVERGENCE_MS);
     }
 }
 
 #[test]
 fn partial_partitions_kill_nobody() {
-    type Cuts = fn(&mut Fleet);
+    type Cuts = fn(&mut VirtualCluster);
     let cases: [(&str, Cuts); 4] = [
-        ("two receive nothing from each other", |fleet| {
-            fleet.cut(0, 1);
-            fleet.cut(1, 0);
+        ("two receive nothing from each other", |cluster| {
+            cluster.cut(0, 1);
+            cluster.cut(1, 0);
         }),
-        ("one receives from the other but not the reverse", |fleet| {
-            fleet.cut(0, 1);
+        (
+            "one receives from the other but not the reverse",
+            |cluster| {
+                cluster.cut(0, 1);
+            },
+        ),
+        ("each is partitioned from the next, one way", |cluster| {
+            (0..9).for_each(|node| cluster.cut(node, (node + 1) % 9));
         }),
-        ("each is partitioned from the next, one way", |fleet| {
-            (0..9).for_each(|node| fleet.cut(node, (node + 1) % 9));
-        }),
-        ("a ring of one-way links is all that is left", |fleet| {
+        ("a ring of one-way links is all that is left", |cluster| {
             let is_left = |from: usize, to: usize| to == (from + 1) % 9;
             let all = (0..9).flat_map(|from| (0..9).map(move |to| (from, to)));
             all.filter(|(from, to)| from != to && !is_left(*from, *to))
-                .for_each(|(from, to)| fleet.cut(from, to));
+                .for_each(|(from, to)| cluster.cut(from, to));
         }),
     ];
     for (what, cuts) in cases {
         for seed in 0..5 {
-            let mut fleet = Fleet::started(seed, 9);
-            let before = fleet.world.now_ms();
-            cuts(&mut fleet);
-            fleet.run(120_000.0);
-            let gone = fleet.gone_since(before);
-            assert!(gone.is_empty(), "{what}: {gone:?}");
-            fleet.heal();
-            fleet.agree_within(CONVERGENCE_MS);
+            let mut cluster = VirtualCluster::started(seed, 9);
+            let before = cluster.world.now_ms();
+            cuts(&mut cluster);
+            cluster.run(120_000.0);
+            let deaths = cluster.deaths_since(before);
+            assert!(deaths.is_empty(), "{what}: {deaths:?}");
+            cluster.heal();
+            cluster.agree_within(CONVERGENCE_MS);
         }
     }
 }
@@ -103,18 +106,18 @@
 #[test]
 fn one_way_partition_of_halves_settles() {
     for seed in 0..5 {
-        let mut fleet = Fleet::started(seed, 10);
+        let mut cluster = VirtualCluster::started(seed, 10);
         for from in 5..10 {
-            (0..5).for_each(|to| fleet.cut(from, to));
+            (0..5).for_each(|to| cluster.cut(from, to));
         }
-        fleet.run(60_000.0);
-        let before = fleet.world.now_ms();
-        fleet.run(120_000.0);
-        assert_none_declared_dead(&fleet, before);
-        assert!(fleet.world.totals().done.cut > 1_000);
-        fleet.heal();
-        fleet.run(30_000.0);
-        fleet.agree_within(CONVERGENCE_MS);
+        cluster.run(60_000.0);
+        let before = cluster.world.now_ms();
+        cluster.run(120_000.0);
+        assert_none_declared_dead(&cluster, before);
+        assert!(cluster.world.totals().done.cut > 1_000);
+        cluster.heal();
+        cluster.run(30_000.0);
+        cluster.agree_within(CONVERGENCE_MS);
     }
 }
 
@@ -128,20 +131,20 @@
     ];
     for (seed, side) in (1..).zip(sides) {
         for nodes in [8, 9, 30] {
-            let mut fleet = Fleet::started(seed, nodes);
-            fleet.split(side);
-            fleet.run(20_000.0);
+            let mut cluster = VirtualCluster::started(seed, nodes);
+            cluster.partition(side);
+            cluster.run(20_000.0);
             for of in 1..nodes {
                 let is_right = |node: usize| {
-                    (fleet.state(of, node) == Some(State::Alive)) == (side(of) == side(node))
+                    (cluster.state(of, node) == Some(State::Alive)) == (side(of) == side(node))
                 };
                 assert!(
                     (0..nodes).all(is_right),
                     "seed {seed}: each side considers exactly its own nodes alive: {of}"
                 );
             }
-            fleet.heal();
-            fleet.agree_within(CONVERGENCE_MS);
+            cluster.heal();
+            cluster.agree_within(CONVERGENCE_MS);
         }
     }
 }
@@ -149,23 +152,23 @@
 #[test]
 fn successive_partitions_with_conflicting_updates_heal() {
     for seed in 0..10 {
-        let mut fleet = Fleet::started(seed, 9);
+        let mut cluster = VirtualCluster::started(seed, 9);
         for shift in 0..3 {
-            fleet.split(|node| (node + shift) / 3 % 2);
-            fleet.run(1_500.0 * (1 + shift) as f64);
+            cluster.partition(|node| (node + shift) / 3 % 2);
+            cluster.run(1_500.0 * (1 + shift) as f64);
         }
         // A node that is dead to one side restarts on the other, and another leaves and notifies its own side only.
-        fleet.run(6_000.0);
-        fleet.start(4);
-        fleet
+        cluster.run(6_000.0);
+        cluster.start(4);
+        cluster
             .world
-            .with(5, |node, now, out| node.act(now, Event::Leave, out));
-        fleet.kill(5);
-        fleet.run(4_000.0);
-        fleet.heal();
-        fleet.agree_within(CONVERGENCE_MS);
-        let before = fleet.world.now_ms();
-        fleet.run(20_000.0);
-        assert_none_declared_dead(&fleet, before);
+            .with(5, |node, now, out| node.handle(now, Event::Leave, out));
+        cluster.kill(5);
+        cluster.run(4_000.0);
+        cluster.heal();
+        cluster.agree_within(CONVERGENCE_MS);
+        let before = cluster.world.now_ms();
+        cluster.run(20_000.0);
+        assert_none_declared_dead(&cluster, before);
     }
 }
--- a/crates/gossip/tests/scenarios/pauses.rs
+++ b/crates/gossip/tests/scenarios/pauses.rs
@@ -1,7 +1,7 @@
 //! Processes that stop for a while.
 
 use gossip::{Health, LogEvent, State};
-use testkit::nodes::Fleet;
+use testkit::nodes::VirtualCluster;
 
 use crate::{
     assert_none_declared_dead, run_until_dead_to_all, DETECTION_MS, REFUTATION_MS,
@@ -11,36 +11,36 @@
 #[test]
 fn pause_below_suspicion_timeout_is_tolerated() {
     for (seed, ms) in [(1, 500.0), (2, 1_000.0), (3, 1_900.0)] {
-        let mut fleet = Fleet::started(seed, 9);
-        let before = fleet.world.now_ms();
+        let mut cluster = VirtualCluster::started(seed, 9);
+        let before = cluster.world.now_ms();
         for node in [0, 4, 8, 0, 1, 1] {
-            fleet.world.pause(node, ms);
-            fleet.run(4_000.0);
+            cluster.world.pause(node, ms);
+            cluster.run(4_000.0);
         }
-        assert_none_declared_dead(&fleet, before);
-        fleet.agree_within(1_000.0);
+        assert_none_declared_dead(&cluster, before);
+        cluster.agree_within(1_000.0);
     }
 }
 
 #[test]
 fn resumed_node_refutes_its_death_and_suspects_nobody() {
     for (seed, ms) in [(1, 5_000.0), (2, 10_000.0), (3, 60_000.0)] {
-        let mut fleet = Fleet::started(seed, 9);
-        let before = fleet.world.now_ms();
-        fleet.world.pause(3, ms);
-        let detected_ms = run_until_dead_to_all(&mut fleet, 3, DETECTION_MS);
+        let mut cluster = VirtualCluster::started(seed, 9);
+        let before = cluster.world.now_ms();
+        cluster.world.pause(3, ms);
+        let detected_ms = run_until_dead_to_all(&mut cluster, 3, DETECTION_MS);
         assert!(
             detected_ms >= SUSPICION_TIMEOUT_MS,
             "not before the suspicion timeout: {detected_ms}"
         );
-        fleet.world.run_until(before + ms);
-        fleet.agree_within(REFUTATION_MS);
-        fleet.run(5_000.0);
-        assert!(fleet
-            .gone_since(before)
+        cluster.world.run_until(before + ms);
+        cluster.agree_within(REFUTATION_MS);
+        cluster.run(5_000.0);
+        assert!(cluster
+            .deaths_since(before)
             .iter()
             .all(|(by, _, name)| *by != 3 && name == "n3"));
-        let log_events = fleet.log_events(3);
+        let log_events = cluster.log_events(3);
         assert!(
             log_events
                 .iter()
@@ -59,21 +59,21 @@
 /// Guards against a node that flaps forever: from the third time in a minute on its refutation is delayed, longer each time.
 #[test]
 fn repeatedly_paused_node_refutes_with_backoff() {
-    let mut fleet = Fleet::started(1, 9);
+    let mut cluster = VirtualCluster::started(1, 9);
     for _ in 0..24 {
-        fleet.world.pause(3, 4_500.0);
-        fleet.run(7_500.0);
+        cluster.world.pause(3, 4_500.0);
+        cluster.run(7_500.0);
     }
-    let refutations = fleet
+    let refutations = cluster
         .log_events(3)
         .iter()
         .filter(|event| matches!(event, LogEvent::Refuted { .. }))
         .count();
     assert!((3..=16).contains(&refutations), "{refutations} of 24 times");
-    let last = fleet.world.now_ms();
-    fleet.run(31_000.0);
-    fleet.agree_within(1_000.0);
-    assert_none_declared_dead(&fleet, last);
+    let last = cluster.world.now_ms();
+    cluster.run(31_000.0);
+    cluster.agree_within(1_000.0);
+    assert_none_declared_dead(&cluster, last);
 }
 
 /// The pause is about as long as a verdict takes: whatever the outcome, only the paused node is affected.
@@ -81,13 +81,13 @@
 fn pause_as_long_as_a_verdict_is_tolerated_or_refuted() {
     let (mut declared_dead, mut tolerated) = (0, 0);
     for seed in 0..40 {
-        let mut fleet = Fleet::started(seed, 9);
-        let before = fleet.world.now_ms();
-        fleet.world.pause(3, 2_900.0 + 40.0 * seed as f64);
-        fleet.run(2_900.0 + 40.0 * seed as f64);
-        fleet.agree_within(REFUTATION_MS);
-        fleet.run(3_000.0);
-        let called = fleet.gone_since(before);
+        let mut cluster = VirtualCluster::started(seed, 9);
+        let before = cluster.world.now_ms();
+        cluster.world.pause(3, 2_900.0 + 40.0 * seed as f64);
+        cluster.run(2_900.0 + 40.0 * seed as f64);
+        cluster.agree_within(REFUTATION_MS);
+        cluster.run(3_000.0);
+        let called = cluster.deaths_since(before);
         assert!(
             called.iter().all(|(by, _, name)| *by != 3 && name == "n3"),
             "seed {seed}: {called:?}"
@@ -113,26 +113,26 @@
         (4, 10_000.0),
         (5, 60_000.0),
     ] {
-        let mut fleet = Fleet::started(seed, 12);
-        let before = fleet.world.now_ms();
-        (0..4).for_each(|node| fleet.world.pause(node, ms));
-        fleet.run(ms);
-        fleet.agree_within(REFUTATION_MS);
-        fleet.run(5_000.0);
-        let gone = fleet.gone_since(before);
+        let mut cluster = VirtualCluster::started(seed, 12);
+        let before = cluster.world.now_ms();
+        (0..4).for_each(|node| cluster.world.pause(node, ms));
+        cluster.run(ms);
+        cluster.agree_within(REFUTATION_MS);
+        cluster.run(5_000.0);
+        let deaths = cluster.deaths_since(before);
         assert!(
-            !gone
+            !deaths
                 .iter()
                 .any(|(_, _, name)| !["n0", "n1", "n2", "n3"].contains(&name.as_str())),
-            "{gone:?}"
+            "{deaths:?}"
         );
-        let verdicts = |node| fleet.metrics(node).verdicts;
+        let verdicts = |node| cluster.metrics(node).verdicts;
         assert_eq!(
             (0..4).map(verdicts).sum::<u64>(),
             0,
             "a resumed node reaches no verdict"
         );
-        assert!(ms > SUSPICION_TIMEOUT_MS || gone.is_empty(), "{gone:?}");
+        assert!(ms > SUSPICION_TIMEOUT_MS || deaths.is_empty(), "{deaths:?}");
     }
 }
 
@@ -141,32 +141,32 @@
 fn paused_observer_does_not_change_the_verdict() {
     let (mut probing, mut asking, mut disseminating) = (0, 0, 0);
     for seed in 0..60 {
-        let mut fleet = Fleet::started(seed, 7);
-        let before = fleet.world.now_ms();
-        fleet.kill(0);
+        let mut cluster = VirtualCluster::started(seed, 7);
+        let before = cluster.world.now_ms();
+        cluster.kill(0);
         // From before the first suspicion until after the last death notice.
-        fleet.run(2_300.0 + 30.0 * seed as f64);
+        cluster.run(2_300.0 + 30.0 * seed as f64);
         let paused = 1 + seed as usize % 6;
-        let verdicts = fleet.metrics(paused).verdicts;
-        match fleet.state(paused, 0) {
+        let verdicts = cluster.metrics(paused).verdicts;
+        match cluster.state(paused, 0) {
             Some(State::Alive) => probing += 1,
             Some(State::Suspect) => asking += 1,
             Some(State::Dead) if verdicts > 0 => disseminating += 1,
             _ => {}
         }
-        fleet.world.pause(paused, 2_000.0);
-        let start = fleet.world.now_ms();
+        cluster.world.pause(paused, 2_000.0);
+        let start = cluster.world.now_ms();
         while !(1..7)
             .filter(|of| *of != paused)
-            .all(|of| fleet.state(of, 0) == Some(State::Dead))
+            .all(|of| cluster.state(of, 0) == Some(State::Dead))
         {
-            fleet.run(50.0);
-            assert!(fleet.world.now_ms() - start < DETECTION_MS, "seed {seed}");
+            cluster.run(50.0);
+            assert!(cluster.world.now_ms() - start < DETECTION_MS, "seed {seed}");
         }
-        fleet.run(5_000.0);
-        fleet.agree_within(REFUTATION_MS);
-        assert!(fleet
-            .gone_since(before)
+        cluster.run(5_000.0);
+        cluster.agree_within(REFUTATION_MS);
+        assert!(cluster
+            .deaths_since(before)
             .iter()
             .all(|(_, _, name)| name == "n0"));
     }
@@ -178,14 +178,14 @@
 
 #[test]
 fn repeated_short_pauses_are_tolerated() {
-    let mut fleet = Fleet::started(1, 7);
-    let before = fleet.world.now_ms();
+    let mut cluster = VirtualCluster::started(1, 7);
+    let before = cluster.world.now_ms();
     for second in 0..60 {
         (0..7)
             .filter(|node| (node + second) % 2 == 0)
-            .for_each(|node| fleet.world.pause(node, 200.0));
-        fleet.run(1_000.0);
+            .for_each(|node| cluster.world.pause(node, 200.0));
+        cluster.run(1_000.0);
     }
-    assert_none_declared_dead(&fleet, before);
-    assert!((0..7).all(|node| fleet.health(node) == Health::Well));
+    assert_none_declared_dead(&cluster, before);
+    assert!((0..7).all(|node| cluster.health(node) == Health::Well));
 }
--- a/crates/gossip/tests/scenarios/restarts.rs
+++ b/crates/gossip/tests/scenarios/restarts.rs
@@ -1,35 +1,35 @@
 //! Starts, kills, restarts and name conflicts.
 
 use gossip::{Event, Health, LogEvent, State};
-use testkit::nodes::Fleet;
+use testkit::nodes::VirtualCluster;
 
 use crate::{assert_none_declared_dead, run_until_dead_to_all, DETECTION_MS, REFUTATION_MS};
 
 #[test]
 fn started_cluster_agrees_and_detects_kill_restart_and_leave() {
     for (seed, nodes) in [(1, 2), (2, 3), (3, 5), (4, 9), (5, 30)] {
-        let mut fleet = Fleet::new(seed, nodes);
-        fleet.start_all(1_000.0);
-        fleet.agree_within(3_000.0);
-        fleet.run(3_000.0);
-        assert!((0..nodes).all(|node| fleet.health(node) == Health::Well));
-        let before = fleet.world.now_ms();
-        fleet.run(60_000.0);
-        assert_none_declared_dead(&fleet, before);
+        let mut cluster = VirtualCluster::new(seed, nodes);
+        cluster.start_all(1_000.0);
+        cluster.agree_within(3_000.0);
+        cluster.run(3_000.0);
+        assert!((0..nodes).all(|node| cluster.health(node) == Health::Well));
+        let before = cluster.world.now_ms();
+        cluster.run(60_000.0);
+        assert_none_declared_dead(&cluster, before);
         if nodes == 2 {
             continue; // One node alone cannot tell its own partition from the death of the other.
         }
-        fleet.kill(0);
-        run_until_dead_to_all(&mut fleet, 0, DETECTION_MS);
-        fleet.start(0);
-        fleet.agree_within(REFUTATION_MS);
-        fleet
+        cluster.kill(0);
+        run_until_dead_to_all(&mut cluster, 0, DETECTION_MS);
+        cluster.start(0);
+        cluster.agree_within(REFUTATION_MS);
+        cluster
             .world
-            .with(0, |node, now, out| node.act(now, Event::Leave, out));
-        fleet.kill(0);
-        fleet.run(500.0);
+            .with(0, |node, now, out| node.handle(now, Event::Leave, out));
+        cluster.kill(0);
+        cluster.run(500.0);
         assert!(
-            (1..nodes).all(|of| fleet.state(of, 0) == Some(State::Left)),
+            (1..nodes).all(|of| cluster.state(of, 0) == Some(State::Left)),
             "it has left"
         );
     }
@@ -37,35 +37,35 @@
 
 #[test]
 fn three_hundred_nodes_agree_after_mass_start_and_mass_kill() {
-    let mut fleet = Fleet::new(7, 300);
-    fleet.start_all(1_000.0);
-    fleet.agree_within(15_000.0);
-    let before = fleet.world.now_ms();
-    fleet.run(10_000.0);
-    assert_none_declared_dead(&fleet, before);
+    let mut cluster = VirtualCluster::new(7, 300);
+    cluster.start_all(1_000.0);
+    cluster.agree_within(15_000.0);
+    let before = cluster.world.now_ms();
+    cluster.run(10_000.0);
+    assert_none_declared_dead(&cluster, before);
     (0..300)
         .filter(|node| node % 10 < 7)
-        .for_each(|node| fleet.kill(node));
-    fleet.agree_within(60_000.0);
+        .for_each(|node| cluster.kill(node));
+    cluster.agree_within(60_000.0);
     (0..300)
         .filter(|node| node % 10 < 7)
-        .for_each(|node| fleet.start(node));
-    fleet.agree_within(15_000.0);
+        .for_each(|node| cluster.start(node));
+    cluster.agree_within(15_000.0);
 }
 
 #[test]
 fn repeatedly_restarted_node_affects_no_other() {
-    let mut fleet = Fleet::started(3, 7);
-    let before = fleet.world.now_ms();
+    let mut cluster = VirtualCluster::started(3, 7);
+    let before = cluster.world.now_ms();
     for _ in 0..10 {
-        fleet.kill(2);
-        fleet.run(500.0);
-        fleet.start(2);
-        fleet.run(5_500.0);
+        cluster.kill(2);
+        cluster.run(500.0);
+        cluster.start(2);
+        cluster.run(5_500.0);
     }
-    fleet.agree_within(REFUTATION_MS);
-    assert!(fleet
-        .gone_since(before)
+    cluster.agree_within(REFUTATION_MS);
+    assert!(cluster
+        .deaths_since(before)
         .iter()
         .all(|(_, _, name)| name == "n2"));
 }
@@ -73,29 +73,29 @@
 /// A clock that is set back between two processes makes the incarnation of the later one lower.
 #[test]
 fn new_process_with_earlier_clock_supersedes_old_one() {
-    let mut fleet = Fleet::started(4, 5);
-    fleet.run(30_000.0);
-    let later = fleet.view(0)["n2"].1;
-    fleet.kill(2);
-    fleet.run(8_000.0);
-    assert_eq!(fleet.state(0, 2), Some(State::Dead));
-    fleet.start_born(2, later - 500);
-    fleet.agree_within(REFUTATION_MS);
-    assert!(fleet.view(0)["n2"].1 > later);
+    let mut cluster = VirtualCluster::started(4, 5);
+    cluster.run(30_000.0);
+    let later = cluster.view(0)["n2"].1;
+    cluster.kill(2);
+    cluster.run(8_000.0);
+    assert_eq!(cluster.state(0, 2), Some(State::Dead));
+    cluster.start_with_incarnation(2, later - 500);
+    cluster.agree_within(REFUTATION_MS);
+    assert!(cluster.view(0)["n2"].1 > later);
 }
 
 #[test]
 fn two_processes_with_one_name_log_conflict_and_affect_no_other() {
-    let mut fleet = Fleet::started(5, 6);
-    fleet.run(20_000.0);
-    fleet.names[5] = "n1".into();
-    fleet.kill(5);
-    fleet.run(8_000.0);
-    let before = fleet.world.now_ms();
-    fleet.start(5);
-    fleet.run(60_000.0);
+    let mut cluster = VirtualCluster::started(5, 6);
+    cluster.run(20_000.0);
+    cluster.names[5] = "n1".into();
+    cluster.kill(5);
+    cluster.run(8_000.0);
+    let before = cluster.world.now_ms();
+    cluster.start(5);
+    cluster.run(60_000.0);
     for node in [1, 5] {
-        let log_events = fleet.log_events(node);
+        let log_events = cluster.log_events(node);
         assert!(
             log_events
                 .iter()
@@ -104,7 +104,7 @@
         );
     }
     for of in [0, 2, 3, 4] {
-        let view = fleet.view(of);
+        let view = cluster.view(of);
         assert!(
             ["n0", "n1", "n2", "n3", "n4"]
                 .iter()
@@ -112,12 +112,12 @@
             "{view:?}"
         );
     }
-    assert!(fleet
-        .gone_since(before)
+    assert!(cluster
+        .deaths_since(before)
         .iter()
         .all(|(_, _, name)| name == "n1"));
     assert!(
-        fleet.gone_since(before + 20_000.0).is_empty(),
+        cluster.deaths_since(before + 20_000.0).is_empty(),
         "the conflict settles"
     );
 }
--- a/crates/measure/src/detectors.rs
+++ b/crates/measure/src/detectors.rs
@@ -6,7 +6,7 @@
 
 use fastrand::Rng;
 use simulation::{Link, NodeId, Outbox, Process, World};
-use testkit::nodes::Fleet;
+use testkit::nodes::VirtualCluster;
 
 use crate::members::apart;
 use crate::system::{count, quantile};
@@ -346,7 +346,7 @@
     }
 }
 
-struct Observers(Fleet);
+struct Observers(VirtualCluster);
 
 impl Play for Observers {
     fn links(&mut self, link: Link) {
@@ -370,7 +370,7 @@
     fn gone(&self, since: f64) -> Vec<(NodeId, NodeId, f64)> {
         let node = |name: &str| self.0.names.iter().position(|held| held == name);
         self.0
-            .gone_since(since)
+            .deaths_since(since)
             .into_iter()
             .filter_map(|(by, at, name)| Some((by, node(&name)?, at)))
             .collect()
@@ -380,7 +380,7 @@
 fn started(way: Option<Way>, nodes: usize, seed: u64) -> Box<dyn Play> {
     let mut play: Box<dyn Play> = match way {
         None => {
-            let mut fleet = Fleet::new(seed, nodes);
+            let mut fleet = VirtualCluster::new(seed, nodes);
             fleet.start_all(1_000.0);
             Box::new(Observers(fleet))
         }
--- a/crates/measure/src/members.rs
+++ b/crates/measure/src/members.rs
@@ -10,8 +10,8 @@
 
 use gossip::{InjectedFault, State};
 use simulation::{draw, Bounds, Link, Trouble};
-use testkit::nodes::judge::{bounds, excuses, trial};
-use testkit::nodes::{Fleet as Virtual, Said};
+use testkit::nodes::checker::{bounds, excuses, trial};
+use testkit::nodes::{Output, VirtualCluster};
 use testkit::{Fleet, Load};
 
 use crate::system::{count, cpu, is_brief, memory_mb, quantile, time};
@@ -73,7 +73,7 @@
 
 fn trial_of(seed: u64, with_script: bool) -> String {
     match trial(seed, bounds(seed, MOST_NODES), InjectedFault::None) {
-        Ok(trial) => format!("{AGREED} {:.0} {}", trial.agreed_ms, trial.gone),
+        Ok(trial) => format!("{AGREED} {:.0} {}", trial.agreed_ms, trial.deaths),
         Err(error) if with_script => error,
         Err(error) => error.lines().next().unwrap_or_default().to_owned(),
     }
@@ -138,7 +138,7 @@
 /// One world of them: days, pauses and false verdicts.
 fn days_of(seed: u64) -> String {
     let hours = if is_brief() { 0.01 } else { DAYS_HOURS };
-    let mut fleet = Virtual::started(seed, DAYS_NODES);
+    let mut fleet = VirtualCluster::started(seed, DAYS_NODES);
     let mut rng = fastrand::Rng::with_seed(seed);
     fleet.all_links(Link {
         loss: 0.1,
@@ -154,15 +154,15 @@
     format!(
         "{:.3} {paused} {}",
         DAYS_NODES as f64 * hours / 24.0,
-        fleet.gone_since(since).len()
+        fleet.deaths_since(since).len()
     )
 }
 
 /// When which node first held the one that was killed for gone.
-fn seen(fleet: &Virtual, killed: &str, at_ms: f64) -> BTreeMap<usize, f64> {
+fn seen(fleet: &VirtualCluster, killed: &str, at_ms: f64) -> BTreeMap<usize, f64> {
     let mut seen = BTreeMap::new();
-    for (by, at, said) in fleet.said() {
-        if let Said::Change(change) = said {
+    for (by, at, output) in fleet.outputs() {
+        if let Output::Change(change) = output {
             if change.to == State::Dead && change.name == killed && at >= at_ms {
                 seen.entry(by).or_insert(at - at_ms);
             }
@@ -231,14 +231,14 @@
 
 /// One that hears nobody, then two that do not hear each other: who is gone to others for it.
 fn cuts(nodes: usize) -> String {
-    let mut fleet = Virtual::new(nodes as u64, nodes);
+    let mut fleet = VirtualCluster::new(nodes as u64, nodes);
     fleet.start_all(1_000.0);
     fleet.run(60_000.0);
     let since = fleet.world.now_ms();
     (1..nodes).for_each(|from| fleet.cut(from, 0));
     fleet.run(30_000.0);
     let deaf: BTreeSet<_> = fleet
-        .gone_since(since)
+        .deaths_since(since)
         .into_iter()
         .filter(|(by, ..)| *by != 0)
         .map(|(.., name)| name)
@@ -249,12 +249,12 @@
     fleet.cut(0, 1);
     fleet.cut(1, 0);
     fleet.run(60_000.0);
-    let pair = fleet.gone_since(since).len();
+    let pair = fleet.deaths_since(since).len();
     format!("{nodes:>6} nodes, one deaf for 30 s: {} gone to others; two deaf to each other for 60 s: {pair} verdicts", deaf.len())
 }
 
 fn size(nodes: usize, loss: f64, kills: usize) -> String {
-    let mut fleet = Virtual::new(nodes as u64, nodes);
+    let mut fleet = VirtualCluster::new(nodes as u64, nodes);
     fleet.all_links(Link {
         loss,
         ..Link::default()
@@ -269,7 +269,7 @@
     // With the world's own work, and what other plays take of the machine.
     let cpu_us = start.elapsed().as_secs_f64() * 1e6 / (quiet / 1e3) / nodes as f64;
     let after = fleet.world.totals();
-    let wrong = fleet.gone_since(since).len();
+    let wrong = fleet.deaths_since(since).len();
     let rate = |count: u64| count as f64 / (quiet / 1e3) / nodes as f64;
     let (datagrams, bytes) = (
         rate(after.sent.0 - before.sent.0),
--- a/crates/testkit/src/nodes/mod.rs
+++ b/crates/testkit/src/nodes/mod.rs
@@ -1,6 +1,7 @@
-//! A fleet of nodes in virtual time, and a judge that goes by the script and by what the nodes said.
+//! A cluster of gossip nodes in virtual time, and a checker that goes by the fault schedule and the nodes' observable output.
+
+pub mod checker;
 
-pub mod judge;
 use std::collections::BTreeMap;
 
 use gossip::{
@@ -9,48 +10,48 @@
 };
 use simulation::{Clock, Link, NodeId, Outbox, Process, Script, Trouble, World};
 
-/// What a node said, and when by the world's time.
+/// An observable output of a node.
 #[derive(Clone, Debug)]
-pub enum Said {
-    /// Of another node.
+pub enum Output {
+    /// The state of another node has changed.
     Change(Change),
-    /// Of how it hears.
+    /// The local health has changed.
     Health(Health),
-    /// For the operators.
+    /// A log event.
     Log(LogEvent),
 }
 
-/// A node, and what it said.
+/// A node and its outputs.
 pub struct Node {
-    /// Its half without I/O.
+    /// The state machine.
     pub gossip: Gossip,
-    /// When it said what, by the world's time.
-    pub said: Vec<(f64, Said)>,
+    /// Its outputs, with the simulation's time in milliseconds.
+    pub outputs: Vec<(f64, Output)>,
     clock: Clock,
     peers: Vec<NodeId>,
     is_new: bool,
 }
 
 impl Node {
-    fn carry_out(&mut self, own_ms: f64, actions: Vec<Action>, out: &mut Outbox) {
+    fn execute(&mut self, own_ms: f64, actions: Vec<Action>, out: &mut Outbox) {
         let at = (own_ms - self.clock.offset_ms) / (1.0 + self.clock.drift);
         for action in actions {
             match action {
                 Action::Send { to, bytes } => out.send(to, bytes),
                 Action::WakeAt(at) => out.wake_at(at),
-                Action::Changed(change) => self.said.push((at, Said::Change(change))),
-                Action::Health(health) => self.said.push((at, Said::Health(health))),
-                Action::Log(event) => self.said.push((at, Said::Log(event))),
+                Action::Changed(change) => self.outputs.push((at, Output::Change(change))),
+                Action::Health(health) => self.outputs.push((at, Output::Health(health))),
+                Action::Log(event) => self.outputs.push((at, Output::Log(event))),
                 Action::Payload { .. } => {}
             }
         }
     }
 
-    /// Something happens to it.
-    pub fn act(&mut self, own_ms: f64, event: Event<'_>, out: &mut Outbox) {
+    /// Handles an event at the node's own time.
+    pub fn handle(&mut self, own_ms: f64, event: Event<'_>, out: &mut Outbox) {
         let mut actions = Vec::new();
         self.gossip.handle(own_ms, event, &mut actions);
-        self.carry_out(own_ms, actions, out);
+        self.execute(own_ms, actions, out);
     }
 }
 
@@ -62,38 +63,39 @@
         } else {
             Event::Timer
         };
-        self.act(own_ms, event, out);
+        self.handle(own_ms, event, out);
     }
 
     fn receive(&mut self, own_ms: f64, from: NodeId, bytes: &[u8], out: &mut Outbox) {
-        self.act(own_ms, Event::Datagram { from, bytes }, out);
+        self.handle(own_ms, Event::Datagram { from, bytes }, out);
     }
 }
 
-/// The key of its fleet.
+/// The shared key of the cluster.
 pub const KEY: &[u8] = b"0123456789abcdef";
 
-/// A fleet.
-pub struct Fleet {
-    /// Where it runs.
+/// A cluster in virtual time.
+pub struct VirtualCluster {
+    /// The simulation that runs the nodes.
     pub world: World<Node>,
-    /// What its chances are drawn from.
+    /// The seed of all random choices.
     pub seed: u64,
-    /// Its nodes' names.
+    /// The nodes' names.
     pub names: Vec<String>,
-    /// Their clocks, from the next start on.
+    /// The nodes' clocks, from their next start on.
     pub clocks: Vec<Clock>,
     /// The protocol fault that is injected into them.
     pub injected_fault: InjectedFault,
     /// Their cluster keys, from the next start on.
     pub keys: Vec<ClusterKey>,
-    lives: u64,
-    /// What processes that have ended said.
-    past: Vec<(NodeId, f64, Said)>,
+    /// Processes started so far.
+    starts: u64,
+    /// Outputs of processes that have ended.
+    ended_outputs: Vec<(NodeId, f64, Output)>,
 }
 
-impl Fleet {
-    /// So many nodes, none of them started.
+impl VirtualCluster {
+    /// A cluster of `nodes` nodes, none of them started.
     #[must_use]
     pub fn new(seed: u64, nodes: usize) -> Self {
         Self {
@@ -103,21 +105,21 @@
             clocks: vec![Clock::default(); nodes],
             injected_fault: InjectedFault::None,
             keys: vec![ClusterKey::new("holds", KEY); nodes],
-            lives: 0,
-            past: Vec::new(),
+            starts: 0,
+            ended_outputs: Vec::new(),
         }
     }
 
-    /// All nodes, started within a second, and ten seconds on.
+    /// A cluster whose nodes were started within a second, ten seconds later.
     #[must_use]
     pub fn started(seed: u64, nodes: usize) -> Self {
-        let mut fleet = Self::new(seed, nodes);
-        fleet.start_all(1_000.0);
-        fleet.run(10_000.0);
-        fleet
+        let mut cluster = Self::new(seed, nodes);
+        cluster.start_all(1_000.0);
+        cluster.run(10_000.0);
+        cluster
     }
 
-    /// Starts all within a time, one after the other.
+    /// Starts all nodes at equal intervals within a time.
     pub fn start_all(&mut self, within_ms: f64) {
         let nodes = self.names.len();
         for node in 0..nodes {
@@ -126,19 +128,24 @@
         }
     }
 
-    /// Starts a process on a node.
+    /// Starts a process on a node, which ends the one that runs there.
     pub fn start(&mut self, node: NodeId) {
-        self.start_born(node, self.world.now_ms() as u64 + 1_000_000);
+        self.start_with_incarnation(node, self.world.now_ms() as u64 + 1_000_000);
     }
 
-    /// The same, by a wall clock that may be wrong.
-    pub fn start_born(&mut self, node: NodeId, born: u64) {
-        self.end(node);
-        self.lives += 1;
-        let mut rng = fastrand::Rng::with_seed(self.seed ^ (self.lives << 20));
+    /// Starts a process with this first incarnation, as from a wall clock that may be wrong.
+    pub fn start_with_incarnation(&mut self, node: NodeId, incarnation: u64) {
+        self.keep_outputs(node);
+        self.starts += 1;
+        let mut rng = fastrand::Rng::with_seed(self.seed ^ (self.starts << 20));
         self.world.set_clock(node, self.clocks[node]);
         let process = rng.u64(1..);
-        let mut settings = Settings::new(&self.names[node], process, born, self.keys[node].clone());
+        let mut settings = Settings::new(
+            &self.names[node],
+            process,
+            incarnation,
+            self.keys[node].clone(),
+        );
         settings.injected_fault = self.injected_fault;
         let gossip = Gossip::new(self.world.own_ms(node), settings);
         let peers = (0..self.names.len()).collect();
@@ -147,7 +154,7 @@
             node,
             Node {
                 gossip,
-                said: Vec::new(),
+                outputs: Vec::new(),
                 clock,
                 peers,
                 is_new: true,
@@ -155,34 +162,34 @@
         );
     }
 
-    fn end(&mut self, node: NodeId) {
+    fn keep_outputs(&mut self, node: NodeId) {
         if let Some(process) = self.world.process(node) {
-            self.past.extend(
+            self.ended_outputs.extend(
                 process
-                    .said
+                    .outputs
                     .iter()
-                    .map(|(at, said)| (node, *at, said.clone())),
+                    .map(|(at, output)| (node, *at, output.clone())),
             );
         }
     }
 
     /// Kills a node's process.
     pub fn kill(&mut self, node: NodeId) {
-        self.end(node);
+        self.keep_outputs(node);
         self.world.kill(node);
     }
 
-    /// Goes on for so long.
+    /// Runs for some milliseconds.
     pub fn run(&mut self, ms: f64) {
         self.world.run_until(self.world.now_ms() + ms);
     }
 
-    /// Plays a script, its times counted from now.
-    pub fn play(&mut self, script: &Script) {
+    /// Applies a fault schedule, whose times count from now.
+    pub fn play(&mut self, schedule: &Script) {
         let start = self.world.now_ms();
-        for (at, trouble) in &script.0 {
+        for (at, fault) in &schedule.0 {
             self.world.run_until(start + at);
-            match trouble {
+            match fault {
                 Trouble::Start { node } if self.world.process(*node).is_some() => {}
                 Trouble::Start { node } => self.start(*node),
                 Trouble::Kill { node } => self.kill(*node),
@@ -191,23 +198,23 @@
         }
     }
 
-    /// What all links are from now on.
+    /// Sets the properties of all links.
     pub fn all_links(&mut self, link: Link) {
         self.world.apply(&Trouble::All { link });
     }
 
-    /// All links are good again.
+    /// Repairs all links.
     pub fn heal(&mut self) {
         self.world.apply(&Trouble::HealAll);
     }
 
-    /// Cuts a link, one way.
+    /// Cuts a link one way.
     pub fn cut(&mut self, from: NodeId, to: NodeId) {
         self.world.apply(&Trouble::Cut { from, to });
     }
 
-    /// Cuts all ways between nodes of different sides.
-    pub fn split(&mut self, side: impl Fn(NodeId) -> usize) {
+    /// Partitions the cluster: cuts all links between nodes of different sides.
+    pub fn partition(&mut self, side: impl Fn(NodeId) -> usize) {
         self.heal();
         for from in 0..self.names.len() {
             for to in (0..self.names.len()).filter(|to| side(from) != side(*to)) {
@@ -216,10 +223,14 @@
         }
     }
 
-    /// What a node believes: by name, state and incarnation.
+    /// A node's view: state and incarnation by name.
+    ///
+    /// # Panics
+    ///
+    /// The node is not running.
     #[must_use]
     pub fn view(&self, of: NodeId) -> BTreeMap<String, (State, u64)> {
-        let process = self.world.process(of).expect("it runs");
+        let process = self.world.process(of).expect("the node is running");
         process
             .gossip
             .members()
@@ -227,7 +238,7 @@
             .collect()
     }
 
-    /// What a node believes of another.
+    /// The state of another node in a node's view.
     #[must_use]
     pub fn state(&self, of: NodeId, node: NodeId) -> Option<State> {
         self.view(of)
@@ -235,10 +246,18 @@
             .map(|(state, _)| *state)
     }
 
-    /// How well a node hears.
+    /// The local health of a node.
+    ///
+    /// # Panics
+    ///
+    /// The node is not running.
     #[must_use]
     pub fn health(&self, of: NodeId) -> Health {
-        self.world.process(of).expect("it runs").gossip.health()
+        self.world
+            .process(of)
+            .expect("the node is running")
+            .gossip
+            .health()
     }
 
     /// The counters of a node.
@@ -248,10 +267,15 @@
     /// The node is not running.
     #[must_use]
     pub fn metrics(&self, of: NodeId) -> Metrics {
-        self.world.process(of).expect("it runs").gossip.metrics()
+        self.world
+            .process(of)
+            .expect("the node is running")
+            .gossip
+            .metrics()
     }
 
-    /// Whether all that run agree that all that run are there and the rest are not; else who errs on whom.
+    /// A node whose view is wrong, and about which other: all running nodes must be alive, in their incarnation, and all
+    /// others dead or left. `None` if there is none.
     #[must_use]
     pub fn disagreement(&self) -> Option<String> {
         let up: Vec<_> = (0..self.names.len())
@@ -275,7 +299,7 @@
                 if !is_right {
                     let (of, node) = (&self.names[*of], &self.names[node]);
                     return Some(format!(
-                        "{of} holds {node} for {held:?}, its own incarnation is {own:?}"
+                        "{of} has {node} as {held:?}, whose own incarnation is {own:?}"
                     ));
                 }
             }
@@ -283,7 +307,11 @@
         None
     }
 
-    /// Goes on until all agree, and tells how long it took.
+    /// Runs until all views agree, and returns how long it took.
+    ///
+    /// # Panics
+    ///
+    /// They do not within `ms`.
     pub fn agree_within(&mut self, ms: f64) -> f64 {
         let start = self.world.now_ms();
         loop {
@@ -300,44 +328,44 @@
         }
     }
 
-    /// All that was said: by whom, when, what; of processes that have ended, too.
+    /// All outputs in order of time, with node and time; also those of processes that have ended.
     #[must_use]
-    pub fn said(&self) -> Vec<(NodeId, f64, Said)> {
+    pub fn outputs(&self) -> Vec<(NodeId, f64, Output)> {
         let now = (0..self.names.len()).filter_map(|node| Some((node, self.world.process(node)?)));
         let now = now.flat_map(|(node, process)| {
             process
-                .said
+                .outputs
                 .iter()
-                .map(move |(at, said)| (node, *at, said.clone()))
+                .map(move |(at, output)| (node, *at, output.clone()))
         });
-        let mut all: Vec<_> = self.past.iter().cloned().chain(now).collect();
+        let mut all: Vec<_> = self.ended_outputs.iter().cloned().chain(now).collect();
         all.sort_by(|(_, a, _), (_, b, _)| a.total_cmp(b));
         all
     }
 
-    /// Who called whom gone, and when, since a time.
+    /// Which nodes were declared dead since a time: by which node, when, and the name.
     #[must_use]
-    pub fn gone_since(&self, since_ms: f64) -> Vec<(NodeId, f64, String)> {
-        let gone = |(by, at, said): (NodeId, f64, Said)| match said {
-            Said::Change(change) if change.to == State::Dead && at >= since_ms => {
+    pub fn deaths_since(&self, since_ms: f64) -> Vec<(NodeId, f64, String)> {
+        let death = |(by, at, output): (NodeId, f64, Output)| match output {
+            Output::Change(change) if change.to == State::Dead && at >= since_ms => {
                 Some((by, at, change.name))
             }
             _ => None,
         };
-        self.said().into_iter().filter_map(gone).collect()
+        self.outputs().into_iter().filter_map(death).collect()
     }
 
     /// The log events of a node's process.
     #[must_use]
     pub fn log_events(&self, of: NodeId) -> Vec<LogEvent> {
-        let log_event = |(_, said): &(f64, Said)| match said {
-            Said::Log(event) => Some(event.clone()),
+        let log_event = |(_, output): &(f64, Output)| match output {
+            Output::Log(event) => Some(event.clone()),
             _ => None,
         };
         self.world
             .process(of)
-            .expect("it runs")
-            .said
+            .expect("the node is running")
+            .outputs
             .iter()
             .filter_map(log_event)
             .collect()
