--- a/crates/testkit/src/fleet.rs
+++ b/crates/testkit/src/fleet.rs
@@ -482,7 +482,7 @@
         let own = self
             .gone_lines()
             .into_iter()
-            .filter(|(.., why)| why.contains("do not hear it and"));
+            .filter(|(.., why)| why.contains("confirmed by quorum"));
         own.map(|(by, _, name, _)| (by, name)).collect()
     }
 
@@ -504,7 +504,7 @@
                 .map(move |line| (node, line))
         });
         let read = |(by, (at, line)): (usize, (Instant, String))| {
-            let rest = line.split_once("fleet: ")?.1;
+            let rest = line.split_once("gossip: ")?.1;
             let (name, why) = rest.split_once(" is gone")?;
             (name != "this node").then(|| (by, at, name.to_owned(), why.to_owned()))
         };
--- a/src/node/admin/config_file.rs
+++ b/src/node/admin/config_file.rs
@@ -23,7 +23,7 @@
 
 pub use self::error::{ConfigFileError, Location, Problem};
 use self::raw::RawConfig;
-use crate::node::cluster::{Instances, Keeping};
+use crate::node::cluster::{ClusterSettings, Keeping};
 use crate::node::discovery::consul::ConsulSource;
 use crate::node::upstream::addresses::ConfiguredAddresses;
 use crate::node::upstream::servers::PoolLimits;
@@ -41,7 +41,7 @@
     /// Limits on connections to servers.
     pub pool: PoolLimits,
     /// How the other nodes of the cluster are found.
-    pub instances: Option<Instances>,
+    pub instances: Option<ClusterSettings>,
     /// The acceptors that grant leases to the nodes of the cluster.
     pub leases: Option<Keeping>,
     /// How nodes report outliers among the servers to each other.
@@ -69,7 +69,7 @@
         if let Some(instances) = &config.instances {
             instances.read_key().map_err(|error| {
                 let problem = Problem::KeyFile(error.into());
-                ConfigFileError::at_offset(file, &text, instances.key_at, problem)
+                ConfigFileError::at_offset(file, &text, instances.key_file_offset, problem)
             })?;
         }
         Ok(config)
--- a/src/node/admin/config_file/summary.rs
+++ b/src/node/admin/config_file/summary.rs
@@ -1,7 +1,7 @@
 //! A description of a valid operators' file, for `silverthread check`.
 
 use super::OperatorConfig;
-use crate::node::cluster::{Instances, Keeping};
+use crate::node::cluster::{ClusterSettings, Keeping};
 use crate::node::discovery::consul::ConsulSource;
 
 impl OperatorConfig {
@@ -41,14 +41,14 @@
     format!("consul {name:?}: service {service:?} through {agents} agents, {role}")
 }
 
-fn instances_line(instances: &Instances) -> String {
+fn instances_line(instances: &ClusterSettings) -> String {
     let peers = match &instances.peers {
         Some(peers) => format!("{} peers", peers.len()),
         None => "the platform's peers".to_owned(),
     };
     format!(
         "cluster {:?}: {peers}, probed every {} ms",
-        instances.fleet, instances.probe_ms
+        instances.cluster, instances.probe_interval_ms
     )
 }
 
--- a/src/node/admin/config_file/validation.rs
+++ b/src/node/admin/config_file/validation.rs
@@ -14,7 +14,7 @@
     RawRoute, RawServer,
 };
 use super::{EndpointSources, OperatorConfig};
-use crate::node::cluster::{Instances, Keeping};
+use crate::node::cluster::{ClusterSettings, Keeping};
 use crate::node::discovery::consul::ConsulSource;
 use crate::node::upstream::addresses::{ConfiguredAddresses, ServerAddresses};
 use crate::node::upstream::servers::PoolLimits;
@@ -179,12 +179,14 @@
 }
 
 impl RawInstances {
-    fn validate(self) -> Result<Instances, InvalidValue> {
+    fn validate(self) -> Result<ClusterSettings, InvalidValue> {
         self.check_names()?;
         self.check_peer_count()?;
         let probe_ms = self
             .probe_ms
-            .map_or(Instances::default().probe_ms, |interval| interval.0);
+            .map_or(ClusterSettings::default().probe_interval_ms, |interval| {
+                interval.0
+            });
         let suspect_ms = match &self.suspect_ms {
             Some(suspicion) if suspicion.get_ref().0 < MIN_SUSPICION_PROBES * probe_ms => {
                 return Err(InvalidValue::new(suspicion, Problem::SuspicionTooShort));
@@ -192,23 +194,23 @@
             Some(suspicion) => suspicion.get_ref().0,
             None => DEFAULT_SUSPICION_PROBES * probe_ms,
         };
-        Ok(Instances {
+        Ok(ClusterSettings {
             name: self.name.map(Spanned::into_inner),
             listen: self.listen,
             peers: self.peers.map(Spanned::into_inner),
-            fleet: self.fleet.into_inner(),
-            key_at: self.key_file.span().start,
+            cluster: self.fleet.into_inner(),
+            key_file_offset: self.key_file.span().start,
             key_file: self.key_file.into_inner(),
-            probe_ms,
-            suspect_ms,
+            probe_interval_ms: probe_ms,
+            suspicion_timeout_ms: suspect_ms,
         })
     }
 
     fn check_names(&self) -> Result<(), InvalidValue> {
         if let Some(name) = &self.name {
-            if !gossip::is_name(name.get_ref()) {
+            if !gossip::is_valid_node_name(name.get_ref()) {
                 let problem = Problem::InvalidOwnName {
-                    max_bytes: gossip::MOST_NAME,
+                    max_bytes: gossip::MAX_NAME_BYTES,
                 };
                 return Err(InvalidValue::new(name, problem));
             }
@@ -218,11 +220,11 @@
 
     fn check_peer_count(&self) -> Result<(), InvalidValue> {
         match &self.peers {
-            Some(peers) if peers.get_ref().len() > gossip::MOST_MEMBERS => {
+            Some(peers) if peers.get_ref().len() > gossip::MAX_MEMBERS => {
                 let problem = Problem::ItemCount {
                     items: "peers",
                     min: 0,
-                    max: gossip::MOST_MEMBERS,
+                    max: gossip::MAX_MEMBERS,
                 };
                 Err(InvalidValue::new(peers, problem))
             }
@@ -275,7 +277,11 @@
 }
 
 fn check_node_names(names: &Spanned<Vec<String>>) -> Result<(), InvalidValue> {
-    match names.get_ref().iter().find(|name| !gossip::is_name(name)) {
+    match names
+        .get_ref()
+        .iter()
+        .find(|name| !gossip::is_valid_node_name(name))
+    {
         Some(name) => Err(InvalidValue::new(
             names,
             Problem::InvalidNodeName(name.clone()),
--- a/src/node/admin/reload.rs
+++ b/src/node/admin/reload.rs
@@ -13,7 +13,7 @@
 
 use crate::node::admin::config_file::OperatorConfig;
 use crate::node::admin::log;
-use crate::node::cluster::Fleet;
+use crate::node::cluster::Cluster;
 use crate::node::config::Config;
 use crate::node::discovery::ConsulFollowers;
 
@@ -33,7 +33,7 @@
     mut signals: Signal,
     discovery: watch::Sender<SocketAddr>,
     file: Option<WatchedFile>,
-    fleet: Option<Rc<Fleet>>,
+    fleet: Option<Rc<Cluster>>,
 ) {
     // Signals that arrive during a reload are merged into one: the files are read after the last of them.
     while signals.recv().await.is_some() {
@@ -65,7 +65,7 @@
 
 fn reload_operator_config(
     file: &WatchedFile,
-    fleet: Option<&Rc<Fleet>>,
+    fleet: Option<&Rc<Cluster>>,
     platform: Option<&Config>,
 ) {
     match OperatorConfig::read(&file.path) {
@@ -77,7 +77,7 @@
 fn apply(
     config: OperatorConfig,
     sources: &ConsulFollowers,
-    fleet: Option<&Rc<Fleet>>,
+    fleet: Option<&Rc<Cluster>>,
     platform: Option<&Config>,
 ) {
     let consul = config
@@ -87,6 +87,6 @@
     sources.follow(&consul);
     sources.driver().set_configured_addresses(config.addresses);
     if let (Some(fleet), Some(instances)) = (fleet, &config.instances) {
-        fleet.change(platform, instances, config.leases.as_ref());
+        fleet.reconfigure(platform, instances, config.leases.as_ref());
     }
 }
--- a/src/node/admin/server.rs
+++ b/src/node/admin/server.rs
@@ -15,7 +15,7 @@
 use tokio::task::AbortHandle;
 
 use crate::node::admin::log;
-use crate::node::cluster::Fleet;
+use crate::node::cluster::Cluster;
 use crate::node::downstream::clients::{FrontOptions, Phase, ACCEPT_RETRY_INTERVAL};
 use crate::node::driver::Driver;
 
@@ -33,14 +33,14 @@
 pub struct AdminServer {
     driver: Rc<Driver>,
     options: FrontOptions,
-    fleet: Option<Rc<Fleet>>,
+    fleet: Option<Rc<Cluster>>,
 }
 
 impl AdminServer {
     /// A server for the node of this driver. `options` are those of the node's accept loop, whose drain the server
     /// starts and cancels; `fleet` is the node's part in the cluster, if it takes part in one.
     #[must_use]
-    pub fn new(driver: Rc<Driver>, options: FrontOptions, fleet: Option<Rc<Fleet>>) -> Self {
+    pub fn new(driver: Rc<Driver>, options: FrontOptions, fleet: Option<Rc<Cluster>>) -> Self {
         Self {
             driver,
             options,
@@ -85,7 +85,7 @@
     fn stats(&self) -> String {
         let mut rows = self.driver.metrics.render(self.driver.server_gauges());
         if let Some(fleet) = &self.fleet {
-            rows.push_str(&fleet.figures());
+            rows.push_str(&fleet.metrics());
         }
         end_rows(rows)
     }
--- a/src/node/cluster/outlier_detection.rs
+++ b/src/node/cluster/outlier_detection.rs
@@ -16,7 +16,7 @@
 use balancer::{AttemptResult, ServerId};
 use gossip::{Event as GossipEvent, MemberId, State};
 
-use super::{boot_ms, figure_lines, Fleet};
+use super::{boot_ms, metric_lines, Cluster};
 use crate::node::admin::log;
 use crate::node::clock::Alarm;
 use crate::node::driver::Driver;
@@ -146,7 +146,7 @@
     }
 }
 
-impl Fleet {
+impl Cluster {
     /// Passes an event to the detector and executes what follows. Nothing happens on a node without outlier detection.
     pub(super) fn handle_outlier_event(self: &Rc<Self>, event: Event<'_>) {
         let Some(part) = &self.outlier_detection else {
@@ -171,7 +171,7 @@
             others.map(|member| MemberId::of(&member.name)).collect()
         };
         for to in others {
-            self.feed(GossipEvent::Say { to, bytes });
+            self.handle_gossip_event(GossipEvent::SendPayload { to, bytes });
         }
     }
 
@@ -253,7 +253,7 @@
             ("suspected", counters.ejections, 'c'),
             ("panics", counters.panics, 'c'),
         ];
-        figure_lines("word", &lines)
+        metric_lines("word", &lines)
     }
 }
 
--- a/src/node/mod.rs
+++ b/src/node/mod.rs
@@ -28,7 +28,7 @@
 use self::admin::log;
 use self::admin::reload::{self, WatchedFile};
 use self::admin::server::{self as admin_server, AdminServer};
-use self::cluster::{Fleet, FleetError};
+use self::cluster::{Cluster, ClusterError};
 use self::discovery::endpoint_list::Delivery;
 use self::discovery::updates::EndpointUpdates;
 use self::discovery::{endpoint_list, ConsulFollowers};
@@ -60,7 +60,7 @@
     /// The configuration is missing or broken.
     Config(ConfigError),
     /// Other nodes are to be found, and something that it takes is missing.
-    Fleet(FleetError),
+    Cluster(ClusterError),
     /// It could not listen, or the system failed it.
     System {
         /// What it tried.
@@ -74,7 +74,7 @@
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         match self {
             Self::Config(error) => error.fmt(f),
-            Self::Fleet(error) => error.fmt(f),
+            Self::Cluster(error) => error.fmt(f),
             Self::System { doing, error } => write!(f, "cannot {doing}: {error}"),
         }
     }
@@ -151,7 +151,7 @@
         Delivery::Subscribed
     };
     tokio::task::spawn_local(endpoint_list::follow(updates, addresses, delivery, known));
-    let fleet = Fleet::start(
+    let fleet = Cluster::start(
         &config,
         operator_config.instances.as_ref(),
         operator_config.leases.as_ref(),
@@ -159,7 +159,7 @@
         &driver,
     )
     .await
-    .map_err(NodeError::Fleet)?;
+    .map_err(NodeError::Cluster)?;
     let file = match (config_path, consul_followers) {
         (Some(path), Some(sources)) => Some(WatchedFile { path, sources }),
         _ => None,
