--- a/crates/lease/src/record.rs
+++ b/crates/lease/src/record.rs
@@ -68,6 +68,9 @@
     Ok(Fence(reserved))
 }
 
+#[cfg(test)]
+mod golden_tests;
+
 #[cfg(test)]
 mod tests {
     use super::*;
--- /dev/null
+++ b/crates/lease/src/record/golden_tests.rs
@@ -0,0 +1,21 @@
+//! A fence file as version 45ea4e8 writes it: a node has to read the one that the version before left behind.
+
+use super::*;
+
+const RECORDED: &str = "silverthread fences 1 n0\nreserved 1844674407370955161\n681802f6fc6635b1b90fce607a6614b662c59b0d5d6e72e28d2d275fcba6525f\n";
+
+#[test]
+fn fence_file_keeps_its_recorded_text() {
+    assert_eq!(
+        write_record("n0", Fence(1_844_674_407_370_955_161)),
+        RECORDED
+    );
+}
+
+#[test]
+fn recorded_fence_file_is_still_read() {
+    assert_eq!(
+        read_record("n0", RECORDED),
+        Ok(Fence(1_844_674_407_370_955_161))
+    );
+}
--- a/crates/lease/src/wire.rs
+++ b/crates/lease/src/wire.rs
@@ -348,6 +348,9 @@
     }
 }
 
+#[cfg(test)]
+mod golden_tests;
+
 #[cfg(test)]
 mod tests {
     use super::*;
--- a/tests/leases.rs
+++ b/tests/leases.rs
@@ -238,6 +238,60 @@
     assert_eq!(register.wrong(), None);
 }
 
+/// The external forms of this part: scripts read them, so they are those of version 45ea4e8.
+#[test]
+fn admin_responses_and_metrics_of_leases_keep_their_recorded_form() {
+    const METRICS: [(&str, &str); 11] = [
+        ("owned", "g"),
+        ("won", "c"),
+        ("unheard", "c"),
+        ("given", "c"),
+        ("grants", "c"),
+        ("refusals", "c"),
+        ("effects", "c"),
+        ("stale", "c"),
+        ("malformed", "c"),
+        ("words_out", "c"),
+        ("bytes_out", "c"),
+    ];
+    let (_register, fleet) = started(3, 20);
+    let owners = fleet.node(0).call("OWNERS\n");
+    let lines: Vec<_> = owners.lines().collect();
+    assert_eq!(lines.len(), SHARDS + 2, "{owners}");
+    assert_eq!((lines[0], lines[SHARDS + 1]), ("self n0 grants 1", "EOF"));
+    for (shard, line) in lines[1..=SHARDS].iter().enumerate() {
+        let fields: Vec<_> = line.split(' ').collect();
+        let [of, owner, numbers @ ..] = &fields[..] else {
+            panic!("{line}");
+        };
+        assert_eq!((of.to_owned(), numbers.len()), (&*shard.to_string(), 3));
+        assert!(["n0", "n1", "n2", "-"].contains(owner), "{line}");
+        assert!(
+            numbers.iter().all(|number| number.parse::<u64>().is_ok()),
+            "{line}"
+        );
+    }
+    let stats = fleet.node(0).call("STATS\n");
+    let metrics: Vec<_> = stats
+        .lines()
+        .filter_map(|line| line.strip_prefix("edge_router.lease_"))
+        .filter_map(|line| line.split_once(':'))
+        .map(|(name, value)| (name, value.split('|').nth(1).unwrap_or_default()))
+        .collect();
+    assert_eq!(metrics, METRICS);
+    let answers = ["GIVE 0 nobody\n", "GIVE 200 n1\n"].map(|call| {
+        let node = fleet.owner(0).expect("one");
+        fleet.node(node).call(call)
+    });
+    assert_eq!(
+        answers,
+        [
+            "400 nobody is no other node that is there\n",
+            "400 shard 200 is not owned here\n"
+        ]
+    );
+}
+
 /// Of five the keepers go from `n0 n1 n2` to `n0 n1 n3`, by SIGHUP at one node after the other, one of which crashes in the
 /// midst; then the one that keeps no more and another keeper end, and the new set goes on.
 #[test]
