--- a/crates/lease/src/manager.rs
+++ b/crates/lease/src/manager.rs
@@ -1,9 +1,10 @@
 //! A node's leases: which shards this process owns and requests, and its part as an acceptor.
 //!
 //! [`LeaseManager`] owns all state and dispatches events and messages. Its other methods are in
-//! modules by concern: `acceptor_role` answers requests, `claiming` requests free shards, `renewal`
-//! keeps owned ones, `transfer` moves them between nodes, `placement` decides which node should own
-//! what, `effects` publishes what owners did, `reconfiguration` replaces the acceptors.
+//! modules by concern: `acceptor_role` answers requests, `table_polling` learns which shards are
+//! free, `claiming` acquires them, `renewal` keeps them, `transfer` moves them between nodes,
+//! `placement` decides which node should own what, `effects` publishes what owners did,
+//! `reconfiguration` replaces the acceptors.
 //!
 //! Invariant: a shard is owned only until the leases of a quorum expire, counted from when each was
 //! requested; [`LeaseManager::permit`] checks that against the current time.
@@ -17,6 +18,7 @@
 mod reconfiguration;
 mod renewal;
 mod shard_state;
+mod table_polling;
 mod transfer;
 
 use fastrand::Rng;
@@ -36,11 +38,10 @@
 use crate::settings::{InjectedFault, Settings, SettingsError};
 use pending_requests::PendingRequests;
 use shard_state::ShardState;
+use table_polling::{TablePolling, POLL_INTERVAL_MS};
 
 /// How often due work is looked for, in milliseconds.
 const TICK_MS: f64 = 50.0;
-/// How often one acceptor, in turn, is asked for the changes of its table.
-const POLL_INTERVAL_MS: f64 = 500.0;
 /// How often a configuration mismatch is logged at most.
 const MISMATCH_LOG_INTERVAL_MS: f64 = 60_000.0;
 
@@ -59,14 +60,6 @@
     pub const LOW: f64 = 1.0 / 2.0;
 }
 
-/// The acceptors' tables: how far each is known, and which is polled next.
-#[derive(Clone, Debug)]
-struct TablePolling {
-    known_versions: [u64; MAX_ACCEPTORS],
-    last_polled: usize,
-    next_ms: f64,
-}
-
 /// The leases of one process: see the crate's documentation.
 #[derive(Clone, Debug)]
 pub struct LeaseManager {
--- a/crates/lease/src/message.rs
+++ b/crates/lease/src/message.rs
@@ -171,8 +171,41 @@
 impl std::error::Error for DecodeError {}
 
 impl Message {
+    /// The message as bytes, at most [`MAX_MESSAGE_BYTES`] if the lists are within their bounds.
     pub fn encode(&self) -> Vec<u8> {
         let mut out = Vec::with_capacity(MAX_MESSAGE_BYTES);
+        out.push(self.kind());
+        self.encode_fields(&mut out);
+        out
+    }
+
+    fn kind(&self) -> u8 {
+        match self {
+            Self::LeaseRequest { configurations, .. } => match configurations.previous {
+                None => kind::LEASE_REQUEST,
+                Some(_) => kind::JOINT_LEASE_REQUEST,
+            },
+            Self::Granted { .. } => kind::GRANTED,
+            Self::Rejected { .. } => kind::REJECTED,
+            Self::Release { .. } => kind::RELEASE,
+            Self::Transfer(_) => kind::TRANSFER,
+            Self::TransferOffer(_) => kind::TRANSFER_OFFER,
+            Self::TransferAccepted(_) => kind::TRANSFER_ACCEPTED,
+            Self::TableRequest { configurations, .. } => match configurations.previous {
+                None => kind::TABLE_REQUEST,
+                Some(_) => kind::JOINT_TABLE_REQUEST,
+            },
+            Self::Table { .. } => kind::TABLE,
+            Self::HighestTokenRequest { .. } => kind::HIGHEST_TOKEN_REQUEST,
+            Self::HighestToken(_) => kind::HIGHEST_TOKEN,
+            Self::ConfigurationStatusRequest { .. } => kind::CONFIGURATION_STATUS_REQUEST,
+            Self::ConfigurationStatus(_) => kind::CONFIGURATION_STATUS,
+            Self::Effect { .. } => kind::EFFECT,
+            Self::ConfigurationMismatch(_) => kind::CONFIGURATION_MISMATCH,
+        }
+    }
+
+    fn encode_fields(&self, out: &mut Vec<u8>) {
         match self {
             Self::LeaseRequest {
                 configurations,
@@ -180,85 +213,51 @@
                 ttl_ms,
                 requests,
             } => {
-                let kinds = (kind::LEASE_REQUEST, kind::JOINT_LEASE_REQUEST);
-                encode_kind_and_configurations(&mut out, kinds, *configurations);
+                encode_configurations(out, *configurations);
                 out.put_u32_le(*request_id);
                 out.put_u16_le(*ttl_ms);
-                for request in requests {
-                    encode_lease_request(&mut out, *request);
-                }
+                encode_lease_requests(out, requests);
             }
             Self::Granted {
                 request_id,
                 granted,
             } => {
-                out.push(kind::GRANTED);
                 out.put_u32_le(*request_id);
-                encode_shard_tokens(&mut out, granted);
-            }
-            Self::Rejected { shards } => {
-                out.push(kind::REJECTED);
-                encode_shard_statuses(&mut out, shards);
-            }
-            Self::Release { released } => {
-                out.push(kind::RELEASE);
-                encode_shard_tokens(&mut out, released);
-            }
-            Self::Transfer(ownership) => {
-                out.push(kind::TRANSFER);
-                encode_shard_tokens(&mut out, &[*ownership]);
-            }
-            Self::TransferOffer(ownership) => {
-                out.push(kind::TRANSFER_OFFER);
-                encode_shard_tokens(&mut out, &[*ownership]);
-            }
-            Self::TransferAccepted(ownership) => {
-                out.push(kind::TRANSFER_ACCEPTED);
-                encode_shard_tokens(&mut out, &[*ownership]);
+                encode_shard_tokens(out, granted);
             }
+            Self::Rejected { shards } => encode_shard_statuses(out, shards),
+            Self::Release { released } => encode_shard_tokens(out, released),
+            Self::Transfer(ownership)
+            | Self::TransferOffer(ownership)
+            | Self::TransferAccepted(ownership) => encode_shard_tokens(out, &[*ownership]),
             Self::TableRequest {
                 configurations,
                 since_version,
             } => {
-                let kinds = (kind::TABLE_REQUEST, kind::JOINT_TABLE_REQUEST);
-                encode_kind_and_configurations(&mut out, kinds, *configurations);
+                encode_configurations(out, *configurations);
                 out.put_u64_le(*since_version);
             }
             Self::Table { version, shards } => {
-                out.push(kind::TABLE);
                 out.put_u64_le(*version);
-                encode_shard_statuses(&mut out, shards);
-            }
-            Self::HighestTokenRequest { configuration_id } => {
-                out.push(kind::HIGHEST_TOKEN_REQUEST);
-                out.put_u64_le(*configuration_id);
-            }
-            Self::HighestToken(token) => {
-                out.push(kind::HIGHEST_TOKEN);
-                out.put_u64_le(token.0);
+                encode_shard_statuses(out, shards);
             }
+            Self::HighestTokenRequest { configuration_id } => out.put_u64_le(*configuration_id),
+            Self::HighestToken(token) => out.put_u64_le(token.0),
             Self::ConfigurationStatusRequest { configurations } => {
-                out.push(kind::CONFIGURATION_STATUS_REQUEST);
                 out.put_u64_le(configurations.current);
                 out.put_u64_le(configurations.previous.unwrap_or(0));
             }
-            Self::ConfigurationStatus(status) => {
-                out.push(kind::CONFIGURATION_STATUS);
-                encode_configuration_status(&mut out, *status);
-            }
+            Self::ConfigurationStatus(status) => encode_configuration_status(out, *status),
             Self::Effect { ownership, payload } => {
-                out.push(kind::EFFECT);
-                encode_shard_tokens(&mut out, &[*ownership]);
+                encode_shard_tokens(out, &[*ownership]);
                 out.extend_from_slice(payload);
             }
-            Self::ConfigurationMismatch(configuration) => {
-                out.push(kind::CONFIGURATION_MISMATCH);
-                out.put_u32_le(*configuration);
-            }
+            Self::ConfigurationMismatch(number) => out.put_u32_le(*number),
         }
-        out
     }
 
+    /// The message that bytes stand for.
+    ///
     /// # Errors
     ///
     /// The bytes are no message of this version.
@@ -322,23 +321,20 @@
     }
 }
 
-/// Writes the first kind and one id, or the second kind and two where the previous one decides too.
-fn encode_kind_and_configurations(
-    out: &mut Vec<u8>,
-    (alone, joint): (u8, u8),
-    configurations: ConfigurationIds,
-) {
-    out.push(configurations.previous.map_or(alone, |_| joint));
+/// One id, or two where the previous configuration decides too: the kind says which.
+fn encode_configurations(out: &mut Vec<u8>, configurations: ConfigurationIds) {
     out.put_u64_le(configurations.current);
     if let Some(previous) = configurations.previous {
         out.put_u64_le(previous);
     }
 }
 
-fn encode_lease_request(out: &mut Vec<u8>, request: LeaseRequest) {
-    out.push(request.shard);
-    out.push(u8::from(request.is_transfer));
-    out.put_u64_le(request.token.0);
+fn encode_lease_requests(out: &mut Vec<u8>, requests: &[LeaseRequest]) {
+    for request in requests {
+        out.push(request.shard);
+        out.push(u8::from(request.is_transfer));
+        out.put_u64_le(request.token.0);
+    }
 }
 
 fn encode_shard_tokens(out: &mut Vec<u8>, ownerships: &[ShardToken]) {
--- a/src/node/cluster/leases.rs
+++ b/src/node/cluster/leases.rs
@@ -1,10 +1,12 @@
 //! The I/O around [`lease`]: its messages go in datagrams of [`gossip`], which authenticates and
-//! numbers them; its timer, log lines, metrics and admin responses are here.
+//! numbers them; its timer and log lines are here, the admin responses and metrics in `admin`.
+
+mod admin;
+mod settings;
 
 use std::cell::RefCell;
 use std::collections::BTreeMap;
-use std::fmt::{self, Write};
-use std::net::SocketAddr;
+use std::fmt;
 use std::path::PathBuf;
 use std::rc::Rc;
 
@@ -15,70 +17,12 @@
 };
 
 use super::fence_file::{self, FenceFileReadError};
-use super::{boot_ms, figure_lines, Fleet};
+use super::{boot_ms, Fleet};
 use crate::node::admin::log;
 use crate::node::clock::Alarm;
+use settings::{node_id, node_ids};
 
-/// The section `[leases]` of the operators' file.
-#[derive(Clone, Debug, PartialEq)]
-pub struct LeaseSettings {
-    /// The names of the acceptors (`keepers`): 3, 5 or 7.
-    pub acceptors: Vec<String>,
-    /// The number of this configuration of acceptors (`set`).
-    pub configuration: u32,
-    /// The names of the previous acceptors (`before`), while a running fleet moves from them to
-    /// these.
-    pub previous_acceptors: Vec<String>,
-    /// See [`Settings::shards`].
-    pub shards: Shard,
-    /// See [`Settings::lease_ms`].
-    pub lease_ms: f64,
-    /// See [`Settings::drift`].
-    pub drift: f64,
-    /// Where an acceptor stores up to which fencing token it may have granted.
-    pub fence_file: Option<PathBuf>,
-    /// The register to which the owner of the fleet log appends.
-    pub fleet_log: Option<SocketAddr>,
-}
-
-impl Default for LeaseSettings {
-    fn default() -> Self {
-        let defaults = Settings::new(NodeId(0), 0, Vec::new());
-        Self {
-            acceptors: Vec::new(),
-            configuration: defaults.configuration,
-            previous_acceptors: Vec::new(),
-            shards: defaults.shards,
-            lease_ms: defaults.lease_ms,
-            drift: defaults.drift,
-            fence_file: None,
-            fleet_log: None,
-        }
-    }
-}
-
-impl LeaseSettings {
-    /// The settings of a process of the node with this name.
-    #[must_use]
-    pub fn for_process(&self, node: &str, process_id: u64) -> Settings {
-        Settings {
-            configuration: self.configuration,
-            previous_acceptors: node_ids(&self.previous_acceptors),
-            shards: self.shards,
-            lease_ms: self.lease_ms,
-            drift: self.drift,
-            ..Settings::new(node_id(node), process_id, node_ids(&self.acceptors))
-        }
-    }
-}
-
-fn node_id(name: &str) -> NodeId {
-    NodeId(MemberId::of(name).0)
-}
-
-fn node_ids(names: &[String]) -> Vec<NodeId> {
-    names.iter().map(|name| node_id(name)).collect()
-}
+pub use settings::LeaseSettings;
 
 /// Why a node cannot take part in leases.
 #[derive(Debug)]
@@ -107,26 +51,6 @@
     }
 }
 
-/// Why an operator's transfer (`GIVE`) is rejected. The texts are part of the admin protocol.
-#[derive(Clone, Debug, PartialEq, Eq)]
-pub enum TransferError {
-    /// This process does not own the shard.
-    NotOwned(Shard),
-    /// The recipient is this node, or not alive, or unknown.
-    NoOtherLiveNode(String),
-}
-
-impl fmt::Display for TransferError {
-    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        match self {
-            Self::NotOwned(shard) => write!(f, "shard {shard} is not owned here"),
-            Self::NoOtherLiveNode(name) => write!(f, "{name} is no other node that is there"),
-        }
-    }
-}
-
-impl std::error::Error for TransferError {}
-
 /// What a node that takes part in leases has beside the sockets.
 pub struct LeaseParticipant {
     /// `None`: another process has this node's name.
@@ -399,102 +323,4 @@
             .as_ref()
             .map_or(0, |manager| manager.owners(0.0).count()) as Shard
     }
-
-    /// The response to `OWNERS` without its last line; `None` where this node takes no part in
-    /// leases.
-    #[must_use]
-    pub fn owners(&self) -> Option<String> {
-        let participant = self.leases.as_ref()?;
-        let manager = participant.manager.borrow();
-        let manager = manager.as_ref()?;
-        let now_ms = boot_ms();
-        let is_acceptor = manager.acceptors().contains(&node_id(&self.name));
-        let acceptor = match (is_acceptor, manager.is_granting()) {
-            (false, _) => "no",
-            (true, true) => "grants",
-            (true, false) => "silent",
-        };
-        let configuration = manager.configuration();
-        let changing = if configuration.is_settled {
-            ""
-        } else {
-            " changing"
-        };
-        let mut text = format!(
-            "self {} {acceptor} {}{changing}\n",
-            self.name, configuration.number
-        );
-        for owner in manager.owners(now_ms) {
-            let name = owner
-                .node
-                .map_or("-".into(), |node| participant.name_of(node));
-            let since_ms = (now_ms - owner.since_ms).max(0.0);
-            let (shard, token, remaining_ms) = (owner.shard, owner.token, owner.remaining_ms);
-            // Writing to a string cannot fail.
-            let _ = writeln!(
-                text,
-                "{shard} {name} {token} {remaining_ms:.0} {since_ms:.0}"
-            );
-        }
-        Some(text)
-    }
-
-    /// Offers a shard that this process owns to another node (`GIVE`).
-    ///
-    /// # Errors
-    ///
-    /// This process does not own the shard, or there is no such other node.
-    pub fn transfer_shard(self: &Rc<Self>, shard: Shard, to: &str) -> Result<(), TransferError> {
-        if self.with_permit(shard, |_, _| ()).is_none() {
-            return Err(TransferError::NotOwned(shard));
-        }
-        if !self.is_other_live_node(to) {
-            return Err(TransferError::NoOtherLiveNode(to.to_owned()));
-        }
-        self.handle_lease_event(Event::TransferShard {
-            shard,
-            to: node_id(to),
-        });
-        Ok(())
-    }
-
-    fn is_other_live_node(&self, name: &str) -> bool {
-        let is_alive = self
-            .gossip
-            .borrow()
-            .members()
-            .any(|member| member.name == name && member.state == State::Alive);
-        is_alive && name != self.name
-    }
-
-    /// The metric lines of leases.
-    pub(super) fn lease_metrics(&self) -> String {
-        let Some(participant) = &self.leases else {
-            return String::new();
-        };
-        let manager = participant.manager.borrow();
-        let Some(manager) = manager.as_ref() else {
-            return String::new();
-        };
-        let metrics = manager.metrics();
-        let owned = manager
-            .owners(boot_ms())
-            .filter(|owner| owner.remaining_ms > 0.0)
-            .count() as u64;
-        // The names are part of the admin protocol.
-        let lines = [
-            ("owned", owned, 'g'),
-            ("won", metrics.acquired, 'c'),
-            ("unheard", metrics.expired, 'c'),
-            ("given", metrics.relinquished, 'c'),
-            ("grants", metrics.grants, 'c'),
-            ("refusals", metrics.rejections, 'c'),
-            ("effects", metrics.effects, 'c'),
-            ("stale", metrics.stale_effects, 'c'),
-            ("malformed", metrics.malformed_messages, 'c'),
-            ("words_out", metrics.sent_messages, 'c'),
-            ("bytes_out", metrics.sent_bytes, 'c'),
-        ];
-        figure_lines("lease", &lines)
-    }
 }
