--- a/crates/lease/tests/lease_model_checking.rs
+++ b/crates/lease/tests/lease_model_checking.rs
@@ -1,39 +1,47 @@
-//! Every order of events within bounds, and mistakes that are made on purpose: see `testkit::model`.
+//! Every order of events within bounds, without a fault and with each injected one: see
+//! `testkit::model`.
 
 use lease::InjectedFault;
 use testkit::model::{search, Bounds, Reach, Search, MISTAKES};
 
-/// Many times what any of these searches takes: nothing is left out.
-const MOST: usize = 4_000_000;
+/// Many times what any of these searches visits, so that all of them are exhaustive.
+const MAX_STATES: usize = 4_000_000;
 const THREADS: usize = 4;
 
-fn played(injected_fault: InjectedFault, is_owned: bool, reach: Reach) -> Search {
-    search(Bounds::of(injected_fault, is_owned, reach), MOST, THREADS)
+fn search_within(injected_fault: InjectedFault, is_owned: bool, reach: Reach) -> Search {
+    search(
+        Bounds::of(injected_fault, is_owned, reach),
+        MAX_STATES,
+        THREADS,
+    )
 }
 
 #[test]
-fn no_order_of_events_makes_two_owners() {
-    let mut hands = 0;
+fn bounded_search_finds_no_two_owners() {
+    let mut searches_with_successors = 0;
     for (is_owned, bounds) in [
         (false, [8, 0, 0, 0]),
         (true, [5, 1, 0, 0]),
         (true, [6, 0, 1, 0]),
         (true, [3, 1, 0, 1]),
     ] {
-        let found = played(InjectedFault::None, is_owned, bounds);
+        let found = search_within(InjectedFault::None, is_owned, bounds);
         assert!(
             found.is_whole && found.broken.is_none(),
             "{bounds:?}: {found:?}"
         );
-        hands += usize::from(found.changed_hands);
+        searches_with_successors += usize::from(found.changed_hands);
     }
-    assert!(hands > 0, "owners follow each other in some of them");
+    assert!(
+        searches_with_successors > 0,
+        "in some of them the shard changes owners"
+    );
 }
 
 #[test]
-fn each_mistake_is_found() {
+fn bounded_search_finds_each_injected_fault() {
     for (injected_fault, is_owned, bounds) in MISTAKES {
-        let found = played(injected_fault, is_owned, bounds);
+        let found = search_within(injected_fault, is_owned, bounds);
         assert!(found.broken.is_some(), "{injected_fault:?}: {found:?}");
     }
 }
--- a/crates/lease/tests/lease_simulation.rs
+++ b/crates/lease/tests/lease_simulation.rs
@@ -1,12 +1,6 @@
 //! Leases in virtual time: randomly drawn faults, each hard case by itself, and injected faults that the
 //! checkers have to find.
 
-#![allow(
-    clippy::needless_for_each,
-    clippy::unwrap_used,
-    reason = "this file is still to be rewritten: docs/ROADMAP.md, Readability"
-)]
-
 use lease::{
     ConfigurationState, Event, InjectedFault, NodeHealth, NodeId, ReconfigurationError,
     ReconfigurationOutcome, Shard,
@@ -15,7 +9,7 @@
 use testkit::owners::{id, trial, File, Fleet, AGAIN, LEASE, SHARDS};
 
 #[test]
-fn drawn_troubles_never_make_two_owners_and_all_is_owned_after_them() {
+fn random_faults_never_make_two_owners_and_all_is_owned_after_them() {
     let (mut won, mut refused) = (0, 0);
     for seed in 0..300 {
         let (one_won, one_refused) =
@@ -25,11 +19,11 @@
     }
     assert!(
         won > 4_000 && refused > 100,
-        "the troubles are some: {won} won, {refused} refused"
+        "the faults have effects: {won} acquired, {refused} rejected"
     );
 }
 
-fn cut(fleet: &mut Fleet, one: usize, other: usize) {
+fn partition(fleet: &mut Fleet, one: usize, other: usize) {
     fleet.apply(&Trouble::Cut {
         from: one,
         to: other,
@@ -40,15 +34,16 @@
     });
 }
 
-/// Cuts all links of a node's, both ways.
-fn cut_off(fleet: &mut Fleet, node: usize) {
+/// Cuts all links of a node, in both directions.
+fn isolate(fleet: &mut Fleet, node: usize) {
     (0..fleet.clocks.len())
         .filter(|other| *other != node)
-        .for_each(|other| cut(fleet, node, other));
+        .for_each(|other| partition(fleet, node, other));
 }
 
-/// A fleet of seven with three keepers in which a node that is no keeper owns a shard, that node, and the shard.
-fn owned_by_another(seed: u64, injected_fault: InjectedFault) -> (Fleet, usize, Shard) {
+/// A fleet of seven with three acceptors in which a node that is no acceptor owns a shard; that node and
+/// the shard.
+fn owned_by_non_acceptor(seed: u64, injected_fault: InjectedFault) -> (Fleet, usize, Shard) {
     for seed in seed * 1_000.. {
         let fleet = Fleet::started(seed, 7, 3, injected_fault);
         let found = (0..SHARDS).find_map(|shard| Some((fleet.owner[usize::from(shard)]?, shard)));
@@ -56,18 +51,18 @@
             return (fleet, owner, shard);
         }
     }
-    unreachable!("some seed has it")
+    unreachable!("some seed places a shard so")
 }
 
-/// An owner is cut off, and all keepers begin anew while its lease lasts.
-fn keepers_restart(injected_fault: InjectedFault) -> Result<(), String> {
+/// An owner is isolated, and all acceptors restart while its lease is valid.
+fn restart_all_acceptors(injected_fault: InjectedFault) -> Result<(), String> {
     for seed in 0..5 {
-        let (mut fleet, owner, _) = owned_by_another(seed, injected_fault);
-        cut_off(&mut fleet, owner);
-        (0..3).for_each(|keeper| {
-            fleet.kill(keeper);
-            fleet.start(keeper);
-        });
+        let (mut fleet, owner, _) = owned_by_non_acceptor(seed, injected_fault);
+        isolate(&mut fleet, owner);
+        for acceptor in 0..3 {
+            fleet.kill(acceptor);
+            fleet.start(acceptor);
+        }
         fleet.run(LEASE + AGAIN);
         fleet.judge()?;
         fleet.owned_within(0.0)?;
@@ -75,10 +70,10 @@
     Ok(())
 }
 
-/// An owner to whom answers are slow is cut off.
-fn slow_owner(injected_fault: InjectedFault) -> Result<(), String> {
+/// An owner that receives responses late is isolated.
+fn partition_owner_with_slow_responses(injected_fault: InjectedFault) -> Result<(), String> {
     for seed in 0..10 {
-        let (mut fleet, owner, _) = owned_by_another(seed, injected_fault);
+        let (mut fleet, owner, _) = owned_by_non_acceptor(seed, injected_fault);
         let slow = Link {
             delay_ms: 580.0,
             ..Link::default()
@@ -91,72 +86,77 @@
             });
         }
         fleet.run(10_000.0);
-        cut_off(&mut fleet, owner);
+        isolate(&mut fleet, owner);
         fleet.run(LEASE + AGAIN);
         fleet.judge()?;
     }
     Ok(())
 }
 
-/// Every process ends, and all begin anew.
-fn all_restart(injected_fault: InjectedFault) -> Result<(), String> {
+/// All processes end, and all nodes restart.
+fn restart_all_nodes(injected_fault: InjectedFault) -> Result<(), String> {
     let mut fleet = Fleet::started(1, 5, 3, injected_fault);
-    (0..5).for_each(|node| fleet.kill(node));
+    for node in 0..5 {
+        fleet.kill(node);
+    }
     fleet.run(100.0);
-    (0..5).for_each(|node| fleet.start(node));
+    for node in 0..5 {
+        fleet.start(node);
+    }
     fleet.run(LEASE);
     if fleet.owner.iter().any(Option::is_some) {
-        return Err("owned before all that was granted is over".into());
+        return Err("owned before all earlier grants have expired".into());
     }
     fleet.owned_within(AGAIN)?;
     fleet.judge()
 }
 
-fn is_found(injected_fault: InjectedFault) {
+fn assert_detected(injected_fault: InjectedFault) {
     let found = (0..300).find_map(|seed| trial(seed, injected_fault).err());
     assert!(found.is_some(), "{injected_fault:?}");
 }
 
 #[test]
-fn a_keeper_that_grants_right_after_its_start_is_found() {
-    keepers_restart(InjectedFault::None).unwrap();
-    keepers_restart(InjectedFault::NoQuarantine).unwrap_err();
+fn missing_quarantine_is_detected() {
+    restart_all_acceptors(InjectedFault::None).expect("no fault");
+    restart_all_acceptors(InjectedFault::NoQuarantine).expect_err("the fault is detected");
 }
 
 #[test]
-fn a_lease_that_is_counted_from_the_answer_is_found() {
-    slow_owner(InjectedFault::None).unwrap();
-    slow_owner(InjectedFault::LeaseFromResponse).unwrap_err();
+fn lease_counted_from_the_response_is_detected() {
+    partition_owner_with_slow_responses(InjectedFault::None).expect("no fault");
+    partition_owner_with_slow_responses(InjectedFault::LeaseFromResponse)
+        .expect_err("the fault is detected");
 }
 
 #[test]
-fn numbers_that_go_back_after_all_restarted_are_found() {
-    all_restart(InjectedFault::None).unwrap();
-    all_restart(InjectedFault::NoTokenFloor).unwrap_err();
+fn missing_token_floor_is_detected() {
+    restart_all_nodes(InjectedFault::None).expect("no fault");
+    restart_all_nodes(InjectedFault::NoTokenFloor).expect_err("the fault is detected");
 }
 
 #[test]
-fn a_grant_under_the_same_number_is_found() {
-    is_found(InjectedFault::EqualToken);
+fn grant_of_an_equal_token_is_detected() {
+    assert_detected(InjectedFault::EqualToken);
 }
 
 #[test]
-fn a_number_that_is_forgotten_is_found() {
-    is_found(InjectedFault::ForgottenToken);
+fn forgotten_token_is_detected() {
+    assert_detected(InjectedFault::ForgottenToken);
 }
 
 #[test]
-fn a_renewal_after_a_new_grant_is_found() {
-    is_found(InjectedFault::StaleRenewal);
+fn stale_renewal_is_detected() {
+    assert_detected(InjectedFault::StaleRenewal);
 }
 
 #[test]
-fn an_owner_that_is_stopped_for_any_time_is_replaced_and_never_beside_the_next() {
+fn paused_owner_is_replaced_and_never_overlaps_its_successor() {
     for (seed, ms) in [LEASE - 10.0, LEASE, 2.0 * LEASE, 10.0 * LEASE, 60_000.0]
         .into_iter()
         .enumerate()
     {
-        // At many points of what it is doing.
+        // At many phases of its lease.
         for part in 0..20 {
             let mut fleet = Fleet::started(seed as u64, 7, 3, InjectedFault::None);
             fleet.run(f64::from(part) * 43.0);
@@ -171,18 +171,18 @@
                 fleet.run(ms - AGAIN);
             }
             fleet.run(LEASE);
-            fleet.owned_within(AGAIN).unwrap();
-            fleet.judge().unwrap();
+            fleet.owned_within(AGAIN).expect("all is owned again");
+            fleet.judge().expect("one owner at a time");
         }
     }
 }
 
 #[test]
-fn an_owner_that_is_cut_one_way_is_replaced_in_time() {
-    for is_deaf in [true, false] {
-        let (mut fleet, owner, shard) = owned_by_another(3, InjectedFault::None);
+fn owner_behind_one_way_partition_is_replaced_in_time() {
+    for is_receiving_cut in [true, false] {
+        let (mut fleet, owner, shard) = owned_by_non_acceptor(3, InjectedFault::None);
         for other in (0..7).filter(|other| *other != owner) {
-            let (from, to) = if is_deaf {
+            let (from, to) = if is_receiving_cut {
                 (other, owner)
             } else {
                 (owner, other)
@@ -192,45 +192,45 @@
         fleet.run(AGAIN);
         assert!(
             fleet.owner[usize::from(shard)].is_some_and(|now| now != owner),
-            "deaf: {is_deaf}"
+            "receiving cut: {is_receiving_cut}"
         );
-        fleet.judge().unwrap();
+        fleet.judge().expect("one owner at a time");
     }
 }
 
 #[test]
-fn a_majority_is_enough_and_a_minority_is_not() {
+fn owner_keeps_shard_with_majority_and_loses_it_with_minority() {
     for reached in [1, 2] {
-        let (mut fleet, owner, shard) = owned_by_another(5, InjectedFault::None);
-        for keeper in reached..3 {
-            cut(&mut fleet, owner, keeper);
+        let (mut fleet, owner, shard) = owned_by_non_acceptor(5, InjectedFault::None);
+        for acceptor in reached..3 {
+            partition(&mut fleet, owner, acceptor);
         }
         fleet.run(3.0 * AGAIN);
         let stays = fleet.owner[usize::from(shard)] == Some(owner);
         assert_eq!(stays, reached == 2, "{reached} of 3 reached");
         assert!(fleet.owner[usize::from(shard)].is_some());
-        fleet.judge().unwrap();
+        fleet.judge().expect("one owner at a time");
     }
 }
 
-/// The old owner and the next have but one keeper in common, which decides.
+/// The majorities of the owner and its successor have only one acceptor in common, which decides.
 #[test]
-fn majorities_that_meet_in_one_keeper_do() {
+fn majorities_sharing_one_acceptor_never_grant_twice() {
     for seed in 0..5 {
-        let (mut fleet, owner, _) = owned_by_another(seed, InjectedFault::None);
+        let (mut fleet, owner, _) = owned_by_non_acceptor(seed, InjectedFault::None);
         for other in 3..7 {
             let unheard = if other == owner { 2 } else { 0 };
-            cut(&mut fleet, other, unheard);
+            partition(&mut fleet, other, unheard);
         }
         fleet.run(20_000.0);
         fleet.world.pause(1, 4_000.0);
         fleet.run(20_000.0);
-        fleet.judge().unwrap();
+        fleet.judge().expect("one owner at a time");
     }
 }
 
 #[test]
-fn words_that_come_late_doubled_or_not_at_all_make_no_two_owners() {
+fn delayed_duplicated_or_lost_messages_make_no_two_owners() {
     for seed in 0..6 {
         let mut fleet = Fleet::started(seed, 7, 5, InjectedFault::None);
         let link = Link {
@@ -242,7 +242,7 @@
         };
         fleet.apply(&Trouble::All { link });
         fleet.run(60_000.0);
-        // What is on its way arrives a minute later.
+        // Messages in flight arrive a minute later.
         fleet.apply(&Trouble::All {
             link: Link {
                 delay_ms: 60_000.0,
@@ -252,13 +252,13 @@
         fleet.run(5_000.0);
         fleet.apply(&Trouble::HealAll);
         fleet.run(70_000.0);
-        fleet.owned_within(AGAIN).unwrap();
-        fleet.judge().unwrap();
+        fleet.owned_within(AGAIN).expect("all is owned again");
+        fleet.judge().expect("one owner at a time");
     }
 }
 
 #[test]
-fn ten_minutes_at_thirty_percent_loss_make_no_two_owners() {
+fn thirty_percent_loss_for_ten_minutes_makes_no_two_owners() {
     let mut fleet = Fleet::started(1, 7, 5, InjectedFault::None);
     fleet.apply(&Trouble::All {
         link: Link {
@@ -267,14 +267,14 @@
         },
     });
     fleet.run(600_000.0);
-    fleet.owned_within(AGAIN).unwrap();
-    fleet.judge().unwrap();
+    fleet.owned_within(AGAIN).expect("all is owned again");
+    fleet.judge().expect("one owner at a time");
     let part = fleet.without_ms / 600_000.0 / f64::from(SHARDS);
-    assert!(part < 0.01, "{part} of the time without an owner");
+    assert!(part < 0.01, "{part} of the time unowned");
 }
 
 #[test]
-fn keepers_that_come_and_go_make_no_two_owners() {
+fn restarting_acceptors_make_no_two_owners() {
     let mut fleet = Fleet::started(2, 7, 3, InjectedFault::None);
     for _ in 0..30 {
         fleet.kill(1);
@@ -283,48 +283,52 @@
         fleet.run(500.0);
     }
     fleet.owned_within(0.0).expect("two of three are enough");
-    (0..2).for_each(|keeper| fleet.world.pause(keeper, 20_000.0));
+    (0..2).for_each(|acceptor| fleet.world.pause(acceptor, 20_000.0));
     fleet.run(LEASE + 100.0);
     assert_eq!(
         fleet.owner.iter().flatten().count(),
         0,
-        "no majority, no owner"
+        "without a majority there is no owner"
     );
     fleet.run(20_000.0 - LEASE);
-    fleet.owned_within(AGAIN).unwrap();
-    fleet.judge().unwrap();
+    fleet.owned_within(AGAIN).expect("all is owned again");
+    fleet.judge().expect("one owner at a time");
 }
 
-/// Five minutes in which all machines but one stand still, clocks going on.
+/// All machines but one are suspended for five minutes; their clocks include that time.
 #[test]
-fn a_suspend_ends_every_lease() {
+fn suspended_machines_own_nothing_when_they_wake() {
     let mut fleet = Fleet::started(4, 7, 3, InjectedFault::None);
     (1..7).for_each(|node| fleet.world.pause(node, 300_000.0));
     fleet.run(300_000.0 - 10.0);
     assert_eq!(
         fleet.owner.iter().flatten().count(),
         0,
-        "who wakes up owns nothing"
+        "a node that wakes owns nothing"
     );
     fleet.run(LEASE);
-    fleet.owned_within(AGAIN).unwrap();
-    fleet.judge().unwrap();
+    fleet.owned_within(AGAIN).expect("all is owned again");
+    fleet.judge().expect("one owner at a time");
 }
 
 #[test]
-fn three_hundred_that_ask_at_one_instant_agree_on_one() {
+fn three_hundred_simultaneous_claimants_agree_on_one_owner() {
     let mut fleet = Fleet::new(1, 300, 5, InjectedFault::None);
-    (0..5).for_each(|keeper| fleet.start(keeper));
-    // They may grant, but nobody is told that anything is free.
+    for acceptor in 0..5 {
+        fleet.start(acceptor);
+    }
+    // They grant from now on, but no node knows yet that any shard is free.
     fleet.run(LEASE * 1.02);
-    (5..300).for_each(|node| fleet.start(node));
-    fleet.owned_within(3_000.0).unwrap();
+    for node in 5..300 {
+        fleet.start(node);
+    }
+    fleet.owned_within(3_000.0).expect("all is owned");
     fleet.run(1_000.0);
-    fleet.judge().unwrap();
+    fleet.judge().expect("one owner at a time");
 }
 
 #[test]
-fn a_rolling_restart_leaves_hardly_anything_without_an_owner() {
+fn rolling_restart_leaves_shards_unowned_below_one_percent() {
     let mut fleet = Fleet::started(6, 7, 3, InjectedFault::None);
     fleet.without_ms = 0.0;
     let start = fleet.world.now_ms();
@@ -339,47 +343,48 @@
         fleet.run(4_500.0);
     }
     let part = fleet.without_ms / (fleet.world.now_ms() - start) / f64::from(SHARDS);
-    assert!(part < 0.01, "{part} of the time without an owner");
-    fleet.judge().unwrap();
+    assert!(part < 0.01, "{part} of the time unowned");
+    fleet.judge().expect("one owner at a time");
 }
 
-/// Word of a move is lost, to everybody: it is said again, so that nobody has to wait for the lease's end.
+/// All messages of a transfer are lost: they are repeated, so that no node has to wait until the lease
+/// expires.
 #[test]
-fn a_move_of_which_all_word_is_lost_is_said_again() {
-    let (mut fleet, owner, shard) = owned_by_another(8, InjectedFault::None);
+fn transfer_whose_messages_are_lost_is_repeated() {
+    let (mut fleet, owner, shard) = owned_by_non_acceptor(8, InjectedFault::None);
     let to = (3..7).find(|node| *node != owner).expect("another");
     fleet.world.with(owner, |node, now, out| {
         node.act(now, Event::TransferShard { shard, to: id(to) }, out);
     });
-    // The offer has come, and the answer is on its way.
+    // The offer has arrived, and its acceptance is in flight.
     fleet.run(0.9);
     let others: Vec<_> = (0..7).filter(|other| *other != owner).collect();
-    others.iter().for_each(|other| {
+    for other in &others {
         fleet.apply(&Trouble::Cut {
             from: owner,
             to: *other,
         });
-    });
+    }
     fleet.run(100.0);
     assert_eq!(
         fleet.owner[usize::from(shard)],
         None,
-        "it has let go, and nobody knows"
+        "the owner has given it up, and no other node knows"
     );
-    others.iter().for_each(|other| {
+    for other in &others {
         fleet.apply(&Trouble::Mend {
             from: owner,
             to: *other,
         });
-    });
+    }
     fleet.run(400.0);
     assert_eq!(fleet.owner[usize::from(shard)], Some(to));
-    fleet.judge().unwrap();
+    fleet.judge().expect("one owner at a time");
 }
 
 #[test]
-fn a_planned_move_takes_two_round_trips() {
-    let (mut fleet, owner, shard) = owned_by_another(8, InjectedFault::None);
+fn planned_transfer_takes_two_round_trips() {
+    let (mut fleet, owner, shard) = owned_by_non_acceptor(8, InjectedFault::None);
     let to = (3..7).find(|node| *node != owner).expect("another");
     fleet.without_ms = 0.0;
     fleet.world.with(owner, |node, now, out| {
@@ -387,17 +392,13 @@
     });
     fleet.run(200.0);
     assert_eq!(fleet.owner[usize::from(shard)], Some(to));
-    assert!(
-        fleet.without_ms < 50.0,
-        "{} ms without an owner",
-        fleet.without_ms
-    );
-    fleet.judge().unwrap();
+    assert!(fleet.without_ms < 50.0, "{} ms unowned", fleet.without_ms);
+    fleet.judge().expect("one owner at a time");
 }
 
-/// Five nodes; keepers go from `0 1 2` to `0 1 3` by files that are changed and read again in every order.
+/// Five nodes; the acceptors change from `0 1 2` to `0 1 3` by files that are reloaded in every order.
 #[test]
-fn keepers_change_by_reload_in_every_order() {
+fn reconfiguration_in_every_reload_order_settles() {
     let mut orders = vec![vec![]];
     for _ in 0..5 {
         let longer = |order: &Vec<usize>| {
@@ -418,7 +419,7 @@
             fleet.files[*node] = next.clone();
             assert_eq!(fleet.reload(*node), Ok(ReconfigurationOutcome::Started));
             fleet.run(700.0);
-            // One that crashes in the midst starts with what its file says by then.
+            // A node that crashes meanwhile starts with what its file says by then.
             if step == at % 5 {
                 let crashed = order[at / 5 % 5];
                 fleet.kill(crashed);
@@ -427,7 +428,7 @@
             }
         }
         fleet.run(3.0 * LEASE);
-        fleet.owned_within(0.0).unwrap();
+        fleet.owned_within(0.0).expect("all is owned");
         assert!(
             (0..5).all(|node| fleet.configuration(node)
                 == Some(ConfigurationState {
@@ -438,21 +439,19 @@
         );
         assert!(fleet.highest() > before);
         let part = fleet.without_ms / (fleet.world.now_ms() - 7_500.0) / f64::from(SHARDS);
-        assert!(
-            part < 0.4,
-            "order {order:?}: {part} of the time without an owner"
-        );
-        // The one that keeps no more is not needed any more.
+        assert!(part < 0.4, "order {order:?}: {part} of the time unowned");
+        // The node that is no acceptor any more is not needed.
         fleet.kill(2);
         fleet.kill(0);
         fleet.run(LEASE + AGAIN);
-        fleet.owned_within(0.0).unwrap();
-        fleet.judge().unwrap();
+        fleet.owned_within(0.0).expect("all is owned");
+        fleet.judge().expect("one owner at a time");
     }
 }
 
-/// The old majority `0 2` and the new one `1 3` do not meet: neither side may own what the other does.
-fn two_sides(injected_fault: InjectedFault) -> Result<(), String> {
+/// The old majority `0 2` and the new one `1 3` are disjoint: neither side of a partition may own what the
+/// other owns.
+fn reconfigure_one_side_of_a_partition(injected_fault: InjectedFault) -> Result<(), String> {
     for seed in 0..10 {
         let mut fleet = Fleet::started(seed, 7, 3, injected_fault);
         let side = |node: usize| [0, 2, 4].contains(&node);
@@ -471,9 +470,9 @@
         let owners: Vec<_> = fleet.owner.iter().flatten().copied().collect();
         assert!(
             owners.len() == 4 && owners.iter().all(|owner| side(*owner)),
-            "the old set decides: {owners:?}"
+            "the old configuration decides: {owners:?}"
         );
-        // One that starts there knows nothing of how far the change is, and finds out from the others.
+        // A node that starts there does not know how far the reconfiguration is, and learns it from the others.
         fleet.kill(5);
         fleet.start(5);
         fleet.apply(&Trouble::HealAll);
@@ -482,7 +481,7 @@
             assert_eq!(fleet.reload(node), Ok(ReconfigurationOutcome::Started));
         });
         fleet.run(LEASE + AGAIN);
-        fleet.owned_within(0.0).unwrap();
+        fleet.owned_within(0.0).expect("all is owned");
         assert!((0..7).all(|node| fleet.configuration(node)
             == Some(ConfigurationState {
                 number: 2,
@@ -494,13 +493,14 @@
 }
 
 #[test]
-fn majorities_of_two_sets_that_do_not_meet_own_nothing_twice() {
-    two_sides(InjectedFault::None).unwrap();
-    two_sides(InjectedFault::NoJointQuorum).unwrap_err();
+fn disjoint_majorities_of_two_configurations_never_own_twice() {
+    reconfigure_one_side_of_a_partition(InjectedFault::None).expect("no fault");
+    reconfigure_one_side_of_a_partition(InjectedFault::NoJointQuorum)
+        .expect_err("the fault is detected");
 }
 
 #[test]
-fn steps_that_are_not_safe_are_refused() {
+fn unsafe_reconfiguration_is_rejected() {
     let mut fleet = Fleet::started(1, 5, 3, InjectedFault::None);
     let next = fleet.files[0].next(&[0, 1, 3]);
     let after = next.next(&[0, 3, 4]);
@@ -549,7 +549,7 @@
     assert_eq!(
         fleet.reload(0),
         Err(ReconfigurationError::NotSettled(2)),
-        "the first set may still decide"
+        "the first configuration may still decide"
     );
     for node in 1..5 {
         fleet.files[node] = next.clone();
@@ -559,21 +559,24 @@
     assert_eq!(
         fleet.reload(0),
         Ok(ReconfigurationOutcome::Started),
-        "now it may follow"
+        "now the next one may follow"
     );
-    fleet.judge().unwrap();
+    fleet.judge().expect("one owner at a time");
 }
 
-/// Between two changes all keepers end at once and start with the later file: nobody owns by what nobody knows.
+/// During a reconfiguration all nodes end at once and start with the new file: no node knows how far it
+/// was, so nothing is owned.
 #[test]
-fn a_change_that_nobody_remembers_owns_nothing() {
+fn reconfiguration_forgotten_by_all_leaves_nothing_owned() {
     let mut fleet = Fleet::started(3, 5, 3, InjectedFault::None);
     let next = fleet.files[0].next(&[0, 1, 3]);
-    (0..5).for_each(|node| fleet.kill(node));
-    (0..5).for_each(|node| {
+    for node in 0..5 {
+        fleet.kill(node);
+    }
+    for node in 0..5 {
         fleet.files[node] = next.clone();
         fleet.start(node);
-    });
+    }
     fleet.run(5.0 * LEASE);
     assert_eq!(fleet.owner.iter().flatten().count(), 0);
     assert!((0..5).all(|node| fleet.configuration(node)
@@ -581,45 +584,53 @@
             number: 2,
             is_settled: false
         })));
-    // Who operates it says that no earlier set is left.
-    (0..5).for_each(|node| fleet.kill(node));
+    // The operators state that no earlier configuration is in use.
+    for node in 0..5 {
+        fleet.kill(node);
+    }
     fleet.run(LEASE);
-    (0..5).for_each(|node| {
+    for node in 0..5 {
         fleet.files[node].before.clear();
         fleet.start(node);
-    });
+    }
     fleet.run(LEASE);
-    fleet.owned_within(AGAIN).unwrap();
-    fleet.judge().unwrap();
+    fleet.owned_within(AGAIN).expect("all is owned again");
+    fleet.judge().expect("one owner at a time");
 }
 
-/// All keepers end while every wall clock is set back by an hour: with a disk numbers go on, without one they go back, which
-/// the page says.
+/// All nodes restart with their wall clocks set back by an hour: with fence files tokens go on, without
+/// them they go back, as the design page says.
 #[test]
-fn numbers_that_are_written_down_outlive_any_clock() {
+fn reserved_tokens_rise_despite_wall_clock_set_back() {
     for with_disks in [true, false] {
         let mut fleet = Fleet::new(4, 5, 3, InjectedFault::None);
         fleet.with_disks = with_disks;
         fleet.run(7_200_000.0);
-        (0..5).for_each(|node| fleet.start(node));
+        for node in 0..5 {
+            fleet.start(node);
+        }
         fleet.run(LEASE + AGAIN);
-        fleet.owned_within(0.0).unwrap();
+        fleet.owned_within(0.0).expect("all is owned");
         let before = fleet.highest();
-        (0..5).for_each(|node| fleet.kill(node));
+        for node in 0..5 {
+            fleet.kill(node);
+        }
         fleet.wall_back_ms = 3_600_000;
-        (0..5).for_each(|node| fleet.start(node));
+        for node in 0..5 {
+            fleet.start(node);
+        }
         fleet.run(LEASE + AGAIN);
-        fleet.owned_within(0.0).unwrap();
+        fleet.owned_within(0.0).expect("all is owned");
         assert_eq!(fleet.judge().is_ok(), with_disks, "{before:?} before");
     }
 }
 
-/// What an owner said before it was stopped arrives after the next one's word, and is dropped.
+/// An effect of an owner that arrives after one of its successor is dropped.
 #[test]
-fn word_of_an_old_owner_is_dropped_by_whoever_heard_a_later_one() {
+fn effect_of_a_former_owner_is_dropped_after_a_later_one() {
     let mut stale = 0;
     for seed in 0..20 {
-        let (mut fleet, owner, _) = owned_by_another(seed, InjectedFault::None);
+        let (mut fleet, owner, _) = owned_by_non_acceptor(seed, InjectedFault::None);
         let slow = Link {
             delay_ms: 8_000.0,
             ..Link::default()
@@ -634,19 +645,19 @@
         fleet.run(2.0 * LEASE);
         fleet.world.pause(owner, 10_000.0);
         fleet.run(20_000.0);
-        fleet.judge().unwrap();
+        fleet.judge().expect("one owner at a time");
         assert!(fleet.effects() > 100);
         stale += fleet.stale();
     }
     assert!(stale > 10, "{stale} dropped");
 }
 
-/// The next owner hears the old one but no keepers: it does not own.
+/// The recipient of a transfer receives the owner's messages but reaches no acceptor: it owns nothing.
 #[test]
-fn who_reaches_the_old_owner_but_no_keepers_owns_nothing() {
-    let (mut fleet, owner, shard) = owned_by_another(6, InjectedFault::None);
+fn node_that_reaches_no_acceptor_cannot_accept_a_transfer() {
+    let (mut fleet, owner, shard) = owned_by_non_acceptor(6, InjectedFault::None);
     let next = (3..7).find(|node| *node != owner).expect("another");
-    (0..3).for_each(|keeper| cut(&mut fleet, next, keeper));
+    (0..3).for_each(|acceptor| partition(&mut fleet, next, acceptor));
     fleet.world.with(owner, |node, now, out| {
         node.act(
             now,
@@ -663,15 +674,15 @@
         assert_ne!(fleet.owner[usize::from(shard)], Some(next));
     }
     fleet.run(AGAIN);
-    fleet.owned_within(0.0).unwrap();
-    fleet.judge().unwrap();
+    fleet.owned_within(0.0).expect("all is owned");
+    fleet.judge().expect("one owner at a time");
 }
 
-/// Why the clock counts suspends: by one that stands still an owner would wake up with its lease.
+/// Why the clock includes suspend time: by one that does not an owner would wake with its lease valid.
 #[test]
-fn a_clock_that_stands_still_in_suspend_would_break_it() {
+fn clock_that_omits_suspend_time_makes_two_owners() {
     for stands_still in [false, true] {
-        let (mut fleet, owner, _) = owned_by_another(9, InjectedFault::None);
+        let (mut fleet, owner, _) = owned_by_non_acceptor(9, InjectedFault::None);
         fleet.world.pause(owner, 300_000.0);
         fleet.run(300_000.0 - 1.0);
         if stands_still {
@@ -684,15 +695,15 @@
                 },
             );
         }
-        // Right before it goes on: whoever is told of it gives it back what it should have.
+        // Right before it resumes: events that it handles then would expire the lease.
         fleet.run(0.5);
         assert_eq!(fleet.judge().is_err(), stands_still);
     }
 }
 
-/// One that joins takes what it should have and nothing else, one shard after the other.
+/// A joining node is transferred the shards that prefer it and no others, one after another.
 #[test]
-fn a_node_that_joins_moves_its_share_alone() {
+fn joining_node_receives_only_its_share_of_shards() {
     const MANY: Shard = 128;
     let (mut moved, mut rounds) = (0, 0);
     for seed in 0..4 {
@@ -701,14 +712,14 @@
         let seven: Vec<_> = (0..7).map(id).collect();
         let eight: Vec<_> = (0..8).map(id).collect();
         let tell = |fleet: &mut Fleet, candidates: &[NodeId]| {
-            (0..8).for_each(|node| {
+            for node in 0..8 {
                 let event = Event::Candidates(candidates, NodeHealth::Healthy);
                 fleet
                     .world
                     .with(node, |node, now, out| node.act(now, event, out));
-            });
+            }
         };
-        // Another one joins each time.
+        // Another node joins each time.
         let new = 3 + seed as usize;
         let others: Vec<_> = eight
             .iter()
@@ -730,7 +741,7 @@
         fleet.run(9_000.0);
         assert_eq!(
             fleet.owner, before,
-            "nothing moves before it has been there for 10 s"
+            "nothing moves before the node has been preferred for 10 s"
         );
         fleet.run(30_000.0);
         let changed = || {
@@ -741,11 +752,11 @@
         };
         assert!(
             changed().all(|(_, after)| *after == Some(new)),
-            "to it alone"
+            "shards move only to the joining node"
         );
         moved += changed().count();
         rounds += 1;
-        fleet.judge().unwrap();
+        fleet.judge().expect("one owner at a time");
     }
     let part = moved as f64 / f64::from(rounds) / f64::from(MANY);
     assert!(part > 0.5 / 8.0 && part <= 1.2 / 8.0, "{part} moved");
--- a/tests/leases.rs
+++ b/tests/lease_processes.rs
@@ -1,4 +1,4 @@
-//! Several processes of the program that have work in common: one owner at a time, whatever happens to it.
+//! Leases among several processes of the program: one owner at a time, whatever faults occur.
 
 use std::path::Path;
 use std::time::{Duration, Instant};
@@ -6,49 +6,53 @@
 use silverthread::node::admin::operators::Operators;
 use testkit::{program, until, write_config, Fleet, Link, Load, Node, Register, Trouble};
 
-/// Short, so that a test of several cases takes seconds.
+/// Short times, so that a test of several cases takes seconds.
 const TIMES: &str = "probe_ms = 200\nsuspect_ms = 1000\n";
 const LEASE_MS: u64 = 1_000;
 const SHARDS: usize = 8;
-/// Long after anything that must come comes, on a machine that is busy.
+/// Long enough for anything that has to happen, on a busy machine.
 const PATIENCE: Duration = Duration::from_secs(30);
 
 fn ms(ms: u64) -> Duration {
     Duration::from_millis(ms)
 }
 
-/// What the operators' file says: the first three keep.
-fn keeping(register: &Register) -> String {
+/// The operators' file: the first three nodes are acceptors.
+fn lease_section(register: &Register) -> String {
     let keepers = "keepers = [\"n0\", \"n1\", \"n2\"]";
     let at = register.address;
     format!("{TIMES}[leases]\n{keepers}\nlease_ms = {LEASE_MS}\nshards = {SHARDS}\nfleet_log = \"{at}\"\n")
 }
 
-/// So many nodes, the first three of which keep.
-fn started(nodes: usize, seed: u64) -> (Register, Fleet) {
+/// So many nodes, the first three of which are acceptors, and a register.
+fn start_fleet(nodes: usize, seed: u64) -> (Register, Fleet) {
     let register = Register::start();
-    let mut fleet = Fleet::start(nodes, seed, &keeping(&register));
-    settles(&mut fleet, &register);
+    let mut fleet = Fleet::start(nodes, seed, &lease_section(&register));
+    wait_until_settled(&mut fleet, &register);
     (register, fleet)
 }
 
-/// All agree again, all is owned, and nothing was ever taken of an older owner.
-fn settles(fleet: &mut Fleet, register: &Register) {
+/// Waits until all nodes agree and all shards are owned; the register accepted no line of a former owner.
+fn wait_until_settled(fleet: &mut Fleet, register: &Register) {
     fleet.agree_within(PATIENCE);
-    all_owned(fleet);
+    wait_until_all_owned(fleet);
     assert_eq!(register.wrong(), None);
 }
 
-/// Waits until each shard has one owner, by its own word.
-fn all_owned(fleet: &mut Fleet) {
+/// Waits until exactly one node reports that it owns each shard.
+fn wait_until_all_owned(fleet: &mut Fleet) {
     fleet.wait_for("all is owned", PATIENCE, |fleet| fleet.all_owned(SHARDS));
 }
 
-/// Waits until a node's line is taken, and tells which node's.
-fn acts(fleet: &mut Fleet, register: &Register, wanted: impl Fn(usize) -> bool) -> usize {
+/// Waits until the register accepts a line of a wanted node, and returns that node.
+fn wait_for_append(
+    fleet: &mut Fleet,
+    register: &Register,
+    wanted: impl Fn(usize) -> bool,
+) -> usize {
     let before = register.log().len();
     let mut by = 0;
-    fleet.wait_for("somebody acts", PATIENCE, |fleet| {
+    fleet.wait_for("a line is accepted", PATIENCE, |fleet| {
         let log = register.log();
         let of = |name: &str| (0..fleet.len()).find(|node| fleet.name(*node) == name);
         let acted: Vec<_> = log[before..]
@@ -67,51 +71,51 @@
 }
 
 #[test]
-fn an_owner_that_is_stopped_is_replaced_and_wakes_up_to_no_harm() {
-    let (register, mut fleet) = started(5, 1);
-    // Several times, at other points of what it is doing.
+fn stopped_owner_is_replaced_and_harmless_when_resumed() {
+    let (register, mut fleet) = start_fleet(5, 1);
+    // Several times, at different phases of its lease.
     for round in 0..4_u64 {
-        let owner = acts(&mut fleet, &register, |_| true);
+        let owner = wait_for_append(&mut fleet, &register, |_| true);
         fleet.wait(ms(130 * round));
         fleet.stop(owner);
-        let next = acts(&mut fleet, &register, |node| node != owner);
+        let next = wait_for_append(&mut fleet, &register, |node| node != owner);
         assert_ne!(next, owner);
         fleet.go_on(owner);
         fleet.wait(ms(500));
-        settles(&mut fleet, &register);
+        wait_until_settled(&mut fleet, &register);
     }
 }
 
-/// Its line was written while it had leave, and arrives after it was stopped and another has acted.
+/// Its line was sent while it owned the shard, and arrives after its successor has appended one.
 #[test]
-fn a_line_of_an_old_owner_that_comes_late_is_refused() {
-    let (register, mut fleet) = started(5, 9);
-    let owner = acts(&mut fleet, &register, |_| true);
+fn delayed_line_of_a_former_owner_is_rejected() {
+    let (register, mut fleet) = start_fleet(5, 9);
+    let owner = wait_for_append(&mut fleet, &register, |_| true);
     register.delay(fleet.name(owner), ms(8_000));
     fleet.wait(ms(1_500));
     fleet.stop(owner);
-    acts(&mut fleet, &register, |node| node != owner);
+    wait_for_append(&mut fleet, &register, |node| node != owner);
     fleet.wait_for("it is refused", PATIENCE, |_| match register.refused() {
         0 => Err(format!("{:?}", register.log().last())),
         _ => Ok(()),
     });
     fleet.go_on(owner);
-    all_owned(&mut fleet);
+    wait_until_all_owned(&mut fleet);
     assert_eq!(register.wrong(), None);
 }
 
 #[test]
-fn an_owner_that_is_killed_is_replaced_and_one_that_leaves_hands_over() {
-    let (register, mut fleet) = started(5, 2);
-    let owner = acts(&mut fleet, &register, |_| true);
+fn killed_owner_is_replaced_and_leaving_owner_transfers() {
+    let (register, mut fleet) = start_fleet(5, 2);
+    let owner = wait_for_append(&mut fleet, &register, |_| true);
     fleet.kill(owner);
-    acts(&mut fleet, &register, |node| node != owner);
+    wait_for_append(&mut fleet, &register, |node| node != owner);
     fleet.run(owner);
-    settles(&mut fleet, &register);
-    let owner = acts(&mut fleet, &register, |_| true);
+    wait_until_settled(&mut fleet, &register);
+    let owner = wait_for_append(&mut fleet, &register, |_| true);
     fleet.terminate(owner);
-    acts(&mut fleet, &register, |node| node != owner);
-    all_owned(&mut fleet);
+    wait_for_append(&mut fleet, &register, |node| node != owner);
+    wait_until_all_owned(&mut fleet);
     let given = |fleet: &Fleet| {
         fleet
             .log(owner)
@@ -119,44 +123,44 @@
             .filter(|line| line.contains("transferred to"))
             .count()
     };
-    assert!(given(&fleet) > 0, "it gives away what it owns");
+    assert!(given(&fleet) > 0, "it transfers what it owns");
     assert_eq!(register.wrong(), None);
 }
 
 #[test]
-fn an_owner_that_is_cut_off_one_way_lets_go() {
-    let (register, mut fleet) = started(5, 3);
-    for is_deaf in [true, false] {
-        let owner = acts(&mut fleet, &register, |_| true);
+fn owner_behind_one_way_partition_is_replaced() {
+    let (register, mut fleet) = start_fleet(5, 3);
+    for is_receiving_cut in [true, false] {
+        let owner = wait_for_append(&mut fleet, &register, |_| true);
         for other in (0..5).filter(|other| *other != owner) {
-            let (from, to) = if is_deaf {
+            let (from, to) = if is_receiving_cut {
                 (other, owner)
             } else {
                 (owner, other)
             };
             fleet.apply(&Trouble::Cut { from, to });
         }
-        acts(&mut fleet, &register, |node| node != owner);
+        wait_for_append(&mut fleet, &register, |node| node != owner);
         fleet.apply(&Trouble::HealAll);
-        settles(&mut fleet, &register);
+        wait_until_settled(&mut fleet, &register);
     }
 }
 
 #[test]
-fn all_that_restart_at_once_begin_above_what_was() {
-    let (register, mut fleet) = started(3, 4);
-    acts(&mut fleet, &register, |_| true);
+fn simultaneous_restart_continues_above_earlier_tokens() {
+    let (register, mut fleet) = start_fleet(3, 4);
+    wait_for_append(&mut fleet, &register, |_| true);
     let before = register.last().expect("a line").fence;
     (0..3).for_each(|node| fleet.kill(node));
     (0..3).for_each(|node| fleet.run(node));
-    acts(&mut fleet, &register, |_| true);
+    wait_for_append(&mut fleet, &register, |_| true);
     assert!(register.last().expect("a line").fence > before);
     assert_eq!(register.wrong(), None);
 }
 
 #[test]
-fn troubles_at_random_and_requests_beside_them() {
-    let (register, mut fleet) = started(6, 5);
+fn random_faults_lose_no_requests_and_make_no_two_owners() {
+    let (register, mut fleet) = start_fleet(6, 5);
     let load = Load::start(fleet.node(0).address, 1, ms(20));
     let mut rng = fastrand::Rng::with_seed(5);
     for _ in 0..8 {
@@ -180,14 +184,14 @@
         fleet.apply(&Trouble::HealAll);
     }
     fleet.wait(ms(3_000));
-    settles(&mut fleet, &register);
-    acts(&mut fleet, &register, |_| true);
+    wait_until_settled(&mut fleet, &register);
+    wait_for_append(&mut fleet, &register, |_| true);
     assert_eq!(register.wrong(), None);
     let totals = load.end();
     assert_eq!(
         (totals.lost, totals.of(200)),
         (0, totals.sent),
-        "requests go on"
+        "requests are served"
     );
     assert_eq!(fleet.server.count() as u64, totals.sent, "each once");
     assert!(
@@ -198,8 +202,8 @@
 }
 
 #[test]
-fn a_shard_is_given_and_other_sets_and_calls_are_told_apart() {
-    let (register, mut fleet) = started(4, 6);
+fn transfer_and_configuration_mismatch_are_reported() {
+    let (register, mut fleet) = start_fleet(4, 6);
     let owner = fleet.owner(0).expect("one");
     let to = (owner + 1) % 4;
     let call = |fleet: &Fleet, node: usize, line: &str| fleet.node(node).call(line);
@@ -221,12 +225,12 @@
     );
     assert!(call(&fleet, 0, "OWNERS\n").starts_with("self n0 grants 1\n"));
     assert!(call(&fleet, 0, "STATS\n").contains("edge_router.lease_grants:"));
-    // One with another set of keepers is refused, and says so.
+    // A node with another configuration is granted nothing, and logs that.
     let other = fleet.operators(3).replace("[leases]", "[leases]\nset = 2");
     fleet.kill(3);
     fleet.set_operators(3, &other);
     fleet.run(3);
-    fleet.wait_for("it says so", PATIENCE, |fleet| {
+    fleet.wait_for("it is logged", PATIENCE, |fleet| {
         let log = fleet.log(3);
         log.iter()
             .any(|line| line.contains("its set is 1 and this node's 2"))
@@ -234,13 +238,13 @@
             .ok_or(log.join("\n"))
     });
     assert!(fleet.owners(3).iter().all(|(_, left)| *left == 0));
-    all_owned(&mut fleet);
+    wait_until_all_owned(&mut fleet);
     assert_eq!(register.wrong(), None);
 }
 
 /// The external forms of this part: scripts read them, so they are those of version 45ea4e8.
 #[test]
-fn admin_responses_and_metrics_of_leases_keep_their_recorded_form() {
+fn admin_responses_and_metrics_keep_their_recorded_form() {
     const METRICS: [(&str, &str); 11] = [
         ("owned", "g"),
         ("won", "c"),
@@ -254,7 +258,7 @@
         ("words_out", "c"),
         ("bytes_out", "c"),
     ];
-    let (_register, fleet) = started(3, 20);
+    let (_register, fleet) = start_fleet(3, 20);
     let owners = fleet.node(0).call("OWNERS\n");
     let lines: Vec<_> = owners.lines().collect();
     assert_eq!(lines.len(), SHARDS + 2, "{owners}");
@@ -292,11 +296,11 @@
     );
 }
 
-/// Of five the keepers go from `n0 n1 n2` to `n0 n1 n3`, by SIGHUP at one node after the other, one of which crashes in the
-/// midst; then the one that keeps no more and another keeper end, and the new set goes on.
+/// The acceptors change from `n0 n1 n2` to `n0 n1 n3` by SIGHUP at one of five nodes after another, and a node
+/// crashes meanwhile; then the former acceptor and another one end, and the new configuration goes on.
 #[test]
-fn keepers_change_while_the_fleet_runs() {
-    let (register, mut fleet) = started(5, 10);
+fn reconfiguration_by_reload_settles_and_keeps_one_owner() {
+    let (register, mut fleet) = start_fleet(5, 10);
     let old = "keepers = [\"n0\", \"n1\", \"n2\"]";
     let new = |before: &str| format!("set = 2\nkeepers = [\"n0\", \"n1\", \"n3\"]\n{before}");
     let text = |fleet: &Fleet, before| fleet.operators(0).replace(old, &new(before));
@@ -304,20 +308,20 @@
     let wrong = text(&fleet, "");
     fleet.node(4).reload_operators(&wrong);
     fleet.wait_for("it refuses", PATIENCE, |fleet| {
-        says(fleet, 4, "reconfiguration rejected: `before` has")
+        logged(fleet, 4, "reconfiguration rejected: `before` has")
     });
     for node in [3, 0, 4, 2, 1] {
         fleet.set_operators(node, &next);
         fleet.node(node).reload_operators(&next);
         if node == 4 {
-            // It read its file and crashes.
+            // It crashes after it has read its file.
             fleet.kill(0);
             fleet.run(0);
         }
         fleet.wait(ms(300));
     }
     for node in 0..5 {
-        fleet.wait_for("the new set decides alone", PATIENCE, |fleet| {
+        fleet.wait_for("the new configuration settles", PATIENCE, |fleet| {
             let text = fleet.node(node).call("OWNERS\n");
             let head = text.lines().next().unwrap_or_default().to_owned();
             if head.ends_with(" 2") {
@@ -327,15 +331,15 @@
             }
         });
     }
-    all_owned(&mut fleet);
+    wait_until_all_owned(&mut fleet);
     fleet.kill(2);
     fleet.kill(0);
-    all_owned(&mut fleet);
-    acts(&mut fleet, &register, |_| true);
+    wait_until_all_owned(&mut fleet);
+    wait_for_append(&mut fleet, &register, |_| true);
     assert_eq!(register.wrong(), None);
 }
 
-fn says(fleet: &Fleet, node: usize, what: &str) -> Result<(), String> {
+fn logged(fleet: &Fleet, node: usize, what: &str) -> Result<(), String> {
     let log = fleet.log(node);
     if log.iter().any(|line| line.contains(what)) {
         Ok(())
@@ -344,13 +348,14 @@
     }
 }
 
-/// What a keeper may grant is written down before it grants; a file of another node or a cut one is not believed.
+/// Tokens are reserved on disk before they are granted; a fence file of another node or a truncated one is
+/// rejected.
 #[test]
-fn a_keeper_writes_down_what_it_may_grant() {
+fn acceptor_reserves_tokens_on_disk_before_granting() {
     let register = Register::start();
     let folder = tempfile::tempdir().expect("a folder");
     let file = folder.path().join("fences");
-    let mut fleet = Fleet::prepare(3, 11, &keeping(&register));
+    let mut fleet = Fleet::prepare(3, 11, &lease_section(&register));
     let with_file = format!(
         "{}fence_file = \"{}\"\n",
         fleet.operators(0),
@@ -358,8 +363,8 @@
     );
     fleet.set_operators(0, &with_file);
     (0..3).for_each(|node| fleet.run(node));
-    all_owned(&mut fleet);
-    let first = acts(&mut fleet, &register, |_| true);
+    wait_until_all_owned(&mut fleet);
+    let first = wait_for_append(&mut fleet, &register, |_| true);
     let reserved = || {
         let text = std::fs::read_to_string(&file).expect("written");
         lease::decode_fence_file("n0", &text).expect("sound").0
@@ -367,9 +372,9 @@
     let last = register.last().expect("one").fence;
     assert!(
         reserved() > last,
-        "{first}: {last} is within what was written down"
+        "{first}: {last} is within what was reserved"
     );
-    // What it finds at its start was granted, for all that it knows, even where its clock says otherwise.
+    // What it finds reserved at its start may have been granted, whatever its clock says.
     let far = lease::FencingToken(u64::MAX / 2);
     fleet.kill(0);
     std::fs::write(&file, lease::encode_fence_file("n0", far)).expect("written");
@@ -406,15 +411,15 @@
     assert_eq!(register.wrong(), None);
 }
 
-/// The number of lines goes on where the owner before has left off: it tells all others how far it is.
+/// Line numbers continue where the owner before stopped, as it published each of them.
 #[test]
-fn what_an_owner_did_its_successor_knows() {
-    let (register, mut fleet) = started(4, 13);
-    let owner = acts(&mut fleet, &register, |_| true);
+fn successor_continues_after_the_published_effect() {
+    let (register, mut fleet) = start_fleet(4, 13);
+    let owner = wait_for_append(&mut fleet, &register, |_| true);
     fleet.wait(ms(2_500));
     fleet.kill(owner);
     let before = register.last().expect("one").number;
-    acts(&mut fleet, &register, |node| node != owner);
+    wait_for_append(&mut fleet, &register, |node| node != owner);
     let after = register
         .log()
         .into_iter()
@@ -430,17 +435,17 @@
     assert_eq!(register.wrong(), None);
 }
 
-/// Keepers end and begin again and again, then most of them stand still together: without a majority nobody acts.
+/// An acceptor restarts several times, then a majority is stopped: without one no node acts.
 #[test]
-fn keepers_that_die_and_stand_still_give_nobody_twice() {
-    let (register, mut fleet) = started(5, 14);
+fn stopped_acceptor_majority_leaves_no_owner() {
+    let (register, mut fleet) = start_fleet(5, 14);
     for _ in 0..4 {
         fleet.kill(1);
         fleet.wait(ms(200));
         fleet.run(1);
         fleet.wait(ms(600));
     }
-    acts(&mut fleet, &register, |_| true);
+    wait_for_append(&mut fleet, &register, |_| true);
     fleet.agree_within(PATIENCE);
     fleet.stop(0);
     fleet.stop(1);
@@ -449,20 +454,20 @@
     let woken = Instant::now();
     fleet.go_on(0);
     fleet.go_on(1);
-    // What had leave before was over a lease later; twice that for a busy machine.
+    // Leases from before expire within their length; twice that for a busy machine.
     let lines = register.log();
     let without = lines
         .iter()
         .filter(|line| line.at > stopped + ms(2 * LEASE_MS) && line.at < woken);
-    assert_eq!(without.count(), 0, "no majority, no owner");
-    acts(&mut fleet, &register, |_| true);
-    all_owned(&mut fleet);
+    assert_eq!(without.count(), 0, "without a majority there is no owner");
+    wait_for_append(&mut fleet, &register, |_| true);
+    wait_until_all_owned(&mut fleet);
     assert_eq!(register.wrong(), None);
 }
 
 #[test]
-fn a_third_of_all_words_lost_makes_no_two_owners() {
-    let (register, mut fleet) = started(5, 15);
+fn thirty_percent_message_loss_makes_no_two_owners() {
+    let (register, mut fleet) = start_fleet(5, 15);
     fleet.apply(&Trouble::All {
         link: Link {
             loss: 0.3,
@@ -471,10 +476,10 @@
     });
     for _ in 0..6 {
         fleet.wait(ms(1_000));
-        acts(&mut fleet, &register, |_| true);
+        wait_for_append(&mut fleet, &register, |_| true);
     }
     fleet.apply(&Trouble::HealAll);
-    all_owned(&mut fleet);
+    wait_until_all_owned(&mut fleet);
     assert!(
         fleet.passed().done.lost > 100,
         "some were lost: {:?}",
@@ -483,29 +488,29 @@
     assert_eq!(register.wrong(), None);
 }
 
-/// All of them, keepers among them, one after the other.
+/// All nodes, acceptors among them, one after another.
 #[test]
-fn a_rolling_restart_goes_on_acting() {
-    let (register, mut fleet) = started(5, 16);
+fn rolling_restart_keeps_appending_lines() {
+    let (register, mut fleet) = start_fleet(5, 16);
     for node in 0..5 {
         fleet.terminate(node);
-        acts(&mut fleet, &register, |by| by != node);
+        wait_for_append(&mut fleet, &register, |by| by != node);
         fleet.run(node);
         fleet.agree_within(PATIENCE);
     }
-    all_owned(&mut fleet);
+    wait_until_all_owned(&mut fleet);
     assert_eq!(register.wrong(), None);
 }
 
-/// A node is told to give all that it owns to another.
-fn give_all(fleet: &Fleet, from: usize, to: usize) {
+/// Tells a node to transfer all that it owns to another.
+fn transfer_all(fleet: &Fleet, from: usize, to: usize) {
     let owned = fleet
         .owners(from)
         .into_iter()
         .enumerate()
         .filter(|(_, (_, left))| *left > 0);
     for (shard, _) in owned {
-        // It may have lost one since.
+        // It may have lost the shard since.
         let answer = fleet.node(from).call(&format!("GIVE {shard} n{to}\n"));
         assert!(
             answer == "200 given\n" || answer.contains("is not owned here"),
@@ -514,32 +519,32 @@
     }
 }
 
-/// An owner is stopped while it gives all away, and wakes up long after.
+/// An owner is stopped while it transfers all its shards, and resumes long after.
 #[test]
-fn an_owner_that_is_stopped_in_the_midst_of_a_hand_over_does_no_harm() {
-    let (register, mut fleet) = started(5, 17);
+fn owner_stopped_during_transfer_is_harmless_when_resumed() {
+    let (register, mut fleet) = start_fleet(5, 17);
     for round in 0..3 {
-        let owner = acts(&mut fleet, &register, |_| true);
+        let owner = wait_for_append(&mut fleet, &register, |_| true);
         let to = (owner + 1 + round) % 5;
         let to = if to == owner { (to + 1) % 5 } else { to };
-        give_all(&fleet, owner, to);
+        transfer_all(&fleet, owner, to);
         fleet.stop(owner);
-        acts(&mut fleet, &register, |node| node != owner);
+        wait_for_append(&mut fleet, &register, |node| node != owner);
         fleet.wait(ms(2 * LEASE_MS));
         fleet.go_on(owner);
-        settles(&mut fleet, &register);
+        wait_until_settled(&mut fleet, &register);
     }
 }
 
-/// Cut off from one of three keepers it goes on, from two it does not.
+/// Partitioned from one of three acceptors an owner keeps its shard, from two it does not.
 #[test]
-fn an_owner_needs_a_majority_and_no_more() {
-    let (register, mut fleet) = started(5, 18);
-    // Whoever acts and is no keeper.
-    let mut owner = acts(&mut fleet, &register, |_| true);
+fn owner_needs_a_majority_of_acceptors_and_no_more() {
+    let (register, mut fleet) = start_fleet(5, 18);
+    // An owner that is no acceptor.
+    let mut owner = wait_for_append(&mut fleet, &register, |_| true);
     while owner < 3 {
-        give_all(&fleet, owner, 4);
-        owner = acts(&mut fleet, &register, |node| node != owner);
+        transfer_all(&fleet, owner, 4);
+        owner = wait_for_append(&mut fleet, &register, |node| node != owner);
     }
     let cut = |fleet: &mut Fleet, keeper: usize| {
         fleet.apply(&Trouble::Cut {
@@ -551,78 +556,78 @@
             to: owner,
         });
     };
-    // That is the one that should have it, too: it is not moved back meanwhile.
+    // It is also the preferred node, so the shard is not moved back meanwhile.
     cut(&mut fleet, 0);
     fleet.wait(ms(3 * LEASE_MS));
     assert_eq!(
-        acts(&mut fleet, &register, |_| true),
+        wait_for_append(&mut fleet, &register, |_| true),
         owner,
         "two of three are enough"
     );
     cut(&mut fleet, 1);
-    acts(&mut fleet, &register, |node| node != owner);
+    wait_for_append(&mut fleet, &register, |node| node != owner);
     fleet.apply(&Trouble::HealAll);
-    settles(&mut fleet, &register);
+    wait_until_settled(&mut fleet, &register);
 }
 
-/// A disk that cannot be written to: this keeper grants nothing new, the others go on, and it says so.
+/// An acceptor whose disk cannot be written grants nothing new and logs that; the others go on.
 #[test]
-fn a_keeper_whose_disk_fails_grants_nothing_and_says_so() {
+fn acceptor_with_failed_disk_grants_nothing_and_logs_it() {
     let register = Register::start();
-    let mut fleet = Fleet::prepare(3, 19, &keeping(&register));
+    let mut fleet = Fleet::prepare(3, 19, &lease_section(&register));
     let with_file = format!(
         "{}fence_file = \"/nonexistent/fences\"\n",
         fleet.operators(0)
     );
     fleet.set_operators(0, &with_file);
     (0..3).for_each(|node| fleet.run(node));
-    all_owned(&mut fleet);
-    fleet.wait_for("it says so", PATIENCE, |fleet| {
-        says(fleet, 0, "the fence file cannot be written")
+    wait_until_all_owned(&mut fleet);
+    fleet.wait_for("it is logged", PATIENCE, |fleet| {
+        logged(fleet, 0, "the fence file cannot be written")
     });
     assert_eq!(fleet.node(0).figure("lease_grants"), 0);
-    acts(&mut fleet, &register, |_| true);
-    // Without the two others there is no majority that grants.
+    wait_for_append(&mut fleet, &register, |_| true);
+    // The other two acceptors are a majority.
     fleet.kill(2);
     fleet.run(2);
-    all_owned(&mut fleet);
+    wait_until_all_owned(&mut fleet);
     assert_eq!(register.wrong(), None);
 }
 
 #[test]
-fn two_processes_of_one_name_never_act_both() {
-    let (register, mut fleet) = started(5, 7);
-    acts(&mut fleet, &register, |_| true);
+fn two_processes_of_one_name_never_both_act() {
+    let (register, mut fleet) = start_fleet(5, 7);
+    wait_for_append(&mut fleet, &register, |_| true);
     fleet.kill(4);
     fleet.rename(4, "n3");
     fleet.run(4);
-    fleet.wait_for("one gives way", PATIENCE, |fleet| {
-        let says = |node| {
+    fleet.wait_for("one process stops", PATIENCE, |fleet| {
+        let logged = |node| {
             fleet
                 .log(node)
                 .iter()
                 .any(|line| line.contains("takes no part any more"))
         };
-        (says(3) || says(4))
+        (logged(3) || logged(4))
             .then_some(())
             .ok_or_else(|| "neither".into())
     });
     fleet.wait(ms(3_000));
-    acts(&mut fleet, &register, |_| true);
+    wait_for_append(&mut fleet, &register, |_| true);
     assert_eq!(register.wrong(), None);
 }
 
 #[test]
-fn leases_stay_off_where_word_between_nodes_is_not_allowed() {
+fn leases_stay_off_where_peer_traffic_is_not_allowed() {
     let register = Register::start();
-    let keeping = format!(
+    let lease_section = format!(
         "[leases]\nkeepers = [\"n0\", \"n1\", \"n2\"]\nfleet_log = \"{}\"\n",
         register.address
     );
-    let fleet = Fleet::prepare(3, 8, &keeping);
+    let fleet = Fleet::prepare(3, 8, &lease_section);
     let forbidden = fleet.config(0).replace("\"peers\":true", "\"peers\":false");
     let node = Node::start_with(&forbidden, Some(fleet.operators(0)));
-    until("it says so", || {
+    until("it is logged", || {
         node.log()
             .iter()
             .any(|line| line.contains("[instances] stays off"))
@@ -638,7 +643,7 @@
 }
 
 #[test]
-fn a_section_that_makes_no_sense_is_refused_by_line_and_key() {
+fn invalid_lease_section_is_rejected_by_line_and_key() {
     let instances = "[instances]\nfleet = \"holds\"\nkey_file = \"key\"\n";
     let read = |text: &str| Operators::parse(Path::new("file"), text);
     let three = "keepers = [\"a\", \"b\", \"c\"]\n";
