--- a/crates/lease/src/acceptor.rs
+++ b/crates/lease/src/acceptor.rs
@@ -1,19 +1,19 @@
 //! The state of one acceptor: which process holds its grant of each shard, and the highest token.
 //!
-//! An acceptor grants a shard to one process at a time, and only under a token above all that it has
-//! granted. Its memory ends with its process, so a restarted one is *quarantined* until all that it
-//! may have granted before has expired.
+//! An acceptor grants a shard to one process at a time, and only under a token above all that it
+//! has granted. Its memory ends with its process, so a restarted one is *quarantined* until all
+//! that it may have granted before has expired.
 
 use crate::identity::{FencingToken, Requester, Shard};
 use crate::message::{LeaseRequest, ShardStatus};
 use crate::settings::{InjectedFault, Settings};
 
 /// The low bits of a table version count changes, the others identify the process. After a million
-/// changes they reach into another process's versions; whoever asks is then sent the whole table.
+/// changes they reach into another process's versions; a polling node is then sent the whole table.
 const CHANGE_COUNT_BITS: u32 = 20;
 
-/// Tokens that are reserved on disk ahead, so that a grant hardly ever waits for the disk: a million,
-/// and the next are reserved when half of them are left.
+/// Tokens that are reserved on disk ahead, so that a grant hardly ever waits for the disk: a
+/// million, and the next are reserved when half of them are left.
 const RESERVED_TOKENS: u64 = 1 << 20;
 
 /// The expiry of a grant whose end has been put into the table already.
@@ -134,8 +134,8 @@
         }
     }
 
-    /// Grants or renews a lease, if no other process holds one and the token is the highest. Returns
-    /// whether it did.
+    /// Grants or renews a lease, if no other process holds one and the token is the highest.
+    /// Returns whether it did.
     pub fn request(
         &mut self,
         now_ms: f64,
@@ -152,7 +152,7 @@
         let is_renewal = shard
             .grant
             .is_some_and(|grant| grant.is_held_by(requester, request.token));
-        // What this process was granted once stays granted, even if it asks for less now.
+        // What this process was granted once stays granted, even if it requests less now.
         let earlier_expiry_ms = shard
             .grant
             .filter(|grant| grant.to == requester)
@@ -185,10 +185,10 @@
             return true;
         }
         // The owner before has given up its grant for ever; an owner after that one has not.
-        let is_given_up =
+        let is_transferred =
             |grant: &Grant| request.is_transfer && grant.token.next() == request.token;
         let is_held_by_another = shard.grant.is_some_and(|grant| {
-            grant.expires_ms > now_ms && grant.to != requester && !is_given_up(&grant)
+            grant.expires_ms > now_ms && grant.to != requester && !is_transferred(&grant)
         });
         let is_reserved = self
             .reserved_token
@@ -235,8 +235,8 @@
         }
     }
 
-    /// At most so many entries of the table that have changed since a version. An expired grant is a
-    /// change.
+    /// At most so many entries of the table that have changed since a version. An expired grant is
+    /// a change.
     pub fn changes_since(&mut self, now_ms: f64, version: u64, max_entries: usize) -> TableChanges {
         self.publish_expiries(now_ms);
         let is_of_this_process = version >> CHANGE_COUNT_BITS == self.version >> CHANGE_COUNT_BITS;
--- a/crates/lease/src/acceptor/tests.rs
+++ b/crates/lease/src/acceptor/tests.rs
@@ -38,7 +38,7 @@
 }
 
 #[test]
-fn grant_is_exclusive_under_a_rising_token_and_renewed_by_its_owner_only() {
+fn grant_is_exclusive_rising_and_renewed_by_its_owner_only() {
     let mut acceptor = acceptor();
     assert!(
         !acceptor.request(99.0, A, request(11), 50.0),
--- a/crates/lease/src/claim.rs
+++ b/crates/lease/src/claim.rs
@@ -1,4 +1,5 @@
-//! One process's claim to a shard: which acceptors granted it, and until when that makes it the owner.
+//! One process's claim to a shard: which acceptors granted it, and until when that makes it the
+//! owner.
 
 use crate::identity::FencingToken;
 
--- a/crates/lease/src/fence_file/golden_tests.rs
+++ b/crates/lease/src/fence_file/golden_tests.rs
@@ -1,4 +1,5 @@
-//! A fence file as version 45ea4e8 writes it: a node has to read the one that the version before left behind.
+//! A fence file as version 45ea4e8 writes it: a node has to read the one that the version before
+//! left behind.
 
 use super::*;
 
--- a/crates/lease/src/identity.rs
+++ b/crates/lease/src/identity.rs
@@ -33,8 +33,8 @@
         Self(self.0.saturating_add(1))
     }
 
-    /// The lowest token that an acceptor grants that starts at this wall-clock time, in milliseconds
-    /// since 1970.
+    /// The lowest token that an acceptor grants that starts at this wall-clock time, in
+    /// milliseconds since 1970.
     ///
     /// There is room for a million owners per second, so an acceptor that lost its grants starts
     /// above them, as long as its wall clock was not set back to before its earlier start.
--- a/crates/lease/src/joint_quorum.rs
+++ b/crates/lease/src/joint_quorum.rs
@@ -1,13 +1,14 @@
-//! Which acceptors decide: those of the current configuration, and with them the previous ones until
-//! nobody can act by these alone.
+//! Which acceptors decide: those of the current configuration, and with them the previous ones
+//! until nobody can act by these alone.
 //!
 //! Majorities of two configurations need not intersect: of `a b c` and `a b d` those are `a c` and
-//! `b d`. So a node with a new configuration needs a majority of **both** at first. An acceptor with
-//! the new configuration grants nothing any more to nodes with only the previous one: it has *sealed*
-//! that. Once a majority of the previous acceptors have sealed it for longer than any lease, nobody
-//! can act by it, and the new configuration decides alone. That stays true for ever, so a node may
-//! accept it from any other that knows it. A node assumes nothing that it does not know: one that
-//! starts during a reconfiguration owns nothing until it has been told how far it has come.
+//! `b d`. So a node with a new configuration needs a majority of **both** at first. An acceptor
+//! with the new configuration grants nothing any more to nodes with only the previous one: it has
+//! *sealed* that. Once a majority of the previous acceptors have sealed it for longer than any
+//! lease, nobody can act by it, and the new configuration decides alone. That stays true for ever,
+//! so a node may accept it from any other that knows it. A node assumes nothing that it does not
+//! know: one that starts during a reconfiguration owns nothing until it has been told how far it
+//! has come.
 
 use crate::claim::{majority_of, AcceptorMask, Quorum};
 use crate::identity::{FencingToken, NodeId};
@@ -19,9 +20,9 @@
 enum Phase {
     /// Configurations before the previous one may still decide.
     Unknown,
-    /// Nobody acts by a configuration before the previous one.
+    /// No process can act under a configuration before the previous one.
     Joint,
-    /// Nobody acts by an earlier configuration.
+    /// No process can act under an earlier configuration.
     Settled,
 }
 
@@ -151,7 +152,8 @@
         })
     }
 
-    /// Accepts what another node knows. Returns whether the configuration decides alone from now on.
+    /// Accepts what another node knows. Returns whether the configuration decides alone from now
+    /// on.
     pub fn receive_status(&mut self, from: NodeId, status: ConfigurationStatus) -> bool {
         if status.configuration_id != self.ids.current || self.is_settled() {
             return false;
--- a/crates/lease/src/joint_quorum/tests.rs
+++ b/crates/lease/src/joint_quorum/tests.rs
@@ -28,7 +28,7 @@
 }
 
 #[test]
-fn configuration_settles_once_a_majority_of_the_previous_acceptors_has_sealed() {
+fn configuration_settles_once_a_previous_majority_has_sealed() {
     let old = JointQuorum::at_start(0.0, &settings(1, &[1, 2, 3], &[]));
     let next = settings(2, &[1, 2, 4], &[1, 2, 3]);
     let mut new = JointQuorum::after_reconfiguration(50.0, &next);
@@ -64,7 +64,7 @@
 
 /// Guards against a node that starts between two reconfigurations and takes the first for settled.
 #[test]
-fn node_that_starts_during_a_reconfiguration_has_no_quorum_until_told() {
+fn node_started_during_reconfiguration_has_no_quorum_until_told() {
     let first = JointQuorum::at_start(0.0, &settings(1, &[1, 2, 3], &[]));
     let unsure = JointQuorum::at_start(0.0, &settings(2, &[1, 2, 4], &[1, 2, 3]));
     let mut second = JointQuorum::at_start(0.0, &settings(3, &[1, 4, 5], &[1, 2, 4]));
--- a/crates/lease/src/manager.rs
+++ b/crates/lease/src/manager.rs
@@ -55,8 +55,8 @@
     /// When an unanswered request is sent again.
     pub const RETRY: f64 = 1.0 / 10.0;
     /// A lease with less left than this is requested again after `RETRY`. Without a grant from
-    /// another acceptor for so long only short leases are requested: this node may be heard and hear
-    /// nothing, and the next owner has to wait for what was granted.
+    /// another acceptor for so long only short leases are requested: this node may be heard and
+    /// hear nothing, and the next owner has to wait for what was granted.
     pub const LOW: f64 = 1.0 / 2.0;
 }
 
@@ -78,7 +78,7 @@
     next_transfer_ms: f64,
     mismatch_logged_ms: f64,
     /// When a message of an acceptor was received last.
-    acceptor_heard_ms: f64,
+    last_acceptor_message_ms: f64,
     is_leaving: bool,
     health: NodeHealth,
     candidates: Vec<NodeId>,
@@ -124,7 +124,7 @@
             next_token_query_ms: now_ms,
             next_transfer_ms: now_ms,
             mismatch_logged_ms: f64::NEG_INFINITY,
-            acceptor_heard_ms: f64::NEG_INFINITY,
+            last_acceptor_message_ms: f64::NEG_INFINITY,
             is_leaving: false,
             health: NodeHealth::Isolated,
             candidates: Vec::new(),
@@ -200,7 +200,7 @@
     fn on_message(&mut self, from: Requester, message: Message) {
         let acceptor = self.quorum.index_of(from.node);
         if acceptor.is_some() {
-            self.acceptor_heard_ms = self.now_ms;
+            self.last_acceptor_message_ms = self.now_ms;
         }
         match message {
             Message::LeaseRequest {
@@ -344,7 +344,7 @@
             .is_some_and(|acceptor| !acceptor.is_quarantined(self.now_ms))
     }
 
-    /// The highest token that this node has granted or heard of.
+    /// The highest token that this node has granted or received.
     #[must_use]
     pub fn highest_token(&self) -> FencingToken {
         let known = self
@@ -369,7 +369,7 @@
             &self.shards,
             self.pending_requests.queue(),
             self.is_leaving,
-            self.acceptor_heard_ms,
+            self.last_acceptor_message_ms,
         );
         format!("{parts:?}").hash(to);
     }
--- a/crates/lease/src/manager/acceptor_role.rs
+++ b/crates/lease/src/manager/acceptor_role.rs
@@ -6,7 +6,7 @@
 use crate::manager::LeaseManager;
 use crate::message::{ConfigurationIds, LeaseRequest, Message, MAX_SHARD_STATUSES};
 
-/// How often an acceptor in quarantine asks the others for the highest token.
+/// How often an acceptor in quarantine queries the others for the highest token.
 const TOKEN_QUERY_INTERVAL_MS: f64 = 200.0;
 
 impl LeaseManager {
--- a/crates/lease/src/manager/claiming.rs
+++ b/crates/lease/src/manager/claiming.rs
@@ -1,5 +1,5 @@
-//! Acquiring shards: when a free shard is claimed, how acceptors are requested to grant it, and what
-//! their answers mean.
+//! Acquiring shards: when a free shard is claimed, how acceptors are requested to grant it, and
+//! what their answers mean.
 
 use crate::action::{Action, OwnershipChange};
 use crate::claim::Claim;
@@ -71,12 +71,12 @@
     }
 
     fn may_claim(&self) -> bool {
-        let is_receiving = self.now_ms - self.acceptor_heard_ms < RECEIVE_TIMEOUT_MS;
+        let is_receiving = self.now_ms - self.last_acceptor_message_ms < RECEIVE_TIMEOUT_MS;
         is_receiving && self.health != NodeHealth::Isolated && self.quorum.is_known()
     }
 
     /// Requests claims that were not requested yet, or not for a while. A shard that is owned and
-    /// confirmed is requested for a whole lease, as that blocks nobody.
+    /// confirmed is requested for a whole lease, as that blocks no other node.
     pub(super) fn request_claims(&mut self) {
         let now_ms = self.now_ms;
         let retry_ms = self.lease_fraction_ms(lease_fraction::RETRY);
@@ -175,7 +175,8 @@
         }
     }
 
-    /// Extends the lease that the grant is for, or counts it for the claim, which may become a lease.
+    /// Extends the lease that the grant is for, or counts it for the claim, which may become a
+    /// lease.
     fn accept_grant(&mut self, grant: &GrantedLease) {
         let now_ms = self.now_ms;
         let from_ms = if self.settings.injected_fault == InjectedFault::LeaseFromResponse {
@@ -254,8 +255,8 @@
         }
         let token = claim.token;
         state.claim = None;
-        // Nodes whose claims share the grants retry at different times; one that finds an owner waits
-        // until that lease ends.
+        // Nodes whose claims share the grants retry at different times; one that finds an owner
+        // waits until that lease ends.
         let backoff_ms = self.rng.f64() * self.settings.lease_ms * lease_fraction::FIRST_GRANT;
         let other_owner = status.owner.filter(|owner| *owner != node);
         let wait_ms = match other_owner {
--- a/crates/lease/src/manager/pending_requests.rs
+++ b/crates/lease/src/manager/pending_requests.rs
@@ -2,8 +2,8 @@
 
 use std::collections::VecDeque;
 
-/// Requests whose answers are awaited: one per tick and acceptor, for the longest lease. Beyond that
-/// the oldest is forgotten, and a grant of it counts for nothing.
+/// Requests whose answers are awaited: one per tick and acceptor, for the longest lease. Beyond
+/// that the oldest is forgotten, and a grant of it counts for nothing.
 const MAX_PENDING_REQUESTS: usize = 2_048;
 
 /// A request that was sent to an acceptor.
--- a/crates/lease/src/manager/placement.rs
+++ b/crates/lease/src/manager/placement.rs
@@ -7,8 +7,8 @@
 use crate::identity::{NodeId, Shard};
 use crate::manager::LeaseManager;
 
-/// How long another node has to be preferred before it is offered the shard, so that nodes that come
-/// and go move nothing.
+/// How long another node has to be preferred before it is offered the shard, so that nodes that
+/// come and go move nothing.
 const STABLE_PREFERENCE_MS: f64 = 10_000.0;
 /// How often one shard is offered to its preferred node.
 const TRANSFER_INTERVAL_MS: f64 = 500.0;
--- a/crates/lease/src/manager/reconfiguration.rs
+++ b/crates/lease/src/manager/reconfiguration.rs
@@ -204,7 +204,7 @@
         )
     }
 
-    /// Asks the acceptors, and another candidate each time, how far the reconfiguration is.
+    /// Queries the acceptors, and another candidate each time, how far the reconfiguration is.
     pub(super) fn request_configuration_status(&mut self) {
         if self.quorum.is_settled() {
             return;
--- a/crates/lease/src/manager/shard_state.rs
+++ b/crates/lease/src/manager/shard_state.rs
@@ -6,11 +6,11 @@
 /// What a node knows of one shard.
 #[derive(Clone, Debug)]
 pub struct ShardState {
-    /// The highest token that was heard of.
+    /// The highest token that any node has reported.
     pub highest_token: FencingToken,
     pub owner: Option<NodeId>,
     pub owner_since_ms: f64,
-    /// Since when an acceptor says that nobody owns it.
+    /// Since when an acceptor reports it as free.
     pub free_since_ms: Option<f64>,
     /// No new claim before this time.
     pub claim_after_ms: f64,
@@ -65,7 +65,7 @@
         }
     }
 
-    /// Somebody knows of this token.
+    /// Some node has reported this token.
     pub fn observe_token(&mut self, token: FencingToken) {
         self.highest_token = self.highest_token.max(token);
     }
--- a/crates/lease/src/manager/table_polling.rs
+++ b/crates/lease/src/manager/table_polling.rs
@@ -17,7 +17,7 @@
 }
 
 impl LeaseManager {
-    /// Asks the next acceptor for the changes of its table.
+    /// Requests the changes of the next acceptor's table.
     pub(super) fn poll_next_acceptor(&mut self) {
         let index = (self.polling.last_polled + 1) % self.quorum.acceptors().len();
         self.polling.last_polled = index;
--- a/crates/lease/src/manager/tests.rs
+++ b/crates/lease/src/manager/tests.rs
@@ -61,7 +61,7 @@
     }
 }
 
-/// The answer of an acceptor that grants all that it was asked for.
+/// The response of an acceptor that grants all that was requested of it.
 fn granted(sent: &[(NodeId, Message)], by: u64) -> Option<Message> {
     sent.iter().find_map(|(to, message)| match message {
         Message::LeaseRequest {
@@ -110,7 +110,7 @@
 
 /// Grants stay those of the acceptors that gave them, whatever their indices are now.
 #[test]
-fn grants_after_a_reconfiguration_count_for_the_acceptors_that_gave_them() {
+fn grants_after_reconfiguration_count_for_their_acceptors() {
     let mut kept = manager(1, &[1, 2, 3], &[]);
     assert!(acquire(&mut kept, &[1, 2]));
     assert_eq!(
@@ -133,8 +133,7 @@
     );
 }
 
-/// A process that was stopped, and is asked first thing when it wakes, has no permit, though no event
-/// has told it so.
+/// A process that was stopped, has no permit when it resumes, even before it handles an event.
 #[test]
 fn permit_after_the_lease_expired_is_refused_without_an_event() {
     let mut manager = manager(1, &[1, 2, 3], &[]);
@@ -158,9 +157,9 @@
     );
 }
 
-/// Guards against tokens that go back where new acceptors have never heard of the old ones' grants.
+/// Guards against tokens that go back where new acceptors do not know the grants of the old ones.
 #[test]
-fn settled_configuration_continues_above_the_tokens_of_the_previous_one() {
+fn settled_configuration_continues_above_previous_tokens() {
     let mut manager = manager(1, &[1, 2, 3], &[]);
     assert_eq!(
         reconfigure(&mut manager, 10.0, &[9, 4, 5]),
@@ -201,8 +200,8 @@
         .any(|(_, message)| matches!(message, Message::LeaseRequest { .. }))
 }
 
-/// A node that does not know how far a reconfiguration is requests nothing, whatever is offered: its
-/// claims would block others.
+/// A node that does not know how far a reconfiguration is requests nothing, whatever is offered:
+/// its claims would block others.
 #[test]
 fn node_with_unknown_configuration_requests_nothing() {
     for previous in [&[][..], &[1, 2, 4]] {
@@ -222,8 +221,8 @@
     }
 }
 
-/// An owner that claims its shard under a new token, as an acceptor knows a higher one than its own.
-/// Also returns what it sent with the claim.
+/// An owner that claims its shard under a new token, as an acceptor knows a higher one than its
+/// own. Also returns what it sent with the claim.
 fn owner_with_new_token() -> (LeaseManager, Vec<(NodeId, Message)>) {
     let mut manager = manager(1, &[1, 2, 3], &[]);
     assert!(acquire(&mut manager, &[1, 2]));
@@ -252,10 +251,10 @@
     sent.iter().filter_map(ttl).collect()
 }
 
-/// An acceptor that has granted the new token rejects renewals of the old one, which is no rejection
-/// of the new one.
+/// An acceptor that has granted the new token rejects renewals of the old one, which is no
+/// rejection of the new one.
 #[test]
-fn rejection_of_the_old_token_does_not_end_the_claim_under_the_new_one() {
+fn rejection_of_old_token_does_not_end_claim_of_new_one() {
     let (mut manager, sent) = owner_with_new_token();
     assert_eq!(
         requested_ttls(&sent, 41),
@@ -275,7 +274,7 @@
     );
 }
 
-/// A node that is heard and hears nothing would block a shard for a whole lease after its own lease
+/// A node whose messages arrive and that receives nothing would block a shard for a whole lease after its own lease
 /// has expired.
 #[test]
 fn owner_without_answers_requests_short_leases_only() {
--- a/crates/lease/src/manager/transfer.rs
+++ b/crates/lease/src/manager/transfer.rs
@@ -1,8 +1,8 @@
 //! Moving a shard to another node without waiting for its lease to end.
 //!
-//! The owner offers the shard; a healthy node accepts; the owner ends its lease, tells the next owner
-//! the token, and releases its grants; the next owner claims the shard under the following token, for
-//! which acceptors give up the old grant. A node that leaves skips the offer.
+//! The owner offers the shard; a healthy node accepts; the owner ends its lease, tells the next
+//! owner the token, and releases its grants; the next owner claims the shard under the following
+//! token, for which acceptors give up the old grant. A node that leaves skips the offer.
 
 use crate::action::{Action, OwnershipChange};
 use crate::event::NodeHealth;
@@ -22,7 +22,7 @@
         self.shards.get_mut(usize::from(shard)).filter(|_| is_other)
     }
 
-    /// Asks a node whether it accepts a shard: one that receives nothing would leave it unowned.
+    /// Offers a shard to a node, which has to accept it: one that receives nothing would leave it unowned.
     pub(super) fn offer_transfer(&mut self, shard: Shard, to: NodeId) {
         let now_ms = self.now_ms;
         let Some(state) = self.transferable(shard, to) else {
@@ -96,7 +96,7 @@
         self.release(ownership);
     }
 
-    /// Repeats the messages of each transfer until somebody owns the shard, for half a lease.
+    /// Repeats the messages of each transfer until a node owns the shard, for half a lease.
     pub(super) fn repeat_transfers(&mut self) {
         let now_ms = self.now_ms;
         let retry_ms = self.lease_fraction_ms(lease_fraction::RETRY);
--- a/crates/lease/src/message.rs
+++ b/crates/lease/src/message.rs
@@ -1,8 +1,8 @@
 //! The messages that nodes exchange about leases, and their encoding.
 //!
 //! A message is one byte for its kind and the fields of that kind. Numbers are little-endian. The
-//! encoding is the same as in version 45ea4e8, whose nodes may run in the same fleet: `golden_tests`
-//! has the bytes of each kind.
+//! encoding is the same as in version 45ea4e8, whose nodes may run in the same fleet:
+//! `golden_tests` has the bytes of each kind.
 
 use std::fmt;
 
@@ -82,9 +82,9 @@
     /// The sender is an acceptor of the previous configuration, has granted nothing under it alone
     /// for longer than any lease, and never will.
     pub is_sealed: bool,
-    /// The configuration decides alone: nobody acts by an earlier one.
+    /// The configuration decides alone: no process can act under an earlier one.
     pub is_settled: bool,
-    /// Nobody acts by a configuration before the previous one.
+    /// No process can act under a configuration before the previous one.
     pub is_previous_settled: bool,
     /// The highest token that the sender knows.
     pub highest_token: FencingToken,
--- a/crates/lease/src/message/golden_tests.rs
+++ b/crates/lease/src/message/golden_tests.rs
@@ -76,28 +76,87 @@
     ]
 }
 
-fn recorded_messages() -> Vec<(&'static str, Message)> {
-    vec![
-        ("011817161514131211545352516261210008070605040302017f010200000000000000", Message::LeaseRequest { configurations: one_configuration(), request_id: 0x5152_5354, ttl_ms: 0x6162, requests: lease_requests() }),
-        ("0d18171615141312112827262524232221545352516261210008070605040302017f010200000000000000", Message::LeaseRequest { configurations: two_configurations(), request_id: 0x5152_5354, ttl_ms: 0x6162, requests: lease_requests() }),
-        ("02545352512108070605040302017f0200000000000000", Message::Granted { request_id: 0x5152_5354, granted: shard_tokens() }),
-        ("03210807060504030201383736353433323142417f020000000000000000000000000000000000", Message::Rejected { shards: shard_statuses() }),
-        ("042108070605040302017f0200000000000000", Message::Release { released: shard_tokens() }),
-        ("05210807060504030201", Message::Transfer(OWNERSHIP)),
-        ("0b210807060504030201", Message::TransferOffer(OWNERSHIP)),
-        ("0c210807060504030201", Message::TransferAccepted(OWNERSHIP)),
-        ("0618171615141312117271000000000000", Message::TableRequest { configurations: one_configuration(), since_version: 0x7172 }),
-        ("0e181716151413121128272625242322217271000000000000", Message::TableRequest { configurations: two_configurations(), since_version: 0x7172 }),
-        ("077271000000000000210807060504030201383736353433323142417f020000000000000000000000000000000000", Message::Table { version: 0x7172, shards: shard_statuses() }),
-        ("081817161514131211", Message::HighestTokenRequest { configuration_id: 0x1112_1314_1516_1718 }),
-        ("090807060504030201", Message::HighestToken(TOKEN)),
-        ("0a54535251", Message::ConfigurationMismatch(0x5152_5354)),
-        ("0f18171615141312110000000000000000", Message::ConfigurationStatusRequest { configurations: one_configuration() }),
-        ("0f18171615141312112827262524232221", Message::ConfigurationStatusRequest { configurations: two_configurations() }),
-        ("101817161514131211010807060504030201", status(true, false, false)),
-        ("101817161514131211020807060504030201", status(false, true, false)),
-        ("101817161514131211040807060504030201", status(false, false, true)),
-        ("11210807060504030201646f6e65", Message::Effect { ownership: OWNERSHIP, payload: b"done".to_vec() }),
+/// The recorded bytes of each of [`messages`], in hexadecimal.
+const RECORDED: [&str; 20] = [
+    "011817161514131211545352516261210008070605040302017f010200000000000000",
+    "0d18171615141312112827262524232221545352516261210008070605040302017f010200000000000000",
+    "02545352512108070605040302017f0200000000000000",
+    "03210807060504030201383736353433323142417f020000000000000000000000000000000000",
+    "042108070605040302017f0200000000000000",
+    "05210807060504030201",
+    "0b210807060504030201",
+    "0c210807060504030201",
+    "0618171615141312117271000000000000",
+    "0e181716151413121128272625242322217271000000000000",
+    "077271000000000000210807060504030201383736353433323142417f020000000000000000000000000000000000",
+    "081817161514131211",
+    "090807060504030201",
+    "0a54535251",
+    "0f18171615141312110000000000000000",
+    "0f18171615141312112827262524232221",
+    "101817161514131211010807060504030201",
+    "101817161514131211020807060504030201",
+    "101817161514131211040807060504030201",
+    "11210807060504030201646f6e65",
+];
+
+fn messages() -> [Message; 20] {
+    [
+        Message::LeaseRequest {
+            configurations: one_configuration(),
+            request_id: 0x5152_5354,
+            ttl_ms: 0x6162,
+            requests: lease_requests(),
+        },
+        Message::LeaseRequest {
+            configurations: two_configurations(),
+            request_id: 0x5152_5354,
+            ttl_ms: 0x6162,
+            requests: lease_requests(),
+        },
+        Message::Granted {
+            request_id: 0x5152_5354,
+            granted: shard_tokens(),
+        },
+        Message::Rejected {
+            shards: shard_statuses(),
+        },
+        Message::Release {
+            released: shard_tokens(),
+        },
+        Message::Transfer(OWNERSHIP),
+        Message::TransferOffer(OWNERSHIP),
+        Message::TransferAccepted(OWNERSHIP),
+        Message::TableRequest {
+            configurations: one_configuration(),
+            since_version: 0x7172,
+        },
+        Message::TableRequest {
+            configurations: two_configurations(),
+            since_version: 0x7172,
+        },
+        Message::Table {
+            version: 0x7172,
+            shards: shard_statuses(),
+        },
+        Message::HighestTokenRequest {
+            configuration_id: 0x1112_1314_1516_1718,
+        },
+        Message::HighestToken(TOKEN),
+        Message::ConfigurationMismatch(0x5152_5354),
+        Message::ConfigurationStatusRequest {
+            configurations: one_configuration(),
+        },
+        Message::ConfigurationStatusRequest {
+            configurations: two_configurations(),
+        },
+        status(true, false, false),
+        status(false, true, false),
+        status(false, false, true),
+        Message::Effect {
+            ownership: OWNERSHIP,
+            payload: b"done".to_vec(),
+        },
     ]
 }
 
@@ -110,14 +169,14 @@
 
 #[test]
 fn message_of_every_kind_is_encoded_to_its_recorded_bytes() {
-    for (recorded, message) in recorded_messages() {
+    for (recorded, message) in RECORDED.iter().zip(messages()) {
         assert_eq!(message.encode(), from_hex(recorded), "{message:?}");
     }
 }
 
 #[test]
 fn recorded_message_of_every_kind_is_decoded() {
-    for (recorded, message) in recorded_messages() {
+    for (recorded, message) in RECORDED.iter().zip(messages()) {
         assert_eq!(Message::decode(&from_hex(recorded)), Ok(message));
     }
 }
--- a/crates/lease/src/settings.rs
+++ b/crates/lease/src/settings.rs
@@ -51,8 +51,8 @@
     pub drift: f64,
     /// The lowest token that this acceptor grants, see [`FencingToken::floor`].
     pub token_floor: FencingToken,
-    /// Up to which token this acceptor may have granted, as its fence file says. `None`: there is no
-    /// fence file, and any token may be granted.
+    /// Up to which token this acceptor may have granted, as its fence file says. `None`: there is
+    /// no fence file, and any token may be granted.
     pub reserved_token: Option<FencingToken>,
     /// The seed of all random draws.
     pub seed: u64,
@@ -107,7 +107,7 @@
     pub const MAX_SHARDS: Shard = 128;
     /// The shortest lease, in milliseconds: several round trips and ticks fit a third of it.
     pub const MIN_LEASE_MS: f64 = 300.0;
-    /// The longest lease, in milliseconds: nobody acts for so long after an owner has died.
+    /// The longest lease, in milliseconds: a shard is unowned for so long after its owner has died.
     pub const MAX_LEASE_MS: f64 = 10_000.0;
     /// The largest drift: clocks that differ by more are broken.
     pub const MAX_DRIFT: f64 = 0.1;
@@ -155,8 +155,8 @@
         Ok(())
     }
 
-    /// A hash of this configuration's number and acceptors, the shards and the times, by which nodes
-    /// tell it from any other. Never 0.
+    /// A hash of this configuration's number and acceptors, the shards and the times, by which
+    /// nodes tell it from any other. Never 0.
     #[must_use]
     pub fn configuration_id(&self) -> u64 {
         self.id_of(self.configuration, &self.acceptors)
--- a/crates/testkit/src/lease_model.rs
+++ b/crates/testkit/src/lease_model.rs
@@ -1,11 +1,12 @@
-//! Three acceptors and two claimants, in every order of events within bounds: a model for `stateright` over
-//! the code that nodes run.
+//! Three acceptors and two claimants, in every order of events within bounds: a model for
+//! `stateright` over the code that nodes run.
 //!
-//! Time advances in steps. Within one, messages arrive in the order in which they were sent, unless the model
-//! spends one of a few *deviations* on holding a message back, for as long as it likes, or on duplicating it
-//! and holding the copy back. A claimant may be woken in a step or not, so that it may be stopped at any time
-//! and for any time; when it is woken, an acceptor tells it what is free. Any process may end and restart, a
-//! few times. The clocks of acceptors are as much faster than those of claimants as `drift` allows.
+//! Time advances in steps. Within one, messages arrive in the order in which they were sent, unless
+//! the model spends one of a few *deviations* on holding a message back, for as long as it likes,
+//! or on duplicating it and holding the copy back. A claimant may be woken in a step or not, so
+//! that it may be stopped at any time and for any time; when it is woken, an acceptor tells it what
+//! is free. Any process may end and restart, a few times. The clocks of acceptors are as much
+//! faster than those of claimants as `drift` allows.
 
 use std::fmt;
 use std::hash::{Hash, Hasher};
@@ -33,8 +34,8 @@
 const STEP_MS: f64 = LEASE_MS / 5.0;
 /// The time by the clocks when the model begins, in milliseconds: after all quarantines.
 const START_MS: f64 = 1e6;
-/// Kinds of messages that are delivered only when a claimant is woken, without delay: table requests, tables, and
-/// queries and answers of the highest token.
+/// Kinds of messages that are delivered only when a claimant is woken, without delay: table
+/// requests, tables, and queries and answers of the highest token.
 const HINT_KINDS: [u8; 4] = [6, TABLE_KIND, 8, 9];
 /// The kind of an acceptor's table.
 const TABLE_KIND: u8 = 7;
@@ -42,7 +43,8 @@
 /// The bounds of a search.
 #[derive(Clone, Copy, Debug)]
 pub struct Bounds {
-    /// Whether the model begins with an owner that has just requested a renewal; else no claimant has been woken.
+    /// Whether the model begins with an owner that has just requested a renewal; else no claimant
+    /// has been woken.
     pub is_owned: bool,
     /// Steps of a fifth of a lease.
     pub steps: u32,
@@ -61,8 +63,8 @@
 /// How deep a search goes: steps, messages held back or duplicated, restarts, transfers.
 pub type SearchDepth = [u32; 4];
 
-/// Bounds within which each injected fault is found: whether the model begins with an owner, and how deep the
-/// search goes.
+/// Bounds within which each injected fault is found: whether the model begins with an owner, and
+/// how deep the search goes.
 pub const INJECTED_FAULTS: [(InjectedFault, bool, SearchDepth); 6] = [
     (InjectedFault::NoQuarantine, false, [4, 1, 1, 0]),
     (InjectedFault::LeaseFromResponse, true, [5, 2, 0, 0]),
@@ -561,7 +563,8 @@
     pub depth: usize,
     /// Whether all states within the bounds were visited.
     pub is_exhaustive: bool,
-    /// Whether three processes owned the shard one after another, so that the guarantee was exercised.
+    /// Whether three processes owned the shard one after another, so that the guarantee was
+    /// exercised.
     pub changed_owners: bool,
     /// The guarantee that was broken.
     pub violation: Option<FoundViolation>,
--- a/crates/testkit/src/lease_simulation.rs
+++ b/crates/testkit/src/lease_simulation.rs
@@ -1,4 +1,5 @@
-//! Leases in virtual time: nodes with drifting clocks, faults, and checkers that observe who may act.
+//! Leases in virtual time: nodes with drifting clocks, faults, and checkers that observe who may
+//! act.
 
 mod checker;
 mod node;
--- a/crates/testkit/src/lease_simulation/checker.rs
+++ b/crates/testkit/src/lease_simulation/checker.rs
@@ -1,5 +1,6 @@
 //! The judges of the simulated leases: a register that checks fencing tokens, and what it and the
-//! observer of permits found wrong. They read only what nodes did, and share no code with the leases.
+//! observer of permits found wrong. They read only what nodes did, and share no code with the
+//! leases.
 
 use std::collections::BTreeMap;
 use std::fmt;
@@ -146,7 +147,8 @@
     process_id: u64,
 }
 
-/// A resource that checks fencing tokens: it accepts an effect unless its token is below the highest.
+/// A resource that checks fencing tokens: it accepts an effect unless its token is below the
+/// highest.
 #[derive(Default)]
 pub(super) struct Register {
     highest: BTreeMap<Shard, AcceptedEffect>,
--- a/crates/testkit/src/register.rs
+++ b/crates/testkit/src/register.rs
@@ -1,5 +1,6 @@
-//! A resource that checks fencing tokens, and a checker of all that it accepted: it accepts a line whose token is no
-//! lower than the highest accepted one, rejects the others, and keeps an exact log.
+//! A resource that checks fencing tokens, and a checker of all that it accepted: it accepts a line
+//! whose token is no lower than the highest accepted one, rejects the others, and keeps an exact
+//! log.
 
 use std::collections::BTreeMap;
 use std::io::{BufRead, BufReader, Write};
@@ -8,8 +9,8 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// How long a connection may wait for its line: longer than any pause in a test, as late lines are what the register
-/// is for.
+/// How long a connection may wait for its line: longer than any pause in a test, as late lines are
+/// what the register is for.
 const READ_TIMEOUT: Duration = Duration::from_secs(120);
 
 /// A line that arrived.
@@ -90,7 +91,8 @@
         self.log().into_iter().rfind(|effect| effect.is_accepted)
     }
 
-    /// What is wrong with the accepted lines: two nodes under one token, or a lower token after a higher one.
+    /// What is wrong with the accepted lines: two nodes under one token, or a lower token after a
+    /// higher one.
     #[must_use]
     pub fn violation(&self) -> Option<String> {
         let log = self.log();
--- a/src/node/cluster/fence_file.rs
+++ b/src/node/cluster/fence_file.rs
@@ -83,8 +83,9 @@
 /// Writes that this acceptor may grant tokens up to this one, on a blocking thread, and confirms it
 /// to the leases.
 ///
-/// A failed write is retried until it succeeds, and logged once; until then no token beyond the last
-/// reservation is granted. Dropping the future abandons the confirmation, not the write in progress.
+/// A failed write is retried until it succeeds, and logged once; until then no token beyond the
+/// last reservation is granted. Dropping the future abandons the confirmation, not the write in
+/// progress.
 pub async fn reserve_tokens(fleet: Rc<Fleet>, path: PathBuf, token: FencingToken) {
     let text = encode_fence_file(&fleet.name, token);
     let mut is_logged = false;
--- a/src/node/cluster/leases/admin.rs
+++ b/src/node/cluster/leases/admin.rs
@@ -1,5 +1,5 @@
-//! What operators see and do of leases: `OWNERS`, `GIVE` and the metrics. All texts and names here are
-//! part of the admin protocol.
+//! What operators see and do of leases: `OWNERS`, `GIVE` and the metrics. All texts and names here
+//! are part of the admin protocol.
 
 use std::fmt::{self, Write};
 use std::rc::Rc;
--- a/tests/lease_processes.rs
+++ b/tests/lease_processes.rs
@@ -32,7 +32,8 @@
     (register, fleet)
 }
 
-/// Waits until all nodes agree and all shards are owned; the register accepted no line of a former owner.
+/// Waits until all nodes agree and all shards are owned; the register accepted no line of a former
+/// owner.
 fn wait_until_settled(fleet: &mut Fleet, register: &Register) {
     fleet.agree_within(PATIENCE);
     wait_until_all_owned(fleet);
@@ -48,7 +49,7 @@
 fn wait_for_append(
     fleet: &mut Fleet,
     register: &Register,
-    wanted: impl Fn(usize) -> bool,
+    is_wanted: impl Fn(usize) -> bool,
 ) -> usize {
     let before = register.log().len();
     let mut by = 0;
@@ -63,7 +64,7 @@
         by = acted
             .iter()
             .copied()
-            .find(|node| wanted(*node))
+            .find(|node| is_wanted(*node))
             .ok_or_else(|| format!("{acted:?}"))?;
         Ok(())
     });
@@ -116,14 +117,14 @@
     fleet.terminate(owner);
     wait_for_append(&mut fleet, &register, |node| node != owner);
     wait_until_all_owned(&mut fleet);
-    let given = |fleet: &Fleet| {
+    let transfers = |fleet: &Fleet| {
         fleet
             .log(owner)
             .iter()
             .filter(|line| line.contains("transferred to"))
             .count()
     };
-    assert!(given(&fleet) > 0, "it transfers what it owns");
+    assert!(transfers(&fleet) > 0, "it transfers what it owns");
     assert_eq!(register.violation(), None);
 }
 
@@ -296,8 +297,9 @@
     );
 }
 
-/// The acceptors change from `n0 n1 n2` to `n0 n1 n3` by SIGHUP at one of five nodes after another, and a node
-/// crashes meanwhile; then the former acceptor and another one end, and the new configuration goes on.
+/// The acceptors change from `n0 n1 n2` to `n0 n1 n3` by SIGHUP at one of five nodes after another,
+/// and a node crashes meanwhile; then the former acceptor and another one end, and the new
+/// configuration goes on.
 #[test]
 fn reconfiguration_by_reload_settles_and_keeps_one_owner() {
     let (register, mut fleet) = start_fleet(5, 10);
@@ -348,8 +350,8 @@
     }
 }
 
-/// Tokens are reserved on disk before they are granted; a fence file of another node or a truncated one is
-/// rejected.
+/// Tokens are reserved on disk before they are granted; a fence file of another node or a truncated
+/// one is rejected.
 #[test]
 fn acceptor_reserves_tokens_on_disk_before_granting() {
     let register = Register::start();
@@ -367,7 +369,7 @@
     let first = wait_for_append(&mut fleet, &register, |_| true);
     let reserved = || {
         let text = std::fs::read_to_string(&file).expect("written");
-        lease::decode_fence_file("n0", &text).expect("sound").0
+        lease::decode_fence_file("n0", &text).expect("valid").0
     };
     let last = register.last().expect("one").token;
     assert!(
@@ -647,14 +649,14 @@
     let instances = "[instances]\nfleet = \"holds\"\nkey_file = \"key\"\n";
     let read = |text: &str| Operators::parse(Path::new("file"), text);
     let three = "keepers = [\"a\", \"b\", \"c\"]\n";
-    let sound = read(&format!("{instances}[leases]\n{three}")).expect("sound");
+    let operators = read(&format!("{instances}[leases]\n{three}")).expect("valid");
     assert!(
-        sound
+        operators
             .summary()
             .iter()
             .any(|line| line.contains("kept by a, b, c")),
         "{:?}",
-        sound.summary()
+        operators.summary()
     );
     let wrong = [
         (format!("[leases]\n{three}"), "leases need [instances]"),
