--- a/crates/lease/src/manager/claiming.rs
+++ b/crates/lease/src/manager/claiming.rs
@@ -5,6 +5,7 @@
 use crate::claim::Claim;
 use crate::event::NodeHealth;
 use crate::identity::{FencingToken, Shard, ShardToken};
+use crate::manager::shard_state::ShardState;
 use crate::manager::table_polling::POLL_INTERVAL_MS;
 use crate::manager::{lease_fraction, LeaseManager};
 use crate::message::{LeaseRequest, Message, ShardStatus, MAX_LEASE_REQUESTS};
@@ -29,6 +30,33 @@
     ttl_ms: f64,
 }
 
+impl ShardState {
+    /// Ends a claim that was not granted in the time of a first grant, and returns its token.
+    ///
+    /// An owner's claim under a new token stays: acceptors that granted it do not renew the old one.
+    fn take_late_claim(&mut self, now_ms: f64, first_grant_ms: f64) -> Option<FencingToken> {
+        if self.lease.is_some() {
+            return None;
+        }
+        self.claim
+            .take_if(|claim| now_ms - claim.started_ms >= first_grant_ms)
+            .map(|claim| claim.token)
+    }
+
+    /// Whether the shard is free and it is this node's turn to claim it.
+    fn is_claimable(&self, now_ms: f64, health_delay_ms: f64) -> bool {
+        let Some(free_ms) = self.free_since_ms else {
+            return false;
+        };
+        let Some(rank) = self.rank.filter(|rank| *rank < MAX_CLAIMING_RANKS) else {
+            return false;
+        };
+        let turn_ms = free_ms + health_delay_ms + rank as f64 * RANK_DELAY_MS;
+        let is_idle = self.lease.is_none() && self.claim.is_none();
+        is_idle && now_ms >= turn_ms && now_ms >= self.claim_after_ms
+    }
+}
+
 impl LeaseManager {
     /// Begins to claim shards that are free and this node's turn, and abandons claims that failed.
     pub(super) fn update_claims(&mut self) {
@@ -41,27 +69,11 @@
         };
         let mut abandoned = Vec::new();
         for (shard, state) in self.shards.iter_mut().enumerate() {
-            // An owner goes on: acceptors that granted the new token renew the old one no more.
-            let is_late = |claim: &&Claim| now_ms - claim.started_ms >= first_grant_ms;
-            let is_owned = state.lease.is_some();
-            if let Some(claim) = state.claim.as_ref().filter(is_late).filter(|_| !is_owned) {
-                abandoned.push(ShardToken {
-                    shard: shard as Shard,
-                    token: claim.token,
-                });
-                state.claim = None;
+            if let Some(token) = state.take_late_claim(now_ms, first_grant_ms) {
+                let shard = shard as Shard;
+                abandoned.push(ShardToken { shard, token });
                 state.claim_after_ms = now_ms + self.rng.f64() * first_grant_ms;
-                continue;
-            }
-            let rank = state.rank.filter(|rank| *rank < MAX_CLAIMING_RANKS);
-            let is_turn = state
-                .free_since_ms
-                .zip(rank)
-                .is_some_and(|(free_ms, rank)| {
-                    now_ms >= free_ms + health_delay_ms + rank as f64 * RANK_DELAY_MS
-                });
-            let is_idle = !is_owned && state.claim.is_none();
-            if may_claim && is_idle && is_turn && now_ms >= state.claim_after_ms {
+            } else if may_claim && state.is_claimable(now_ms, health_delay_ms) {
                 state.begin_claim(now_ms, false);
             }
         }
