--- a/crates/lease/src/settings.rs
+++ b/crates/lease/src/settings.rs
@@ -213,3 +213,6 @@
     acceptors.sort_unstable();
     acceptors
 }
+
+#[cfg(test)]
+mod golden_tests;
