--- a/src/node/admin/config_file.rs
+++ b/src/node/admin/config_file.rs
@@ -23,7 +23,7 @@
 
 pub use self::error::{ConfigFileError, Location, Problem};
 use self::raw::RawConfig;
-use crate::node::cluster::{ClusterSettings, Keeping};
+use crate::node::cluster::{ClusterSettings, LeaseSettings};
 use crate::node::discovery::consul::ConsulSource;
 use crate::node::upstream::addresses::ConfiguredAddresses;
 use crate::node::upstream::servers::PoolLimits;
@@ -43,7 +43,7 @@
     /// How the other nodes of the cluster are found.
     pub instances: Option<ClusterSettings>,
     /// The acceptors that grant leases to the nodes of the cluster.
-    pub leases: Option<Keeping>,
+    pub leases: Option<LeaseSettings>,
     /// How nodes report outliers among the servers to each other.
     pub outlier_detection: Option<outlier_detection::Settings>,
 }
--- a/src/node/admin/config_file/summary.rs
+++ b/src/node/admin/config_file/summary.rs
@@ -1,7 +1,7 @@
 //! A description of a valid operators' file, for `silverthread check`.
 
 use super::OperatorConfig;
-use crate::node::cluster::{ClusterSettings, Keeping};
+use crate::node::cluster::{ClusterSettings, LeaseSettings};
 use crate::node::discovery::consul::ConsulSource;
 
 impl OperatorConfig {
@@ -52,12 +52,12 @@
     )
 }
 
-fn leases_line(leases: &Keeping) -> String {
+fn leases_line(leases: &LeaseSettings) -> String {
     format!(
         "leases of {} shards, granted by acceptors {} (set {}), {} ms long",
         leases.shards,
-        leases.keepers.join(", "),
-        leases.set,
+        leases.acceptors.join(", "),
+        leases.configuration,
         leases.lease_ms
     )
 }
--- a/src/node/admin/config_file/validation.rs
+++ b/src/node/admin/config_file/validation.rs
@@ -14,7 +14,7 @@
     RawRoute, RawServer,
 };
 use super::{EndpointSources, OperatorConfig};
-use crate::node::cluster::{ClusterSettings, Keeping};
+use crate::node::cluster::{ClusterSettings, LeaseSettings};
 use crate::node::discovery::consul::ConsulSource;
 use crate::node::upstream::addresses::{ConfiguredAddresses, ServerAddresses};
 use crate::node::upstream::servers::PoolLimits;
@@ -248,16 +248,16 @@
 }
 
 impl RawLeases {
-    fn validate(self) -> Result<Keeping, InvalidValue> {
+    fn validate(self) -> Result<LeaseSettings, InvalidValue> {
         for names in self.before.iter().chain([&self.keepers]) {
             check_node_names(names)?;
         }
-        let default = Keeping::default();
+        let default = LeaseSettings::default();
         let acceptors = self.keepers.clone();
-        let leases = Keeping {
-            keepers: self.keepers.into_inner(),
-            set: self.set.unwrap_or(default.set),
-            before: self.before.map(Spanned::into_inner).unwrap_or_default(),
+        let leases = LeaseSettings {
+            acceptors: self.keepers.into_inner(),
+            configuration: self.set.unwrap_or(default.configuration),
+            previous_acceptors: self.before.map(Spanned::into_inner).unwrap_or_default(),
             shards: self.shards.unwrap_or(default.shards),
             lease_ms: self.lease_ms.unwrap_or(default.lease_ms),
             drift: self.drift.unwrap_or(default.drift),
@@ -266,7 +266,7 @@
         };
         // Whose settings these are makes no difference to their check.
         let (any_name, any_process) = ("-", 1);
-        match leases.settings(any_name, any_process).check() {
+        match leases.for_process(any_name, any_process).validate() {
             Ok(()) => Ok(leases),
             Err(error) => Err(InvalidValue::new(
                 &acceptors,
--- a/src/node/admin/server.rs
+++ b/src/node/admin/server.rs
@@ -110,7 +110,7 @@
     fn give(&self, shard: u8, receiver: &str) -> Result<String, Rejection> {
         let fleet = self.fleet.as_ref().ok_or(Rejection::NoLeases)?;
         fleet
-            .give(shard, receiver)
+            .transfer_shard(shard, receiver)
             .map_err(|error| Rejection::Transfer(error.into()))?;
         Ok("200 given\n".to_owned())
     }
--- a/src/node/cluster/mod.rs
+++ b/src/node/cluster/mod.rs
@@ -5,11 +5,11 @@
 //! the gossip state, the socket and the numbers of the peers' addresses.
 
 mod address_book;
-mod duty;
 mod error;
+mod fence_file;
+mod fleet_log;
 mod leases;
 mod outlier_detection;
-mod record;
 mod settings;
 mod socket;
 mod status;
@@ -17,7 +17,6 @@
 use std::cell::{Cell, RefCell};
 use std::fmt::Write;
 use std::net::SocketAddr;
-use std::path::PathBuf;
 use std::rc::Rc;
 use std::time::{SystemTime, UNIX_EPOCH};
 
@@ -33,7 +32,7 @@
 use crate::node::driver::Driver;
 
 pub use self::error::ClusterError;
-pub use self::leases::Keeping;
+pub use self::leases::LeaseSettings;
 pub use self::settings::{ClusterSettings, KeyFileError};
 
 /// Lines of `STATS` for one subsystem: the name, value and kind (`g` gauge, `c` counter) of each metric.
@@ -74,10 +73,8 @@
     name: String,
     /// Whether the operators' file lists the peers, so that the platform's list is ignored.
     has_configured_peers: Cell<bool>,
-    leases: Option<leases::Part>,
+    leases: Option<leases::LeaseParticipant>,
     outlier_detection: Option<outlier_detection::OutlierDetection>,
-    /// The fence file, if this node has one.
-    record: Option<PathBuf>,
 }
 
 impl Cluster {
@@ -90,7 +87,7 @@
     pub async fn start(
         config: &Config,
         settings: Option<&ClusterSettings>,
-        lease_settings: Option<&Keeping>,
+        lease_settings: Option<&LeaseSettings>,
         outlier_settings: Option<&::outlier_detection::Settings>,
         driver: &Rc<Driver>,
     ) -> Result<Option<Rc<Self>>, ClusterError> {
@@ -107,7 +104,7 @@
         let started_unix_ms = unix_ms();
         let leases = lease_settings
             .map(|leases| {
-                leases::Part::new(
+                leases::LeaseParticipant::new(
                     boot_ms(),
                     leases,
                     &resolved.name,
@@ -144,7 +141,6 @@
             has_configured_peers: Cell::new(settings.peers.is_some()),
             leases,
             outlier_detection,
-            record: lease_settings.and_then(|leases| leases.fence_file.clone()),
         });
         cluster.set_peers(&resolved.peers);
         cluster.spawn_tasks(lease_settings.and_then(|leases| leases.fleet_log));
@@ -155,13 +151,13 @@
         tokio::task::spawn_local(Rc::clone(self).run_timer());
         tokio::task::spawn_local(Rc::clone(self).run_receive_loop());
         if self.leases.is_some() {
-            tokio::task::spawn_local(Rc::clone(self).wake_leases());
+            tokio::task::spawn_local(Rc::clone(self).run_lease_timer());
         }
         if self.outlier_detection.is_some() {
             tokio::task::spawn_local(Rc::clone(self).run_outlier_detection());
         }
         if let Some(address) = fleet_log {
-            tokio::task::spawn_local(duty::fleet_log(Rc::clone(self), address));
+            tokio::task::spawn_local(fleet_log::write_fleet_log(Rc::clone(self), address));
         }
     }
 
@@ -170,10 +166,10 @@
         self: &Rc<Self>,
         config: Option<&Config>,
         settings: &ClusterSettings,
-        lease_settings: Option<&Keeping>,
+        lease_settings: Option<&LeaseSettings>,
     ) {
         if let Some(leases) = lease_settings {
-            self.change_keepers(leases);
+            self.reconfigure_leases(leases);
         }
         self.has_configured_peers.set(settings.peers.is_some());
         let platform_peers = config.map(|config| &config.peers);
@@ -188,7 +184,7 @@
 
     /// Transfers the leases of this node, and notifies the others that it leaves.
     pub fn leave(self: &Rc<Self>) {
-        self.lease_event(lease::Event::Leave);
+        self.handle_lease_event(lease::Event::Leave);
         self.handle_gossip_event(Event::Leave);
     }
 
@@ -222,7 +218,7 @@
             self.execute(action);
         }
         if is_view_changed {
-            self.say_candidates();
+            self.update_lease_candidates();
             self.update_cluster_size();
         }
     }
@@ -236,7 +232,7 @@
             Action::Log(event) => {
                 log::line(format_args!("gossip: {event}"));
                 if matches!(event, LogEvent::NameConflict { yields: true, .. }) {
-                    self.end_leases();
+                    self.stop_leases();
                 }
             }
             Action::Payload {
@@ -252,9 +248,9 @@
         if ::outlier_detection::is_report(bytes) {
             self.receive_outlier_report(from, bytes);
         } else {
-            self.lease_event(lease::Event::Word {
+            self.handle_lease_event(lease::Event::Message {
                 from: lease::NodeId(from.0),
-                process: process_id,
+                process_id,
                 bytes,
             });
         }
--- a/src/node/cluster/status.rs
+++ b/src/node/cluster/status.rs
@@ -53,7 +53,7 @@
     #[must_use]
     pub fn metrics(&self) -> String {
         gossip_metrics(&self.gossip.borrow())
-            + &self.lease_figures()
+            + &self.lease_metrics()
             + &self.outlier_detection_metrics()
     }
 }
