--- a/crates/balancer/src/admission.rs
+++ b/crates/balancer/src/admission.rs
@@ -7,6 +7,7 @@
 use crate::balancer::Balancer;
 use crate::latency::{RunningMean, GAIN};
 use crate::request::PendingRequest;
+use crate::server_list::ServerId;
 
 /// Share of its latency objective that an answer may be expected to take. The rest allows for what is
 /// not known: counts are guesses between reports.
@@ -68,7 +69,7 @@
 
 impl Balancer {
     /// Selects a server for a request's first attempt; `None` sheds it.
-    pub(crate) fn select_first(&mut self, request: &mut PendingRequest) -> Option<usize> {
+    pub(crate) fn select_first(&mut self, request: &mut PendingRequest) -> Option<ServerId> {
         let max_wait_ms = self.admissible_wait_ms(request);
         let mut server = self.select(request, max_wait_ms);
         if server.is_none() && self.admission.must_probe(self.now_ms) {
--- a/crates/balancer/src/balancer.rs
+++ b/crates/balancer/src/balancer.rs
@@ -35,9 +35,9 @@
     pub(crate) objective_ms: f64,
     /// The actions that the event at hand leads to.
     pub(crate) actions: Vec<Action>,
-    pub(crate) servers: BTreeMap<usize, Server>,
+    pub(crate) servers: BTreeMap<ServerId, Server>,
     /// The ready servers in one order for all nodes, turned so that this node's subset comes first.
-    pub(crate) ring: Vec<usize>,
+    pub(crate) ring: Vec<ServerId>,
     pub(crate) subscription: Subscription,
     pub(crate) sampler: Sampler,
     pub(crate) warm_capacity: WarmCapacity,
@@ -112,7 +112,7 @@
                 report,
             } => {
                 let report = report.filter(|_| result == AttemptResult::Served);
-                self.health_checked(server.0, elapsed_ms, report);
+                self.health_checked(server, elapsed_ms, report);
             }
             Event::Hint { server, weight } => self.apply_hint(server, weight),
             Event::StreamStarted { .. } => {}
@@ -138,15 +138,15 @@
     }
 
     /// A report overwrites the count of its server alone (HSQ).
-    pub(crate) fn apply_report(&mut self, at: usize, report: Option<LoadReport>) {
+    pub(crate) fn apply_report(&mut self, server_id: ServerId, report: Option<LoadReport>) {
         let reading = report.and_then(|report| report.in_flight.or(report.queued));
-        if let (Some(server), Some(reading)) = (self.servers.get_mut(&at), reading) {
+        if let (Some(server), Some(reading)) = (self.servers.get_mut(&server_id), reading) {
             server.count = Some(reading);
         }
     }
 
     fn apply_hint(&mut self, server: ServerId, weight: f64) {
-        if let Some(server) = self.servers.get_mut(&server.0) {
+        if let Some(server) = self.servers.get_mut(&server) {
             server.withheld_fraction = 1.0 - weight.clamp(0.0, 1.0);
         }
     }
--- a/crates/balancer/src/health_check.rs
+++ b/crates/balancer/src/health_check.rs
@@ -73,8 +73,8 @@
         self.scratch.candidates = candidates;
         self.random.shuffle(&mut request.polled);
         request.polled.truncate(POLLED_SERVERS);
-        for at in &request.polled {
-            self.poll_load(*at, id);
+        for server_id in &request.polled {
+            self.poll_load(*server_id, id);
         }
         let polled = !request.polled.is_empty();
         if polled {
@@ -85,31 +85,33 @@
     }
 
     /// Asks a server for its load on behalf of a request; one health check at a time serves all.
-    pub(crate) fn poll_load(&mut self, at: usize, id: RequestId) {
-        let server = self.servers.get_mut(&at).expect("a polled server is known");
+    pub(crate) fn poll_load(&mut self, server_id: ServerId, id: RequestId) {
+        let server = self
+            .servers
+            .get_mut(&server_id)
+            .expect("a polled server is known");
         if server.report_waiters.is_empty() {
-            let server = ServerId(at);
-            self.actions.push(Action::HealthCheck { server });
+            self.actions.push(Action::HealthCheck { server: server_id });
         }
         server.report_waiters.push(id);
     }
 
     pub(crate) fn health_checked(
         &mut self,
-        at: usize,
+        server_id: ServerId,
         elapsed_ms: f64,
         report: Option<LoadReport>,
     ) {
-        let Some(server) = self.servers.get_mut(&at) else {
+        let Some(server) = self.servers.get_mut(&server_id) else {
             return;
         };
         let waiters = std::mem::take(&mut server.report_waiters);
         let Some(report) = report else { return };
-        self.apply_report(at, Some(report));
+        self.apply_report(server_id, Some(report));
         self.health_checks.responded(elapsed_ms, self.objective_ms);
         for id in waiters {
             if let Some(request) = self.pending.remove(&id) {
-                self.report_arrived(id, request, at, report);
+                self.report_arrived(id, request, server_id, report);
             }
         }
     }
@@ -118,43 +120,50 @@
         &mut self,
         id: RequestId,
         mut request: PendingRequest,
-        at: usize,
+        server_id: ServerId,
         report: LoadReport,
     ) {
-        if request.polled.contains(&at) {
-            request.responded.push(at);
+        if request.polled.contains(&server_id) {
+            request.responded.push(server_id);
             if request.responded.len() == request.polled.len() {
                 return self.dispatch(id, request);
             }
-        } else if let Some(attempt) = self.overdue_attempt(&request, at) {
-            self.resolve_overdue(id, attempt, at, report);
+        } else if let Some(attempt) = self.overdue_attempt(&request, server_id) {
+            self.resolve_overdue(id, attempt, server_id, report);
         }
         self.pending.insert(id, request);
     }
 
     /// The attempt of a request that a server should have answered by now, where it may be cancelled.
-    fn overdue_attempt(&self, request: &PendingRequest, at: usize) -> Option<usize> {
+    fn overdue_attempt(&self, request: &PendingRequest, server_id: ServerId) -> Option<usize> {
         if request.answered || !self.settings.cancel {
             return None;
         }
         let min_ms = MAX_POLL_SHARE * self.objective_ms;
         let is_overdue = |attempt: &Attempt| {
             let due_ms = attempt.expected_latency_ms.max(min_ms);
-            attempt.in_flight && attempt.server == at && self.now_ms - attempt.sent_at_ms >= due_ms
+            attempt.in_flight
+                && attempt.server == server_id
+                && self.now_ms - attempt.sent_at_ms >= due_ms
         };
         request.attempts.iter().position(is_overdue)
     }
 
     /// A server that holds nothing will not answer any more, whatever the cause, and the connection to
     /// it may be dead; one that holds something is asked again.
-    fn resolve_overdue(&mut self, id: RequestId, attempt: usize, at: usize, report: LoadReport) {
+    fn resolve_overdue(
+        &mut self,
+        id: RequestId,
+        attempt: usize,
+        server_id: ServerId,
+        report: LoadReport,
+    ) {
         if report.in_flight.is_some_and(|held| held < MIN_HELD) {
-            let server = ServerId(at);
             self.actions.push(Action::Cancel {
                 request: id,
                 attempt,
             });
-            self.actions.push(Action::CloseIdle { server });
+            self.actions.push(Action::CloseIdle { server: server_id });
         } else {
             let after_ms = self.objective_ms * OVERDUE_RETRY_SHARE;
             self.set_request_timer(id, TimerKind::AttemptOverdue, after_ms);
--- a/crates/balancer/src/request.rs
+++ b/crates/balancer/src/request.rs
@@ -17,7 +17,7 @@
 
 /// One attempt of a request.
 pub(crate) struct Attempt {
-    pub server: usize,
+    pub server: ServerId,
     /// The server as it was then: it may be forgotten before the request is finished.
     pub entry: ServerEntry,
     pub sent_at_ms: f64,
@@ -40,8 +40,8 @@
     pub accepted_at_ms: f64,
     pub deadline_ms: f64,
     /// Servers polled for their load, and those of them that responded.
-    pub polled: Vec<usize>,
-    pub responded: Vec<usize>,
+    pub polled: Vec<ServerId>,
+    pub responded: Vec<ServerId>,
     pub attempts: Vec<Attempt>,
     /// Index of the first attempt that may have run or may still run.
     pub first_run: Option<usize>,
@@ -118,17 +118,16 @@
         }
     }
 
-    fn send(&mut self, id: RequestId, request: &mut PendingRequest, at: usize) {
+    fn send(&mut self, id: RequestId, request: &mut PendingRequest, server_id: ServerId) {
         let now_ms = self.now_ms;
         let server = self
             .servers
-            .get_mut(&at)
+            .get_mut(&server_id)
             .expect("a selected server is known");
         let idle = server.is_idle(now_ms, self.objective_ms);
         let close_idle = idle && self.idle_connections.should_close(&mut self.random);
         if close_idle {
-            let server = ServerId(at);
-            self.actions.push(Action::CloseIdle { server });
+            self.actions.push(Action::CloseIdle { server: server_id });
         }
         server.record_send(now_ms, self.settings.slow_start_ms);
         let own_depth = server.in_flight as f64;
@@ -144,7 +143,7 @@
         request.polled.clear();
         let expected_latency_ms = self.expected_latency_ms(depth);
         request.attempts.push(Attempt {
-            server: at,
+            server: server_id,
             entry,
             sent_at_ms: now_ms,
             depth,
@@ -155,7 +154,7 @@
         request.first_run = request.first_run.or(Some(request.attempts.len() - 1));
         self.actions.push(Action::Send {
             request: id,
-            server: ServerId(at),
+            server: server_id,
         });
         self.schedule_overdue_poll(id, request, expected_latency_ms);
     }
--- a/crates/balancer/src/retry.rs
+++ b/crates/balancer/src/retry.rs
@@ -2,6 +2,7 @@
 
 use crate::balancer::Balancer;
 use crate::request::PendingRequest;
+use crate::server_list::ServerId;
 use crate::settings::{Idempotency, RetryBudget, Settings};
 use crate::window::SlidingWindow;
 
@@ -80,7 +81,7 @@
     }
 
     /// Selects a server for a retry, if the budget allows one.
-    pub(crate) fn select_for_retry(&mut self, request: &mut PendingRequest) -> Option<usize> {
+    pub(crate) fn select_for_retry(&mut self, request: &mut PendingRequest) -> Option<ServerId> {
         let max_wait_ms = if self.health_checks.enabled {
             self.admissible_wait_ms(request)
         } else {
--- a/crates/balancer/src/selection.rs
+++ b/crates/balancer/src/selection.rs
@@ -10,7 +10,7 @@
 use crate::latency::{Expectation, HALF_LIFE_OBJECTIVES};
 use crate::request::PendingRequest;
 use crate::server::Server;
-use crate::server_list::ServerEntry;
+use crate::server_list::{ServerEntry, ServerId};
 use crate::settings::Settings;
 use crate::slow_start::warm_fraction;
 
@@ -37,7 +37,7 @@
     reason = "independent facts, each the criterion of one filter"
 )]
 pub(crate) struct Candidate {
-    pub server: usize,
+    pub server: ServerId,
     /// Expected latency there.
     wait_ms: f64,
     /// The count, in the same unit where capacities differ.
@@ -60,7 +60,7 @@
 pub(crate) struct Scratch {
     pub candidates: Vec<Candidate>,
     by_kind: Vec<Expectation>,
-    sample: Vec<usize>,
+    sample: Vec<ServerId>,
 }
 
 /// What is expected of a server before its own results count.
@@ -91,15 +91,15 @@
 
 /// The servers by which a candidate is measured.
 struct Subset<'a> {
-    servers: &'a BTreeMap<usize, Server>,
-    members: &'a [usize],
+    servers: &'a BTreeMap<ServerId, Server>,
+    members: &'a [ServerId],
     size: usize,
 }
 
 impl<'a> Subset<'a> {
     fn iter(&self) -> impl Iterator<Item = &'a Server> + Clone + '_ {
         let members = self.members.iter().take(self.size);
-        members.filter_map(|at| self.servers.get(at))
+        members.filter_map(|server_id| self.servers.get(server_id))
     }
 
     fn total_capacity(&self, priors: &Priors) -> f64 {
@@ -140,7 +140,7 @@
     #[inline]
     fn assess(
         &self,
-        at: usize,
+        server_id: ServerId,
         server: &mut Server,
         random: &mut fastrand::Rng,
     ) -> Option<Candidate> {
@@ -164,7 +164,7 @@
         let overloaded = server.is_overloaded_for(self.request.quota_group, self.now_ms);
         let fill_first = warm_fraction.is_some() && !self.well_informed && !self.by_health_check;
         Some(Candidate {
-            server: at,
+            server: server_id,
             wait_ms: self.requests_ahead(server, count) * latency_per_request,
             rank: if self.by_health_check {
                 count
@@ -244,7 +244,7 @@
         &mut self,
         request: &mut PendingRequest,
         max_wait_ms: f64,
-    ) -> Option<usize> {
+    ) -> Option<ServerId> {
         let mut candidates = self.candidates(request);
         let tolerance = self.random.f64().powf(self.certainty());
         let min_wait_ms = lowest(&candidates, |c| c.wait_ms);
@@ -369,7 +369,7 @@
         &mut self,
         request: &PendingRequest,
         priors: &Priors,
-        sample: &[usize],
+        sample: &[ServerId],
         served: f64,
         max_found: usize,
     ) -> Vec<Candidate> {
@@ -411,10 +411,13 @@
             &request.responded
         };
         let mut found = 0;
-        for at in considered.iter().copied() {
-            let server = self.servers.get_mut(&at).filter(|server| server.is_ready());
+        for server_id in considered.iter().copied() {
+            let server = self
+                .servers
+                .get_mut(&server_id)
+                .filter(|server| server.is_ready());
             let candidate =
-                server.and_then(|server| assessment.assess(at, server, &mut self.random));
+                server.and_then(|server| assessment.assess(server_id, server, &mut self.random));
             let Some(candidate) = candidate else {
                 continue;
             };
--- a/crates/balancer/src/slow_start.rs
+++ b/crates/balancer/src/slow_start.rs
@@ -54,12 +54,12 @@
         let index_sample = self.is_list_long();
         self.sampler.clear();
         let (mut warm, mut any_warming) = (0.0, false);
-        for (at, server) in self.servers.iter().filter(|(_, server)| server.is_ready()) {
+        for (server_id, server) in self.servers.iter().filter(|(_, server)| server.is_ready()) {
             let fraction = warm_fraction(&self.settings, self.now_ms, server);
             warm += fraction.unwrap_or(1.0);
             any_warming |= fraction.is_some();
             if index_sample {
-                self.sampler.add(*at, server, fraction.is_some());
+                self.sampler.add(*server_id, server, fraction.is_some());
             }
         }
         self.sampler.sort_warming();
--- a/crates/balancer/src/subscription.rs
+++ b/crates/balancer/src/subscription.rs
@@ -58,8 +58,8 @@
     }
 
     fn update_server(&mut self, entry: ServerEntry) {
-        let at = entry.server.0;
-        match self.servers.get_mut(&at) {
+        let server_id = entry.server;
+        match self.servers.get_mut(&server_id) {
             Some(server) if server.entry.started_at_ms == entry.started_at_ms => {
                 server.entry = entry;
             }
@@ -71,7 +71,7 @@
                     entry,
                     ..Server::default()
                 };
-                self.servers.insert(at, server);
+                self.servers.insert(server_id, server);
             }
         }
     }
@@ -82,12 +82,12 @@
     fn rebuild_ring(&mut self) {
         let ready = self.servers.iter().filter(|(_, server)| server.is_ready());
         let mut ring: Vec<_> = ready
-            .map(|(at, server)| (server.entry.ring_position, *at))
+            .map(|(server_id, server)| (server.entry.ring_position, *server_id))
             .collect();
         ring.sort_unstable();
         let start = self.settings.node_index * ring.len() / self.settings.nodes;
         ring.rotate_left(start);
-        self.ring = ring.into_iter().map(|(_, at)| at).collect();
+        self.ring = ring.into_iter().map(|(_, server_id)| server_id).collect();
     }
 
     /// Schedules a new subscription: without one the node would send to servers long gone. The wait
