--- a/crates/balancer/tests/common/mod.rs
+++ b/crates/balancer/tests/common/mod.rs
@@ -1,8 +1,9 @@
 //! Helpers of the tests: short ways to build events, and to feed a balancer.
-#![allow(dead_code)]
+#![allow(dead_code, reason = "each test file uses some of the helpers")]
 
 use balancer::*;
 
+/// A balancer and the time of its next event, in milliseconds.
 pub struct Node {
     pub balancer: Balancer,
     pub now: f64,
