--- a/crates/outlier-detection/tests/detector.rs
+++ b/crates/outlier-detection/tests/detector.rs
@@ -139,7 +139,7 @@
 }
 
 #[test]
-fn failing_server_is_ejected_by_all_nodes_in_seconds_and_recovers_gradually() {
+fn failing_server_is_ejected_in_seconds_and_recovers_gradually() {
     for (nodes, attempts_per_s) in [(5, 10.0), (30, 2.0), (300, 0.3)] {
         let mut cluster = Cluster::new(nodes, 1);
         cluster.run(10_000.0, attempts_per_s, |_, _| None);
@@ -331,7 +331,7 @@
 }
 
 #[test]
-fn relapsing_server_is_ejected_longer_each_time_until_relapses_are_forgotten() {
+fn relapsing_server_is_ejected_longer_until_forgiven() {
     let mut receiver = Receiver::new();
     let relapses = [(); 5].map(|()| receiver.relapse());
     let ejected = relapses.map(|(ejected, _)| ejected);
--- a/src/node/admin/config_file.rs
+++ b/src/node/admin/config_file.rs
@@ -21,7 +21,7 @@
 
 use endpoint_discovery::Trust;
 
-pub use self::error::{ConfigFileError, Location, Problem};
+pub use self::error::{ConfigFileError, Problem};
 use self::raw::RawConfig;
 use crate::node::cluster::{Instances, Keeping};
 use crate::node::discovery::consul::ConsulSource;
--- a/src/node/admin/config_file/bounded_value.rs
+++ b/src/node/admin/config_file/bounded_value.rs
@@ -70,7 +70,7 @@
 );
 
 bounded_number!(
-    /// A limit on a number of things; none of them would stop the node from serving.
+    /// A limit on a number of things; zero would stop the node from serving.
     CountLimit(usize),
     1..=1_000_000,
     "a limit lies between 1 and 1000000"
--- a/src/node/admin/config_file/error.rs
+++ b/src/node/admin/config_file/error.rs
@@ -17,12 +17,12 @@
 }
 
 /// A place in an operators' file.
-#[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Location {
-    /// The line, counted from one.
-    pub line: usize,
+#[derive(Debug)]
+struct Location {
+    /// Counted from one.
+    line: usize,
     /// The key or section on that line, or, for a value that goes over several lines, on the nearest line before.
-    pub key: Option<String>,
+    key: Option<String>,
 }
 
 /// What is wrong with an operators' file.
@@ -134,7 +134,7 @@
         self.location.as_ref().map(|location| location.line)
     }
 
-    /// The key or section at that line.
+    /// The key or section on that line, or, for a value that goes over several lines, on the nearest line before.
     #[must_use]
     pub fn key(&self) -> Option<&str> {
         self.location.as_ref()?.key.as_deref()
--- a/src/node/admin/config_file/raw.rs
+++ b/src/node/admin/config_file/raw.rs
@@ -200,6 +200,10 @@
 /// `[consul.damping]`: how long a flapping server is kept out.
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
+#[allow(
+    clippy::struct_field_names,
+    reason = "fields have the names of the file's keys, which end in their unit"
+)]
 pub struct RawDamping {
     pub first_s: Seconds,
     pub most_s: Seconds,
--- a/src/node/cluster/outlier_detection.rs
+++ b/src/node/cluster/outlier_detection.rs
@@ -34,6 +34,7 @@
 }
 
 /// What the end of an attempt says about the server.
+#[derive(Clone, Copy)]
 enum AttemptOutcome {
     Success,
     Failure(FailureKind),
--- a/tests/admin_interface.rs
+++ b/tests/admin_interface.rs
@@ -376,7 +376,7 @@
 }
 
 #[test]
-fn operators_file_with_every_key_is_summed_up_in_these_lines() {
+fn operators_file_with_every_key_has_this_summary() {
     let parsed = OperatorConfig::parse(Path::new("file"), EVERY_KEY).expect("sound");
     assert_eq!(parsed.summary(), ["consul \"dc2\": service \"stays\" through 2 agents, names servers", "consul \"by-address\": service \"by-address\" through 1 agents, advises on the roster's servers", "2 addresses of 1 servers", "cluster \"stays\": 2 peers, probed every 501 ms", "leases of 65 shards, granted by acceptors k0, k1, k2 (set 5), 2504 ms long", "outlier detection: 4 nodes have to report a server, reports every 1001 ms"]);
     assert!(OperatorConfig::default().summary().is_empty());
@@ -395,7 +395,7 @@
     [[server]]\nid = \"s-0\"\naddresses = [{ address = \"[::1]:80\" }]\n";
 
 #[test]
-fn wrong_value_in_operators_file_is_reported_with_line_and_key() {
+fn wrong_value_is_reported_with_line_and_key() {
     assert!(OperatorConfig::parse(Path::new("file"), SECTIONS).is_ok());
     let long_name = format!("\"{}\"", "x".repeat(65));
     let many_peers = format!("\"holds\"\npeers = [{}]", "\"127.0.0.1:1\", ".repeat(4_097));
@@ -448,7 +448,7 @@
 }
 
 #[test]
-fn too_many_sources_or_servers_in_operators_file_are_reported_with_line_and_key() {
+fn too_many_sections_are_reported_with_line_and_key() {
     let source =
         |at| format!("[[consul]]\nname = \"c{at}\"\nservice = \"s\"\nagents = [\"127.0.0.1:1\"]\n");
     let server = |at: usize| {
--- a/tests/operations.rs
+++ b/tests/operations.rs
@@ -128,7 +128,7 @@
 /// Guards the course of a drain: not ready at once, service for clients that still send requests, an end to every idle
 /// connection, and readiness again.
 #[test]
-fn drain_closes_idle_connections_and_undrain_accepts_clients_again() {
+fn drain_closes_connections_until_undrain() {
     let (gate, server) = gated_server();
     let (node, _discovery) = node_with_admin_address(&[&server]);
     let mut busy = node.connect();
