--- a/crates/testkit/src/link.rs
+++ b/crates/testkit/src/link.rs
@@ -168,8 +168,8 @@
     }
 }
 
-/// The most of what has passed that a [`Fault::Repeat`] can bring back.
-const MOST_REPEATED: usize = 64 * 1024;
+/// Maximum number of forwarded bytes that a [`Fault::Repeat`] can send again.
+const MAX_REPEATED_BYTES: usize = 64 * 1024;
 
 fn pass(mut from: Stream, mut to: Stream, plan: Plan) {
     let mut buffer = [0; 16 * 1024];
@@ -207,7 +207,7 @@
 
 fn write(to: &mut Stream, bytes: &[u8], recent: &mut Vec<u8>) -> bool {
     recent.extend_from_slice(bytes);
-    recent.drain(..recent.len().saturating_sub(MOST_REPEATED));
+    recent.drain(..recent.len().saturating_sub(MAX_REPEATED_BYTES));
     to.write_all(bytes).is_ok()
 }
 
@@ -223,60 +223,4 @@
 }
 
 #[cfg(test)]
-mod tests {
-    use super::*;
-    use std::net::{TcpListener, TcpStream};
-
-    /// A link with one plan: ten bytes are on their way into it, and the end that they come out of.
-    fn ten_bytes(plan: Plan) -> (TcpStream, TcpStream) {
-        let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
-        let link = Link::start(listener.local_addr().expect("an address"), move |_| {
-            (plan.clone(), Plan::sound())
-        });
-        let mut near = TcpStream::connect(link.address).expect("it listens");
-        let (far, _) = listener.accept().expect("a connection");
-        near.write_all(b"0123456789").expect("an open connection");
-        (near, far)
-    }
-
-    /// All that arrives until the end.
-    fn through(plan: Plan) -> Vec<u8> {
-        let (near, mut far) = ten_bytes(plan);
-        let _ = near.shutdown(Shutdown::Write); // A link that is cut has ended it already.
-        let mut got = Vec::new();
-        far.read_to_end(&mut got).expect("an end in order");
-        got
-    }
-
-    #[test]
-    fn faults_fall_at_their_byte() {
-        assert_eq!(through(Plan::sound()), b"0123456789");
-        for byte in 0..10 {
-            assert_eq!(through(Plan::at(byte, Fault::Cut)), b"0123456789"[..byte]);
-        }
-        assert_eq!(through(Plan::at(4, Fault::Repeat(2))), b"012323456789");
-        let late = Plan::at(9, Fault::Delay(Duration::from_millis(1))).and(3, Fault::Repeat(99));
-        assert_eq!(through(late), b"0120123456789");
-    }
-
-    #[test]
-    fn a_stalled_link_passes_nothing_on_and_ends_nothing() {
-        let (_near, mut far) = ten_bytes(Plan::at(4, Fault::Stall));
-        let mut got = [0; 4];
-        far.read_exact(&mut got)
-            .expect("the bytes before the fault");
-        assert_eq!(&got, b"0123");
-        far.set_read_timeout(Some(Duration::from_millis(50)))
-            .expect("a socket");
-        assert!(far.read(&mut got).is_err(), "neither a byte nor the end");
-    }
-
-    #[test]
-    fn one_seed_gives_one_plan_and_seeds_differ() {
-        assert_eq!(Plan::seeded(7, 100), Plan::seeded(7, 100));
-        let all: std::collections::HashSet<_> = (0..50)
-            .map(|seed| format!("{:?}", Plan::seeded(seed, 100)))
-            .collect();
-        assert!(all.len() > 30);
-    }
-}
+mod tests;
--- a/crates/testkit/src/load.rs
+++ b/crates/testkit/src/load.rs
@@ -10,8 +10,8 @@
 use crate::message::{post, read};
 use crate::node::Client;
 
-/// Times that are kept: of more the latest. Guards against a load that runs for days, as the demo's may.
-const MOST_TIMES: usize = 200_000;
+/// Maximum number of latencies that are kept, the latest ones: a load, such as the demo's, may run for days.
+const MAX_LATENCIES: usize = 200_000;
 
 /// What was answered.
 #[derive(Clone, Debug, Default, PartialEq)]
@@ -126,8 +126,8 @@
     match &answer {
         Some(answer) => {
             *totals.answers.entry(answer.status()).or_default() += 1;
-            let (took, at) = (start.elapsed(), totals.sent as usize % MOST_TIMES);
-            if totals.times.len() < MOST_TIMES {
+            let (took, at) = (start.elapsed(), totals.sent as usize % MAX_LATENCIES);
+            if totals.times.len() < MAX_LATENCIES {
                 totals.times.push(took);
             } else {
                 totals.times[at] = took;
