--- a/src/node/driver.rs
+++ b/src/node/driver.rs
@@ -16,7 +16,7 @@
 use crate::node::config::{Config, ConfigError, Names};
 use crate::node::discovery::endpoint_list::decode::decode_endpoints;
 use crate::node::upstream::addresses::ConfiguredAddresses;
-use crate::node::upstream::servers::{PoolLimits, Servers, Underway};
+use crate::node::upstream::servers::{PoolLimits, RunningAttempt, Servers};
 use crate::node::upstream::{Ended, Message, RequestBody, Served};
 use crate::settings::SettingsFormatError;
 use balancer::{
@@ -58,7 +58,7 @@
     number: usize,
     server: ServerId,
     sent: Instant,
-    underway: Rc<Underway>,
+    underway: Rc<RunningAttempt>,
     task: AbortHandle,
     /// When its answer began to be passed on, counted from when it was sent: from then on it is the client's.
     passing: Option<Duration>,
@@ -224,7 +224,7 @@
         driver.listing(&decode_endpoints(&config.known), ServerListUpdate::Cached);
         tokio::task::spawn_local(Rc::clone(&driver).wake_up());
         tokio::task::spawn_local(Rc::clone(&driver).sweep());
-        tokio::task::spawn_local(Rc::clone(&driver.servers).wake_up());
+        tokio::task::spawn_local(Rc::clone(&driver.servers).run_timer());
         Ok(driver)
     }
 
@@ -321,7 +321,7 @@
             let stays = listed.contains(id.as_str());
             if !stays {
                 self.keys.borrow_mut().remove(number);
-                self.servers.forget(*number);
+                self.servers.remove(*number);
             }
             stays
         });
@@ -337,7 +337,7 @@
             .into_iter()
             .filter_map(|host| numbers.remove(&host.id))
             .collect();
-        gone.iter().for_each(|number| self.servers.forget(*number));
+        gone.iter().for_each(|number| self.servers.remove(*number));
         let mut numbered: Vec<(ServerId, &Endpoint)> = Vec::with_capacity(there.len());
         for host in there {
             let number = numbers.entry(host.id.clone()).or_insert_with(|| {
@@ -351,7 +351,7 @@
         numbers.retain(|_, at| !replaced.contains(at));
         replaced
             .iter()
-            .for_each(|number| self.servers.forget(*number));
+            .for_each(|number| self.servers.remove(*number));
         gone.extend(&replaced);
         {
             let mut keys = self.keys.borrow_mut();
@@ -530,10 +530,10 @@
         let driver = Rc::clone(self);
         let begin = move |served| driver.begun(number, attempt, served);
         let attempting = Rc::clone(&self.servers).attempt(server, message, deadline, begin);
-        let underway = Rc::new(Underway::new(attempting));
+        let underway = Rc::new(RunningAttempt::new(attempting));
         let (driver, held) = (Rc::clone(self), Rc::clone(&underway));
         let task = tokio::task::spawn_local(async move {
-            let ended = held.ended().await;
+            let ended = held.outcome().await;
             driver.tell(server, ended.ending);
             driver.ended(number, attempt, ended);
         });
@@ -651,7 +651,7 @@
         };
         let out = out.take_if(may_go)?;
         out.task.abort();
-        out.underway.close();
+        out.underway.abort();
         Some(out)
     }
 
@@ -777,7 +777,7 @@
         ticks.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
         loop {
             ticks.tick().await;
-            self.servers.retire();
+            self.servers.close_expired();
             if self.latest.get() >= LATE {
                 self.report_lateness();
             }
--- /dev/null
+++ b/src/node/upstream/servers/checked_out.rs
@@ -0,0 +1,209 @@
+//! Checking connections out of the pool, and connections that are checked out.
+
+use std::rc::Rc;
+use std::time::Duration;
+
+use balancer::ServerId;
+use pool::{
+    recovery, Checkout, CheckoutError, CheckoutId, CloseReason, ConnectionAge, ConnectionId,
+    Recovery, RouteId, ServerKey,
+};
+use tokio::sync::oneshot;
+
+use super::idle::IdleConnection;
+use super::Servers;
+use crate::node::upstream::{Conn, Ended, Message, Served};
+
+/// The result of a checkout, as it is sent to the attempt that waits for it.
+pub(super) type CheckoutResult = Result<CheckedOutConnection, CheckoutError>;
+
+impl Servers {
+    /// Checks out a connection by none of the excluded routes: an idle one, or whichever comes first of one that is
+    /// returned and one that is dialed. Cancel safe: a connection granted to a dropped checkout goes back to the pool.
+    pub(super) async fn check_out(
+        self: &Rc<Self>,
+        server: ServerId,
+        excluded_routes: &[RouteId],
+    ) -> CheckoutResult {
+        let checkout = self.with_pool(|pool, now_ms, actions| {
+            pool.check_out(now_ms, ServerKey(server.0), excluded_routes, actions)
+        });
+        match checkout {
+            Checkout::Ready(connection) => self
+                .checked_out(connection, &mut None)
+                .ok_or(CheckoutError::NoRoute),
+            Checkout::Pending(checkout) => {
+                let (sender, receiver) = oneshot::channel();
+                self.pending_checkouts.borrow_mut().insert(checkout, sender);
+                PendingCheckout {
+                    servers: self,
+                    checkout,
+                    receiver,
+                }
+                .result()
+                .await
+            }
+            Checkout::Failed(error) => Err(error),
+        }
+    }
+
+    /// Takes the socket of a connection that the pool granted: an idle one, or the one that has just been dialed.
+    pub(super) fn checked_out(
+        self: &Rc<Self>,
+        id: ConnectionId,
+        dialed: &mut Option<Conn>,
+    ) -> Option<CheckedOutConnection> {
+        let idle = self.idle_connections.borrow_mut().remove(&id);
+        let socket = idle.or_else(|| {
+            let conn = dialed.take()?;
+            Some(IdleConnection {
+                conn,
+                idle_since_ms: self.now_ms(),
+                age: ConnectionAge::New,
+            })
+        })?;
+        Some(CheckedOutConnection {
+            servers: Rc::clone(self),
+            id,
+            socket: Some(socket),
+            has_begun_exchange: false,
+        })
+    }
+
+    /// Sends a checkout's result to the attempt that waits for it. If the attempt is gone, the connection goes back to
+    /// the pool as it is dropped.
+    pub(super) fn complete_checkout(&self, checkout: CheckoutId, result: CheckoutResult) {
+        let sender = self.pending_checkouts.borrow_mut().remove(&checkout);
+        if let Some(sender) = sender {
+            let _ = sender.send(result);
+        }
+    }
+}
+
+/// A checkout that waits for a connection. Dropping it cancels the checkout.
+struct PendingCheckout<'a> {
+    servers: &'a Rc<Servers>,
+    checkout: CheckoutId,
+    receiver: oneshot::Receiver<CheckoutResult>,
+}
+
+impl PendingCheckout<'_> {
+    async fn result(mut self) -> CheckoutResult {
+        (&mut self.receiver)
+            .await
+            .unwrap_or(Err(CheckoutError::NoRoute))
+    }
+}
+
+impl Drop for PendingCheckout<'_> {
+    fn drop(&mut self) {
+        self.servers
+            .pending_checkouts
+            .borrow_mut()
+            .remove(&self.checkout);
+        self.servers
+            .with_pool(|pool, now_ms, actions| pool.cancel(now_ms, self.checkout, actions));
+    }
+}
+
+/// What follows an exchange that yielded no response head.
+pub(super) struct FailedExchange {
+    pub(super) recovery: Recovery,
+    /// The route of the failed connection, if the server still has it.
+    pub(super) route: Option<RouteId>,
+}
+
+/// A connection that belongs to one attempt. Dropped before its exchange has begun, it goes back to the pool;
+/// afterwards it is closed, since a part of a request or response may be left on it.
+pub(super) struct CheckedOutConnection {
+    servers: Rc<Servers>,
+    id: ConnectionId,
+    /// `None` once it has been closed or checked in.
+    socket: Option<IdleConnection>,
+    has_begun_exchange: bool,
+}
+
+impl CheckedOutConnection {
+    /// Makes one exchange. On failure the connection is closed and reported to the pool.
+    pub(super) async fn exchange(
+        &mut self,
+        request: &Rc<Message>,
+        remaining: Duration,
+        on_streamed_response: &dyn Fn(Served),
+    ) -> Result<Ended, FailedExchange> {
+        self.has_begun_exchange = true;
+        let Some(socket) = &mut self.socket else {
+            return Err(FailedExchange {
+                recovery: Recovery::AnyConnection,
+                route: None,
+            });
+        };
+        let exchanged = socket
+            .conn
+            .exchange(request, remaining, on_streamed_response)
+            .await;
+        let age = socket.age;
+        exchanged.map_err(|error| {
+            let recovery = recovery(age, error.sent, error.error);
+            let route = self.servers.pool.borrow().route_of(self.id);
+            match recovery {
+                _ if error.has_unsolicited_bytes => self.close(CloseReason::UnsolicitedBytes),
+                Recovery::AnyConnection => self.close_as_stale(CloseReason::ByPeer),
+                Recovery::OtherAddress => self.close(CloseReason::Broken),
+                Recovery::Reset | Recovery::Malformed => self.close(CloseReason::Finished),
+            }
+            FailedExchange { recovery, route }
+        })
+    }
+
+    /// Ends the checkout after a response: the connection goes back to the pool if it can be reused.
+    pub(super) fn finish(mut self, server: ServerId) {
+        let close_reason = self.socket.as_mut().and_then(|socket| socket.conn.look());
+        match close_reason {
+            Some(reason) => self.close(reason),
+            None if self.servers.is_draining(server) => self.close(CloseReason::Finished),
+            None => self.check_in(),
+        }
+    }
+
+    /// Closes a reused connection that turned out to be closed by its peer, and reports for how long it was idle.
+    fn close_as_stale(&mut self, reason: CloseReason) {
+        let Some(socket) = self.socket.take() else {
+            return;
+        };
+        let id = self.id;
+        self.servers.with_pool(|pool, now_ms, actions| {
+            pool.found_stale(now_ms, id, reason, now_ms - socket.idle_since_ms, actions);
+        });
+    }
+
+    fn close(&mut self, reason: CloseReason) {
+        let closed = self.socket.take();
+        if closed.is_some() {
+            let id = self.id;
+            self.servers.with_pool(|pool, now_ms, actions| {
+                pool.connection_closed(now_ms, id, reason, actions);
+            });
+        }
+    }
+
+    fn check_in(&mut self) {
+        let Some(IdleConnection { conn, .. }) = self.socket.take() else {
+            return;
+        };
+        self.servers.store_idle(self.id, conn);
+        let id = self.id;
+        self.servers
+            .with_pool(|pool, now_ms, actions| pool.check_in(now_ms, id, actions));
+    }
+}
+
+impl Drop for CheckedOutConnection {
+    fn drop(&mut self) {
+        if self.has_begun_exchange {
+            self.close(CloseReason::Finished);
+        } else {
+            self.check_in();
+        }
+    }
+}
--- /dev/null
+++ b/src/node/upstream/servers/idle.rs
@@ -0,0 +1,53 @@
+//! The sockets of idle connections.
+
+use std::collections::HashMap;
+use std::rc::Rc;
+
+use balancer::ServerId;
+use pool::{ConnectionAge, ConnectionId, ServerKey};
+
+use super::Servers;
+use crate::node::upstream::Conn;
+
+/// The socket of a connection, with what the pool is told when it turns out to be stale.
+pub(super) struct IdleConnection {
+    pub(super) conn: Conn,
+    pub(super) idle_since_ms: f64,
+    pub(super) age: ConnectionAge,
+}
+
+impl Servers {
+    /// Keeps the socket of a connection that has become idle.
+    pub(super) fn store_idle(&self, id: ConnectionId, conn: Conn) {
+        let idle = IdleConnection {
+            conn,
+            idle_since_ms: self.now_ms(),
+            age: ConnectionAge::Reused,
+        };
+        self.idle_connections.borrow_mut().insert(id, idle);
+    }
+
+    /// Closes the idle connections to a server.
+    pub fn close_idle(self: &Rc<Self>, server: ServerId) {
+        self.with_pool(|pool, _, actions| pool.close_idle(ServerKey(server.0), actions));
+    }
+
+    /// Closes connections that have been idle too long or that their servers have closed.
+    pub fn close_expired(self: &Rc<Self>) {
+        let mut closed = HashMap::new();
+        for (id, idle) in self.idle_connections.borrow_mut().iter_mut() {
+            if let Some(reason) = idle.conn.look() {
+                closed.insert(*id, reason);
+            }
+        }
+        self.idle_connections
+            .borrow_mut()
+            .retain(|id, _| !closed.contains_key(id));
+        self.with_pool(|pool, now_ms, actions| {
+            if !closed.is_empty() {
+                pool.idle_closed(now_ms, &closed, actions);
+            }
+            pool.close_expired(now_ms, actions);
+        });
+    }
+}
--- a/src/node/upstream/servers/tests.rs
+++ b/src/node/upstream/servers/tests.rs
@@ -1,8 +1,11 @@
 use super::*;
+use std::future::Future;
+use std::io;
 use std::pin::pin;
 use std::task::{Context, Waker};
 
-use crate::node::upstream::RequestBody;
+use crate::node::upstream::{Ended, Message, RequestBody};
+use balancer::AttemptResult;
 use bytes::Bytes;
 use hyper::{HeaderMap, Method, Uri};
 
@@ -29,7 +32,7 @@
         PoolLimits::default(),
         Clock::new(),
     );
-    tokio::task::spawn_local(Rc::clone(&servers).wake_up());
+    tokio::task::spawn_local(Rc::clone(&servers).run_timer());
     servers
 }
 
@@ -51,15 +54,15 @@
     )
 }
 
-/// Guards the rule on drains where the word comes between the choice of a server and the first byte.
+/// A server that starts to drain between its selection and the first byte gets nothing.
 #[tokio::test]
-async fn nothing_goes_out_that_was_chosen_before_the_word_of_a_drain() {
+async fn attempt_whose_server_starts_to_drain_during_the_dial_assert_not_sent() {
     tokio::task::LocalSet::new()
-        .run_until(drained_at_the_instant_of_a_send())
+        .run_until(check_drain_during_dial())
         .await;
 }
 
-async fn drained_at_the_instant_of_a_send() {
+async fn check_drain_during_dial() {
     let (listener, servers, host, deadline) = one_server();
     let mut attempt = pin!(Rc::clone(&servers).attempt(ServerId(0), message(), deadline, |_| ()));
     let begun = attempt
@@ -73,11 +76,11 @@
             ..host
         },
     )]);
-    is_not_sent(attempt, &servers, &listener).await;
+    assert_not_sent(attempt, &servers, &listener).await;
 }
 
-/// An attempt ends as not sent, and its connection has carried nothing.
-async fn is_not_sent(
+/// Asserts that the attempt ends as not sent and that its connection carried no byte.
+async fn assert_not_sent(
     attempt: impl Future<Output = Ended>,
     servers: &Servers,
     listener: &std::net::TcpListener,
@@ -86,23 +89,28 @@
         .await
         .expect("it sends, and waits");
     assert_eq!(ended.ending, AttemptResult::NotSent);
-    drop(servers.standing.borrow_mut().drain().collect::<Vec<_>>());
+    drop(
+        servers
+            .idle_connections
+            .borrow_mut()
+            .drain()
+            .collect::<Vec<_>>(),
+    );
     let (mut connection, _) = listener.accept().expect("a connection");
     let mut bytes = Vec::new();
     io::Read::read_to_end(&mut connection, &mut bytes).expect("an end in order");
     assert!(bytes.is_empty(), "nothing went out");
 }
 
-/// Guards against an attempt that begins for a client which left while it waited for its connection, and against a
-/// repeat whose connection comes up only after servers may have forgotten the attempt before.
+/// Covers a client that left during the dial, and a retry whose dial outlasts the deduplication window.
 #[tokio::test]
-async fn nothing_goes_out_that_may_not_any_more_when_its_connection_comes_up() {
+async fn attempt_whose_send_deadline_passes_during_the_dial_assert_not_sent() {
     tokio::task::LocalSet::new()
-        .run_until(given_up_at_the_instant_of_a_send())
+        .run_until(check_send_deadline_during_dial())
         .await;
 }
 
-async fn given_up_at_the_instant_of_a_send() {
+async fn check_send_deadline_during_dial() {
     let (listener, servers, _, deadline) = one_server();
     let message = message();
     let mut attempt =
@@ -112,30 +120,36 @@
         .poll(&mut Context::from_waker(Waker::noop()));
     assert!(begun.is_pending(), "it is on its way");
     message.until.set(Some(Instant::now()));
-    is_not_sent(attempt, &servers, &listener).await;
+    assert_not_sent(attempt, &servers, &listener).await;
 }
 
-/// Guards against descriptors that are lost count of, and against dials that nobody waits for.
+/// The pool counts exactly the sockets and dials that exist, wherever an attempt is aborted.
 #[tokio::test]
-async fn what_is_given_up_leaves_nothing() {
+async fn attempt_aborted_at_any_stage_leaks_no_connection() {
     tokio::task::LocalSet::new()
-        .run_until(given_up_at_each_stage())
+        .run_until(check_abort_at_each_stage())
         .await;
 }
 
-async fn given_up_at_each_stage() {
+async fn check_abort_at_each_stage() {
     let (_listener, servers, _, deadline) = one_server();
     for turns in 0..40 {
-        let underway =
-            Underway::new(Rc::clone(&servers).attempt(ServerId(0), message(), deadline, |_| ()));
+        let attempt = RunningAttempt::new(Rc::clone(&servers).attempt(
+            ServerId(0),
+            message(),
+            deadline,
+            |_| (),
+        ));
         for _ in 0..turns {
-            let mut ended = pin!(underway.ended());
-            let _ = ended.as_mut().poll(&mut Context::from_waker(Waker::noop()));
+            let mut outcome = pin!(attempt.outcome());
+            let _ = outcome
+                .as_mut()
+                .poll(&mut Context::from_waker(Waker::noop()));
             tokio::task::yield_now().await;
         }
-        underway.close();
-        assert!(servers.waiting.borrow().is_empty());
-        let held = servers.standing.borrow().len() + servers.dials.borrow().len();
+        attempt.abort();
+        assert!(servers.pending_checkouts.borrow().is_empty());
+        let held = servers.idle_connections.borrow().len() + servers.dials.borrow().len();
         assert_eq!(
             servers.pool.borrow().open_connections(),
             held,
@@ -144,16 +158,15 @@
     }
 }
 
-/// What breaks before a request's last byte goes on by another address, in the same attempt and once; whatever the
-/// kinds.
+/// A connection that breaks before the request's last byte is replaced within the attempt, for each address family.
 #[tokio::test]
-async fn what_breaks_in_the_midst_of_a_request_goes_by_another_address() {
+async fn connection_that_breaks_within_a_request_is_retried_by_another_address() {
     tokio::task::LocalSet::new()
-        .run_until(broken_in_the_midst())
+        .run_until(check_break_within_request())
         .await;
 }
 
-async fn broken_in_the_midst() {
+async fn check_break_within_request() {
     for (kind, closes) in testkit::Kind::all()
         .into_iter()
         .flat_map(|kind| [(kind, true), (kind, false)])
