--- a/src/node/downstream/clients.rs
+++ b/src/node/downstream/clients.rs
@@ -32,14 +32,16 @@
 use crate::node::downstream::passing::{passing, Feeder, Outgoing, Passed, Upload};
 use crate::node::downstream::socket::Socket;
 use crate::node::driver::{Answer, Driver};
-use crate::node::upstream::answers::{MOST_BODY, MOST_HELD, MOST_PASSED};
-use crate::node::upstream::{Message, RequestBody, ResponseBody, Served};
+use crate::node::upstream::response::{
+    MAX_BUFFERED_REQUEST_BYTES, MAX_STREAMED_BODY_BYTES, MAX_UNRESERVED_BODY_BYTES,
+};
+use crate::node::upstream::{RequestBody, ResponseBody, UpstreamRequest, UpstreamResponse};
 use balancer::Idempotency;
 
 /// The most of a message's head that is read, and of a body that is read at a time.
 const BUFFER: usize = 32 * 1024;
 /// The most that is read after the last answer on a connection, and for how long.
-const MOST_LINGERED: usize = 64 * MOST_BODY;
+const MOST_LINGERED: usize = 64 * MAX_UNRESERVED_BODY_BYTES;
 const LINGER_TIME: Duration = Duration::from_secs(1);
 /// The longest deadline that a client can mean.
 const LONGEST_DEADLINE: Duration = Duration::from_secs(60 * 60);
@@ -504,17 +506,17 @@
 
 /// A server's answer for the client; it is counted as it ends.
 fn pass_on(
-    served: Served,
+    served: UpstreamResponse,
     counted: InFlightRequest,
     tracked: &Rc<TrackedConnection>,
 ) -> Response<Outgoing> {
     let end = end_of(served.status);
     let body = match served.body {
-        ResponseBody::Whole(body) => {
+        ResponseBody::Buffered(body) => {
             counted.finish(end);
             Outgoing::whole(body)
         }
-        ResponseBody::Passing(passing) => {
+        ResponseBody::Streamed(passing) => {
             let tracked = Rc::clone(tracked);
             Outgoing::passing(passing, move |passed| {
                 tracked.set_passing(false);
@@ -542,7 +544,7 @@
     body: Incoming,
     state: &FrontState,
 ) -> Result<Answer, Rejection> {
-    if body.size_hint().lower() > MOST_PASSED as u64 {
+    if body.size_hint().lower() > MAX_STREAMED_BODY_BYTES as u64 {
         return Err(TOO_LARGE);
     }
     let driver = &state.driver;
@@ -574,19 +576,22 @@
         .map_or(head.uri, Into::into);
     let sent = driver.metrics.attempts(class).clone();
     let (body, feeder) = match held {
-        Held::Whole(body) => (RequestBody::Whole(body), None),
+        Held::Whole(body) => (RequestBody::Buffered(body), None),
         Held::Part(first) => {
             let (feeder, rest) = passing(coming.left());
-            (RequestBody::Passing(Upload::new(first, rest)), Some(feeder))
+            (
+                RequestBody::Streamed(Upload::new(first, rest)),
+                Some(feeder),
+            )
         }
     };
-    let message = Message {
+    let message = UpstreamRequest {
         method: head.method,
         uri,
         headers,
         body,
-        sent,
-        until: Cell::default(),
+        sent_attempts: sent,
+        send_deadline: Cell::default(),
     };
     let Some(mut taken) = driver.take(class, tenant, key, message, arrived, time) else {
         return Ok(Answer::Rejected { after_ms: None });
@@ -669,9 +674,11 @@
             .left()
             .map(|left| left.saturating_add(held.len() as u64));
         let mut is_whole = false;
-        while told.is_none_or(|told| told <= MOST_HELD as u64) && held.len() < MOST_HELD {
+        while told.is_none_or(|told| told <= MAX_BUFFERED_REQUEST_BYTES as u64)
+            && held.len() < MAX_BUFFERED_REQUEST_BYTES
+        {
             // What is longer than ordinary is held as long as there is room.
-            let beyond = held.len().saturating_sub(MOST_BODY);
+            let beyond = held.len().saturating_sub(MAX_UNRESERVED_BODY_BYTES);
             let is_reserved = match &mut reservation {
                 _ if beyond == 0 => true,
                 Some(reservation) => {
@@ -707,7 +714,7 @@
         let mut fed = 0;
         while let Some(piece) = self.piece(state).await? {
             fed += piece.len();
-            if fed > MOST_PASSED {
+            if fed > MAX_STREAMED_BODY_BYTES {
                 return Err(TOO_LARGE);
             }
             let since_ms = state.driver.now_ms();
--- a/src/node/driver.rs
+++ b/src/node/driver.rs
@@ -17,7 +17,7 @@
 use crate::node::discovery::endpoint_list::decode::decode_endpoints;
 use crate::node::upstream::addresses::ConfiguredAddresses;
 use crate::node::upstream::servers::{PoolLimits, RunningAttempt, Servers};
-use crate::node::upstream::{Ended, Message, RequestBody, Served};
+use crate::node::upstream::{AttemptOutcome, RequestBody, UpstreamRequest, UpstreamResponse};
 use crate::settings::SettingsFormatError;
 use balancer::{
     Action, AttemptResult, Availability, Balancer, Class, Event, Idempotency, Outcome, Request,
@@ -43,7 +43,7 @@
 #[derive(Debug)]
 pub enum Answer {
     /// A server's own.
-    Served(Served),
+    Served(UpstreamResponse),
     /// Rejected: a retry is harmless.
     Rejected {
         /// When the client should, where the balancer names a time.
@@ -67,7 +67,7 @@
 /// A request that is owed an answer or has an attempt out.
 struct Open {
     answer: Option<oneshot::Sender<Answer>>,
-    message: Rc<Message>,
+    message: Rc<UpstreamRequest>,
     deadline: Instant,
     /// Its time, counted from its last byte, while that is yet to come.
     coming: Option<Duration>,
@@ -390,7 +390,7 @@
         class: usize,
         tenant: usize,
         item: Option<Box<str>>,
-        message: Message,
+        message: UpstreamRequest,
         arrived: Instant,
         time: Duration,
     ) -> Option<Taken> {
@@ -399,7 +399,7 @@
         }
         let number = self.next_request.get();
         self.next_request.set(number + 1);
-        let coming = Some(time).filter(|_| matches!(message.body, RequestBody::Passing(_)));
+        let coming = Some(time).filter(|_| matches!(message.body, RequestBody::Streamed(_)));
         let time = coming.map_or(time, |_| LONGEST_COMING);
         let deadline = self.before_the_end(arrived + time.saturating_sub(MARGIN));
         let (answer, answered) = oneshot::channel();
@@ -513,7 +513,8 @@
         request.attempts += 1;
         // Guards the rules whatever the balancer says: no send for a request that is over or of which a part is
         // gone, none beyond the attempts allowed, and never two at once.
-        let over = request.answer.is_none() || now >= request.deadline || !request.message.can_go();
+        let over =
+            request.answer.is_none() || now >= request.deadline || !request.message.may_be_sent();
         if over || attempt >= self.max_attempts || request.out.is_some() {
             drop(open);
             return self.outcome(
@@ -525,7 +526,7 @@
         }
         let message = Rc::clone(&request.message);
         // Guards against a repeat whose connection comes up late: what counts is when it goes out.
-        message.until.set(request.repeats_until);
+        message.send_deadline.set(request.repeats_until);
         let deadline = request.coming.map_or(request.deadline, |time| now + time);
         let driver = Rc::clone(self);
         let begin = move |served| driver.begun(number, attempt, served);
@@ -534,7 +535,7 @@
         let (driver, held) = (Rc::clone(self), Rc::clone(&underway));
         let task = tokio::task::spawn_local(async move {
             let ended = held.outcome().await;
-            driver.tell(server, ended.ending);
+            driver.tell(server, ended.result);
             driver.ended(number, attempt, ended);
         });
         let task = task.abort_handle();
@@ -576,7 +577,7 @@
     }
 
     /// An answer begins that is passed on as it comes.
-    fn begun(self: &Rc<Self>, number: u64, attempt: usize, served: Served) {
+    fn begun(self: &Rc<Self>, number: u64, attempt: usize, served: UpstreamResponse) {
         {
             let mut open = self.open.borrow_mut();
             let Some(request) = open.get_mut(&number) else {
@@ -597,7 +598,7 @@
     }
 
     /// An attempt came to its own end.
-    fn ended(self: &Rc<Self>, number: u64, attempt: usize, mut ended: Ended) {
+    fn ended(self: &Rc<Self>, number: u64, attempt: usize, mut ended: AttemptOutcome) {
         let elapsed = {
             let mut open = self.open.borrow_mut();
             let Some(request) = open.get_mut(&number) else {
@@ -606,9 +607,9 @@
             let Some(out) = request.out.take_if(|out| out.number == attempt) else {
                 return;
             };
-            let served = ended.served.take();
+            let served = ended.response.take();
             if let (Some(served), Some(answer)) =
-                (served, request.answer.take_if(|_| is_final(ended.ending)))
+                (served, request.answer.take_if(|_| is_final(ended.result)))
             {
                 let _ = answer.send(Answer::Served(served)); // A client that has left is an event of its own.
             }
@@ -617,11 +618,17 @@
         self.outcome(number, attempt, elapsed, ended);
     }
 
-    fn outcome(self: &Rc<Self>, number: u64, attempt: usize, elapsed: Duration, ended: Ended) {
+    fn outcome(
+        self: &Rc<Self>,
+        number: u64,
+        attempt: usize,
+        elapsed: Duration,
+        ended: AttemptOutcome,
+    ) {
         let complete = {
             let mut open = self.open.borrow_mut();
             let request = open.get_mut(&number);
-            if let Some(request) = request.filter(|_| ended.ending.may_have_run()) {
+            if let Some(request) = request.filter(|_| ended.result.may_have_run()) {
                 let until = request
                     .window
                     .and_then(|window| (Instant::now() - elapsed).checked_add(window));
@@ -635,7 +642,7 @@
             request: RequestId(number),
             attempt,
             elapsed_ms: elapsed.as_secs_f64() * 1e3,
-            result: ended.ending,
+            result: ended.result,
             complete,
             report: ended.report,
         }));
@@ -718,7 +725,7 @@
     fn client_gone(self: &Rc<Self>, number: u64) {
         let owed = self.open.borrow_mut().get_mut(&number).and_then(|request| {
             // Its attempt may still wait for a connection, where settings allow none to be cancelled.
-            request.message.until.set(Some(Instant::now()));
+            request.message.send_deadline.set(Some(Instant::now()));
             request.answer.take()
         });
         if owed.is_some() {
--- a/src/node/upstream/addresses.rs
+++ b/src/node/upstream/addresses.rs
@@ -1,4 +1,4 @@
-//! At which addresses each server is reached: those that membership names, and those that the operators' file adds.
+//! The addresses of each server: those that discovery names, and those that the operators' file adds.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -11,29 +11,31 @@
 pub struct ServerAddresses {
     /// The addresses.
     pub routes: Vec<Route>,
-    /// Whether the server is reached at these alone, and not where membership has it.
+    /// Whether only these are used, and none that discovery names.
     pub exclusive: bool,
 }
 
 /// The addresses in the operators' file, by a server's id.
 pub type ConfiguredAddresses = HashMap<String, ServerAddresses>;
 
-/// The addresses of a server, of which membership names `listed` as its main one. One that is named twice goes by
-/// what the operators say of it.
+/// The routes to a server whose main address is `listed_address` according to discovery. For an address that both name,
+/// the operators' file takes precedence.
 #[must_use]
 pub fn routes(
     configured: &ConfiguredAddresses,
-    host: &Endpoint,
-    listed: Option<SocketAddr>,
+    endpoint: &Endpoint,
+    listed_address: Option<SocketAddr>,
 ) -> Vec<Route> {
-    let own = configured.get(&host.id);
-    let mut routes = own.map(|own| own.routes.clone()).unwrap_or_default();
-    if own.is_some_and(|own| own.exclusive) {
+    let configured_server = configured.get(&endpoint.id);
+    let mut routes = configured_server
+        .map(|server| server.routes.clone())
+        .unwrap_or_default();
+    if configured_server.is_some_and(|server| server.exclusive) {
         return routes;
     }
-    for address in listed
+    for address in listed_address
         .into_iter()
-        .chain(host.alternate_addresses.iter().copied())
+        .chain(endpoint.alternate_addresses.iter().copied())
     {
         let address = Address::Ip(address);
         if routes.iter().all(|route| route.address != address) {
--- /dev/null
+++ b/src/node/upstream/http1/connection.rs
@@ -0,0 +1,219 @@
+//! One connection and the exchanges on it.
+
+use std::future::{poll_fn, Future};
+use std::io::{self, Write};
+use std::pin::{pin, Pin};
+use std::rc::Rc;
+use std::task::{Context, Poll, Waker};
+use std::time::Duration;
+
+use flow_control::response_stall_timeout_ms;
+use hyper::body::Incoming;
+use hyper::client::conn::http1::{Builder, Connection, SendRequest};
+use hyper::header::{HeaderName, HeaderValue, HOST};
+use hyper::{Request, Response};
+use hyper_util::rt::TokioIo;
+use pool::{CloseReason, ConnectionError};
+
+use super::metered::MeteredStream;
+use super::progress::{ExchangeProgress, MIN_SEND_STALL_TIMEOUT};
+use super::request_body::AttemptBody;
+use super::response_reader::STREAMING_STALL_TIMEOUT;
+use crate::node::admin::log;
+use crate::node::upstream::stream::Stream;
+use crate::node::upstream::{AttemptOutcome, Exchange, ExchangeError, UpstreamRequest};
+
+/// Bound on a message's head, and on what is read of a body at a time.
+const MAX_READ_BUFFER_BYTES: usize = 32 * 1024;
+/// The decimal digits of a `u64`, its unit and some slack.
+const MAX_DEADLINE_TEXT_BYTES: usize = 24;
+const REQ_DEADLINE: HeaderName = HeaderName::from_static("req-deadline");
+const DEFAULT_HOST: HeaderValue = HeaderValue::from_static("service.internal");
+
+/// hyper's half of a connection, which owns the socket and makes progress only while it is polled.
+type HyperConnection = Pin<Box<Connection<TokioIo<MeteredStream>, AttemptBody>>>;
+
+/// A connection that speaks HTTP/1.1.
+pub struct Http1Connection {
+    sender: SendRequest<AttemptBody>,
+    /// `None` once it has ended or failed: the socket is closed then.
+    connection: Option<HyperConnection>,
+    pub(super) progress: Rc<ExchangeProgress>,
+}
+
+impl Http1Connection {
+    /// Makes a connected stream an HTTP/1.1 connection.
+    ///
+    /// # Errors
+    ///
+    /// The stream has failed.
+    pub async fn new(stream: Stream) -> io::Result<Self> {
+        let progress = Rc::<ExchangeProgress>::default();
+        let io = TokioIo::new(MeteredStream::new(stream, Rc::clone(&progress)));
+        let (sender, connection) = Builder::new()
+            .max_buf_size(MAX_READ_BUFFER_BYTES)
+            .handshake(io)
+            .await
+            .map_err(io::Error::other)?;
+        Ok(Self {
+            sender,
+            connection: Some(Box::pin(connection)),
+            progress,
+        })
+    }
+
+    /// Implements [`ServerConnection::close_reason`](crate::node::upstream::ServerConnection::close_reason). It finds a
+    /// connection that was closed since its last exchange, on which a request would end as a reset, and one that
+    /// holds bytes beyond its last response.
+    pub fn close_reason(&mut self) -> Option<CloseReason> {
+        let mut context = Context::from_waker(Waker::noop());
+        poll_connection(&mut self.connection, &self.progress, &mut context);
+        if self.progress.has_unsolicited_bytes() {
+            Some(CloseReason::UnsolicitedBytes)
+        } else if self.connection.is_none() {
+            Some(CloseReason::ByPeer)
+        } else if self.sender.is_ready() {
+            None
+        } else {
+            Some(CloseReason::Finished)
+        }
+    }
+
+    /// Implements [`ServerConnection::exchange`](crate::node::upstream::ServerConnection::exchange).
+    ///
+    /// # Errors
+    ///
+    /// The exchange failed before a response head arrived.
+    pub async fn exchange(
+        &mut self,
+        exchange: Exchange<'_>,
+    ) -> Result<AttemptOutcome, ExchangeError> {
+        let remaining_ms = exchange.remaining.as_secs_f64() * 1e3;
+        let stall_timeout = Duration::from_secs_f64(response_stall_timeout_ms(remaining_ms) / 1e3);
+        match self.send(exchange, stall_timeout).await {
+            Ok(response) => Ok(self
+                .read_response(response, stall_timeout, exchange.on_streamed_response)
+                .await),
+            Err(error) => {
+                self.close();
+                Err(ExchangeError {
+                    bytes_sent: self.progress.bytes_sent(),
+                    error,
+                    has_unsolicited_bytes: self.progress.has_unsolicited_bytes()
+                        || error == ConnectionError::InvalidResponse,
+                })
+            }
+        }
+    }
+
+    /// Sends a request and waits for the response head.
+    async fn send(
+        &mut self,
+        exchange: Exchange<'_>,
+        stall_timeout: Duration,
+    ) -> Result<Response<Incoming>, ConnectionError> {
+        self.progress.begin(&exchange.request.sent_attempts);
+        let body = AttemptBody::new(exchange.request, &self.progress);
+        let send_stall_timeout = if body.is_buffered() {
+            stall_timeout.max(MIN_SEND_STALL_TIMEOUT)
+        } else {
+            STREAMING_STALL_TIMEOUT
+        };
+        let request = hyper_request(exchange.request, exchange.remaining, body);
+        let response = self.sender.send_request(request);
+        tokio::select! {
+            biased;
+            response = drive(&mut self.connection, &self.progress, response) => {
+                response.map_err(|error| {
+                    if error.is_parse() || self.progress.exceeds_response_limit() {
+                        log::line(format_args!("malformed response from a server: {error}"));
+                        ConnectionError::InvalidResponse
+                    } else {
+                        ConnectionError::Closed
+                    }
+                })
+            }
+            error = self.progress.wait_for_stall(stall_timeout, send_stall_timeout) => {
+                log::line("a server's response, or the request to it, stalled");
+                Err(error)
+            }
+        }
+    }
+
+    /// Closes the socket.
+    pub(super) fn close(&mut self) {
+        self.connection = None;
+    }
+
+    /// Awaits a future of this connection while driving the connection itself.
+    pub(super) async fn drive<F: Future>(&mut self, future: F) -> F::Output {
+        drive(&mut self.connection, &self.progress, future).await
+    }
+}
+
+/// Polls a connection, and closes it once it has ended.
+fn poll_connection(
+    connection: &mut Option<HyperConnection>,
+    progress: &ExchangeProgress,
+    cx: &mut Context<'_>,
+) {
+    let Some(hyper_connection) = connection else {
+        return;
+    };
+    if let Poll::Ready(result) = hyper_connection.as_mut().poll(cx) {
+        if result.is_err_and(|error| is_caused_by_input(&error)) {
+            progress.record_unsolicited_bytes();
+        }
+        *connection = None;
+    }
+}
+
+/// Whether the received bytes caused an error, as opposed to an I/O error or a close.
+fn is_caused_by_input(error: &hyper::Error) -> bool {
+    let is_io_error = std::error::Error::source(error)
+        .is_some_and(<dyn std::error::Error + 'static>::is::<io::Error>);
+    !is_io_error && !error.is_incomplete_message() && !error.is_canceled() && !error.is_closed()
+}
+
+/// Drives a connection and a future that waits for it in the same task, so that dropping the future stops both.
+async fn drive<F: Future>(
+    connection: &mut Option<HyperConnection>,
+    progress: &ExchangeProgress,
+    future: F,
+) -> F::Output {
+    let mut future = pin!(future);
+    poll_fn(|cx| {
+        poll_connection(connection, progress, cx);
+        future.as_mut().poll(cx)
+    })
+    .await
+}
+
+/// Writes a duration in microseconds, as `480000u`, into `buffer`. `None`: it does not fit.
+fn encode_microseconds(duration: Duration, buffer: &mut [u8]) -> Option<&[u8]> {
+    let capacity = buffer.len();
+    let mut unused = &mut buffer[..];
+    write!(unused, "{}u", duration.as_micros()).ok()?;
+    let length = capacity - unused.len();
+    Some(&buffer[..length])
+}
+
+fn hyper_request(
+    request: &UpstreamRequest,
+    remaining: Duration,
+    body: AttemptBody,
+) -> Request<AttemptBody> {
+    let mut hyper_request = Request::new(body);
+    *hyper_request.method_mut() = request.method.clone();
+    *hyper_request.uri_mut() = request.uri.clone();
+    *hyper_request.headers_mut() = request.headers.clone();
+    let headers = hyper_request.headers_mut();
+    let mut buffer = [0; MAX_DEADLINE_TEXT_BYTES];
+    let deadline = encode_microseconds(remaining, &mut buffer)
+        .and_then(|text| HeaderValue::from_bytes(text).ok());
+    if let Some(deadline) = deadline {
+        headers.insert(REQ_DEADLINE, deadline);
+    }
+    headers.entry(HOST).or_insert(DEFAULT_HOST);
+    hyper_request
+}
--- a/src/node/upstream/http1/mod.rs
+++ b/src/node/upstream/http1/mod.rs
@@ -1,7 +1,12 @@
-//! HTTP/1.1 to servers: the first protocol of the seam [`upstream`](crate::node::back).
+//! HTTP/1.1 to servers, one protocol of [`ServerConnection`](crate::node::upstream::ServerConnection).
+//!
+//! `connection` makes the exchanges and `response_reader` reads their bodies. `metered` is the socket, which records
+//! in `progress` what is sent and received: whether a request may have run depends on it.
 
-mod exchange;
+mod connection;
 mod metered;
-mod sending;
+mod progress;
+mod request_body;
+mod response_reader;
 
-pub use exchange::Conn;
+pub use connection::Http1Connection;
--- /dev/null
+++ b/src/node/upstream/http1/progress.rs
@@ -0,0 +1,194 @@
+//! What has been sent and received of the current exchange. It decides whether a request may have run, and whether what
+//! arrives can be its response.
+
+use std::cell::{Cell, RefCell};
+use std::fmt;
+use std::time::Duration;
+
+use admin::Counter;
+use pool::{BytesSent, ConnectionError};
+use tokio::sync::Notify;
+
+use crate::node::upstream::response::MAX_UNRESERVED_BODY_BYTES;
+
+/// Bound on what arrives with a buffered response: its head, its body and some 1xx responses before it.
+const MAX_BUFFERED_RESPONSE_WIRE_BYTES: usize = 4 * MAX_UNRESERVED_BODY_BYTES;
+/// The shortest time that a server may accept nothing of a buffered request before it counts as stalled: TCP
+/// retransmits two lost packets within it. A request whose last byte has not been sent has not run, and may be sent by
+/// another address.
+pub const MIN_SEND_STALL_TIMEOUT: Duration = Duration::from_millis(600);
+const HEAD_END: [u8; 4] = *b"\r\n\r\n";
+
+/// The bytes received exceed what any response may have.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct ResponseLimitExceeded;
+
+impl fmt::Display for ResponseLimitExceeded {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        f.write_str("more bytes arrived than any response may have")
+    }
+}
+
+impl std::error::Error for ResponseLimitExceeded {}
+
+/// The progress of the current exchange on a connection, shared between its socket, request body and owner.
+#[derive(Debug, Default)]
+pub struct ExchangeProgress {
+    written_bytes: Cell<u64>,
+    read_bytes: Cell<usize>,
+    /// The last bytes received.
+    tail: Cell<[u8; 4]>,
+    /// Whether the request's last byte has been handed to hyper.
+    is_body_complete: Cell<bool>,
+    /// Whether the request's last byte has been written to the socket.
+    is_sent: Cell<bool>,
+    /// Whether the last write was refused, as the server's receive window is full.
+    is_write_blocked: Cell<bool>,
+    /// Counts the requests that have been sent completely.
+    sent_attempts: RefCell<Counter>,
+    /// Notified when anything is written, received or blocked.
+    changed: Notify,
+    /// How many bytes a chunked or streamed response may have beyond [`MAX_BUFFERED_RESPONSE_WIRE_BYTES`].
+    additional_bytes: Cell<usize>,
+    exceeds_response_limit: Cell<bool>,
+    has_unsolicited_bytes: Cell<bool>,
+}
+
+impl ExchangeProgress {
+    /// Resets the progress for the next request. What a connection has done wrong stays recorded.
+    pub fn begin(&self, sent_attempts: &Counter) {
+        self.sent_attempts.replace(sent_attempts.clone());
+        self.written_bytes.set(0);
+        self.is_sent.set(false);
+        self.is_body_complete.set(true);
+        self.is_write_blocked.set(false);
+        self.read_bytes.set(0);
+        self.additional_bytes.set(0);
+        self.tail.set([0; 4]);
+    }
+
+    /// Records whether hyper has the last byte of the request.
+    pub fn set_body_complete(&self, is_complete: bool) {
+        self.is_body_complete.set(is_complete);
+    }
+
+    /// How much of the request has been sent.
+    pub fn bytes_sent(&self) -> BytesSent {
+        match self.written_bytes.get() {
+            _ if self.is_sent.get() => BytesSent::Complete,
+            0 => BytesSent::None,
+            _ => BytesSent::Partial,
+        }
+    }
+
+    /// Whether any byte of the request has been written.
+    pub fn has_written(&self) -> bool {
+        self.written_bytes.get() > 0
+    }
+
+    /// Raises the limit of the current response by so many bytes.
+    pub fn allow_additional_bytes(&self, bytes: usize) {
+        self.additional_bytes.set(bytes);
+    }
+
+    /// Whether more bytes arrived than any response may have.
+    pub fn exceeds_response_limit(&self) -> bool {
+        self.exceeds_response_limit.get()
+    }
+
+    /// Whether bytes arrived that belong to no request.
+    pub fn has_unsolicited_bytes(&self) -> bool {
+        self.has_unsolicited_bytes.get()
+    }
+
+    /// Records that bytes arrived that belong to no request.
+    pub fn record_unsolicited_bytes(&self) {
+        self.has_unsolicited_bytes.set(true);
+    }
+
+    /// Records received bytes.
+    ///
+    /// # Errors
+    ///
+    /// The response is longer than any may be.
+    pub fn record_read(&self, bytes: &[u8]) -> Result<(), ResponseLimitExceeded> {
+        self.read_bytes.set(self.read_bytes.get() + bytes.len());
+        let mut tail = self.tail.get();
+        for byte in &bytes[bytes.len().saturating_sub(tail.len())..] {
+            tail.rotate_left(1);
+            tail[3] = *byte;
+        }
+        self.tail.set(tail);
+        self.changed.notify_one();
+        let limit = MAX_BUFFERED_RESPONSE_WIRE_BYTES + self.additional_bytes.get();
+        if self.read_bytes.get() > limit {
+            self.exceeds_response_limit.set(true);
+            return Err(ResponseLimitExceeded);
+        }
+        Ok(())
+    }
+
+    /// Records that a write has to wait for the server to read.
+    pub fn record_write_blocked(&self) {
+        if !self.is_write_blocked.replace(true) {
+            self.changed.notify_one();
+        }
+    }
+
+    /// Records written bytes.
+    pub fn record_written(&self, bytes: usize) {
+        self.is_write_blocked.set(false);
+        self.written_bytes
+            .set(self.written_bytes.get() + bytes as u64);
+        self.changed.notify_one();
+    }
+
+    /// Records that everything hyper holds has been written.
+    pub fn record_flush(&self) {
+        let is_sent = self.has_written() && self.is_body_complete.get();
+        if is_sent && !self.is_sent.replace(true) {
+            self.sent_attempts.borrow().increment();
+        }
+    }
+
+    /// Whether a response head has begun and not ended. A complete head without a response was a 1xx: the server may
+    /// take its time after it.
+    fn is_in_head(&self) -> bool {
+        self.read_bytes.get() > 0 && self.tail.get() != HEAD_END
+    }
+
+    /// Waits until the request or the response head stalls, and returns how. Without it, a server that stops reading,
+    /// or a head that never ends, would use up the request's time with none left for another attempt. Time spent
+    /// waiting for the client's upload, or for the server to process the request, does not count.
+    ///
+    /// Cancel safe, but each call starts its timeout anew.
+    pub async fn wait_for_stall(
+        &self,
+        response_timeout: Duration,
+        send_timeout: Duration,
+    ) -> ConnectionError {
+        loop {
+            let (timeout, error) = match self.bytes_sent() {
+                BytesSent::Complete if self.is_in_head() => {
+                    (response_timeout, ConnectionError::InvalidResponse)
+                }
+                BytesSent::None | BytesSent::Partial if self.is_write_blocked.get() => {
+                    (send_timeout, ConnectionError::Stalled)
+                }
+                _ => {
+                    self.changed.notified().await;
+                    continue;
+                }
+            };
+            if tokio::time::timeout(timeout, self.changed.notified())
+                .await
+                .is_err()
+            {
+                return error;
+            }
+        }
+    }
+}
+
+#[cfg(test)]
+mod tests;
--- /dev/null
+++ b/src/node/upstream/http1/request_body.rs
@@ -0,0 +1,89 @@
+//! The body of a request as one attempt sends it.
+
+use std::pin::Pin;
+use std::rc::Rc;
+use std::task::{ready, Context, Poll};
+
+use bytes::Bytes;
+use http_body::{Body, Frame, SizeHint};
+
+use super::progress::ExchangeProgress;
+use crate::node::downstream::passing::{Next, Passing, Unfinished};
+use crate::node::upstream::{RequestBody, UpstreamRequest};
+
+/// The body of one attempt. The rest of a streamed body is taken when hyper first asks for it; from then on no other
+/// attempt can send the request.
+pub struct AttemptBody {
+    request: Rc<UpstreamRequest>,
+    progress: Rc<ExchangeProgress>,
+    /// The buffered part, until hyper has taken it.
+    buffered: Option<Bytes>,
+    rest: Option<Passing>,
+    content_length: Option<u64>,
+}
+
+impl AttemptBody {
+    /// The body of a request, for an exchange that `progress` records.
+    #[must_use]
+    pub fn new(request: &Rc<UpstreamRequest>, progress: &Rc<ExchangeProgress>) -> Self {
+        let (buffered, content_length) = match &request.body {
+            RequestBody::Buffered(body) => (body.clone(), Some(body.len() as u64)),
+            RequestBody::Streamed(upload) => {
+                progress.set_body_complete(false);
+                (upload.first(), upload.told())
+            }
+        };
+        let buffered = Some(buffered).filter(|buffered| !buffered.is_empty());
+        Self {
+            request: Rc::clone(request),
+            progress: Rc::clone(progress),
+            buffered,
+            rest: None,
+            content_length,
+        }
+    }
+
+    /// Whether the complete body is buffered.
+    #[must_use]
+    pub fn is_buffered(&self) -> bool {
+        matches!(self.request.body, RequestBody::Buffered(_))
+    }
+}
+
+impl Body for AttemptBody {
+    type Data = Bytes;
+    type Error = Unfinished;
+
+    fn poll_frame(mut self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<Next> {
+        if let Some(buffered) = self.buffered.take() {
+            return Poll::Ready(Some(Ok(Frame::data(buffered))));
+        }
+        let request = Rc::clone(&self.request);
+        let RequestBody::Streamed(upload) = &request.body else {
+            return Poll::Ready(None);
+        };
+        if self.rest.is_none() {
+            self.rest = upload.take_rest();
+        }
+        let Some(rest) = &mut self.rest else {
+            return Poll::Ready(Some(Err(Unfinished)));
+        };
+        let frame = ready!(rest.poll(cx));
+        // hyper does not poll for the end of a body once its stated length has been reached.
+        let is_last = frame.is_none() || rest.left() == Some(0);
+        if is_last {
+            self.progress.set_body_complete(true);
+        }
+        Poll::Ready(frame)
+    }
+
+    fn is_end_stream(&self) -> bool {
+        self.is_buffered() && self.buffered.is_none()
+    }
+
+    fn size_hint(&self) -> SizeHint {
+        self.content_length
+            .map(SizeHint::with_exact)
+            .unwrap_or_default()
+    }
+}
--- /dev/null
+++ b/src/node/upstream/http1/response_reader.rs
@@ -0,0 +1,235 @@
+//! Reads responses: short bodies are buffered, long ones are streamed to the client as they arrive.
+
+use std::time::{Duration, Instant};
+
+use balancer::AttemptResult;
+use bytes::{Bytes, BytesMut};
+use flow_control::TransferDeadline;
+use http_body_util::BodyExt;
+use hyper::body::{Body, Incoming};
+use hyper::header::{CONNECTION, CONTENT_TYPE, TRANSFER_ENCODING};
+use hyper::http::response::Parts;
+use hyper::{Response, Version};
+use pool::ConnectionError;
+
+use super::connection::Http1Connection;
+use crate::node::admin::log;
+use crate::node::downstream::passing::{passing, Cut, Feeder, Passing};
+use crate::node::upstream::response::{
+    attempt_result, decode_load_report, MAX_STREAMED_BODY_BYTES, MAX_UNRESERVED_BODY_BYTES,
+};
+use crate::node::upstream::{AttemptOutcome, ResponseBody, UpstreamResponse};
+
+/// How long a server may send nothing of a response that is being streamed. No other server can supply the rest, so
+/// this is far longer than the timeout of a response that can be retried.
+pub(super) const STREAMING_STALL_TIMEOUT: Duration = Duration::from_secs(5);
+/// The wire bytes of a chunk that carries one byte (`1\r\nx\r\n`), the worst ratio of the chunked coding.
+const WIRE_BYTES_PER_CHUNKED_BYTE: usize = 6;
+
+impl Http1Connection {
+    /// Reads a response whose head has arrived. The connection is closed if its body fails.
+    pub(super) async fn read_response(
+        &mut self,
+        response: Response<Incoming>,
+        stall_timeout: Duration,
+        on_streamed_response: &dyn Fn(UpstreamResponse),
+    ) -> AttemptOutcome {
+        let (head, body) = response.into_parts();
+        let report = head.headers.get("srv-load").and_then(decode_load_report);
+        let is_rejected = head.headers.get("srv-declined").is_some_and(|v| v == "1");
+        let result = attempt_result(head.status, is_rejected);
+        let content_type = head.headers.get(CONTENT_TYPE).cloned();
+        let response = |body| UpstreamResponse {
+            status: head.status,
+            body,
+            content_type: content_type.clone(),
+        };
+        let stream_to_client = |body| on_streamed_response(response(ResponseBody::Streamed(body)));
+        let on_streamed_body: Option<&dyn Fn(Passing)> = if result == AttemptResult::Served {
+            Some(&stream_to_client)
+        } else {
+            None
+        };
+        let body = self
+            .read_body(&head, body, stall_timeout, on_streamed_body)
+            .await;
+        if body.is_err() {
+            self.close();
+        }
+        let (result, body) = result_with_body(result, body);
+        AttemptOutcome {
+            result,
+            report,
+            response: body.map(|body| response(ResponseBody::Buffered(body))),
+        }
+    }
+
+    /// Reads a response body as far as it can be buffered. A longer one is streamed through `on_streamed_body`, if that
+    /// is given, and `None` is returned at its end. A body that stalls, does not end or exceeds the limits is an error.
+    async fn read_body(
+        &mut self,
+        head: &Parts,
+        mut body: Incoming,
+        stall_timeout: Duration,
+        on_streamed_body: Option<&dyn Fn(Passing)>,
+    ) -> Result<Option<Bytes>, Cut> {
+        let content_length = body.size_hint().exact();
+        let is_chunked = head.headers.contains_key(TRANSFER_ENCODING);
+        let is_too_long = content_length.is_some_and(|len| len > MAX_STREAMED_BODY_BYTES as u64);
+        if is_too_long || (content_length.is_none() && !is_chunked && !ends_with_connection(head)) {
+            log::line("a server's response is too large or has no length");
+            return Err(Cut::Broke(ConnectionError::InvalidResponse));
+        }
+        if is_chunked {
+            self.progress
+                .allow_additional_bytes(WIRE_BYTES_PER_CHUNKED_BYTE * MAX_UNRESERVED_BODY_BYTES);
+        }
+        let is_long = content_length.is_some_and(|len| len > MAX_UNRESERVED_BODY_BYTES as u64);
+        let mut buffered = BufferedBody::default();
+        loop {
+            let Some(chunk) = self.next_chunk(&mut body, stall_timeout).await? else {
+                return Ok(Some(buffered.take()));
+            };
+            if !is_long && buffered.len() + chunk.len() <= MAX_UNRESERVED_BODY_BYTES {
+                buffered.push(chunk);
+                continue;
+            }
+            let on_streamed_body =
+                on_streamed_body.ok_or(Cut::Broke(ConnectionError::InvalidResponse))?;
+            let (feeder, streamed) = passing(content_length);
+            on_streamed_body(streamed);
+            let received = [buffered.take(), chunk];
+            return self
+                .stream_body(feeder, received, body)
+                .await
+                .map(|()| None);
+        }
+    }
+
+    /// Streams a body whose first chunks have been received.
+    async fn stream_body(
+        &mut self,
+        mut feeder: Feeder,
+        received: [Bytes; 2],
+        mut body: Incoming,
+    ) -> Result<(), Cut> {
+        self.progress
+            .allow_additional_bytes(WIRE_BYTES_PER_CHUNKED_BYTE * MAX_STREAMED_BODY_BYTES);
+        let mut streamed_bytes = 0;
+        for chunk in received {
+            streamed_bytes += chunk.len();
+            feeder.feed(chunk).await?;
+        }
+        // Only the time spent waiting for the server counts against its deadline.
+        let mut deadline = TransferDeadline::for_streaming(0.0);
+        let mut waited = Duration::ZERO;
+        loop {
+            let time_left =
+                Duration::from_secs_f64((deadline.due_ms() / 1e3 - waited.as_secs_f64()).max(0.0));
+            let wait_began = Instant::now();
+            let chunk_timeout = time_left.min(STREAMING_STALL_TIMEOUT);
+            let Some(chunk) = self.next_chunk(&mut body, chunk_timeout).await? else {
+                break;
+            };
+            waited += wait_began.elapsed();
+            deadline.record_bytes(chunk.len());
+            streamed_bytes += chunk.len();
+            if streamed_bytes > MAX_STREAMED_BODY_BYTES {
+                log::line("a server's streamed response is too large");
+                return Err(Cut::Broke(ConnectionError::InvalidResponse));
+            }
+            feeder.feed(chunk).await?;
+        }
+        feeder.end().await
+    }
+
+    /// The next chunk of a body; `None` at its end. Trailers are not forwarded.
+    async fn next_chunk(
+        &mut self,
+        body: &mut Incoming,
+        timeout: Duration,
+    ) -> Result<Option<Bytes>, Cut> {
+        loop {
+            let frame = tokio::time::timeout(timeout, body.frame());
+            match self.drive(frame).await {
+                Ok(None) => return Ok(None),
+                Ok(Some(Ok(frame))) => {
+                    if let Ok(chunk) = frame.into_data() {
+                        return Ok(Some(chunk));
+                    }
+                }
+                Ok(Some(Err(error))) if error.is_incomplete_message() => {
+                    return Err(Cut::Broke(ConnectionError::Closed));
+                }
+                _ => {
+                    log::line("a server's response is malformed or stalled");
+                    return Err(Cut::Broke(ConnectionError::InvalidResponse));
+                }
+            }
+        }
+    }
+}
+
+/// Whether the end of the connection is the end of the body: announced with `Connection: close`, or by HTTP/1.0.
+fn ends_with_connection(head: &Parts) -> bool {
+    let announces_close = head
+        .headers
+        .get(CONNECTION)
+        .is_some_and(|v| v.as_bytes().eq_ignore_ascii_case(b"close"));
+    announces_close || head.version == Version::HTTP_10
+}
+
+/// The result of an attempt whose head meant `result` and whose body was read like this, and the buffered body that
+/// the client gets.
+fn result_with_body(
+    result: AttemptResult,
+    body: Result<Option<Bytes>, Cut>,
+) -> (AttemptResult, Option<Bytes>) {
+    match (result, body) {
+        (AttemptResult::Served, Err(Cut::Broke(ConnectionError::Closed))) => {
+            (AttemptResult::Reset, None)
+        }
+        (AttemptResult::Served, Err(Cut::Broke(_))) => (AttemptResult::Malformed, None),
+        (AttemptResult::Served, Err(Cut::ClientLeft)) => (AttemptResult::Cancelled, None),
+        (AttemptResult::Served, Ok(body)) => (AttemptResult::Served, body),
+        (AttemptResult::ClientError, body) => (
+            AttemptResult::ClientError,
+            Some(body.ok().flatten().unwrap_or_default()),
+        ),
+        (result, _) => (result, None),
+    }
+}
+
+/// A body as far as it is buffered. One that arrives as a single chunk is not copied.
+#[derive(Default)]
+struct BufferedBody {
+    first: Bytes,
+    /// All chunks, once there is more than one.
+    joined: BytesMut,
+}
+
+impl BufferedBody {
+    fn len(&self) -> usize {
+        self.first.len().max(self.joined.len())
+    }
+
+    fn push(&mut self, chunk: Bytes) {
+        if self.len() == 0 {
+            self.first = chunk;
+            return;
+        }
+        if self.joined.is_empty() {
+            self.joined
+                .extend_from_slice(&std::mem::take(&mut self.first));
+        }
+        self.joined.extend_from_slice(&chunk);
+    }
+
+    fn take(&mut self) -> Bytes {
+        if self.joined.is_empty() {
+            std::mem::take(&mut self.first)
+        } else {
+            std::mem::take(&mut self.joined).freeze()
+        }
+    }
+}
--- a/src/node/upstream/mod.rs
+++ b/src/node/upstream/mod.rs
@@ -1,15 +1,18 @@
-//! The seam to the servers: what goes out, what comes back, and whether it may have run, whatever protocol carries it.
+//! Connections to servers: what is sent, what comes back, and whether a request may have run, whatever protocol carries
+//! it.
 //!
-//! A protocol is a file of its own with a `Conn` that dials, looks whether it is fit for use, and makes one exchange at
-//! a time; [`Conn`] is whichever it is. Dropping an exchange midway, and with it the connection, closes it.
+//! Each protocol is a module with a connection type that dials, reports whether it can be reused, and makes one exchange
+//! at a time; [`ServerConnection`] is the enum over them. Dropping an exchange before its end, and with it the
+//! connection, closes the socket.
 
 pub(in crate::node) mod addresses;
-pub(in crate::node) mod answers;
 mod http1;
+pub(in crate::node) mod response;
 pub mod servers;
 mod stream;
 
 use std::cell::Cell;
+use std::fmt;
 use std::io;
 use std::rc::Rc;
 use std::time::{Duration, Instant};
@@ -24,134 +27,159 @@
 use balancer::{AttemptResult, LoadReport};
 use stream::Stream;
 
-/// What goes to a server, the same with each attempt but for the deadline.
+/// A request as it is forwarded, the same in each attempt but for the deadline header.
 #[derive(Debug)]
-pub struct Message {
-    /// As the client sent it.
+pub struct UpstreamRequest {
+    /// The client's method.
     pub method: Method,
-    /// Path and query, as the client sent them.
+    /// The client's path and query.
     pub uri: Uri,
-    /// The client's headers without those of its connection.
+    /// The client's headers without the hop-by-hop ones.
     pub headers: HeaderMap,
-    /// As the client sent it, or sends it.
+    /// The client's body.
     pub body: RequestBody,
-    /// Counts the attempts whose last byte has gone out.
-    pub sent: Counter,
-    /// From when on it may not begin to go out, if that is so.
-    pub until: Cell<Option<Instant>>,
+    /// Counts the attempts whose last byte has been sent.
+    pub sent_attempts: Counter,
+    /// From this instant on no further attempt may begin to send the request. `None`: no limit.
+    pub send_deadline: Cell<Option<Instant>>,
 }
 
 /// The body of a request.
 #[derive(Debug)]
 pub enum RequestBody {
-    /// It is here.
-    Whole(Bytes),
-    /// Its client is sending it yet.
-    Passing(Upload),
+    /// Received completely, so that it can be sent again.
+    Buffered(Bytes),
+    /// Still being received. It can be sent again only while nothing beyond its buffered beginning has been taken.
+    Streamed(Upload),
 }
 
-impl Message {
-    /// Whether it can go out: a body of which a part is gone cannot, and nothing goes for a client that has left, or
-    /// again once servers may have forgotten that it went before.
+impl UpstreamRequest {
+    /// Whether an attempt may send the request now. It may not once a part of a streamed body is gone, or once the send
+    /// deadline has passed: the client has left, or servers may have forgotten the attempt before.
     #[must_use]
-    pub fn can_go(&self) -> bool {
-        self.until.get().is_none_or(|until| Instant::now() < until)
-            && !matches!(&self.body, RequestBody::Passing(upload) if upload.is_spent())
+    pub fn may_be_sent(&self) -> bool {
+        self.send_deadline
+            .get()
+            .is_none_or(|deadline| Instant::now() < deadline)
+            && !matches!(&self.body, RequestBody::Streamed(upload) if upload.is_spent())
     }
 }
 
-/// A server's answer for the client.
+/// A server's response for the client.
 #[derive(Debug)]
-pub struct Served {
-    /// 200, or what the server objects to in the request.
+pub struct UpstreamResponse {
+    /// 200, or a client error.
     pub status: StatusCode,
     /// The body, unchanged.
     pub body: ResponseBody,
-    /// Its type, where the server named one.
+    /// The `Content-Type`, if the server sent one.
     pub content_type: Option<HeaderValue>,
 }
 
-/// The body of an answer.
+/// The body of a response.
 #[derive(Debug)]
 pub enum ResponseBody {
-    /// It is here.
-    Whole(Bytes),
-    /// It is passed on as it comes.
-    Passing(Passing),
+    /// Received completely.
+    Buffered(Bytes),
+    /// Forwarded chunk by chunk while it is received.
+    Streamed(Passing),
 }
 
-/// How an attempt ended.
+/// The outcome of an attempt.
 #[derive(Debug)]
-pub struct Ended {
-    /// The outcome.
-    pub ending: AttemptResult,
-    /// The server's load report, if one came.
+pub struct AttemptOutcome {
+    /// What the balancer records.
+    pub result: AttemptResult,
+    /// The server's load report, if the response had one.
     pub report: Option<LoadReport>,
-    /// The answer of one that was served or rejected.
-    pub served: Option<Served>,
+    /// The buffered response of an attempt that was served or is a client error.
+    pub response: Option<UpstreamResponse>,
 }
 
-impl From<AttemptResult> for Ended {
-    fn from(ending: AttemptResult) -> Self {
+impl From<AttemptResult> for AttemptOutcome {
+    fn from(result: AttemptResult) -> Self {
         Self {
-            ending,
+            result,
             report: None,
-            served: None,
+            response: None,
         }
     }
 }
 
-/// An exchange of which no answer's head was had.
+/// An exchange that failed before a response head arrived.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Broken {
-    /// How much of the request was out.
-    pub sent: BytesSent,
+pub struct ExchangeError {
+    /// How much of the request was sent. It decides whether the request may have run.
+    pub bytes_sent: BytesSent,
     /// How the connection failed.
     pub error: ConnectionError,
-    /// Whether bytes arrived that no request had asked for, or that are no response.
+    /// Whether bytes arrived that belong to no request, or that are no response.
     pub has_unsolicited_bytes: bool,
 }
 
-/// A connection to a server. Whoever has it is the only one that moves it, so that dropping it closes the socket at
+impl fmt::Display for ExchangeError {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        let Self {
+            bytes_sent, error, ..
+        } = self;
+        write!(
+            f,
+            "exchange failed: {error:?}, request bytes sent: {bytes_sent:?}"
+        )
+    }
+}
+
+impl std::error::Error for ExchangeError {}
+
+/// One exchange to be made on a connection.
+#[derive(Clone, Copy)]
+pub struct Exchange<'a> {
+    /// The request.
+    pub request: &'a Rc<UpstreamRequest>,
+    /// The time left for the request, which the server is told.
+    pub remaining: Duration,
+    /// Called with a response that is too long to be buffered. Its body is forwarded for as long as the exchange is
+    /// polled.
+    pub on_streamed_response: &'a dyn Fn(UpstreamResponse),
+}
+
+/// A connection to a server. It has a single owner and no task of its own, so that dropping it closes the socket at
 /// once.
-pub enum Conn {
+pub enum ServerConnection {
     /// HTTP/1.1 (RFC 9112).
-    Http1(http1::Conn),
+    Http1(http1::Http1Connection),
 }
 
-impl Conn {
-    /// Connects to a server. Dropping it midway gives it up.
+impl ServerConnection {
+    /// Connects to a server. Dropping the future aborts the dial.
     ///
     /// # Errors
     ///
-    /// It cannot be reached there.
+    /// The address cannot be reached.
     pub async fn dial(address: &Address) -> io::Result<Self> {
-        http1::Conn::begin(Stream::connect(address).await?)
+        http1::Http1Connection::new(Stream::connect(address).await?)
             .await
             .map(Self::Http1)
     }
 
-    /// Looks whether it stands idle and fit for use as far as the event loop has heard. `None`: it does.
-    pub fn look(&mut self) -> Option<CloseReason> {
+    /// Why the connection cannot be used for another exchange, as far as the event loop knows. `None`: it can.
+    pub fn close_reason(&mut self) -> Option<CloseReason> {
         match self {
-            Self::Http1(conn) => conn.look(),
+            Self::Http1(connection) => connection.close_reason(),
         }
     }
 
-    /// Makes an exchange; `left` is the request's time. An answer that is too long to be held goes to `begin`, and is
-    /// passed on to whoever has that for as long as this is polled.
+    /// Makes an exchange. Not cancel safe: after the future is dropped midway the connection must be closed.
     ///
     /// # Errors
     ///
-    /// No answer's head was had.
+    /// The exchange failed before a response head arrived.
     pub async fn exchange(
         &mut self,
-        message: &Rc<Message>,
-        left: Duration,
-        begin: &dyn Fn(Served),
-    ) -> Result<Ended, Broken> {
+        exchange: Exchange<'_>,
+    ) -> Result<AttemptOutcome, ExchangeError> {
         match self {
-            Self::Http1(conn) => conn.exchange(message, left, begin).await,
+            Self::Http1(connection) => connection.exchange(exchange).await,
         }
     }
 }
--- a/src/node/upstream/servers/actions.rs
+++ b/src/node/upstream/servers/actions.rs
@@ -8,7 +8,7 @@
 
 use super::Servers;
 use crate::node::admin::log;
-use crate::node::upstream::Conn;
+use crate::node::upstream::ServerConnection;
 
 impl Servers {
     /// Calls the pool, and carries out the actions that it returns.
@@ -34,7 +34,7 @@
     }
 
     /// Carries out one action. `dialed` is the connection whose dial led to it, until an action takes it.
-    fn execute(self: &Rc<Self>, action: Action, dialed: &mut Option<Conn>) {
+    fn execute(self: &Rc<Self>, action: Action, dialed: &mut Option<ServerConnection>) {
         match action {
             Action::Dial {
                 dial,
@@ -55,8 +55,8 @@
                 }
             }
             Action::KeepIdle { connection } => {
-                if let Some(conn) = dialed.take() {
-                    self.store_idle(connection, conn);
+                if let Some(socket) = dialed.take() {
+                    self.store_idle(connection, socket);
                 }
             }
             Action::Fail { checkout, error } => self.complete_checkout(checkout, Err(error)),
@@ -88,23 +88,23 @@
     fn dial(self: &Rc<Self>, dial: DialId, address: Address) {
         let servers = Rc::clone(self);
         let task = tokio::task::spawn_local(async move {
-            let result = Conn::dial(&address).await;
+            let result = ServerConnection::dial(&address).await;
             servers.complete_dial(dial, result);
         });
         self.dials.borrow_mut().insert(dial, task.abort_handle());
     }
 
-    fn complete_dial(self: &Rc<Self>, dial: DialId, result: io::Result<Conn>) {
+    fn complete_dial(self: &Rc<Self>, dial: DialId, result: io::Result<ServerConnection>) {
         self.dials.borrow_mut().remove(&dial);
         let mut actions = Vec::new();
         let now_ms = self.now_ms();
         let mut dialed = None;
-        if let Ok(conn) = result {
+        if let Ok(socket) = result {
             let is_used = self
                 .pool
                 .borrow_mut()
                 .dial_succeeded(now_ms, dial, &mut actions);
-            dialed = is_used.then_some(conn);
+            dialed = is_used.then_some(socket);
         } else {
             self.pool
                 .borrow_mut()
--- a/src/node/upstream/servers/attempt.rs
+++ b/src/node/upstream/servers/attempt.rs
@@ -12,19 +12,19 @@
 use super::checked_out::FailedExchange;
 use super::Servers;
 use crate::node::admin::log;
-use crate::node::upstream::{Ended, Message, Served};
+use crate::node::upstream::{AttemptOutcome, Exchange, UpstreamRequest, UpstreamResponse};
 
 /// Exchanges that one attempt may start. Each that fails discards a stale connection or excludes a broken address, so
 /// only a server that keeps closing what it accepts reaches this bound.
 const MAX_EXCHANGES_PER_ATTEMPT: usize = 64;
 
 /// An attempt that can be aborted by someone other than its awaiter.
-pub struct RunningAttempt(RefCell<Option<Pin<Box<dyn Future<Output = Ended>>>>>);
+pub struct RunningAttempt(RefCell<Option<Pin<Box<dyn Future<Output = AttemptOutcome>>>>>);
 
 impl RunningAttempt {
     /// Wraps an attempt that has not been polled yet.
     #[must_use]
-    pub fn new(attempt: impl Future<Output = Ended> + 'static) -> Self {
+    pub fn new(attempt: impl Future<Output = AttemptOutcome> + 'static) -> Self {
         Self(RefCell::new(Some(Box::pin(attempt))))
     }
 
@@ -36,7 +36,7 @@
 
     /// Waits for the attempt's outcome; never completes once the attempt is aborted. Cancel safe: the attempt makes
     /// no progress while nobody awaits it, and continues with the next call.
-    pub async fn outcome(&self) -> Ended {
+    pub async fn outcome(&self) -> AttemptOutcome {
         let outcome = poll_fn(|cx| match &mut *self.0.borrow_mut() {
             Some(attempt) => attempt.as_mut().poll(cx),
             None => std::task::Poll::Pending,
@@ -58,10 +58,10 @@
     pub async fn attempt(
         self: Rc<Self>,
         server: ServerId,
-        request: Rc<Message>,
+        request: Rc<UpstreamRequest>,
         deadline: Instant,
-        on_streamed_response: impl Fn(Served),
-    ) -> Ended {
+        on_streamed_response: impl Fn(UpstreamResponse),
+    ) -> AttemptOutcome {
         let mut excluded_routes = Vec::new();
         let mut result_if_expired = AttemptResult::NotSent;
         for _ in 0..MAX_EXCHANGES_PER_ATTEMPT {
@@ -73,7 +73,7 @@
                 }
                 Err(_) => return AttemptResult::Unreachable.into(),
             };
-            if !request.can_go() {
+            if !request.may_be_sent() {
                 return result_if_expired.into(); // Its last byte was never sent, and must not be.
             }
             // Checked again before the first byte: the endpoint list may have changed during the dial.
@@ -81,10 +81,12 @@
             if !self.accepts_requests(server) || now >= deadline {
                 return AttemptResult::NotSent.into();
             }
-            let exchanged = connection
-                .exchange(&request, deadline - now, &on_streamed_response)
-                .await;
-            match exchanged {
+            let exchange = Exchange {
+                request: &request,
+                remaining: deadline - now,
+                on_streamed_response: &on_streamed_response,
+            };
+            match connection.exchange(exchange).await {
                 Ok(outcome) => {
                     connection.finish(server);
                     return outcome;
--- a/src/node/upstream/servers/checked_out.rs
+++ b/src/node/upstream/servers/checked_out.rs
@@ -1,7 +1,6 @@
 //! Checking connections out of the pool, and connections that are checked out.
 
 use std::rc::Rc;
-use std::time::Duration;
 
 use balancer::ServerId;
 use pool::{
@@ -12,7 +11,7 @@
 
 use super::idle::IdleConnection;
 use super::Servers;
-use crate::node::upstream::{Conn, Ended, Message, Served};
+use crate::node::upstream::{AttemptOutcome, Exchange, ServerConnection};
 
 /// The result of a checkout, as it is sent to the attempt that waits for it.
 pub(super) type CheckoutResult = Result<CheckedOutConnection, CheckoutError>;
@@ -51,13 +50,13 @@
     pub(super) fn checked_out(
         self: &Rc<Self>,
         id: ConnectionId,
-        dialed: &mut Option<Conn>,
+        dialed: &mut Option<ServerConnection>,
     ) -> Option<CheckedOutConnection> {
         let idle = self.idle_connections.borrow_mut().remove(&id);
         let socket = idle.or_else(|| {
-            let conn = dialed.take()?;
+            let connection = dialed.take()?;
             Some(IdleConnection {
-                conn,
+                connection,
                 idle_since_ms: self.now_ms(),
                 age: ConnectionAge::New,
             })
@@ -127,10 +126,8 @@
     /// Makes one exchange. On failure the connection is closed and reported to the pool.
     pub(super) async fn exchange(
         &mut self,
-        request: &Rc<Message>,
-        remaining: Duration,
-        on_streamed_response: &dyn Fn(Served),
-    ) -> Result<Ended, FailedExchange> {
+        exchange: Exchange<'_>,
+    ) -> Result<AttemptOutcome, FailedExchange> {
         self.has_begun_exchange = true;
         let Some(socket) = &mut self.socket else {
             return Err(FailedExchange {
@@ -138,13 +135,10 @@
                 route: None,
             });
         };
-        let exchanged = socket
-            .conn
-            .exchange(request, remaining, on_streamed_response)
-            .await;
+        let exchanged = socket.connection.exchange(exchange).await;
         let age = socket.age;
         exchanged.map_err(|error| {
-            let recovery = recovery(age, error.sent, error.error);
+            let recovery = recovery(age, error.bytes_sent, error.error);
             let route = self.servers.pool.borrow().route_of(self.id);
             match recovery {
                 _ if error.has_unsolicited_bytes => self.close(CloseReason::UnsolicitedBytes),
@@ -158,7 +152,10 @@
 
     /// Ends the checkout after a response: the connection goes back to the pool if it can be reused.
     pub(super) fn finish(mut self, server: ServerId) {
-        let close_reason = self.socket.as_mut().and_then(|socket| socket.conn.look());
+        let close_reason = self
+            .socket
+            .as_mut()
+            .and_then(|socket| socket.connection.close_reason());
         match close_reason {
             Some(reason) => self.close(reason),
             None if self.servers.is_draining(server) => self.close(CloseReason::Finished),
@@ -188,10 +185,10 @@
     }
 
     fn check_in(&mut self) {
-        let Some(IdleConnection { conn, .. }) = self.socket.take() else {
+        let Some(IdleConnection { connection, .. }) = self.socket.take() else {
             return;
         };
-        self.servers.store_idle(self.id, conn);
+        self.servers.store_idle(self.id, connection);
         let id = self.id;
         self.servers
             .with_pool(|pool, now_ms, actions| pool.check_in(now_ms, id, actions));
--- a/src/node/upstream/servers/idle.rs
+++ b/src/node/upstream/servers/idle.rs
@@ -7,20 +7,20 @@
 use pool::{ConnectionAge, ConnectionId, ServerKey};
 
 use super::Servers;
-use crate::node::upstream::Conn;
+use crate::node::upstream::ServerConnection;
 
 /// The socket of a connection, with what the pool is told when it turns out to be stale.
 pub(super) struct IdleConnection {
-    pub(super) conn: Conn,
+    pub(super) connection: ServerConnection,
     pub(super) idle_since_ms: f64,
     pub(super) age: ConnectionAge,
 }
 
 impl Servers {
     /// Keeps the socket of a connection that has become idle.
-    pub(super) fn store_idle(&self, id: ConnectionId, conn: Conn) {
+    pub(super) fn store_idle(&self, id: ConnectionId, connection: ServerConnection) {
         let idle = IdleConnection {
-            conn,
+            connection,
             idle_since_ms: self.now_ms(),
             age: ConnectionAge::Reused,
         };
@@ -36,7 +36,7 @@
     pub fn close_expired(self: &Rc<Self>) {
         let mut closed = HashMap::new();
         for (id, idle) in self.idle_connections.borrow_mut().iter_mut() {
-            if let Some(reason) = idle.conn.look() {
+            if let Some(reason) = idle.connection.close_reason() {
                 closed.insert(*id, reason);
             }
         }
--- a/src/node/upstream/servers/tests.rs
+++ b/src/node/upstream/servers/tests.rs
@@ -4,19 +4,19 @@
 use std::pin::pin;
 use std::task::{Context, Waker};
 
-use crate::node::upstream::{Ended, Message, RequestBody};
+use crate::node::upstream::{AttemptOutcome, RequestBody, UpstreamRequest};
 use balancer::AttemptResult;
 use bytes::Bytes;
 use hyper::{HeaderMap, Method, Uri};
 
-fn message() -> Rc<Message> {
-    Rc::new(Message {
+fn message() -> Rc<UpstreamRequest> {
+    Rc::new(UpstreamRequest {
         method: Method::GET,
         uri: Uri::from_static("/api"),
         headers: HeaderMap::new(),
-        body: RequestBody::Whole(Bytes::new()),
-        sent: admin::Counter::default(),
-        until: std::cell::Cell::default(),
+        body: RequestBody::Buffered(Bytes::new()),
+        sent_attempts: admin::Counter::default(),
+        send_deadline: std::cell::Cell::default(),
     })
 }
 
@@ -81,14 +81,14 @@
 
 /// Asserts that the attempt ends as not sent and that its connection carried no byte.
 async fn assert_not_sent(
-    attempt: impl Future<Output = Ended>,
+    attempt: impl Future<Output = AttemptOutcome>,
     servers: &Servers,
     listener: &std::net::TcpListener,
 ) {
     let ended = tokio::time::timeout(Duration::from_secs(5), attempt)
         .await
         .expect("it sends, and waits");
-    assert_eq!(ended.ending, AttemptResult::NotSent);
+    assert_eq!(ended.result, AttemptResult::NotSent);
     drop(
         servers
             .idle_connections
@@ -119,7 +119,7 @@
         .as_mut()
         .poll(&mut Context::from_waker(Waker::noop()));
     assert!(begun.is_pending(), "it is on its way");
-    message.until.set(Some(Instant::now()));
+    message.send_deadline.set(Some(Instant::now()));
     assert_not_sent(attempt, &servers, &listener).await;
 }
 
@@ -196,8 +196,8 @@
         )]));
         servers.update(&[(ServerId(0), &Endpoint::new("s-0"))]);
         // More than the system takes for a connection whose other end reads nothing.
-        let body = RequestBody::Whole(Bytes::from(vec![b'x'; 32 << 20]));
-        let message = Rc::new(Message {
+        let body = RequestBody::Buffered(Bytes::from(vec![b'x'; 32 << 20]));
+        let message = Rc::new(UpstreamRequest {
             method: Method::POST,
             body,
             ..Rc::into_inner(message()).expect("one")
@@ -208,7 +208,7 @@
             .await
             .expect("it goes on");
         assert_eq!(
-            (ended.ending, up.count()),
+            (ended.result, up.count()),
             (AttemptResult::Served, 1),
             "{kind:?}, closes: {closes}"
         );
--- a/src/node/upstream/stream.rs
+++ b/src/node/upstream/stream.rs
@@ -1,4 +1,4 @@
-//! A stream to a server, by TCP or a local socket.
+//! A byte stream to a server, over TCP or a Unix domain socket.
 
 use std::io;
 use std::mem::MaybeUninit;
@@ -10,32 +10,32 @@
 use tokio::io::{AsyncRead, AsyncWrite, ReadBuf};
 use tokio::net::{TcpStream, UnixStream};
 
-/// A stream.
+/// A connected stream.
 #[derive(Debug)]
 pub enum Stream {
-    /// By TCP.
+    /// Over TCP.
     Tcp(TcpStream),
-    /// At a local socket.
+    /// Over a Unix domain socket.
     Unix(UnixStream),
 }
 
-/// What the system has heard on a stream that nobody has read yet.
+/// What the kernel has received on a stream and nobody has read yet.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum News {
+pub enum PendingInput {
     /// Nothing.
     None,
     /// Bytes.
     Bytes,
-    /// Its end, or an error.
-    End,
+    /// The end of the stream, or an error.
+    Closed,
 }
 
 impl Stream {
-    /// Connects. Dropping it midway gives it up.
+    /// Connects. Dropping the future aborts the dial.
     ///
     /// # Errors
     ///
-    /// Nobody listens there, the path is no socket or may not be opened, or the system is out of descriptors.
+    /// Nothing listens at the address, the path is no socket or may not be opened, or there are no descriptors left.
     pub async fn connect(address: &Address) -> io::Result<Self> {
         match address {
             Address::Ip(address) => {
@@ -47,18 +47,18 @@
         }
     }
 
-    /// Asks the system, and not the event loop, which may not have heard yet.
+    /// Peeks at the socket itself, since the event loop may not have been notified yet. Costs one system call.
     #[must_use]
-    pub fn news(&self) -> News {
+    pub fn pending_input(&self) -> PendingInput {
         let mut byte = [MaybeUninit::uninit()];
         let peeked = match self {
             Self::Tcp(stream) => SockRef::from(stream).peek(&mut byte),
             Self::Unix(stream) => SockRef::from(stream).peek(&mut byte),
         };
         match peeked {
-            Ok(bytes) if bytes > 0 => News::Bytes,
-            Err(error) if error.kind() == io::ErrorKind::WouldBlock => News::None,
-            _ => News::End,
+            Ok(bytes) if bytes > 0 => PendingInput::Bytes,
+            Err(error) if error.kind() == io::ErrorKind::WouldBlock => PendingInput::None,
+            _ => PendingInput::Closed,
         }
     }
 }
--- a/src/node/upstream/stream/tests.rs
+++ b/src/node/upstream/stream/tests.rs
@@ -20,22 +20,26 @@
     pairs
 }
 
-/// Guards against a request behind bytes or an end that the event loop, which runs on this thread, has not heard of.
+/// Bytes and closes are seen although the event loop, which runs on this thread, has not been polled.
 #[tokio::test]
-async fn news_are_told_on_all_kinds() {
+async fn pending_input_is_seen_on_each_address_family() {
     for (stream, mut server) in pairs().await {
-        assert_eq!(stream.news(), News::None, "{stream:?}");
+        assert_eq!(stream.pending_input(), PendingInput::None, "{stream:?}");
         server.write_all(b"x").expect("an open connection");
-        testkit::until("bytes are heard of", || stream.news() == News::Bytes);
+        testkit::until("the bytes have arrived", || {
+            stream.pending_input() == PendingInput::Bytes
+        });
     }
     for (stream, server) in pairs().await {
         drop(server);
-        testkit::until("the end is heard of", || stream.news() == News::End);
+        testkit::until("the close has arrived", || {
+            stream.pending_input() == PendingInput::Closed
+        });
     }
 }
 
 #[tokio::test]
-async fn a_path_that_is_no_open_socket_is_an_error() {
+async fn connecting_to_a_path_that_is_no_open_socket_fails() {
     let folder = tempfile::tempdir().expect("a folder");
     let file = folder.path().join("file");
     std::fs::write(&file, "no socket").expect("a file");
