--- a/src/node/upstream/addresses/tests.rs
+++ b/src/node/upstream/addresses/tests.rs
@@ -3,7 +3,7 @@
 #[test]
 fn configured_addresses_add_to_or_replace_the_listed_ones() {
     let [own, other] = [1, 2].map(|port| SocketAddr::from(([127, 0, 0, 1], port)));
-    let host = Endpoint {
+    let endpoint = Endpoint {
         alternate_addresses: vec![other, own],
         ..Endpoint::new("s-0")
     };
@@ -15,12 +15,12 @@
         let routes = vec![route("unix:/run/s", 10), route("127.0.0.1:2", 20)];
         ConfiguredAddresses::from([("s-0".to_owned(), ServerAddresses { routes, exclusive })])
     };
-    let plain = routes(&ConfiguredAddresses::new(), &host, Some(own));
+    let plain = routes(&ConfiguredAddresses::new(), &endpoint, Some(own));
     assert_eq!(
         plain,
         [route("127.0.0.1:1", 100), route("127.0.0.1:2", 100)]
     );
-    let beside = routes(&configured(false), &host, Some(own));
+    let beside = routes(&configured(false), &endpoint, Some(own));
     assert_eq!(
         beside,
         [
@@ -29,6 +29,6 @@
             route("127.0.0.1:1", 100)
         ]
     );
-    assert_eq!(routes(&configured(true), &host, Some(own)), beside[..2]);
+    assert_eq!(routes(&configured(true), &endpoint, Some(own)), beside[..2]);
     assert!(routes(&ConfiguredAddresses::new(), &Endpoint::new("s-1"), None).is_empty());
 }
--- a/src/node/upstream/servers/tests.rs
+++ b/src/node/upstream/servers/tests.rs
@@ -9,7 +9,7 @@
 use bytes::Bytes;
 use hyper::{HeaderMap, Method, Uri};
 
-fn message() -> Rc<UpstreamRequest> {
+fn request() -> Rc<UpstreamRequest> {
     Rc::new(UpstreamRequest {
         method: Method::GET,
         uri: Uri::from_static("/api"),
@@ -41,15 +41,15 @@
     let listener = std::net::TcpListener::bind("127.0.0.1:0").expect("a port");
     let address = listener.local_addr().expect("an address");
     let servers = servers(address);
-    let host = Endpoint {
+    let endpoint = Endpoint {
         address: Some(address),
         ..Endpoint::new("s-0")
     };
-    servers.update(&[(ServerId(0), &host)]);
+    servers.update(&[(ServerId(0), &endpoint)]);
     (
         listener,
         servers,
-        host,
+        endpoint,
         Instant::now() + Duration::from_secs(60),
     )
 }
@@ -63,17 +63,17 @@
 }
 
 async fn check_drain_during_dial() {
-    let (listener, servers, host, deadline) = one_server();
-    let mut attempt = pin!(Rc::clone(&servers).attempt(ServerId(0), message(), deadline, |_| ()));
-    let begun = attempt
+    let (listener, servers, endpoint, deadline) = one_server();
+    let mut attempt = pin!(Rc::clone(&servers).attempt(ServerId(0), request(), deadline, |_| ()));
+    let polled = attempt
         .as_mut()
         .poll(&mut Context::from_waker(Waker::noop()));
-    assert!(begun.is_pending(), "it is on its way");
+    assert!(polled.is_pending(), "it waits for the dial");
     servers.update(&[(
         ServerId(0),
         &Endpoint {
             lifecycle: Lifecycle::Draining,
-            ..host
+            ..endpoint
         },
     )]);
     assert_not_sent(attempt, &servers, &listener).await;
@@ -85,10 +85,10 @@
     servers: &Servers,
     listener: &std::net::TcpListener,
 ) {
-    let ended = tokio::time::timeout(Duration::from_secs(5), attempt)
+    let outcome = tokio::time::timeout(Duration::from_secs(5), attempt)
         .await
-        .expect("it sends, and waits");
-    assert_eq!(ended.result, AttemptResult::NotSent);
+        .expect("the attempt ends without waiting for a response");
+    assert_eq!(outcome.result, AttemptResult::NotSent);
     drop(
         servers
             .idle_connections
@@ -112,14 +112,14 @@
 
 async fn check_send_deadline_during_dial() {
     let (listener, servers, _, deadline) = one_server();
-    let message = message();
+    let request = request();
     let mut attempt =
-        pin!(Rc::clone(&servers).attempt(ServerId(0), Rc::clone(&message), deadline, |_| ()));
-    let begun = attempt
+        pin!(Rc::clone(&servers).attempt(ServerId(0), Rc::clone(&request), deadline, |_| ()));
+    let polled = attempt
         .as_mut()
         .poll(&mut Context::from_waker(Waker::noop()));
-    assert!(begun.is_pending(), "it is on its way");
-    message.send_deadline.set(Some(Instant::now()));
+    assert!(polled.is_pending(), "it waits for the dial");
+    request.send_deadline.set(Some(Instant::now()));
     assert_not_sent(attempt, &servers, &listener).await;
 }
 
@@ -136,7 +136,7 @@
     for turns in 0..40 {
         let attempt = RunningAttempt::new(Rc::clone(&servers).attempt(
             ServerId(0),
-            message(),
+            request(),
             deadline,
             |_| (),
         ));
@@ -197,18 +197,18 @@
         servers.update(&[(ServerId(0), &Endpoint::new("s-0"))]);
         // More than the system takes for a connection whose other end reads nothing.
         let body = RequestBody::Buffered(Bytes::from(vec![b'x'; 32 << 20]));
-        let message = Rc::new(UpstreamRequest {
+        let request = Rc::new(UpstreamRequest {
             method: Method::POST,
             body,
-            ..Rc::into_inner(message()).expect("one")
+            ..Rc::into_inner(request()).expect("one")
         });
         let deadline = Instant::now() + Duration::from_secs(60);
-        let attempt = Rc::clone(&servers).attempt(ServerId(0), message, deadline, |_| ());
-        let ended = tokio::time::timeout(Duration::from_secs(20), attempt)
+        let attempt = Rc::clone(&servers).attempt(ServerId(0), request, deadline, |_| ());
+        let outcome = tokio::time::timeout(Duration::from_secs(20), attempt)
             .await
-            .expect("it goes on");
+            .expect("the attempt continues by the other address");
         assert_eq!(
-            (ended.result, up.count()),
+            (outcome.result, up.count()),
             (AttemptResult::Served, 1),
             "{kind:?}, closes: {closes}"
         );
--- a/tests/addresses.rs
+++ b/tests/addresses.rs
@@ -1,4 +1,4 @@
-//! Servers of several addresses, by the program on real sockets.
+//! Servers with several addresses: the program on real sockets, over IPv4, IPv6 and Unix domain sockets.
 
 use std::collections::HashMap;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -12,7 +12,7 @@
     Reply, Server,
 };
 
-/// The operators' file: each server's addresses, tried in this order, and no others.
+/// An operator configuration in which each server has these addresses alone, preferred in this order.
 fn operators(servers: &[(&str, &[String])]) -> String {
     let server = |(id, addresses): &(&str, &[String])| {
         let address =
@@ -26,7 +26,7 @@
     servers.iter().map(server).collect()
 }
 
-/// A node that knows these servers at these addresses, and makes so many attempts.
+/// A node with these servers at these addresses, which makes at most so many attempts.
 fn node(servers: &[(&str, &[String])], deadline_ms: u64, attempts: usize) -> (Node, Discovery) {
     let discovery = Discovery::start();
     let nowhere = "127.0.0.1:1".parse().expect("an address");
@@ -51,12 +51,12 @@
     Reply::ok("yes")
 }
 
-/// A hold, with a key of its own.
+/// An idempotent request with an idempotency key of its own.
 fn keyed(id: &str) -> String {
     post(id, "hold", &format!("Idempotency-Key: {id}\r\n"), "x")
 }
 
-/// How often each id has come whole, over all addresses of all servers.
+/// How often each request id arrived completely, over all addresses of all servers.
 fn arrivals<'a>(servers: impl IntoIterator<Item = &'a Server>) -> HashMap<String, usize> {
     let mut came = HashMap::new();
     for request in servers.into_iter().flat_map(Server::requests) {
@@ -68,7 +68,7 @@
 }
 
 #[test]
-fn each_kind_of_address_serves() {
+fn server_on_each_address_family_serves_over_one_connection() {
     for kind in Kind::all() {
         let (server, endpoint) = Server::start_on(kind, ok);
         let (node, _discovery) = node(&[("s-0", &[endpoint.to_string()])], 2_000, 1);
@@ -83,9 +83,9 @@
     }
 }
 
-/// To the module a server is one server: an address that is down costs no attempt while another is up.
+/// To the balancer all addresses are one server, and its only attempt may use any of them.
 #[test]
-fn an_address_that_is_down_costs_nothing_while_another_is_up() {
+fn address_that_is_down_costs_no_attempt_while_another_is_up() {
     let (server, up) = Server::start_on(Kind::second(), ok);
     let folder = tempfile::tempdir().expect("a folder");
     let file = folder.path().join("file");
@@ -106,18 +106,18 @@
         );
     }
     assert_eq!(server.count(), 10);
-    let told = node
+    let reported = node
         .log()
         .iter()
         .filter(|line| line.contains("does not come up"))
         .count();
-    assert_eq!(told, 3, "each is told once");
+    assert_eq!(reported, 3, "each is reported once");
 }
 
-/// The first address takes the connection and nothing more: a request that is out may have run, and is not sent by the
-/// other. Its client has its answer within its time.
+/// The first address accepts connections and then stalls at some byte. A request that was sent completely may have run
+/// and is not sent by the other address; its client gets a response within its deadline.
 #[test]
-fn what_may_have_run_is_not_sent_by_another_address() {
+fn request_that_may_have_run_is_not_retried_by_another_address() {
     for kind in Kind::all() {
         let (server, up) = Server::start_on(Kind::V4, ok);
         for byte in [0, 60, 100_000] {
@@ -126,7 +126,7 @@
             } else {
                 Plan::at(byte, Fault::Stall)
             };
-            // What comes back is lost too, so that the last case is the answer that never comes.
+            // Responses are lost too, so that in the last case the request arrives and its response does not.
             let plans = move |_| (fault.clone(), Plan::at(0, Fault::Stall));
             let (_link, stalled) = Link::start_on(kind, up.clone(), plans);
             let (node, _discovery) =
@@ -143,7 +143,7 @@
     }
 }
 
-/// A list of what went wrong at each stage, by its seed: of the connection itself, of what goes, of what comes back.
+/// The faults of one connection, by seed: of the dial, of the bytes sent, of the bytes received.
 fn plans(seed: u64, connection: usize) -> (Plan, Plan) {
     let mut random = fastrand::Rng::with_seed(seed ^ (connection as u64) << 20);
     let byte = random.usize(..1_500);
@@ -167,17 +167,17 @@
     (there, back)
 }
 
-/// Three servers, each at three addresses of three kinds, each of which does wrong at every stage; one attempt a
-/// request. No request comes twice by whatever ways, and each has one answer.
+/// Three servers, each at three addresses of three families with faults at every stage, and one attempt per request:
+/// no request arrives twice over any addresses, and each gets exactly one response.
 #[test]
-fn over_three_kinds_no_request_comes_twice_and_none_is_lost() {
+fn requests_over_faulty_addresses_arrive_at_most_once_and_get_one_response() {
     const SERVERS: usize = 3;
     const CLIENTS: u64 = 8;
     const EACH: u64 = 400;
     let mut servers = Vec::new();
     let (mut links, mut addresses) = (Vec::new(), Vec::new());
     for at in 0..SERVERS {
-        // Every other answer is the last on its connection, of which nothing is said.
+        // The server closes the connection after every other response without announcing it.
         let (server, first) = Server::start_on(Kind::V4, |request| {
             let closes = request
                 .header("req-id")
@@ -202,7 +202,7 @@
             links.push(link);
             listed.push(endpoint);
         }
-        listed.rotate_left(at); // Each kind is somebody's first.
+        listed.rotate_left(at); // Each family is the preferred one of some server.
         addresses.push(listed);
         servers.push(server);
     }
@@ -244,7 +244,7 @@
     }
     let came = arrivals(&servers);
     let twice: Vec<_> = came.iter().filter(|(_, times)| **times > 1).collect();
-    assert!(twice.is_empty(), "came twice: {twice:?}");
+    assert!(twice.is_empty(), "arrived twice: {twice:?}");
     let (answered, served) = (
         answered.load(Ordering::SeqCst),
         served.load(Ordering::SeqCst),
@@ -262,14 +262,14 @@
     );
     assert!(
         came.len() > 1_000 && served > 500 && connections > 200,
-        "there was something to see"
+        "the faults took effect on enough requests"
     );
 }
 
-/// The lists change while requests are in flight and connections stand idle: kinds come and go, servers trade
-/// addresses, one address has nobody any more. Nothing comes twice, nothing is lost.
+/// The addresses change while requests are in flight and connections are idle: families come and go, servers trade
+/// addresses, one address loses its server.
 #[test]
-fn addresses_that_change_under_load_lose_nothing() {
+fn address_changes_under_load_lose_and_duplicate_no_request() {
     let (first, v4) = Server::start_on(Kind::V4, ok);
     let (v6, path) = (first.also(Kind::second()), first.also(Kind::Unix));
     let (second, other) = Server::start_on(Kind::V4, ok);
@@ -297,7 +297,7 @@
             ("s-1", one.as_slice()),
         ]));
         let before = first.count() + second.count();
-        until("it goes on", || {
+        until("requests are served again", || {
             first.count() + second.count() > before + 20
         });
         assert!(
@@ -309,12 +309,15 @@
     assert_eq!(totals.lost, 0);
     assert_eq!(totals.of(200), totals.sent, "{:?}", totals.answers);
     let came = arrivals([&first, &second]);
-    assert!(came.values().all(|times| *times == 1), "one comes twice");
+    assert!(
+        came.values().all(|times| *times == 1),
+        "a request arrived twice"
+    );
 }
 
-/// A Unix socket's file is taken away and made anew, as a server does that is restarted.
+/// The socket file is removed and created again, as by a server that restarts.
 #[test]
-fn a_path_that_is_replaced_is_found_again() {
+fn unix_socket_that_is_recreated_is_dialed_again() {
     let folder = tempfile::tempdir().expect("a folder");
     let path = folder.path().join("s");
     let address = format!("unix:{}", path.display());
@@ -325,8 +328,8 @@
         let Endpoint::Unix(real, _) = &endpoint else {
             panic!("a path")
         };
-        std::fs::rename(real, &path).expect("in place of the one before");
-        until("it is served there", || {
+        std::fs::rename(real, &path).expect("it takes the place of the previous one");
+        until("the new socket serves", || {
             let answer = node.ask(&read(&format!("{round}-{}", server.count()), "900m"));
             answer.status() == 200 && server.count() > 0
         });
--- a/tests/servers.rs
+++ b/tests/servers.rs
@@ -1,19 +1,19 @@
-//! What servers may do to a node that they should not, over loopback sockets.
+//! Misbehaving servers, over loopback sockets.
 
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::time::{Duration, Instant};
 
 use testkit::*;
 
-/// An answer with the id of its request.
+/// A response whose body is the id of its request.
 fn own(request: &Message) -> Vec<u8> {
     answer("200 OK", "", request.header("req-id").expect("an id"))
 }
 
-/// Guards against an answer that reaches the client of the next request: a connection that brings more than its
-/// answer is of no more use, whether that comes with the answer or a while after.
+/// Otherwise they would reach the client of the next request. The connection is closed, whether the bytes arrive with
+/// the response or some time later.
 #[test]
-fn what_comes_behind_an_answer_is_nobodys() {
+fn unsolicited_bytes_after_a_response_reach_no_client() {
     let copy: fn(&Message) -> Vec<u8> = own;
     let noise: fn(&Message) -> Vec<u8> = |_| b"\x00\xff noise \r\n\r\n".to_vec();
     let half: fn(&Message) -> Vec<u8> =
@@ -23,13 +23,13 @@
             for after in
                 [None, Some(0), Some(1), Some(4), Some(50)].map(|ms| ms.map(Duration::from_millis))
             {
-                all.spawn(move || is_nobodys(behind, after));
+                all.spawn(move || check_unsolicited_bytes(behind, after));
             }
         }
     });
 }
 
-fn is_nobodys(behind: fn(&Message) -> Vec<u8>, after: Option<Duration>) {
+fn check_unsolicited_bytes(behind: fn(&Message) -> Vec<u8>, after: Option<Duration>) {
     let server = Server::start(move |request| match after {
         None => Reply::Say([own(request), behind(request)].concat()),
         Some(after) => Reply::SayThen(own(request), after, behind(request)),
@@ -43,16 +43,16 @@
             (200, id.into_bytes()),
             "{after:?}"
         );
-        until("the node leaves the connection", || {
+        until("the node closes the connection", || {
             server.closed() == server.opened()
         });
     }
 }
 
-/// What nothing on the wire tells apart: a whole answer that comes after the next request's first byte and before its
-/// own answer is taken for it. That happens once: what is left over ends the connection.
+/// Nothing on the wire distinguishes a complete response that arrives after the next request's first byte and before
+/// its real response. It is taken for that once: the bytes left over end the connection.
 #[test]
-fn an_answer_that_comes_in_the_midst_of_the_next_request_is_taken_for_its_own_once() {
+fn unsolicited_response_within_the_next_request_is_misattributed_only_once() {
     let last = std::sync::Mutex::new(None);
     let server = Server::start(move |request| {
         let before = last.lock().expect("sound").replace(own(request));
@@ -71,7 +71,7 @@
             "{id}"
         );
         if id == "r1" {
-            until("the node leaves the connection", || server.closed() == 1);
+            until("the node closes the connection", || server.closed() == 1);
         }
     }
     assert_eq!(
@@ -81,12 +81,12 @@
     );
 }
 
-/// Guards against answers that are waited for until the request's time is over though they will never be one.
+/// A response that can never be valid must not use up the request's time.
 #[test]
-fn a_spoilt_answer_is_cut_off_and_the_request_sent_again() {
+fn malformed_response_is_abandoned_early_and_the_request_retried() {
     let large = format!("HTTP/1.1 200 OK\r\nX-Endless: {}", "x".repeat(64 * 1024));
     let flood = "HTTP/1.1 103 Early Hints\r\nLink: <a>\r\n\r\n".repeat(10_000);
-    for spoilt in [
+    for malformed in [
         "HTTP/1.1 200 OK\r\nContent-Len",
         "HTTP/1.1 200 OK\r\nContent-Length: 12\r\n\r\nrooms: 3\n",
         "HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\nrooms: 3\n",
@@ -99,9 +99,9 @@
         &large,
         &flood,
     ] {
-        let (seen, spoilt) = (AtomicUsize::new(0), spoilt.to_owned());
+        let (seen, malformed) = (AtomicUsize::new(0), malformed.to_owned());
         let server = Server::start(move |_| match seen.fetch_add(1, Ordering::SeqCst) {
-            0 => Reply::Say(spoilt.clone().into_bytes()),
+            0 => Reply::Say(malformed.clone().into_bytes()),
             _ => Reply::ok("yes"),
         });
         let (node, _discovery, _watch) = Node::with(&[&server], 15_000);
@@ -119,9 +119,9 @@
     }
 }
 
-/// Guards against taking a spoilt answer for none: what is unsafe to repeat has failed.
+/// The server has received the request completely, so it may have run.
 #[test]
-fn a_request_whose_answer_is_spoilt_may_have_run() {
+fn non_idempotent_request_with_malformed_response_is_not_retried() {
     let server =
         Server::start(|_| Reply::Say(b"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nroo".to_vec()));
     let (node, _discovery, _watch) = Node::with(&[&server], 15_000);
@@ -129,9 +129,9 @@
     assert_eq!(server.requests().len(), 1);
 }
 
-/// Guards against cutting off a server that says early that it is at work.
+/// A server that reports progress early may take its time for the final response.
 #[test]
-fn answers_that_come_ahead_are_passed_over_and_the_last_is_waited_for() {
+fn interim_responses_are_skipped_and_the_final_one_is_awaited() {
     let server = Server::start(|request| {
         let early = b"HTTP/1.1 103 Early Hints\r\nLink: <a>\r\n\r\nHTTP/1.1 102 Processing\r\n\r\n";
         Reply::SayThen(early.to_vec(), Duration::from_millis(700), own(request))
@@ -144,9 +144,9 @@
     );
 }
 
-/// Guards against a request that servers object to being tried on one after another, and each being taken out.
+/// Retrying it would have every server reject it, and each be ejected for it.
 #[test]
-fn what_a_server_objects_to_is_told_the_client() {
+fn client_error_from_a_server_is_forwarded_without_retry() {
     let server = Server::start(|_| Reply::Say(answer("400 Bad Request", "", "an id of nobody\n")));
     let (node, _discovery, _watch) = Node::with(&[&server], 15_000);
     let rejected = node.ask(&read("a", "15000m"));
@@ -157,9 +157,9 @@
     assert_eq!(server.requests().len(), 1);
 }
 
-/// Guards against servers that stand unused because a connection to them broke once.
+/// One broken connection does not eject a server for good.
 #[test]
-fn a_server_is_sent_to_again_after_one_broken_connection() {
+fn server_gets_requests_again_after_one_broken_connection() {
     let first = std::sync::Arc::new(AtomicUsize::new(0));
     let servers: Vec<_> = (0..2)
         .map(|_| {
