--- a/src/node/upstream/mod.rs
+++ b/src/node/upstream/mod.rs
@@ -136,7 +136,7 @@
 pub struct Exchange<'a> {
     /// The request.
     pub request: &'a Rc<UpstreamRequest>,
-    /// The time left for the request, which the server is told.
+    /// The time left for the request, sent to the server as `Req-Deadline`.
     pub remaining: Duration,
     /// Called with a response that is too long to be buffered. Its body is forwarded for as long as the exchange is
     /// polled.
--- a/src/node/upstream/servers.rs
+++ b/src/node/upstream/servers.rs
@@ -27,7 +27,7 @@
 
 pub use attempt::RunningAttempt;
 use checked_out::CheckoutResult;
-use idle::IdleConnection;
+use idle::PooledConnection;
 
 /// An entry of the server table.
 struct Server {
@@ -54,7 +54,7 @@
 /// All servers and the connections to them.
 pub struct Servers {
     pool: RefCell<Pool>,
-    idle_connections: RefCell<HashMap<ConnectionId, IdleConnection>>,
+    idle_connections: RefCell<HashMap<ConnectionId, PooledConnection>>,
     pending_checkouts: RefCell<HashMap<CheckoutId, oneshot::Sender<CheckoutResult>>>,
     dials: RefCell<HashMap<DialId, AbortHandle>>,
     table: RefCell<BTreeMap<ServerId, Server>>,
--- a/src/node/upstream/servers/checked_out.rs
+++ b/src/node/upstream/servers/checked_out.rs
@@ -9,7 +9,7 @@
 };
 use tokio::sync::oneshot;
 
-use super::idle::IdleConnection;
+use super::idle::PooledConnection;
 use super::Servers;
 use crate::node::upstream::{AttemptOutcome, Exchange, ServerConnection};
 
@@ -55,7 +55,7 @@
         let idle = self.idle_connections.borrow_mut().remove(&id);
         let socket = idle.or_else(|| {
             let connection = dialed.take()?;
-            Some(IdleConnection {
+            Some(PooledConnection {
                 connection,
                 idle_since_ms: self.now_ms(),
                 age: ConnectionAge::New,
@@ -118,7 +118,7 @@
     servers: Rc<Servers>,
     id: ConnectionId,
     /// `None` once it has been closed or checked in.
-    socket: Option<IdleConnection>,
+    socket: Option<PooledConnection>,
     has_begun_exchange: bool,
 }
 
@@ -185,7 +185,7 @@
     }
 
     fn check_in(&mut self) {
-        let Some(IdleConnection { connection, .. }) = self.socket.take() else {
+        let Some(PooledConnection { connection, .. }) = self.socket.take() else {
             return;
         };
         self.servers.store_idle(self.id, connection);
--- a/src/node/upstream/servers/idle.rs
+++ b/src/node/upstream/servers/idle.rs
@@ -9,9 +9,10 @@
 use super::Servers;
 use crate::node::upstream::ServerConnection;
 
-/// The socket of a connection, with what the pool is told when it turns out to be stale.
-pub(super) struct IdleConnection {
+/// The socket of a connection, idle or checked out, with what the pool needs to know if it turns out to be stale.
+pub(super) struct PooledConnection {
     pub(super) connection: ServerConnection,
+    /// When it last became idle, or was dialed.
     pub(super) idle_since_ms: f64,
     pub(super) age: ConnectionAge,
 }
@@ -19,7 +20,7 @@
 impl Servers {
     /// Keeps the socket of a connection that has become idle.
     pub(super) fn store_idle(&self, id: ConnectionId, connection: ServerConnection) {
-        let idle = IdleConnection {
+        let idle = PooledConnection {
             connection,
             idle_since_ms: self.now_ms(),
             age: ConnectionAge::Reused,
--- a/src/node/upstream/servers/tests.rs
+++ b/src/node/upstream/servers/tests.rs
@@ -56,7 +56,7 @@
 
 /// A server that starts to drain between its selection and the first byte gets nothing.
 #[tokio::test]
-async fn attempt_whose_server_starts_to_drain_during_the_dial_assert_not_sent() {
+async fn attempt_whose_server_starts_to_drain_during_the_dial_is_not_sent() {
     tokio::task::LocalSet::new()
         .run_until(check_drain_during_dial())
         .await;
@@ -104,7 +104,7 @@
 
 /// Covers a client that left during the dial, and a retry whose dial outlasts the deduplication window.
 #[tokio::test]
-async fn attempt_whose_send_deadline_passes_during_the_dial_assert_not_sent() {
+async fn attempt_whose_send_deadline_passes_during_the_dial_is_not_sent() {
     tokio::task::LocalSet::new()
         .run_until(check_send_deadline_during_dial())
         .await;
--- a/tests/addresses.rs
+++ b/tests/addresses.rs
@@ -1,8 +1,7 @@
 //! Servers with several addresses: the program on real sockets, over IPv4, IPv6 and Unix domain sockets.
 
 use std::collections::HashMap;
-use std::sync::atomic::{AtomicU64, Ordering};
-use std::sync::Arc;
+use std::net::SocketAddr;
 use std::thread;
 use std::time::Duration;
 
@@ -52,19 +51,19 @@
 }
 
 /// An idempotent request with an idempotency key of its own.
-fn keyed(id: &str) -> String {
+fn idempotent_post(id: &str) -> String {
     post(id, "hold", &format!("Idempotency-Key: {id}\r\n"), "x")
 }
 
 /// How often each request id arrived completely, over all addresses of all servers.
 fn arrivals<'a>(servers: impl IntoIterator<Item = &'a Server>) -> HashMap<String, usize> {
-    let mut came = HashMap::new();
+    let mut arrivals = HashMap::new();
     for request in servers.into_iter().flat_map(Server::requests) {
-        *came
+        *arrivals
             .entry(request.header("req-id").expect("an id").to_owned())
             .or_default() += 1;
     }
-    came
+    arrivals
 }
 
 #[test]
@@ -72,9 +71,13 @@
     for kind in Kind::all() {
         let (server, endpoint) = Server::start_on(kind, ok);
         let (node, _discovery) = node(&[("s-0", &[endpoint.to_string()])], 2_000, 1);
-        for (at, text) in [read("1", "900m"), keyed("2"), post("3", "pay", "", "x")]
-            .iter()
-            .enumerate()
+        for (at, text) in [
+            read("1", "900m"),
+            idempotent_post("2"),
+            post("3", "pay", "", "x"),
+        ]
+        .iter()
+        .enumerate()
         {
             assert_eq!(node.ask(text).status(), 200, "{kind:?}, {at}");
         }
@@ -131,7 +134,11 @@
             let (_link, stalled) = Link::start_on(kind, up.clone(), plans);
             let (node, _discovery) =
                 node(&[("s-0", &[stalled.to_string(), up.to_string()])], 300, 1);
-            for text in [post("1", "pay", "", "x"), keyed("2"), read("3", "250m")] {
+            for text in [
+                post("1", "pay", "", "x"),
+                idempotent_post("2"),
+                read("3", "250m"),
+            ] {
                 let before = server.count();
                 assert_ne!(node.ask(&text).status(), 200, "{kind:?}, {byte}");
                 assert!(
@@ -167,28 +174,31 @@
     (there, back)
 }
 
-/// Three servers, each at three addresses of three families with faults at every stage, and one attempt per request:
-/// no request arrives twice over any addresses, and each gets exactly one response.
-#[test]
-fn requests_over_faulty_addresses_arrive_at_most_once_and_get_one_response() {
-    const SERVERS: usize = 3;
-    const CLIENTS: u64 = 8;
-    const EACH: u64 = 400;
-    let mut servers = Vec::new();
-    let (mut links, mut addresses) = (Vec::new(), Vec::new());
-    for at in 0..SERVERS {
-        // The server closes the connection after every other response without announcing it.
-        let (server, first) = Server::start_on(Kind::V4, |request| {
-            let closes = request
-                .header("req-id")
-                .is_some_and(|id| id.ends_with(['0', '2', '4', '6', '8']));
-            let answer = answer("200 OK", "", "yes");
-            if closes {
-                Reply::SayAndClose(answer)
-            } else {
-                Reply::Say(answer)
-            }
-        });
+/// Servers at one address of each family, every address behind a link with the faults of [`plans`].
+struct FaultyServers {
+    servers: Vec<Server>,
+    links: Vec<Link>,
+    /// The addresses of each server, each family being the preferred one of some server. They own the socket files.
+    addresses: Vec<Vec<Endpoint>>,
+}
+
+/// Closes the connection after every other response without announcing it.
+fn close_after_every_other(request: &testkit::Message) -> Reply {
+    let closes = request
+        .header("req-id")
+        .is_some_and(|id| id.ends_with(['0', '2', '4', '6', '8']));
+    let answer = answer("200 OK", "", "yes");
+    if closes {
+        Reply::SayAndClose(answer)
+    } else {
+        Reply::Say(answer)
+    }
+}
+
+fn start_faulty_servers(count: usize) -> FaultyServers {
+    let (mut servers, mut links, mut addresses) = (Vec::new(), Vec::new(), Vec::new());
+    for index in 0..count {
+        let (server, first) = Server::start_on(Kind::V4, close_after_every_other);
         let own = [first, server.also(Kind::second()), server.also(Kind::Unix)];
         let mut listed = Vec::new();
         for (nth, (kind, to)) in [Kind::V4, Kind::second(), Kind::Unix]
@@ -196,16 +206,55 @@
             .zip(own)
             .enumerate()
         {
-            let seed = (at * 10 + nth) as u64;
+            let seed = (index * 10 + nth) as u64;
             let (link, endpoint): (Link, Endpoint) =
                 Link::start_on(kind, to, move |connection| plans(seed, connection));
             links.push(link);
             listed.push(endpoint);
         }
-        listed.rotate_left(at); // Each family is the preferred one of some server.
+        listed.rotate_left(index);
         addresses.push(listed);
         servers.push(server);
     }
+    FaultyServers {
+        servers,
+        links,
+        addresses,
+    }
+}
+
+/// Sends requests of all three classes on one connection. Returns how many were answered, and how many of them served.
+fn run_client(node: SocketAddr, client: u64, requests: u64) -> (u64, u64) {
+    let mut connection = Client::connect(node);
+    let (mut answered, mut served) = (0, 0);
+    for number in 0..requests {
+        let id = format!("{client}-{number}");
+        let text = match number % 3 {
+            0 => idempotent_post(&id),
+            1 => post(&id, "pay", "", "x"),
+            _ => read(&id, "140m"),
+        };
+        connection.send(&text);
+        let answer = connection.answer().expect("exactly one answer");
+        answered += 1;
+        served += u64::from(answer.status() == 200);
+    }
+    assert!(connection.is_silent(), "and nothing after the last");
+    (answered, served)
+}
+
+/// Three servers, each at three addresses of three families with faults at every stage, and one attempt per request:
+/// no request arrives twice over any addresses, and each gets exactly one response.
+#[test]
+fn requests_over_faulty_addresses_arrive_at_most_once_and_get_one_response() {
+    const SERVERS: usize = 3;
+    const CLIENTS: u64 = 8;
+    const REQUESTS_PER_CLIENT: u64 = 400;
+    let FaultyServers {
+        servers,
+        links,
+        addresses,
+    } = start_faulty_servers(SERVERS);
     let texts: Vec<Vec<String>> = addresses
         .iter()
         .map(|all| all.iter().map(ToString::to_string).collect())
@@ -216,44 +265,25 @@
         .zip(texts.iter().map(Vec::as_slice))
         .collect();
     let (node, _discovery) = node(&listed, 150, 1);
-    let (answered, served) = (Arc::<AtomicU64>::default(), Arc::<AtomicU64>::default());
+    let address = node.address;
     let clients: Vec<_> = (0..CLIENTS)
-        .map(|client| {
-            let (address, answered, served) =
-                (node.address, Arc::clone(&answered), Arc::clone(&served));
-            thread::spawn(move || {
-                let mut connection = Client::connect(address);
-                for number in 0..EACH {
-                    let id = format!("{client}-{number}");
-                    let text = match number % 3 {
-                        0 => keyed(&id),
-                        1 => post(&id, "pay", "", "x"),
-                        _ => read(&id, "140m"),
-                    };
-                    connection.send(&text);
-                    let answer = connection.answer().expect("exactly one answer");
-                    answered.fetch_add(1, Ordering::SeqCst);
-                    served.fetch_add(u64::from(answer.status() == 200), Ordering::SeqCst);
-                }
-                assert!(connection.is_silent(), "and nothing after the last");
-            })
-        })
+        .map(|client| thread::spawn(move || run_client(address, client, REQUESTS_PER_CLIENT)))
         .collect();
+    let (mut answered, mut served) = (0, 0);
     for client in clients {
-        client.join().expect("a client that had its answers");
+        let (client_answered, client_served) =
+            client.join().expect("a client that had its answers");
+        answered += client_answered;
+        served += client_served;
     }
-    let came = arrivals(&servers);
-    let twice: Vec<_> = came.iter().filter(|(_, times)| **times > 1).collect();
+    let arrivals = arrivals(&servers);
+    let twice: Vec<_> = arrivals.iter().filter(|(_, times)| **times > 1).collect();
     assert!(twice.is_empty(), "arrived twice: {twice:?}");
-    let (answered, served) = (
-        answered.load(Ordering::SeqCst),
-        served.load(Ordering::SeqCst),
-    );
-    assert_eq!(answered, CLIENTS * EACH);
+    assert_eq!(answered, CLIENTS * REQUESTS_PER_CLIENT);
     let connections: usize = links.iter().map(Link::connections).sum();
     eprintln!(
-        "{answered} requests, {} came, {served} served, {connections} connections",
-        came.len()
+        "{answered} requests, {} arrivals, {served} served, {connections} connections",
+        arrivals.len()
     );
     let each: Vec<_> = links.iter().map(Link::connections).collect();
     assert!(
@@ -261,7 +291,7 @@
         "every address was in use: {each:?}"
     );
     assert!(
-        came.len() > 1_000 && served > 500 && connections > 200,
+        arrivals.len() > 1_000 && served > 500 && connections > 200,
         "the faults took effect on enough requests"
     );
 }
@@ -308,9 +338,9 @@
     let totals = load.end();
     assert_eq!(totals.lost, 0);
     assert_eq!(totals.of(200), totals.sent, "{:?}", totals.answers);
-    let came = arrivals([&first, &second]);
+    let arrivals = arrivals([&first, &second]);
     assert!(
-        came.values().all(|times| *times == 1),
+        arrivals.values().all(|times| *times == 1),
         "a request arrived twice"
     );
 }
--- a/tests/servers.rs
+++ b/tests/servers.rs
@@ -178,9 +178,9 @@
             200
         );
     }
-    let asked: Vec<_> = servers
+    let request_counts: Vec<_> = servers
         .iter()
         .map(|server| server.requests().len())
         .collect();
-    assert!(asked.iter().all(|n| *n > 2), "{asked:?}");
+    assert!(request_counts.iter().all(|n| *n > 2), "{request_counts:?}");
 }
