--- a/crates/measure/src/bin/allocations.rs
+++ b/crates/measure/src/bin/allocations.rs
@@ -7,7 +7,7 @@
 use std::thread;
 
 use silverthread::node::config::Config;
-use silverthread::node::downstream::clients::{self, FrontOptions, Phase};
+use silverthread::node::downstream::server::{self, Phase, ServerOptions};
 use silverthread::node::driver::Driver;
 use testkit::{config, list, read, settings, Client, Reply, Server};
 use tokio::sync::{oneshot, watch};
@@ -64,7 +64,7 @@
             .expect("somebody waits");
         let (_phase, phases) = watch::channel(Phase::Serving);
         tokio::select! {
-            () = clients::serve(listener, Rc::clone(&driver), FrontOptions::own(phases, 100)) => {}
+            () = server::serve(listener, Rc::clone(&driver), ServerOptions::own(phases, 100)) => {}
             _ = ended => {}
         }
     });
--- /dev/null
+++ b/src/node/downstream/connection.rs
@@ -0,0 +1,124 @@
+//! One client connection: runs hyper's HTTP/1 state machine over the socket, and closes it when the client leaves, the
+//! connection table requests it, or the node shuts down.
+
+use std::cell::Cell;
+use std::convert::Infallible;
+use std::pin::pin;
+use std::rc::Rc;
+
+use admin::ConnectionPolicy;
+use hyper::body::Incoming;
+use hyper::header::{self, HeaderValue};
+use hyper::server::conn::http1;
+use hyper::service::service_fn;
+use hyper::{Request, Response, StatusCode};
+use hyper_util::rt::TokioIo;
+use tokio::net::TcpStream;
+
+use crate::node::admin::log;
+use crate::node::downstream::connections::{ConnectionGuard, Stage};
+use crate::node::downstream::passing::Outgoing;
+use crate::node::downstream::request_handler::handle_request;
+use crate::node::downstream::response::text_response;
+use crate::node::downstream::server::ServerState;
+use crate::node::downstream::shutdown::{linger, CloseMode, Phase};
+use crate::node::downstream::socket::Socket;
+
+/// Size of hyper's buffer: the limit on a request's head, and the most that is read of a body at a time.
+const MAX_BUFFER_BYTES: usize = 32 * 1024;
+
+/// How hyper's part of a connection ended.
+#[derive(PartialEq)]
+enum ConnectionEnd {
+    /// The client closed it, a response was its last, or it was closed while idle.
+    Graceful,
+    /// Nobody is left to read what remains to be written.
+    Aborted,
+}
+
+/// Serves one connection until it is closed.
+pub(super) async fn run(stream: TcpStream, state: Rc<ServerState>, guard: ConnectionGuard) {
+    if let Err(error) = stream.set_nodelay(true) {
+        return log::line(format_args!("cannot set up a connection: {error}"));
+    }
+    let socket = Socket::new(stream, guard);
+    if serve_requests(&socket, &state).await == ConnectionEnd::Graceful {
+        linger(&socket).await;
+    }
+}
+
+async fn serve_requests(socket: &Socket, state: &ServerState) -> ConnectionEnd {
+    let (tracked, request_count) = (&socket.tracked, Cell::new(0));
+    let service = service_fn(|request| {
+        let number = request_count.get() + 1;
+        request_count.set(number);
+        async move { Ok::<_, Infallible>(serve_request(request, number, socket, state).await) }
+    });
+    let connection = http1::Builder::new()
+        .max_buf_size(MAX_BUFFER_BYTES)
+        .serve_connection(TokioIo::new(socket.clone()), service);
+    let mut connection = pin!(connection);
+    let mut phases = state.options.phases.clone();
+    let mut shutdown = pin!(phases.wait_for(Phase::is_shutting_down));
+    let mut client_gone = pin!(socket.client_gone());
+    let mut is_shutting_down = false;
+    loop {
+        tokio::select! {
+            biased;
+            result = connection.as_mut() => {
+                if let Some(error) = result.err().filter(hyper::Error::is_parse) {
+                    log::line(format_args!("a client's message is malformed: {error}"));
+                }
+                return ConnectionEnd::Graceful;
+            }
+            () = client_gone.as_mut() => return ConnectionEnd::Aborted,
+            // An idle connection is closed, and later bytes on it are discarded. A request in progress is answered; one of
+            // which a part has arrived is served once it is complete, and its response is the last.
+            _ = &mut shutdown, if !is_shutting_down => {
+                is_shutting_down = true;
+                if matches!(tracked.stage(), Stage::Request | Stage::Answer) || socket.rests() {
+                    connection.as_mut().graceful_shutdown();
+                }
+            }
+            () = tracked.asked_to_leave() => {
+                let mode = CloseMode::choose(tracked.stage(), || socket.rests(), || socket.has_news());
+                match mode {
+                    _ if !tracked.should_leave() => {}
+                    CloseMode::KeepOpen => {}
+                    CloseMode::Graceful => connection.as_mut().graceful_shutdown(),
+                    CloseMode::Abort => return ConnectionEnd::Aborted,
+                }
+            }
+        }
+    }
+}
+
+/// Produces the response to the request with this number on the connection, counted from one.
+async fn serve_request(
+    request: Request<Incoming>,
+    number: u64,
+    socket: &Socket,
+    state: &ServerState,
+) -> Response<Outgoing> {
+    let tracked = &socket.tracked;
+    socket.guard.asks();
+    let is_ambiguous = socket.framing.borrow().is_doubtful(number);
+    let mut response = if is_ambiguous {
+        text_response(
+            StatusCode::BAD_REQUEST,
+            "the length is told in more than one way\n",
+        )
+    } else {
+        handle_request(request, state, tracked).await
+    };
+    tracked.enter(Stage::Answer);
+    tracked.set_passing(matches!(response.body(), Outgoing::Passing(..)));
+    let must_close = state.connection_policy() > ConnectionPolicy::KeepAlive
+        || socket.framing.borrow().is_last(number);
+    if must_close || state.table.wants_room(tracked) {
+        response
+            .headers_mut()
+            .insert(header::CONNECTION, HeaderValue::from_static("close"));
+    }
+    response
+}
--- a/src/node/downstream/mod.rs
+++ b/src/node/downstream/mod.rs
@@ -1,8 +1,15 @@
-//! The way in: clients with their places, where a message ends, and messages that pass through as they come.
+//! The client side of the node: accepts connections, parses requests, and sends the final responses. [`server`] owns the
+//! state that connections share; the connection table bounds their number and lifetime.
 
-pub mod clients;
+mod connection;
 mod connections;
 mod framing;
 pub(in crate::node) mod inherited;
 pub(in crate::node) mod passing;
+mod request_body;
+mod request_handler;
+mod request_metadata;
+mod response;
+pub mod server;
+pub mod shutdown;
 mod socket;
--- /dev/null
+++ b/src/node/downstream/request_body.rs
@@ -0,0 +1,156 @@
+//! Uploads: reads a request's body from its client, buffers as much as the limits permit, and streams the rest.
+
+use std::time::Duration;
+
+use bytes::{Bytes, BytesMut};
+use flow_control::{MemoryBudget, Reservation, TransferDeadline};
+use http_body_util::BodyExt;
+use hyper::body::{Body, Incoming};
+
+use crate::node::downstream::passing::Feeder;
+use crate::node::downstream::response::InvalidRequest;
+use crate::node::downstream::server::ServerState;
+use crate::node::upstream::answers::{MOST_BODY, MOST_HELD, MOST_PASSED};
+
+/// A request's body on its way from the client, with the deadline that its minimum transfer rate sets.
+pub(super) struct IncomingUpload {
+    body: Incoming,
+    deadline: TransferDeadline,
+}
+
+/// What has been buffered of a body.
+pub(super) enum BufferedBody {
+    /// The complete body.
+    Complete(Bytes),
+    /// The beginning of a body that is too long to be buffered.
+    Prefix(Bytes),
+}
+
+/// The beginning of a body while it is buffered. What exceeds an ordinary body is reserved from the shared memory budget.
+struct UploadBuffer {
+    bytes: BytesMut,
+    reservation: Option<Reservation>,
+}
+
+impl UploadBuffer {
+    /// Reserves memory for what is buffered beyond [`MOST_BODY`]; `false` if the budget is exhausted.
+    fn try_reserve_excess(&mut self, budget: &MemoryBudget) -> bool {
+        let excess = self.bytes.len().saturating_sub(MOST_BODY);
+        if excess == 0 {
+            return true;
+        }
+        if let Some(reservation) = &mut self.reservation {
+            return reservation.try_grow(excess.saturating_sub(reservation.bytes()));
+        }
+        self.reservation = budget.try_reserve(excess);
+        self.reservation.is_some()
+    }
+
+    /// The buffered bytes; the reservation is released with the last reference to them.
+    fn freeze(self) -> Bytes {
+        let bytes = self.bytes.freeze();
+        match self.reservation {
+            Some(reservation) => reservation.attach_to(bytes),
+            None => bytes,
+        }
+    }
+}
+
+impl IncomingUpload {
+    /// An upload that begins at `now_ms` on the driver's clock.
+    pub(super) fn new(body: Incoming, now_ms: f64) -> Self {
+        Self {
+            body,
+            deadline: TransferDeadline::for_upload(now_ms),
+        }
+    }
+
+    /// How many bytes are still to be read, where the client has announced the length.
+    pub(super) fn remaining_bytes(&self) -> Option<u64> {
+        self.body.size_hint().exact()
+    }
+
+    /// The next data frame; `None` at the end of the body.
+    ///
+    /// # Errors
+    ///
+    /// The body is malformed, or the deadline has passed: a client that stalls must not keep a connection.
+    async fn next_chunk(&mut self, state: &ServerState) -> Result<Option<Bytes>, InvalidRequest> {
+        loop {
+            let remaining_ms = (self.deadline.due_ms() - state.driver.now_ms()).max(0.0);
+            let timeout = Duration::from_secs_f64(remaining_ms / 1e3);
+            let frame = tokio::time::timeout(timeout, self.body.frame())
+                .await
+                .map_err(|_| InvalidRequest::BODY_TIMEOUT)?;
+            let Some(frame) = frame else { return Ok(None) };
+            let frame =
+                frame.map_err(|_| InvalidRequest::bad_request("the body is malformed\n"))?;
+            if let Ok(chunk) = frame.into_data() {
+                self.deadline.record_bytes(chunk.len());
+                return Ok(Some(chunk));
+            }
+        }
+    }
+
+    /// Reads the body as far as it may be buffered: up to [`MOST_HELD`], and beyond [`MOST_BODY`] only while the shared
+    /// memory budget permits. A body whose announced length exceeds [`MOST_HELD`] is not read further than its first chunk.
+    ///
+    /// # Errors
+    ///
+    /// As [`Self::next_chunk`].
+    pub(super) async fn buffer(
+        &mut self,
+        state: &ServerState,
+    ) -> Result<BufferedBody, InvalidRequest> {
+        let Some(first) = self.next_chunk(state).await? else {
+            return Ok(BufferedBody::Complete(Bytes::new()));
+        };
+        if self.body.is_end_stream() {
+            return Ok(BufferedBody::Complete(first));
+        }
+        let mut buffer = UploadBuffer {
+            bytes: BytesMut::from(first),
+            reservation: None,
+        };
+        let announced_bytes = self
+            .remaining_bytes()
+            .map(|remaining| remaining.saturating_add(buffer.bytes.len() as u64));
+        if announced_bytes.is_some_and(|bytes| bytes > MOST_HELD as u64) {
+            return Ok(BufferedBody::Prefix(buffer.freeze()));
+        }
+        while buffer.bytes.len() < MOST_HELD && buffer.try_reserve_excess(&state.upload_memory) {
+            let Some(chunk) = self.next_chunk(state).await? else {
+                return Ok(BufferedBody::Complete(buffer.freeze()));
+            };
+            buffer.bytes.extend_from_slice(&chunk);
+        }
+        Ok(BufferedBody::Prefix(buffer.freeze()))
+    }
+
+    /// Streams the rest of the body to the attempt that sends it; `false` if that attempt accepts no more.
+    ///
+    /// # Errors
+    ///
+    /// As [`Self::next_chunk`]; or the body exceeds [`MOST_PASSED`].
+    pub(super) async fn stream_to(
+        &mut self,
+        mut sender: Feeder,
+        state: &ServerState,
+    ) -> Result<bool, InvalidRequest> {
+        let mut streamed_bytes = 0;
+        while let Some(chunk) = self.next_chunk(state).await? {
+            streamed_bytes += chunk.len();
+            if streamed_bytes > MOST_PASSED {
+                return Err(InvalidRequest::BODY_TOO_LARGE);
+            }
+            let send_started_ms = state.driver.now_ms();
+            if sender.feed(chunk).await.is_err() {
+                return Ok(false);
+            }
+            // Time spent waiting for the server does not count against the client.
+            self.deadline
+                .exclude_pause(state.driver.now_ms() - send_started_ms);
+        }
+        Ok(sender.end().await.is_ok())
+    }
+}
--- /dev/null
+++ b/src/node/downstream/request_handler.rs
@@ -0,0 +1,179 @@
+//! Routes a request by its path, and takes a request for the API through the driver to its final response.
+
+use std::cell::{Cell, RefCell};
+use std::collections::HashSet;
+use std::rc::Rc;
+use std::time::Instant;
+
+use admin::Counter;
+use hyper::body::{Body, Incoming};
+use hyper::header::HeaderValue;
+use hyper::http::request::Parts;
+use hyper::{Method, Request, Response, StatusCode};
+
+use crate::node::downstream::connections::TrackedConnection;
+use crate::node::downstream::passing::{passing, Outgoing, Upload};
+use crate::node::downstream::request_body::{BufferedBody, IncomingUpload};
+use crate::node::downstream::request_metadata::{
+    remove_hop_by_hop_headers, sticky_key, RequestMetadata,
+};
+use crate::node::downstream::response::{
+    forwarded_response, outcome_of, rejection_response, text_response, InvalidRequest,
+};
+use crate::node::downstream::server::ServerState;
+use crate::node::downstream::shutdown::Phase;
+use crate::node::driver::Answer;
+use crate::node::upstream::answers::MOST_PASSED;
+use crate::node::upstream::{Message, RequestBody};
+
+/// `Retry-After` for a client that is rejected because too few connections are free: some responses are complete by then,
+/// and their connections idle.
+const FREE_CONNECTION_RETRY_MS: f64 = 50.0;
+
+/// Handles one request. Dropping the future abandons the request and its attempts.
+pub(super) async fn handle_request(
+    request: Request<Incoming>,
+    state: &ServerState,
+    tracked: &Rc<TrackedConnection>,
+) -> Response<Outgoing> {
+    match request.uri().path() {
+        "/up" => readiness_response(request.method(), state),
+        "/api" => handle_api_request(request, state, tracked)
+            .await
+            .unwrap_or_else(|invalid| text_response(invalid.status, invalid.reason)),
+        _ => text_response(StatusCode::NOT_FOUND, "no such path\n"),
+    }
+}
+
+fn readiness_response(method: &Method, state: &ServerState) -> Response<Outgoing> {
+    if method != Method::GET {
+        return text_response(StatusCode::METHOD_NOT_ALLOWED, "");
+    }
+    if !state.accepts_new_clients() {
+        return text_response(StatusCode::SERVICE_UNAVAILABLE, "draining\n");
+    }
+    text_response(StatusCode::OK, "")
+}
+
+/// Keeps the id of a request reserved for as long as the request is in progress.
+struct OpenRequestId<'a> {
+    ids: &'a RefCell<HashSet<HeaderValue>>,
+    id: HeaderValue,
+}
+
+impl<'a> OpenRequestId<'a> {
+    /// Reserves the id; `None` if a request with it is in progress. A server would take a second request with the same id
+    /// for a retry of the first.
+    fn reserve(ids: &'a RefCell<HashSet<HeaderValue>>, id: HeaderValue) -> Option<Self> {
+        let is_new = ids.borrow_mut().insert(id.clone());
+        is_new.then(|| Self { ids, id })
+    }
+}
+
+impl Drop for OpenRequestId<'_> {
+    fn drop(&mut self) {
+        self.ids.borrow_mut().remove(&self.id);
+    }
+}
+
+async fn handle_api_request(
+    request: Request<Incoming>,
+    state: &ServerState,
+    tracked: &Rc<TrackedConnection>,
+) -> Result<Response<Outgoing>, InvalidRequest> {
+    let (head, body) = request.into_parts();
+    let metadata = RequestMetadata::parse(&head.method, &head.headers, &state.driver.names)?;
+    let in_flight = state.driver.metrics.begin_request(metadata.class);
+    let response = match dispatch(metadata, head, body, state).await {
+        Ok(Answer::Served(served)) => return Ok(forwarded_response(served, in_flight, tracked)),
+        Ok(Answer::Rejected { after_ms }) => Ok(rejection_response(after_ms)),
+        Ok(Answer::Failed) => Ok(text_response(StatusCode::BAD_GATEWAY, "")),
+        Err(invalid) => Err(invalid),
+    };
+    let status = match &response {
+        Ok(response) => response.status(),
+        Err(invalid) => invalid.status,
+    };
+    in_flight.finish(outcome_of(status));
+    response
+}
+
+/// Reads the body as far as it may be buffered, hands the request to the driver, and waits for the answer while the rest of
+/// the body streams through.
+async fn dispatch(
+    metadata: RequestMetadata,
+    head: Parts,
+    body: Incoming,
+    state: &ServerState,
+) -> Result<Answer, InvalidRequest> {
+    if body.size_hint().lower() > MOST_PASSED as u64 {
+        return Err(InvalidRequest::BODY_TOO_LARGE);
+    }
+    let driver = &state.driver;
+    let RequestMetadata {
+        id,
+        class,
+        tenant,
+        deadline,
+    } = metadata;
+    let _open_id =
+        OpenRequestId::reserve(&state.open_request_ids, id).ok_or(InvalidRequest::DUPLICATE_ID)?;
+    let key = head.uri.query().and_then(sticky_key);
+    let mut upload = IncomingUpload::new(body, driver.now_ms());
+    let buffered = upload.buffer(state).await?;
+    // The deadline counts from the request's last byte.
+    let arrived = Instant::now();
+    if must_keep_connections_free(state) {
+        return Ok(Answer::Rejected {
+            after_ms: Some(FREE_CONNECTION_RETRY_MS),
+        });
+    }
+    let (body, upload_sender) = match buffered {
+        BufferedBody::Complete(body) => (RequestBody::Whole(body), None),
+        BufferedBody::Prefix(prefix) => {
+            let (sender, rest) = passing(upload.remaining_bytes());
+            let body = RequestBody::Passing(Upload::new(prefix, rest));
+            (body, Some(sender))
+        }
+    };
+    let message = upstream_message(head, body, driver.metrics.attempts(class).clone());
+    let Some(mut request) = driver.take(class, tenant, key, message, arrived, deadline) else {
+        return Ok(Answer::Rejected { after_ms: None });
+    };
+    if let Some(sender) = upload_sender {
+        let is_complete = tokio::select! {
+            biased;
+            answer = request.answer() => return Ok(answer),
+            streamed = upload.stream_to(sender, state) => streamed?,
+        };
+        if is_complete {
+            request.is_whole(Instant::now());
+        }
+    }
+    Ok(request.answer().await)
+}
+
+/// Whether a draining node rejects a request so that clients find free connections. A node that shares its listening socket
+/// never does: clients connect to the other process.
+fn must_keep_connections_free(state: &ServerState) -> bool {
+    let is_draining = matches!(state.phase(), Phase::Draining(_));
+    is_draining && !state.options.is_shared && state.table.few_free()
+}
+
+fn upstream_message(head: Parts, body: RequestBody, sent_attempts: Counter) -> Message {
+    let headers = remove_hop_by_hop_headers(head.headers);
+    // A client may send the absolute form, with the host in the request line; a server gets path and query.
+    let uri = head
+        .uri
+        .path_and_query()
+        .cloned()
+        .map_or(head.uri, Into::into);
+    Message {
+        method: head.method,
+        uri,
+        headers,
+        body,
+        sent: sent_attempts,
+        until: Cell::default(),
+    }
+}
--- /dev/null
+++ b/src/node/downstream/response.rs
@@ -0,0 +1,107 @@
+//! Final responses to clients: those the node produces itself, and those it forwards from a server. Also maps a status to the
+//! outcome that the metrics count.
+
+use std::rc::Rc;
+
+use admin::{InFlightRequest, RequestOutcome};
+use hyper::header::{self, HeaderValue};
+use hyper::{Response, StatusCode};
+
+use crate::node::downstream::connections::TrackedConnection;
+use crate::node::downstream::passing::{Outgoing, Passed};
+use crate::node::upstream::{ResponseBody, Served};
+
+/// Why the node rejects a request as invalid, as the client sees it.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(super) struct InvalidRequest {
+    /// The response's status.
+    pub(super) status: StatusCode,
+    /// The response's body: one line.
+    pub(super) reason: &'static str,
+}
+
+impl InvalidRequest {
+    /// Another request with the same `Req-Id` is in progress.
+    pub(super) const DUPLICATE_ID: Self = Self {
+        status: StatusCode::CONFLICT,
+        reason: "a request with this Req-Id is open\n",
+    };
+    /// The body exceeds the limit.
+    pub(super) const BODY_TOO_LARGE: Self = Self {
+        status: StatusCode::PAYLOAD_TOO_LARGE,
+        reason: "the body is too large\n",
+    };
+    /// The body arrives more slowly than the minimum transfer rate.
+    pub(super) const BODY_TIMEOUT: Self = Self {
+        status: StatusCode::REQUEST_TIMEOUT,
+        reason: "the body did not come in time\n",
+    };
+
+    /// A request that is malformed or contradicts itself.
+    pub(super) const fn bad_request(reason: &'static str) -> Self {
+        Self {
+            status: StatusCode::BAD_REQUEST,
+            reason,
+        }
+    }
+}
+
+/// A response with a text of the node's own.
+pub(super) fn text_response(status: StatusCode, text: &'static str) -> Response<Outgoing> {
+    let mut response = Response::new(Outgoing::text(text));
+    *response.status_mut() = status;
+    response
+}
+
+/// The response to a request that is shed, with `Retry-After` in seconds where the client should come back.
+pub(super) fn rejection_response(retry_after_ms: Option<f64>) -> Response<Outgoing> {
+    let mut response = text_response(StatusCode::SERVICE_UNAVAILABLE, "");
+    let seconds = retry_after_ms.map(|ms| format!("{:.3}", ms / 1e3));
+    if let Some(value) = seconds.and_then(|seconds| HeaderValue::try_from(seconds).ok()) {
+        response.headers_mut().insert(header::RETRY_AFTER, value);
+    }
+    response
+}
+
+/// Forwards a server's response. The request is counted in the metrics once its body has ended.
+pub(super) fn forwarded_response(
+    served: Served,
+    in_flight: InFlightRequest,
+    tracked: &Rc<TrackedConnection>,
+) -> Response<Outgoing> {
+    let outcome = outcome_of(served.status);
+    let body = match served.body {
+        ResponseBody::Whole(body) => {
+            in_flight.finish(outcome);
+            Outgoing::whole(body)
+        }
+        ResponseBody::Passing(stream) => {
+            let tracked = Rc::clone(tracked);
+            Outgoing::passing(stream, move |end| {
+                tracked.set_passing(false);
+                match end {
+                    Passed::Whole => in_flight.finish(outcome),
+                    Passed::Cut => in_flight.finish(RequestOutcome::Failed),
+                    Passed::Left => drop(in_flight),
+                }
+            })
+        }
+    };
+    let mut response = Response::new(body);
+    *response.status_mut() = served.status;
+    if let Some(content_type) = served.content_type {
+        response
+            .headers_mut()
+            .insert(header::CONTENT_TYPE, content_type);
+    }
+    response
+}
+
+/// The outcome that the metrics count for a response with this status.
+pub(super) fn outcome_of(status: StatusCode) -> RequestOutcome {
+    match status {
+        StatusCode::OK => RequestOutcome::Served,
+        StatusCode::TOO_MANY_REQUESTS | StatusCode::SERVICE_UNAVAILABLE => RequestOutcome::Rejected,
+        _ => RequestOutcome::Failed,
+    }
+}
--- /dev/null
+++ b/src/node/downstream/server.rs
@@ -0,0 +1,206 @@
+//! The server for clients: accepts connections, spawns a task for each, and ends once all of them are closed. Owns the state
+//! that the connections share: the connection table, the memory budget of uploads and the ids of the requests in progress.
+
+use std::cell::{Cell, RefCell};
+use std::collections::HashSet;
+use std::io;
+use std::pin::pin;
+use std::rc::Rc;
+use std::time::{Duration, Instant};
+
+use admin::{ConnectionPolicy, Drain};
+use flow_control::MemoryBudget;
+use hyper::header::HeaderValue;
+use socket2::SockRef;
+use tokio::net::{TcpListener, TcpStream};
+use tokio::sync::watch;
+
+use crate::node::admin::log;
+use crate::node::config::Limits;
+use crate::node::downstream::connection;
+use crate::node::downstream::connections::ConnectionTable;
+pub use crate::node::downstream::shutdown::Phase;
+use crate::node::downstream::shutdown::{FINAL_WRITE_TIMEOUT, SHARED_ACCEPT_PERIOD};
+use crate::node::driver::Driver;
+
+/// Connections that are accepted from the kernel's backlog at shutdown: as many as it holds. The bound keeps clients that
+/// connect continuously from delaying the shutdown.
+const MAX_BACKLOG: usize = 1_024;
+/// Pause after a connection could not be accepted, for example because the process has no free descriptors.
+pub const ACCEPT_RETRY_INTERVAL: Duration = Duration::from_millis(10);
+
+/// Options of the server for clients.
+#[derive(Clone)]
+pub struct ServerOptions {
+    /// The phase of the node's shutdown.
+    pub phases: watch::Receiver<Phase>,
+    /// The drain that operators control.
+    pub drain: Rc<Cell<Drain>>,
+    /// Whether the platform owns the listening socket, and another process of this node may listen on it, too.
+    pub is_shared: bool,
+    /// Limit on open connections.
+    pub max_connections: usize,
+    /// Limit on the bytes of long request bodies that are buffered at a time, over all connections.
+    pub max_buffered_upload_bytes: usize,
+}
+
+impl ServerOptions {
+    /// Options for a listening socket that only this process uses, without a drain.
+    #[must_use]
+    pub fn own(phases: watch::Receiver<Phase>, max_connections: usize) -> Self {
+        let max_buffered_upload_bytes = Limits::default().long_requests();
+        Self {
+            phases,
+            drain: Rc::default(),
+            is_shared: false,
+            max_connections,
+            max_buffered_upload_bytes,
+        }
+    }
+}
+
+/// State that all connections of clients share.
+pub(super) struct ServerState {
+    pub(super) driver: Rc<Driver>,
+    pub(super) options: ServerOptions,
+    pub(super) table: Rc<ConnectionTable>,
+    pub(super) upload_memory: MemoryBudget,
+    /// The ids of the requests that are being read or served.
+    pub(super) open_request_ids: RefCell<HashSet<HeaderValue>>,
+}
+
+/// Serves clients until the phase is [`Phase::ShuttingDown`] and every accepted request is answered.
+///
+/// Returns at the latest [`FINAL_WRITE_TIMEOUT`] after the deadline of that phase, so that a client that does not read its
+/// response cannot delay the shutdown. Must run inside a [`tokio::task::LocalSet`]. Dropping the future stops accepting;
+/// the tasks of open connections continue.
+pub async fn serve(listener: TcpListener, driver: Rc<Driver>, options: ServerOptions) {
+    let state = Rc::new(ServerState {
+        driver,
+        upload_memory: MemoryBudget::new(options.max_buffered_upload_bytes),
+        table: ConnectionTable::new(options.max_connections),
+        options,
+        open_request_ids: RefCell::default(),
+    });
+    tokio::select! {
+        () = accept_until_shutdown(listener, &state) => {}
+        () = prepare_for_shutdown(&state) => {}
+        () = state.table.look_over(|| state.connection_policy()) => {}
+    }
+}
+
+impl ServerState {
+    /// Whether load balancers in front should send new clients to this node.
+    pub(super) fn accepts_new_clients(&self) -> bool {
+        self.options.drain.get().accepts_new_clients()
+    }
+
+    /// The current phase of the shutdown.
+    pub(super) fn phase(&self) -> Phase {
+        *self.options.phases.borrow()
+    }
+
+    /// How long connections of clients may stay open: the stricter of what the drain and the shutdown require.
+    pub(super) fn connection_policy(&self) -> ConnectionPolicy {
+        let drain_policy = self
+            .options
+            .drain
+            .get()
+            .connection_policy(self.driver.now_ms());
+        let shutdown_policy = match self.phase() {
+            Phase::ShuttingDown(_) => ConnectionPolicy::CloseIdle,
+            Phase::Draining(_) if self.options.is_shared => ConnectionPolicy::CloseAfterResponse,
+            _ => ConnectionPolicy::KeepAlive,
+        };
+        drain_policy.max(shutdown_policy)
+    }
+
+    /// Waits until the node must stop accepting connections.
+    async fn stop_accepting(&self) {
+        let mut phases = self.options.phases.clone();
+        if self.options.is_shared {
+            let _ = phases.wait_for(|phase| *phase != Phase::Serving).await;
+            return tokio::time::sleep(SHARED_ACCEPT_PERIOD).await;
+        }
+        let _ = phases.wait_for(Phase::is_shutting_down).await;
+    }
+}
+
+async fn accept_until_shutdown(listener: TcpListener, state: &Rc<ServerState>) {
+    accept_connections(&listener, state).await;
+    if !state.options.is_shared {
+        accept_backlog(&listener, state).await;
+    }
+    drop(listener);
+    let deadline = state.phase().answer_by().unwrap_or_else(Instant::now);
+    let all_closed = state.table.all_left();
+    if tokio::time::timeout_at((deadline + FINAL_WRITE_TIMEOUT).into(), all_closed)
+        .await
+        .is_err()
+    {
+        log::line("a client did not take its answer in time");
+        state.driver.report_unanswered();
+    }
+}
+
+/// Passes the shutdown deadline to the driver once draining begins. Never returns.
+async fn prepare_for_shutdown(state: &ServerState) {
+    let mut phases = state.options.phases.clone();
+    let deadline = phases
+        .wait_for(|phase| *phase != Phase::Serving)
+        .await
+        .ok()
+        .and_then(|phase| phase.answer_by());
+    if let Some(deadline) = deadline {
+        state.driver.end_by(deadline);
+    }
+    if !state.options.is_shared {
+        state.table.hold();
+    }
+    std::future::pending::<()>().await;
+}
+
+async fn accept_connections(listener: &TcpListener, state: &Rc<ServerState>) {
+    let mut stop = pin!(state.stop_accepting());
+    loop {
+        // Biased: a connection that the kernel has already given to this process would be reset if it were not accepted.
+        let accepted = tokio::select! {
+            biased;
+            accepted = listener.accept() => accepted,
+            () = &mut stop => return,
+        };
+        match accepted {
+            Ok((stream, _)) => spawn_connection(stream, state).await,
+            Err(error) => {
+                log::line(format_args!("cannot accept a connection: {error}"));
+                tokio::time::sleep(ACCEPT_RETRY_INTERVAL).await;
+            }
+        }
+    }
+}
+
+/// Accepts what is left in the kernel's backlog: the event loop may not have reported connections of this turn yet.
+async fn accept_backlog(listener: &TcpListener, state: &Rc<ServerState>) {
+    for _ in 0..MAX_BACKLOG {
+        let Ok(stream) = accept_without_event_loop(listener) else {
+            return;
+        };
+        spawn_connection(stream, state).await;
+    }
+}
+
+fn accept_without_event_loop(listener: &TcpListener) -> io::Result<TcpStream> {
+    let (socket, _) = SockRef::from(listener).accept()?;
+    let stream = std::net::TcpStream::from(socket);
+    stream.set_nonblocking(true)?;
+    TcpStream::from_std(stream)
+}
+
+async fn spawn_connection(stream: TcpStream, state: &Rc<ServerState>) {
+    let guard = state.table.take().await;
+    drop(tokio::task::spawn_local(connection::run(
+        stream,
+        Rc::clone(state),
+        guard,
+    )));
+}
--- /dev/null
+++ b/src/node/downstream/shutdown.rs
@@ -0,0 +1,114 @@
+//! Graceful shutdown of the client side: the phases of a node that stops, and how a connection is closed without losing a
+//! response. Owns no state; [`crate::node::downstream::server`] publishes the phase, and each connection reads it.
+
+use std::io;
+use std::rc::Rc;
+use std::time::{Duration, Instant};
+
+use tokio::io::{AsyncReadExt, AsyncWriteExt};
+
+use crate::node::downstream::connections::Stage;
+use crate::node::downstream::socket::Socket;
+use crate::node::upstream::answers::MOST_BODY;
+
+/// Time after the shutdown deadline in which responses that were produced at the last instant may still be written.
+pub const FINAL_WRITE_TIMEOUT: Duration = Duration::from_millis(50);
+
+/// How long a draining node still accepts from a listening socket that it shares with its successor. The kernel distributes
+/// connections to both processes until this one closes its copy; each connection accepted here must have time to send a
+/// request.
+pub(super) const SHARED_ACCEPT_PERIOD: Duration = Duration::from_millis(300);
+
+/// Bytes that are read and discarded after the last response on a connection.
+const MAX_LINGER_BYTES: usize = 64 * MOST_BODY;
+/// How long a connection is read after its last response.
+const LINGER_TIMEOUT: Duration = Duration::from_secs(1);
+
+/// Progress of a node's shutdown. From [`Phase::Draining`] on, every request must be answered by a deadline.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum Phase {
+    /// Normal operation.
+    Serving,
+    /// The node has been told to stop and still serves: it accepts connections, and clients keep the ones they have.
+    Draining(Instant),
+    /// No connection is accepted, idle ones are closed, and each response is the last on its connection.
+    ShuttingDown(Instant),
+}
+
+impl Phase {
+    /// Whether no new connections are accepted.
+    #[must_use]
+    pub fn is_shutting_down(&self) -> bool {
+        matches!(self, Self::ShuttingDown(_))
+    }
+
+    /// The instant by which every request must be answered; `None` while serving normally.
+    #[must_use]
+    pub fn answer_by(&self) -> Option<Instant> {
+        match self {
+            Self::Serving => None,
+            Self::Draining(deadline) | Self::ShuttingDown(deadline) => Some(*deadline),
+        }
+    }
+}
+
+/// What a connection does when the connection table requests its close.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(super) enum CloseMode {
+    /// Keeps the connection open: a request is in progress or has just arrived.
+    KeepOpen,
+    /// Shuts down gracefully and discards what the client still sends.
+    Graceful,
+    /// Drops the connection.
+    Abort,
+}
+
+impl CloseMode {
+    /// Chooses the mode for a connection in `stage`. `is_idle` and `has_unread_bytes` are evaluated only where they matter:
+    /// each costs a system call.
+    ///
+    /// A client whose bytes arrived in the same turn as the close request keeps its connection: closing over unread bytes
+    /// resets the connection, and the client could not tell whether its request was executed. A client that trickles bytes
+    /// is still bounded by the limit on the size of a head.
+    pub(super) fn choose(
+        stage: Stage,
+        is_idle: impl Fn() -> bool,
+        has_unread_bytes: impl Fn() -> bool,
+    ) -> Self {
+        match stage {
+            Stage::Request => Self::KeepOpen,
+            Stage::Idle if is_idle() => Self::Graceful,
+            Stage::Idle => Self::KeepOpen,
+            Stage::Silent | Stage::Head if has_unread_bytes() => Self::KeepOpen,
+            Stage::Silent | Stage::Head | Stage::Answer | Stage::Lingering => Self::Abort,
+        }
+    }
+}
+
+/// Reads and discards what the client sends after the last response, up to [`MAX_LINGER_BYTES`] and [`LINGER_TIMEOUT`].
+///
+/// Closing a connection with unread bytes resets it, and the client may lose the response with it.
+pub(super) async fn linger(socket: &Socket) {
+    socket.tracked.enter(Stage::Lingering);
+    let tracked = Rc::clone(&socket.tracked);
+    tokio::select! {
+        _ = discard_input(socket.clone()) => {}
+        () = tokio::time::sleep(LINGER_TIMEOUT) => {}
+        () = tracked.asked_to_leave() => {}
+    }
+}
+
+async fn discard_input(mut socket: Socket) -> io::Result<()> {
+    socket.shutdown().await?;
+    let (mut buffer, mut remaining) = ([0; 4096], MAX_LINGER_BYTES);
+    loop {
+        let read = socket.read(&mut buffer).await?;
+        remaining = remaining.saturating_sub(read);
+        if read == 0 || remaining == 0 {
+            return Ok(());
+        }
+    }
+}
+
+#[cfg(test)]
+mod tests;
--- /dev/null
+++ b/src/node/downstream/shutdown/tests.rs
@@ -0,0 +1,27 @@
+use super::*;
+
+/// A client whose bytes arrived in the same turn as the close request, in either order, keeps its connection if a close would
+/// reset it or a request is being served. Idle connections close gracefully; those that make no progress are aborted.
+#[test]
+fn close_request_keeps_arrived_bytes_and_aborts_stalled_connections() {
+    use CloseMode::{Abort, Graceful, KeepOpen};
+    let choose = |stage, is_idle: bool, has_unread_bytes: bool| {
+        CloseMode::choose(stage, || is_idle, || has_unread_bytes)
+    };
+    for is_idle in [false, true] {
+        for has_unread_bytes in [false, true] {
+            let mode = |stage| choose(stage, is_idle, has_unread_bytes);
+            assert_eq!(mode(Stage::Request), KeepOpen);
+            assert_eq!(mode(Stage::Answer), Abort);
+            assert_eq!(mode(Stage::Lingering), Abort);
+            assert_eq!(mode(Stage::Idle), if is_idle { Graceful } else { KeepOpen });
+            for stage in [Stage::Silent, Stage::Head] {
+                assert_eq!(
+                    mode(stage),
+                    if has_unread_bytes { KeepOpen } else { Abort },
+                    "{stage:?}"
+                );
+            }
+        }
+    }
+}
--- a/src/node/mod.rs
+++ b/src/node/mod.rs
@@ -32,8 +32,8 @@
 use self::discovery::endpoint_list::Delivery;
 use self::discovery::updates::EndpointUpdates;
 use self::discovery::{endpoint_list, ConsulFollowers};
-use self::downstream::clients::{self, FrontOptions, Phase};
 use self::downstream::inherited;
+use self::downstream::server::{self, Phase, ServerOptions};
 use config::{Config, ConfigError};
 use driver::Driver;
 
@@ -174,10 +174,10 @@
         .max()
         .unwrap_or_default();
     let most = config.limits.client_connections();
-    let options = FrontOptions {
+    let options = ServerOptions {
         is_shared,
         max_buffered_upload_bytes: config.limits.long_requests(),
-        ..FrontOptions::own(phases, most)
+        ..ServerOptions::own(phases, most)
     };
     if let Some(address) = config.control {
         let listener = TcpListener::bind(address)
@@ -190,7 +190,7 @@
         let server = AdminServer::new(Rc::clone(&driver), options.clone(), fleet.clone());
         tokio::task::spawn_local(admin_server::serve(listener, server));
     }
-    let clients = clients::serve(listener, Rc::clone(&driver), options);
+    let clients = server::serve(listener, Rc::clone(&driver), options);
     let stop = async move {
         tokio::select! {
             _ = terminate.recv() => {}
--- a/tests/close_range.rs
+++ b/tests/close_range.rs
@@ -13,7 +13,7 @@
 use std::time::{Duration, Instant};
 
 use silverthread::node::config::Config;
-use silverthread::node::downstream::clients::{serve, FrontOptions, Phase};
+use silverthread::node::downstream::server::{serve, Phase, ServerOptions};
 use silverthread::node::driver::Driver;
 use testkit::*;
 use tokio::sync::watch;
@@ -157,7 +157,7 @@
             let address = listener.local_addr().expect("an address");
             (
                 address,
-                tokio::task::spawn_local(serve(listener, driver, FrontOptions::own(phases, 64))),
+                tokio::task::spawn_local(serve(listener, driver, ServerOptions::own(phases, 64))),
             )
         });
         Self {
--- a/tests/node.rs
+++ b/tests/node.rs
@@ -11,7 +11,7 @@
 use std::time::{Duration, Instant};
 
 use silverthread::node::config::Config;
-use silverthread::node::downstream::clients::{serve, FrontOptions, Phase};
+use silverthread::node::downstream::server::{serve, Phase, ServerOptions};
 use silverthread::node::driver::Driver;
 use testkit::*;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
@@ -581,7 +581,7 @@
         let address = listener.local_addr().expect("an address");
         let (phase, phases) = tokio::sync::watch::channel(Phase::Serving);
         let serving =
-            tokio::task::spawn_local(serve(listener, driver, FrontOptions::own(phases, 16)));
+            tokio::task::spawn_local(serve(listener, driver, ServerOptions::own(phases, 16)));
         let by = Instant::now() + PATIENCE;
         phase.send_replace(Phase::Draining(by));
         let mut client = tokio::net::TcpStream::connect(address)
@@ -645,7 +645,7 @@
             .expect("a port");
         let address = listener.local_addr().expect("an address");
         let (phase, phases) = tokio::sync::watch::channel(Phase::Serving);
-        tokio::task::spawn_local(serve(listener, driver, FrontOptions::own(phases, 64)));
+        tokio::task::spawn_local(serve(listener, driver, ServerOptions::own(phases, 64)));
         let mut clients = Vec::new();
         for _ in 0..12 {
             let mut client = tokio::net::TcpStream::connect(address)
@@ -706,7 +706,7 @@
             .expect("a port");
         let address = listener.local_addr().expect("an address");
         let (phase, phases) = tokio::sync::watch::channel(Phase::Serving);
-        tokio::task::spawn_local(serve(listener, driver, FrontOptions::own(phases, 8)));
+        tokio::task::spawn_local(serve(listener, driver, ServerOptions::own(phases, 8)));
         tokio::task::yield_now().await; // It has begun to listen for phases.
         phase.send_replace(Phase::Draining(Instant::now() + 3 * PATIENCE));
         let mut clients = Vec::new();
