--- a/src/node/downstream/connection.rs
+++ b/src/node/downstream/connection.rs
@@ -16,7 +16,7 @@
 use tokio::net::TcpStream;
 
 use crate::node::admin::log;
-use crate::node::downstream::connections::{ConnectionGuard, Stage};
+use crate::node::downstream::connection_table::{ConnectionGuard, Stage};
 use crate::node::downstream::passing::Outgoing;
 use crate::node::downstream::request_handler::handle_request;
 use crate::node::downstream::response::text_response;
@@ -48,7 +48,7 @@
 }
 
 async fn serve_requests(socket: &Socket, state: &ServerState) -> ConnectionEnd {
-    let (tracked, request_count) = (&socket.tracked, Cell::new(0));
+    let (tracked, request_count) = (&socket.connection, Cell::new(0));
     let service = service_fn(|request| {
         let number = request_count.get() + 1;
         request_count.set(number);
@@ -76,14 +76,15 @@
             // which a part has arrived is served once it is complete, and its response is the last.
             _ = &mut shutdown, if !is_shutting_down => {
                 is_shutting_down = true;
-                if matches!(tracked.stage(), Stage::Request | Stage::Answer) || socket.rests() {
+                if matches!(tracked.stage(), Stage::Request | Stage::Response) || socket.rests() {
                     connection.as_mut().graceful_shutdown();
                 }
             }
-            () = tracked.asked_to_leave() => {
-                let mode = CloseMode::choose(tracked.stage(), || socket.rests(), || socket.has_news());
-                match mode {
-                    _ if !tracked.should_leave() => {}
+            () = tracked.close_requested() => {
+                if !tracked.is_close_requested() {
+                    continue;
+                }
+                match CloseMode::choose(tracked.stage(), || socket.rests(), || socket.has_news()) {
                     CloseMode::KeepOpen => {}
                     CloseMode::Graceful => connection.as_mut().graceful_shutdown(),
                     CloseMode::Abort => return ConnectionEnd::Aborted,
@@ -100,8 +101,8 @@
     socket: &Socket,
     state: &ServerState,
 ) -> Response<Outgoing> {
-    let tracked = &socket.tracked;
-    socket.guard.asks();
+    let tracked = &socket.connection;
+    socket.guard.begin_request();
     let is_ambiguous = socket.framing.borrow().is_doubtful(number);
     let mut response = if is_ambiguous {
         text_response(
@@ -111,11 +112,11 @@
     } else {
         handle_request(request, state, tracked).await
     };
-    tracked.enter(Stage::Answer);
-    tracked.set_passing(matches!(response.body(), Outgoing::Passing(..)));
+    tracked.enter(Stage::Response);
+    tracked.set_streaming(matches!(response.body(), Outgoing::Passing(..)));
     let must_close = state.connection_policy() > ConnectionPolicy::KeepAlive
         || socket.framing.borrow().is_last(number);
-    if must_close || state.table.wants_room(tracked) {
+    if must_close || state.table.should_close_after_response(tracked) {
         response
             .headers_mut()
             .insert(header::CONNECTION, HeaderValue::from_static("close"));
--- /dev/null
+++ b/src/node/downstream/connection_table/idle_queue.rs
@@ -0,0 +1,49 @@
+//! Idle connections in the order in which they became idle.
+
+use std::collections::VecDeque;
+use std::rc::Rc;
+use std::time::Instant;
+
+use crate::node::downstream::connection_table::eviction::MIN_IDLE_BEFORE_CLOSE;
+use crate::node::downstream::connection_table::tracked_connection::TrackedConnection;
+
+/// A connection and the instant at which it became idle.
+struct IdleEntry {
+    connection: Rc<TrackedConnection>,
+    since: Instant,
+}
+
+/// Connections that became idle, the longest first. An entry whose connection has received a request since is stale, and is
+/// skipped when it is reached.
+#[derive(Default)]
+pub(super) struct IdleQueue(VecDeque<IdleEntry>);
+
+impl IdleQueue {
+    /// Adds a connection that has just become idle. Once there are twice `max_connections` entries, stale ones are removed.
+    pub(super) fn push(&mut self, connection: &Rc<TrackedConnection>, max_connections: usize) {
+        if self.0.len() >= 2 * max_connections {
+            self.0
+                .retain(|entry| entry.connection.has_idled_since(entry.since));
+        }
+        self.0.push_back(IdleEntry {
+            connection: Rc::clone(connection),
+            since: connection.stage_since(),
+        });
+    }
+
+    /// Removes and returns the connection that has been idle for longest, if that is at least [`MIN_IDLE_BEFORE_CLOSE`] and
+    /// it has not been asked to close.
+    pub(super) fn pop_longest(&mut self, now: Instant) -> Option<Rc<TrackedConnection>> {
+        while let Some(IdleEntry { connection, since }) = self.0.front() {
+            let is_current = connection.has_idled_since(*since) && !connection.is_close_requested();
+            if is_current && now.saturating_duration_since(*since) < MIN_IDLE_BEFORE_CLOSE {
+                return None;
+            }
+            let entry = self.0.pop_front()?;
+            if is_current {
+                return Some(entry.connection);
+            }
+        }
+        None
+    }
+}
--- a/src/node/downstream/mod.rs
+++ b/src/node/downstream/mod.rs
@@ -2,7 +2,7 @@
 //! state that connections share; the connection table bounds their number and lifetime.
 
 mod connection;
-mod connections;
+mod connection_table;
 mod framing;
 pub(in crate::node) mod inherited;
 pub(in crate::node) mod passing;
--- a/src/node/downstream/request_handler.rs
+++ b/src/node/downstream/request_handler.rs
@@ -11,7 +11,7 @@
 use hyper::http::request::Parts;
 use hyper::{Method, Request, Response, StatusCode};
 
-use crate::node::downstream::connections::TrackedConnection;
+use crate::node::downstream::connection_table::TrackedConnection;
 use crate::node::downstream::passing::{passing, Outgoing, Upload};
 use crate::node::downstream::request_body::{BufferedBody, IncomingUpload};
 use crate::node::downstream::request_metadata::{
@@ -157,7 +157,7 @@
 /// never does: clients connect to the other process.
 fn must_keep_connections_free(state: &ServerState) -> bool {
     let is_draining = matches!(state.phase(), Phase::Draining(_));
-    is_draining && !state.options.is_shared && state.table.few_free()
+    is_draining && !state.options.is_shared && state.table.are_few_free()
 }
 
 fn upstream_message(head: Parts, body: RequestBody, sent_attempts: Counter) -> Message {
--- a/src/node/downstream/response.rs
+++ b/src/node/downstream/response.rs
@@ -7,7 +7,7 @@
 use hyper::header::{self, HeaderValue};
 use hyper::{Response, StatusCode};
 
-use crate::node::downstream::connections::TrackedConnection;
+use crate::node::downstream::connection_table::TrackedConnection;
 use crate::node::downstream::passing::{Outgoing, Passed};
 use crate::node::upstream::{ResponseBody, Served};
 
@@ -78,7 +78,7 @@
         ResponseBody::Passing(stream) => {
             let tracked = Rc::clone(tracked);
             Outgoing::passing(stream, move |end| {
-                tracked.set_passing(false);
+                tracked.set_streaming(false);
                 match end {
                     Passed::Whole => in_flight.finish(outcome),
                     Passed::Cut => in_flight.finish(RequestOutcome::Failed),
--- a/src/node/downstream/server.rs
+++ b/src/node/downstream/server.rs
@@ -18,7 +18,7 @@
 use crate::node::admin::log;
 use crate::node::config::Limits;
 use crate::node::downstream::connection;
-use crate::node::downstream::connections::ConnectionTable;
+use crate::node::downstream::connection_table::ConnectionTable;
 pub use crate::node::downstream::shutdown::Phase;
 use crate::node::downstream::shutdown::{FINAL_WRITE_TIMEOUT, SHARED_ACCEPT_PERIOD};
 use crate::node::driver::Driver;
@@ -85,7 +85,7 @@
     tokio::select! {
         () = accept_until_shutdown(listener, &state) => {}
         () = prepare_for_shutdown(&state) => {}
-        () = state.table.look_over(|| state.connection_policy()) => {}
+        () = state.table.enforce_limits(|| state.connection_policy()) => {}
     }
 }
 
@@ -133,7 +133,7 @@
     }
     drop(listener);
     let deadline = state.phase().answer_by().unwrap_or_else(Instant::now);
-    let all_closed = state.table.all_left();
+    let all_closed = state.table.wait_until_empty();
     if tokio::time::timeout_at((deadline + FINAL_WRITE_TIMEOUT).into(), all_closed)
         .await
         .is_err()
@@ -155,7 +155,7 @@
         state.driver.end_by(deadline);
     }
     if !state.options.is_shared {
-        state.table.hold();
+        state.table.retain_connections();
     }
     std::future::pending::<()>().await;
 }
@@ -197,7 +197,7 @@
 }
 
 async fn spawn_connection(stream: TcpStream, state: &Rc<ServerState>) {
-    let guard = state.table.take().await;
+    let guard = state.table.reserve_slot().await;
     drop(tokio::task::spawn_local(connection::run(
         stream,
         Rc::clone(state),
--- a/src/node/downstream/shutdown.rs
+++ b/src/node/downstream/shutdown.rs
@@ -7,7 +7,7 @@
 
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 
-use crate::node::downstream::connections::Stage;
+use crate::node::downstream::connection_table::Stage;
 use crate::node::downstream::socket::Socket;
 use crate::node::upstream::answers::MOST_BODY;
 
@@ -80,7 +80,7 @@
             Stage::Idle if is_idle() => Self::Graceful,
             Stage::Idle => Self::KeepOpen,
             Stage::Silent | Stage::Head if has_unread_bytes() => Self::KeepOpen,
-            Stage::Silent | Stage::Head | Stage::Answer | Stage::Lingering => Self::Abort,
+            Stage::Silent | Stage::Head | Stage::Response | Stage::Lingering => Self::Abort,
         }
     }
 }
@@ -89,12 +89,12 @@
 ///
 /// Closing a connection with unread bytes resets it, and the client may lose the response with it.
 pub(super) async fn linger(socket: &Socket) {
-    socket.tracked.enter(Stage::Lingering);
-    let tracked = Rc::clone(&socket.tracked);
+    socket.connection.enter(Stage::Lingering);
+    let tracked = Rc::clone(&socket.connection);
     tokio::select! {
         _ = discard_input(socket.clone()) => {}
         () = tokio::time::sleep(LINGER_TIMEOUT) => {}
-        () = tracked.asked_to_leave() => {}
+        () = tracked.close_requested() => {}
     }
 }
 
--- a/src/node/downstream/socket.rs
+++ b/src/node/downstream/socket.rs
@@ -15,7 +15,7 @@
 use tokio::net::TcpStream;
 use tokio::time::Sleep;
 
-use crate::node::downstream::connections::{ConnectionGuard, Stage, TrackedConnection};
+use crate::node::downstream::connection_table::{ConnectionGuard, Stage, TrackedConnection};
 use crate::node::downstream::framing::Framing;
 
 /// The most that is read ahead of hyper, which does not look whether a client is there while it holds bytes of its next
@@ -33,7 +33,7 @@
     /// What is known of the messages' framing.
     pub framing: Rc<RefCell<Framing>>,
     /// The connection's entry in the table.
-    pub tracked: Rc<TrackedConnection>,
+    pub connection: Rc<TrackedConnection>,
     /// Keeps it there.
     pub guard: Rc<ConnectionGuard>,
 }
@@ -46,7 +46,7 @@
             stream: Rc::new(RefCell::new(stream)),
             ahead: Rc::default(),
             framing: Rc::default(),
-            tracked: Rc::clone(&guard.tracked),
+            connection: Rc::clone(&guard.connection),
             guard: Rc::new(guard),
         }
     }
@@ -73,7 +73,7 @@
     /// Guards against attempts that begin for a client which sent more than one request, or a flood, and left.
     pub async fn client_gone(&self) {
         let mut again: Option<Pin<Box<Sleep>>> = None;
-        poll_fn(|cx| match self.tracked.stage() {
+        poll_fn(|cx| match self.connection.stage() {
             Stage::Request => self.poll_gone(cx, &mut again),
             _ => Poll::Pending,
         })
@@ -104,7 +104,7 @@
 
     fn noted(&self, written: Poll<io::Result<usize>>) -> Poll<io::Result<usize>> {
         if matches!(written, Poll::Ready(Ok(bytes)) if bytes > 0) {
-            self.tracked.goes_on();
+            self.connection.record_written();
         }
         written
     }
@@ -132,7 +132,7 @@
         let read = &buf.filled()[before..];
         if !read.is_empty() {
             self.framing.borrow_mut().push(read);
-            self.tracked.hears();
+            self.connection.record_received();
         }
         result
     }
@@ -163,7 +163,7 @@
 
     /// hyper flushes once it has written all that it holds: then the answer is out.
     fn poll_flush(self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<io::Result<()>> {
-        if self.guard.is_flushed() && !self.ahead.borrow().is_empty() {
+        if self.guard.record_flushed() && !self.ahead.borrow().is_empty() {
             // hyper waits for the system to tell of bytes; of these it has told.
             cx.waker().wake_by_ref();
         }
