--- a/src/node/downstream/connection.rs
+++ b/src/node/downstream/connection.rs
@@ -60,7 +60,7 @@
     let mut connection = pin!(connection);
     let mut phases = state.options.phases.clone();
     let mut shutdown = pin!(phases.wait_for(Phase::is_shutting_down));
-    let mut client_gone = pin!(socket.client_gone());
+    let mut client_left = pin!(socket.client_left());
     let mut is_shutting_down = false;
     loop {
         tokio::select! {
@@ -71,12 +71,12 @@
                 }
                 return ConnectionEnd::Graceful;
             }
-            () = client_gone.as_mut() => return ConnectionEnd::Aborted,
+            () = client_left.as_mut() => return ConnectionEnd::Aborted,
             // An idle connection is closed, and later bytes on it are discarded. A request in progress is answered; one of
             // which a part has arrived is served once it is complete, and its response is the last.
             _ = &mut shutdown, if !is_shutting_down => {
                 is_shutting_down = true;
-                if matches!(tracked.stage(), Stage::Request | Stage::Response) || socket.rests() {
+                if matches!(tracked.stage(), Stage::Request | Stage::Response) || socket.is_idle() {
                     connection.as_mut().graceful_shutdown();
                 }
             }
@@ -84,7 +84,7 @@
                 if !tracked.is_close_requested() {
                     continue;
                 }
-                match CloseMode::choose(tracked.stage(), || socket.rests(), || socket.has_news()) {
+                match CloseMode::choose(tracked.stage(), || socket.is_idle(), || socket.has_unread_bytes()) {
                     CloseMode::KeepOpen => {}
                     CloseMode::Graceful => connection.as_mut().graceful_shutdown(),
                     CloseMode::Abort => return ConnectionEnd::Aborted,
@@ -103,7 +103,7 @@
 ) -> Response<Outgoing> {
     let tracked = &socket.connection;
     socket.guard.begin_request();
-    let is_ambiguous = socket.framing.borrow().is_doubtful(number);
+    let is_ambiguous = socket.framing.borrow().is_ambiguous(number);
     let mut response = if is_ambiguous {
         text_response(
             StatusCode::BAD_REQUEST,
@@ -115,7 +115,7 @@
     tracked.enter(Stage::Response);
     tracked.set_streaming(matches!(response.body(), Outgoing::Passing(..)));
     let must_close = state.connection_policy() > ConnectionPolicy::KeepAlive
-        || socket.framing.borrow().is_last(number);
+        || socket.framing.borrow().must_be_last(number);
     if must_close || state.table.should_close_after_response(tracked) {
         response
             .headers_mut()
--- a/src/node/downstream/framing.rs
+++ b/src/node/downstream/framing.rs
@@ -1,159 +1,185 @@
-//! Looks at the framing of clients' messages as their bytes come in, beside hyper, which does not tell all of it: it
-//! drops a `Content-Length` that stands beside `Transfer-Encoding`, and the second of two that are equal. Where two
-//! readers may see different ends of a message, one may take for a request what is another's body.
+//! Tracks where clients' messages begin and end as their bytes are received, beside hyper, which hides a part of it: hyper
+//! drops a `Content-Length` beside `Transfer-Encoding`, and the second of two equal ones. Where two parsers could see
+//! different ends of a message, one may take another's body for a request (request smuggling).
 
-/// What is kept of a line: enough for the name and value of a header of framing.
-const MOST_KEPT: usize = 64;
+/// Bytes kept of a line: enough for the name and value of a header that concerns framing.
+const MAX_KEPT_LINE_BYTES: usize = 64;
 
 /// Follows the messages on a connection from head to head.
 #[derive(Debug, Default)]
 pub struct Framing {
-    at: At,
+    position: Position,
+    /// Heads that are complete.
     heads: u64,
-    doubtful: bool,
-    unbounded: bool,
+    /// Whether the length of the latest message is ambiguous.
+    is_ambiguous: bool,
+    /// Whether the latest message has a transfer encoding, so that only hyper knows its end.
+    is_encoded: bool,
 }
 
-/// Where the next byte belongs.
+/// What the next byte belongs to.
 #[derive(Debug)]
-enum At {
+enum Position {
     Head(Head),
-    Body(u64),
-    /// Nobody but hyper knows: the message must be the last on its connection.
-    Beyond,
+    Body {
+        remaining_bytes: u64,
+    },
+    /// Only hyper knows: the message must be the last on its connection.
+    Unknown,
 }
 
-impl Default for At {
+impl Default for Position {
     fn default() -> Self {
         Self::Head(Head::default())
     }
 }
 
-/// What is known of a head so far.
+/// What has been received of a head.
 #[derive(Debug)]
 struct Head {
-    line: [u8; MOST_KEPT],
-    kept: usize,
-    started: bool,
-    lengths: usize,
-    length: Option<u64>,
-    encoded: bool,
+    line: [u8; MAX_KEPT_LINE_BYTES],
+    kept_bytes: usize,
+    has_request_line: bool,
+    content_length_count: usize,
+    /// The value of the last `Content-Length`, if it is valid.
+    content_length: Option<u64>,
+    has_transfer_encoding: bool,
 }
 
 impl Default for Head {
     fn default() -> Self {
         Self {
-            line: [0; MOST_KEPT],
-            kept: 0,
-            started: false,
-            lengths: 0,
-            length: None,
-            encoded: false,
+            line: [0; MAX_KEPT_LINE_BYTES],
+            kept_bytes: 0,
+            has_request_line: false,
+            content_length_count: 0,
+            content_length: None,
+            has_transfer_encoding: false,
+        }
+    }
+}
+
+impl Head {
+    /// Whether parsers could disagree on the length of the body.
+    fn is_ambiguous(&self) -> bool {
+        match (self.content_length_count, self.content_length) {
+            (0, _) => false,
+            (1, Some(_)) => self.has_transfer_encoding,
+            _ => true,
         }
     }
 }
 
 impl Framing {
-    /// Takes what has been read next.
+    /// Records received bytes.
     pub fn push(&mut self, mut bytes: &[u8]) {
         while !bytes.is_empty() {
-            match &mut self.at {
-                At::Beyond => return,
-                At::Body(left) => {
-                    let taken = bytes
-                        .len()
-                        .min(usize::try_from(*left).unwrap_or(usize::MAX));
-                    bytes = &bytes[taken..];
-                    *left -= taken as u64;
-                    if *left == 0 {
-                        self.at = At::default();
+            match &mut self.position {
+                Position::Unknown => return,
+                Position::Body { remaining_bytes } => {
+                    let remaining = usize::try_from(*remaining_bytes).unwrap_or(usize::MAX);
+                    let consumed = bytes.len().min(remaining);
+                    bytes = &bytes[consumed..];
+                    *remaining_bytes -= consumed as u64;
+                    if *remaining_bytes == 0 {
+                        self.position = Position::default();
                     }
                 }
-                At::Head(head) => {
-                    let (taken, ended) = head.push(bytes);
-                    bytes = &bytes[taken..];
-                    if ended {
+                Position::Head(head) => {
+                    let line = head.push(bytes);
+                    bytes = &bytes[line.consumed_bytes..];
+                    if line.ends_head {
                         let head = std::mem::take(head);
-                        self.end_of(&head);
+                        self.end_head(&head);
                     }
                 }
             }
         }
     }
 
-    fn end_of(&mut self, head: &Head) {
+    fn end_head(&mut self, head: &Head) {
         self.heads += 1;
-        let clear = match (head.lengths, head.length) {
-            (0, _) => true,
-            (1, Some(_)) => !head.encoded,
-            _ => false,
-        };
-        self.doubtful |= !clear;
-        self.unbounded |= head.encoded;
-        self.at = match head.length.unwrap_or(0) {
-            _ if head.encoded || !clear => At::Beyond,
-            0 => At::default(),
-            length => At::Body(length),
+        self.is_ambiguous |= head.is_ambiguous();
+        self.is_encoded |= head.has_transfer_encoding;
+        self.position = match head.content_length.unwrap_or(0) {
+            _ if head.has_transfer_encoding || head.is_ambiguous() => Position::Unknown,
+            0 => Position::default(),
+            remaining_bytes => Position::Body { remaining_bytes },
         };
     }
 
-    /// Whether nothing of a message has come since the last one ended.
+    /// Whether nothing of a message has been received since the last one ended.
     #[must_use]
-    pub fn is_between(&self) -> bool {
-        matches!(&self.at, At::Head(head) if head.kept == 0 && !head.started)
+    pub fn is_between_messages(&self) -> bool {
+        matches!(&self.position, Position::Head(head) if head.kept_bytes == 0 && !head.has_request_line)
     }
 
-    /// Whether the end of message `number`, counted from one, can be read in two ways.
+    /// Whether parsers could disagree on the end of message `number`, counted from one.
     #[must_use]
-    pub fn is_doubtful(&self, number: u64) -> bool {
-        self.doubtful && number >= self.heads
+    pub fn is_ambiguous(&self, number: u64) -> bool {
+        self.is_ambiguous && number >= self.heads
     }
 
     /// Whether nothing after message `number` may be taken for a request.
     #[must_use]
-    pub fn is_last(&self, number: u64) -> bool {
-        (self.doubtful || self.unbounded) && number >= self.heads
+    pub fn must_be_last(&self, number: u64) -> bool {
+        (self.is_ambiguous || self.is_encoded) && number >= self.heads
     }
 }
 
+/// Progress of a head after some bytes.
+struct LineProgress {
+    consumed_bytes: usize,
+    ends_head: bool,
+}
+
 impl Head {
-    /// Takes bytes up to the end of a line; tells how many, and whether the head ends there.
-    fn push(&mut self, bytes: &[u8]) -> (usize, bool) {
-        let end = bytes.iter().position(|byte| *byte == b'\n');
-        let piece = &bytes[..end.unwrap_or(bytes.len())];
-        let taken = piece.len().min(MOST_KEPT - self.kept);
-        self.line[self.kept..self.kept + taken].copy_from_slice(&piece[..taken]);
-        self.kept += taken;
-        let Some(end) = end else {
-            return (bytes.len(), false);
-        };
-        (end + 1, self.line_ends())
+    /// Consumes bytes up to the end of a line.
+    fn push(&mut self, bytes: &[u8]) -> LineProgress {
+        let newline = bytes.iter().position(|byte| *byte == b'\n');
+        let piece = &bytes[..newline.unwrap_or(bytes.len())];
+        let kept = piece.len().min(MAX_KEPT_LINE_BYTES - self.kept_bytes);
+        self.line[self.kept_bytes..self.kept_bytes + kept].copy_from_slice(&piece[..kept]);
+        self.kept_bytes += kept;
+        match newline {
+            None => LineProgress {
+                consumed_bytes: bytes.len(),
+                ends_head: false,
+            },
+            Some(newline) => LineProgress {
+                consumed_bytes: newline + 1,
+                ends_head: self.end_line(),
+            },
+        }
     }
 
-    fn line_ends(&mut self) -> bool {
+    /// Parses the line that is complete; returns whether the head ends with it.
+    fn end_line(&mut self) -> bool {
         let kept = self.line;
-        let line = kept[..std::mem::take(&mut self.kept)].trim_ascii_end();
+        let line = kept[..std::mem::take(&mut self.kept_bytes)].trim_ascii_end();
         if line.is_empty() {
-            return std::mem::replace(&mut self.started, false); // Empty lines ahead of a message are passed over.
+            // Empty lines before a message are skipped.
+            return std::mem::replace(&mut self.has_request_line, false);
         }
-        // The first line names no header.
-        if std::mem::replace(&mut self.started, true) {
+        // The request line is not a header.
+        if std::mem::replace(&mut self.has_request_line, true) {
             if let Some(colon) = line.iter().position(|byte| *byte == b':') {
-                self.header(line[..colon].trim_ascii(), line[colon + 1..].trim_ascii());
+                self.record_header(line[..colon].trim_ascii(), line[colon + 1..].trim_ascii());
             }
         }
         false
     }
 
-    fn header(&mut self, name: &[u8], value: &[u8]) {
+    fn record_header(&mut self, name: &[u8], value: &[u8]) {
         if name.eq_ignore_ascii_case(b"transfer-encoding") {
-            self.encoded = true;
+            self.has_transfer_encoding = true;
         } else if name.eq_ignore_ascii_case(b"content-length") {
-            self.lengths += 1;
-            let digits = Some(value).filter(|v| v.iter().all(u8::is_ascii_digit));
-            self.length = digits
-                .and_then(|v| std::str::from_utf8(v).ok())
-                .and_then(|v| v.parse().ok());
+            self.content_length_count += 1;
+            // Digits only: the parser of integers accepts a sign.
+            let digits = Some(value).filter(|value| value.iter().all(u8::is_ascii_digit));
+            self.content_length = digits
+                .and_then(|digits| std::str::from_utf8(digits).ok())
+                .and_then(|digits| digits.parse().ok());
         }
     }
 }
--- a/src/node/downstream/inherited.rs
+++ b/src/node/downstream/inherited.rs
@@ -1,5 +1,5 @@
-//! A listening socket that the platform holds and every process of a node is handed: whoever connects is taken by one
-//! of them, and nobody is refused while one process replaces another.
+//! The listening socket that the platform owns and passes to every process of the node. While one process replaces another,
+//! both accept from it, so that no client is refused a connection.
 
 use std::env;
 use std::io;
@@ -7,31 +7,33 @@
 
 use listenfd::ListenFd;
 
-/// The variable that names the descriptor.
-const VARIABLE: &str = "ROUTER_LISTEN_FD";
-/// By these the library is told of it; systemd sets them in the same way.
-const COUNT: &str = "LISTEN_FDS";
-const FIRST: &str = "LISTEN_FDS_FIRST_FD";
+/// The platform's variable with the number of the file descriptor.
+const DESCRIPTOR_VARIABLE: &str = "ROUTER_LISTEN_FD";
+/// Variables of the socket activation protocol of systemd, which `listenfd` implements.
+const COUNT_VARIABLE: &str = "LISTEN_FDS";
+const FIRST_DESCRIPTOR_VARIABLE: &str = "LISTEN_FDS_FIRST_FD";
+const PROCESS_ID_VARIABLE: &str = "LISTEN_PID";
 
-/// The socket, where the platform holds one. To be called once, before there are threads: it sets variables.
+/// Takes the listening socket; `None` where the platform passes none. Must be called once, before any thread is started: it
+/// sets environment variables.
 ///
 /// # Errors
 ///
-/// The variable names no descriptor, or one that is no listening TCP socket.
+/// The variable is not a file descriptor, or the descriptor is not a listening TCP socket.
 pub fn listener() -> io::Result<Option<TcpListener>> {
-    let Some(descriptor) = env::var_os(VARIABLE).filter(|text| !text.is_empty()) else {
+    let Some(descriptor) = env::var_os(DESCRIPTOR_VARIABLE).filter(|text| !text.is_empty()) else {
         return Ok(None);
     };
     let text = descriptor.to_string_lossy();
     let number = text
         .parse::<u16>()
-        .map_err(|_| io::Error::other(format!("{VARIABLE} is no descriptor: {text}")))?;
-    env::set_var(FIRST, number.to_string());
-    env::set_var(COUNT, "1");
-    env::remove_var("LISTEN_PID"); // Another program's, if it is there at all.
+        .map_err(|_| io::Error::other(format!("{DESCRIPTOR_VARIABLE} is no descriptor: {text}")))?;
+    env::set_var(FIRST_DESCRIPTOR_VARIABLE, number.to_string());
+    env::set_var(COUNT_VARIABLE, "1");
+    env::remove_var(PROCESS_ID_VARIABLE); // If it is set, it names another process.
     let listener = ListenFd::from_env().take_tcp_listener(0)?;
-    let listener =
-        listener.ok_or_else(|| io::Error::other(format!("{VARIABLE} names no socket")))?;
+    let listener = listener
+        .ok_or_else(|| io::Error::other(format!("{DESCRIPTOR_VARIABLE} names no socket")))?;
     listener.set_nonblocking(true)?;
     Ok(Some(listener))
 }
--- a/src/node/downstream/socket.rs
+++ b/src/node/downstream/socket.rs
@@ -1,5 +1,5 @@
-//! A client's socket: what is read is noted for the connection's framing and its entry in the table, and whether the client is still
-//! there is seen while a request of it is served.
+//! A client's socket. It reports received and written bytes to the connection's framing and its entry in the table, and
+//! detects that the client has left while a request is being served.
 
 use std::cell::RefCell;
 use std::future::{poll_fn, Future};
@@ -18,105 +18,118 @@
 use crate::node::downstream::connection_table::{ConnectionGuard, Stage, TrackedConnection};
 use crate::node::downstream::framing::Framing;
 
-/// The most that is read ahead of hyper, which does not look whether a client is there while it holds bytes of its next
-/// request. Clients ask one thing at a time; one that sends more than this is watched without being read.
-const MOST_AHEAD: usize = 16 * 1024;
-/// How often such a one is looked at: nothing may begin for a client that has left 100 ms ago.
-const LOOK_AGAIN: Duration = Duration::from_millis(40);
+/// Bytes that are read ahead of hyper, which does not notice that a client has left while it holds bytes of the next
+/// request. Clients send one request at a time; one that sends more than this is polled without being read.
+const MAX_READ_AHEAD_BYTES: usize = 16 * 1024;
+/// How often such a client is polled: no attempt may begin for a client that left 100 ms ago.
+const CLOSE_POLL_INTERVAL: Duration = Duration::from_millis(40);
 
-/// A client's socket. hyper has one hold on it and the connection's task another, so that it outlives hyper's use of it.
+/// A client's socket. hyper and the connection's task each hold a clone, so that it outlives hyper's use of it.
 #[derive(Clone)]
 pub struct Socket {
     stream: Rc<RefCell<TcpStream>>,
-    /// What has been read and hyper has not asked for yet.
-    ahead: Rc<RefCell<BytesMut>>,
-    /// What is known of the messages' framing.
+    /// Bytes that have been received and that hyper has not read yet.
+    read_ahead: Rc<RefCell<BytesMut>>,
+    /// Framing of the messages that have been received.
     pub framing: Rc<RefCell<Framing>>,
     /// The connection's entry in the table.
     pub connection: Rc<TrackedConnection>,
-    /// Keeps it there.
+    /// Keeps the slot in the table.
     pub guard: Rc<ConnectionGuard>,
 }
 
 impl Socket {
-    /// The socket of a connection that has just come.
+    /// The socket of a connection that has just been accepted.
     #[must_use]
     pub fn new(stream: TcpStream, guard: ConnectionGuard) -> Self {
         Self {
             stream: Rc::new(RefCell::new(stream)),
-            ahead: Rc::default(),
+            read_ahead: Rc::default(),
             framing: Rc::default(),
             connection: Rc::clone(&guard.connection),
             guard: Rc::new(guard),
         }
     }
 
-    /// Whether nothing of a request has come since the last one ended, as far as the system has heard. Guards a request
-    /// that came in the turn in which its connection is to be closed: the event loop has not told of it yet.
+    /// Whether no part of a request has been received since the last one ended. Asks the kernel, too: the event loop may not
+    /// have reported a request that arrived in the turn in which its connection is to be closed.
     #[must_use]
-    pub fn rests(&self) -> bool {
-        let is_read = !self.ahead.borrow().is_empty() || !self.framing.borrow().is_between();
-        !is_read && !self.has_news()
+    pub fn is_idle(&self) -> bool {
+        let has_partial_request =
+            !self.read_ahead.borrow().is_empty() || !self.framing.borrow().is_between_messages();
+        !has_partial_request && !self.has_unread_bytes()
     }
 
-    /// Whether the system holds bytes of it that nobody has read.
+    /// Whether the kernel holds received bytes that have not been read.
     #[must_use]
-    pub fn has_news(&self) -> bool {
+    pub fn has_unread_bytes(&self) -> bool {
         let mut byte = [std::mem::MaybeUninit::uninit()];
-        let looked = SockRef::from(&*self.stream.borrow()).peek(&mut byte);
-        matches!(looked, Ok(bytes) if bytes > 0)
+        let peeked = SockRef::from(&*self.stream.borrow()).peek(&mut byte);
+        matches!(peeked, Ok(bytes) if bytes > 0)
     }
 
-    /// Waits until the client has gone, for as long as its request is being served; otherwise hyper sees it by itself.
-    /// To be polled in one task with hyper. A client that ends its sending has gone, whatever it would still read.
+    /// Waits until the client has left while its request is being served; at other times hyper detects it. A client that
+    /// shuts down its sending half has left, whatever it would still read.
     ///
-    /// Guards against attempts that begin for a client which sent more than one request, or a flood, and left.
-    pub async fn client_gone(&self) {
-        let mut again: Option<Pin<Box<Sleep>>> = None;
+    /// Must be polled in the same task as hyper. Without it, attempts could begin for a client that sent more than one
+    /// request, or a flood, and left.
+    pub async fn client_left(&self) {
+        let mut next_poll: Option<Pin<Box<Sleep>>> = None;
         poll_fn(|cx| match self.connection.stage() {
-            Stage::Request => self.poll_gone(cx, &mut again),
+            Stage::Request => self.poll_client_left(cx, &mut next_poll),
             _ => Poll::Pending,
         })
         .await;
     }
 
-    fn poll_gone(&self, cx: &mut Context<'_>, again: &mut Option<Pin<Box<Sleep>>>) -> Poll<()> {
-        let (mut ahead, mut stream) = (self.ahead.borrow_mut(), self.stream.borrow_mut());
-        while ahead.len() < MOST_AHEAD {
-            let mut room = [0; 4096];
-            let mut buffer = ReadBuf::new(&mut room);
+    fn poll_client_left(
+        &self,
+        cx: &mut Context<'_>,
+        next_poll: &mut Option<Pin<Box<Sleep>>>,
+    ) -> Poll<()> {
+        let (mut read_ahead, mut stream) = (self.read_ahead.borrow_mut(), self.stream.borrow_mut());
+        while read_ahead.len() < MAX_READ_AHEAD_BYTES {
+            let mut storage = [0; 4096];
+            let mut buffer = ReadBuf::new(&mut storage);
             match ready!(Pin::new(&mut *stream).poll_read(cx, &mut buffer)) {
-                Ok(()) if !buffer.filled().is_empty() => ahead.extend_from_slice(buffer.filled()),
+                Ok(()) if !buffer.filled().is_empty() => {
+                    read_ahead.extend_from_slice(buffer.filled());
+                }
                 _ => return Poll::Ready(()),
             }
         }
         loop {
-            // An end is told beside bytes that have not been read.
+            // The event loop reports a closed sending half even while bytes are unread.
             let ready = pin!(stream.ready(Interest::READABLE)).poll(cx);
             if matches!(ready, Poll::Ready(Ok(ready)) if ready.is_read_closed()) {
                 return Poll::Ready(());
             }
-            let sleep = again.get_or_insert_with(|| Box::pin(tokio::time::sleep(LOOK_AGAIN)));
+            let sleep =
+                next_poll.get_or_insert_with(|| Box::pin(tokio::time::sleep(CLOSE_POLL_INTERVAL)));
             ready!(sleep.as_mut().poll(cx));
-            *again = None;
+            *next_poll = None;
         }
     }
 
-    fn noted(&self, written: Poll<io::Result<usize>>) -> Poll<io::Result<usize>> {
-        if matches!(written, Poll::Ready(Ok(bytes)) if bytes > 0) {
+    fn record_written(&self, written: &Poll<io::Result<usize>>) {
+        if matches!(written, Poll::Ready(Ok(bytes)) if *bytes > 0) {
             self.connection.record_written();
         }
-        written
     }
 
-    fn poll_next(&self, cx: &mut Context<'_>, buf: &mut ReadBuf<'_>) -> Poll<io::Result<()>> {
-        let mut ahead = self.ahead.borrow_mut();
-        if ahead.is_empty() {
+    /// Reads what has been read ahead, then from the stream.
+    fn poll_read_buffered(
+        &self,
+        cx: &mut Context<'_>,
+        buf: &mut ReadBuf<'_>,
+    ) -> Poll<io::Result<()>> {
+        let mut read_ahead = self.read_ahead.borrow_mut();
+        if read_ahead.is_empty() {
             return Pin::new(&mut *self.stream.borrow_mut()).poll_read(cx, buf);
         }
-        let bytes = ahead.len().min(buf.remaining());
-        buf.put_slice(&ahead[..bytes]);
-        ahead.advance(bytes);
+        let bytes = read_ahead.len().min(buf.remaining());
+        buf.put_slice(&read_ahead[..bytes]);
+        read_ahead.advance(bytes);
         Poll::Ready(Ok(()))
     }
 }
@@ -128,7 +141,7 @@
         buf: &mut ReadBuf<'_>,
     ) -> Poll<io::Result<()>> {
         let before = buf.filled().len();
-        let result = self.poll_next(cx, buf);
+        let result = self.poll_read_buffered(cx, buf);
         let read = &buf.filled()[before..];
         if !read.is_empty() {
             self.framing.borrow_mut().push(read);
@@ -145,7 +158,8 @@
         buf: &[u8],
     ) -> Poll<io::Result<usize>> {
         let written = Pin::new(&mut *self.stream.borrow_mut()).poll_write(cx, buf);
-        self.noted(written)
+        self.record_written(&written);
+        written
     }
 
     fn poll_write_vectored(
@@ -154,17 +168,18 @@
         bufs: &[io::IoSlice<'_>],
     ) -> Poll<io::Result<usize>> {
         let written = Pin::new(&mut *self.stream.borrow_mut()).poll_write_vectored(cx, bufs);
-        self.noted(written)
+        self.record_written(&written);
+        written
     }
 
     fn is_write_vectored(&self) -> bool {
         self.stream.borrow().is_write_vectored()
     }
 
-    /// hyper flushes once it has written all that it holds: then the answer is out.
+    /// hyper flushes once it has written all that it holds: the response is complete then.
     fn poll_flush(self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<io::Result<()>> {
-        if self.guard.record_flushed() && !self.ahead.borrow().is_empty() {
-            // hyper waits for the system to tell of bytes; of these it has told.
+        if self.guard.record_flushed() && !self.read_ahead.borrow().is_empty() {
+            // hyper waits for the stream to become readable, which it will not for bytes that have been read ahead.
             cx.waker().wake_by_ref();
         }
         Pin::new(&mut *self.stream.borrow_mut()).poll_flush(cx)
