--- a/src/node/downstream/connection.rs
+++ b/src/node/downstream/connection.rs
@@ -16,8 +16,8 @@
 use tokio::net::TcpStream;
 
 use crate::node::admin::log;
+use crate::node::downstream::body_stream::ResponseStream;
 use crate::node::downstream::connection_table::{ConnectionGuard, Stage};
-use crate::node::downstream::passing::Outgoing;
 use crate::node::downstream::request_handler::handle_request;
 use crate::node::downstream::response::text_response;
 use crate::node::downstream::server::ServerState;
@@ -100,7 +100,7 @@
     number: u64,
     socket: &Socket,
     state: &ServerState,
-) -> Response<Outgoing> {
+) -> Response<ResponseStream> {
     let tracked = &socket.connection;
     socket.guard.begin_request();
     let is_ambiguous = socket.framing.borrow().is_ambiguous(number);
@@ -113,7 +113,7 @@
         handle_request(request, state, tracked).await
     };
     tracked.enter(Stage::Response);
-    tracked.set_streaming(matches!(response.body(), Outgoing::Passing(..)));
+    tracked.set_streaming(matches!(response.body(), ResponseStream::Streamed(..)));
     let must_close = state.connection_policy() > ConnectionPolicy::KeepAlive
         || socket.framing.borrow().must_be_last(number);
     if must_close || state.table.should_close_after_response(tracked) {
--- a/src/node/downstream/request_body.rs
+++ b/src/node/downstream/request_body.rs
@@ -7,7 +7,7 @@
 use http_body_util::BodyExt;
 use hyper::body::{Body, Incoming};
 
-use crate::node::downstream::passing::Feeder;
+use crate::node::downstream::body_stream::BodySender;
 use crate::node::downstream::response::InvalidRequest;
 use crate::node::downstream::server::ServerState;
 use crate::node::upstream::answers::{MOST_BODY, MOST_HELD, MOST_PASSED};
@@ -134,7 +134,7 @@
     /// As [`Self::next_chunk`]; or the body exceeds [`MOST_PASSED`].
     pub(super) async fn stream_to(
         &mut self,
-        mut sender: Feeder,
+        mut sender: BodySender,
         state: &ServerState,
     ) -> Result<bool, InvalidRequest> {
         let mut streamed_bytes = 0;
@@ -144,13 +144,13 @@
                 return Err(InvalidRequest::BODY_TOO_LARGE);
             }
             let send_started_ms = state.driver.now_ms();
-            if sender.feed(chunk).await.is_err() {
+            if sender.send(chunk).await.is_err() {
                 return Ok(false);
             }
             // Time spent waiting for the server does not count against the client.
             self.deadline
                 .exclude_pause(state.driver.now_ms() - send_started_ms);
         }
-        Ok(sender.end().await.is_ok())
+        Ok(sender.finish().await.is_ok())
     }
 }
--- a/src/node/downstream/request_handler.rs
+++ b/src/node/downstream/request_handler.rs
@@ -11,8 +11,8 @@
 use hyper::http::request::Parts;
 use hyper::{Method, Request, Response, StatusCode};
 
+use crate::node::downstream::body_stream::{body_stream, ResponseStream, Upload};
 use crate::node::downstream::connection_table::TrackedConnection;
-use crate::node::downstream::passing::{passing, Outgoing, Upload};
 use crate::node::downstream::request_body::{BufferedBody, IncomingUpload};
 use crate::node::downstream::request_metadata::{
     remove_hop_by_hop_headers, sticky_key, RequestMetadata,
@@ -35,7 +35,7 @@
     request: Request<Incoming>,
     state: &ServerState,
     tracked: &Rc<TrackedConnection>,
-) -> Response<Outgoing> {
+) -> Response<ResponseStream> {
     match request.uri().path() {
         "/up" => readiness_response(request.method(), state),
         "/api" => handle_api_request(request, state, tracked)
@@ -45,7 +45,7 @@
     }
 }
 
-fn readiness_response(method: &Method, state: &ServerState) -> Response<Outgoing> {
+fn readiness_response(method: &Method, state: &ServerState) -> Response<ResponseStream> {
     if method != Method::GET {
         return text_response(StatusCode::METHOD_NOT_ALLOWED, "");
     }
@@ -80,7 +80,7 @@
     request: Request<Incoming>,
     state: &ServerState,
     tracked: &Rc<TrackedConnection>,
-) -> Result<Response<Outgoing>, InvalidRequest> {
+) -> Result<Response<ResponseStream>, InvalidRequest> {
     let (head, body) = request.into_parts();
     let metadata = RequestMetadata::parse(&head.method, &head.headers, &state.driver.names)?;
     let in_flight = state.driver.metrics.begin_request(metadata.class);
@@ -131,7 +131,7 @@
     let (body, upload_sender) = match buffered {
         BufferedBody::Complete(body) => (RequestBody::Whole(body), None),
         BufferedBody::Prefix(prefix) => {
-            let (sender, rest) = passing(upload.remaining_bytes());
+            let (sender, rest) = body_stream(upload.remaining_bytes());
             let body = RequestBody::Passing(Upload::new(prefix, rest));
             (body, Some(sender))
         }
--- a/src/node/downstream/response.rs
+++ b/src/node/downstream/response.rs
@@ -7,8 +7,8 @@
 use hyper::header::{self, HeaderValue};
 use hyper::{Response, StatusCode};
 
+use crate::node::downstream::body_stream::{ResponseStream, StreamEnd};
 use crate::node::downstream::connection_table::TrackedConnection;
-use crate::node::downstream::passing::{Outgoing, Passed};
 use crate::node::upstream::{ResponseBody, Served};
 
 /// Why the node rejects a request as invalid, as the client sees it.
@@ -47,14 +47,14 @@
 }
 
 /// A response with a text of the node's own.
-pub(super) fn text_response(status: StatusCode, text: &'static str) -> Response<Outgoing> {
-    let mut response = Response::new(Outgoing::text(text));
+pub(super) fn text_response(status: StatusCode, text: &'static str) -> Response<ResponseStream> {
+    let mut response = Response::new(ResponseStream::text(text));
     *response.status_mut() = status;
     response
 }
 
 /// The response to a request that is shed, with `Retry-After` in seconds where the client should come back.
-pub(super) fn rejection_response(retry_after_ms: Option<f64>) -> Response<Outgoing> {
+pub(super) fn rejection_response(retry_after_ms: Option<f64>) -> Response<ResponseStream> {
     let mut response = text_response(StatusCode::SERVICE_UNAVAILABLE, "");
     let seconds = retry_after_ms.map(|ms| format!("{:.3}", ms / 1e3));
     if let Some(value) = seconds.and_then(|seconds| HeaderValue::try_from(seconds).ok()) {
@@ -68,21 +68,21 @@
     served: Served,
     in_flight: InFlightRequest,
     tracked: &Rc<TrackedConnection>,
-) -> Response<Outgoing> {
+) -> Response<ResponseStream> {
     let outcome = outcome_of(served.status);
     let body = match served.body {
         ResponseBody::Whole(body) => {
             in_flight.finish(outcome);
-            Outgoing::whole(body)
+            ResponseStream::buffered(body)
         }
         ResponseBody::Passing(stream) => {
             let tracked = Rc::clone(tracked);
-            Outgoing::passing(stream, move |end| {
+            ResponseStream::streamed(stream, move |end| {
                 tracked.set_streaming(false);
                 match end {
-                    Passed::Whole => in_flight.finish(outcome),
-                    Passed::Cut => in_flight.finish(RequestOutcome::Failed),
-                    Passed::Left => drop(in_flight),
+                    StreamEnd::Complete => in_flight.finish(outcome),
+                    StreamEnd::Truncated => in_flight.finish(RequestOutcome::Failed),
+                    StreamEnd::ClientLeft => drop(in_flight),
                 }
             })
         }
--- a/src/node/upstream/http1/exchange.rs
+++ b/src/node/upstream/http1/exchange.rs
@@ -21,7 +21,7 @@
 use super::metered::{Metered, Traffic, SEND_STALL};
 use super::sending::Sending;
 use crate::node::admin::log;
-use crate::node::downstream::passing::{passing, Cut, Feeder, Passing};
+use crate::node::downstream::body_stream::{body_stream, BodyReceiver, BodySender, StreamError};
 use crate::node::upstream::answers::{ending, read_report, MOST_BODY, MOST_PASSED};
 use crate::node::upstream::stream::Stream;
 use crate::node::upstream::{Broken, Ended, Message, ResponseBody, Served};
@@ -155,7 +155,7 @@
             content_type: content_type.clone(),
         };
         let begin = |passing| begin(served(ResponseBody::Passing(passing)));
-        let begin: Option<&dyn Fn(Passing)> = if ending == AttemptResult::Served {
+        let begin: Option<&dyn Fn(BodyReceiver)> = if ending == AttemptResult::Served {
             Some(&begin)
         } else {
             None
@@ -165,11 +165,15 @@
             self.connection = None;
         }
         let (ending, body) = match (ending, read) {
-            (AttemptResult::Served, Err(Cut::Broke(ConnectionError::Closed))) => {
+            (AttemptResult::Served, Err(StreamError::Connection(ConnectionError::Closed))) => {
                 (AttemptResult::Reset, None)
             }
-            (AttemptResult::Served, Err(Cut::Broke(_))) => (AttemptResult::Malformed, None),
-            (AttemptResult::Served, Err(Cut::ClientLeft)) => (AttemptResult::Cancelled, None),
+            (AttemptResult::Served, Err(StreamError::Connection(_))) => {
+                (AttemptResult::Malformed, None)
+            }
+            (AttemptResult::Served, Err(StreamError::ClientLeft)) => {
+                (AttemptResult::Cancelled, None)
+            }
             (AttemptResult::Served, Ok(body)) => (AttemptResult::Served, body),
             (AttemptResult::ClientError, read) => (
                 AttemptResult::ClientError,
@@ -191,8 +195,8 @@
         head: &Parts,
         mut body: Incoming,
         stall: Duration,
-        begin: Option<&dyn Fn(Passing)>,
-    ) -> Result<Option<Bytes>, Cut> {
+        begin: Option<&dyn Fn(BodyReceiver)>,
+    ) -> Result<Option<Bytes>, StreamError> {
         let told = body.size_hint().exact();
         // Only the end of the connection shows the end of a body of no stated length, and it must have been announced.
         let chunked = head.headers.contains_key(TRANSFER_ENCODING);
@@ -203,7 +207,7 @@
         let endless = told.is_none() && !chunked && !closes && head.version != Version::HTTP_10;
         if endless || told.is_some_and(|told| told > MOST_PASSED as u64) {
             log::line("a server's answer is too large or does not tell its length");
-            return Err(Cut::Broke(ConnectionError::InvalidResponse));
+            return Err(StreamError::Connection(ConnectionError::InvalidResponse));
         }
         if chunked {
             self.traffic.allow(CHUNKED * MOST_BODY);
@@ -218,25 +222,25 @@
                 held.push(piece);
                 continue;
             }
-            let begin = begin.ok_or(Cut::Broke(ConnectionError::InvalidResponse))?;
-            let (feeder, passing) = passing(told);
+            let begin = begin.ok_or(StreamError::Connection(ConnectionError::InvalidResponse))?;
+            let (sender, passing) = body_stream(told);
             begin(passing);
             let first = [held.whole(), piece];
-            return self.pass_on(feeder, first, body).await.map(|()| None);
+            return self.pass_on(sender, first, body).await.map(|()| None);
         }
     }
 
     async fn pass_on(
         &mut self,
-        mut feeder: Feeder,
+        mut sender: BodySender,
         first: [Bytes; 2],
         mut body: Incoming,
-    ) -> Result<(), Cut> {
+    ) -> Result<(), StreamError> {
         self.traffic.allow(CHUNKED * MOST_PASSED);
         let mut passed = 0;
         for piece in first {
             passed += piece.len();
-            feeder.feed(piece).await?;
+            sender.send(piece).await?;
         }
         // Only the time spent waiting for the server counts against its deadline.
         let mut deadline = TransferDeadline::for_streaming(0.0);
@@ -253,15 +257,19 @@
             passed += piece.len();
             if passed > MOST_PASSED {
                 log::line("a server's answer does not end");
-                return Err(Cut::Broke(ConnectionError::InvalidResponse));
+                return Err(StreamError::Connection(ConnectionError::InvalidResponse));
             }
-            feeder.feed(piece).await?;
+            sender.send(piece).await?;
         }
-        feeder.end().await
+        sender.finish().await
     }
 
     /// The next piece of a body, or its end.
-    async fn piece(&mut self, body: &mut Incoming, stall: Duration) -> Result<Option<Bytes>, Cut> {
+    async fn piece(
+        &mut self,
+        body: &mut Incoming,
+        stall: Duration,
+    ) -> Result<Option<Bytes>, StreamError> {
         loop {
             let frame = tokio::time::timeout(stall, body.frame());
             match drive(&mut self.connection, &self.traffic, frame).await {
@@ -273,11 +281,11 @@
                     }
                 }
                 Ok(Some(Err(error))) if error.is_incomplete_message() => {
-                    return Err(Cut::Broke(ConnectionError::Closed));
+                    return Err(StreamError::Connection(ConnectionError::Closed));
                 }
                 _ => {
                     log::line("a server's answer is malformed or does not go on");
-                    return Err(Cut::Broke(ConnectionError::InvalidResponse));
+                    return Err(StreamError::Connection(ConnectionError::InvalidResponse));
                 }
             }
         }
--- a/src/node/upstream/http1/sending.rs
+++ b/src/node/upstream/http1/sending.rs
@@ -8,7 +8,7 @@
 use http_body::{Body, Frame, SizeHint};
 
 use super::metered::Traffic;
-use crate::node::downstream::passing::{Next, Passing, Unfinished};
+use crate::node::downstream::body_stream::{BodyReceiver, NextFrame, Truncated};
 use crate::node::upstream::{Message, RequestBody};
 
 /// The body as one attempt sends it. What follows the beginning is taken once it is asked for, and then no other attempt
@@ -17,7 +17,7 @@
     message: Rc<Message>,
     traffic: Rc<Traffic>,
     first: Option<Bytes>,
-    rest: Option<Passing>,
+    rest: Option<BodyReceiver>,
     told: Option<u64>,
 }
 
@@ -29,7 +29,7 @@
             RequestBody::Whole(body) => (body.clone(), Some(body.len() as u64)),
             RequestBody::Passing(upload) => {
                 traffic.expect_more();
-                (upload.first(), upload.told())
+                (upload.prefix(), upload.total_bytes())
             }
         };
         let first = Some(first).filter(|first| !first.is_empty());
@@ -55,9 +55,9 @@
 
 impl Body for Sending {
     type Data = Bytes;
-    type Error = Unfinished;
+    type Error = Truncated;
 
-    fn poll_frame(mut self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<Next> {
+    fn poll_frame(mut self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<NextFrame> {
         if let Some(first) = self.first.take() {
             return Poll::Ready(Some(Ok(Frame::data(first))));
         }
@@ -69,11 +69,11 @@
             self.rest = upload.take_rest();
         }
         let Some(rest) = &mut self.rest else {
-            return Poll::Ready(Some(Err(Unfinished)));
+            return Poll::Ready(Some(Err(Truncated)));
         };
         let frame = ready!(rest.poll(cx));
         // Nobody asks for the end of a body whose length has come.
-        let is_last = frame.is_none() || rest.left() == Some(0);
+        let is_last = frame.is_none() || rest.remaining_bytes() == Some(0);
         if is_last {
             self.is_out();
         }
--- a/src/node/upstream/mod.rs
+++ b/src/node/upstream/mod.rs
@@ -20,7 +20,7 @@
 use hyper::{Method, StatusCode, Uri};
 use pool::{Address, BytesSent, CloseReason, ConnectionError};
 
-use crate::node::downstream::passing::{Passing, Upload};
+use crate::node::downstream::body_stream::{BodyReceiver, Upload};
 use balancer::{AttemptResult, LoadReport};
 use stream::Stream;
 
@@ -56,7 +56,7 @@
     #[must_use]
     pub fn can_go(&self) -> bool {
         self.until.get().is_none_or(|until| Instant::now() < until)
-            && !matches!(&self.body, RequestBody::Passing(upload) if upload.is_spent())
+            && !matches!(&self.body, RequestBody::Passing(upload) if upload.is_consumed())
     }
 }
 
@@ -77,7 +77,7 @@
     /// It is here.
     Whole(Bytes),
     /// It is passed on as it comes.
-    Passing(Passing),
+    Passing(BodyReceiver),
 }
 
 /// How an attempt ended.
