--- a/tests/clients.rs
+++ b/tests/clients.rs
@@ -1,4 +1,4 @@
-//! What clients may do to a node that they should not, over loopback sockets.
+//! Clients that violate the protocol or hold resources, over loopback sockets.
 
 #![allow(
     clippy::needless_for_each,
@@ -19,9 +19,9 @@
     (Node::start(&text), discovery)
 }
 
-/// Guards against a request that hides in the body of another: one reader sees one message, the next sees two.
+/// Request smuggling: a request that hides in the body of another, where two parsers see different messages.
 #[test]
-fn a_length_that_can_be_read_in_two_ways_is_refused_and_nothing_behind_it_is_read() {
+fn request_with_ambiguous_length_is_rejected_and_nothing_after_it_is_read() {
     let server = Server::start(|_| Reply::ok("yes"));
     let (node, _discovery, _watch) = Node::with(&[&server], 15_000);
     let hidden = read("hidden", "15000m");
@@ -66,7 +66,7 @@
 }
 
 #[test]
-fn headers_that_say_two_things_or_nonsense_are_refused() {
+fn request_with_repeated_or_invalid_headers_is_rejected() {
     let server = Server::start(|_| Reply::ok("yes"));
     let (node, _discovery, _watch) = Node::with(&[&server], 15_000);
     let good = read("a", "480m");
@@ -105,9 +105,9 @@
     assert!(server.requests().is_empty());
 }
 
-/// Guards against a request that takes the id of one that is open: a server would see a second copy of that.
+/// A server would take a second request with the id of an open one for a retry of it.
 #[test]
-fn an_id_that_is_open_is_not_taken_again_until_it_is_answered() {
+fn request_id_in_progress_is_rejected_until_answered() {
     let open = Arc::new(AtomicBool::new(false));
     let gate = Arc::clone(&open);
     let server = Server::start(move |_| {
@@ -124,9 +124,9 @@
     assert_eq!(node.ask_until_taken(&read("a", "15000m")).status(), 200);
 }
 
-/// Guards against clients that hold their places with nothing, or with half a request: 60 s were given them.
+/// Clients that send nothing, or a part of a request, may not hold a connection for long.
 #[test]
-fn a_client_that_does_not_send_a_whole_request_is_left() {
+fn client_with_incomplete_request_is_disconnected() {
     let (node, _discovery) = small_node();
     let whole = post("a", "pay", "", "xx");
     let (mut silent, mut half, mut body) = (node.connect(), node.connect(), node.connect());
@@ -141,9 +141,9 @@
     );
 }
 
-/// Guards against a crowd that sends heads without end: they keep nobody out who has a request.
+/// A crowd that sends heads without an end must not exclude clients with requests.
 #[test]
-fn unfinished_heads_make_room_for_requests() {
+fn connections_with_incomplete_heads_are_evicted_for_requests() {
     let (node, _discovery) = small_node();
     let mut crowd: Vec<_> = (0..40)
         .map(|_| {
@@ -158,9 +158,9 @@
     assert!(crowd.iter_mut().all(Client::is_closed));
 }
 
-/// Guards against an answer that is lost with a reset: the connection was closed on what its client still sent.
+/// Closing the connection over unread bytes would reset it, and the client would lose the response.
 #[test]
-fn who_sends_far_too_much_is_told_so() {
+fn oversized_request_receives_its_rejection() {
     let (node, _discovery) = small_node();
     let large = "x".repeat(1 << 20);
     let told = post("a", "pay", "", "").replace("Content-Length: 0", "Content-Length: 60000000");
@@ -175,25 +175,25 @@
 
 const UP: &str = "GET /up HTTP/1.1\r\nHost: a\r\n\r\n";
 
-/// Asks on a connection; whether it may be used again.
-fn asks(client: &mut Client) -> bool {
+/// Sends a request; returns whether the connection may be used again.
+fn send_and_check_keep_alive(client: &mut Client) -> bool {
     client.send(UP);
     let answer = client.answer().expect("it is open");
     assert_eq!(answer.status(), 200);
     answer.header("connection") != Some("close")
 }
 
-/// Guards against clients that ask once and keep their connection: together they would hold all that clients may, and the
-/// next one would find none. They are told so in their answers; who has asked again stays.
+/// Clients that send one request and keep their connection would together hold all that clients may, and the next one
+/// would find none free. Their responses close the connection; a reused connection stays.
 #[test]
-fn connections_that_wait_for_nothing_leave_some_free_for_others() {
+fn idle_single_use_connections_leave_slots_free() {
     let (node, _discovery) = small_node(); // 16 descriptors: clients have 5 for requests.
     let mut again = node.connect();
-    assert!(asks(&mut again) && asks(&mut again));
+    assert!(send_and_check_keep_alive(&mut again) && send_and_check_keep_alive(&mut again));
     let mut once: Vec<_> = (0..12)
         .map(|_| {
             let mut client = node.connect();
-            let stays = asks(&mut client);
+            let stays = send_and_check_keep_alive(&mut client);
             (client, stays)
         })
         .collect();
@@ -208,53 +208,56 @@
         .all(|(client, _)| client.is_closed()));
     once.iter_mut()
         .filter(|(_, stays)| *stays)
-        .for_each(|(client, _)| assert!(asks(client)));
-    assert!(asks(&mut again));
+        .for_each(|(client, _)| assert!(send_and_check_keep_alive(client)));
+    assert!(send_and_check_keep_alive(&mut again));
 }
 
-/// Clients come back: of connections used of late most were asked on again.
-fn teach_that_clients_return(node: &Node) {
+/// Makes the node expect that clients reuse their connections, as most have done recently.
+fn record_reused_connections(node: &Node) {
     for _ in 0..16 {
         let mut client = node.connect();
         // One in many may be told to go before the node has seen enough.
-        let _ = asks(&mut client) && asks(&mut client);
+        let _ = send_and_check_keep_alive(&mut client) && send_and_check_keep_alive(&mut client);
     }
 }
 
-/// Guards against closing a connection that its client is about to use: where clients come back only one that has stood for
-/// a second goes without a word, the longest first, and only until enough are free.
+/// The node must not close a connection that its client is about to use. Where clients reuse connections, only one that
+/// has been idle for a second is closed without notice, the longest idle first, and only until enough are free.
 #[test]
-fn who_has_stood_for_a_second_makes_room_and_nobody_else() {
+fn only_connections_idle_for_a_second_are_closed_without_notice() {
     let (node, _discovery) = small_node(); // 16 descriptors: clients have 5 for requests, and 8 places.
-    teach_that_clients_return(&node);
+    record_reused_connections(&node);
     let mut clients: Vec<_> = (0..7).map(|_| node.connect()).collect();
     for _ in 0..5 {
         std::thread::sleep(Duration::from_millis(300));
-        clients
-            .iter_mut()
-            .for_each(|client| assert!(asks(client), "seven of five are there, and all in use"));
+        clients.iter_mut().for_each(|client| {
+            assert!(
+                send_and_check_keep_alive(client),
+                "seven of five are there, and all in use"
+            );
+        });
     }
     // The first two have stood for longest.
     clients[2..]
         .iter_mut()
-        .for_each(|client| assert!(asks(client)));
+        .for_each(|client| assert!(send_and_check_keep_alive(client)));
     assert!(clients[0].is_closed() && clients[1].is_closed());
     assert!(
-        clients[2..].iter_mut().all(asks),
+        clients[2..].iter_mut().all(send_and_check_keep_alive),
         "with five there is room enough"
     );
 }
 
-/// Guards against a newcomer that finds all places taken by clients that ask again at once: the next answer makes room for
-/// it, and nobody loses a request.
+/// Where every connection is reused immediately, the next response closes its connection for a new one, and no request is
+/// lost.
 #[test]
-fn a_newcomer_has_a_place_from_the_next_answer() {
+fn new_connection_gets_slot_from_next_response() {
     let server = Server::start(|_| Reply::ok("yes")).quiet();
     let discovery = Discovery::start();
     let known = list(1, true, &[server.entry("s-0", "ready")]);
     let node =
         Node::start(&config(discovery.address, &known, &settings(15_000)).replace("1024", "16"));
-    teach_that_clients_return(&node);
+    record_reused_connections(&node);
     let load = Load::start(node.address, 8, Duration::from_millis(100));
     for _ in 0..10 {
         let mut newcomer = node.connect();
@@ -265,10 +268,10 @@
     assert_eq!(totals.lost, 0, "of {} that were sent", totals.sent);
 }
 
-/// Guards against healthy clients that lose their connections: each asks again as soon as it is answered, all of them hold
-/// most of the places, and their next requests crossed the closes of those.
+/// Clients that send again as soon as they are answered, on most of the slots: their next requests must not cross a
+/// close.
 #[test]
-fn three_hundred_busy_connections_lose_no_request() {
+fn busy_connections_near_limit_lose_no_request() {
     let servers: Vec<_> = (0..4)
         .map(|_| Server::start(|_| Reply::ok("yes")).quiet())
         .collect();
@@ -280,9 +283,9 @@
     assert_eq!(totals.lost, 0, "of {} that were sent", totals.sent);
 }
 
-/// Guards clients that write slowly against a crowd that connects and says nothing, however large.
+/// Clients that write slowly keep their connection, however many others connect and send nothing.
 #[test]
-fn a_request_that_is_written_slowly_keeps_its_place_in_a_crowd() {
+fn slowly_written_request_is_not_evicted_by_silent_connections() {
     let (node, _discovery) = small_node();
     let mut slow = node.connect();
     let mut crowd = Vec::new();
--- a/tests/close_range.rs
+++ b/tests/close_range.rs
@@ -1,5 +1,5 @@
-//! Where two events cross: a word of the end, a client that leaves, a connection that closes, each at the worst moment.
-//! What crosses is forced by peers that wait for one event before they bring about the other.
+//! Races between two events: a shutdown, a client that leaves, a connection that closes, each at the worst moment. The order
+//! is forced by peers that wait for one event before they cause the other.
 
 #![allow(
     clippy::needless_for_each,
@@ -22,10 +22,10 @@
 /// may come then.
 const KILLED: Duration = Duration::from_millis(3_700);
 
-/// Guards against a node that ends with requests unanswered which came before it was told to stop, and whose clients
-/// would wait for longer than it may live.
+/// A node may not exit with unanswered requests that arrived before SIGTERM, even if their clients would wait for longer
+/// than the node may live.
 #[test]
-fn what_was_taken_before_sigterm_is_answered_before_the_end() {
+fn requests_accepted_before_sigterm_are_answered_before_exit() {
     let server = Server::start(|_| Reply::Silence);
     let (mut node, _discovery, _watch) = Node::with(&[&server], 15_000);
     let requests = [
@@ -58,10 +58,10 @@
 /// More than is read of a connection whose request is being served, and less than the system takes for it.
 const FLOOD: usize = 100 * 1024;
 
-/// Guards against attempts for clients that have left: one that sent more than its request must be seen to leave while
-/// that is served, though nobody reads what it sent. Its attempt is given up, which the server sees.
+/// No attempt may go on for a client that has left. One that sent more than its request must be detected while that is
+/// served, though nobody reads what it sent. Its attempt is cancelled, which the server sees.
 #[test]
-fn a_client_that_sent_more_than_its_request_is_seen_to_leave() {
+fn client_with_pipelined_bytes_is_detected_as_gone() {
     let next = read("next", "15000m");
     let more = [
         String::new(),
@@ -90,10 +90,9 @@
     }
 }
 
-/// Guards the requests behind one that is served: what was read ahead of its answer is taken after it, whole and once,
-/// wherever the pieces of it end.
+/// What was read ahead of a response is served after it, completely and once, wherever its segments end.
 #[test]
-fn what_came_ahead_of_an_answer_is_taken_after_it() {
+fn pipelined_requests_are_served_after_the_response() {
     let server = Server::start(|_| Reply::ok("yes"));
     let (node, _discovery, _watch) = Node::with(&[&server], 15_000);
     let second = post("second", "hold", "Idempotency-Key: 5c0f\r\n", "a body");
@@ -232,10 +231,10 @@
     }
 }
 
-/// Guards a request that comes in the very turn in which the node shuts connections down: it has been taken, so it is
-/// answered whole, on a connection that rested and on one that had said nothing, wherever the event loop was with it.
+/// A request that arrives in the same turn of the event loop as the shutdown has been accepted: it is answered
+/// completely, on an idle connection and on a silent one, whichever the event loop handles first.
 #[test]
-fn a_request_in_the_turn_of_the_shutdown_is_answered() {
+fn request_in_turn_of_shutdown_is_answered() {
     let request = read("crossing", "15000m");
     for rested in [true, false] {
         for ahead in [0, 1, request.len() / 2, request.len() - 1, request.len()] {
@@ -275,10 +274,9 @@
     }
 }
 
-/// Guards what had come before the end and nobody had looked at: a connection that waits in the system's queue with its
-/// request, and a body of which a part is yet to come.
+/// A connection that waits in the kernel's backlog with its request, and a body of which a part is yet to arrive.
 #[test]
-fn what_waits_in_the_queue_and_a_slow_body_are_answered_at_the_end() {
+fn backlogged_connection_and_slow_upload_are_answered_at_shutdown() {
     let front = Front::start();
     let whole = post("slow", "hold", "Idempotency-Key: 5c0f\r\n", "five rooms");
     let mut slow = front.connect();
@@ -311,10 +309,10 @@
     assert_eq!(ids, ["queued", "slow"]);
 }
 
-/// Guards against requests that are taken just before the end and not answered by it, on a connection that was there and on
-/// one that is new, whatever time their clients gave: the server says nothing.
+/// Requests that are accepted just before the shutdown are answered by its deadline, on an old and on a new connection,
+/// whatever deadlines their clients set. The server does not respond.
 #[test]
-fn what_is_taken_just_before_the_end_is_answered_by_it() {
+fn request_accepted_just_before_shutdown_deadline_is_answered_by_it() {
     const LEFT: Duration = Duration::from_millis(300);
     let front = Front::with(Server::start(|_| Reply::Silence));
     let mut clients = [front.connect(), front.connect(), front.connect()];
@@ -354,15 +352,15 @@
 /// Longer than a client may take over a head, or rest.
 const LONG: Duration = Duration::from_secs(11);
 /// Longer than from one look at the times of connections to the next.
-const ONE_LOOK: Duration = Duration::from_millis(150);
+const ONE_CHECK_INTERVAL: Duration = Duration::from_millis(150);
 /// So many turns of the event loop are tried as the one in which the bytes come: the time is over in the first or second.
 const TURNS: usize = 12;
 
-/// Guards a client whose bytes come in the very turn in which its time is over, before or after the event loop has looked
-/// for bytes: whoever wrote on a connection that was open has taken part, and is answered. Time stands still but for two
-/// steps, so that each turn in which the bytes can come is tried.
+/// A client whose bytes arrive in the same turn as the timeout of its connection, before or after the event loop has
+/// polled the socket: whoever wrote on an open connection is answered. Time is paused but for two steps, so that every
+/// turn in which the bytes can arrive is tried.
 #[test]
-fn bytes_that_come_as_the_time_of_a_connection_is_over_are_answered() {
+fn request_in_turn_of_connection_timeout_is_answered() {
     let request = read("crossing", "15000m");
     for (rested, ahead) in [(false, 0), (false, request.len() / 2), (true, 0)] {
         let (mut open, mut ended) = (0, 0);
@@ -383,7 +381,7 @@
                 for _ in 0..TURNS {
                     tokio::task::yield_now().await;
                 }
-                tokio::time::advance(ONE_LOOK).await;
+                tokio::time::advance(ONE_CHECK_INTERVAL).await;
                 for _ in 0..turns {
                     tokio::task::yield_now().await;
                 }
@@ -414,9 +412,9 @@
     }
 }
 
-/// Guards a request of which a part had come when the node shut its connections down.
+/// A request of which a part had arrived when the node shut down.
 #[test]
-fn a_head_that_is_half_there_at_the_shutdown_may_end_and_is_answered() {
+fn partial_head_at_shutdown_may_complete_and_is_answered() {
     let request = read("half", "15000m");
     for cut in [1, 20, request.len() / 2, request.len() - 1] {
         let front = Front::start();
@@ -439,10 +437,10 @@
     }
 }
 
-/// Guards against a request that is read after the shutdown and sent on, and against a reset for a client whose bytes
-/// cross the end: the node reads on for a while, and passes over what comes.
+/// A request that arrives after the shutdown is not forwarded, and a client whose bytes cross the close gets no reset:
+/// the node reads on for a while, and discards what arrives.
 #[test]
-fn what_comes_behind_the_end_is_passed_over_and_the_end_is_in_order() {
+fn bytes_after_last_response_are_discarded_and_close_is_graceful() {
     let front = Front::start();
     let mut clients: Vec<_> = (0..4).map(|_| front.connect()).collect();
     clients[..2]
@@ -522,10 +520,9 @@
 /// Long enough for a node to see what has come, on a machine that is not busy; where it is, a crossing is tried again.
 const A_WHILE: Duration = Duration::from_millis(200);
 
-/// Guards against an attempt that begins for a client which left while the connection to its server was coming up, where
-/// settings allow no attempt to be cancelled.
+/// The client leaves while the connection to the server is being established, with settings that allow no cancellation.
 #[test]
-fn no_attempt_begins_for_a_client_that_left_while_a_connection_came_up() {
+fn attempt_for_client_that_left_during_connect_is_not_sent() {
     let crossed = (0..5).find_map(|_| {
         let late = Late::start();
         let known = list(1, true, &[entry("s-0", late.address, "ready")]);
@@ -544,10 +541,10 @@
     );
 }
 
-/// Guards against an effect that happens twice: a repeat is within the window when it is decided on, and its connection
-/// comes up after the window's end.
+/// A request must not be executed twice: a retry is within the window when it is decided on, and its connection is
+/// established after the window's end.
 #[test]
-fn no_repeat_goes_out_once_its_window_is_over() {
+fn retry_after_deduplication_window_is_not_sent() {
     let crossed = (0..5).find_map(|_| {
         let closes = Server::start(|_| {
             std::thread::sleep(A_WHILE);
@@ -575,9 +572,12 @@
     );
 }
 
-/// A server that answers each request with so many bytes of an answer, and resets the connection; `cuts` says how many,
-/// one connection after the other.
-fn cutting(answer: &'static [u8], cuts: std::ops::RangeInclusive<usize>) -> std::net::SocketAddr {
+/// A server that answers each request with a prefix of a response, and resets the connection; `cuts` is the range of
+/// lengths, one connection after the other.
+fn server_that_resets_within_response(
+    answer: &'static [u8],
+    cuts: std::ops::RangeInclusive<usize>,
+) -> std::net::SocketAddr {
     let listener = std::net::TcpListener::bind("127.0.0.1:0").expect("a port");
     let address = listener.local_addr().expect("an address");
     std::thread::spawn(move || {
@@ -600,17 +600,16 @@
     address
 }
 
-/// Guards against an answer that is passed on as whole though its connection was reset: where it tells no length, a reset
-/// is no end, at whichever byte; and against an answer that was whole by its length and is thrown away for a reset behind
-/// it. Each request is unsafe to repeat, so each is asked of the server once.
+/// A response of unknown length whose connection is reset is not complete, at whichever byte; one that is complete by its
+/// length is not discarded for a reset after it. Each request is non-idempotent, so the server receives each once.
 #[test]
-fn a_reset_is_no_end_of_an_answer_wherever_it_comes() {
+fn response_reset_at_any_byte_is_not_complete() {
     const ENDLESS: &[u8] = b"HTTP/1.1 200 OK\r\nConnection: close\r\n\r\nfive rooms";
     const TOLD: &[u8] = b"HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\nfive rooms";
     const CHUNKED: &[u8] =
         b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\na\r\nfive rooms\r\n0\r\n\r\n";
     for (answer, ends) in [(ENDLESS, false), (TOLD, true), (CHUNKED, true)] {
-        let address = cutting(answer, 0..=answer.len());
+        let address = server_that_resets_within_response(answer, 0..=answer.len());
         let known = list(1, true, &[entry("s-0", address, "ready")]);
         let node = Node::start(&config(
             Unreachable::start().address,
@@ -637,10 +636,10 @@
 const HELD: usize = 400;
 const CONNECTS_WITHIN: Duration = Duration::from_millis(100);
 
-/// Guards against a node that does not end: silent clients come on and on, far more than have a place, and somebody nearly
-/// always waits to be taken when the end of the hand-over is to be looked at.
+/// Silent clients connect continuously, far more than there are slots, and some nearly always wait to be accepted when
+/// the node is to stop accepting.
 #[test]
-fn a_crowd_that_comes_on_and_on_does_not_hold_up_the_end() {
+fn continuous_new_connections_do_not_delay_shutdown() {
     let front = Front::start();
     let (address, ends) = (front.address, Arc::new(AtomicBool::new(false)));
     let crowd: Vec<_> = (0..CROWDS)
@@ -672,10 +671,9 @@
     assert!(took < Duration::from_secs(3), "{took:?}");
 }
 
-/// Guards against a request that is sent on though its client sent only a part of it, wherever that ends and however: in
-/// order, or by a reset.
+/// A client sends only a part of a request, wherever that ends, and closes gracefully or with a reset.
 #[test]
-fn a_request_that_is_cut_anywhere_is_sent_nowhere() {
+fn request_truncated_at_any_byte_is_not_forwarded() {
     let server = Server::start(|_| Reply::ok("yes"));
     let (node, _discovery, _watch) = Node::with(&[&server], 15_000);
     let whole = post("cut", "pay", "", "five rooms");
@@ -702,17 +700,17 @@
     assert_eq!(seen.len(), 1, "{seen:?}");
 }
 
-/// The id in what a server has of a request, if it has so much.
-fn id_in(came: &[u8]) -> Option<String> {
+/// The id in what a server has received of a request, if it is complete.
+fn request_id_in(came: &[u8]) -> Option<String> {
     let text = String::from_utf8_lossy(came);
     let (_, rest) = text.split_once("req-id: ")?;
     rest.split_once("\r\n").map(|(id, _)| id.to_owned())
 }
 
-/// Guards against an effect that happens twice: a server reads a request up to any of its bytes and resets, and beside it
-/// there is another that is well. What the first one had whole the other must never get; the servers' own records judge.
+/// A request must not be executed twice: a server reads a request up to any of its bytes and resets, beside a healthy
+/// server. What the first received completely the other must never receive; the servers' own records decide.
 #[test]
-fn what_was_written_whole_goes_nowhere_else_wherever_its_server_stops_reading() {
+fn completely_written_request_is_not_sent_to_another_server() {
     const BODY: &str = "five rooms";
     let listener = std::net::TcpListener::bind("127.0.0.1:0").expect("a port");
     let address = listener.local_addr().expect("an address");
@@ -730,7 +728,7 @@
                     .is_ok_and(|bytes| came[..bytes].ends_with(BODY.as_bytes()))
             });
             let whole = stream.peek(&mut came).expect("an open connection");
-            let id = id_in(&came[..whole]).expect("an id");
+            let id = request_id_in(&came[..whole]).expect("an id");
             stream
                 .read_exact(&mut came[..cut % (whole + 1)])
                 .expect("it is there");
@@ -791,8 +789,8 @@
 /// More than a node holds of an answer: it is passed on as it comes.
 const PASSED_ON: usize = 4 << 20;
 
-/// A server that answers one request with half of a long answer, and with the rest once it is told to.
-fn halting() -> (std::net::SocketAddr, std::sync::mpsc::Sender<()>) {
+/// A server that sends half of a long response, and the rest once it is told to.
+fn server_that_pauses_within_response() -> (std::net::SocketAddr, std::sync::mpsc::Sender<()>) {
     let listener = std::net::TcpListener::bind("127.0.0.1:0").expect("a port");
     let address = listener.local_addr().expect("an address");
     let (go_on, goes_on) = std::sync::mpsc::channel();
@@ -812,21 +810,21 @@
     (address, go_on)
 }
 
-/// What a client has of an answer at the end of its connection, and whether that end is in order.
-fn rest_of(client: &mut TcpStream) -> (Vec<u8>, bool) {
+/// What a client has received of a response when its connection ends, and whether the end is graceful.
+fn read_until_closed(client: &mut TcpStream) -> (Vec<u8>, bool) {
     client.set_read_timeout(Some(PATIENCE)).expect("a socket");
     let mut read = Vec::new();
     let in_order = client.read_to_end(&mut read).is_ok();
     (read, in_order)
 }
 
-/// Guards an answer of which a part has gone to its client when the node is told to stop: its rest is passed on as long as there
-/// is time; where it does not come, the client can tell, and the node does not wait for it beyond its end.
+/// A response of which a part has been forwarded when the node is told to stop: the rest is streamed while there is time.
+/// Where it does not arrive, the client can tell, and the node does not wait beyond its deadline.
 #[test]
-fn an_answer_that_is_being_passed_on_at_the_end_is_whole_or_seen_to_be_cut() {
+fn response_streaming_at_shutdown_is_complete_or_visibly_truncated() {
     let played = [true, false].map(|comes| {
         std::thread::spawn(move || {
-            let (address, go_on) = halting();
+            let (address, go_on) = server_that_pauses_within_response();
             let known = list(1, true, &[entry("s-0", address, "ready")]);
             let mut node = Node::start(&config(
                 Unreachable::start().address,
@@ -845,7 +843,7 @@
             if comes {
                 go_on.send(()).expect("it waits");
             }
-            let (rest, in_order) = rest_of(&mut client);
+            let (rest, in_order) = read_until_closed(&mut client);
             let took = told.elapsed();
             assert_eq!(node.wait().code(), Some(0));
             let end = first
@@ -870,9 +868,9 @@
 /// More than the system takes of an answer that nobody reads.
 const UNREAD: usize = 8 << 20;
 
-/// Guards against a client that holds up the end of a node by not reading its answer, and others whose answers wait for that.
+/// A client that does not read its response must delay neither the shutdown nor the responses of others.
 #[test]
-fn a_client_that_does_not_read_holds_up_neither_the_end_nor_others() {
+fn client_that_does_not_read_delays_neither_shutdown_nor_others() {
     let long = format!(
         "HTTP/1.1 200 OK\r\nContent-Length: {UNREAD}\r\n\r\n{}",
         "x".repeat(UNREAD)
--- a/tests/long.rs
+++ b/tests/long.rs
@@ -1,4 +1,4 @@
-//! Messages that are longer than a node holds, and peers that are slow, over loopback sockets.
+//! Messages that are longer than a node buffers, and slow peers, over loopback sockets.
 
 #![allow(
     clippy::large_stack_arrays,
@@ -67,7 +67,7 @@
     text
 }
 
-fn told(body: &[u8]) -> Vec<u8> {
+fn with_content_length(body: &[u8]) -> Vec<u8> {
     [
         format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n", body.len()).as_bytes(),
         body,
@@ -83,12 +83,12 @@
     post(id, "pay", "", "").replace("Content-Length: 0", &format!("Content-Length: {length}"))
 }
 
-/// Guards the limit on memory, and the whole of what is passed on, told or chunked.
+/// The limit on memory holds, and the body arrives completely, with a content length and chunked.
 #[test]
-fn a_long_answer_passes_whole_and_is_not_held() {
+fn long_response_is_streamed_completely_without_buffering() {
     let body = long_body();
     let answers = [
-        told(&body),
+        with_content_length(&body),
         [
             &b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"[..],
             &chunked(&body, 9_999),
@@ -122,7 +122,7 @@
 }
 
 #[test]
-fn a_long_request_passes_whole_and_is_not_held() {
+fn long_request_is_streamed_completely_without_buffering() {
     let body = long_body();
     for is_chunked in [false, true] {
         let expected = body.clone();
@@ -158,9 +158,9 @@
     }
 }
 
-/// Guards against an answer that is held back until all of it has come.
+/// The node must not wait for the complete response.
 #[test]
-fn the_first_bytes_of_a_long_answer_are_not_held_back() {
+fn first_chunk_of_long_response_is_forwarded_immediately() {
     let (first, rest) = (vec![b'a'; 100_000], vec![b'b'; 100_000]);
     let head = b"HTTP/1.1 200 OK\r\nContent-Length: 200000\r\n\r\n";
     let now = [&head[..], &first].concat();
@@ -182,9 +182,9 @@
     assert!(rest.ends_with(&[b'b'; 90_000]));
 }
 
-/// Guards against a part that is taken for the whole, and against a second copy of what may have run.
+/// A part must not be taken for the whole, and what may have been executed must not be sent again.
 #[test]
-fn a_long_answer_that_is_cut_has_failed_and_its_client_can_tell() {
+fn truncated_long_response_fails_visibly_to_client() {
     let part = vec![b'a'; 200_000];
     let told = [
         &b"HTTP/1.1 200 OK\r\nContent-Length: 400000\r\n\r\n"[..],
@@ -207,10 +207,10 @@
 
 const UP: &str = "GET /up HTTP/1.1\r\nHost: a\r\n\r\n";
 
-/// Guards against cutting off peers that are slow: both write in pieces, with pauses longer than servers are waited for
-/// where another could answer, and the client reads after a while.
+/// Both peers write in chunks, with pauses that exceed the stall timeout of responses that can be retried, and the client
+/// reads after a while.
 #[test]
-fn slow_peers_are_waited_for() {
+fn slow_peers_are_not_disconnected() {
     let server = Server::start(|request| {
         let body = "y".repeat(request.body.len());
         let whole = answer("200 OK", "", &body);
@@ -238,9 +238,9 @@
     });
 }
 
-/// Guards against a client that holds a place, and a server's connection, with a body that does not come.
+/// A client may not hold a connection, and one to a server, with a body that does not arrive.
 #[test]
-fn a_long_request_that_stops_is_told_so_and_runs_nowhere() {
+fn stalled_long_request_times_out_and_is_not_executed() {
     let server = Server::start(|_| Reply::ok("yes"));
     let (node, _discovery) = node(&[&server]);
     let mut stops = TcpStream::connect(node.address).expect("it listens");
@@ -261,10 +261,10 @@
     assert_eq!(node.ask(&read("a", "15000m")).status(), 200);
 }
 
-/// Guards against a body of which a server took a part being sent to another without that part, and against taking what
-/// never ran for what may have.
+/// A body of which a server took a part must not be sent to another without that part, and what was never executed must
+/// not be taken for what may have been.
 #[test]
-fn a_long_request_is_sent_again_only_while_all_of_it_is_there() {
+fn long_request_is_retried_only_while_completely_buffered() {
     // Nobody is there: none of it was taken, so it goes on elsewhere, whatever its class.
     let server = Server::start(|request| Reply::ok(&request.body.len().to_string()));
     let nobody = Unreachable::start();
@@ -311,10 +311,10 @@
     assert_eq!((told.status(), seen.load(Ordering::SeqCst)), (503, 1));
 }
 
-/// Guards against descriptors, places and counts that are not given back, whoever leaves and at whichever stage.
+/// Descriptors, slots and counts are released, whichever peer leaves at whichever stage.
 #[test]
-fn whoever_leaves_a_long_answer_leaves_nothing() {
-    let answer = told(&vec![b'z'; 4 << 20]);
+fn peer_leaving_during_long_response_releases_all_resources() {
+    let answer = with_content_length(&vec![b'z'; 4 << 20]);
     let server = Server::start(move |_| Reply::Say(answer.clone())).quiet();
     let (node, _discovery) = node(&[&server]);
     for (at, bytes) in [0, 1, 100, 65_536, 65_700, 1 << 20, 3 << 20]
@@ -340,9 +340,9 @@
     assert_eq!(client.answer().expect("an answer").body.len(), 4 << 20);
 }
 
-/// Guards against taking the lines of many small chunks for an answer without end.
+/// The overhead of many small chunks must not be taken for a response without an end.
 #[test]
-fn an_answer_in_chunks_of_one_byte_is_whole() {
+fn response_in_one_byte_chunks_is_complete() {
     for length in [64 * 1024, 100_000] {
         let body = long_body()[..length].to_vec();
         let head = &b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"[..];
@@ -355,8 +355,8 @@
     }
 }
 
-/// A server that reads so much of what comes, says this, and reads no more.
-fn reads_a_little(bytes: usize, says: &'static [u8]) -> std::net::SocketAddr {
+/// A server that reads this many bytes of what arrives, sends `says`, and reads no more.
+fn server_that_reads_a_prefix(bytes: usize, says: &'static [u8]) -> std::net::SocketAddr {
     let listener = std::net::TcpListener::bind("127.0.0.1:0").expect("a port");
     let address = listener.local_addr().expect("an address");
     thread::spawn(move || {
@@ -370,15 +370,19 @@
     address
 }
 
-/// Guards against a request that is sent on without the part that a server has taken, whether that turned it away before
-/// its last byte or takes no more of it: it never ran, and its client is told so, once and in time.
+/// A request must not be forwarded without the part that a server has read, whether that server rejected it before its
+/// last byte or stopped reading: it was never executed, and its client is told so, once and in time.
 #[test]
-fn a_long_request_that_a_server_takes_a_part_of_is_refused_and_runs_nowhere() {
+fn long_request_partially_read_by_server_is_rejected_and_not_executed() {
     let declines =
         &b"HTTP/1.1 503 Service Unavailable\r\nSrv-Declined: 1\r\nContent-Length: 0\r\n\r\n"[..];
     for says in [declines, b""] {
         let discovery = Discovery::start();
-        let entries = [entry("s-part", reads_a_little(10_000, says), "ready")];
+        let entries = [entry(
+            "s-part",
+            server_that_reads_a_prefix(10_000, says),
+            "ready",
+        )];
         let text = config(
             discovery.address,
             &list(1, true, &entries),
--- a/tests/pressure.rs
+++ b/tests/pressure.rs
@@ -1,4 +1,5 @@
-//! Clients that fill, flood or hold a node, and many processes that start at once: bounds hold and others are served.
+//! Clients that exhaust a node's descriptors or memory, and many processes that start at once: limits hold, and others are
+//! served.
 
 #![allow(
     clippy::needless_for_each,
@@ -32,10 +33,10 @@
         .expect("a number")
 }
 
-/// Guards against idle clients that take the descriptors which a node needs to hear of its servers, and against a node
-/// that goes beyond its limit meanwhile: discovery is out of reach, comes back, and is heard.
+/// Idle clients must not take the descriptors that a node needs for discovery, and the node may not exceed its limit
+/// meanwhile: discovery is unreachable, comes back, and is heard.
 #[test]
-fn idle_clients_leave_room_for_discovery_and_servers() {
+fn idle_clients_leave_descriptors_for_discovery_and_servers() {
     const LIMIT: usize = 64;
     let server = Server::start(|_| Reply::ok("yes"));
     let discovery = TcpListener::bind("127.0.0.1:0").expect("a port");
@@ -77,10 +78,10 @@
     drop(taking); // It ends with the process.
 }
 
-/// Guards against a node that ends, spins or stays deaf once the system gives it no more descriptors, which is fewer than it
-/// was told: clients take them all, then go, and the next one is served.
+/// A node may not exit, spin or stop accepting once the system provides no more descriptors, fewer than it was configured
+/// for: clients take them all, then leave, and the next one is served.
 #[test]
-fn a_node_that_finds_no_descriptors_serves_again_once_there_are_some() {
+fn node_out_of_descriptors_serves_again_once_some_are_free() {
     const GIVEN: usize = 48;
     let server = Server::start(|_| Reply::ok("yes"));
     let discovery = Discovery::start();
@@ -121,9 +122,9 @@
     });
 }
 
-/// Guards against readiness that waits for discovery: many processes start at once, while it answers nobody.
+/// Readiness must not wait for discovery: many processes start at once, while it answers none.
 #[test]
-fn many_processes_are_ready_at_once_while_discovery_answers_nobody() {
+fn processes_are_ready_at_once_without_discovery() {
     let nobody = TcpListener::bind("127.0.0.1:0").expect("a port");
     let server = Server::start(|_| Reply::ok("yes"));
     let known = list(1, true, &[server.entry("s-0", "ready")]);
@@ -158,10 +159,10 @@
     );
 }
 
-/// Guards against memory that grows with what clients send and do not read, against their requests going out once they
-/// have left, and against others that find nobody meanwhile.
+/// Memory must not grow with what clients send and do not read, their requests must not be sent once they have left, and
+/// other clients are served meanwhile.
 #[test]
-fn floods_and_slow_clients_cost_a_bounded_share() {
+fn floods_and_slow_clients_use_bounded_memory() {
     const MOST_KB: usize = 64 * 1024;
     let server = Server::start(|_| Reply::ok("yes"));
     let (node, _discovery, _watch) = Node::with(&[&server], 15_000);
