--- a/src/node/downstream/server.rs
+++ b/src/node/downstream/server.rs
@@ -138,7 +138,7 @@
         .await
         .is_err()
     {
-        log::line("a client did not take its answer in time");
+        log::line("a client did not read its response in time");
         state.driver.report_unanswered();
     }
 }
--- a/tests/close_range.rs
+++ b/tests/close_range.rs
@@ -20,7 +20,7 @@
 
 /// The longest that a node may take from SIGTERM to its last answer, where a class's deadline is 3 s or more: SIGKILL
 /// may come then.
-const KILLED: Duration = Duration::from_millis(3_700);
+const MAX_EXIT_TIME: Duration = Duration::from_millis(3_700);
 
 /// A node may not exit with unanswered requests that arrived before SIGTERM, even if their clients would wait for longer
 /// than the node may live.
@@ -44,7 +44,7 @@
         .iter_mut()
         .map(|client| client.answer().expect("a whole answer"))
         .collect();
-    assert!(told.elapsed() < KILLED, "{:?}", told.elapsed());
+    assert!(told.elapsed() < MAX_EXIT_TIME, "{:?}", told.elapsed());
     assert_eq!(
         answers[2].status(),
         502,
@@ -55,8 +55,8 @@
     assert_eq!(server.requests().len(), 3, "nothing was sent again so late");
 }
 
-/// More than is read of a connection whose request is being served, and less than the system takes for it.
-const FLOOD: usize = 100 * 1024;
+/// More than is read ahead on a connection with a request in progress, and less than the kernel buffers.
+const FLOOD_BYTES: usize = 100 * 1024;
 
 /// No attempt may go on for a client that has left. One that sent more than its request must be detected while that is
 /// served, though nobody reads what it sent. Its attempt is cancelled, which the server sees.
@@ -67,7 +67,7 @@
         String::new(),
         next.clone(),
         next[..next.len() / 2].to_owned(),
-        next.repeat(FLOOD / next.len()),
+        next.repeat(FLOOD_BYTES / next.len()),
     ];
     for (more, half_closes) in more.iter().flat_map(|more| [(more, false), (more, true)]) {
         let server = Server::start(|_| Reply::Silence);
@@ -123,9 +123,9 @@
     assert_eq!(server.requests().len(), 18);
 }
 
-/// The front of a node in this thread: its event loop runs only in [`turn_until`], so that what a client writes and a word
-/// of the end can meet in one turn of it, in either order.
-struct Front {
+/// A node in this thread. Its event loop runs only in [`Self::run_event_loop`], so that bytes of a client and a shutdown can
+/// arrive in the same turn of it, in either order.
+struct InProcessNode {
     runtime: tokio::runtime::Runtime,
     local: tokio::task::LocalSet,
     address: std::net::SocketAddr,
@@ -134,7 +134,7 @@
     serving: tokio::task::JoinHandle<()>,
 }
 
-impl Front {
+impl InProcessNode {
     fn start() -> Self {
         Self::with(Server::start(|_| Reply::ok("yes")))
     }
@@ -169,19 +169,19 @@
         }
     }
 
-    /// Lets the event loop run for a few milliseconds.
-    fn turn(&self, ms: u64) {
+    /// Runs the event loop for this many milliseconds.
+    fn run_event_loop(&self, ms: u64) {
         self.local.block_on(&self.runtime, async {
             tokio::time::sleep(Duration::from_millis(ms)).await;
         });
     }
 
-    /// Lets the event loop run until something is so.
-    fn turn_until(&self, what: &str, mut so: impl FnMut() -> bool) {
+    /// Runs the event loop until the condition holds.
+    fn run_until(&self, what: &str, mut so: impl FnMut() -> bool) {
         let since = Instant::now();
         while !so() {
             assert!(since.elapsed() < PATIENCE, "{what}");
-            self.turn(1);
+            self.run_event_loop(1);
         }
     }
 
@@ -192,10 +192,10 @@
         stream
     }
 
-    /// What a client reads up to the end of the connection, and whether that end is in order.
+    /// What a client reads up to the end of the connection, and whether that end is graceful.
     fn read_to_end(&self, client: &mut TcpStream) -> (String, bool) {
         let (mut read, mut ended) = (Vec::new(), None);
-        self.turn_until("the connection ends", || {
+        self.run_until("the connection ends", || {
             let mut piece = [0; 4096];
             match client.read(&mut piece) {
                 Ok(0) => ended = Some(true),
@@ -211,13 +211,13 @@
         )
     }
 
-    /// Asks whether the node is up, and reads the answer: the connection rests then.
-    fn rest(&self, client: &mut TcpStream) {
+    /// Polls the readiness endpoint and reads the response: the connection is idle then.
+    fn make_idle(&self, client: &mut TcpStream) {
         client
             .write_all(b"GET /up HTTP/1.1\r\nHost: a\r\n\r\n")
             .expect("an open connection");
         let mut read = Vec::new();
-        self.turn_until("it is up", || {
+        self.run_until("it is up", || {
             let mut piece = [0; 4096];
             let came = client.read(&mut piece).unwrap_or(0);
             read.extend_from_slice(&piece[..came]);
@@ -238,25 +238,25 @@
     let request = read("crossing", "15000m");
     for rested in [true, false] {
         for ahead in [0, 1, request.len() / 2, request.len() - 1, request.len()] {
-            let front = Front::start();
-            let mut client = front.connect();
+            let node = InProcessNode::start();
+            let mut client = node.connect();
             if rested {
-                front.rest(&mut client);
+                node.make_idle(&mut client);
             } else {
-                front.turn(5);
+                node.run_event_loop(5);
             }
             // The part ahead has been read by the event loop, if there is one; the rest lies in the socket.
             client
                 .write_all(&request.as_bytes()[..ahead])
                 .expect("an open connection");
             if (1..request.len()).contains(&ahead) {
-                front.turn(5);
+                node.run_event_loop(5);
             }
             client
                 .write_all(&request.as_bytes()[ahead..])
                 .expect("an open connection");
-            front.shut_down();
-            let (answer, in_order) = front.read_to_end(&mut client);
+            node.shut_down();
+            let (answer, in_order) = node.read_to_end(&mut client);
             let case = format!("rested: {rested}, {ahead} bytes ahead");
             assert!(
                 answer.starts_with("HTTP/1.1 200 OK") && answer.ends_with("yes"),
@@ -267,9 +267,9 @@
                 "{case}"
             );
             assert!(in_order, "{case}");
-            assert_eq!(front.server.requests().len(), 1, "{case}");
+            assert_eq!(node.server.requests().len(), 1, "{case}");
             drop(client);
-            front.turn_until("the node ends", || front.serving.is_finished());
+            node.run_until("the node ends", || node.serving.is_finished());
         }
     }
 }
@@ -277,30 +277,30 @@
 /// A connection that waits in the kernel's backlog with its request, and a body of which a part is yet to arrive.
 #[test]
 fn backlogged_connection_and_slow_upload_are_answered_at_shutdown() {
-    let front = Front::start();
+    let node = InProcessNode::start();
     let whole = post("slow", "hold", "Idempotency-Key: 5c0f\r\n", "five rooms");
-    let mut slow = front.connect();
+    let mut slow = node.connect();
     slow.write_all(&whole.as_bytes()[..whole.len() - 5])
         .expect("an open connection");
-    front.turn(5);
-    let mut queued = front.connect();
+    node.run_event_loop(5);
+    let mut queued = node.connect();
     queued
         .write_all(read("queued", "15000m").as_bytes())
         .expect("an open connection");
-    front.shut_down();
-    let (answer, in_order) = front.read_to_end(&mut queued);
+    node.shut_down();
+    let (answer, in_order) = node.read_to_end(&mut queued);
     assert!(
         answer.starts_with("HTTP/1.1 200 OK") && in_order,
         "{answer:?}"
     );
     slow.write_all(&whole.as_bytes()[whole.len() - 5..])
         .expect("an open connection");
-    let (answer, in_order) = front.read_to_end(&mut slow);
+    let (answer, in_order) = node.read_to_end(&mut slow);
     assert!(
         answer.starts_with("HTTP/1.1 200 OK") && in_order,
         "{answer:?}"
     );
-    let ids: Vec<_> = front
+    let ids: Vec<_> = node
         .server
         .requests()
         .iter()
@@ -314,28 +314,28 @@
 #[test]
 fn request_accepted_just_before_shutdown_deadline_is_answered_by_it() {
     const LEFT: Duration = Duration::from_millis(300);
-    let front = Front::with(Server::start(|_| Reply::Silence));
-    let mut clients = [front.connect(), front.connect(), front.connect()];
-    front.rest(&mut clients[0]);
+    let node = InProcessNode::with(Server::start(|_| Reply::Silence));
+    let mut clients = [node.connect(), node.connect(), node.connect()];
+    node.make_idle(&mut clients[0]);
     let by = Instant::now() + LEFT;
-    front.phase.send_replace(Phase::Draining(by));
+    node.phase.send_replace(Phase::Draining(by));
     clients[0]
         .write_all(post("kept", "pay", "", "x").as_bytes())
         .expect("an open connection");
-    front.turn(5);
+    node.run_event_loop(5);
     clients[1]
         .write_all(post("new", "pay", "", "x").as_bytes())
         .expect("an open connection");
-    front.phase.send_replace(Phase::ShuttingDown(by));
+    node.phase.send_replace(Phase::ShuttingDown(by));
     // And one that comes in the last tenth of what is left.
     clients[2]
         .write_all(read("last", "15000m").split_at(20).0.as_bytes())
         .expect("an open connection");
-    front.turn_until("the end is near", || Instant::now() + LEFT / 10 > by);
+    node.run_until("the end is near", || Instant::now() + LEFT / 10 > by);
     clients[2]
         .write_all(read("last", "15000m").split_at(20).1.as_bytes())
         .expect("an open connection");
-    let answers = clients.each_mut().map(|client| front.read_to_end(client));
+    let answers = clients.each_mut().map(|client| node.read_to_end(client));
     assert!(
         Instant::now() < by + LEFT,
         "they come by the end, on a machine that is busy too"
@@ -346,15 +346,15 @@
             "{answer:?}"
         );
     }
-    front.turn_until("the node ends", || front.serving.is_finished());
+    node.run_until("the node ends", || node.serving.is_finished());
 }
 
-/// Longer than a client may take over a head, or rest.
-const LONG: Duration = Duration::from_secs(11);
-/// Longer than from one look at the times of connections to the next.
+/// Longer than a client may take over a head, or be idle.
+const LONGER_THAN_ANY_TIMEOUT: Duration = Duration::from_secs(11);
+/// Longer than the interval between two checks of the timeouts.
 const ONE_CHECK_INTERVAL: Duration = Duration::from_millis(150);
-/// So many turns of the event loop are tried as the one in which the bytes come: the time is over in the first or second.
-const TURNS: usize = 12;
+/// Turns of the event loop that are tried as the one in which the bytes arrive; the timeout is in the first or second.
+const MAX_TURNS: usize = 12;
 
 /// A client whose bytes arrive in the same turn as the timeout of its connection, before or after the event loop has
 /// polled the socket: whoever wrote on an open connection is answered. Time is paused but for two steps, so that every
@@ -364,21 +364,21 @@
     let request = read("crossing", "15000m");
     for (rested, ahead) in [(false, 0), (false, request.len() / 2), (true, 0)] {
         let (mut open, mut ended) = (0, 0);
-        for turns in 0..TURNS {
-            let front = Front::start();
-            let mut client = front.connect();
+        for turns in 0..MAX_TURNS {
+            let node = InProcessNode::start();
+            let mut client = node.connect();
             if rested {
-                front.rest(&mut client);
+                node.make_idle(&mut client);
             }
             client
                 .write_all(&request.as_bytes()[..ahead])
                 .expect("an open connection");
-            front.turn(5);
-            let was_open = front.local.block_on(&front.runtime, async {
+            node.run_event_loop(5);
+            let was_open = node.local.block_on(&node.runtime, async {
                 tokio::time::pause();
                 // The look that is due by now is of the time before; the one after it finds the time over.
-                tokio::time::advance(LONG).await;
-                for _ in 0..TURNS {
+                tokio::time::advance(LONGER_THAN_ANY_TIMEOUT).await;
+                for _ in 0..MAX_TURNS {
                     tokio::task::yield_now().await;
                 }
                 tokio::time::advance(ONE_CHECK_INTERVAL).await;
@@ -392,7 +392,7 @@
                 tokio::time::resume();
                 was_open
             });
-            let (answer, in_order) = front.read_to_end(&mut client);
+            let (answer, in_order) = node.read_to_end(&mut client);
             let case = format!("rested: {rested}, {ahead} bytes ahead, {turns} turns");
             if was_open {
                 open += 1;
@@ -417,19 +417,19 @@
 fn partial_head_at_shutdown_may_complete_and_is_answered() {
     let request = read("half", "15000m");
     for cut in [1, 20, request.len() / 2, request.len() - 1] {
-        let front = Front::start();
-        let mut client = front.connect();
-        front.rest(&mut client);
+        let node = InProcessNode::start();
+        let mut client = node.connect();
+        node.make_idle(&mut client);
         client
             .write_all(&request.as_bytes()[..cut])
             .expect("an open connection");
-        front.turn(5);
-        front.shut_down();
-        front.turn(20);
+        node.run_event_loop(5);
+        node.shut_down();
+        node.run_event_loop(20);
         client
             .write_all(&request.as_bytes()[cut..])
             .expect("an open connection");
-        let (answer, in_order) = front.read_to_end(&mut client);
+        let (answer, in_order) = node.read_to_end(&mut client);
         assert!(
             answer.starts_with("HTTP/1.1 200 OK") && in_order,
             "cut at {cut}: {answer:?}"
@@ -441,15 +441,15 @@
 /// the node reads on for a while, and discards what arrives.
 #[test]
 fn bytes_after_last_response_are_discarded_and_close_is_graceful() {
-    let front = Front::start();
-    let mut clients: Vec<_> = (0..4).map(|_| front.connect()).collect();
+    let node = InProcessNode::start();
+    let mut clients: Vec<_> = (0..4).map(|_| node.connect()).collect();
     clients[..2]
         .iter_mut()
-        .for_each(|client| front.rest(client));
-    front.turn(5);
-    front.shut_down();
+        .for_each(|client| node.make_idle(client));
+    node.run_event_loop(5);
+    node.shut_down();
     for (at, client) in clients.iter_mut().enumerate() {
-        let (read, in_order) = front.read_to_end(client);
+        let (read, in_order) = node.read_to_end(client);
         assert!(
             read.is_empty() && in_order,
             "client {at} is told of the end: {read:?}"
@@ -461,24 +461,24 @@
             client
                 .write_all(request.as_bytes())
                 .expect("it still reads");
-            front.turn(5);
+            node.run_event_loop(5);
         }
-        assert!(front.read_to_end(client).1, "client {at}");
+        assert!(node.read_to_end(client).1, "client {at}");
     }
     clients.clear();
-    front.turn_until("the node ends", || front.serving.is_finished());
-    assert!(front.server.requests().is_empty(), "none was sent on");
+    node.run_until("the node ends", || node.serving.is_finished());
+    assert!(node.server.requests().is_empty(), "none was sent on");
 }
 
-/// A server whose connections come up late: its queue is full, so that the system drops the first word of a dial, which
-/// is said again a second later.
-struct Late {
+/// A server to which connecting takes long: its backlog is full, so that the kernel drops the first SYN, which is
+/// retransmitted a second later.
+struct SlowToConnectServer {
     listener: socket2::Socket,
     address: std::net::SocketAddr,
     _first: TcpStream,
 }
 
-impl Late {
+impl SlowToConnectServer {
     fn start() -> Self {
         let listener = socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None)
             .expect("a socket");
@@ -497,8 +497,8 @@
         }
     }
 
-    /// Makes room, and tells what comes on the connection that comes up then; `None`: none does.
-    fn comes_up(self) -> Option<Vec<u8>> {
+    /// Frees the backlog, and returns what is received on the connection that is established then; `None` without one.
+    fn accept_and_read(self) -> Option<Vec<u8>> {
         self.listener.set_nonblocking(true).expect("a socket");
         let mut came = Vec::new();
         let since = Instant::now();
@@ -517,23 +517,23 @@
     }
 }
 
-/// Long enough for a node to see what has come, on a machine that is not busy; where it is, a crossing is tried again.
-const A_WHILE: Duration = Duration::from_millis(200);
+/// Long enough for a node to react, on a machine that is not busy; where it is, the race is tried again.
+const REACTION_TIME: Duration = Duration::from_millis(200);
 
 /// The client leaves while the connection to the server is being established, with settings that allow no cancellation.
 #[test]
 fn attempt_for_client_that_left_during_connect_is_not_sent() {
     let crossed = (0..5).find_map(|_| {
-        let late = Late::start();
+        let late = SlowToConnectServer::start();
         let known = list(1, true, &[entry("s-0", late.address, "ready")]);
         let text = settings(600_000).replace("\"cancel\":true", "\"cancel\":false");
         let node = Node::start(&config(Unreachable::start().address, &known, &text));
         let mut client = node.connect();
         client.send(&read("left", "600000m"));
-        std::thread::sleep(A_WHILE);
+        std::thread::sleep(REACTION_TIME);
         drop(client);
-        std::thread::sleep(A_WHILE);
-        late.comes_up()
+        std::thread::sleep(REACTION_TIME);
+        late.accept_and_read()
     });
     assert_eq!(
         crossed.map(|bytes| String::from_utf8_lossy(&bytes).into_owned()),
@@ -547,10 +547,10 @@
 fn retry_after_deduplication_window_is_not_sent() {
     let crossed = (0..5).find_map(|_| {
         let closes = Server::start(|_| {
-            std::thread::sleep(A_WHILE);
+            std::thread::sleep(REACTION_TIME);
             Reply::Close
         });
-        let late = Late::start();
+        let late = SlowToConnectServer::start();
         let discovery = Discovery::start();
         let known = list(1, true, &[closes.entry("s-0", "ready")]);
         let text =
@@ -561,8 +561,8 @@
         client.send(&post("once", "hold", "Idempotency-Key: 5c0f\r\n", "x"));
         until("the first attempt is out", || closes.requests().len() == 1);
         watch.say(&(list(2, false, &[entry("s-1", late.address, "ready")]) + "\n"));
-        std::thread::sleep(2 * A_WHILE);
-        late.comes_up()
+        std::thread::sleep(2 * REACTION_TIME);
+        late.accept_and_read()
             .map(|bytes| (bytes, client.answer().expect("an answer").status()))
     });
     let (bytes, status) = crossed.expect("the repeat was on its way");
@@ -604,11 +604,15 @@
 /// length is not discarded for a reset after it. Each request is non-idempotent, so the server receives each once.
 #[test]
 fn response_reset_at_any_byte_is_not_complete() {
-    const ENDLESS: &[u8] = b"HTTP/1.1 200 OK\r\nConnection: close\r\n\r\nfive rooms";
-    const TOLD: &[u8] = b"HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\nfive rooms";
+    const WITHOUT_LENGTH: &[u8] = b"HTTP/1.1 200 OK\r\nConnection: close\r\n\r\nfive rooms";
+    const WITH_LENGTH: &[u8] = b"HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\nfive rooms";
     const CHUNKED: &[u8] =
         b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\na\r\nfive rooms\r\n0\r\n\r\n";
-    for (answer, ends) in [(ENDLESS, false), (TOLD, true), (CHUNKED, true)] {
+    for (answer, ends) in [
+        (WITHOUT_LENGTH, false),
+        (WITH_LENGTH, true),
+        (CHUNKED, true),
+    ] {
         let address = server_that_resets_within_response(answer, 0..=answer.len());
         let known = list(1, true, &[entry("s-0", address, "ready")]);
         let node = Node::start(&config(
@@ -640,8 +644,8 @@
 /// the node is to stop accepting.
 #[test]
 fn continuous_new_connections_do_not_delay_shutdown() {
-    let front = Front::start();
-    let (address, ends) = (front.address, Arc::new(AtomicBool::new(false)));
+    let node = InProcessNode::start();
+    let (address, ends) = (node.address, Arc::new(AtomicBool::new(false)));
     let crowd: Vec<_> = (0..CROWDS)
         .map(|_| {
             let ends = Arc::clone(&ends);
@@ -657,12 +661,11 @@
         })
         .collect();
     // The places are all taken, and the queue of the system is never empty from here on.
-    front.turn(500);
+    node.run_event_loop(500);
     let told = Instant::now();
-    front
-        .phase
+    node.phase
         .send_replace(Phase::ShuttingDown(told + Duration::from_millis(500)));
-    front.turn_until("the node ends", || front.serving.is_finished());
+    node.run_until("the node ends", || node.serving.is_finished());
     let took = told.elapsed();
     ends.store(true, Ordering::SeqCst);
     crowd
@@ -787,7 +790,7 @@
 }
 
 /// More than a node holds of an answer: it is passed on as it comes.
-const PASSED_ON: usize = 4 << 20;
+const STREAMED_BYTES: usize = 4 << 20;
 
 /// A server that sends half of a long response, and the rest once it is told to.
 fn server_that_pauses_within_response() -> (std::net::SocketAddr, std::sync::mpsc::Sender<()>) {
@@ -797,13 +800,13 @@
     std::thread::spawn(move || {
         let (mut stream, _) = listener.accept().expect("a connection");
         Message::read(&mut std::io::BufReader::new(&stream)).expect("a request");
-        let body = vec![b'x'; PASSED_ON];
-        let head = format!("HTTP/1.1 200 OK\r\nContent-Length: {PASSED_ON}\r\n\r\n");
-        let half = [head.as_bytes(), &body[..PASSED_ON / 2]].concat();
+        let body = vec![b'x'; STREAMED_BYTES];
+        let head = format!("HTTP/1.1 200 OK\r\nContent-Length: {STREAMED_BYTES}\r\n\r\n");
+        let half = [head.as_bytes(), &body[..STREAMED_BYTES / 2]].concat();
         // A node that ends while this waits is what is provoked.
         let _ = stream.write_all(&half);
         if goes_on.recv().is_ok() {
-            let _ = stream.write_all(&body[PASSED_ON / 2..]);
+            let _ = stream.write_all(&body[STREAMED_BYTES / 2..]);
         }
         let _ = stream.read(&mut [0; 1]);
     });
@@ -836,7 +839,7 @@
                 .write_all(read("passed", "15000m").as_bytes())
                 .expect("an open connection");
             // A part of it has come: the answer has begun.
-            let mut first = vec![0; PASSED_ON / 4];
+            let mut first = vec![0; STREAMED_BYTES / 4];
             client.read_exact(&mut first).expect("a part of the answer");
             let told = Instant::now();
             node.terminate();
@@ -852,9 +855,9 @@
                 .expect("a head")
                 + 4;
             let body = first.len() - end + rest.len();
-            assert!(took < KILLED, "{took:?}");
+            assert!(took < MAX_EXIT_TIME, "{took:?}");
             assert_eq!(
-                (body == PASSED_ON, in_order || !comes),
+                (body == STREAMED_BYTES, in_order || !comes),
                 (comes, true),
                 "{body} bytes"
             );
@@ -866,14 +869,14 @@
 }
 
 /// More than the system takes of an answer that nobody reads.
-const UNREAD: usize = 8 << 20;
+const UNREAD_BYTES: usize = 8 << 20;
 
 /// A client that does not read its response must delay neither the shutdown nor the responses of others.
 #[test]
 fn client_that_does_not_read_delays_neither_shutdown_nor_others() {
     let long = format!(
-        "HTTP/1.1 200 OK\r\nContent-Length: {UNREAD}\r\n\r\n{}",
-        "x".repeat(UNREAD)
+        "HTTP/1.1 200 OK\r\nContent-Length: {UNREAD_BYTES}\r\n\r\n{}",
+        "x".repeat(UNREAD_BYTES)
     );
     let server = Server::start(move |request| match request.header("req-id") {
         Some("unread") => Reply::Say(long.clone().into_bytes()),
@@ -888,5 +891,5 @@
     node.terminate();
     assert_eq!(other.answer().expect("a whole answer").status(), 502);
     assert_eq!(node.wait().code(), Some(0));
-    assert!(told.elapsed() < KILLED, "{:?}", told.elapsed());
+    assert!(told.elapsed() < MAX_EXIT_TIME, "{:?}", told.elapsed());
 }
