--- a/src/node/upstream/http1/request_body.rs
+++ b/src/node/upstream/http1/request_body.rs
@@ -8,7 +8,7 @@
 use http_body::{Body, Frame, SizeHint};
 
 use super::progress::ExchangeProgress;
-use crate::node::downstream::passing::{Next, Passing, Unfinished};
+use crate::node::downstream::body_stream::{BodyReceiver, NextFrame, Truncated};
 use crate::node::upstream::{RequestBody, UpstreamRequest};
 
 /// The body of one attempt. The rest of a streamed body is taken when hyper first asks for it; from then on no other
@@ -18,7 +18,7 @@
     progress: Rc<ExchangeProgress>,
     /// The buffered part, until hyper has taken it.
     buffered: Option<Bytes>,
-    rest: Option<Passing>,
+    rest: Option<BodyReceiver>,
     content_length: Option<u64>,
 }
 
@@ -30,7 +30,7 @@
             RequestBody::Buffered(body) => (body.clone(), Some(body.len() as u64)),
             RequestBody::Streamed(upload) => {
                 progress.set_body_complete(false);
-                (upload.first(), upload.told())
+                (upload.prefix(), upload.total_bytes())
             }
         };
         let buffered = Some(buffered).filter(|buffered| !buffered.is_empty());
@@ -52,9 +52,9 @@
 
 impl Body for AttemptBody {
     type Data = Bytes;
-    type Error = Unfinished;
+    type Error = Truncated;
 
-    fn poll_frame(mut self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<Next> {
+    fn poll_frame(mut self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<NextFrame> {
         if let Some(buffered) = self.buffered.take() {
             return Poll::Ready(Some(Ok(Frame::data(buffered))));
         }
@@ -66,11 +66,11 @@
             self.rest = upload.take_rest();
         }
         let Some(rest) = &mut self.rest else {
-            return Poll::Ready(Some(Err(Unfinished)));
+            return Poll::Ready(Some(Err(Truncated)));
         };
         let frame = ready!(rest.poll(cx));
         // hyper does not poll for the end of a body once its stated length has been reached.
-        let is_last = frame.is_none() || rest.left() == Some(0);
+        let is_last = frame.is_none() || rest.remaining_bytes() == Some(0);
         if is_last {
             self.progress.set_body_complete(true);
         }
--- a/src/node/upstream/http1/response_reader.rs
+++ b/src/node/upstream/http1/response_reader.rs
@@ -14,7 +14,7 @@
 
 use super::connection::Http1Connection;
 use crate::node::admin::log;
-use crate::node::downstream::passing::{passing, Cut, Feeder, Passing};
+use crate::node::downstream::body_stream::{body_stream, BodyReceiver, BodySender, StreamError};
 use crate::node::upstream::response::{
     attempt_result, decode_load_report, MAX_STREAMED_BODY_BYTES, MAX_UNRESERVED_BODY_BYTES,
 };
@@ -45,7 +45,7 @@
             content_type: content_type.clone(),
         };
         let stream_to_client = |body| on_streamed_response(response(ResponseBody::Streamed(body)));
-        let on_streamed_body: Option<&dyn Fn(Passing)> = if result == AttemptResult::Served {
+        let on_streamed_body: Option<&dyn Fn(BodyReceiver)> = if result == AttemptResult::Served {
             Some(&stream_to_client)
         } else {
             None
@@ -71,14 +71,14 @@
         head: &Parts,
         mut body: Incoming,
         stall_timeout: Duration,
-        on_streamed_body: Option<&dyn Fn(Passing)>,
-    ) -> Result<Option<Bytes>, Cut> {
+        on_streamed_body: Option<&dyn Fn(BodyReceiver)>,
+    ) -> Result<Option<Bytes>, StreamError> {
         let content_length = body.size_hint().exact();
         let is_chunked = head.headers.contains_key(TRANSFER_ENCODING);
         let is_too_long = content_length.is_some_and(|len| len > MAX_STREAMED_BODY_BYTES as u64);
         if is_too_long || (content_length.is_none() && !is_chunked && !ends_with_connection(head)) {
             log::line("a server's response is too large or has no length");
-            return Err(Cut::Broke(ConnectionError::InvalidResponse));
+            return Err(StreamError::Connection(ConnectionError::InvalidResponse));
         }
         if is_chunked {
             self.progress
@@ -94,13 +94,13 @@
                 buffered.push(chunk);
                 continue;
             }
-            let on_streamed_body =
-                on_streamed_body.ok_or(Cut::Broke(ConnectionError::InvalidResponse))?;
-            let (feeder, streamed) = passing(content_length);
+            let on_streamed_body = on_streamed_body
+                .ok_or(StreamError::Connection(ConnectionError::InvalidResponse))?;
+            let (sender, streamed) = body_stream(content_length);
             on_streamed_body(streamed);
             let received = [buffered.take(), chunk];
             return self
-                .stream_body(feeder, received, body)
+                .stream_body(sender, received, body)
                 .await
                 .map(|()| None);
         }
@@ -109,16 +109,16 @@
     /// Streams a body whose first chunks have been received.
     async fn stream_body(
         &mut self,
-        mut feeder: Feeder,
+        mut sender: BodySender,
         received: [Bytes; 2],
         mut body: Incoming,
-    ) -> Result<(), Cut> {
+    ) -> Result<(), StreamError> {
         self.progress
             .allow_additional_bytes(WIRE_BYTES_PER_CHUNKED_BYTE * MAX_STREAMED_BODY_BYTES);
         let mut streamed_bytes = 0;
         for chunk in received {
             streamed_bytes += chunk.len();
-            feeder.feed(chunk).await?;
+            sender.send(chunk).await?;
         }
         // Only the time spent waiting for the server counts against its deadline.
         let mut deadline = TransferDeadline::for_streaming(0.0);
@@ -136,11 +136,11 @@
             streamed_bytes += chunk.len();
             if streamed_bytes > MAX_STREAMED_BODY_BYTES {
                 log::line("a server's streamed response is too large");
-                return Err(Cut::Broke(ConnectionError::InvalidResponse));
+                return Err(StreamError::Connection(ConnectionError::InvalidResponse));
             }
-            feeder.feed(chunk).await?;
+            sender.send(chunk).await?;
         }
-        feeder.end().await
+        sender.finish().await
     }
 
     /// The next chunk of a body; `None` at its end. Trailers are not forwarded.
@@ -148,7 +148,7 @@
         &mut self,
         body: &mut Incoming,
         timeout: Duration,
-    ) -> Result<Option<Bytes>, Cut> {
+    ) -> Result<Option<Bytes>, StreamError> {
         loop {
             let frame = tokio::time::timeout(timeout, body.frame());
             match self.drive(frame).await {
@@ -159,11 +159,11 @@
                     }
                 }
                 Ok(Some(Err(error))) if error.is_incomplete_message() => {
-                    return Err(Cut::Broke(ConnectionError::Closed));
+                    return Err(StreamError::Connection(ConnectionError::Closed));
                 }
                 _ => {
                     log::line("a server's response is malformed or stalled");
-                    return Err(Cut::Broke(ConnectionError::InvalidResponse));
+                    return Err(StreamError::Connection(ConnectionError::InvalidResponse));
                 }
             }
         }
@@ -183,14 +183,16 @@
 /// the client gets.
 fn result_with_body(
     result: AttemptResult,
-    body: Result<Option<Bytes>, Cut>,
+    body: Result<Option<Bytes>, StreamError>,
 ) -> (AttemptResult, Option<Bytes>) {
     match (result, body) {
-        (AttemptResult::Served, Err(Cut::Broke(ConnectionError::Closed))) => {
+        (AttemptResult::Served, Err(StreamError::Connection(ConnectionError::Closed))) => {
             (AttemptResult::Reset, None)
         }
-        (AttemptResult::Served, Err(Cut::Broke(_))) => (AttemptResult::Malformed, None),
-        (AttemptResult::Served, Err(Cut::ClientLeft)) => (AttemptResult::Cancelled, None),
+        (AttemptResult::Served, Err(StreamError::Connection(_))) => {
+            (AttemptResult::Malformed, None)
+        }
+        (AttemptResult::Served, Err(StreamError::ClientLeft)) => (AttemptResult::Cancelled, None),
         (AttemptResult::Served, Ok(body)) => (AttemptResult::Served, body),
         (AttemptResult::ClientError, body) => (
             AttemptResult::ClientError,
--- a/src/node/upstream/mod.rs
+++ b/src/node/upstream/mod.rs
@@ -23,7 +23,7 @@
 use hyper::{Method, StatusCode, Uri};
 use pool::{Address, BytesSent, CloseReason, ConnectionError};
 
-use crate::node::downstream::passing::{Passing, Upload};
+use crate::node::downstream::body_stream::{BodyReceiver, Upload};
 use balancer::{AttemptResult, LoadReport};
 use stream::Stream;
 
@@ -61,7 +61,7 @@
         self.send_deadline
             .get()
             .is_none_or(|deadline| Instant::now() < deadline)
-            && !matches!(&self.body, RequestBody::Streamed(upload) if upload.is_spent())
+            && !matches!(&self.body, RequestBody::Streamed(upload) if upload.is_consumed())
     }
 }
 
@@ -82,7 +82,7 @@
     /// Received completely.
     Buffered(Bytes),
     /// Forwarded chunk by chunk while it is received.
-    Streamed(Passing),
+    Streamed(BodyReceiver),
 }
 
 /// The outcome of an attempt.
--- a/tests/close_range.rs
+++ b/tests/close_range.rs
@@ -1,5 +1,5 @@
-//! Where two events cross: a word of the end, a client that leaves, a connection that closes, each at the worst moment.
-//! What crosses is forced by peers that wait for one event before they bring about the other.
+//! Races between two events: a shutdown, a client that leaves, a connection that closes, each at the worst moment. The order
+//! is forced by peers that wait for one event before they cause the other.
 
 #![allow(
     clippy::needless_for_each,
@@ -13,19 +13,19 @@
 use std::time::{Duration, Instant};
 
 use silverthread::node::config::Config;
-use silverthread::node::downstream::clients::{serve, FrontOptions, Phase};
+use silverthread::node::downstream::server::{serve, Phase, ServerOptions};
 use silverthread::node::driver::Driver;
 use testkit::*;
 use tokio::sync::watch;
 
 /// The longest that a node may take from SIGTERM to its last answer, where a class's deadline is 3 s or more: SIGKILL
 /// may come then.
-const KILLED: Duration = Duration::from_millis(3_700);
+const MAX_EXIT_TIME: Duration = Duration::from_millis(3_700);
 
-/// Guards against a node that ends with requests unanswered which came before it was told to stop, and whose clients
-/// would wait for longer than it may live.
+/// A node may not exit with unanswered requests that arrived before SIGTERM, even if their clients would wait for longer
+/// than the node may live.
 #[test]
-fn what_was_taken_before_sigterm_is_answered_before_the_end() {
+fn requests_accepted_before_sigterm_are_answered_before_exit() {
     let server = Server::start(|_| Reply::Silence);
     let (mut node, _discovery, _watch) = Node::with(&[&server], 15_000);
     let requests = [
@@ -44,7 +44,7 @@
         .iter_mut()
         .map(|client| client.answer().expect("a whole answer"))
         .collect();
-    assert!(told.elapsed() < KILLED, "{:?}", told.elapsed());
+    assert!(told.elapsed() < MAX_EXIT_TIME, "{:?}", told.elapsed());
     assert_eq!(
         answers[2].status(),
         502,
@@ -55,19 +55,19 @@
     assert_eq!(server.requests().len(), 3, "nothing was sent again so late");
 }
 
-/// More than is read of a connection whose request is being served, and less than the system takes for it.
-const FLOOD: usize = 100 * 1024;
+/// More than is read ahead on a connection with a request in progress, and less than the kernel buffers.
+const FLOOD_BYTES: usize = 100 * 1024;
 
-/// Guards against attempts for clients that have left: one that sent more than its request must be seen to leave while
-/// that is served, though nobody reads what it sent. Its attempt is given up, which the server sees.
+/// No attempt may go on for a client that has left. One that sent more than its request must be detected while that is
+/// served, though nobody reads what it sent. Its attempt is cancelled, which the server sees.
 #[test]
-fn a_client_that_sent_more_than_its_request_is_seen_to_leave() {
+fn client_with_pipelined_bytes_is_detected_as_gone() {
     let next = read("next", "15000m");
     let more = [
         String::new(),
         next.clone(),
         next[..next.len() / 2].to_owned(),
-        next.repeat(FLOOD / next.len()),
+        next.repeat(FLOOD_BYTES / next.len()),
     ];
     for (more, half_closes) in more.iter().flat_map(|more| [(more, false), (more, true)]) {
         let server = Server::start(|_| Reply::Silence);
@@ -90,10 +90,9 @@
     }
 }
 
-/// Guards the requests behind one that is served: what was read ahead of its answer is taken after it, whole and once,
-/// wherever the pieces of it end.
+/// What was read ahead of a response is served after it, completely and once, wherever its segments end.
 #[test]
-fn what_came_ahead_of_an_answer_is_taken_after_it() {
+fn pipelined_requests_are_served_after_the_response() {
     let server = Server::start(|_| Reply::ok("yes"));
     let (node, _discovery, _watch) = Node::with(&[&server], 15_000);
     let second = post("second", "hold", "Idempotency-Key: 5c0f\r\n", "a body");
@@ -124,9 +123,9 @@
     assert_eq!(server.requests().len(), 18);
 }
 
-/// The front of a node in this thread: its event loop runs only in [`turn_until`], so that what a client writes and a word
-/// of the end can meet in one turn of it, in either order.
-struct Front {
+/// A node in this thread. Its event loop runs only in [`Self::run_event_loop`], so that bytes of a client and a shutdown can
+/// arrive in the same turn of it, in either order.
+struct InProcessNode {
     runtime: tokio::runtime::Runtime,
     local: tokio::task::LocalSet,
     address: std::net::SocketAddr,
@@ -135,7 +134,7 @@
     serving: tokio::task::JoinHandle<()>,
 }
 
-impl Front {
+impl InProcessNode {
     fn start() -> Self {
         Self::with(Server::start(|_| Reply::ok("yes")))
     }
@@ -157,7 +156,7 @@
             let address = listener.local_addr().expect("an address");
             (
                 address,
-                tokio::task::spawn_local(serve(listener, driver, FrontOptions::own(phases, 64))),
+                tokio::task::spawn_local(serve(listener, driver, ServerOptions::own(phases, 64))),
             )
         });
         Self {
@@ -170,19 +169,19 @@
         }
     }
 
-    /// Lets the event loop run for a few milliseconds.
-    fn turn(&self, ms: u64) {
+    /// Runs the event loop for this many milliseconds.
+    fn run_event_loop(&self, ms: u64) {
         self.local.block_on(&self.runtime, async {
             tokio::time::sleep(Duration::from_millis(ms)).await;
         });
     }
 
-    /// Lets the event loop run until something is so.
-    fn turn_until(&self, what: &str, mut so: impl FnMut() -> bool) {
+    /// Runs the event loop until the condition holds.
+    fn run_until(&self, what: &str, mut so: impl FnMut() -> bool) {
         let since = Instant::now();
         while !so() {
             assert!(since.elapsed() < PATIENCE, "{what}");
-            self.turn(1);
+            self.run_event_loop(1);
         }
     }
 
@@ -193,10 +192,10 @@
         stream
     }
 
-    /// What a client reads up to the end of the connection, and whether that end is in order.
+    /// What a client reads up to the end of the connection, and whether that end is graceful.
     fn read_to_end(&self, client: &mut TcpStream) -> (String, bool) {
         let (mut read, mut ended) = (Vec::new(), None);
-        self.turn_until("the connection ends", || {
+        self.run_until("the connection ends", || {
             let mut piece = [0; 4096];
             match client.read(&mut piece) {
                 Ok(0) => ended = Some(true),
@@ -212,13 +211,13 @@
         )
     }
 
-    /// Asks whether the node is up, and reads the answer: the connection rests then.
-    fn rest(&self, client: &mut TcpStream) {
+    /// Polls the readiness endpoint and reads the response: the connection is idle then.
+    fn make_idle(&self, client: &mut TcpStream) {
         client
             .write_all(b"GET /up HTTP/1.1\r\nHost: a\r\n\r\n")
             .expect("an open connection");
         let mut read = Vec::new();
-        self.turn_until("it is up", || {
+        self.run_until("it is up", || {
             let mut piece = [0; 4096];
             let came = client.read(&mut piece).unwrap_or(0);
             read.extend_from_slice(&piece[..came]);
@@ -232,32 +231,32 @@
     }
 }
 
-/// Guards a request that comes in the very turn in which the node shuts connections down: it has been taken, so it is
-/// answered whole, on a connection that rested and on one that had said nothing, wherever the event loop was with it.
+/// A request that arrives in the same turn of the event loop as the shutdown has been accepted: it is answered
+/// completely, on an idle connection and on a silent one, whichever the event loop handles first.
 #[test]
-fn a_request_in_the_turn_of_the_shutdown_is_answered() {
+fn request_in_turn_of_shutdown_is_answered() {
     let request = read("crossing", "15000m");
     for rested in [true, false] {
         for ahead in [0, 1, request.len() / 2, request.len() - 1, request.len()] {
-            let front = Front::start();
-            let mut client = front.connect();
+            let node = InProcessNode::start();
+            let mut client = node.connect();
             if rested {
-                front.rest(&mut client);
+                node.make_idle(&mut client);
             } else {
-                front.turn(5);
+                node.run_event_loop(5);
             }
             // The part ahead has been read by the event loop, if there is one; the rest lies in the socket.
             client
                 .write_all(&request.as_bytes()[..ahead])
                 .expect("an open connection");
             if (1..request.len()).contains(&ahead) {
-                front.turn(5);
+                node.run_event_loop(5);
             }
             client
                 .write_all(&request.as_bytes()[ahead..])
                 .expect("an open connection");
-            front.shut_down();
-            let (answer, in_order) = front.read_to_end(&mut client);
+            node.shut_down();
+            let (answer, in_order) = node.read_to_end(&mut client);
             let case = format!("rested: {rested}, {ahead} bytes ahead");
             assert!(
                 answer.starts_with("HTTP/1.1 200 OK") && answer.ends_with("yes"),
@@ -268,41 +267,40 @@
                 "{case}"
             );
             assert!(in_order, "{case}");
-            assert_eq!(front.server.requests().len(), 1, "{case}");
+            assert_eq!(node.server.requests().len(), 1, "{case}");
             drop(client);
-            front.turn_until("the node ends", || front.serving.is_finished());
+            node.run_until("the node ends", || node.serving.is_finished());
         }
     }
 }
 
-/// Guards what had come before the end and nobody had looked at: a connection that waits in the system's queue with its
-/// request, and a body of which a part is yet to come.
+/// A connection that waits in the kernel's backlog with its request, and a body of which a part is yet to arrive.
 #[test]
-fn what_waits_in_the_queue_and_a_slow_body_are_answered_at_the_end() {
-    let front = Front::start();
+fn backlogged_connection_and_slow_upload_are_answered_at_shutdown() {
+    let node = InProcessNode::start();
     let whole = post("slow", "hold", "Idempotency-Key: 5c0f\r\n", "five rooms");
-    let mut slow = front.connect();
+    let mut slow = node.connect();
     slow.write_all(&whole.as_bytes()[..whole.len() - 5])
         .expect("an open connection");
-    front.turn(5);
-    let mut queued = front.connect();
+    node.run_event_loop(5);
+    let mut queued = node.connect();
     queued
         .write_all(read("queued", "15000m").as_bytes())
         .expect("an open connection");
-    front.shut_down();
-    let (answer, in_order) = front.read_to_end(&mut queued);
+    node.shut_down();
+    let (answer, in_order) = node.read_to_end(&mut queued);
     assert!(
         answer.starts_with("HTTP/1.1 200 OK") && in_order,
         "{answer:?}"
     );
     slow.write_all(&whole.as_bytes()[whole.len() - 5..])
         .expect("an open connection");
-    let (answer, in_order) = front.read_to_end(&mut slow);
+    let (answer, in_order) = node.read_to_end(&mut slow);
     assert!(
         answer.starts_with("HTTP/1.1 200 OK") && in_order,
         "{answer:?}"
     );
-    let ids: Vec<_> = front
+    let ids: Vec<_> = node
         .server
         .requests()
         .iter()
@@ -311,33 +309,33 @@
     assert_eq!(ids, ["queued", "slow"]);
 }
 
-/// Guards against requests that are taken just before the end and not answered by it, on a connection that was there and on
-/// one that is new, whatever time their clients gave: the server says nothing.
+/// Requests that are accepted just before the shutdown are answered by its deadline, on an old and on a new connection,
+/// whatever deadlines their clients set. The server does not respond.
 #[test]
-fn what_is_taken_just_before_the_end_is_answered_by_it() {
+fn request_accepted_just_before_shutdown_deadline_is_answered_by_it() {
     const LEFT: Duration = Duration::from_millis(300);
-    let front = Front::with(Server::start(|_| Reply::Silence));
-    let mut clients = [front.connect(), front.connect(), front.connect()];
-    front.rest(&mut clients[0]);
+    let node = InProcessNode::with(Server::start(|_| Reply::Silence));
+    let mut clients = [node.connect(), node.connect(), node.connect()];
+    node.make_idle(&mut clients[0]);
     let by = Instant::now() + LEFT;
-    front.phase.send_replace(Phase::Draining(by));
+    node.phase.send_replace(Phase::Draining(by));
     clients[0]
         .write_all(post("kept", "pay", "", "x").as_bytes())
         .expect("an open connection");
-    front.turn(5);
+    node.run_event_loop(5);
     clients[1]
         .write_all(post("new", "pay", "", "x").as_bytes())
         .expect("an open connection");
-    front.phase.send_replace(Phase::ShuttingDown(by));
+    node.phase.send_replace(Phase::ShuttingDown(by));
     // And one that comes in the last tenth of what is left.
     clients[2]
         .write_all(read("last", "15000m").split_at(20).0.as_bytes())
         .expect("an open connection");
-    front.turn_until("the end is near", || Instant::now() + LEFT / 10 > by);
+    node.run_until("the end is near", || Instant::now() + LEFT / 10 > by);
     clients[2]
         .write_all(read("last", "15000m").split_at(20).1.as_bytes())
         .expect("an open connection");
-    let answers = clients.each_mut().map(|client| front.read_to_end(client));
+    let answers = clients.each_mut().map(|client| node.read_to_end(client));
     assert!(
         Instant::now() < by + LEFT,
         "they come by the end, on a machine that is busy too"
@@ -348,42 +346,42 @@
             "{answer:?}"
         );
     }
-    front.turn_until("the node ends", || front.serving.is_finished());
+    node.run_until("the node ends", || node.serving.is_finished());
 }
 
-/// Longer than a client may take over a head, or rest.
-const LONG: Duration = Duration::from_secs(11);
-/// Longer than from one look at the times of connections to the next.
-const ONE_LOOK: Duration = Duration::from_millis(150);
-/// So many turns of the event loop are tried as the one in which the bytes come: the time is over in the first or second.
-const TURNS: usize = 12;
+/// Longer than a client may take over a head, or be idle.
+const LONGER_THAN_ANY_TIMEOUT: Duration = Duration::from_secs(11);
+/// Longer than the interval between two checks of the timeouts.
+const ONE_CHECK_INTERVAL: Duration = Duration::from_millis(150);
+/// Turns of the event loop that are tried as the one in which the bytes arrive; the timeout is in the first or second.
+const MAX_TURNS: usize = 12;
 
-/// Guards a client whose bytes come in the very turn in which its time is over, before or after the event loop has looked
-/// for bytes: whoever wrote on a connection that was open has taken part, and is answered. Time stands still but for two
-/// steps, so that each turn in which the bytes can come is tried.
+/// A client whose bytes arrive in the same turn as the timeout of its connection, before or after the event loop has
+/// polled the socket: whoever wrote on an open connection is answered. Time is paused but for two steps, so that every
+/// turn in which the bytes can arrive is tried.
 #[test]
-fn bytes_that_come_as_the_time_of_a_connection_is_over_are_answered() {
+fn request_in_turn_of_connection_timeout_is_answered() {
     let request = read("crossing", "15000m");
     for (rested, ahead) in [(false, 0), (false, request.len() / 2), (true, 0)] {
         let (mut open, mut ended) = (0, 0);
-        for turns in 0..TURNS {
-            let front = Front::start();
-            let mut client = front.connect();
+        for turns in 0..MAX_TURNS {
+            let node = InProcessNode::start();
+            let mut client = node.connect();
             if rested {
-                front.rest(&mut client);
+                node.make_idle(&mut client);
             }
             client
                 .write_all(&request.as_bytes()[..ahead])
                 .expect("an open connection");
-            front.turn(5);
-            let was_open = front.local.block_on(&front.runtime, async {
+            node.run_event_loop(5);
+            let was_open = node.local.block_on(&node.runtime, async {
                 tokio::time::pause();
                 // The look that is due by now is of the time before; the one after it finds the time over.
-                tokio::time::advance(LONG).await;
-                for _ in 0..TURNS {
+                tokio::time::advance(LONGER_THAN_ANY_TIMEOUT).await;
+                for _ in 0..MAX_TURNS {
                     tokio::task::yield_now().await;
                 }
-                tokio::time::advance(ONE_LOOK).await;
+                tokio::time::advance(ONE_CHECK_INTERVAL).await;
                 for _ in 0..turns {
                     tokio::task::yield_now().await;
                 }
@@ -394,7 +392,7 @@
                 tokio::time::resume();
                 was_open
             });
-            let (answer, in_order) = front.read_to_end(&mut client);
+            let (answer, in_order) = node.read_to_end(&mut client);
             let case = format!("rested: {rested}, {ahead} bytes ahead, {turns} turns");
             if was_open {
                 open += 1;
@@ -414,24 +412,24 @@
     }
 }
 
-/// Guards a request of which a part had come when the node shut its connections down.
+/// A request of which a part had arrived when the node shut down.
 #[test]
-fn a_head_that_is_half_there_at_the_shutdown_may_end_and_is_answered() {
+fn partial_head_at_shutdown_may_complete_and_is_answered() {
     let request = read("half", "15000m");
     for cut in [1, 20, request.len() / 2, request.len() - 1] {
-        let front = Front::start();
-        let mut client = front.connect();
-        front.rest(&mut client);
+        let node = InProcessNode::start();
+        let mut client = node.connect();
+        node.make_idle(&mut client);
         client
             .write_all(&request.as_bytes()[..cut])
             .expect("an open connection");
-        front.turn(5);
-        front.shut_down();
-        front.turn(20);
+        node.run_event_loop(5);
+        node.shut_down();
+        node.run_event_loop(20);
         client
             .write_all(&request.as_bytes()[cut..])
             .expect("an open connection");
-        let (answer, in_order) = front.read_to_end(&mut client);
+        let (answer, in_order) = node.read_to_end(&mut client);
         assert!(
             answer.starts_with("HTTP/1.1 200 OK") && in_order,
             "cut at {cut}: {answer:?}"
@@ -439,19 +437,19 @@
     }
 }
 
-/// Guards against a request that is read after the shutdown and sent on, and against a reset for a client whose bytes
-/// cross the end: the node reads on for a while, and passes over what comes.
+/// A request that arrives after the shutdown is not forwarded, and a client whose bytes cross the close gets no reset:
+/// the node reads on for a while, and discards what arrives.
 #[test]
-fn what_comes_behind_the_end_is_passed_over_and_the_end_is_in_order() {
-    let front = Front::start();
-    let mut clients: Vec<_> = (0..4).map(|_| front.connect()).collect();
+fn bytes_after_last_response_are_discarded_and_close_is_graceful() {
+    let node = InProcessNode::start();
+    let mut clients: Vec<_> = (0..4).map(|_| node.connect()).collect();
     clients[..2]
         .iter_mut()
-        .for_each(|client| front.rest(client));
-    front.turn(5);
-    front.shut_down();
+        .for_each(|client| node.make_idle(client));
+    node.run_event_loop(5);
+    node.shut_down();
     for (at, client) in clients.iter_mut().enumerate() {
-        let (read, in_order) = front.read_to_end(client);
+        let (read, in_order) = node.read_to_end(client);
         assert!(
             read.is_empty() && in_order,
             "client {at} is told of the end: {read:?}"
@@ -463,24 +461,24 @@
             client
                 .write_all(request.as_bytes())
                 .expect("it still reads");
-            front.turn(5);
+            node.run_event_loop(5);
         }
-        assert!(front.read_to_end(client).1, "client {at}");
+        assert!(node.read_to_end(client).1, "client {at}");
     }
     clients.clear();
-    front.turn_until("the node ends", || front.serving.is_finished());
-    assert!(front.server.requests().is_empty(), "none was sent on");
+    node.run_until("the node ends", || node.serving.is_finished());
+    assert!(node.server.requests().is_empty(), "none was sent on");
 }
 
-/// A server whose connections come up late: its queue is full, so that the system drops the first word of a dial, which
-/// is said again a second later.
-struct Late {
+/// A server to which connecting takes long: its backlog is full, so that the kernel drops the first SYN, which is
+/// retransmitted a second later.
+struct SlowToConnectServer {
     listener: socket2::Socket,
     address: std::net::SocketAddr,
     _first: TcpStream,
 }
 
-impl Late {
+impl SlowToConnectServer {
     fn start() -> Self {
         let listener = socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None)
             .expect("a socket");
@@ -499,8 +497,8 @@
         }
     }
 
-    /// Makes room, and tells what comes on the connection that comes up then; `None`: none does.
-    fn comes_up(self) -> Option<Vec<u8>> {
+    /// Frees the backlog, and returns what is received on the connection that is established then; `None` without one.
+    fn accept_and_read(self) -> Option<Vec<u8>> {
         self.listener.set_nonblocking(true).expect("a socket");
         let mut came = Vec::new();
         let since = Instant::now();
@@ -519,24 +517,23 @@
     }
 }
 
-/// Long enough for a node to see what has come, on a machine that is not busy; where it is, a crossing is tried again.
-const A_WHILE: Duration = Duration::from_millis(200);
+/// Long enough for a node to react, on a machine that is not busy; where it is, the race is tried again.
+const REACTION_TIME: Duration = Duration::from_millis(200);
 
-/// Guards against an attempt that begins for a client which left while the connection to its server was coming up, where
-/// settings allow no attempt to be cancelled.
+/// The client leaves while the connection to the server is being established, with settings that allow no cancellation.
 #[test]
-fn no_attempt_begins_for_a_client_that_left_while_a_connection_came_up() {
+fn attempt_for_client_that_left_during_connect_is_not_sent() {
     let crossed = (0..5).find_map(|_| {
-        let late = Late::start();
+        let late = SlowToConnectServer::start();
         let known = list(1, true, &[entry("s-0", late.address, "ready")]);
         let text = settings(600_000).replace("\"cancel\":true", "\"cancel\":false");
         let node = Node::start(&config(Unreachable::start().address, &known, &text));
         let mut client = node.connect();
         client.send(&read("left", "600000m"));
-        std::thread::sleep(A_WHILE);
+        std::thread::sleep(REACTION_TIME);
         drop(client);
-        std::thread::sleep(A_WHILE);
-        late.comes_up()
+        std::thread::sleep(REACTION_TIME);
+        late.accept_and_read()
     });
     assert_eq!(
         crossed.map(|bytes| String::from_utf8_lossy(&bytes).into_owned()),
@@ -544,16 +541,16 @@
     );
 }
 
-/// Guards against an effect that happens twice: a repeat is within the window when it is decided on, and its connection
-/// comes up after the window's end.
+/// A request must not be executed twice: a retry is within the window when it is decided on, and its connection is
+/// established after the window's end.
 #[test]
-fn no_repeat_goes_out_once_its_window_is_over() {
+fn retry_after_deduplication_window_is_not_sent() {
     let crossed = (0..5).find_map(|_| {
         let closes = Server::start(|_| {
-            std::thread::sleep(A_WHILE);
+            std::thread::sleep(REACTION_TIME);
             Reply::Close
         });
-        let late = Late::start();
+        let late = SlowToConnectServer::start();
         let discovery = Discovery::start();
         let known = list(1, true, &[closes.entry("s-0", "ready")]);
         let text =
@@ -564,8 +561,8 @@
         client.send(&post("once", "hold", "Idempotency-Key: 5c0f\r\n", "x"));
         until("the first attempt is out", || closes.requests().len() == 1);
         watch.say(&(list(2, false, &[entry("s-1", late.address, "ready")]) + "\n"));
-        std::thread::sleep(2 * A_WHILE);
-        late.comes_up()
+        std::thread::sleep(2 * REACTION_TIME);
+        late.accept_and_read()
             .map(|bytes| (bytes, client.answer().expect("an answer").status()))
     });
     let (bytes, status) = crossed.expect("the repeat was on its way");
@@ -575,9 +572,12 @@
     );
 }
 
-/// A server that answers each request with so many bytes of an answer, and resets the connection; `cuts` says how many,
-/// one connection after the other.
-fn cutting(answer: &'static [u8], cuts: std::ops::RangeInclusive<usize>) -> std::net::SocketAddr {
+/// A server that answers each request with a prefix of a response, and resets the connection; `cuts` is the range of
+/// lengths, one connection after the other.
+fn server_that_resets_within_response(
+    answer: &'static [u8],
+    cuts: std::ops::RangeInclusive<usize>,
+) -> std::net::SocketAddr {
     let listener = std::net::TcpListener::bind("127.0.0.1:0").expect("a port");
     let address = listener.local_addr().expect("an address");
     std::thread::spawn(move || {
@@ -600,17 +600,20 @@
     address
 }
 
-/// Guards against an answer that is passed on as whole though its connection was reset: where it tells no length, a reset
-/// is no end, at whichever byte; and against an answer that was whole by its length and is thrown away for a reset behind
-/// it. Each request is unsafe to repeat, so each is asked of the server once.
+/// A response of unknown length whose connection is reset is not complete, at whichever byte; one that is complete by its
+/// length is not discarded for a reset after it. Each request is non-idempotent, so the server receives each once.
 #[test]
-fn a_reset_is_no_end_of_an_answer_wherever_it_comes() {
-    const ENDLESS: &[u8] = b"HTTP/1.1 200 OK\r\nConnection: close\r\n\r\nfive rooms";
-    const TOLD: &[u8] = b"HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\nfive rooms";
+fn response_reset_at_any_byte_is_not_complete() {
+    const WITHOUT_LENGTH: &[u8] = b"HTTP/1.1 200 OK\r\nConnection: close\r\n\r\nfive rooms";
+    const WITH_LENGTH: &[u8] = b"HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\nfive rooms";
     const CHUNKED: &[u8] =
         b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\na\r\nfive rooms\r\n0\r\n\r\n";
-    for (answer, ends) in [(ENDLESS, false), (TOLD, true), (CHUNKED, true)] {
-        let address = cutting(answer, 0..=answer.len());
+    for (answer, ends) in [
+        (WITHOUT_LENGTH, false),
+        (WITH_LENGTH, true),
+        (CHUNKED, true),
+    ] {
+        let address = server_that_resets_within_response(answer, 0..=answer.len());
         let known = list(1, true, &[entry("s-0", address, "ready")]);
         let node = Node::start(&config(
             Unreachable::start().address,
@@ -637,12 +640,12 @@
 const HELD: usize = 400;
 const CONNECTS_WITHIN: Duration = Duration::from_millis(100);
 
-/// Guards against a node that does not end: silent clients come on and on, far more than have a place, and somebody nearly
-/// always waits to be taken when the end of the hand-over is to be looked at.
+/// Silent clients connect continuously, far more than there are slots, and some nearly always wait to be accepted when
+/// the node is to stop accepting.
 #[test]
-fn a_crowd_that_comes_on_and_on_does_not_hold_up_the_end() {
-    let front = Front::start();
-    let (address, ends) = (front.address, Arc::new(AtomicBool::new(false)));
+fn continuous_new_connections_do_not_delay_shutdown() {
+    let node = InProcessNode::start();
+    let (address, ends) = (node.address, Arc::new(AtomicBool::new(false)));
     let crowd: Vec<_> = (0..CROWDS)
         .map(|_| {
             let ends = Arc::clone(&ends);
@@ -658,12 +661,11 @@
         })
         .collect();
     // The places are all taken, and the queue of the system is never empty from here on.
-    front.turn(500);
+    node.run_event_loop(500);
     let told = Instant::now();
-    front
-        .phase
+    node.phase
         .send_replace(Phase::ShuttingDown(told + Duration::from_millis(500)));
-    front.turn_until("the node ends", || front.serving.is_finished());
+    node.run_until("the node ends", || node.serving.is_finished());
     let took = told.elapsed();
     ends.store(true, Ordering::SeqCst);
     crowd
@@ -672,10 +674,9 @@
     assert!(took < Duration::from_secs(3), "{took:?}");
 }
 
-/// Guards against a request that is sent on though its client sent only a part of it, wherever that ends and however: in
-/// order, or by a reset.
+/// A client sends only a part of a request, wherever that ends, and closes gracefully or with a reset.
 #[test]
-fn a_request_that_is_cut_anywhere_is_sent_nowhere() {
+fn request_truncated_at_any_byte_is_not_forwarded() {
     let server = Server::start(|_| Reply::ok("yes"));
     let (node, _discovery, _watch) = Node::with(&[&server], 15_000);
     let whole = post("cut", "pay", "", "five rooms");
@@ -702,17 +703,17 @@
     assert_eq!(seen.len(), 1, "{seen:?}");
 }
 
-/// The id in what a server has of a request, if it has so much.
-fn id_in(came: &[u8]) -> Option<String> {
+/// The id in what a server has received of a request, if it is complete.
+fn request_id_in(came: &[u8]) -> Option<String> {
     let text = String::from_utf8_lossy(came);
     let (_, rest) = text.split_once("req-id: ")?;
     rest.split_once("\r\n").map(|(id, _)| id.to_owned())
 }
 
-/// Guards against an effect that happens twice: a server reads a request up to any of its bytes and resets, and beside it
-/// there is another that is well. What the first one had whole the other must never get; the servers' own records judge.
+/// A request must not be executed twice: a server reads a request up to any of its bytes and resets, beside a healthy
+/// server. What the first received completely the other must never receive; the servers' own records decide.
 #[test]
-fn what_was_written_whole_goes_nowhere_else_wherever_its_server_stops_reading() {
+fn completely_written_request_is_not_sent_to_another_server() {
     const BODY: &str = "five rooms";
     let listener = std::net::TcpListener::bind("127.0.0.1:0").expect("a port");
     let address = listener.local_addr().expect("an address");
@@ -730,7 +731,7 @@
                     .is_ok_and(|bytes| came[..bytes].ends_with(BODY.as_bytes()))
             });
             let whole = stream.peek(&mut came).expect("an open connection");
-            let id = id_in(&came[..whole]).expect("an id");
+            let id = request_id_in(&came[..whole]).expect("an id");
             stream
                 .read_exact(&mut came[..cut % (whole + 1)])
                 .expect("it is there");
@@ -789,44 +790,44 @@
 }
 
 /// More than a node holds of an answer: it is passed on as it comes.
-const PASSED_ON: usize = 4 << 20;
+const STREAMED_BYTES: usize = 4 << 20;
 
-/// A server that answers one request with half of a long answer, and with the rest once it is told to.
-fn halting() -> (std::net::SocketAddr, std::sync::mpsc::Sender<()>) {
+/// A server that sends half of a long response, and the rest once it is told to.
+fn server_that_pauses_within_response() -> (std::net::SocketAddr, std::sync::mpsc::Sender<()>) {
     let listener = std::net::TcpListener::bind("127.0.0.1:0").expect("a port");
     let address = listener.local_addr().expect("an address");
     let (go_on, goes_on) = std::sync::mpsc::channel();
     std::thread::spawn(move || {
         let (mut stream, _) = listener.accept().expect("a connection");
         Message::read(&mut std::io::BufReader::new(&stream)).expect("a request");
-        let body = vec![b'x'; PASSED_ON];
-        let head = format!("HTTP/1.1 200 OK\r\nContent-Length: {PASSED_ON}\r\n\r\n");
-        let half = [head.as_bytes(), &body[..PASSED_ON / 2]].concat();
+        let body = vec![b'x'; STREAMED_BYTES];
+        let head = format!("HTTP/1.1 200 OK\r\nContent-Length: {STREAMED_BYTES}\r\n\r\n");
+        let half = [head.as_bytes(), &body[..STREAMED_BYTES / 2]].concat();
         // A node that ends while this waits is what is provoked.
         let _ = stream.write_all(&half);
         if goes_on.recv().is_ok() {
-            let _ = stream.write_all(&body[PASSED_ON / 2..]);
+            let _ = stream.write_all(&body[STREAMED_BYTES / 2..]);
         }
         let _ = stream.read(&mut [0; 1]);
     });
     (address, go_on)
 }
 
-/// What a client has of an answer at the end of its connection, and whether that end is in order.
-fn rest_of(client: &mut TcpStream) -> (Vec<u8>, bool) {
+/// What a client has received of a response when its connection ends, and whether the end is graceful.
+fn read_until_closed(client: &mut TcpStream) -> (Vec<u8>, bool) {
     client.set_read_timeout(Some(PATIENCE)).expect("a socket");
     let mut read = Vec::new();
     let in_order = client.read_to_end(&mut read).is_ok();
     (read, in_order)
 }
 
-/// Guards an answer of which a part has gone to its client when the node is told to stop: its rest is passed on as long as there
-/// is time; where it does not come, the client can tell, and the node does not wait for it beyond its end.
+/// A response of which a part has been forwarded when the node is told to stop: the rest is streamed while there is time.
+/// Where it does not arrive, the client can tell, and the node does not wait beyond its deadline.
 #[test]
-fn an_answer_that_is_being_passed_on_at_the_end_is_whole_or_seen_to_be_cut() {
+fn response_streaming_at_shutdown_is_complete_or_visibly_truncated() {
     let played = [true, false].map(|comes| {
         std::thread::spawn(move || {
-            let (address, go_on) = halting();
+            let (address, go_on) = server_that_pauses_within_response();
             let known = list(1, true, &[entry("s-0", address, "ready")]);
             let mut node = Node::start(&config(
                 Unreachable::start().address,
@@ -838,14 +839,14 @@
                 .write_all(read("passed", "15000m").as_bytes())
                 .expect("an open connection");
             // A part of it has come: the answer has begun.
-            let mut first = vec![0; PASSED_ON / 4];
+            let mut first = vec![0; STREAMED_BYTES / 4];
             client.read_exact(&mut first).expect("a part of the answer");
             let told = Instant::now();
             node.terminate();
             if comes {
                 go_on.send(()).expect("it waits");
             }
-            let (rest, in_order) = rest_of(&mut client);
+            let (rest, in_order) = read_until_closed(&mut client);
             let took = told.elapsed();
             assert_eq!(node.wait().code(), Some(0));
             let end = first
@@ -854,9 +855,9 @@
                 .expect("a head")
                 + 4;
             let body = first.len() - end + rest.len();
-            assert!(took < KILLED, "{took:?}");
+            assert!(took < MAX_EXIT_TIME, "{took:?}");
             assert_eq!(
-                (body == PASSED_ON, in_order || !comes),
+                (body == STREAMED_BYTES, in_order || !comes),
                 (comes, true),
                 "{body} bytes"
             );
@@ -868,14 +869,14 @@
 }
 
 /// More than the system takes of an answer that nobody reads.
-const UNREAD: usize = 8 << 20;
+const UNREAD_BYTES: usize = 8 << 20;
 
-/// Guards against a client that holds up the end of a node by not reading its answer, and others whose answers wait for that.
+/// A client that does not read its response must delay neither the shutdown nor the responses of others.
 #[test]
-fn a_client_that_does_not_read_holds_up_neither_the_end_nor_others() {
+fn client_that_does_not_read_delays_neither_shutdown_nor_others() {
     let long = format!(
-        "HTTP/1.1 200 OK\r\nContent-Length: {UNREAD}\r\n\r\n{}",
-        "x".repeat(UNREAD)
+        "HTTP/1.1 200 OK\r\nContent-Length: {UNREAD_BYTES}\r\n\r\n{}",
+        "x".repeat(UNREAD_BYTES)
     );
     let server = Server::start(move |request| match request.header("req-id") {
         Some("unread") => Reply::Say(long.clone().into_bytes()),
@@ -890,5 +891,5 @@
     node.terminate();
     assert_eq!(other.answer().expect("a whole answer").status(), 502);
     assert_eq!(node.wait().code(), Some(0));
-    assert!(told.elapsed() < KILLED, "{:?}", told.elapsed());
+    assert!(told.elapsed() < MAX_EXIT_TIME, "{:?}", told.elapsed());
 }
