--- a/crates/measure/src/bin/allocations.rs
+++ b/crates/measure/src/bin/allocations.rs
@@ -7,8 +7,8 @@
 use std::thread;
 
 use silverthread::node::config::Config;
+use silverthread::node::dispatcher::Dispatcher;
 use silverthread::node::downstream::clients::{self, FrontOptions, Phase};
-use silverthread::node::driver::Driver;
 use testkit::{config, list, read, settings, Client, Reply, Server};
 use tokio::sync::{oneshot, watch};
 use tokio::task::LocalSet;
@@ -56,7 +56,7 @@
         .build()
         .expect("a runtime");
     LocalSet::new().block_on(&runtime, async {
-        let driver = Driver::start(&Config::parse(text).expect("sound")).expect("sound");
+        let driver = Dispatcher::start(&Config::parse(text).expect("sound")).expect("sound");
         let listener = tokio::net::TcpListener::bind("127.0.0.1:0")
             .await
             .expect("a port");
--- a/src/node/admin/server.rs
+++ b/src/node/admin/server.rs
@@ -16,8 +16,8 @@
 
 use crate::node::admin::log;
 use crate::node::cluster::Cluster;
+use crate::node::dispatcher::Dispatcher;
 use crate::node::downstream::clients::{FrontOptions, Phase, ACCEPT_RETRY_INTERVAL};
-use crate::node::driver::Driver;
 
 /// How long a connection may take from its accept to its end: many times what a command needs. A client that does not
 /// finish holds a descriptor no longer.
@@ -31,7 +31,7 @@
 /// Carries out admin commands.
 #[derive(Clone)]
 pub struct AdminServer {
-    driver: Rc<Driver>,
+    driver: Rc<Dispatcher>,
     options: FrontOptions,
     fleet: Option<Rc<Cluster>>,
 }
@@ -40,7 +40,7 @@
     /// A server for the node of this driver. `options` are those of the node's accept loop, whose drain the server
     /// starts and cancels; `fleet` is the node's part in the cluster, if it takes part in one.
     #[must_use]
-    pub fn new(driver: Rc<Driver>, options: FrontOptions, fleet: Option<Rc<Cluster>>) -> Self {
+    pub fn new(driver: Rc<Dispatcher>, options: FrontOptions, fleet: Option<Rc<Cluster>>) -> Self {
         Self {
             driver,
             options,
--- a/src/node/cluster/mod.rs
+++ b/src/node/cluster/mod.rs
@@ -29,7 +29,7 @@
 use crate::node::admin::log;
 use crate::node::clock::Alarm;
 use crate::node::config::Config;
-use crate::node::driver::Driver;
+use crate::node::dispatcher::Dispatcher;
 
 pub use self::error::ClusterError;
 pub use self::leases::LeaseSettings;
@@ -89,7 +89,7 @@
         settings: Option<&ClusterSettings>,
         lease_settings: Option<&LeaseSettings>,
         outlier_settings: Option<&::outlier_detection::Settings>,
-        driver: &Rc<Driver>,
+        driver: &Rc<Dispatcher>,
     ) -> Result<Option<Rc<Self>>, ClusterError> {
         let Some(settings) = settings else {
             return Ok(None);
--- a/src/node/cluster/outlier_detection.rs
+++ b/src/node/cluster/outlier_detection.rs
@@ -19,12 +19,12 @@
 use super::{boot_ms, metric_lines, Cluster};
 use crate::node::admin::log;
 use crate::node::clock::Alarm;
-use crate::node::driver::Driver;
+use crate::node::dispatcher::Dispatcher;
 
 /// A node's part in outlier detection.
 pub struct OutlierDetection {
     detector: RefCell<OutlierDetector>,
-    driver: Rc<Driver>,
+    driver: Rc<Dispatcher>,
     timer: Alarm,
     /// The number of the driver's list that `server_ids` is of.
     list_number: Cell<Option<u64>>,
@@ -65,7 +65,11 @@
     /// # Errors
     ///
     /// A setting is out of its range.
-    pub fn new(now_ms: f64, settings: Settings, driver: Rc<Driver>) -> Result<Self, SettingsError> {
+    pub fn new(
+        now_ms: f64,
+        settings: Settings,
+        driver: Rc<Dispatcher>,
+    ) -> Result<Self, SettingsError> {
         let detector = OutlierDetector::new(now_ms, settings, fastrand::f64())?;
         Ok(Self {
             detector: RefCell::new(detector),
@@ -88,7 +92,7 @@
 
     /// Passes the driver's endpoint list to the detector if it has changed.
     fn update_servers(&self, actions: &mut Vec<Action>) {
-        let list_number = self.driver.list_number();
+        let list_number = self.driver.endpoint_list_version();
         if self.list_number.replace(Some(list_number)) == Some(list_number) {
             return;
         }
@@ -112,7 +116,7 @@
             return;
         };
         self.log_weight(server, weight);
-        self.driver.hint(server, weight);
+        self.driver.set_weight_hint(server, weight);
     }
 
     /// Logs the begin and the end of a reduced weight; the steps between say nothing new.
@@ -200,7 +204,7 @@
             return;
         };
         let fleet: Weak<Self> = Rc::downgrade(&self);
-        part.driver.watch(move |key, ending| {
+        part.driver.observe_attempts(move |key, ending| {
             if let Some(fleet) = fleet.upgrade() {
                 fleet.record_attempt(ServerKey(key), ending.into());
             }
--- a/src/node/discovery/endpoint_list/mod.rs
+++ b/src/node/discovery/endpoint_list/mod.rs
@@ -121,7 +121,7 @@
         }
         self.updates.mark_list_lost();
         if self.delivery == Delivery::Subscribed {
-            self.updates.driver().list_failed();
+            self.updates.driver().endpoint_list_failed();
             return Next::Reopen;
         }
         self.retry_delay = if state.has_received {
--- a/src/node/discovery/mod.rs
+++ b/src/node/discovery/mod.rs
@@ -17,7 +17,7 @@
 use tokio::task::AbortHandle;
 
 use crate::node::admin::log;
-use crate::node::driver::Driver;
+use crate::node::dispatcher::Dispatcher;
 use consul::ConsulSource;
 use updates::EndpointUpdates;
 
@@ -47,7 +47,7 @@
 
     /// The driver that the updates go to.
     #[must_use]
-    pub fn driver(&self) -> &Rc<Driver> {
+    pub fn driver(&self) -> &Rc<Dispatcher> {
         self.updates.driver()
     }
 
--- a/src/node/discovery/updates.rs
+++ b/src/node/discovery/updates.rs
@@ -14,14 +14,14 @@
 use crate::node::clock::Alarm;
 use crate::node::config::EndpointList;
 use crate::node::discovery::endpoint_list::decode::decode_endpoints;
-use crate::node::driver::Driver;
+use crate::node::dispatcher::Dispatcher;
 
 /// The endpoint list's position among the sources.
 const ENDPOINT_LIST: SourceId = 0;
 
 /// Receives what the sources report and passes changes on to the driver.
 pub struct EndpointUpdates {
-    driver: Rc<Driver>,
+    driver: Rc<Dispatcher>,
     merged: Option<MergedView>,
 }
 
@@ -44,7 +44,7 @@
 impl EndpointUpdates {
     /// Passes the endpoint list on as it comes, without a merged view.
     #[must_use]
-    pub fn direct(driver: Rc<Driver>) -> Rc<Self> {
+    pub fn direct(driver: Rc<Dispatcher>) -> Rc<Self> {
         Rc::new(Self {
             driver,
             merged: None,
@@ -55,7 +55,7 @@
     /// already. Spawns a task for the view's timer.
     #[must_use]
     pub fn merged(
-        driver: Rc<Driver>,
+        driver: Rc<Dispatcher>,
         list_policy: SourcePolicy,
         known_list: &EndpointList,
     ) -> Rc<Self> {
@@ -76,7 +76,7 @@
 
     /// The driver that the updates go to.
     #[must_use]
-    pub fn driver(&self) -> &Rc<Driver> {
+    pub fn driver(&self) -> &Rc<Dispatcher> {
         &self.driver
     }
 
@@ -87,9 +87,9 @@
         }
         let endpoints = decode_endpoints(list);
         if list.reset {
-            self.driver.list(&endpoints);
+            self.driver.replace_endpoints(&endpoints);
         } else {
-            self.driver.changes(&endpoints);
+            self.driver.update_endpoints(&endpoints);
         }
     }
 
@@ -136,11 +136,11 @@
         // Even a list that changes nothing is passed on: with subscribed lists the balancer waits
         // for its arrival.
         if is_from_list && !publishes {
-            self.driver.changes(&[]);
+            self.driver.update_endpoints(&[]);
         }
         for action in actions {
             match action {
-                Action::Publish(endpoints) => self.driver.changes(&endpoints),
+                Action::Publish(endpoints) => self.driver.update_endpoints(&endpoints),
                 Action::SetTimer(at_ms) => merged.timer.set(at_ms),
                 Action::Log(event) => log::line(event),
             }
--- /dev/null
+++ b/src/node/dispatcher/timers.rs
@@ -0,0 +1,126 @@
+//! Timers: when the balancer's timers fire and when the deadlines of requests expire.
+//!
+//! [`TimerQueue`] owns one ordered set of both and the greatest lateness of a wake-up. The deadline of a finished
+//! request is removed, so the set holds at most one deadline for each request in flight.
+
+use std::cell::{Cell, RefCell};
+use std::collections::BTreeSet;
+use std::rc::Rc;
+use std::time::{Duration, Instant};
+
+use tokio::sync::Notify;
+
+use super::Dispatcher;
+use crate::node::admin::log;
+use balancer::Event;
+
+/// The longest time that a timer of the balancer is set for.
+const MAX_TIMER: Duration = Duration::from_secs(71 * 60);
+/// A wake-up that is this late is logged at once, because responses are late by as much.
+const REPORTED_LATENESS: Duration = Duration::from_millis(20);
+/// Interval at which expired idle connections are closed and the lateness of wake-ups is checked.
+const MAINTENANCE_INTERVAL: Duration = Duration::from_secs(1);
+
+/// What happens at an instant. The order of the variants is the order at equal instants.
+#[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
+pub(super) enum TimerKind {
+    /// A timer that the balancer set, by the balancer's number.
+    Balancer(u64),
+    /// The deadline of a request, by the request's number.
+    Deadline(u64),
+}
+
+/// The set of pending timers, in the order in which they fire.
+#[derive(Default)]
+pub(super) struct TimerQueue {
+    pending: RefCell<BTreeSet<(Instant, TimerKind)>>,
+    /// Notified when a timer is set that fires before all others.
+    earliest_changed: Notify,
+    /// The greatest lateness since the last report.
+    max_lateness: Cell<Duration>,
+}
+
+impl TimerQueue {
+    /// Sets a timer.
+    pub(super) fn set(&self, at: Instant, kind: TimerKind) {
+        let mut pending = self.pending.borrow_mut();
+        if pending.first().is_none_or(|(first, _)| at < *first) {
+            self.earliest_changed.notify_one();
+        }
+        pending.insert((at, kind));
+    }
+
+    /// Removes a timer; one that has fired is no longer there.
+    pub(super) fn remove(&self, at: Instant, kind: TimerKind) {
+        self.pending.borrow_mut().remove(&(at, kind));
+    }
+
+    /// Waits until the earliest timer is due or an earlier one is set. Cancel safe: a timer stays until
+    /// [`pop_due`](Self::pop_due) takes it.
+    async fn wait(&self) {
+        let earliest = self.pending.borrow().first().map(|(at, _)| *at);
+        match earliest {
+            Some(at) => tokio::select! {
+                () = tokio::time::sleep_until(at.into()) => {}
+                () = self.earliest_changed.notified() => {}
+            },
+            None => self.earliest_changed.notified().await,
+        }
+    }
+
+    /// Takes the earliest timer if it is due, and records how late that is.
+    fn pop_due(&self) -> Option<TimerKind> {
+        let (at, kind) = {
+            let mut pending = self.pending.borrow_mut();
+            let is_due = pending.first().is_some_and(|(at, _)| *at <= Instant::now());
+            is_due.then(|| pending.pop_first()).flatten()?
+        };
+        self.max_lateness
+            .set(self.max_lateness.get().max(at.elapsed()));
+        Some(kind)
+    }
+}
+
+impl Dispatcher {
+    /// Sets a timer of the balancer.
+    pub(super) fn set_balancer_timer(&self, timer: u64, after_ms: f64) {
+        let after = Duration::try_from_secs_f64(after_ms.max(0.0) / 1e3).unwrap_or(MAX_TIMER);
+        let at = Instant::now() + after.min(MAX_TIMER);
+        self.timers.set(at, TimerKind::Balancer(timer));
+    }
+
+    /// Handles every timer when it is due, without end.
+    pub(super) async fn run_timers(self: Rc<Self>) {
+        loop {
+            self.timers.wait().await;
+            while let Some(kind) = self.timers.pop_due() {
+                match kind {
+                    TimerKind::Balancer(timer) => self.handle_event(Event::Timer(timer)),
+                    TimerKind::Deadline(number) => self.expire_request(number),
+                }
+            }
+        }
+    }
+
+    /// Closes expired idle connections and reports late wake-ups, without end.
+    pub(super) async fn run_maintenance(self: Rc<Self>) {
+        let mut ticks = tokio::time::interval(MAINTENANCE_INTERVAL);
+        ticks.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
+        loop {
+            ticks.tick().await;
+            self.servers.retire();
+            if self.timers.max_lateness.get() >= REPORTED_LATENESS {
+                self.report_lateness();
+            }
+        }
+    }
+
+    /// Logs the greatest lateness of a wake-up since the last report, and starts anew.
+    pub fn report_lateness(&self) {
+        let lateness = self.timers.max_lateness.take();
+        log::line(format_args!(
+            "the latest wake-up was {:.1} ms late",
+            lateness.as_secs_f64() * 1e3
+        ));
+    }
+}
--- /dev/null
+++ b/src/node/dispatcher/unanswered.rs
@@ -0,0 +1,59 @@
+//! The report of the requests that a node leaves unanswered when it shuts down.
+
+use std::time::Instant;
+
+use super::in_flight::{InFlightAttempt, InFlightRequest};
+use super::Dispatcher;
+use crate::node::admin::log;
+
+/// At most this many unanswered requests are logged one by one; beyond that, their number is.
+const MAX_LOGGED_REQUESTS: usize = 20;
+/// The header in which a client sends its id of a request.
+const REQUEST_ID_HEADER: &str = "req-id";
+
+impl Dispatcher {
+    /// Logs the requests that have no response yet, oldest first, by the ids that clients gave them.
+    pub fn report_unanswered(&self) {
+        let (in_flight, now) = (self.in_flight.borrow(), Instant::now());
+        let mut unanswered: Vec<_> = in_flight
+            .iter()
+            .filter(|(_, request)| request.responder.is_some())
+            .collect();
+        unanswered.sort_by_key(|(number, _)| **number);
+        for (_, request) in unanswered.iter().take(MAX_LOGGED_REQUESTS) {
+            log_unanswered(request, now);
+        }
+        if unanswered.len() > MAX_LOGGED_REQUESTS {
+            log::line(format_args!(
+                "{} requests are not answered",
+                unanswered.len()
+            ));
+        }
+    }
+}
+
+fn log_unanswered(request: &InFlightRequest, now: Instant) {
+    let id = request
+        .message
+        .headers
+        .get(REQUEST_ID_HEADER)
+        .and_then(|id| id.to_str().ok())
+        .unwrap_or("-");
+    let left_ms = request.deadline.saturating_duration_since(now).as_millis();
+    let attempt = request
+        .attempt
+        .as_ref()
+        .map_or_else(|| "none in flight".to_owned(), describe_attempt);
+    log::line(format_args!(
+        "request {id} is not answered: {left_ms} ms left, {} attempts, {attempt}",
+        request.attempts
+    ));
+}
+
+fn describe_attempt(attempt: &InFlightAttempt) -> String {
+    format!(
+        "one in flight to server {} for {} ms",
+        attempt.server.0,
+        attempt.sent_at.elapsed().as_millis()
+    )
+}
--- a/src/node/downstream/clients.rs
+++ b/src/node/downstream/clients.rs
@@ -26,12 +26,12 @@
 
 use crate::node::admin::log;
 use crate::node::config::Limits;
+use crate::node::dispatcher::{Dispatcher, FinalResponse, NewRequest};
 use crate::node::downstream::connections::{
     ConnectionGuard, ConnectionTable, Stage, TrackedConnection,
 };
 use crate::node::downstream::passing::{passing, Feeder, Outgoing, Passed, Upload};
 use crate::node::downstream::socket::Socket;
-use crate::node::driver::{Answer, Driver};
 use crate::node::upstream::answers::{MOST_BODY, MOST_HELD, MOST_PASSED};
 use crate::node::upstream::{Message, RequestBody, ResponseBody, Served};
 use balancer::Idempotency;
@@ -145,7 +145,7 @@
 
 /// What the connections of clients share.
 struct FrontState {
-    driver: Rc<Driver>,
+    driver: Rc<Dispatcher>,
     options: FrontOptions,
     phases: watch::Receiver<Phase>,
     table: Rc<ConnectionTable>,
@@ -156,7 +156,7 @@
 
 /// Serves clients until the phase is [`Phase::ShuttingDown`] and all that was taken is answered, at the instant that it
 /// names at the latest, and [`LAST_WRITES`] later: a client that does not read its answer must not hold up the end.
-pub async fn serve(listener: TcpListener, driver: Rc<Driver>, options: FrontOptions) {
+pub async fn serve(listener: TcpListener, driver: Rc<Dispatcher>, options: FrontOptions) {
     let table = ConnectionTable::new(options.most);
     let phases = options.phases.clone();
     let state = Rc::new(FrontState {
@@ -191,7 +191,7 @@
             .ok()
             .and_then(|now| now.answer_by());
         if let Some(by) = by {
-            state.driver.end_by(by);
+            state.driver.limit_deadlines(by);
         }
         if !state.options.is_shared {
             table.hold();
@@ -481,9 +481,9 @@
     let metadata = RequestMetadata::read(&head.method, &head.headers, &state.driver)?;
     let counted = state.driver.metrics.begin_request(metadata.class);
     let answer = match answer_to(metadata, head, body, state).await {
-        Ok(Answer::Served(served)) => return Ok(pass_on(served, counted, tracked)),
-        Ok(Answer::Rejected { after_ms }) => Ok(refusal(after_ms)),
-        Ok(Answer::Failed) => Ok(plain(StatusCode::BAD_GATEWAY, "")),
+        Ok(FinalResponse::Served(served)) => return Ok(pass_on(served, counted, tracked)),
+        Ok(FinalResponse::Rejected { retry_after_ms }) => Ok(refusal(retry_after_ms)),
+        Ok(FinalResponse::Failed) => Ok(plain(StatusCode::BAD_GATEWAY, "")),
         Err(rejection) => Err(rejection),
     };
     counted.finish(end_of(
@@ -541,7 +541,7 @@
     head: Parts,
     body: Incoming,
     state: &FrontState,
-) -> Result<Answer, Rejection> {
+) -> Result<FinalResponse, Rejection> {
     if body.size_hint().lower() > MOST_PASSED as u64 {
         return Err(TOO_LARGE);
     }
@@ -561,8 +561,8 @@
     // Where another process listens on the same socket, clients get connections as ever.
     let is_left = matches!(*state.phases.borrow(), Phase::Draining(_)) && !state.options.is_shared;
     if is_left && state.table.few_free() {
-        return Ok(Answer::Rejected {
-            after_ms: Some(FREE_AGAIN_MS),
+        return Ok(FinalResponse::Rejected {
+            retry_after_ms: Some(FREE_AGAIN_MS),
         });
     }
     let headers = end_to_end(head.headers);
@@ -588,20 +588,30 @@
         sent,
         until: Cell::default(),
     };
-    let Some(mut taken) = driver.take(class, tenant, key, message, arrived, time) else {
-        return Ok(Answer::Rejected { after_ms: None });
+    let request = NewRequest {
+        class,
+        tenant,
+        key,
+        message,
+        received_at: arrived,
+        timeout: time,
+    };
+    let Some(mut taken) = driver.accept_request(request) else {
+        return Ok(FinalResponse::Rejected {
+            retry_after_ms: None,
+        });
     };
     if let Some(feeder) = feeder {
         let fed = tokio::select! {
             biased;
-            answer = taken.answer() => return Ok(answer),
+            answer = taken.response() => return Ok(answer),
             fed = coming.feed(feeder, state) => fed?,
         };
         if fed {
-            taken.is_whole(Instant::now());
+            taken.upload_completed(Instant::now());
         }
     }
-    Ok(taken.answer().await)
+    Ok(taken.response().await)
 }
 
 /// A body on its way from its client.
@@ -740,7 +750,7 @@
 }
 
 impl RequestMetadata {
-    fn read(method: &Method, headers: &HeaderMap, driver: &Driver) -> Result<Self, Rejection> {
+    fn read(method: &Method, headers: &HeaderMap, driver: &Dispatcher) -> Result<Self, Rejection> {
         if OF_REQUEST
             .iter()
             .any(|name| headers.get_all(name).iter().nth(1).is_some())
@@ -774,7 +784,7 @@
         if text(IDEMPOTENCY_KEY).is_some_and(str::is_empty) {
             return Err(bad("Idempotency-Key is empty or bad\n"));
         }
-        let (right, has_key) = match rule.effect {
+        let (right, has_key) = match rule.idempotency {
             Idempotency::Idempotent => (Method::GET, false),
             Idempotency::IdempotencyKey { .. } => (Method::POST, true),
             Idempotency::NonIdempotent => (Method::POST, false),
@@ -788,7 +798,7 @@
             id,
             class,
             tenant,
-            time: time.min(rule.longest),
+            time: time.min(rule.max_timeout),
         })
     }
 }
--- a/src/node/mod.rs
+++ b/src/node/mod.rs
@@ -1,7 +1,7 @@
 //! The node: one program on real sockets round the decision module, as one thread.
 //!
 //! The folders follow a request's way: [`downstream`] takes it, [`upstream`] carries attempts to the servers, and [`discovery`]
-//! says who the servers are. All they see reaches [`driver`] as an event, and it carries out what the balancer decides.
+//! says who the servers are. All they see reaches [`dispatcher`] as an event, and it carries out what the balancer decides.
 //! Nothing here decides anything of a request: no health, no retries, no choice of a server. [`admin`] is the
 //! operators' side; what their file turns on stands beside the rest, and without it none of that runs.
 
@@ -10,8 +10,8 @@
 pub mod cluster;
 pub mod config;
 pub mod discovery;
+pub mod dispatcher;
 pub mod downstream;
-pub mod driver;
 pub mod upstream;
 
 use std::io;
@@ -35,7 +35,7 @@
 use self::downstream::clients::{self, FrontOptions, Phase};
 use self::downstream::inherited;
 use config::{Config, ConfigError};
-use driver::Driver;
+use dispatcher::Dispatcher;
 
 /// A node that is told to stop is ended no sooner than the longest deadline, `LONGEST_WAIT` at the most, and 700 ms. All
 /// is answered this long after the deadline: what is left is for writing the last answers, all at once at the worst, on
@@ -134,7 +134,7 @@
     let address = listener
         .local_addr()
         .map_err(system("listen for clients"))?;
-    let driver = Driver::start_with(
+    let driver = Dispatcher::start_with(
         &config,
         operator_config.addresses.clone(),
         operator_config.pool,
@@ -166,13 +166,7 @@
     };
     tokio::task::spawn_local(reload::reload_on_signal(reload, moves, file, fleet.clone()));
     let (phase, phases) = watch::channel(Phase::Serving);
-    let longest = driver
-        .names
-        .rules
-        .iter()
-        .map(|rule| rule.longest)
-        .max()
-        .unwrap_or_default();
+    let longest = driver.names.max_timeout();
     let most = config.limits.client_connections();
     let options = FrontOptions {
         is_shared,
@@ -218,7 +212,7 @@
 /// The path of endpoint updates to the driver, with the Consul services that the operators' file
 /// names.
 fn endpoint_updates(
-    driver: &Rc<Driver>,
+    driver: &Rc<Dispatcher>,
     config: &Config,
     operator_config: &OperatorConfig,
 ) -> (Rc<EndpointUpdates>, Option<Rc<ConsulFollowers>>) {
--- a/tests/close_range.rs
+++ b/tests/close_range.rs
@@ -13,8 +13,8 @@
 use std::time::{Duration, Instant};
 
 use silverthread::node::config::Config;
+use silverthread::node::dispatcher::Dispatcher;
 use silverthread::node::downstream::clients::{serve, FrontOptions, Phase};
-use silverthread::node::driver::Driver;
 use testkit::*;
 use tokio::sync::watch;
 
@@ -150,7 +150,7 @@
         let local = tokio::task::LocalSet::new();
         let (phase, phases) = watch::channel(Phase::Serving);
         let (address, serving) = local.block_on(&runtime, async {
-            let driver = Driver::start(&Config::parse(&text).expect("sound")).expect("sound");
+            let driver = Dispatcher::start(&Config::parse(&text).expect("sound")).expect("sound");
             let listener = tokio::net::TcpListener::bind("127.0.0.1:0")
                 .await
                 .expect("a port");
--- a/tests/node.rs
+++ b/tests/node.rs
@@ -11,8 +11,8 @@
 use std::time::{Duration, Instant};
 
 use silverthread::node::config::Config;
+use silverthread::node::dispatcher::Dispatcher;
 use silverthread::node::downstream::clients::{serve, FrontOptions, Phase};
-use silverthread::node::driver::Driver;
 use testkit::*;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 
@@ -574,7 +574,7 @@
         .build()
         .expect("a runtime");
     tokio::task::LocalSet::new().block_on(&runtime, async {
-        let driver = Driver::start(&Config::parse(&text).expect("sound")).expect("sound");
+        let driver = Dispatcher::start(&Config::parse(&text).expect("sound")).expect("sound");
         let listener = tokio::net::TcpListener::bind("127.0.0.1:0")
             .await
             .expect("a port");
@@ -639,7 +639,7 @@
         .build()
         .expect("a runtime");
     tokio::task::LocalSet::new().block_on(&runtime, async {
-        let driver = Driver::start(&Config::parse(&text).expect("sound")).expect("sound");
+        let driver = Dispatcher::start(&Config::parse(&text).expect("sound")).expect("sound");
         let listener = tokio::net::TcpListener::bind("127.0.0.1:0")
             .await
             .expect("a port");
@@ -700,7 +700,7 @@
         .build()
         .expect("a runtime");
     tokio::task::LocalSet::new().block_on(&runtime, async {
-        let driver = Driver::start(&Config::parse(&text).expect("sound")).expect("sound");
+        let driver = Dispatcher::start(&Config::parse(&text).expect("sound")).expect("sound");
         let listener = tokio::net::TcpListener::bind("127.0.0.1:0")
             .await
             .expect("a port");
