--- a/src/node/mod.rs
+++ b/src/node/mod.rs
@@ -1,9 +1,10 @@
-//! The node: one program on real sockets round the decision module, as one thread.
+//! The node: one process, one thread, real sockets around the balancer.
 //!
-//! The folders follow a request's way: [`downstream`] takes it, [`upstream`] carries attempts to the servers, and [`discovery`]
-//! says who the servers are. All they see reaches [`dispatcher`] as an event, and it carries out what the balancer decides.
-//! Nothing here decides anything of a request: no health, no retries, no choice of a server. [`admin`] is the
-//! operators' side; what their file turns on stands beside the rest, and without it none of that runs.
+//! The modules follow a request's way: [`downstream`] accepts it, [`upstream`] sends attempts to servers, and
+//! [`discovery`] says who the servers are. All they observe reaches the [`dispatcher`] as an event, and it executes what
+//! the balancer decides. Nothing here decides anything about a request: no health, no retries, no choice of a server.
+//! [`admin`] is the operators' side. [`cluster`] connects to other nodes; it runs only where the operators configured
+//! it.
 
 pub mod admin;
 mod clock;
@@ -12,15 +13,17 @@
 pub mod discovery;
 pub mod dispatcher;
 pub mod downstream;
+mod shutdown;
 pub mod upstream;
 
+use std::error::Error;
 use std::io;
+use std::net::SocketAddr;
 use std::path::PathBuf;
 use std::rc::Rc;
-use std::time::{Duration, Instant};
 
 use tokio::net::TcpListener;
-use tokio::signal::unix::{signal, SignalKind};
+use tokio::signal::unix::{signal, Signal, SignalKind};
 use tokio::sync::watch;
 use tokio::task::LocalSet;
 
@@ -29,44 +32,28 @@
 use self::admin::reload::{self, WatchedFile};
 use self::admin::server::{self as admin_server, AdminServer};
 use self::cluster::{Cluster, ClusterError};
-use self::discovery::endpoint_list::Delivery;
+use self::config::{Config, ConfigError};
+use self::discovery::endpoint_list::{self, Delivery};
 use self::discovery::updates::EndpointUpdates;
-use self::discovery::{endpoint_list, ConsulFollowers};
+use self::discovery::ConsulFollowers;
+use self::dispatcher::Dispatcher;
 use self::downstream::clients::{self, FrontOptions, Phase};
 use self::downstream::inherited;
-use config::{Config, ConfigError};
-use dispatcher::Dispatcher;
-
-/// A node that is told to stop is ended no sooner than the longest deadline, `LONGEST_WAIT` at the most, and 700 ms. All
-/// is answered this long after the deadline: what is left is for writing the last answers, all at once at the worst, on
-/// what it has of a core.
-const BEFORE_THE_END: Duration = Duration::from_millis(600);
-const LONGEST_WAIT: Duration = Duration::from_secs(3);
-/// The part of the longest deadline that is left for answers once nothing new is taken.
-const LAST_PART: f64 = 0.5;
-
-/// How a node that is told to stop spends the time until it is ended: when it takes nothing new any more, and by when
-/// all is answered. Guards against clients that find nobody: a node that was restarted before this one is let in by
-/// the front a while after it is ready, and until then those who have a connection here are served here.
-fn hand_over(longest: Duration) -> (Duration, Duration) {
-    let longest = longest.min(LONGEST_WAIT);
-    let answered = BEFORE_THE_END + longest;
-    (answered - longest.mul_f64(LAST_PART), answered)
-}
-
-/// Why a node could not start or go on.
+use self::shutdown::{ShutdownSchedule, StopSignals};
+
+/// Why a node could not start.
 #[derive(Debug)]
 pub enum NodeError {
-    /// The configuration is missing or broken.
+    /// The platform's configuration is missing or invalid.
     Config(ConfigError),
-    /// Other nodes are to be found, and something that it takes is missing.
+    /// The operators configured a cluster that cannot start.
     Cluster(ClusterError),
-    /// It could not listen, or the system failed it.
+    /// A call of the operating system failed.
     System {
-        /// What it tried.
-        doing: &'static str,
-        /// What the system said.
-        error: io::Error,
+        /// What the node tried to do.
+        operation: &'static str,
+        /// The system's error.
+        source: io::Error,
     },
 }
 
@@ -75,12 +62,21 @@
         match self {
             Self::Config(error) => error.fmt(f),
             Self::Cluster(error) => error.fmt(f),
-            Self::System { doing, error } => write!(f, "cannot {doing}: {error}"),
+            Self::System { operation, source } => write!(f, "cannot {operation}: {source}"),
         }
     }
 }
 
-impl std::error::Error for NodeError {}
+impl Error for NodeError {
+    fn source(&self) -> Option<&(dyn Error + 'static)> {
+        match self {
+            // Their messages are this error's own.
+            Self::Config(error) => error.source(),
+            Self::Cluster(error) => error.source(),
+            Self::System { source, .. } => Some(source),
+        }
+    }
+}
 
 impl From<ConfigError> for NodeError {
     fn from(error: ConfigError) -> Self {
@@ -88,143 +84,201 @@
     }
 }
 
-fn system(doing: &'static str) -> impl FnOnce(io::Error) -> NodeError {
-    move |error| NodeError::System { doing, error }
+fn system_error(operation: &'static str) -> impl Fn(io::Error) -> NodeError {
+    move |source| NodeError::System { operation, source }
 }
 
 /// What the operators add to the platform's configuration. The default adds nothing.
 #[derive(Clone, Debug, Default)]
 pub struct NodeOptions {
-    /// The content of the operators' file.
+    /// The content of the operators' configuration file.
     pub operator_config: OperatorConfig,
-    /// The operators' file, so that SIGHUP can reload it; `None` if there is none.
+    /// The path of that file, so that SIGHUP can reload it; `None` if there is none.
     pub config_path: Option<PathBuf>,
 }
 
-/// Runs a node until SIGTERM (or SIGINT) and the hand-over after it.
+/// Runs a node until SIGTERM or SIGINT and the graceful shutdown after it. Blocks the calling thread.
 ///
 /// # Errors
 ///
-/// The configuration makes no sense, or the node cannot listen.
+/// The configuration is invalid, or the node cannot listen.
 pub fn run(config: Config, options: NodeOptions) -> Result<(), NodeError> {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .build();
-    let runtime = runtime.map_err(system("start the event loop"))?;
-    LocalSet::new().block_on(&runtime, node(config, options))
+    let runtime = runtime.map_err(system_error("start the event loop"))?;
+    LocalSet::new().block_on(&runtime, run_node(config, options))
 }
 
-async fn node(config: Config, options: NodeOptions) -> Result<(), NodeError> {
+async fn run_node(config: Config, options: NodeOptions) -> Result<(), NodeError> {
     let NodeOptions {
         operator_config,
         config_path,
     } = options;
-    let mut terminate = signal(SignalKind::terminate()).map_err(system("listen for SIGTERM"))?;
-    // SIGHUP ends a process that does not listen for it, so this stands before the node says that it is ready.
-    let reload = signal(SignalKind::hangup()).map_err(system("listen for SIGHUP"))?;
-    let mut interrupt = signal(SignalKind::interrupt()).map_err(system("listen for SIGINT"))?;
-    let held =
-        inherited::listener().map_err(system("use the listening socket that it is handed"))?;
-    let is_shared = held.is_some();
-    let listener = match held {
-        Some(held) => TcpListener::from_std(held),
-        None => TcpListener::bind(config.listen).await,
-    };
-    let listener = listener.map_err(system("listen for clients"))?;
-    let address = listener
-        .local_addr()
-        .map_err(system("listen for clients"))?;
-    let driver = Dispatcher::start_with(
+    let signals = Signals::listen()?;
+    let ClientListener {
+        listener,
+        is_shared,
+    } = ClientListener::open(config.listen).await?;
+    let address = local_address(&listener, LISTEN_FOR_CLIENTS)?;
+    let dispatcher = Dispatcher::start_with(
         &config,
         operator_config.addresses.clone(),
         operator_config.pool,
     )?;
     log::line(format_args!("serves on {address}"));
-    let known = Some(config.known.generation).filter(|_| !config.known.instances.is_empty());
-    let (moves, addresses) = watch::channel(config.discovery);
-    let (updates, consul_followers) = endpoint_updates(&driver, &config, &operator_config);
-    let delivery = if config.push {
-        Delivery::Pushed {
-            grace: config.drain_grace,
-        }
-    } else {
-        Delivery::Subscribed
-    };
-    tokio::task::spawn_local(endpoint_list::follow(updates, addresses, delivery, known));
-    let fleet = Cluster::start(
-        &config,
-        operator_config.instances.as_ref(),
-        operator_config.leases.as_ref(),
-        operator_config.outlier_detection.as_ref(),
-        &driver,
-    )
-    .await
-    .map_err(NodeError::Cluster)?;
-    let file = match (config_path, consul_followers) {
-        (Some(path), Some(sources)) => Some(WatchedFile { path, sources }),
-        _ => None,
-    };
-    tokio::task::spawn_local(reload::reload_on_signal(reload, moves, file, fleet.clone()));
+    let (discovery_address, consul_followers) =
+        follow_endpoints(&dispatcher, &config, &operator_config);
+    let cluster = start_cluster(&config, &operator_config, &dispatcher).await?;
+    let watched_file = config_path
+        .zip(consul_followers)
+        .map(|(path, sources)| WatchedFile { path, sources });
+    tokio::task::spawn_local(reload::reload_on_signal(
+        signals.reload,
+        discovery_address,
+        watched_file,
+        cluster.clone(),
+    ));
     let (phase, phases) = watch::channel(Phase::Serving);
-    let longest = driver.names.max_timeout();
-    let most = config.limits.client_connections();
-    let options = FrontOptions {
+    let front_options = FrontOptions {
         is_shared,
         max_buffered_upload_bytes: config.limits.long_requests(),
-        ..FrontOptions::own(phases, most)
+        ..FrontOptions::own(phases, config.limits.client_connections())
     };
     if let Some(address) = config.control {
-        let listener = TcpListener::bind(address)
-            .await
-            .map_err(system("listen for operators"))?;
-        let at = listener
-            .local_addr()
-            .map_err(system("listen for operators"))?;
-        log::line(format_args!("admin server listens on {at}"));
-        let server = AdminServer::new(Rc::clone(&driver), options.clone(), fleet.clone());
-        tokio::task::spawn_local(admin_server::serve(listener, server));
+        let server = AdminServer::new(
+            Rc::clone(&dispatcher),
+            front_options.clone(),
+            cluster.clone(),
+        );
+        start_admin_server(address, server).await?;
     }
-    let clients = clients::serve(listener, Rc::clone(&driver), options);
-    let stop = async move {
-        tokio::select! {
-            _ = terminate.recv() => {}
-            _ = interrupt.recv() => {}
-        }
-        if let Some(fleet) = &fleet {
-            fleet.leave();
-        }
-        let (closing, answered) = hand_over(longest);
-        let by = Instant::now() + answered;
-        phase.send_replace(Phase::Draining(by));
-        tokio::time::sleep(closing).await;
-        phase.send_replace(Phase::ShuttingDown(by));
-        // The sender must live until all is answered: its end would look like one more change.
-        std::future::pending::<()>().await;
-    };
+    let schedule = ShutdownSchedule::new(dispatcher.names.max_timeout());
     tokio::select! {
-        () = clients => {}
-        () = stop => {}
+        () = clients::serve(listener, Rc::clone(&dispatcher), front_options) => {}
+        () = shutdown::run_phases(signals.stop, schedule, phase, cluster) => {}
     }
-    driver.report_lateness();
+    dispatcher.report_lateness();
     Ok(())
 }
 
-/// The path of endpoint updates to the driver, with the Consul services that the operators' file
-/// names.
+/// The signals that a node handles. SIGHUP ends a process that does not listen for it, so all are listened for before the
+/// node reports that it is ready.
+struct Signals {
+    stop: StopSignals,
+    reload: Signal,
+}
+
+impl Signals {
+    fn listen() -> Result<Self, NodeError> {
+        let terminate =
+            signal(SignalKind::terminate()).map_err(system_error("listen for SIGTERM"))?;
+        let reload = signal(SignalKind::hangup()).map_err(system_error("listen for SIGHUP"))?;
+        let interrupt =
+            signal(SignalKind::interrupt()).map_err(system_error("listen for SIGINT"))?;
+        Ok(Self {
+            stop: StopSignals {
+                terminate,
+                interrupt,
+            },
+            reload,
+        })
+    }
+}
+
+const LISTEN_FOR_CLIENTS: &str = "listen for clients";
+const LISTEN_FOR_OPERATORS: &str = "listen for operators";
+
+fn local_address(listener: &TcpListener, operation: &'static str) -> Result<SocketAddr, NodeError> {
+    listener.local_addr().map_err(system_error(operation))
+}
+
+/// The socket on which clients connect.
+struct ClientListener {
+    listener: TcpListener,
+    /// Whether the platform handed it over, and other processes listen on it, too.
+    is_shared: bool,
+}
+
+impl ClientListener {
+    /// The socket that the platform handed over or, if it did not, one of the node's own.
+    async fn open(address: SocketAddr) -> Result<Self, NodeError> {
+        let inherited = inherited::listener()
+            .map_err(system_error("use the listening socket that it is handed"))?;
+        let is_shared = inherited.is_some();
+        let listener = match inherited {
+            Some(inherited) => TcpListener::from_std(inherited),
+            None => TcpListener::bind(address).await,
+        };
+        Ok(Self {
+            listener: listener.map_err(system_error(LISTEN_FOR_CLIENTS))?,
+            is_shared,
+        })
+    }
+}
+
+/// Starts to follow the platform's endpoint list and the Consul services that the operators configured. Returns where to
+/// send a changed address of the platform's discovery, and the followers of Consul.
+fn follow_endpoints(
+    dispatcher: &Rc<Dispatcher>,
+    config: &Config,
+    operator_config: &OperatorConfig,
+) -> (watch::Sender<SocketAddr>, Option<Rc<ConsulFollowers>>) {
+    let has_cached_list = !config.known.instances.is_empty();
+    let cached_generation = has_cached_list.then_some(config.known.generation);
+    let (discovery_address, addresses) = watch::channel(config.discovery);
+    let (updates, consul_followers) = endpoint_updates(dispatcher, config, operator_config);
+    let delivery = if config.push {
+        Delivery::Pushed {
+            grace: config.drain_grace,
+        }
+    } else {
+        Delivery::Subscribed
+    };
+    let follower = endpoint_list::follow(updates, addresses, delivery, cached_generation);
+    tokio::task::spawn_local(follower);
+    (discovery_address, consul_followers)
+}
+
+/// The path of endpoint updates to the dispatcher, with the Consul services that the operators configured.
 fn endpoint_updates(
-    driver: &Rc<Dispatcher>,
+    dispatcher: &Rc<Dispatcher>,
     config: &Config,
     operator_config: &OperatorConfig,
 ) -> (Rc<EndpointUpdates>, Option<Rc<ConsulFollowers>>) {
+    let dispatcher = Rc::clone(dispatcher);
     let Some(configured) = &operator_config.endpoint_sources else {
-        return (EndpointUpdates::direct(Rc::clone(driver)), None);
+        return (EndpointUpdates::direct(dispatcher), None);
     };
-    let updates =
-        EndpointUpdates::merged(Rc::clone(driver), configured.roster.clone(), &config.known);
+    let updates = EndpointUpdates::merged(dispatcher, configured.roster.clone(), &config.known);
     let consul_followers = ConsulFollowers::new(Rc::clone(&updates), config.seed);
     consul_followers.follow(&configured.consul);
     (updates, Some(consul_followers))
 }
 
-#[cfg(test)]
-mod tests;
+/// Starts what runs among several nodes, if the operators configured it.
+async fn start_cluster(
+    config: &Config,
+    operator_config: &OperatorConfig,
+    dispatcher: &Rc<Dispatcher>,
+) -> Result<Option<Rc<Cluster>>, NodeError> {
+    Cluster::start(
+        config,
+        operator_config.instances.as_ref(),
+        operator_config.leases.as_ref(),
+        operator_config.outlier_detection.as_ref(),
+        dispatcher,
+    )
+    .await
+    .map_err(NodeError::Cluster)
+}
+
+async fn start_admin_server(address: SocketAddr, server: AdminServer) -> Result<(), NodeError> {
+    let listener = TcpListener::bind(address)
+        .await
+        .map_err(system_error(LISTEN_FOR_OPERATORS))?;
+    let address = local_address(&listener, LISTEN_FOR_OPERATORS)?;
+    log::line(format_args!("admin server listens on {address}"));
+    tokio::task::spawn_local(admin_server::serve(listener, server));
+    Ok(())
+}
