--- a/src/node/config.rs
+++ b/src/node/config.rs
@@ -1,6 +1,11 @@
-//! What a node is told at its start: the file that `ROUTER_CONFIG` names.
+//! The platform's configuration: the file that the environment variable `ROUTER_CONFIG` names.
+//!
+//! [`raw`] has the file's types as they are written. [`Config::parse`] validates them; a [`Config`] is always usable.
+
+mod raw;
 
 use std::collections::HashMap;
+use std::error::Error;
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
 use std::time::Duration;
@@ -9,64 +14,90 @@
 use serde::Deserialize;
 use serde_json::Value;
 
+use self::raw::{RawConfig, RawNamed, RawSocketSettings};
 use crate::settings::{parse_settings, SettingsFormatError};
 use balancer::{DiscoveryMode, Settings};
 
-/// The variable that names the configuration file.
-const VARIABLE: &str = "ROUTER_CONFIG";
+/// The environment variable that names the configuration file.
+const CONFIG_VARIABLE: &str = "ROUTER_CONFIG";
+/// The longest duration that a setting may have: a day.
+const MAX_DURATION_MS: f64 = 86_400_000.0;
+/// The base of the seed's digits.
+const SEED_RADIX: u32 = 16;
 
 /// Why a configuration cannot be used.
 #[derive(Debug)]
 pub enum ConfigError {
-    /// The variable that names the file is not set.
+    /// The environment variable that names the file is not set.
     NoFile,
     /// The file cannot be read.
-    Unreadable(PathBuf, io::Error),
-    /// It is not the JSON that it should be.
+    Unreadable {
+        /// The file.
+        path: PathBuf,
+        /// The system's error.
+        source: io::Error,
+    },
+    /// It is not JSON, or does not have the types that it should have.
     Malformed(serde_json::Error),
-    /// A value makes no sense.
-    Value(&'static str, String),
-    /// The settings are not what the module takes.
+    /// A value is invalid.
+    InvalidValue {
+        /// The key of the value.
+        key: &'static str,
+        /// The value.
+        value: String,
+    },
+    /// The balancer's settings are invalid.
     Settings(SettingsFormatError),
 }
 
 impl fmt::Display for ConfigError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Self::NoFile => write!(f, "{VARIABLE} names no configuration file"),
-            Self::Unreadable(path, error) => write!(f, "cannot read {}: {error}", path.display()),
+            Self::NoFile => write!(f, "{CONFIG_VARIABLE} names no configuration file"),
+            Self::Unreadable { path, source } => {
+                write!(f, "cannot read {}: {source}", path.display())
+            }
             Self::Malformed(error) => write!(f, "the configuration is malformed: {error}"),
-            Self::Value(key, value) => {
-                write!(f, "the configuration's `{key}` makes no sense: {value}")
+            Self::InvalidValue { key, value } => {
+                write!(f, "the configuration's `{key}` is invalid: {value}")
             }
             Self::Settings(error) => {
-                write!(f, "the configuration's `settings` make no sense: {error}")
+                write!(f, "the configuration's `settings` are invalid: {error}")
             }
         }
     }
 }
 
-impl std::error::Error for ConfigError {}
+impl Error for ConfigError {
+    fn source(&self) -> Option<&(dyn Error + 'static)> {
+        match self {
+            Self::Unreadable { source, .. } => Some(source),
+            Self::Malformed(error) => Some(error),
+            Self::Settings(error) => Some(error),
+            Self::NoFile | Self::InvalidValue { .. } => None,
+        }
+    }
+}
 
 /// An endpoint list in the JSON form of the platform's discovery. Its entries are decoded one by one,
 /// so that a malformed one does not hide the others.
 #[derive(Clone, Debug, Default, Deserialize)]
 pub struct EndpointList {
-    /// Its version.
+    /// The version of the list.
     pub generation: u64,
-    /// Whether it is the whole list.
+    /// Whether this is the whole list, and not only what changed.
     #[serde(default)]
     pub reset: bool,
-    /// Its entries.
+    /// The entries, not decoded yet.
     #[serde(default)]
     pub instances: Vec<Value>,
 }
 
-/// What the process may use.
+/// The resources that the process may use.
 #[derive(Clone, Copy, Debug, Deserialize)]
 #[serde(default)]
 pub struct Limits {
-    /// File descriptors.
+    /// The number of file descriptors.
     pub sockets: usize,
     /// Memory, in MB.
     pub memory_mb: usize,
@@ -82,31 +113,32 @@
 }
 
 impl Limits {
-    /// Connections from clients: half of all.
+    /// The maximum number of connections from clients: half of all descriptors.
     #[must_use]
     pub fn client_connections(self) -> usize {
         (self.sockets / 2).max(1)
     }
 
-    /// Bytes of long requests that are held at a time: a quarter of the memory.
+    /// The maximum number of bytes of long uploads that are buffered at a time: a quarter of the memory.
     #[must_use]
-    pub fn long_requests(self) -> usize {
+    pub fn buffered_upload_bytes(self) -> usize {
         self.memory_mb.saturating_mul(1024 * 1024 / 4)
     }
 
-    /// Connections to servers: three eighths; what remains is for discovery and the system.
+    /// The maximum number of connections to servers: three eighths of all descriptors. What remains is for discovery and
+    /// the system.
     #[must_use]
     pub fn server_connections(self) -> usize {
         (self.sockets * 3 / 8).max(1)
     }
 }
 
-/// Names that stand for an index of the settings.
+/// Names, each of which stands for an index of the settings.
 #[derive(Clone, Debug, Default)]
 pub struct Names(HashMap<String, usize>);
 
 impl Names {
-    /// Numbers names in their order.
+    /// Assigns indexes to names in their order.
     #[must_use]
     pub fn new(names: impl IntoIterator<Item = String>) -> Self {
         Self(
@@ -118,7 +150,7 @@
         )
     }
 
-    /// The names, in the order of what they stand for.
+    /// The names in the order of their indexes.
     #[must_use]
     pub fn in_order(&self) -> Vec<String> {
         let mut names: Vec<_> = self.0.iter().collect();
@@ -144,204 +176,142 @@
 pub struct Config {
     /// The node's name.
     pub name: Option<String>,
-    /// Where clients connect.
+    /// The address on which clients connect.
     pub listen: SocketAddr,
-    /// Where operators call, and nobody else.
+    /// The address of the admin server, which only operators reach.
     pub control: Option<SocketAddr>,
-    /// Where discovery answers.
+    /// The address of the platform's discovery.
     pub discovery: SocketAddr,
-    /// Where datagrams of other nodes arrive.
+    /// The address on which datagrams of other nodes arrive.
     pub peer_listen: Option<SocketAddr>,
-    /// Where other nodes are reached by datagrams; its own address may be among them.
+    /// The addresses of other nodes for datagrams; the node's own may be among them.
     pub peers: Vec<SocketAddr>,
     /// Whether nodes may send one another datagrams.
     pub peers_allowed: bool,
-    /// Whether changes of the list come by themselves.
+    /// Whether discovery pushes changes of the endpoint list without being asked.
     pub push: bool,
-    /// For random numbers.
+    /// The seed of random numbers.
     pub seed: u64,
-    /// What the process may use.
+    /// The resources that the process may use.
     pub limits: Limits,
-    /// The list of servers as last held.
+    /// The endpoint list as cached from an earlier run.
     pub known: EndpointList,
-    /// The module's settings.
+    /// The balancer's settings.
     pub settings: Settings,
-    /// Classes of requests.
+    /// The names of the classes of requests.
     pub classes: Names,
-    /// Tenants; there may be none.
+    /// The names of the tenants; there may be none.
     pub tenants: Names,
-    /// Zones.
+    /// The names of the zones.
     pub zones: Names,
-    /// Machine kinds.
+    /// The names of the machine kinds.
     pub kinds: Names,
-    /// How long a connection may take to come up.
+    /// How long establishing a connection may take.
     pub dial_timeout: Duration,
-    /// How long a connection may stand idle.
-    pub idle_limit: Duration,
-    /// Requests that may be held at a time.
-    pub most_held: usize,
-    /// How long after word of a drain a send may still begin.
+    /// How long a connection may be idle.
+    pub idle_timeout: Duration,
+    /// The maximum number of requests in flight.
+    pub max_in_flight: usize,
+    /// How long after the notice of a drain a send to the server may still begin.
     pub drain_grace: Duration,
 }
 
-#[derive(Deserialize)]
-struct Raw {
-    #[serde(default)]
-    name: Option<String>,
-    #[serde(default)]
-    peer_listen: Option<String>,
-    #[serde(default)]
-    peers: Vec<String>,
-    listen: String,
-    discovery: String,
-    #[serde(default)]
-    control: Option<String>,
-    seed: String,
-    #[serde(default)]
-    limits: Limits,
-    #[serde(default)]
-    known: EndpointList,
-    settings: Value,
-}
-
-#[derive(Deserialize)]
-struct Named {
-    name: String,
-}
-
-/// The settings that concern the sockets alone; the module's own are read by `parse_settings`.
-#[derive(Deserialize)]
-#[serde(default)]
-struct SocketSettings {
-    classes: Vec<Named>,
-    parties: Vec<Named>,
-    zones: Vec<String>,
-    kinds: Vec<String>,
-    allowed: Allowed,
-    rules: Rules,
-}
-
-impl Default for SocketSettings {
-    fn default() -> Self {
-        let (classes, parties, zones, kinds) = Default::default();
-        Self {
-            classes,
-            parties,
-            zones,
-            kinds,
-            allowed: Allowed::default(),
-            rules: Rules::default(),
-        }
-    }
-}
-
-#[derive(Deserialize)]
-#[serde(default)]
-struct Allowed {
-    dial_timeout_ms: f64,
-    conn_idle_ms: f64,
-    most_held: usize,
-    peers: bool,
-}
-
-impl Default for Allowed {
-    fn default() -> Self {
-        Self {
-            dial_timeout_ms: 1_000.0,
-            conn_idle_ms: 60_000.0,
-            most_held: 20_000,
-            peers: false,
-        }
-    }
-}
-
-#[derive(Deserialize)]
-#[serde(default)]
-struct Rules {
-    drain_grace_ms: f64,
-}
-
-impl Default for Rules {
-    fn default() -> Self {
-        Self {
-            drain_grace_ms: 0.0,
-        }
-    }
-}
-
 impl Config {
-    /// Reads the file that the environment names.
+    /// Reads the file that the environment variable `ROUTER_CONFIG` names.
     ///
     /// # Errors
     ///
-    /// It is not there or cannot be used.
+    /// The variable is not set, or the file is unreadable or invalid.
     pub fn from_environment() -> Result<Self, ConfigError> {
-        let path = env::var_os(VARIABLE)
+        let path = env::var_os(CONFIG_VARIABLE)
             .filter(|path| !path.is_empty())
             .ok_or(ConfigError::NoFile)?;
         let path = Path::new(&path);
-        let text = fs::read_to_string(path)
-            .map_err(|error| ConfigError::Unreadable(path.to_owned(), error))?;
+        let text = fs::read_to_string(path).map_err(|source| ConfigError::Unreadable {
+            path: path.to_owned(),
+            source,
+        })?;
         Self::parse(&text)
     }
 
-    /// Reads a configuration.
+    /// Parses and validates a configuration.
     ///
     /// # Errors
     ///
-    /// It cannot be used.
+    /// It is malformed, or a value is invalid.
     pub fn parse(text: &str) -> Result<Self, ConfigError> {
-        let raw: Raw = serde_json::from_str(text).map_err(ConfigError::Malformed)?;
-        let mut settings = parse_settings(&raw.settings).map_err(ConfigError::Settings)?;
-        // This node cannot probe: the balancer is told so, and goes by the reports in answers alone.
-        settings.health_checks = false;
-        settings
-            .validate()
-            .map_err(|error| ConfigError::Settings(SettingsFormatError::OutOfRange(error)))?;
-        let sockets: SocketSettings =
+        let raw: RawConfig = serde_json::from_str(text).map_err(ConfigError::Malformed)?;
+        let settings = parse_balancer_settings(&raw.settings)?;
+        let sockets: RawSocketSettings =
             serde_json::from_value(raw.settings).map_err(ConfigError::Malformed)?;
-        let names = |named: Vec<Named>| Names::new(named.into_iter().map(|n| n.name));
+        let limits = sockets.limits;
         Ok(Self {
             name: raw.name,
-            // What a node has no use for must not keep it from serving: an address that cannot be read is none.
+            // A node must serve also where it has no use for other nodes: an invalid address of one is left out.
             peer_listen: raw.peer_listen.and_then(|at| at.parse().ok()),
             peers: raw.peers.iter().filter_map(|at| at.parse().ok()).collect(),
-            peers_allowed: sockets.allowed.peers,
-            listen: address("listen", &raw.listen)?,
+            peers_allowed: limits.peers_allowed,
+            listen: parse_address("listen", &raw.listen)?,
             control: raw
                 .control
                 .as_deref()
-                .map(|at| address("control", at))
+                .map(|at| parse_address("control", at))
                 .transpose()?,
-            discovery: address("discovery", &raw.discovery)?,
+            discovery: parse_address("discovery", &raw.discovery)?,
             push: settings.discovery == DiscoveryMode::Push,
-            seed: u64::from_str_radix(&raw.seed, 16)
-                .map_err(|_| ConfigError::Value("seed", raw.seed))?,
+            seed: parse_seed(raw.seed)?,
             limits: raw.limits,
             known: raw.known,
             settings,
             classes: names(sockets.classes),
-            tenants: names(sockets.parties),
+            tenants: names(sockets.tenants),
             zones: Names::new(sockets.zones),
-            kinds: Names::new(sockets.kinds),
-            dial_timeout: duration("dial_timeout_ms", sockets.allowed.dial_timeout_ms)?,
-            idle_limit: duration("conn_idle_ms", sockets.allowed.conn_idle_ms)?,
-            most_held: sockets.allowed.most_held,
-            drain_grace: duration("drain_grace_ms", sockets.rules.drain_grace_ms)?,
+            kinds: Names::new(sockets.machine_kinds),
+            dial_timeout: parse_duration("dial_timeout_ms", limits.dial_timeout_ms)?,
+            idle_timeout: parse_duration("conn_idle_ms", limits.idle_timeout_ms)?,
+            max_in_flight: limits.max_in_flight,
+            drain_grace: parse_duration("drain_grace_ms", sockets.rules.drain_grace_ms)?,
         })
     }
 }
 
-fn address(key: &'static str, text: &str) -> Result<SocketAddr, ConfigError> {
-    text.parse()
-        .map_err(|_| ConfigError::Value(key, text.to_owned()))
+/// The settings of the balancer, without health checks: this node cannot make any, and the balancer relies on the load
+/// reports in responses alone.
+fn parse_balancer_settings(settings: &Value) -> Result<Settings, ConfigError> {
+    let mut settings = parse_settings(settings).map_err(ConfigError::Settings)?;
+    settings.health_checks = false;
+    settings
+        .validate()
+        .map_err(|error| ConfigError::Settings(SettingsFormatError::OutOfRange(error)))?;
+    Ok(settings)
+}
+
+fn names(named: Vec<RawNamed>) -> Names {
+    Names::new(named.into_iter().map(|named| named.name))
+}
+
+fn parse_address(key: &'static str, text: &str) -> Result<SocketAddr, ConfigError> {
+    text.parse().map_err(|_| ConfigError::InvalidValue {
+        key,
+        value: text.to_owned(),
+    })
 }
 
-/// A time in milliseconds, a day at the most.
-fn duration(key: &'static str, ms: f64) -> Result<Duration, ConfigError> {
-    if ms.is_finite() && (0.0..=86_400_000.0).contains(&ms) {
+fn parse_seed(text: String) -> Result<u64, ConfigError> {
+    u64::from_str_radix(&text, SEED_RADIX).map_err(|_| ConfigError::InvalidValue {
+        key: "seed",
+        value: text,
+    })
+}
+
+/// A duration in milliseconds, at most [`MAX_DURATION_MS`].
+fn parse_duration(key: &'static str, ms: f64) -> Result<Duration, ConfigError> {
+    if (0.0..=MAX_DURATION_MS).contains(&ms) {
         Ok(Duration::from_secs_f64(ms / 1e3))
     } else {
-        Err(ConfigError::Value(key, ms.to_string()))
+        Err(ConfigError::InvalidValue {
+            key,
+            value: ms.to_string(),
+        })
     }
 }
--- a/src/node/dispatcher/mod.rs
+++ b/src/node/dispatcher/mod.rs
@@ -94,7 +94,7 @@
             servers: Servers::new(config, configured_addresses, pool_limits, clock),
             server_ids: RefCell::default(),
             max_attempts: config.settings.max_attempts,
-            max_in_flight: config.most_held,
+            max_in_flight: config.max_in_flight,
             next_request: Cell::new(0),
             in_flight: RefCell::default(),
             events: RefCell::default(),
--- a/src/node/downstream/clients.rs
+++ b/src/node/downstream/clients.rs
@@ -132,7 +132,7 @@
     /// Through a listening socket of the node's own, with no drain.
     #[must_use]
     pub fn own(phases: watch::Receiver<Phase>, most: usize) -> Self {
-        let max_buffered_upload_bytes = Limits::default().long_requests();
+        let max_buffered_upload_bytes = Limits::default().buffered_upload_bytes();
         Self {
             phases,
             drain: Rc::default(),
--- a/src/node/mod.rs
+++ b/src/node/mod.rs
@@ -142,7 +142,7 @@
     let (phase, phases) = watch::channel(Phase::Serving);
     let front_options = FrontOptions {
         is_shared,
-        max_buffered_upload_bytes: config.limits.long_requests(),
+        max_buffered_upload_bytes: config.limits.buffered_upload_bytes(),
         ..FrontOptions::own(phases, config.limits.client_connections())
     };
     if let Some(address) = config.control {
--- a/src/node/upstream/servers.rs
+++ b/src/node/upstream/servers.rs
@@ -127,7 +127,7 @@
                 .unwrap_or(defaults.slow_start_dials_per_s),
             dial_ahead: pool_limits.dial_ahead,
             dial_timeout_ms: ms(config.dial_timeout),
-            idle_timeout_ms: ms(config.idle_limit),
+            idle_timeout_ms: ms(config.idle_timeout),
         };
         Rc::new(Self {
             pool: RefCell::new(Pool::new(limits)),
