--- a/src/lib.rs
+++ b/src/lib.rs
@@ -4,12 +4,7 @@
 
 #![allow(
     clippy::match_same_arms,
-    clippy::needless_for_each,
-    clippy::needless_pass_by_value,
-    clippy::option_option,
-    clippy::struct_field_names,
-    clippy::too_many_lines,
-    reason = "this file is still to be rewritten: docs/ROADMAP.md, Readability"
+    reason = "only node::downstream, which is still to be rewritten: docs/ROADMAP.md, Readability"
 )]
 
 pub mod node;
--- a/src/node/dispatcher/attempts.rs
+++ b/src/node/dispatcher/attempts.rs
@@ -10,7 +10,7 @@
 use super::Dispatcher;
 use crate::node::upstream::servers::Underway;
 use crate::node::upstream::{Ended, Served};
-use balancer::{AttemptResult, Event, Outcome, RequestId, ServerId};
+use balancer::{AttemptResult, Event, LoadReport, Outcome, RequestId, ServerId};
 
 /// Receives the key by which other nodes know a server, and how an attempt there ended.
 pub(super) type AttemptObserver = Rc<dyn Fn(u64, AttemptResult)>;
@@ -57,7 +57,7 @@
         if !self.may_send(request, attempt, now) {
             drop(in_flight);
             let result = AttemptResult::NotSent;
-            return self.report_outcome(number, attempt, Duration::ZERO, result.into());
+            return self.report_outcome(number, attempt, Duration::ZERO, result, None);
         }
         let message = Rc::clone(&request.message);
         // A retry whose connection comes up late must not be sent either: what counts is when it is sent.
@@ -129,7 +129,7 @@
                 .streaming_after
                 .unwrap_or_else(|| current.sent_at.elapsed())
         };
-        self.report_outcome(number, attempt, elapsed, ended);
+        self.report_outcome(number, attempt, elapsed, ended.ending, ended.report);
     }
 
     /// Reports to the balancer how an attempt ended.
@@ -138,13 +138,14 @@
         number: u64,
         attempt: usize,
         elapsed: Duration,
-        ended: Ended,
+        result: AttemptResult,
+        report: Option<LoadReport>,
     ) {
         let complete = {
             let mut in_flight = self.in_flight.borrow_mut();
             let mut request = in_flight.get_mut(&number);
             if let Some(request) = &mut request {
-                if ended.ending.may_have_run() {
+                if result.may_have_run() {
                     request.start_retry_window(elapsed);
                 }
             }
@@ -155,9 +156,9 @@
             request: RequestId(number),
             attempt,
             elapsed_ms: elapsed.as_secs_f64() * 1e3,
-            result: ended.ending,
+            result,
             complete,
-            report: ended.report,
+            report,
         }));
     }
 
@@ -186,7 +187,8 @@
                 number,
                 attempt,
                 cancelled.sent_at.elapsed(),
-                AttemptResult::Cancelled.into(),
+                AttemptResult::Cancelled,
+                None,
             );
         }
     }
--- a/src/node/dispatcher/in_flight.rs
+++ b/src/node/dispatcher/in_flight.rs
@@ -221,7 +221,8 @@
                 number,
                 attempt.number,
                 attempt.sent_at.elapsed(),
-                AttemptResult::TimedOut.into(),
+                AttemptResult::TimedOut,
+                None,
             );
         }
         let is_unanswered = self
--- a/src/node/dispatcher/mod.rs
+++ b/src/node/dispatcher/mod.rs
@@ -134,7 +134,7 @@
                 .borrow_mut()
                 .handle(self.clock.now_ms(), event, &mut actions);
             for action in actions.drain(..) {
-                self.execute(action);
+                self.execute(&action);
             }
         }
         self.is_handling.set(false);
@@ -144,8 +144,8 @@
         self.events.borrow_mut().pop_front()
     }
 
-    fn execute(self: &Rc<Self>, action: Action) {
-        match action {
+    fn execute(self: &Rc<Self>, action: &Action) {
+        match *action {
             Action::Send { request, server } => self.send(request.0, server),
             Action::Cancel { request, attempt } => self.cancel(request.0, attempt),
             Action::Reject {
@@ -157,7 +157,7 @@
             Action::CloseIdle { server } => self.servers.close_idle(server),
             Action::Subscribe => self.subscribe.notify_one(),
             Action::HealthCheck { server } => self.reject_health_check(server),
-            Action::Log(event) => log::line(event),
+            Action::Log(ref event) => log::line(event),
         }
     }
 
