--- a/tests/node.rs
+++ b/tests/node.rs
@@ -1,10 +1,8 @@
 //! The node as its clients, its servers, discovery and the platform see it, over loopback sockets.
 
-#![allow(
-    clippy::format_collect,
-    reason = "this file is still to be rewritten: docs/ROADMAP.md, Readability"
-)]
-
+use std::fmt::Write as _;
+use std::future::Future;
+use std::net::SocketAddr;
 use std::process::Stdio;
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::sync::Arc;
@@ -15,11 +13,13 @@
 use silverthread::node::downstream::clients::{serve, FrontOptions, Phase};
 use testkit::*;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
+use tokio::sync::watch;
+use tokio::task::JoinHandle;
 
 const KEY: &str = "Idempotency-Key: 5c0f\r\n";
 
 #[test]
-fn a_request_goes_on_unchanged_and_so_does_the_answer() {
+fn request_and_response_are_forwarded_unchanged() {
     let server = Server::start(|_| {
         Reply::Say(answer(
             "200 OK",
@@ -50,7 +50,7 @@
 }
 
 #[test]
-fn a_request_line_that_names_the_host_is_sent_on_by_path() {
+fn absolute_form_request_is_forwarded_in_origin_form() {
     let server = Server::start(|_| Reply::ok("yes"));
     let (node, _discovery, _watch) = Node::with(&[&server], 15_000);
     let absolute = read("a", "15000m").replace("GET /api", "GET http://service.internal/api");
@@ -59,7 +59,7 @@
 }
 
 #[test]
-fn connections_are_kept_on_both_sides() {
+fn connections_to_client_and_server_are_reused() {
     let server = Server::start(|_| Reply::ok("yes"));
     let (node, _discovery, _watch) = Node::with(&[&server], 15_000);
     let mut client = node.connect();
@@ -73,7 +73,7 @@
 }
 
 #[test]
-fn what_makes_no_sense_is_told_so_and_sent_nowhere() {
+fn invalid_request_is_rejected_and_not_forwarded() {
     let server = Server::start(|_| Reply::ok("yes"));
     let (node, _discovery, _watch) = Node::with(&[&server], 15_000);
     let good = read("a", "480m");
@@ -114,7 +114,7 @@
 }
 
 #[test]
-fn a_body_of_64_kib_passes() {
+fn body_of_64_kib_is_forwarded_whole() {
     let server = Server::start(|request| Reply::ok(&"y".repeat(request.body.len())));
     let (node, _discovery, _watch) = Node::with(&[&server], 15_000);
     let served = node.ask(&post("a", "pay", "", &"x".repeat(64 * 1024)));
@@ -123,7 +123,7 @@
 
 /// Guards against a request that is taken to have run where it has not: an unsafe one would be lost.
 #[test]
-fn what_never_ran_is_sent_again_whatever_its_class() {
+fn declined_request_is_retried_even_if_not_idempotent() {
     let seen = AtomicUsize::new(0);
     let server = Server::start(move |_| match seen.fetch_add(1, Ordering::SeqCst) {
         0 => Reply::Say(answer("503 Service Unavailable", "Srv-Declined: 1\r\n", "")),
@@ -135,7 +135,7 @@
 }
 
 #[test]
-fn a_server_that_cannot_be_reached_never_ran_it() {
+fn request_to_unreachable_server_is_retried_elsewhere() {
     let server = Server::start(|_| Reply::ok("yes"));
     let nobody = Unreachable::start();
     let discovery = Discovery::start();
@@ -161,7 +161,7 @@
 /// Guards against a second effect: what broke after the last byte may have run, and an unsafe request is then
 /// neither sent again nor called refused.
 #[test]
-fn what_may_have_run_is_not_repeated_where_that_is_unsafe() {
+fn non_idempotent_request_that_may_have_run_is_not_retried() {
     for reply in [
         Reply::Close,
         Reply::Say(answer("500 Oops", "", "")),
@@ -175,7 +175,7 @@
 }
 
 #[test]
-fn a_503_that_is_not_declined_may_have_run() {
+fn undeclined_503_counts_as_may_have_run_and_is_not_retried() {
     let server = Server::start(|_| Reply::Say(answer("503 Service Unavailable", "", "")));
     let (node, _discovery, _watch) = Node::with(&[&server], 15_000);
     assert_eq!(node.ask(&post("a", "pay", "", "x")).status(), 502);
@@ -183,7 +183,7 @@
 }
 
 #[test]
-fn an_answer_that_is_cut_short_or_too_large_is_not_passed_on() {
+fn truncated_or_oversized_response_is_not_forwarded() {
     let mut cut = answer("200 OK", "", "rooms: 3\n");
     cut.pop();
     let large = b"HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\nyyy".to_vec();
@@ -196,8 +196,11 @@
 
 /// Guards against answers that are taken for spoilt because they are large, and asked for again from others in vain.
 #[test]
-fn a_large_answer_is_passed_on_whole() {
-    let body: String = (0..60_000).map(|n| format!("{n:06} ")).collect();
+fn large_response_is_forwarded_whole() {
+    let body = (0..60_000).fold(String::new(), |mut body, n| {
+        write!(body, "{n:06} ").expect("a string takes all");
+        body
+    });
     let reply = answer("200 OK", "", &body);
     let server = Server::start(move |_| Reply::Say(reply.clone()));
     let (node, _discovery, _watch) = Node::with(&[&server], 15_000);
@@ -214,7 +217,7 @@
 }
 
 #[test]
-fn load_reports_that_make_no_sense_are_survived() {
+fn malformed_load_reports_are_tolerated() {
     for load in [
         "TEXT inflight=x",
         "TEXT inflight",
@@ -233,7 +236,7 @@
 /// Guards against a request on a connection that its server has closed: it would end as a reset, which an
 /// unsafe request does not survive.
 #[test]
-fn a_connection_that_its_server_closed_is_not_used_again() {
+fn connection_closed_by_server_is_not_reused() {
     let server = Server::start(|_| Reply::SayAndClose(answer("200 OK", "", "yes")));
     let (node, _discovery, _watch) = Node::with(&[&server], 15_000);
     for n in 1..=5 {
@@ -249,7 +252,7 @@
 
 /// Guards against a request that is held past its time by a server that took it and fell silent.
 #[test]
-fn a_silent_server_is_waited_for_until_the_deadline_and_no_longer() {
+fn request_to_silent_server_fails_at_its_deadline() {
     let server = Server::start(|_| Reply::Silence);
     let (node, _discovery, _watch) = Node::with(&[&server], 15_000);
     let start = Instant::now();
@@ -268,7 +271,7 @@
 }
 
 #[test]
-fn a_client_that_hangs_up_ends_the_attempt() {
+fn attempt_is_aborted_when_its_client_disconnects() {
     let server = Server::start(|_| Reply::Silence);
     let (node, _discovery, _watch) = Node::with(&[&server], 15_000);
     let mut client = node.connect();
@@ -280,7 +283,7 @@
 
 /// Guards against clients that wait in the system's queue while others keep connections they do not use.
 #[test]
-fn connections_between_requests_make_room_for_new_ones() {
+fn idle_client_connections_are_evicted_for_new_ones() {
     let discovery = Discovery::start();
     let small =
         config(discovery.address, &list(1, true, &[]), &settings(15_000)).replace("1024", "8");
@@ -295,7 +298,7 @@
 }
 
 #[test]
-fn a_body_that_does_not_come_is_not_waited_for_without_end() {
+fn incomplete_body_times_out_with_408() {
     let (node, _discovery, _watch) = Node::with(&[], 300);
     let whole = post("a", "pay", "", "xx");
     assert_eq!(node.ask(&whole[..whole.len() - 1]).status(), 408);
@@ -303,7 +306,7 @@
 
 /// Guards against clients that are sent away with no word of when there may be room.
 #[test]
-fn a_refusal_for_want_of_room_says_when_to_come_back() {
+fn rejection_for_lack_of_capacity_has_retry_after() {
     let slow = Server::start(|_| {
         std::thread::sleep(Duration::from_secs(1));
         Reply::ok("slow")
@@ -329,7 +332,7 @@
 /// Guards against refusals beside a far server: its answers take most of what a request may wait for, and it has
 /// room for more than one all the same.
 #[test]
-fn a_far_server_is_sent_more_than_one_request_at_a_time() {
+fn server_with_high_latency_gets_concurrent_requests() {
     let seen = Arc::new(AtomicUsize::new(0));
     let counted = Arc::clone(&seen);
     let server = Server::start(move |_| {
@@ -356,13 +359,13 @@
 }
 
 #[test]
-fn with_no_server_the_answer_is_a_refusal() {
+fn request_without_any_server_is_rejected() {
     let (node, _discovery, _watch) = Node::with(&[], 15_000);
     assert_eq!(node.ask(&read("a", "15000m")).status(), 503);
 }
 
 #[test]
-fn a_change_that_comes_in_pieces_is_followed() {
+fn endpoint_change_received_in_pieces_is_applied() {
     let (old, new) = (
         Server::start(|_| Reply::ok("old")),
         Server::start(|_| Reply::ok("new")),
@@ -401,7 +404,7 @@
 /// Guards against a clock near zero: to the balancer a server that was never heard of was last heard of at zero,
 /// and for the first seconds it refused requests that such a server could have taken.
 #[test]
-fn a_node_that_has_just_started_tries_servers_that_it_never_heard_of() {
+fn new_node_uses_servers_without_any_report_yet() {
     let slow = Server::start(|_| {
         std::thread::sleep(Duration::from_secs(2));
         Reply::ok("slow")
@@ -430,7 +433,7 @@
 }
 
 #[test]
-fn a_full_list_replaces_all_and_bad_entries_are_passed_over() {
+fn full_endpoint_list_replaces_all_and_skips_malformed_entries() {
     let (old, new) = (
         Server::start(|_| Reply::ok("old")),
         Server::start(|_| Reply::ok("new")),
@@ -456,7 +459,7 @@
 /// Guards against a server that gets what was meant for the one before it at its address: the list tells of the new
 /// one before it tells that the old one is gone.
 #[test]
-fn a_new_server_at_an_old_ones_address_does_not_get_its_connections() {
+fn new_server_at_a_reused_address_gets_new_connections() {
     let server = Server::start(|_| Reply::ok("yes"));
     if server.path.is_some() {
         return; // The operators name the path, and no list moves a server away from it.
@@ -492,7 +495,7 @@
 }
 
 #[test]
-fn a_watch_that_ends_is_opened_again_from_where_it_was() {
+fn ended_watch_is_reopened_from_its_last_generation() {
     let server = Server::start(|_| Reply::ok("yes"));
     let (node, discovery, mut watch) = Node::with(&[&server], 15_000);
     watch.say(&format!("{}\n", list(5, false, &[])));
@@ -519,7 +522,7 @@
 }
 
 #[test]
-fn a_silent_watch_is_opened_again() {
+fn silent_watch_is_reopened() {
     let server = Server::start(|_| Reply::ok("yes"));
     let (_node, discovery, mut watch) = Node::with(&[&server], 15_000);
     watch.fall_silent();
@@ -539,7 +542,7 @@
 
 /// Guards against requests lost at a planned restart.
 #[test]
-fn sigterm_ends_the_program_once_all_is_answered() {
+fn sigterm_ends_the_process_once_all_requests_are_answered() {
     let (go, server) = gated();
     let (mut node, _discovery, _watch) = Node::with(&[&server], 15_000);
     let (mut held, mut between) = (node.connect(), node.connect());
@@ -562,26 +565,53 @@
     assert_eq!(node.wait().code(), Some(0));
 }
 
-/// Guards against requests lost between SIGTERM and the moment at which the front notices: new connections come
-/// until then, and what they carry is taken and answered; and against clients that are sent away from the one node
-/// that is there. The phases are set by hand, so that no clock decides.
-#[test]
-fn connections_are_served_and_kept_while_a_node_hands_over() {
-    let nowhere = Unreachable::start();
-    let text = config(nowhere.address, &list(1, true, &[]), &settings(15_000));
+/// Runs a test on one thread, as a node runs.
+fn run_locally(test: impl Future<Output = ()>) {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .build()
         .expect("a runtime");
-    tokio::task::LocalSet::new().block_on(&runtime, async {
-        let driver = Dispatcher::start(&Config::parse(&text).expect("sound")).expect("sound");
+    tokio::task::LocalSet::new().block_on(&runtime, test);
+}
+
+/// A node in the test's own process, whose phases the test sets.
+struct LocalNode {
+    address: SocketAddr,
+    phase: watch::Sender<Phase>,
+    serving: JoinHandle<()>,
+}
+
+impl LocalNode {
+    async fn start(config: &str, max_connections: usize) -> Self {
+        let config = Config::parse(config).expect("a valid configuration");
+        let dispatcher = Dispatcher::start(&config).expect("valid settings");
         let listener = tokio::net::TcpListener::bind("127.0.0.1:0")
             .await
             .expect("a port");
         let address = listener.local_addr().expect("an address");
-        let (phase, phases) = tokio::sync::watch::channel(Phase::Serving);
-        let serving =
-            tokio::task::spawn_local(serve(listener, driver, FrontOptions::own(phases, 16)));
+        let (phase, phases) = watch::channel(Phase::Serving);
+        let options = FrontOptions::own(phases, max_connections);
+        Self {
+            address,
+            phase,
+            serving: tokio::task::spawn_local(serve(listener, dispatcher, options)),
+        }
+    }
+}
+
+/// Guards against requests lost between SIGTERM and the moment at which the front notices: new connections come
+/// until then, and what they carry is taken and answered; and against clients that are sent away from the one node
+/// that is there. The phases are set by hand, so that no clock decides.
+#[test]
+fn draining_node_accepts_and_keeps_connections_until_shutdown() {
+    let nowhere = Unreachable::start();
+    let text = config(nowhere.address, &list(1, true, &[]), &settings(15_000));
+    run_locally(async {
+        let LocalNode {
+            address,
+            phase,
+            serving,
+        } = LocalNode::start(&text, 16).await;
         let by = Instant::now() + PATIENCE;
         phase.send_replace(Phase::Draining(by));
         let mut client = tokio::net::TcpStream::connect(address)
@@ -630,22 +660,12 @@
 /// Guards against clients that give up a node which hands over because each connection that they have to it is in use:
 /// it gets no further ones. Some are kept free, by refusals at once, and those say when to come back.
 #[test]
-fn a_node_that_hands_over_keeps_some_connections_free() {
+fn draining_node_rejects_requests_to_keep_connections_free() {
     let (go, server) = gated();
     let known = list(1, true, &[server.entry("s-0", "ready")]);
     let text = config(Unreachable::start().address, &known, &settings(60_000));
-    let runtime = tokio::runtime::Builder::new_current_thread()
-        .enable_all()
-        .build()
-        .expect("a runtime");
-    tokio::task::LocalSet::new().block_on(&runtime, async {
-        let driver = Dispatcher::start(&Config::parse(&text).expect("sound")).expect("sound");
-        let listener = tokio::net::TcpListener::bind("127.0.0.1:0")
-            .await
-            .expect("a port");
-        let address = listener.local_addr().expect("an address");
-        let (phase, phases) = tokio::sync::watch::channel(Phase::Serving);
-        tokio::task::spawn_local(serve(listener, driver, FrontOptions::own(phases, 64)));
+    run_locally(async {
+        let LocalNode { address, phase, .. } = LocalNode::start(&text, 64).await;
         let mut clients = Vec::new();
         for _ in 0..12 {
             let mut client = tokio::net::TcpStream::connect(address)
@@ -692,21 +712,11 @@
 
 /// Guards against clients that are sent away while a node hands over: they get no further connections to it.
 #[test]
-fn a_node_that_hands_over_ends_no_connection_to_keep_some_free() {
+fn draining_node_closes_no_idle_connection() {
     let nowhere = Unreachable::start();
     let text = config(nowhere.address, &list(1, true, &[]), &settings(15_000));
-    let runtime = tokio::runtime::Builder::new_current_thread()
-        .enable_all()
-        .build()
-        .expect("a runtime");
-    tokio::task::LocalSet::new().block_on(&runtime, async {
-        let driver = Dispatcher::start(&Config::parse(&text).expect("sound")).expect("sound");
-        let listener = tokio::net::TcpListener::bind("127.0.0.1:0")
-            .await
-            .expect("a port");
-        let address = listener.local_addr().expect("an address");
-        let (phase, phases) = tokio::sync::watch::channel(Phase::Serving);
-        tokio::task::spawn_local(serve(listener, driver, FrontOptions::own(phases, 8)));
+    run_locally(async {
+        let LocalNode { address, phase, .. } = LocalNode::start(&text, 8).await;
         tokio::task::yield_now().await; // It has begun to listen for phases.
         phase.send_replace(Phase::Draining(Instant::now() + 3 * PATIENCE));
         let mut clients = Vec::new();
@@ -730,7 +740,7 @@
 
 /// Guards against SIGHUP ending the process, and against a node that stays with a discovery of the past.
 #[test]
-fn sighup_moves_the_watch_to_the_discovery_of_the_new_file() {
+fn sighup_moves_the_watch_to_the_newly_configured_discovery() {
     let servers: Vec<_> = (0..3)
         .map(|n| Server::start(move |_| Reply::ok(&n.to_string())))
         .collect();
@@ -780,7 +790,7 @@
 
 /// Guards against changes that are taken as following on a list which they know nothing of.
 #[test]
-fn a_version_that_goes_back_makes_the_node_ask_for_the_whole_list() {
+fn generation_that_goes_back_triggers_a_full_list_request() {
     let server = Server::start(|_| Reply::ok("yes"));
     let (_node, discovery, mut watch) = Node::with(&[&server], 15_000);
     watch.say(&format!("{}\n", list(9, false, &[])));
@@ -789,7 +799,7 @@
 }
 
 #[test]
-fn a_broken_configuration_ends_with_one_line() {
+fn invalid_configuration_ends_the_process_with_one_line() {
     let good = config(
         "127.0.0.1:1".parse().expect("an address"),
         &list(1, true, &[]),
