--- a/src/node/clock.rs
+++ b/src/node/clock.rs
@@ -1,18 +1,18 @@
-//! The node's clock, and an alarm by it.
+//! The node's clock, and an alarm for state machines that have no clock of their own.
 
 use std::cell::Cell;
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
 use tokio::sync::Notify;
 
-/// The longest sleep between two looks at the clock.
-const LONGEST_SLEEP: Duration = Duration::from_secs(3_600);
+/// The longest sleep between two reads of the clock.
+const MAX_SLEEP: Duration = Duration::from_secs(3_600);
 
-/// Unix time at the start and what has passed since, which the system's steps do not move: it never runs backwards.
-/// When servers started is told in the same time.
+/// A monotonic clock in Unix time: the Unix time at the start plus the time since, which steps of the system's clock do
+/// not move. The start times of servers are on the same scale.
 ///
-/// It must not count from the start: to the balancer a server that it has never heard of was last heard of at
-/// zero, so a clock near zero would make all servers look heard of just now, and idle ones are then not tried.
+/// It must not count from zero: the balancer treats a server without any report as last reported at zero. With a clock
+/// near zero all servers would seem to have just reported, and idle ones would not be tried.
 #[derive(Clone, Copy, Debug)]
 pub struct Clock {
     start: Instant,
@@ -32,14 +32,14 @@
         }
     }
 
-    /// The time, in milliseconds.
+    /// The time, in milliseconds of Unix time.
     #[must_use]
     pub fn now_ms(self) -> f64 {
         self.start_ms + self.start.elapsed().as_secs_f64() * 1e3
     }
 }
 
-/// When something without a clock of its own wants to be called.
+/// A single alarm, for a state machine that wants to be called at a time of its own.
 #[derive(Debug)]
 pub struct Alarm {
     at_ms: Cell<f64>,
@@ -47,7 +47,7 @@
 }
 
 impl Alarm {
-    /// One that is not set.
+    /// An alarm that is not set.
     #[must_use]
     pub fn new() -> Self {
         Self {
@@ -56,13 +56,13 @@
         }
     }
 
-    /// It is to ring at this time, and at no other.
+    /// Sets the alarm, in milliseconds of the clock that [`rings`](Self::rings) reads. Replaces the time set before.
     pub fn set(&self, at_ms: f64) {
         self.at_ms.set(at_ms);
         self.changed.notify_one();
     }
 
-    /// Waits until it rings; from then on it is not set.
+    /// Waits until the alarm rings; from then on it is not set. Cancel safe: until it has rung it stays set.
     pub async fn rings(&self, now_ms: impl Fn() -> f64) {
         loop {
             let left_ms = self.at_ms.get() - now_ms();
@@ -70,8 +70,8 @@
                 return self.at_ms.set(f64::INFINITY);
             }
             let left = Duration::try_from_secs_f64(left_ms / 1e3)
-                .unwrap_or(LONGEST_SLEEP)
-                .min(LONGEST_SLEEP);
+                .unwrap_or(MAX_SLEEP)
+                .min(MAX_SLEEP);
             tokio::select! {
                 () = tokio::time::sleep(left) => {}
                 () = self.changed.notified() => {}
