--- a/examples/demo.rs
+++ b/examples/demo.rs
@@ -2,7 +2,7 @@
 //! demo`. It prints how to send requests to the node, and each second what it does; every ten seconds Consul drains
 //! another server. Ctrl-C ends it.
 
-use std::net::TcpListener;
+use std::net::{SocketAddr, TcpListener};
 use std::thread;
 use std::time::Duration;
 
@@ -14,9 +14,10 @@
 
 const SERVERS: usize = 5;
 const CLIENTS: usize = 4;
-const PAUSE: Duration = Duration::from_millis(2);
-/// Another server drains after so many seconds.
-const DRAIN_S: usize = 10;
+/// How long each client pauses between two requests.
+const CLIENT_PAUSE: Duration = Duration::from_millis(2);
+/// Interval at which Consul drains another server.
+const DRAIN_INTERVAL_S: usize = 10;
 
 fn main() -> Result<(), Box<dyn std::error::Error>> {
     let servers: Vec<_> = (0..SERVERS)
@@ -48,27 +49,14 @@
         consul.address
     );
     let operator_config = OperatorConfig::parse("demo.toml".as_ref(), &file)?;
-    let node = thread::spawn(|| {
-        run(
-            config,
-            NodeOptions {
-                operator_config,
-                config_path: None,
-            },
-        )
-        .map_err(|error| error.to_string())
-    });
-    println!(
-        "a node serves on {address}, and a fake Consul agent on {}",
-        consul.address
-    );
-    println!("ask it:   curl -i -H 'Req-Id: me1' -H 'Req-Kind: read' -H 'Req-Deadline: 1000m' http://{address}/api");
-    println!(
-        "drain:    curl -X PUT 'http://{}/v1/agent/service/maintenance/s-0?enable=true'",
-        consul.address
-    );
+    let options = NodeOptions {
+        operator_config,
+        config_path: None,
+    };
+    let node = thread::spawn(|| run(config, options).map_err(|error| error.to_string()));
+    print_usage(address, &consul);
     let _watch = discovery.watch();
-    let load = Load::start(address, CLIENTS, PAUSE);
+    let load = Load::start(address, CLIENTS, CLIENT_PAUSE);
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .build()?;
@@ -78,12 +66,25 @@
         "{} requests, {} lost, answers {:?}",
         totals.sent, totals.lost, totals.answers
     );
-    println!("the node hands over and ends ...");
+    println!("the node shuts down ...");
     node.join().map_err(|_| "the node panicked")??;
     Ok(())
 }
 
-/// A line each second until Ctrl-C.
+/// Prints how to send requests to the node and how to drain a server.
+fn print_usage(address: SocketAddr, consul: &Consul) {
+    println!(
+        "a node serves on {address}, and a fake Consul agent on {}",
+        consul.address
+    );
+    println!("ask it:   curl -i -H 'Req-Id: me1' -H 'Req-Kind: read' -H 'Req-Deadline: 1000m' http://{address}/api");
+    println!(
+        "drain:    curl -X PUT 'http://{}/v1/agent/service/maintenance/s-0?enable=true'",
+        consul.address
+    );
+}
+
+/// Prints a line each second until Ctrl-C.
 async fn watch(load: &Load, servers: &[Server], consul: &Consul) {
     let mut seconds = tokio::time::interval(Duration::from_secs(1));
     let mut before = (load.totals().sent, vec![0; servers.len()]);
@@ -92,8 +93,8 @@
             _ = tokio::signal::ctrl_c() => return,
             _ = seconds.tick() => {}
         }
-        if second % DRAIN_S == 0 {
-            let at = second / DRAIN_S;
+        if second % DRAIN_INTERVAL_S == 0 {
+            let at = second / DRAIN_INTERVAL_S;
             consul.set_maintenance(&format!("s-{}", (at + SERVERS - 1) % SERVERS), false);
             consul.set_maintenance(&format!("s-{}", at % SERVERS), true);
         }
@@ -109,7 +110,7 @@
             totals.sent - before.0,
             totals.quantile(0.99).as_secs_f64() * 1e3,
             totals.lost,
-            second / DRAIN_S % SERVERS
+            second / DRAIN_INTERVAL_S % SERVERS
         );
         before = (totals.sent, now);
     }
