--- a/src/node/dispatcher/in_flight.rs
+++ b/src/node/dispatcher/in_flight.rs
@@ -86,6 +86,27 @@
 }
 
 impl InFlightRequest {
+    /// A request without any attempt, and where its final response arrives.
+    fn new(
+        message: Message,
+        deadline: Instant,
+        timeout_after_upload: Option<Duration>,
+        retry_window: Option<Duration>,
+    ) -> (Self, oneshot::Receiver<FinalResponse>) {
+        let (responder, response) = oneshot::channel();
+        let request = Self {
+            responder: Some(responder),
+            message: Rc::new(message),
+            deadline,
+            timeout_after_upload,
+            attempts: 0,
+            attempt: None,
+            retries_until: None,
+            retry_window,
+        };
+        (request, response)
+    }
+
     /// Starts the window for retries with the first attempt that may have run.
     pub(super) fn start_retry_window(&mut self, elapsed: Duration) {
         let until = self
@@ -114,8 +135,7 @@
         if self.in_flight.borrow().len() >= self.max_in_flight {
             return None;
         }
-        let number = self.next_request.get();
-        self.next_request.set(number + 1);
+        let number = self.next_request_number();
         let NewRequest {
             class,
             tenant,
@@ -129,17 +149,9 @@
         let time_left = timeout_after_upload.map_or(timeout, |_| MAX_UPLOAD_TIME);
         let deadline =
             self.before_shutdown(received_at + time_left.saturating_sub(RESPONSE_MARGIN));
-        let (responder, response) = oneshot::channel();
-        let accepted = InFlightRequest {
-            responder: Some(responder),
-            message: Rc::new(message),
-            deadline,
-            timeout_after_upload,
-            attempts: 0,
-            attempt: None,
-            retries_until: None,
-            retry_window: retry_window(self.names.rules[class].idempotency),
-        };
+        let retry_window = retry_window(self.names.rules[class].idempotency);
+        let (accepted, response) =
+            InFlightRequest::new(message, deadline, timeout_after_upload, retry_window);
         self.in_flight.borrow_mut().insert(number, accepted);
         self.timers.set(deadline, TimerKind::Deadline(number));
         let timeout = timeout_after_upload
@@ -158,6 +170,12 @@
         })
     }
 
+    fn next_request_number(&self) -> u64 {
+        let number = self.next_request.get();
+        self.next_request.set(number + 1);
+        number
+    }
+
     /// Ends every request by then, also those accepted before, so that a node that shuts down leaves none unanswered:
     /// their clients may wait for longer than the shutdown takes.
     pub fn limit_deadlines(&self, by: Instant) {
