--- a/src/node/downstream/request_handler.rs
+++ b/src/node/downstream/request_handler.rs
@@ -11,6 +11,7 @@
 use hyper::http::request::Parts;
 use hyper::{Method, Request, Response, StatusCode};
 
+use crate::node::dispatcher::{FinalResponse, NewRequest};
 use crate::node::downstream::body_stream::{body_stream, ResponseStream, Upload};
 use crate::node::downstream::connection_table::TrackedConnection;
 use crate::node::downstream::request_body::{BufferedBody, IncomingUpload};
@@ -22,7 +23,6 @@
 };
 use crate::node::downstream::server::ServerState;
 use crate::node::downstream::shutdown::Phase;
-use crate::node::driver::Answer;
 use crate::node::upstream::response::MAX_STREAMED_BODY_BYTES;
 use crate::node::upstream::{RequestBody, UpstreamRequest};
 
@@ -85,9 +85,11 @@
     let metadata = RequestMetadata::parse(&head.method, &head.headers, &state.driver.names)?;
     let in_flight = state.driver.metrics.begin_request(metadata.class);
     let response = match dispatch(metadata, head, body, state).await {
-        Ok(Answer::Served(served)) => return Ok(forwarded_response(served, in_flight, tracked)),
-        Ok(Answer::Rejected { after_ms }) => Ok(rejection_response(after_ms)),
-        Ok(Answer::Failed) => Ok(text_response(StatusCode::BAD_GATEWAY, "")),
+        Ok(FinalResponse::Served(served)) => {
+            return Ok(forwarded_response(served, in_flight, tracked))
+        }
+        Ok(FinalResponse::Rejected { retry_after_ms }) => Ok(rejection_response(retry_after_ms)),
+        Ok(FinalResponse::Failed) => Ok(text_response(StatusCode::BAD_GATEWAY, "")),
         Err(invalid) => Err(invalid),
     };
     let status = match &response {
@@ -105,7 +107,7 @@
     head: Parts,
     body: Incoming,
     state: &ServerState,
-) -> Result<Answer, InvalidRequest> {
+) -> Result<FinalResponse, InvalidRequest> {
     if body.size_hint().lower() > MAX_STREAMED_BODY_BYTES as u64 {
         return Err(InvalidRequest::BODY_TOO_LARGE);
     }
@@ -124,8 +126,8 @@
     // The deadline counts from the request's last byte.
     let arrived = Instant::now();
     if must_keep_connections_free(state) {
-        return Ok(Answer::Rejected {
-            after_ms: Some(FREE_CONNECTION_RETRY_MS),
+        return Ok(FinalResponse::Rejected {
+            retry_after_ms: Some(FREE_CONNECTION_RETRY_MS),
         });
     }
     let (body, upload_sender) = match buffered {
@@ -137,20 +139,30 @@
         }
     };
     let message = upstream_message(head, body, driver.metrics.attempts(class).clone());
-    let Some(mut request) = driver.take(class, tenant, key, message, arrived, deadline) else {
-        return Ok(Answer::Rejected { after_ms: None });
+    let new_request = NewRequest {
+        class,
+        tenant,
+        key,
+        message,
+        received_at: arrived,
+        timeout: deadline,
+    };
+    let Some(mut request) = driver.accept_request(new_request) else {
+        return Ok(FinalResponse::Rejected {
+            retry_after_ms: None,
+        });
     };
     if let Some(sender) = upload_sender {
         let is_complete = tokio::select! {
             biased;
-            answer = request.answer() => return Ok(answer),
+            response = request.response() => return Ok(response),
             streamed = upload.stream_to(sender, state) => streamed?,
         };
         if is_complete {
-            request.is_whole(Instant::now());
+            request.upload_completed(Instant::now());
         }
     }
-    Ok(request.answer().await)
+    Ok(request.response().await)
 }
 
 /// Whether a draining node rejects a request so that clients find free connections. A node that shares its listening socket
--- a/src/node/downstream/request_metadata.rs
+++ b/src/node/downstream/request_metadata.rs
@@ -7,8 +7,8 @@
 use hyper::header::{self, HeaderMap, HeaderName, HeaderValue};
 use hyper::Method;
 
+use crate::node::dispatcher::SettingNames;
 use crate::node::downstream::response::InvalidRequest;
-use crate::node::driver::SettingNames;
 
 /// The longest deadline that a client can mean; a longer one is invalid.
 const MAX_DEADLINE: Duration = Duration::from_secs(60 * 60);
@@ -83,12 +83,12 @@
                 "Req-Deadline is missing or bad\n",
             ))?;
         let rule = &names.rules[class];
-        check_idempotency(method, headers, rule.effect)?;
+        check_idempotency(method, headers, rule.idempotency)?;
         Ok(Self {
             id,
             class,
             tenant,
-            deadline: deadline.min(rule.longest),
+            deadline: deadline.min(rule.max_timeout),
         })
     }
 }
--- a/src/node/downstream/server.rs
+++ b/src/node/downstream/server.rs
@@ -17,11 +17,11 @@
 
 use crate::node::admin::log;
 use crate::node::config::Limits;
+use crate::node::dispatcher::Dispatcher;
 use crate::node::downstream::connection;
 use crate::node::downstream::connection_table::ConnectionTable;
 pub use crate::node::downstream::shutdown::Phase;
 use crate::node::downstream::shutdown::{FINAL_WRITE_TIMEOUT, SHARED_ACCEPT_PERIOD};
-use crate::node::driver::Driver;
 
 /// Connections that are accepted from the kernel's backlog at shutdown: as many as it holds. The bound keeps clients that
 /// connect continuously from delaying the shutdown.
@@ -48,7 +48,7 @@
     /// Options for a listening socket that only this process uses, without a drain.
     #[must_use]
     pub fn own(phases: watch::Receiver<Phase>, max_connections: usize) -> Self {
-        let max_buffered_upload_bytes = Limits::default().long_requests();
+        let max_buffered_upload_bytes = Limits::default().buffered_upload_bytes();
         Self {
             phases,
             drain: Rc::default(),
@@ -61,7 +61,7 @@
 
 /// State that all connections of clients share.
 pub(super) struct ServerState {
-    pub(super) driver: Rc<Driver>,
+    pub(super) driver: Rc<Dispatcher>,
     pub(super) options: ServerOptions,
     pub(super) table: Rc<ConnectionTable>,
     pub(super) upload_memory: MemoryBudget,
@@ -74,7 +74,7 @@
 /// Returns at the latest [`FINAL_WRITE_TIMEOUT`] after the deadline of that phase, so that a client that does not read its
 /// response cannot delay the shutdown. Must run inside a [`tokio::task::LocalSet`]. Dropping the future stops accepting;
 /// the tasks of open connections continue.
-pub async fn serve(listener: TcpListener, driver: Rc<Driver>, options: ServerOptions) {
+pub async fn serve(listener: TcpListener, driver: Rc<Dispatcher>, options: ServerOptions) {
     let state = Rc::new(ServerState {
         driver,
         upload_memory: MemoryBudget::new(options.max_buffered_upload_bytes),
@@ -152,7 +152,7 @@
         .ok()
         .and_then(|phase| phase.answer_by());
     if let Some(deadline) = deadline {
-        state.driver.end_by(deadline);
+        state.driver.limit_deadlines(deadline);
     }
     if !state.options.is_shared {
         state.table.retain_connections();
