--- a/crates/testkit/src/lib.rs
+++ b/crates/testkit/src/lib.rs
@@ -42,7 +42,8 @@
 pub use load::{Load, Totals};
 pub use message::{answer, post, read, Message};
 pub use node::{
-    config, program, program_path, settings, settings_with_aim, write_config, Client, Node,
+    config, pause_process_starts, program, program_path, settings, settings_with_aim, write_config,
+    Client, Node,
 };
 pub use register::{Effect, Register};
 pub use server::{Reply, Server, Unreachable};
--- a/crates/testkit/src/node.rs
+++ b/crates/testkit/src/node.rs
@@ -5,7 +5,7 @@
 use std::os::fd::OwnedFd;
 use std::path::{Path, PathBuf};
 use std::process::{Child, Command, ExitStatus, Stdio};
-use std::sync::{Arc, Mutex};
+use std::sync::{Arc, Mutex, PoisonError, RwLock, RwLockWriteGuard};
 use std::thread;
 use std::time::{Duration, Instant};
 
@@ -94,6 +94,20 @@
     })
 }
 
+/// Held shared while a process is started, and exclusively by [`pause_process_starts`].
+static PROCESS_STARTS: RwLock<()> = RwLock::new(());
+
+/// Keeps other tests of this test binary from starting processes until the guard is dropped.
+///
+/// Between fork and exec a child holds copies of all sockets of this process, so a connection that is closed here stays
+/// open for its peer until then. A test that judges by the peer whether a connection is closed takes this guard. The
+/// thread that holds it must not start a node itself.
+pub fn pause_process_starts() -> RwLockWriteGuard<'static, ()> {
+    PROCESS_STARTS
+        .write()
+        .unwrap_or_else(PoisonError::into_inner)
+}
+
 /// The program, with none of the variables that it reads.
 #[must_use]
 pub fn program() -> Command {
@@ -154,11 +168,15 @@
         if let Some(operators) = &operators {
             command.arg("--config").arg(operators);
         }
+        let starting = PROCESS_STARTS
+            .read()
+            .unwrap_or_else(PoisonError::into_inner);
         let mut child = command
             .env("ROUTER_CONFIG", &config)
             .stderr(Stdio::piped())
             .spawn()
             .expect("it starts");
+        drop(starting);
         let mut input = BufReader::new(child.stderr.take().expect("piped"));
         let mut line = String::new();
         input.read_line(&mut line).expect("a log");
--- a/tests/close_range.rs
+++ b/tests/close_range.rs
@@ -365,6 +365,8 @@
     for (rested, ahead) in [(false, 0), (false, request.len() / 2), (true, 0)] {
         let (mut open, mut ended) = (0, 0);
         for turns in 0..MAX_TURNS {
+            // The client has to see at once whether the node has closed the connection.
+            let _no_process_starts = pause_process_starts();
             let node = InProcessNode::start();
             let mut client = node.connect();
             if rested {
