--- a/crates/gossip/tests/drawn_faults.rs
+++ b/crates/gossip/tests/drawn_faults.rs
@@ -1,7 +1,8 @@
 //! Faults drawn from seeds, and protocol faults injected into the nodes, which the checker detects.
 
 use gossip::InjectedFault;
-use testkit::nodes::checker::{bounds, trial};
+use simulation::FaultSchedule;
+use testkit::nodes::checker::{schedule_limits, trial};
 use testkit::nodes::VirtualCluster;
 
 /// As many as run within a minute; `measure -- members` runs more.
@@ -11,7 +12,7 @@
 fn drawn_faults_kill_no_healthy_node_and_all_agree_after_them() {
     let mut declared_dead = 0;
     for seed in 0..SEEDS {
-        match trial(seed, bounds(seed, 16), InjectedFault::None) {
+        match trial(seed, schedule_limits(seed, 16), InjectedFault::None) {
             Ok(trial) => declared_dead += trial.deaths,
             Err(error) => panic!("{error}"),
         }
@@ -23,7 +24,7 @@
 }
 
 fn assert_detected(fault: InjectedFault) {
-    let found = (0..SEEDS).find(|seed| trial(*seed, bounds(*seed, 16), fault).is_err());
+    let found = (0..SEEDS).find(|seed| trial(*seed, schedule_limits(*seed, 16), fault).is_err());
     assert!(found.is_some(), "{fault:?}");
 }
 
@@ -44,8 +45,8 @@
     cluster.injected_fault = fault;
     cluster.start_all(1_000.0);
     cluster.run(10_000.0);
-    let before = cluster.world.now_ms();
-    (0..6).for_each(|node| cluster.world.pause(node, 10_000.0));
+    let before = cluster.simulation.now_ms();
+    (0..6).for_each(|node| cluster.simulation.pause(node, 10_000.0));
     cluster.partition(|node| if node < 6 { node } else { 6 });
     cluster.run(9_990.0);
     cluster.all_links(simulation::Link {
@@ -79,10 +80,10 @@
 #[test]
 fn same_seed_gives_same_run() {
     let run = |seed| {
-        let bounds = bounds(seed, 16);
-        let mut cluster = VirtualCluster::started(seed, bounds.nodes);
-        cluster.play(&simulation::draw(seed, bounds));
-        format!("{:?}{:?}", cluster.outputs(), cluster.world.totals())
+        let limits = schedule_limits(seed, 16);
+        let mut cluster = VirtualCluster::started(seed, limits.nodes);
+        cluster.play(&FaultSchedule::generate(seed, limits));
+        format!("{:?}{:?}", cluster.outputs(), cluster.simulation.totals())
     };
     assert_eq!(run(5), run(5));
 }
--- a/crates/gossip/tests/scenarios/hostile_input.rs
+++ b/crates/gossip/tests/scenarios/hostile_input.rs
@@ -1,7 +1,7 @@
 //! Datagrams that a correct node of this cluster would not send now, and the length of those that it does.
 
 use gossip::{ClusterKey, Event, RejectReason, State};
-use simulation::{Link, Trouble};
+use simulation::{Fault, Link};
 use testkit::nodes::{VirtualCluster, KEY};
 
 use crate::{assert_none_declared_dead, run_until_dead_to_all, DETECTION_MS, REFUTATION_MS};
@@ -57,7 +57,7 @@
     let mut rng = fastrand::Rng::with_seed(9);
     for _ in 0..20_000 {
         let bytes: Vec<u8> = (0..rng.usize(..400)).map(|_| rng.u8(..)).collect();
-        cluster.world.with(0, |node, now, out| {
+        cluster.simulation.with(0, |node, now, out| {
             node.handle(
                 now,
                 Event::Datagram {
@@ -67,7 +67,7 @@
                 out,
             );
         });
-        cluster.world.with(0, |node, now, out| {
+        cluster.simulation.with(0, |node, now, out| {
             node.handle(
                 now,
                 Event::Datagram {
@@ -92,9 +92,9 @@
     cluster.start_all(1_000.0);
     cluster.agree_within(5_000.0);
     cluster.run(5_000.0);
-    cluster.world.apply(&Trouble::Kill { node: 3 });
+    cluster.simulation.apply(&Fault::Kill { node: 3 });
     run_until_dead_to_all(&mut cluster, 3, DETECTION_MS);
-    let longest = cluster.world.totals().longest;
+    let longest = cluster.simulation.totals().max_datagram_bytes;
     assert!(
         longest <= gossip::MAX_DATAGRAM_BYTES && longest > 200,
         "{longest}"
--- a/crates/gossip/tests/scenarios/links.rs
+++ b/crates/gossip/tests/scenarios/links.rs
@@ -1,7 +1,7 @@
 //! Lossy, slow and corrupting links, and clocks that differ.
 
 use gossip::{Health, RejectReason};
-use simulation::{Clock, Link, Trouble};
+use simulation::{Burst, Clock, Fault, Link};
 use testkit::nodes::VirtualCluster;
 
 use crate::{assert_none_declared_dead, run_until_dead_to_all, CONVERGENCE_MS, DETECTION_MS};
@@ -17,7 +17,7 @@
             });
             cluster.start_all(1_000.0);
             cluster.run(20_000.0);
-            let before = cluster.world.now_ms();
+            let before = cluster.simulation.now_ms();
             cluster.run(if loss < 0.4 { 600_000.0 } else { 60_000.0 });
             assert_none_declared_dead(&cluster, before);
             cluster.kill(1);
@@ -39,7 +39,10 @@
     let link = Link::default;
     let cases = [
         Link {
-            burst: (0.002, 2_000.0),
+            burst: Burst {
+                probability: 0.002,
+                duration_ms: 2_000.0,
+            },
             ..link()
         },
         Link {
@@ -51,11 +54,11 @@
             ..link()
         },
         Link {
-            twice: 0.5,
+            duplication: 0.5,
             ..link()
         },
         Link {
-            corrupt: 0.1,
+            corruption: 0.1,
             ..link()
         },
         Link {
@@ -66,27 +69,39 @@
     ];
     for (seed, held) in (1..).zip(cases) {
         let mut cluster = VirtualCluster::started(seed, 7);
-        let before = cluster.world.now_ms();
+        let before = cluster.simulation.now_ms();
         cluster.all_links(held.clone());
         cluster.run(120_000.0);
         let deaths = cluster.deaths_since(before);
         assert!(deaths.is_empty(), "{held:?}: {deaths:?}");
-        let done = cluster.world.totals().done;
-        assert_eq!(held.burst.0 > 0.0, done.lost > 100, "{held:?}: {done:?}");
-        assert_eq!(held.twice > 0.0, done.doubled > 100, "{held:?}: {done:?}");
+        let faults = cluster.simulation.totals().faults;
         assert_eq!(
-            held.corrupt > 0.0,
-            done.corrupted > 100,
-            "{held:?}: {done:?}"
+            held.burst.probability > 0.0,
+            faults.lost > 100,
+            "{held:?}: {faults:?}"
+        );
+        assert_eq!(
+            held.duplication > 0.0,
+            faults.duplicated > 100,
+            "{held:?}: {faults:?}"
+        );
+        assert_eq!(
+            held.corruption > 0.0,
+            faults.corrupted > 100,
+            "{held:?}: {faults:?}"
+        );
+        assert_eq!(
+            held.replay > 0.0,
+            faults.replayed > 100,
+            "{held:?}: {faults:?}"
         );
-        assert_eq!(held.replay > 0.0, done.replayed > 100, "{held:?}: {done:?}");
         let rejected = |reason| cluster.metrics(0).rejected_for(reason);
         assert!(
-            held.corrupt == 0.0 || rejected(RejectReason::BadSeal) > 10,
+            held.corruption == 0.0 || rejected(RejectReason::BadSeal) > 10,
             "corruption is detected"
         );
         assert!(
-            held.twice == 0.0 || rejected(RejectReason::Replayed) > 100,
+            held.duplication == 0.0 || rejected(RejectReason::Replayed) > 100,
             "duplicates are detected"
         );
         cluster.heal();
@@ -98,9 +113,9 @@
 #[test]
 fn total_corruption_isolates_all_and_kills_nobody() {
     let mut cluster = VirtualCluster::started(1, 7);
-    let before = cluster.world.now_ms();
+    let before = cluster.simulation.now_ms();
     cluster.all_links(Link {
-        corrupt: 1.0,
+        corruption: 1.0,
         ..Link::default()
     });
     cluster.run(60_000.0);
@@ -116,18 +131,18 @@
     let mut max_refutations = 0;
     for (seed, loss) in [(1, 0.6), (2, 0.75), (3, 0.85), (4, 0.9), (5, 0.95)] {
         let mut cluster = VirtualCluster::started(seed, 9);
-        let before = cluster.world.now_ms();
+        let before = cluster.simulation.now_ms();
         let link = Link {
             loss,
             ..Link::default()
         };
         for other in 1..9 {
-            cluster.world.apply(&Trouble::Link {
+            cluster.simulation.apply(&Fault::Link {
                 from: 0,
                 to: other,
                 link: link.clone(),
             });
-            cluster.world.apply(&Trouble::Link {
+            cluster.simulation.apply(&Fault::Link {
                 from: other,
                 to: 0,
                 link: link.clone(),
@@ -162,7 +177,7 @@
     }
     cluster.start_all(1_000.0);
     cluster.agree_within(3_000.0);
-    let before = cluster.world.now_ms();
+    let before = cluster.simulation.now_ms();
     cluster.run(600_000.0);
     assert_none_declared_dead(&cluster, before);
     cluster.kill(0);
--- a/crates/gossip/tests/scenarios/main.rs
+++ b/crates/gossip/tests/scenarios/main.rs
@@ -25,16 +25,16 @@
 
 /// Runs until all other nodes have declared a node dead, and returns how long it took.
 fn run_until_dead_to_all(cluster: &mut VirtualCluster, node: usize, within_ms: f64) -> f64 {
-    let start = cluster.world.now_ms();
+    let start = cluster.simulation.now_ms();
     let others: Vec<_> = (0..cluster.names.len())
-        .filter(|of| *of != node && cluster.world.is_up(*of))
+        .filter(|of| *of != node && cluster.simulation.is_up(*of))
         .collect();
     while !others
         .iter()
         .all(|of| cluster.state(*of, node) == Some(State::Dead))
     {
         cluster.run(50.0);
-        let passed = cluster.world.now_ms() - start;
+        let passed = cluster.simulation.now_ms() - start;
         let holds: Vec<_> = others.iter().map(|of| cluster.state(*of, node)).collect();
         assert!(
             passed < within_ms,
@@ -42,5 +42,5 @@
             cluster.seed
         );
     }
-    cluster.world.now_ms() - start
+    cluster.simulation.now_ms() - start
 }
--- a/crates/gossip/tests/scenarios/partitions.rs
+++ b/crates/gossip/tests/scenarios/partitions.rs
@@ -20,7 +20,7 @@
 fn node_that_receives_nothing_declares_nobody_dead() {
     for (seed, nodes) in [(1, 4), (2, 7), (3, 20)] {
         let mut cluster = VirtualCluster::started(seed, nodes);
-        let before = cluster.world.now_ms();
+        let before = cluster.simulation.now_ms();
         (1..nodes).for_each(|from| cluster.cut(from, 0));
         cluster.run(60_000.0);
         assert_none_declared_dead(&cluster, before);
@@ -38,7 +38,7 @@
 fn node_that_cannot_send_is_declared_dead_and_notified() {
     for (seed, nodes) in [(1, 4), (2, 7), (3, 20)] {
         let mut cluster = VirtualCluster::started(seed, nodes);
-        let before = cluster.world.now_ms();
+        let before = cluster.simulation.now_ms();
         (1..nodes).for_each(|to| cluster.cut(0, to));
         run_until_dead_to_all(&mut cluster, 0, DETECTION_MS);
         cluster.run(10_000.0);
@@ -91,7 +91,7 @@
     for (what, cuts) in cases {
         for seed in 0..5 {
             let mut cluster = VirtualCluster::started(seed, 9);
-            let before = cluster.world.now_ms();
+            let before = cluster.simulation.now_ms();
             cuts(&mut cluster);
             cluster.run(120_000.0);
             let deaths = cluster.deaths_since(before);
@@ -111,10 +111,10 @@
             (0..5).for_each(|to| cluster.cut(from, to));
         }
         cluster.run(60_000.0);
-        let before = cluster.world.now_ms();
+        let before = cluster.simulation.now_ms();
         cluster.run(120_000.0);
         assert_none_declared_dead(&cluster, before);
-        assert!(cluster.world.totals().done.cut > 1_000);
+        assert!(cluster.simulation.totals().faults.cut > 1_000);
         cluster.heal();
         cluster.run(30_000.0);
         cluster.agree_within(CONVERGENCE_MS);
@@ -161,13 +161,13 @@
         cluster.run(6_000.0);
         cluster.start(4);
         cluster
-            .world
+            .simulation
             .with(5, |node, now, out| node.handle(now, Event::Leave, out));
         cluster.kill(5);
         cluster.run(4_000.0);
         cluster.heal();
         cluster.agree_within(CONVERGENCE_MS);
-        let before = cluster.world.now_ms();
+        let before = cluster.simulation.now_ms();
         cluster.run(20_000.0);
         assert_none_declared_dead(&cluster, before);
     }
--- a/crates/gossip/tests/scenarios/pauses.rs
+++ b/crates/gossip/tests/scenarios/pauses.rs
@@ -12,9 +12,9 @@
 fn pause_below_suspicion_timeout_is_tolerated() {
     for (seed, ms) in [(1, 500.0), (2, 1_000.0), (3, 1_900.0)] {
         let mut cluster = VirtualCluster::started(seed, 9);
-        let before = cluster.world.now_ms();
+        let before = cluster.simulation.now_ms();
         for node in [0, 4, 8, 0, 1, 1] {
-            cluster.world.pause(node, ms);
+            cluster.simulation.pause(node, ms);
             cluster.run(4_000.0);
         }
         assert_none_declared_dead(&cluster, before);
@@ -26,14 +26,14 @@
 fn resumed_node_refutes_its_death_and_suspects_nobody() {
     for (seed, ms) in [(1, 5_000.0), (2, 10_000.0), (3, 60_000.0)] {
         let mut cluster = VirtualCluster::started(seed, 9);
-        let before = cluster.world.now_ms();
-        cluster.world.pause(3, ms);
+        let before = cluster.simulation.now_ms();
+        cluster.simulation.pause(3, ms);
         let detected_ms = run_until_dead_to_all(&mut cluster, 3, DETECTION_MS);
         assert!(
             detected_ms >= SUSPICION_TIMEOUT_MS,
             "not before the suspicion timeout: {detected_ms}"
         );
-        cluster.world.run_until(before + ms);
+        cluster.simulation.run_until(before + ms);
         cluster.agree_within(REFUTATION_MS);
         cluster.run(5_000.0);
         assert!(cluster
@@ -61,7 +61,7 @@
 fn repeatedly_paused_node_refutes_with_backoff() {
     let mut cluster = VirtualCluster::started(1, 9);
     for _ in 0..24 {
-        cluster.world.pause(3, 4_500.0);
+        cluster.simulation.pause(3, 4_500.0);
         cluster.run(7_500.0);
     }
     let refutations = cluster
@@ -70,7 +70,7 @@
         .filter(|event| matches!(event, LogEvent::Refuted { .. }))
         .count();
     assert!((3..=16).contains(&refutations), "{refutations} of 24 times");
-    let last = cluster.world.now_ms();
+    let last = cluster.simulation.now_ms();
     cluster.run(31_000.0);
     cluster.agree_within(1_000.0);
     assert_none_declared_dead(&cluster, last);
@@ -82,8 +82,8 @@
     let (mut declared_dead, mut tolerated) = (0, 0);
     for seed in 0..40 {
         let mut cluster = VirtualCluster::started(seed, 9);
-        let before = cluster.world.now_ms();
-        cluster.world.pause(3, 2_900.0 + 40.0 * seed as f64);
+        let before = cluster.simulation.now_ms();
+        cluster.simulation.pause(3, 2_900.0 + 40.0 * seed as f64);
         cluster.run(2_900.0 + 40.0 * seed as f64);
         cluster.agree_within(REFUTATION_MS);
         cluster.run(3_000.0);
@@ -114,8 +114,8 @@
         (5, 60_000.0),
     ] {
         let mut cluster = VirtualCluster::started(seed, 12);
-        let before = cluster.world.now_ms();
-        (0..4).for_each(|node| cluster.world.pause(node, ms));
+        let before = cluster.simulation.now_ms();
+        (0..4).for_each(|node| cluster.simulation.pause(node, ms));
         cluster.run(ms);
         cluster.agree_within(REFUTATION_MS);
         cluster.run(5_000.0);
@@ -142,7 +142,7 @@
     let (mut probing, mut asking, mut disseminating) = (0, 0, 0);
     for seed in 0..60 {
         let mut cluster = VirtualCluster::started(seed, 7);
-        let before = cluster.world.now_ms();
+        let before = cluster.simulation.now_ms();
         cluster.kill(0);
         // From before the first suspicion until after the last death notice.
         cluster.run(2_300.0 + 30.0 * seed as f64);
@@ -154,14 +154,17 @@
             Some(State::Dead) if verdicts > 0 => disseminating += 1,
             _ => {}
         }
-        cluster.world.pause(paused, 2_000.0);
-        let start = cluster.world.now_ms();
+        cluster.simulation.pause(paused, 2_000.0);
+        let start = cluster.simulation.now_ms();
         while !(1..7)
             .filter(|of| *of != paused)
             .all(|of| cluster.state(of, 0) == Some(State::Dead))
         {
             cluster.run(50.0);
-            assert!(cluster.world.now_ms() - start < DETECTION_MS, "seed {seed}");
+            assert!(
+                cluster.simulation.now_ms() - start < DETECTION_MS,
+                "seed {seed}"
+            );
         }
         cluster.run(5_000.0);
         cluster.agree_within(REFUTATION_MS);
@@ -179,11 +182,11 @@
 #[test]
 fn repeated_short_pauses_are_tolerated() {
     let mut cluster = VirtualCluster::started(1, 7);
-    let before = cluster.world.now_ms();
+    let before = cluster.simulation.now_ms();
     for second in 0..60 {
         (0..7)
             .filter(|node| (node + second) % 2 == 0)
-            .for_each(|node| cluster.world.pause(node, 200.0));
+            .for_each(|node| cluster.simulation.pause(node, 200.0));
         cluster.run(1_000.0);
     }
     assert_none_declared_dead(&cluster, before);
--- a/crates/gossip/tests/scenarios/restarts.rs
+++ b/crates/gossip/tests/scenarios/restarts.rs
@@ -13,7 +13,7 @@
         cluster.agree_within(3_000.0);
         cluster.run(3_000.0);
         assert!((0..nodes).all(|node| cluster.health(node) == Health::Well));
-        let before = cluster.world.now_ms();
+        let before = cluster.simulation.now_ms();
         cluster.run(60_000.0);
         assert_none_declared_dead(&cluster, before);
         if nodes == 2 {
@@ -24,7 +24,7 @@
         cluster.start(0);
         cluster.agree_within(REFUTATION_MS);
         cluster
-            .world
+            .simulation
             .with(0, |node, now, out| node.handle(now, Event::Leave, out));
         cluster.kill(0);
         cluster.run(500.0);
@@ -40,7 +40,7 @@
     let mut cluster = VirtualCluster::new(7, 300);
     cluster.start_all(1_000.0);
     cluster.agree_within(15_000.0);
-    let before = cluster.world.now_ms();
+    let before = cluster.simulation.now_ms();
     cluster.run(10_000.0);
     assert_none_declared_dead(&cluster, before);
     (0..300)
@@ -56,7 +56,7 @@
 #[test]
 fn repeatedly_restarted_node_affects_no_other() {
     let mut cluster = VirtualCluster::started(3, 7);
-    let before = cluster.world.now_ms();
+    let before = cluster.simulation.now_ms();
     for _ in 0..10 {
         cluster.kill(2);
         cluster.run(500.0);
@@ -91,7 +91,7 @@
     cluster.names[5] = "n1".into();
     cluster.kill(5);
     cluster.run(8_000.0);
-    let before = cluster.world.now_ms();
+    let before = cluster.simulation.now_ms();
     cluster.start(5);
     cluster.run(60_000.0);
     for node in [1, 5] {
--- a/crates/lease/tests/lease_simulation/faults.rs
+++ b/crates/lease/tests/lease_simulation/faults.rs
@@ -1,7 +1,7 @@
 //! Paused and restarted nodes, partitions, message faults and clocks.
 
 use lease::InjectedFault;
-use simulation::{Clock, Link, Trouble};
+use simulation::{Clock, Fault, Link};
 use testkit::lease_simulation::{SimulatedFleet, LEASE_MS, RECOVERY_MS, SHARDS};
 
 use crate::{owned_by_non_acceptor, partition};
@@ -23,7 +23,7 @@
             let mut fleet = SimulatedFleet::started(seed as u64, 7, 3, InjectedFault::None);
             fleet.run(f64::from(part) * 43.0);
             let owner = fleet.owner[0].expect("owned");
-            fleet.world.pause(owner, ms);
+            fleet.simulation.pause(owner, ms);
             fleet.run(ms.min(RECOVERY_MS));
             if ms > RECOVERY_MS {
                 assert!(
@@ -51,7 +51,7 @@
             } else {
                 (owner, other)
             };
-            fleet.apply(&Trouble::Cut { from, to });
+            fleet.apply(&Fault::Cut { from, to });
         }
         fleet.run(RECOVERY_MS);
         assert!(
@@ -87,7 +87,7 @@
             partition(&mut fleet, other, unheard);
         }
         fleet.run(20_000.0);
-        fleet.world.pause(1, 4_000.0);
+        fleet.simulation.pause(1, 4_000.0);
         fleet.run(20_000.0);
         fleet.check().expect("one owner at a time");
     }
@@ -98,23 +98,23 @@
     for seed in 0..6 {
         let mut fleet = SimulatedFleet::started(seed, 7, 5, InjectedFault::None);
         let link = Link {
-            twice: 0.3,
+            duplication: 0.3,
             replay: 0.3,
             loss: 0.1,
             jitter_ms: 3_000.0,
             ..Link::default()
         };
-        fleet.apply(&Trouble::All { link });
+        fleet.apply(&Fault::AllLinks { link });
         fleet.run(60_000.0);
         // Messages in flight arrive a minute later.
-        fleet.apply(&Trouble::All {
+        fleet.apply(&Fault::AllLinks {
             link: Link {
                 delay_ms: 60_000.0,
                 ..Link::default()
             },
         });
         fleet.run(5_000.0);
-        fleet.apply(&Trouble::HealAll);
+        fleet.apply(&Fault::HealAll);
         fleet.run(70_000.0);
         fleet
             .wait_until_owned(RECOVERY_MS)
@@ -126,7 +126,7 @@
 #[test]
 fn thirty_percent_loss_for_ten_minutes_makes_no_two_owners() {
     let mut fleet = SimulatedFleet::started(1, 7, 5, InjectedFault::None);
-    fleet.apply(&Trouble::All {
+    fleet.apply(&Fault::AllLinks {
         link: Link {
             loss: 0.3,
             ..Link::default()
@@ -153,7 +153,7 @@
     fleet
         .wait_until_owned(0.0)
         .expect("two of three are enough");
-    (0..2).for_each(|acceptor| fleet.world.pause(acceptor, 20_000.0));
+    (0..2).for_each(|acceptor| fleet.simulation.pause(acceptor, 20_000.0));
     fleet.run(LEASE_MS + 100.0);
     assert_eq!(
         fleet.owner.iter().flatten().count(),
@@ -171,7 +171,7 @@
 #[test]
 fn suspended_machines_own_nothing_when_they_wake() {
     let mut fleet = SimulatedFleet::started(4, 7, 3, InjectedFault::None);
-    (1..7).for_each(|node| fleet.world.pause(node, 300_000.0));
+    (1..7).for_each(|node| fleet.simulation.pause(node, 300_000.0));
     fleet.run(300_000.0 - 10.0);
     assert_eq!(
         fleet.owner.iter().flatten().count(),
@@ -239,14 +239,14 @@
             ..Link::default()
         };
         for other in (0..7).filter(|other| *other != owner) {
-            fleet.apply(&Trouble::Link {
+            fleet.apply(&Fault::Link {
                 from: owner,
                 to: other,
                 link: slow.clone(),
             });
         }
         fleet.run(2.0 * LEASE_MS);
-        fleet.world.pause(owner, 10_000.0);
+        fleet.simulation.pause(owner, 10_000.0);
         fleet.run(20_000.0);
         fleet.check().expect("one owner at a time");
         assert!(fleet.accepted_effects() > 100);
@@ -261,11 +261,11 @@
 fn clock_that_omits_suspend_time_makes_two_owners() {
     for stands_still in [false, true] {
         let (mut fleet, owner, _) = owned_by_non_acceptor(9, InjectedFault::None);
-        fleet.world.pause(owner, 300_000.0);
+        fleet.simulation.pause(owner, 300_000.0);
         fleet.run(300_000.0 - 1.0);
         if stands_still {
             let clock = fleet.clocks[owner];
-            fleet.world.set_clock(
+            fleet.simulation.set_clock(
                 owner,
                 Clock {
                     offset_ms: clock.offset_ms - 300_000.0 * (1.0 + clock.drift),
--- a/crates/lease/tests/lease_simulation/injected_faults.rs
+++ b/crates/lease/tests/lease_simulation/injected_faults.rs
@@ -1,7 +1,7 @@
 //! Each injected fault has to be detected, and the same course without it has to pass.
 
 use lease::InjectedFault;
-use simulation::{Link, Trouble};
+use simulation::{Fault, Link};
 use testkit::lease_simulation::{
     run_trial, OwnershipError, SimulatedFleet, Violation, LEASE_MS, RECOVERY_MS,
 };
@@ -35,7 +35,7 @@
             ..Link::default()
         };
         for other in (0..7).filter(|other| *other != owner) {
-            fleet.apply(&Trouble::Link {
+            fleet.apply(&Fault::Link {
                 from: other,
                 to: owner,
                 link: slow.clone(),
--- a/crates/lease/tests/lease_simulation/main.rs
+++ b/crates/lease/tests/lease_simulation/main.rs
@@ -7,7 +7,7 @@
 mod transfer;
 
 use lease::{InjectedFault, Shard};
-use simulation::Trouble;
+use simulation::Fault;
 use testkit::lease_simulation::{run_trial, SimulatedFleet, SHARDS};
 
 #[test]
@@ -26,11 +26,11 @@
 }
 
 fn partition(fleet: &mut SimulatedFleet, one: usize, other: usize) {
-    fleet.apply(&Trouble::Cut {
+    fleet.apply(&Fault::Cut {
         from: one,
         to: other,
     });
-    fleet.apply(&Trouble::Cut {
+    fleet.apply(&Fault::Cut {
         from: other,
         to: one,
     });
--- a/crates/lease/tests/lease_simulation/reconfiguration.rs
+++ b/crates/lease/tests/lease_simulation/reconfiguration.rs
@@ -1,7 +1,7 @@
 //! Replacing the acceptors of a running fleet.
 
 use lease::{ConfigurationState, InjectedFault, ReconfigurationError, ReconfigurationOutcome};
-use simulation::Trouble;
+use simulation::Fault;
 use testkit::lease_simulation::{
     AcceptorFile, OwnershipError, SimulatedFleet, LEASE_MS, RECOVERY_MS, SHARDS,
 };
@@ -49,7 +49,7 @@
             "order {order:?}"
         );
         assert!(fleet.highest_token() > before);
-        let part = fleet.unowned_ms / (fleet.world.now_ms() - 7_500.0) / f64::from(SHARDS);
+        let part = fleet.unowned_ms / (fleet.simulation.now_ms() - 7_500.0) / f64::from(SHARDS);
         assert!(part < 0.4, "order {order:?}: {part} of the time unowned");
         // The node that is no acceptor any more is not needed.
         fleet.kill(2);
@@ -70,7 +70,7 @@
         let side = |node: usize| [0, 2, 4].contains(&node);
         for (from, to) in (0..7).flat_map(|from| (0..7).map(move |to| (from, to))) {
             if side(from) != side(to) {
-                fleet.apply(&Trouble::Cut { from, to });
+                fleet.apply(&Fault::Cut { from, to });
             }
         }
         let next = fleet.files[0].next(&[0, 1, 3]);
@@ -89,7 +89,7 @@
         // the others.
         fleet.kill(5);
         fleet.start(5);
-        fleet.apply(&Trouble::HealAll);
+        fleet.apply(&Fault::HealAll);
         (0..7).filter(|node| side(*node)).for_each(|node| {
             fleet.files[node] = next.clone();
             assert_eq!(fleet.reload(node), Ok(ReconfigurationOutcome::Started));
--- a/crates/lease/tests/lease_simulation/transfer.rs
+++ b/crates/lease/tests/lease_simulation/transfer.rs
@@ -1,7 +1,7 @@
 //! Shards that move: when nodes leave and join, and when an owner is told to transfer.
 
 use lease::{Event, InjectedFault, NodeHealth, NodeId, Shard};
-use simulation::Trouble;
+use simulation::Fault;
 use testkit::lease_simulation::{node_id, SimulatedFleet, LEASE_MS, RECOVERY_MS, SHARDS};
 
 use crate::{owned_by_non_acceptor, partition};
@@ -10,10 +10,10 @@
 fn rolling_restart_leaves_shards_unowned_below_one_percent() {
     let mut fleet = SimulatedFleet::started(6, 7, 3, InjectedFault::None);
     fleet.unowned_ms = 0.0;
-    let start = fleet.world.now_ms();
+    let start = fleet.simulation.now_ms();
     for node in 0..7 {
         fleet
-            .world
+            .simulation
             .with(node, |node, now, out| node.handle(now, Event::Leave, out));
         fleet.run(200.0);
         fleet.kill(node);
@@ -21,7 +21,7 @@
         fleet.start(node);
         fleet.run(4_500.0);
     }
-    let part = fleet.unowned_ms / (fleet.world.now_ms() - start) / f64::from(SHARDS);
+    let part = fleet.unowned_ms / (fleet.simulation.now_ms() - start) / f64::from(SHARDS);
     assert!(part < 0.01, "{part} of the time unowned");
     fleet.check().expect("one owner at a time");
 }
@@ -32,7 +32,7 @@
 fn transfer_whose_messages_are_lost_is_repeated() {
     let (mut fleet, owner, shard) = owned_by_non_acceptor(8, InjectedFault::None);
     let to = (3..7).find(|node| *node != owner).expect("another");
-    fleet.world.with(owner, |node, now, out| {
+    fleet.simulation.with(owner, |node, now, out| {
         node.handle(
             now,
             Event::TransferShard {
@@ -46,7 +46,7 @@
     fleet.run(0.9);
     let others: Vec<_> = (0..7).filter(|other| *other != owner).collect();
     for other in &others {
-        fleet.apply(&Trouble::Cut {
+        fleet.apply(&Fault::Cut {
             from: owner,
             to: *other,
         });
@@ -58,7 +58,7 @@
         "the owner has given it up, and no other node knows"
     );
     for other in &others {
-        fleet.apply(&Trouble::Mend {
+        fleet.apply(&Fault::Restore {
             from: owner,
             to: *other,
         });
@@ -73,7 +73,7 @@
     let (mut fleet, owner, shard) = owned_by_non_acceptor(8, InjectedFault::None);
     let to = (3..7).find(|node| *node != owner).expect("another");
     fleet.unowned_ms = 0.0;
-    fleet.world.with(owner, |node, now, out| {
+    fleet.simulation.with(owner, |node, now, out| {
         node.handle(
             now,
             Event::TransferShard {
@@ -96,7 +96,7 @@
     let (mut fleet, owner, shard) = owned_by_non_acceptor(6, InjectedFault::None);
     let next = (3..7).find(|node| *node != owner).expect("another");
     (0..3).for_each(|acceptor| partition(&mut fleet, next, acceptor));
-    fleet.world.with(owner, |node, now, out| {
+    fleet.simulation.with(owner, |node, now, out| {
         node.handle(
             now,
             Event::TransferShard {
@@ -106,7 +106,7 @@
             out,
         );
     });
-    fleet.world.pause(owner, 30_000.0);
+    fleet.simulation.pause(owner, 30_000.0);
     for _ in 0..30 {
         fleet.run(1_000.0);
         assert_ne!(fleet.owner[usize::from(shard)], Some(next));
@@ -130,7 +130,7 @@
             for node in 0..8 {
                 let event = Event::Candidates(candidates, NodeHealth::Healthy);
                 fleet
-                    .world
+                    .simulation
                     .with(node, |node, now, out| node.handle(now, event, out));
             }
         };
--- a/crates/measure/src/detectors.rs
+++ b/crates/measure/src/detectors.rs
@@ -1,11 +1,11 @@
-//! Ways to find out that a node is gone, side by side in one world: SWIM with suspicion, the same with Lifeguard's local
+//! Ways to find out that a node is gone, side by side in one simulation: SWIM with suspicion, the same with Lifeguard's local
 //! health, phi-accrual over heartbeats to all, and the observers of `gossip`. The first three are the published rules in
 //! their plainest form, for comparison alone: all nodes know each other from the start.
 
 use std::collections::BTreeMap;
 
 use fastrand::Rng;
-use simulation::{Link, NodeId, Outbox, Process, World};
+use simulation::{Link, NodeId, Outbox, Process, Simulation};
 use testkit::nodes::VirtualCluster;
 
 use crate::members::apart;
@@ -297,7 +297,7 @@
     pair: usize,
 }
 
-/// How the worlds of both kinds are played.
+/// The operations that a trial needs of either kind of simulation.
 trait Play {
     fn links(&mut self, link: Link);
     fn cut(&mut self, from: NodeId, to: NodeId);
@@ -309,11 +309,11 @@
     fn gone(&self, since: f64) -> Vec<(NodeId, NodeId, f64)>;
 }
 
-struct PlainWorld(World<Plain>);
+struct SimulatedDetectors(Simulation<Plain>);
 
-impl Play for PlainWorld {
+impl Play for SimulatedDetectors {
     fn links(&mut self, link: Link) {
-        self.0.set_ordinary(link);
+        self.0.set_default_link(link);
     }
     fn cut(&mut self, from: NodeId, to: NodeId) {
         self.0.link_mut(from, to).cut = true;
@@ -325,7 +325,7 @@
         self.0.run_until(self.0.now_ms() + ms);
     }
     fn bytes(&self) -> u64 {
-        self.0.totals().sent.1
+        self.0.totals().sent.bytes
     }
     fn now(&self) -> f64 {
         self.0.now_ms()
@@ -362,10 +362,10 @@
         self.0.run(ms);
     }
     fn bytes(&self) -> u64 {
-        self.0.world.totals().sent.1
+        self.0.simulation.totals().sent.bytes
     }
     fn now(&self) -> f64 {
-        self.0.world.now_ms()
+        self.0.simulation.now_ms()
     }
     fn gone(&self, since: f64) -> Vec<(NodeId, NodeId, f64)> {
         let node = |name: &str| self.0.names.iter().position(|held| held == name);
@@ -385,9 +385,9 @@
             Box::new(Observers(fleet))
         }
         Some(way) => {
-            let mut world = World::new(seed, nodes);
-            (0..nodes).for_each(|node| world.start(node, Plain::new(way, node, nodes, seed)));
-            Box::new(PlainWorld(world))
+            let mut simulation = Simulation::new(seed, nodes);
+            (0..nodes).for_each(|node| simulation.start(node, Plain::new(way, node, nodes, seed)));
+            Box::new(SimulatedDetectors(simulation))
         }
     };
     play.run(if nodes > 1_000 { 60_000.0 } else { 15_000.0 });
--- a/crates/measure/src/members.rs
+++ b/crates/measure/src/members.rs
@@ -9,8 +9,8 @@
 use std::time::{Duration, Instant};
 
 use gossip::{InjectedFault, State};
-use simulation::{draw, Bounds, Link, Trouble};
-use testkit::nodes::checker::{bounds, excuses, trial};
+use simulation::{Fault, FaultSchedule, Link, ScheduleLimits};
+use testkit::nodes::checker::{excuses, schedule_limits, trial};
 use testkit::nodes::{Output, VirtualCluster};
 use testkit::{Fleet, Load};
 
@@ -72,7 +72,7 @@
 }
 
 fn trial_of(seed: u64, with_script: bool) -> String {
-    match trial(seed, bounds(seed, MOST_NODES), InjectedFault::None) {
+    match trial(seed, schedule_limits(seed, MOST_NODES), InjectedFault::None) {
         Ok(trial) => format!("{AGREED} {:.0} {}", trial.agreed_ms, trial.deaths),
         Err(error) if with_script => error,
         Err(error) => error.lines().next().unwrap_or_default().to_owned(),
@@ -144,10 +144,10 @@
         loss: 0.1,
         ..Link::default()
     });
-    let (since, mut paused) = (fleet.world.now_ms(), 0);
-    while fleet.world.now_ms() - since < hours * 3_600_000.0 {
+    let (since, mut paused) = (fleet.simulation.now_ms(), 0);
+    while fleet.simulation.now_ms() - since < hours * 3_600_000.0 {
         // Each node about once in two minutes.
-        fleet.world.pause(rng.usize(..DAYS_NODES), 1_000.0);
+        fleet.simulation.pause(rng.usize(..DAYS_NODES), 1_000.0);
         paused += 1;
         fleet.run(120_000.0 / DAYS_NODES as f64);
     }
@@ -234,7 +234,7 @@
     let mut fleet = VirtualCluster::new(nodes as u64, nodes);
     fleet.start_all(1_000.0);
     fleet.run(60_000.0);
-    let since = fleet.world.now_ms();
+    let since = fleet.simulation.now_ms();
     (1..nodes).for_each(|from| fleet.cut(from, 0));
     fleet.run(30_000.0);
     let deaf: BTreeSet<_> = fleet
@@ -245,7 +245,7 @@
         .collect();
     fleet.heal();
     fleet.run(10_000.0);
-    let since = fleet.world.now_ms();
+    let since = fleet.simulation.now_ms();
     fleet.cut(0, 1);
     fleet.cut(1, 0);
     fleet.run(60_000.0);
@@ -262,23 +262,23 @@
     fleet.start_all(1_000.0);
     // Until nothing is told any more of the start of all.
     fleet.run(if nodes > 1_000 { 90_000.0 } else { 60_000.0 });
-    let (before, since) = (fleet.world.totals(), fleet.world.now_ms());
+    let (before, since) = (fleet.simulation.totals(), fleet.simulation.now_ms());
     let quiet = if nodes > 1_000 { 20_000.0 } else { 60_000.0 };
     let start = Instant::now();
     fleet.run(quiet);
     // With the world's own work, and what other plays take of the machine.
     let cpu_us = start.elapsed().as_secs_f64() * 1e6 / (quiet / 1e3) / nodes as f64;
-    let after = fleet.world.totals();
+    let after = fleet.simulation.totals();
     let wrong = fleet.deaths_since(since).len();
     let rate = |count: u64| count as f64 / (quiet / 1e3) / nodes as f64;
     let (datagrams, bytes) = (
-        rate(after.sent.0 - before.sent.0),
-        rate(after.sent.1 - before.sent.1),
+        rate(after.sent.datagrams - before.sent.datagrams),
+        rate(after.sent.bytes - before.sent.bytes),
     );
     let (mut first, mut all) = (Vec::new(), Vec::new());
     for kill in 0..kills {
         let node = kill % nodes;
-        let at = fleet.world.now_ms();
+        let at = fleet.simulation.now_ms();
         // One that has just started may not have met it.
         let known = (0..nodes)
             .filter(|of| *of != node && fleet.state(*of, node).is_some())
@@ -321,24 +321,24 @@
         } else {
             30_000.0
         };
-        let drawn = Bounds {
+        let limits = ScheduleLimits {
             nodes,
-            from_ms: 0.0,
-            until_ms: round_ms,
-            troubles: 4,
-            pause_ms: 8_000.0,
-            loss: 0.3,
+            start_ms: 0.0,
+            end_ms: round_ms,
+            faults: 4,
+            max_pause_ms: 8_000.0,
+            max_loss: 0.3,
         };
-        let mut script = draw(rounds, drawn);
+        let mut schedule = FaultSchedule::generate(rounds, limits);
         // Who serves is not killed, so that every request can have its answer.
-        script
-            .0
-            .retain(|(_, trouble)| !matches!(trouble, Trouble::Kill { node } if *node < serving));
+        schedule
+            .faults
+            .retain(|scheduled| !matches!(scheduled.fault, Fault::Kill { node } if node < serving));
         let (since, before) = (Instant::now(), fleet.gone_lines().len());
-        fleet.play(&script);
+        fleet.play(&schedule);
         fleet.wait(Duration::from_secs(if round_ms < 1_000.0 { 0 } else { 8 }));
         agreed.push(fleet.agree_within(Duration::from_secs(30)).as_secs_f64());
-        let excuses = excuses(&script, nodes);
+        let excuses = excuses(&schedule, nodes);
         let lines = fleet.gone_lines();
         for (by, at, name, why) in lines
             .into_iter()
@@ -349,7 +349,7 @@
             let Some(node) = (0..nodes).find(|node| fleet.name(*node) == name) else {
                 continue;
             };
-            // Processes start and are killed one after the other, so the script runs late by some seconds at the most.
+            // Processes start and are killed one after the other, so the schedule runs late by some seconds at the most.
             if excuses.cover(by, node, at, 15_000.0) {
                 rightly += 1;
             } else {
@@ -362,7 +362,7 @@
     let sent: u64 = totals.iter().map(|totals| totals.sent).sum();
     let lost: u64 = totals.iter().map(|totals| totals.lost).sum();
     let served: u64 = totals.iter().map(|totals| totals.of(200)).sum();
-    let passed = fleet.passed();
+    let relayed = fleet.relay_totals();
     println!(
         "\n{nodes} processes, {rounds} rounds of troubles, {:.0?}",
         start.elapsed()
@@ -379,7 +379,7 @@
     );
     println!(
         "datagrams: {}, {} bytes, the longest {}",
-        passed.datagrams, passed.bytes, passed.longest
+        relayed.datagrams, relayed.bytes, relayed.max_datagram_bytes
     );
 }
 
--- a/crates/measure/src/owners.rs
+++ b/crates/measure/src/owners.rs
@@ -4,9 +4,10 @@
 use std::time::{Duration, Instant};
 
 use lease::{InjectedFault, Shard};
+use simulation::Traffic;
 use testkit::lease_model::{search, Bounds, Search, SearchDepth, INJECTED_FAULTS};
 use testkit::lease_simulation::{run_trial, SimulatedFleet};
-use testkit::{Fleet, Load, Register, Trouble};
+use testkit::{Fault, Fleet, Load, Register};
 
 use crate::members::{apart, SEEDS_A_PROCESS};
 use crate::system::{count, played_for, quantile, time};
@@ -119,14 +120,14 @@
         fleet.run(if nodes > 100 { 60_000.0 } else { 30_000.0 });
         let sent = |fleet: &SimulatedFleet| {
             (0..nodes)
-                .map(|node| fleet.world.sent_by(node))
+                .map(|node| fleet.simulation.sent_by(node))
                 .collect::<Vec<_>>()
         };
         let (before, start, long) = (sent(&fleet), Instant::now(), count(60, 1) as f64);
         fleet.run(long * 1e3);
         let cpu = start.elapsed().as_secs_f64() * 1e6 / long / nodes as f64;
         let after = sent(&fleet);
-        let mean = |of: std::ops::Range<usize>, what: fn(&(u64, u64)) -> u64| {
+        let mean = |of: std::ops::Range<usize>, what: fn(&Traffic) -> u64| {
             let count = of.len().max(1) as f64;
             of.map(|node| what(&after[node]) - what(&before[node]))
                 .sum::<u64>() as f64
@@ -135,10 +136,10 @@
         };
         println!(
             "{nodes:>6} {:>16.1} {:>16.0} {:>16.1} {:>16.0} {cpu:>20.0}",
-            mean(0..5, |sent| sent.0),
-            mean(0..5, |sent| sent.1),
-            mean(5..nodes, |sent| sent.0),
-            mean(5..nodes, |sent| sent.1),
+            mean(0..5, |sent| sent.datagrams),
+            mean(0..5, |sent| sent.bytes),
+            mean(5..nodes, |sent| sent.datagrams),
+            mean(5..nodes, |sent| sent.bytes),
         );
     }
 }
@@ -206,7 +207,7 @@
                     } else {
                         (node, other)
                     };
-                    fleet.apply(&Trouble::Cut { from, to });
+                    fleet.apply(&Fault::Cut { from, to });
                 }
             }
         }
@@ -226,7 +227,7 @@
                 fleet.go_on(node);
             }
             1 => fleet.run(node),
-            _ => fleet.apply(&Trouble::HealAll),
+            _ => fleet.apply(&Fault::HealAll),
         }
         fleet.wait(time(Duration::from_secs(1)));
         fleet.wait_for("all is owned", PATIENCE, |fleet| fleet.all_owned(SHARDS));
--- a/crates/simulation/src/lib.rs
+++ b/crates/simulation/src/lib.rs
@@ -1,49 +1,59 @@
-//! A world in virtual time, from a seed: processes that stop, are suspended, die and start again, each with a clock of
-//! its own, and links between them that lose, delay, double, reorder, change and hold up what is sent, each way by itself.
+//! Deterministic discrete-event simulation of processes that exchange datagrams.
 //!
-//! Whatever takes events with their time and gives actions can be a [`Process`] here; the world knows nothing of what it
-//! does. The same seed and the same script give the same bytes, as every process and every link has a stream of random
+//! A [`Simulation`] runs in virtual time. It owns the event queue, one [`Clock`] per node and one [`Link`] per direction
+//! between two nodes. Processes start, pause, are killed and restart; links lose, delay, duplicate, reorder, corrupt and
+//! replay datagrams, each direction on its own.
+//!
+//! Anything that takes timed events and returns actions can be a [`Process`]; the simulation knows nothing of what it
+//! does. The same seed and the same [`FaultSchedule`] give the same bytes, because every link has a stream of random
 //! numbers of its own.
 //!
 //! ```
-//! use simulation::{Outbox, Process, Trouble, World};
+//! use simulation::{Fault, Outbox, Process, Simulation};
 //!
-//! /// Speaks to another once a second, where there is one, and counts what it hears.
-//! struct Counter(Option<usize>, u32);
+//! /// Sends a datagram to a peer once a second, if it has one, and counts those that it receives.
+//! struct Counter {
+//!     peer: Option<usize>,
+//!     received: u32,
+//! }
 //!
 //! impl Process for Counter {
-//!     fn wake(&mut self, now_ms: f64, out: &mut Outbox) {
-//!         self.0.into_iter().for_each(|to| out.send(to, vec![7]));
-//!         out.wake_at(now_ms + 1_000.0);
+//!     fn wake(&mut self, local_ms: f64, outbox: &mut Outbox) {
+//!         if let Some(peer) = self.peer {
+//!             outbox.send(peer, vec![7]);
+//!         }
+//!         outbox.wake_at(local_ms + 1_000.0);
 //!     }
 //!     fn receive(&mut self, _: f64, _: usize, bytes: &[u8], _: &mut Outbox) {
-//!         self.1 += u32::from(bytes == [7]);
+//!         self.received += u32::from(bytes == [7]);
 //!     }
 //! }
 //!
-//! let mut world = World::new(42, 2);
-//! world.start(0, Counter(Some(1), 0));
-//! world.start(1, Counter(None, 0));
-//! world.apply(&Trouble::Cut { from: 0, to: 1 });
-//! world.run_until(10_000.0);
-//! assert_eq!(world.process(1).map(|counter| counter.1), Some(1)); // Sent before the cut.
-//! world.apply(&Trouble::HealAll);
-//! world.run_until(20_000.0);
-//! assert_eq!(world.process(1).map(|counter| counter.1), Some(10));
+//! let mut simulation = Simulation::new(42, 2);
+//! simulation.start(0, Counter { peer: Some(1), received: 0 });
+//! simulation.start(1, Counter { peer: None, received: 0 });
+//! simulation.apply(&Fault::Cut { from: 0, to: 1 });
+//! simulation.run_until(10_000.0);
+//! let received = |simulation: &Simulation<Counter>| simulation.process(1).map(|counter| counter.received);
+//! assert_eq!(received(&simulation), Some(1)); // Sent before the cut.
+//! simulation.apply(&Fault::HealAll);
+//! simulation.run_until(20_000.0);
+//! assert_eq!(received(&simulation), Some(10));
 //! ```
 
-#![allow(
-    clippy::items_after_statements,
-    reason = "this file is still to be rewritten: docs/ROADMAP.md, Readability"
-)]
-
+mod clock;
+mod fault;
+mod fault_schedule;
 mod link;
-mod script;
-mod world;
+mod process;
+mod simulation;
 
-pub use link::{Done, Line, Link};
-pub use script::{draw, Bounds, Script, Trouble};
-pub use world::{Clock, Outbox, Process, Totals, World};
+pub use clock::Clock;
+pub use fault::{Fault, ParseFaultError};
+pub use fault_schedule::{FaultSchedule, ScheduleLimits, ScheduledFault};
+pub use link::{Burst, Delivery, Link, LinkFaultCounts, LinkState};
+pub use process::{Outbox, Process};
+pub use simulation::{Simulation, Totals, Traffic};
 
-/// A node's number in its world.
+/// Index of a node in its simulation.
 pub type NodeId = usize;
--- a/crates/testkit/src/fleet.rs
+++ b/crates/testkit/src/fleet.rs
@@ -9,12 +9,12 @@
 use std::time::{Duration, Instant};
 
 use rustix::process::Signal;
-use simulation::{Script, Trouble};
+use simulation::{Fault, FaultSchedule};
 use tempfile::TempDir;
 
 use crate::discovery::{list, Discovery};
 use crate::node::{config, settings_with_aim, Node};
-use crate::relay::{Passed, Relays};
+use crate::relay::{RelayTotals, Relays};
 use crate::server::{Reply, Server};
 
 /// The longest datagram that the platform lets nodes send one another.
@@ -281,10 +281,10 @@
         self.node(node).signal(Signal::CONT);
     }
 
-    /// Does what a trouble says. A pause ends in [`Fleet::wait`].
-    pub fn apply(&mut self, trouble: &Trouble) {
-        match trouble {
-            Trouble::Pause { node, ms } if self.slots[*node].node.is_some() => {
+    /// Injects a fault. A pause ends in [`Fleet::wait`].
+    pub fn apply(&mut self, fault: &Fault) {
+        match fault {
+            Fault::Pause { node, ms } if self.slots[*node].node.is_some() => {
                 let until = Instant::now() + Duration::from_secs_f64(ms / 1e3);
                 let until = self.slots[*node]
                     .stopped_until
@@ -292,9 +292,9 @@
                 self.stop(*node);
                 self.slots[*node].stopped_until = Some(until);
             }
-            Trouble::Pause { .. } => {}
-            Trouble::Kill { node } => self.kill(*node),
-            Trouble::Start { node } => self.run(*node),
+            Fault::Pause { .. } => {}
+            Fault::Kill { node } => self.kill(*node),
+            Fault::Start { node } => self.run(*node),
             links => self.relays.apply(links),
         }
     }
@@ -316,22 +316,22 @@
         }
     }
 
-    /// Plays a script, its times counted from now.
-    pub fn play(&mut self, script: &Script) {
+    /// Applies a fault schedule, whose times count from now.
+    pub fn play(&mut self, schedule: &FaultSchedule) {
         let start = Instant::now();
-        for (at, trouble) in &script.0 {
-            let due = start + Duration::from_secs_f64(at / 1e3);
+        for scheduled in &schedule.faults {
+            let due = start + Duration::from_secs_f64(scheduled.at_ms / 1e3);
             self.wait(due.saturating_duration_since(Instant::now()));
-            self.apply(trouble);
+            self.apply(&scheduled.fault);
         }
     }
 
     /// Cuts all ways between nodes of different sides, and heals the others.
     pub fn split(&mut self, side: impl Fn(usize) -> usize) {
-        self.apply(&Trouble::HealAll);
+        self.apply(&Fault::HealAll);
         for from in 0..self.len() {
             for to in (0..self.len()).filter(|to| side(from) != side(*to)) {
-                self.apply(&Trouble::Cut { from, to });
+                self.apply(&Fault::Cut { from, to });
             }
         }
     }
@@ -511,10 +511,10 @@
         lines.filter_map(read).collect()
     }
 
-    /// What has passed between its nodes.
+    /// What the relays between the nodes have received so far.
     #[must_use]
-    pub fn passed(&self) -> Passed {
-        self.relays.passed()
+    pub fn relay_totals(&self) -> RelayTotals {
+        self.relays.totals()
     }
 }
 
@@ -524,7 +524,7 @@
         self.slots
             .iter_mut()
             .for_each(|slot| drop(slot.node.take()));
-        let longest = self.relays.passed().longest;
+        let longest = self.relays.totals().max_datagram_bytes;
         if !thread::panicking() {
             assert!(longest <= MOST_DATAGRAM, "a datagram of {longest} bytes");
         }
--- a/crates/testkit/src/lease_simulation.rs
+++ b/crates/testkit/src/lease_simulation.rs
@@ -15,7 +15,7 @@
 };
 pub use node::Node;
 use node::{DelayedEffect, History};
-use simulation::{draw, Bounds, Clock, Trouble, World};
+use simulation::{Clock, Fault, FaultSchedule, ScheduleLimits, Simulation};
 
 /// How many shards there are by default.
 pub const SHARDS: Shard = 4;
@@ -63,7 +63,7 @@
 /// Simulated nodes, and which of them may act.
 pub struct SimulatedFleet {
     /// Where the nodes run.
-    pub world: World<Node>,
+    pub simulation: Simulation<Node>,
     seed: u64,
     shards: Shard,
     /// The operators' file of each node, read at its start and by [`SimulatedFleet::reload`].
@@ -100,7 +100,7 @@
             previous_acceptors: Vec::new(),
         };
         Self {
-            world: World::new(seed, nodes),
+            simulation: Simulation::new(seed, nodes),
             seed,
             shards: SHARDS,
             files: vec![file; nodes],
@@ -152,16 +152,16 @@
     ///
     /// Its file is invalid.
     pub fn start(&mut self, node: usize) {
-        if self.world.process(node).is_some() {
+        if self.simulation.process(node).is_some() {
             return;
         }
         self.started_processes += 1;
         let mut rng = fastrand::Rng::with_seed(self.seed ^ (self.started_processes << 20));
-        self.world.set_clock(node, self.clocks[node]);
+        self.simulation.set_clock(node, self.clocks[node]);
         let process_id = rng.u64(1..);
         let settings = self.settings_at_start(node, process_id);
         let leases =
-            LeaseManager::new(self.world.own_ms(node), settings).expect("the file is valid");
+            LeaseManager::new(self.simulation.local_ms(node), settings).expect("the file is valid");
         let peers: Vec<_> = (0..self.clocks.len()).map(node_id).collect();
         let process = Node {
             leases,
@@ -174,13 +174,13 @@
             fence_file: Rc::clone(&self.fence_files[node]),
             rng,
         };
-        self.world.start(node, process);
+        self.simulation.start(node, process);
     }
 
     fn settings_at_start(&self, node: usize, process_id: u64) -> Settings {
         let file = &self.files[node];
         let unix_ms =
-            (self.world.now_ms() as u64 + 1_000).saturating_sub(self.wall_clock_setback_ms);
+            (self.simulation.now_ms() as u64 + 1_000).saturating_sub(self.wall_clock_setback_ms);
         let reserved_token = self.fence_files[node].get();
         Settings {
             configuration: file.number,
@@ -207,7 +207,7 @@
             previous_acceptors: &node_ids(&file.previous_acceptors),
         };
         let mut outcome = Ok(ReconfigurationOutcome::Unchanged);
-        self.world.with(node, |node, now_ms, _| {
+        self.simulation.with(node, |node, now_ms, _| {
             outcome = node.leases.reconfigure(now_ms, request);
         });
         outcome
@@ -216,7 +216,7 @@
     /// The configuration of acceptors that a node has.
     #[must_use]
     pub fn configuration(&self, node: usize) -> Option<ConfigurationState> {
-        self.world
+        self.simulation
             .process(node)
             .map(|node| node.leases.configuration())
     }
@@ -225,7 +225,7 @@
     #[must_use]
     pub fn stale_effects(&self) -> u64 {
         (0..self.clocks.len())
-            .filter_map(|node| self.world.process(node))
+            .filter_map(|node| self.simulation.process(node))
             .map(|node| node.leases.metrics().stale_effects)
             .sum()
     }
@@ -250,16 +250,16 @@
 
     /// Ends a node's process without notice.
     pub fn kill(&mut self, node: usize) {
-        self.world.kill(node);
+        self.simulation.kill(node);
     }
 
     /// The nodes that have a permit for a shard.
     fn permitted_nodes(&self, shard: Shard) -> Vec<usize> {
         let is_permitted = |node: &usize| {
-            self.world.process(*node).is_some_and(|process| {
+            self.simulation.process(*node).is_some_and(|process| {
                 process
                     .leases
-                    .permit(self.world.own_ms(*node), shard)
+                    .permit(self.simulation.local_ms(*node), shard)
                     .is_some()
             })
         };
@@ -269,11 +269,11 @@
     /// Runs the simulation for a time, and observes every few milliseconds which nodes may act; a
     /// paused one counts as it would if it resumed.
     pub fn run(&mut self, ms: f64) {
-        let until_ms = self.world.now_ms() + ms;
-        while self.world.now_ms() < until_ms {
-            let before_ms = self.world.now_ms();
+        let until_ms = self.simulation.now_ms() + ms;
+        while self.simulation.now_ms() < until_ms {
+            let before_ms = self.simulation.now_ms();
             let now_ms = (before_ms + OBSERVATION_INTERVAL_MS).min(until_ms);
-            self.world.run_until(now_ms);
+            self.simulation.run_until(now_ms);
             for shard in 0..self.shards {
                 self.observe_owner(shard, now_ms, now_ms - before_ms);
             }
@@ -315,17 +315,17 @@
     ///
     /// It takes longer than this.
     pub fn wait_until_owned(&mut self, timeout_ms: f64) -> Result<f64, OwnershipError> {
-        let start_ms = self.world.now_ms();
+        let start_ms = self.simulation.now_ms();
         while self.owner.iter().any(Option::is_none) {
             self.run(10.0);
-            if self.world.now_ms() - start_ms > timeout_ms {
+            if self.simulation.now_ms() - start_ms > timeout_ms {
                 return Err(self.error(Violation::Unowned {
                     owners: self.owner.clone(),
                     timeout_ms,
                 }));
             }
         }
-        Ok(self.world.now_ms() - start_ms)
+        Ok(self.simulation.now_ms() - start_ms)
     }
 
     /// Checks that there was one owner of each shard at a time, under rising tokens.
@@ -368,11 +368,11 @@
     }
 
     /// Applies a fault.
-    pub fn apply(&mut self, fault: &Trouble) {
+    pub fn apply(&mut self, fault: &Fault) {
         match fault {
-            Trouble::Start { node } => self.start(*node),
-            Trouble::Kill { node } => self.kill(*node),
-            other => self.world.apply(other),
+            Fault::Start { node } => self.start(*node),
+            Fault::Kill { node } => self.kill(*node),
+            other => self.simulation.apply(other),
         }
     }
 
@@ -386,21 +386,21 @@
     }
 }
 
-/// The bounds of the random faults of a seed.
+/// The limits of a seed's fault schedule.
 #[must_use]
-pub fn fault_bounds(seed: u64) -> Bounds {
-    Bounds {
+pub fn schedule_limits(seed: u64) -> ScheduleLimits {
+    ScheduleLimits {
         // One fleet in sixteen is large.
         nodes: if seed % 16 == 7 {
             15 + seed as usize / 16 % 16
         } else {
             5 + seed as usize % 4
         },
-        from_ms: 0.0,
-        until_ms: 40_000.0,
-        troubles: 3 + seed as usize % 9,
-        pause_ms: 12_000.0,
-        loss: 0.4,
+        start_ms: 0.0,
+        end_ms: 40_000.0,
+        faults: 3 + seed as usize % 9,
+        max_pause_ms: 12_000.0,
+        max_loss: 0.4,
     }
 }
 
@@ -433,32 +433,32 @@
 ///
 /// A guarantee was broken.
 pub fn run_trial(seed: u64, injected_fault: InjectedFault) -> Result<TrialOutcome, OwnershipError> {
-    let bounds = fault_bounds(seed);
+    let limits = schedule_limits(seed);
     let acceptors = if seed % 2 == 0 { 3 } else { 5 };
-    let mut fleet = SimulatedFleet::started(seed, bounds.nodes, acceptors, injected_fault);
-    let start_ms = fleet.world.now_ms();
+    let mut fleet = SimulatedFleet::started(seed, limits.nodes, acceptors, injected_fault);
+    let start_ms = fleet.simulation.now_ms();
     let mut rng = fastrand::Rng::with_seed(!seed);
     let reconfigures = seed % 3 == 2;
     let mut to_reload: Vec<usize> = if reconfigures {
-        (0..bounds.nodes).collect()
+        (0..limits.nodes).collect()
     } else {
         Vec::new()
     };
     rng.shuffle(&mut to_reload);
-    let acceptors = replace_one(&mut rng, &fleet.files[0].acceptors, bounds.nodes);
+    let acceptors = replace_one(&mut rng, &fleet.files[0].acceptors, limits.nodes);
     let next_file = fleet.files[0].next(&acceptors);
-    for (at_ms, fault) in &draw(seed, bounds).0 {
-        fleet.run((start_ms + at_ms - fleet.world.now_ms()).max(0.0));
-        fleet.apply(fault);
+    for scheduled in &FaultSchedule::generate(seed, limits).faults {
+        fleet.run((start_ms + scheduled.at_ms - fleet.simulation.now_ms()).max(0.0));
+        fleet.apply(&scheduled.fault);
         for _ in 0..rng.usize(..3) {
             let Some(node) = to_reload.pop() else { break };
             fleet.replace_file(node, &next_file)?;
         }
     }
     // Paused nodes resume meanwhile.
-    fleet.run(bounds.pause_ms + LEASE_MS);
+    fleet.run(limits.max_pause_ms + LEASE_MS);
     if reconfigures {
-        for node in 0..bounds.nodes {
+        for node in 0..limits.nodes {
             fleet.replace_file(node, &next_file)?;
         }
         fleet.run(LEASE_MS);
--- a/crates/testkit/src/lease_simulation/node.rs
+++ b/crates/testkit/src/lease_simulation/node.rs
@@ -77,21 +77,21 @@
     /// # Panics
     ///
     /// A message is too long, or for no node.
-    pub fn handle(&mut self, own_ms: f64, event: Event<'_>, out: &mut Outbox) {
+    pub fn handle(&mut self, local_ms: f64, event: Event<'_>, outbox: &mut Outbox) {
         let mut actions = Vec::new();
-        self.leases.handle(own_ms, event, &mut actions);
+        self.leases.handle(local_ms, event, &mut actions);
         for action in actions {
-            self.execute(own_ms, action, out);
+            self.execute(local_ms, action, outbox);
         }
         if !self.history.borrow().is_idle {
-            self.act_on_owned_shards(own_ms, out);
+            self.act_on_owned_shards(local_ms, outbox);
         }
     }
 
-    fn execute(&mut self, own_ms: f64, action: Action, out: &mut Outbox) {
+    fn execute(&mut self, local_ms: f64, action: Action, outbox: &mut Outbox) {
         match action {
-            Action::Send { to, bytes } => self.send(to, &bytes, out),
-            Action::WakeAt(at_ms) => out.wake_at(at_ms),
+            Action::Send { to, bytes } => self.send(to, &bytes, outbox),
+            Action::WakeAt(at_ms) => outbox.wake_at(at_ms),
             Action::OwnershipChanged {
                 shard,
                 token,
@@ -104,13 +104,13 @@
             Action::OwnershipChanged { .. } | Action::Log(_) => {}
             Action::ReserveTokens(token) => {
                 self.fence_file.set(self.fence_file.get().max(token));
-                self.handle(own_ms, Event::TokensReserved(token), out);
+                self.handle(local_ms, Event::TokensReserved(token), outbox);
             }
             Action::Effect { shard, token, .. } => self.check_accepted_effect(shard, token),
         }
     }
 
-    fn send(&self, to: NodeId, bytes: &[u8], out: &mut Outbox) {
+    fn send(&self, to: NodeId, bytes: &[u8], outbox: &mut Outbox) {
         assert!(
             bytes.len() <= lease::MAX_MESSAGE_BYTES,
             "a message is too long"
@@ -123,7 +123,7 @@
             .iter()
             .position(|id| *id == to)
             .expect("messages are for nodes");
-        out.send(to, datagram);
+        outbox.send(to, datagram);
     }
 
     fn check_accepted_effect(&self, shard: Shard, token: FencingToken) {
@@ -141,11 +141,11 @@
     }
 
     /// Acts on each shard that it has a permit for. Some effects are delayed, and published.
-    fn act_on_owned_shards(&mut self, own_ms: f64, out: &mut Outbox) {
-        let simulation_ms = (own_ms - self.clock.offset_ms) / (1.0 + self.clock.drift);
+    fn act_on_owned_shards(&mut self, local_ms: f64, outbox: &mut Outbox) {
+        let simulation_ms = (local_ms - self.clock.offset_ms) / (1.0 + self.clock.drift);
         let mut published = Vec::new();
         for shard in 0..self.shards {
-            let Some(permit) = self.leases.permit(own_ms, shard) else {
+            let Some(permit) = self.leases.permit(local_ms, shard) else {
                 continue;
             };
             let token = permit.token();
@@ -164,23 +164,23 @@
         }
         for shard in published {
             let payload = b"done";
-            self.handle(own_ms, Event::PublishEffect { shard, payload }, out);
+            self.handle(local_ms, Event::PublishEffect { shard, payload }, outbox);
         }
     }
 }
 
 impl Process for Node {
-    fn wake(&mut self, own_ms: f64, out: &mut Outbox) {
+    fn wake(&mut self, local_ms: f64, outbox: &mut Outbox) {
         match self.candidates.take() {
             Some(candidates) => {
                 let event = Event::Candidates(&candidates, NodeHealth::Healthy);
-                self.handle(own_ms, event, out);
+                self.handle(local_ms, event, outbox);
             }
-            None => self.handle(own_ms, Event::TimerExpired, out),
+            None => self.handle(local_ms, Event::TimerExpired, outbox),
         }
     }
 
-    fn receive(&mut self, own_ms: f64, from: usize, datagram: &[u8], out: &mut Outbox) {
+    fn receive(&mut self, local_ms: f64, from: usize, datagram: &[u8], outbox: &mut Outbox) {
         let Some((content, sum)) = datagram.split_last_chunk::<8>() else {
             return;
         };
@@ -195,6 +195,6 @@
             process_id: u64::from_le_bytes(*process_id),
             bytes,
         };
-        self.handle(own_ms, event, out);
+        self.handle(local_ms, event, outbox);
     }
 }
--- a/crates/testkit/src/lib.rs
+++ b/crates/testkit/src/lib.rs
@@ -46,7 +46,7 @@
 };
 pub use register::{Effect, Register};
 pub use server::{Reply, Server, Unreachable};
-pub use simulation::{draw, Bounds, Link, Script, Trouble};
+pub use simulation::{Burst, Fault, FaultSchedule, Link, ScheduleLimits};
 pub use socket::{Endpoint, Kind, Listener, Stream};
 
 use std::thread;
--- a/crates/testkit/src/nodes/checker.rs
+++ b/crates/testkit/src/nodes/checker.rs
@@ -4,7 +4,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 use gossip::{InjectedFault, State};
-use simulation::{draw, Bounds, NodeId, Script, Trouble};
+use simulation::{Fault, FaultSchedule, NodeId, ScheduleLimits, ScheduledFault};
 
 use super::{Output, VirtualCluster};
 
@@ -81,10 +81,10 @@
 }
 
 /// When each node was paused. Pauses in quick succession are one, and a pause within another does not shorten it.
-fn pauses(schedule: &Script, nodes: usize) -> Vec<Spans> {
+fn pauses(schedule: &FaultSchedule, nodes: usize) -> Vec<Spans> {
     let mut pauses: Vec<Spans> = vec![Vec::new(); nodes];
-    for (at, fault) in &schedule.0 {
-        let Trouble::Pause { node, ms } = fault else {
+    for ScheduledFault { at_ms: at, fault } in &schedule.faults {
+        let Fault::Pause { node, ms } = fault else {
             continue;
         };
         match pauses[*node]
@@ -100,7 +100,7 @@
 
 /// The deaths that a fault schedule excuses.
 #[must_use]
-pub fn excuses(schedule: &Script, nodes: usize) -> Excuses {
+pub fn excuses(schedule: &FaultSchedule, nodes: usize) -> Excuses {
     let pauses = pauses(schedule, nodes);
     let long = |node: NodeId| {
         pauses[node]
@@ -112,31 +112,31 @@
     let (mut slow, mut crowd) = (Condition::default(), Condition::default());
     let mut cut = BTreeSet::new();
     let mut times: Vec<_> = schedule
-        .0
+        .faults
         .iter()
-        .map(|(at, fault)| (*at, Some(fault)))
+        .map(|scheduled| (scheduled.at_ms, Some(&scheduled.fault)))
         .collect();
     times.extend(pauses.iter().flatten().map(|(_, until)| (*until, None)));
     times.sort_by(|(a, _), (b, _)| a.total_cmp(b));
     for (at, fault) in times {
         match fault {
-            Some(Trouble::Kill { node }) => down[*node].set(at, true),
-            Some(Trouble::Start { node }) => down[*node].set(at, false),
-            Some(Trouble::Cut { from, to }) => {
+            Some(Fault::Kill { node }) => down[*node].set(at, true),
+            Some(Fault::Start { node }) => down[*node].set(at, false),
+            Some(Fault::Cut { from, to }) => {
                 cut.insert((*from, *to));
             }
-            Some(Trouble::Mend { from, to }) => {
+            Some(Fault::Restore { from, to }) => {
                 cut.remove(&(*from, *to));
             }
-            Some(Trouble::All { link }) => {
+            Some(Fault::AllLinks { link }) => {
                 cut.clear();
                 slow.set(at, link.delay_ms + link.jitter_ms > SLOW_LINK_MS);
             }
-            Some(Trouble::HealAll) => {
+            Some(Fault::HealAll) => {
                 cut.clear();
                 slow.set(at, false);
             }
-            Some(Trouble::Pause { .. } | Trouble::Link { .. }) | None => {}
+            Some(Fault::Pause { .. } | Fault::Link { .. }) | None => {}
         }
         let is_still = |node: NodeId| {
             down[node].since.is_some() || long(node).any(|(from, until)| *from <= at && at < *until)
@@ -224,29 +224,29 @@
 /// # Errors
 ///
 /// Describes what was wrong, with the schedule.
-pub fn trial(seed: u64, bounds: Bounds, fault: InjectedFault) -> Result<Trial, String> {
-    let schedule = draw(seed, bounds);
-    let mut cluster = VirtualCluster::new(seed, bounds.nodes);
+pub fn trial(seed: u64, limits: ScheduleLimits, fault: InjectedFault) -> Result<Trial, String> {
+    let schedule = FaultSchedule::generate(seed, limits);
+    let mut cluster = VirtualCluster::new(seed, limits.nodes);
     cluster.injected_fault = fault;
     cluster.start_all(1_000.0);
     cluster.run(12_000.0);
-    let start = cluster.world.now_ms();
+    let start = cluster.simulation.now_ms();
     cluster.play(&schedule);
     let describe =
-        |what: String| format!("seed {seed}, {} nodes: {what}\n{schedule}", bounds.nodes);
-    let schedule_end_ms = cluster.world.now_ms();
+        |what: String| format!("seed {seed}, {} nodes: {what}\n{schedule}", limits.nodes);
+    let schedule_end_ms = cluster.simulation.now_ms();
     let agreed_ms = loop {
-        let passed = cluster.world.now_ms() - schedule_end_ms;
+        let passed = cluster.simulation.now_ms() - schedule_end_ms;
         match cluster.disagreement() {
             None => break passed,
-            Some(error) if passed >= CONVERGENCE_MS + bounds.pause_ms => {
+            Some(error) if passed >= CONVERGENCE_MS + limits.max_pause_ms => {
                 return Err(describe(error))
             }
             Some(_) => cluster.run(100.0),
         }
     };
     cluster.run(5_000.0);
-    let excuses = excuses(&schedule, bounds.nodes);
+    let excuses = excuses(&schedule, limits.nodes);
     let deaths = cluster.deaths_since(start);
     for (by, at, name) in &deaths {
         let Some(node) = cluster.names.iter().position(|held| held == name) else {
@@ -262,7 +262,7 @@
     if let Some(what) = resurrection(&cluster) {
         return Err(describe(what));
     }
-    if cluster.world.totals().longest > gossip::MAX_DATAGRAM_BYTES {
+    if cluster.simulation.totals().max_datagram_bytes > gossip::MAX_DATAGRAM_BYTES {
         return Err(describe("a datagram is too long".into()));
     }
     Ok(Trial {
@@ -271,16 +271,16 @@
     })
 }
 
-/// The bounds of a seed's faults.
+/// The limits of a seed's fault schedule.
 #[must_use]
-pub fn bounds(seed: u64, max_nodes: usize) -> Bounds {
+pub fn schedule_limits(seed: u64, max_nodes: usize) -> ScheduleLimits {
     let nodes = 5 + (seed as usize * 7) % (max_nodes - 4);
-    Bounds {
+    ScheduleLimits {
         nodes,
-        from_ms: 0.0,
-        until_ms: 60_000.0,
-        troubles: 2 + seed as usize % 9,
-        pause_ms: 12_000.0,
-        loss: 0.3,
+        start_ms: 0.0,
+        end_ms: 60_000.0,
+        faults: 2 + seed as usize % 9,
+        max_pause_ms: 12_000.0,
+        max_loss: 0.3,
     }
 }
--- a/crates/testkit/src/nodes/mod.rs
+++ b/crates/testkit/src/nodes/mod.rs
@@ -8,7 +8,7 @@
     Action, Change, ClusterKey, Event, Gossip, Health, InjectedFault, LogEvent, Metrics, Settings,
     State,
 };
-use simulation::{Clock, Link, NodeId, Outbox, Process, Script, Trouble, World};
+use simulation::{Clock, Fault, FaultSchedule, Link, NodeId, Outbox, Process, Simulation};
 
 /// An observable output of a node.
 #[derive(Clone, Debug)]
@@ -33,12 +33,12 @@
 }
 
 impl Node {
-    fn execute(&mut self, own_ms: f64, actions: Vec<Action>, out: &mut Outbox) {
-        let at = (own_ms - self.clock.offset_ms) / (1.0 + self.clock.drift);
+    fn execute(&mut self, local_ms: f64, actions: Vec<Action>, outbox: &mut Outbox) {
+        let at = (local_ms - self.clock.offset_ms) / (1.0 + self.clock.drift);
         for action in actions {
             match action {
-                Action::Send { to, bytes } => out.send(to, bytes),
-                Action::WakeAt(at) => out.wake_at(at),
+                Action::Send { to, bytes } => outbox.send(to, bytes),
+                Action::WakeAt(at) => outbox.wake_at(at),
                 Action::Changed(change) => self.outputs.push((at, Output::Change(change))),
                 Action::Health(health) => self.outputs.push((at, Output::Health(health))),
                 Action::Log(event) => self.outputs.push((at, Output::Log(event))),
@@ -47,27 +47,27 @@
         }
     }
 
-    /// Handles an event at the node's own time.
-    pub fn handle(&mut self, own_ms: f64, event: Event<'_>, out: &mut Outbox) {
+    /// Handles an event at the local time of its clock.
+    pub fn handle(&mut self, local_ms: f64, event: Event<'_>, outbox: &mut Outbox) {
         let mut actions = Vec::new();
-        self.gossip.handle(own_ms, event, &mut actions);
-        self.execute(own_ms, actions, out);
+        self.gossip.handle(local_ms, event, &mut actions);
+        self.execute(local_ms, actions, outbox);
     }
 }
 
 impl Process for Node {
-    fn wake(&mut self, own_ms: f64, out: &mut Outbox) {
+    fn wake(&mut self, local_ms: f64, outbox: &mut Outbox) {
         let peers = self.peers.clone();
         let event = if std::mem::take(&mut self.is_new) {
             Event::SetPeers(peers)
         } else {
             Event::Timer
         };
-        self.handle(own_ms, event, out);
+        self.handle(local_ms, event, outbox);
     }
 
-    fn receive(&mut self, own_ms: f64, from: NodeId, bytes: &[u8], out: &mut Outbox) {
-        self.handle(own_ms, Event::Datagram { from, bytes }, out);
+    fn receive(&mut self, local_ms: f64, from: NodeId, bytes: &[u8], outbox: &mut Outbox) {
+        self.handle(local_ms, Event::Datagram { from, bytes }, outbox);
     }
 }
 
@@ -77,7 +77,7 @@
 /// A cluster in virtual time.
 pub struct VirtualCluster {
     /// The simulation that runs the nodes.
-    pub world: World<Node>,
+    pub simulation: Simulation<Node>,
     /// The seed of all random choices.
     pub seed: u64,
     /// The nodes' names.
@@ -99,7 +99,7 @@
     #[must_use]
     pub fn new(seed: u64, nodes: usize) -> Self {
         Self {
-            world: World::new(seed, nodes),
+            simulation: Simulation::new(seed, nodes),
             seed,
             names: (0..nodes).map(|node| format!("n{node}")).collect(),
             clocks: vec![Clock::default(); nodes],
@@ -130,7 +130,7 @@
 
     /// Starts a process on a node, which ends the one that runs there.
     pub fn start(&mut self, node: NodeId) {
-        self.start_with_incarnation(node, self.world.now_ms() as u64 + 1_000_000);
+        self.start_with_incarnation(node, self.simulation.now_ms() as u64 + 1_000_000);
     }
 
     /// Starts a process with this first incarnation, as from a wall clock that may be wrong.
@@ -138,7 +138,7 @@
         self.keep_outputs(node);
         self.starts += 1;
         let mut rng = fastrand::Rng::with_seed(self.seed ^ (self.starts << 20));
-        self.world.set_clock(node, self.clocks[node]);
+        self.simulation.set_clock(node, self.clocks[node]);
         let process = rng.u64(1..);
         let mut settings = Settings::new(
             &self.names[node],
@@ -147,10 +147,10 @@
             self.keys[node].clone(),
         );
         settings.injected_fault = self.injected_fault;
-        let gossip = Gossip::new(self.world.own_ms(node), settings);
+        let gossip = Gossip::new(self.simulation.local_ms(node), settings);
         let peers = (0..self.names.len()).collect();
         let clock = self.clocks[node];
-        self.world.start(
+        self.simulation.start(
             node,
             Node {
                 gossip,
@@ -163,7 +163,7 @@
     }
 
     fn keep_outputs(&mut self, node: NodeId) {
-        if let Some(process) = self.world.process(node) {
+        if let Some(process) = self.simulation.process(node) {
             self.ended_outputs.extend(
                 process
                     .outputs
@@ -176,41 +176,41 @@
     /// Kills a node's process.
     pub fn kill(&mut self, node: NodeId) {
         self.keep_outputs(node);
-        self.world.kill(node);
+        self.simulation.kill(node);
     }
 
     /// Runs for some milliseconds.
     pub fn run(&mut self, ms: f64) {
-        self.world.run_until(self.world.now_ms() + ms);
+        self.simulation.run_until(self.simulation.now_ms() + ms);
     }
 
     /// Applies a fault schedule, whose times count from now.
-    pub fn play(&mut self, schedule: &Script) {
-        let start = self.world.now_ms();
-        for (at, fault) in &schedule.0 {
-            self.world.run_until(start + at);
-            match fault {
-                Trouble::Start { node } if self.world.process(*node).is_some() => {}
-                Trouble::Start { node } => self.start(*node),
-                Trouble::Kill { node } => self.kill(*node),
-                other => self.world.apply(other),
+    pub fn play(&mut self, schedule: &FaultSchedule) {
+        let start = self.simulation.now_ms();
+        for scheduled in &schedule.faults {
+            self.simulation.run_until(start + scheduled.at_ms);
+            match &scheduled.fault {
+                Fault::Start { node } if self.simulation.process(*node).is_some() => {}
+                Fault::Start { node } => self.start(*node),
+                Fault::Kill { node } => self.kill(*node),
+                other => self.simulation.apply(other),
             }
         }
     }
 
     /// Sets the properties of all links.
     pub fn all_links(&mut self, link: Link) {
-        self.world.apply(&Trouble::All { link });
+        self.simulation.apply(&Fault::AllLinks { link });
     }
 
     /// Repairs all links.
     pub fn heal(&mut self) {
-        self.world.apply(&Trouble::HealAll);
+        self.simulation.apply(&Fault::HealAll);
     }
 
     /// Cuts a link one way.
     pub fn cut(&mut self, from: NodeId, to: NodeId) {
-        self.world.apply(&Trouble::Cut { from, to });
+        self.simulation.apply(&Fault::Cut { from, to });
     }
 
     /// Partitions the cluster: cuts all links between nodes of different sides.
@@ -230,7 +230,7 @@
     /// The node is not running.
     #[must_use]
     pub fn view(&self, of: NodeId) -> BTreeMap<String, (State, u64)> {
-        let process = self.world.process(of).expect("the node is running");
+        let process = self.simulation.process(of).expect("the node is running");
         process
             .gossip
             .members()
@@ -253,7 +253,7 @@
     /// The node is not running.
     #[must_use]
     pub fn health(&self, of: NodeId) -> Health {
-        self.world
+        self.simulation
             .process(of)
             .expect("the node is running")
             .gossip
@@ -267,7 +267,7 @@
     /// The node is not running.
     #[must_use]
     pub fn metrics(&self, of: NodeId) -> Metrics {
-        self.world
+        self.simulation
             .process(of)
             .expect("the node is running")
             .gossip
@@ -279,7 +279,7 @@
     #[must_use]
     pub fn disagreement(&self) -> Option<String> {
         let up: Vec<_> = (0..self.names.len())
-            .filter(|node| self.world.is_up(*node))
+            .filter(|node| self.simulation.is_up(*node))
             .collect();
         let views: BTreeMap<_, _> = up.iter().map(|node| (*node, self.view(*node))).collect();
         for (of, view) in &views {
@@ -313,9 +313,9 @@
     ///
     /// They do not within `ms`.
     pub fn agree_within(&mut self, ms: f64) -> f64 {
-        let start = self.world.now_ms();
+        let start = self.simulation.now_ms();
         loop {
-            let passed = self.world.now_ms() - start;
+            let passed = self.simulation.now_ms() - start;
             let Some(error) = self.disagreement() else {
                 return passed;
             };
@@ -331,7 +331,8 @@
     /// All outputs in order of time, with node and time; also those of processes that have ended.
     #[must_use]
     pub fn outputs(&self) -> Vec<(NodeId, f64, Output)> {
-        let now = (0..self.names.len()).filter_map(|node| Some((node, self.world.process(node)?)));
+        let now =
+            (0..self.names.len()).filter_map(|node| Some((node, self.simulation.process(node)?)));
         let now = now.flat_map(|(node, process)| {
             process
                 .outputs
@@ -362,7 +363,7 @@
             Output::Log(event) => Some(event.clone()),
             _ => None,
         };
-        self.world
+        self.simulation
             .process(of)
             .expect("the node is running")
             .outputs
--- a/crates/testkit/src/relay.rs
+++ b/crates/testkit/src/relay.rs
@@ -10,31 +10,31 @@
 use std::thread::JoinHandle;
 use std::time::{Duration, Instant};
 
-use simulation::{Done, Line, Link, Trouble};
+use simulation::{Delivery, Fault, Link, LinkFaultCounts, LinkState};
 use tokio::net::UdpSocket;
 use tokio::sync::oneshot;
 
 /// Longer than any datagram that is allowed, to see that one is too long.
 const BUFFER: usize = 65_536;
 
-/// What has passed a fleet's relays.
+/// What the relays of a fleet have received.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Passed {
-    /// Datagrams that came to a relay.
+pub struct RelayTotals {
+    /// How many datagrams.
     pub datagrams: u64,
-    /// Their bytes.
+    /// How many bytes they have together.
     pub bytes: u64,
-    /// The longest.
-    pub longest: usize,
-    /// What was done to them.
-    pub done: Done,
+    /// The length of the longest datagram.
+    pub max_datagram_bytes: usize,
+    /// Datagrams that faults of links affected.
+    pub faults: LinkFaultCounts,
 }
 
 #[derive(Default)]
 struct State {
-    ordinary: Link,
+    default_link: Link,
     links: BTreeMap<(usize, usize), Link>,
-    passed: Passed,
+    totals: RelayTotals,
 }
 
 /// The relays of a fleet.
@@ -66,7 +66,7 @@
             }
         }
         let state = Arc::new(Mutex::new(State {
-            ordinary: good(),
+            default_link: undisturbed_link(),
             ..State::default()
         }));
         let (stop, stopped) = oneshot::channel();
@@ -87,9 +87,10 @@
                 for ((at, other), socket) in &sockets {
                     // What `at` sends to `other` leaves where `other` has `at` among its peers.
                     let out = Arc::clone(&sockets[&(*other, *at)]);
-                    let line = Line::new(seed ^ ((*at as u64) << 32) ^ (*other as u64 + 1));
+                    let link_state =
+                        LinkState::new(seed ^ ((*at as u64) << 32) ^ (*other as u64 + 1));
                     let (to, key, state) = (nodes[*other], (*at, *other), Arc::clone(&of_thread));
-                    tokio::spawn(relay(Arc::clone(socket), out, to, key, line, state));
+                    tokio::spawn(relay(Arc::clone(socket), out, to, key, link_state, state));
                 }
                 let _ = stopped.await;
             });
@@ -106,41 +107,41 @@
         self.state.lock().expect("sound")
     }
 
-    /// What has passed so far.
+    /// What the relays have received so far.
     #[must_use]
-    pub fn passed(&self) -> Passed {
-        self.state().passed
+    pub fn totals(&self) -> RelayTotals {
+        self.state().totals
     }
 
-    /// Does what a trouble says of links; others are none of its business.
-    pub fn apply(&self, trouble: &Trouble) {
+    /// Applies the faults of links. Faults of processes are ignored.
+    pub fn apply(&self, fault: &Fault) {
         let mut state = self.state();
-        let ordinary = state.ordinary.clone();
-        match trouble {
-            Trouble::Cut { from, to } => {
-                state.links.entry((*from, *to)).or_insert(ordinary).cut = true;
+        let default_link = state.default_link.clone();
+        match fault {
+            Fault::Cut { from, to } => {
+                state.links.entry((*from, *to)).or_insert(default_link).cut = true;
             }
-            Trouble::Mend { from, to } => {
-                state.links.entry((*from, *to)).or_insert(ordinary).cut = false;
+            Fault::Restore { from, to } => {
+                state.links.entry((*from, *to)).or_insert(default_link).cut = false;
             }
-            Trouble::Link { from, to, link } => {
+            Fault::Link { from, to, link } => {
                 state.links.insert((*from, *to), link.clone());
             }
-            Trouble::All { link } => {
+            Fault::AllLinks { link } => {
                 state.links.clear();
-                state.ordinary = link.clone();
+                state.default_link = link.clone();
             }
-            Trouble::HealAll => {
+            Fault::HealAll => {
                 state.links.clear();
-                state.ordinary = good();
+                state.default_link = undisturbed_link();
             }
-            Trouble::Pause { .. } | Trouble::Kill { .. } | Trouble::Start { .. } => {}
+            Fault::Pause { .. } | Fault::Kill { .. } | Fault::Start { .. } => {}
         }
     }
 }
 
-/// The machine's own delay does.
-fn good() -> Link {
+/// A link that adds no delay to that of the machine itself.
+fn undisturbed_link() -> Link {
     Link {
         delay_ms: 0.0,
         jitter_ms: 0.0,
@@ -162,30 +163,30 @@
     out: Arc<UdpSocket>,
     to: SocketAddr,
     key: (usize, usize),
-    mut line: Line,
+    mut link_state: LinkState,
     state: Arc<Mutex<State>>,
 ) {
     let start = Instant::now();
     let mut buffer = vec![0; BUFFER];
     loop {
-        // An error is the other end's that is not there.
+        // ICMP errors of an unreachable receiver are reported here.
         let Ok((length, _)) = socket.recv_from(&mut buffer).await else {
             continue;
         };
         let link = {
             let mut state = state.lock().expect("sound");
-            state.passed.datagrams += 1;
-            state.passed.bytes += length as u64;
-            state.passed.longest = state.passed.longest.max(length);
-            state.links.get(&key).unwrap_or(&state.ordinary).clone()
+            state.totals.datagrams += 1;
+            state.totals.bytes += length as u64;
+            state.totals.max_datagram_bytes = state.totals.max_datagram_bytes.max(length);
+            state.links.get(&key).unwrap_or(&state.default_link).clone()
         };
         let now = start.elapsed().as_secs_f64() * 1e3;
-        let mut done = Done::default();
-        let passed = line.pass(now, &link, buffer[..length].to_vec(), &mut done);
-        state.lock().expect("sound").passed.done += done;
-        for (after_ms, bytes) in passed {
+        let mut faults = LinkFaultCounts::default();
+        let deliveries = link_state.transmit(now, &link, buffer[..length].to_vec(), &mut faults);
+        state.lock().expect("sound").totals.faults += faults;
+        for Delivery { after_ms, bytes } in deliveries {
             if after_ms <= 0.0 {
-                let _ = out.send_to(&bytes, to).await; // Lost, as anywhere on the way.
+                let _ = out.send_to(&bytes, to).await; // A failed send is a lost datagram.
                 continue;
             }
             let out = Arc::clone(&out);
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -3,7 +3,7 @@
 use std::net::UdpSocket;
 use std::time::Duration;
 
-use testkit::{config, list, settings, until, Discovery, Fleet, Link, Load, Node, Trouble};
+use testkit::{config, list, settings, until, Discovery, Fault, Fleet, Link, Load, Node};
 
 /// Short timings, so that a test of several cases takes seconds.
 const TIMES: &str = "probe_ms = 200\nsuspect_ms = 1000\n";
@@ -86,7 +86,7 @@
 fn short_pauses_are_tolerated_and_resumed_nodes_refute_their_death() {
     let mut fleet = started_cluster(7, 2);
     for node in [0, 3, 0] {
-        fleet.apply(&Trouble::Pause { node, ms: 300.0 });
+        fleet.apply(&Fault::Pause { node, ms: 300.0 });
         fleet.wait(ms(1_000));
     }
     fleet.agree_within(TIMEOUT);
@@ -118,7 +118,7 @@
 fn one_way_partitions_kill_only_the_node_that_cannot_send() {
     let mut fleet = started_cluster(6, 3);
     // n0 receives nothing: nobody is declared dead, and n0 reports that it is isolated.
-    (1..6).for_each(|from| fleet.apply(&Trouble::Cut { from, to: 0 }));
+    (1..6).for_each(|from| fleet.apply(&Fault::Cut { from, to: 0 }));
     fleet.wait_for("n0 notices", TIMEOUT, |fleet| {
         at_all_nodes(fleet, |fleet, node| {
             node != 0 || fleet.members(0).health == "isolated"
@@ -126,18 +126,18 @@
     });
     fleet.wait(ms(4_000));
     assert_eq!(fleet.gone(), []);
-    fleet.apply(&Trouble::HealAll);
+    fleet.apply(&Fault::HealAll);
     fleet.agree_within(TIMEOUT);
     // Two receive nothing from each other, and one nothing from another.
-    fleet.apply(&Trouble::Cut { from: 1, to: 2 });
-    fleet.apply(&Trouble::Cut { from: 2, to: 1 });
-    fleet.apply(&Trouble::Cut { from: 3, to: 4 });
+    fleet.apply(&Fault::Cut { from: 1, to: 2 });
+    fleet.apply(&Fault::Cut { from: 2, to: 1 });
+    fleet.apply(&Fault::Cut { from: 3, to: 4 });
     fleet.wait(ms(5_000));
     assert_eq!(fleet.gone(), []);
-    fleet.apply(&Trouble::HealAll);
+    fleet.apply(&Fault::HealAll);
     fleet.agree_within(TIMEOUT);
     // n0 cannot send: it is dead to all, and is notified of that.
-    (1..6).for_each(|to| fleet.apply(&Trouble::Cut { from: 0, to }));
+    (1..6).for_each(|to| fleet.apply(&Fault::Cut { from: 0, to }));
     wait_for_state(&mut fleet, 0, "gone");
     fleet.wait_for("n0 notices", TIMEOUT, |fleet| {
         at_all_nodes(fleet, |fleet, node| {
@@ -145,10 +145,14 @@
         })
     });
     wait_for_log(&mut fleet, 0, "this node was declared dead");
-    fleet.apply(&Trouble::HealAll);
+    fleet.apply(&Fault::HealAll);
     fleet.agree_within(TIMEOUT);
     assert_eq!(deaths_except(&fleet, 0), []);
-    assert!(fleet.passed().done.cut > 100, "{:?}", fleet.passed());
+    assert!(
+        fleet.relay_totals().faults.cut > 100,
+        "{:?}",
+        fleet.relay_totals()
+    );
 }
 
 /// Each node receives nothing from the one before; only a ring of one-way links is left; half receives nothing from the
@@ -157,7 +161,7 @@
 fn asymmetric_partitions_kill_no_reachable_node() {
     let mut fleet = started_cluster(6, 11);
     (0..6).for_each(|node| {
-        fleet.apply(&Trouble::Cut {
+        fleet.apply(&Fault::Cut {
             from: node,
             to: (node + 1) % 6,
         });
@@ -166,15 +170,15 @@
     assert_eq!(fleet.gone(), [], "each is partitioned from one");
     let others = (0..6).flat_map(|from| (0..6).map(move |to| (from, to)));
     for (from, to) in others.filter(|(from, to)| from != to && *to != (from + 2) % 6) {
-        fleet.apply(&Trouble::Cut { from, to });
+        fleet.apply(&Fault::Cut { from, to });
     }
     fleet.wait(ms(4_000));
     assert_eq!(fleet.gone(), [], "no probe can be acknowledged");
-    fleet.apply(&Trouble::HealAll);
+    fleet.apply(&Fault::HealAll);
     fleet.agree_within(TIMEOUT);
     // The other half may be declared dead, but the views settle, and agree after the partition has healed.
     for from in 3..6 {
-        (0..3).for_each(|to| fleet.apply(&Trouble::Cut { from, to }));
+        (0..3).for_each(|to| fleet.apply(&Fault::Cut { from, to }));
     }
     fleet.wait(ms(8_000));
     let before = fleet.gone().len();
@@ -185,9 +189,13 @@
         "no node flaps: {:?}",
         fleet.gone()
     );
-    fleet.apply(&Trouble::HealAll);
+    fleet.apply(&Fault::HealAll);
     fleet.agree_within(TIMEOUT);
-    assert!(fleet.passed().done.cut > 100, "{:?}", fleet.passed());
+    assert!(
+        fleet.relay_totals().faults.cut > 100,
+        "{:?}",
+        fleet.relay_totals()
+    );
 }
 
 #[test]
@@ -201,7 +209,7 @@
     }
     fleet.agree_within(TIMEOUT);
     for _ in 0..8 {
-        (0..9).for_each(|node| fleet.apply(&Trouble::Pause { node, ms: 200.0 }));
+        (0..9).for_each(|node| fleet.apply(&Fault::Pause { node, ms: 200.0 }));
         fleet.wait(ms(700));
     }
     fleet.agree_within(TIMEOUT);
@@ -226,12 +234,12 @@
     fleet.kill(4);
     fleet.run(4);
     fleet.wait(ms(4_000));
-    fleet.apply(&Trouble::HealAll);
+    fleet.apply(&Fault::HealAll);
     fleet.agree_within(TIMEOUT);
     assert!(
-        fleet.passed().done.cut > 100 && !fleet.gone().is_empty(),
+        fleet.relay_totals().faults.cut > 100 && !fleet.gone().is_empty(),
         "{:?}",
-        fleet.passed()
+        fleet.relay_totals()
     );
 }
 
@@ -297,7 +305,7 @@
                 })
             },
         );
-        fleet.apply(&Trouble::HealAll);
+        fleet.apply(&Fault::HealAll);
         fleet.agree_within(TIMEOUT);
     }
 }
@@ -312,27 +320,28 @@
         },
         Link {
             jitter_ms: 600.0,
-            twice: 0.3,
+            duplication: 0.3,
             ..Link::default()
         },
         Link {
-            corrupt: 0.1,
+            corruption: 0.1,
             replay: 0.3,
             ..Link::default()
         },
     ] {
-        fleet.apply(&Trouble::All { link });
+        fleet.apply(&Fault::AllLinks { link });
         fleet.wait(ms(5_000));
     }
     assert_eq!(fleet.gone(), []);
-    let done = fleet.passed().done;
+    let faults = fleet.relay_totals().faults;
     assert!(
-        done.lost
-            .min(done.doubled)
-            .min(done.corrupted)
-            .min(done.replayed)
+        faults
+            .lost
+            .min(faults.duplicated)
+            .min(faults.corrupted)
+            .min(faults.replayed)
             > 20,
-        "{done:?}"
+        "{faults:?}"
     );
     let metric = |name: &str| {
         (0..6)
@@ -341,7 +350,7 @@
     };
     assert!(metric("fleet_refused.seal") > 0 && metric("fleet_refused.replayed") > 0);
     fleet.kill(1);
-    fleet.apply(&Trouble::All {
+    fleet.apply(&Fault::AllLinks {
         link: Link {
             loss: 0.3,
             ..Link::default()
@@ -349,7 +358,7 @@
     });
     wait_for_state(&mut fleet, 1, "gone");
     fleet.run(1);
-    fleet.apply(&Trouble::HealAll);
+    fleet.apply(&Fault::HealAll);
     fleet.agree_within(TIMEOUT);
 }
 
@@ -539,7 +548,7 @@
         Some(""),
     );
     assert_eq!(udp_sockets(node.process()), 0);
-    assert_eq!(fleet.passed().datagrams, 0);
+    assert_eq!(fleet.relay_totals().datagrams, 0);
 }
 
 /// Guards the names that scripts and dashboards read.
--- a/tests/lease_processes.rs
+++ b/tests/lease_processes.rs
@@ -4,7 +4,7 @@
 use std::time::{Duration, Instant};
 
 use silverthread::node::admin::config_file::OperatorConfig;
-use testkit::{program, until, write_config, Fleet, Link, Load, Node, Register, Trouble};
+use testkit::{program, until, write_config, Fault, Fleet, Link, Load, Node, Register};
 
 /// Short times, so that a test of several cases takes seconds.
 const TIMES: &str = "probe_ms = 200\nsuspect_ms = 1000\n";
@@ -139,10 +139,10 @@
             } else {
                 (owner, other)
             };
-            fleet.apply(&Trouble::Cut { from, to });
+            fleet.apply(&Fault::Cut { from, to });
         }
         wait_for_append(&mut fleet, &register, |node| node != owner);
-        fleet.apply(&Trouble::HealAll);
+        fleet.apply(&Fault::HealAll);
         wait_until_settled(&mut fleet, &register);
     }
 }
@@ -167,7 +167,7 @@
     for _ in 0..8 {
         let node = rng.usize(1..6);
         match rng.u32(..4) {
-            0 => fleet.apply(&Trouble::Pause {
+            0 => fleet.apply(&Fault::Pause {
                 node,
                 ms: 500.0 + rng.f64() * 2_500.0,
             }),
@@ -176,13 +176,13 @@
                 fleet.run(node);
             }
             2 => fleet.split(|at| usize::from(at == node)),
-            _ => fleet.apply(&Trouble::Cut {
+            _ => fleet.apply(&Fault::Cut {
                 from: node,
                 to: (node + 1) % 6,
             }),
         }
         fleet.wait(ms(1_000));
-        fleet.apply(&Trouble::HealAll);
+        fleet.apply(&Fault::HealAll);
     }
     fleet.wait(ms(3_000));
     wait_until_settled(&mut fleet, &register);
@@ -196,9 +196,9 @@
     );
     assert_eq!(fleet.server.count() as u64, totals.sent, "each once");
     assert!(
-        fleet.passed().longest <= 256,
+        fleet.relay_totals().max_datagram_bytes <= 256,
         "{} bytes",
-        fleet.passed().longest
+        fleet.relay_totals().max_datagram_bytes
     );
 }
 
@@ -470,7 +470,7 @@
 #[test]
 fn thirty_percent_message_loss_makes_no_two_owners() {
     let (register, mut fleet) = start_fleet(5, 15);
-    fleet.apply(&Trouble::All {
+    fleet.apply(&Fault::AllLinks {
         link: Link {
             loss: 0.3,
             ..Link::default()
@@ -480,12 +480,12 @@
         fleet.wait(ms(1_000));
         wait_for_append(&mut fleet, &register, |_| true);
     }
-    fleet.apply(&Trouble::HealAll);
+    fleet.apply(&Fault::HealAll);
     wait_until_all_owned(&mut fleet);
     assert!(
-        fleet.passed().done.lost > 100,
+        fleet.relay_totals().faults.lost > 100,
         "some were lost: {:?}",
-        fleet.passed()
+        fleet.relay_totals()
     );
     assert_eq!(register.violation(), None);
 }
@@ -549,11 +549,11 @@
         owner = wait_for_append(&mut fleet, &register, |node| node != owner);
     }
     let cut = |fleet: &mut Fleet, keeper: usize| {
-        fleet.apply(&Trouble::Cut {
+        fleet.apply(&Fault::Cut {
             from: owner,
             to: keeper,
         });
-        fleet.apply(&Trouble::Cut {
+        fleet.apply(&Fault::Cut {
             from: keeper,
             to: owner,
         });
@@ -568,7 +568,7 @@
     );
     cut(&mut fleet, 1);
     wait_for_append(&mut fleet, &register, |node| node != owner);
-    fleet.apply(&Trouble::HealAll);
+    fleet.apply(&Fault::HealAll);
     wait_until_settled(&mut fleet, &register);
 }
 
--- a/tests/outlier_detection.rs
+++ b/tests/outlier_detection.rs
@@ -5,7 +5,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use testkit::{answer, program, Fleet, Load, Reply, Server, Trouble};
+use testkit::{answer, program, Fault, Fleet, Load, Reply, Server};
 
 const PROBE_SETTINGS: &str = "probe_ms = 200\nsuspect_ms = 1000\n";
 const OUTLIER_DETECTION: &str = "[word]\nturn_ms = 300\nfloor = 0.0001\n";
@@ -180,24 +180,24 @@
     let loads = loads(&fleet, 0..NODES);
     for node in 4..NODES {
         for other in (0..NODES).filter(|other| *other != node) {
-            fleet.apply(&Trouble::Cut {
+            fleet.apply(&Fault::Cut {
                 from: other,
                 to: node,
             });
         }
     }
-    fleet.apply(&Trouble::Pause {
+    fleet.apply(&Fault::Pause {
         node: 3,
         ms: 2_500.0,
     });
     is_failing.store(true, Ordering::Relaxed);
     wait_for_weight(&mut fleet, "the connected nodes eject it", 0..3, is_ejected);
-    fleet.apply(&Trouble::HealAll);
+    fleet.apply(&Fault::HealAll);
     wait_for_weight(&mut fleet, "all eject it", 0..NODES, is_ejected);
     stop(loads);
-    let relayed = fleet.passed();
+    let relayed = fleet.relay_totals();
     assert!(
-        relayed.done.cut > 0 && relayed.longest <= 256,
+        relayed.faults.cut > 0 && relayed.max_datagram_bytes <= 256,
         "{relayed:?}"
     );
     assert!(fleet.others[0].count() >= 3, "it was tried");
