--- a/crates/measure/src/cold.rs
+++ b/crates/measure/src/cold.rs
@@ -9,7 +9,7 @@
     Request, RequestId, ServerEntry, ServerId, ServerListUpdate, Settings,
 };
 
-use crate::event_queue::Agenda;
+use crate::event_queue::EventQueue;
 use crate::system::count;
 
 const AIM_MS: f64 = 400.0;
@@ -110,7 +110,7 @@
 }
 
 struct World {
-    agenda: Agenda<Due>,
+    event_queue: EventQueue<Due>,
     nodes: Vec<Node>,
     servers: Vec<Server>,
     rng: Rng,
@@ -141,7 +141,7 @@
             }
         };
         let mut world = Self {
-            agenda: Agenda::default(),
+            event_queue: EventQueue::default(),
             nodes: (0..nodes).map(node).collect(),
             servers: (0..SERVERS).map(|_| Server::default()).collect(),
             rng: Rng::with_seed(seed),
@@ -152,9 +152,9 @@
         world.list();
         for node in 0..nodes {
             let first = world.gap();
-            world.agenda.push(first, Due::Arrive(node));
+            world.event_queue.push(first, Due::Arrive(node));
         }
-        world.agenda.push(STARTS_MS, Due::Start);
+        world.event_queue.push(STARTS_MS, Due::Start);
         world
     }
 
@@ -186,12 +186,15 @@
     }
 
     fn play(mut self) -> Played {
-        while let Some(due) = self.agenda.next_before(STARTS_MS + COLD_MS + DEADLINE_MS) {
-            let now = self.agenda.now;
+        while let Some(due) = self
+            .event_queue
+            .next_before(STARTS_MS + COLD_MS + DEADLINE_MS)
+        {
+            let now = self.event_queue.now_ms;
             match due {
                 Due::Arrive(node) => {
                     let after = self.gap();
-                    self.agenda.push(after, Due::Arrive(node));
+                    self.event_queue.push(after, Due::Arrive(node));
                     self.requests += 1;
                     let id = self.requests;
                     self.played.asked += f64::from(u8::from(Self::counts(now)));
@@ -203,7 +206,7 @@
                             out: None,
                         },
                     );
-                    self.agenda.push(DEADLINE_MS, Due::Over(node, id));
+                    self.event_queue.push(DEADLINE_MS, Due::Over(node, id));
                     self.feed(
                         node,
                         Event::Request(Request::new(RequestId(id), 0, DEADLINE_MS)),
@@ -265,7 +268,7 @@
         ending: AttemptResult,
         report: Option<LoadReport>,
     ) {
-        let now = self.agenda.now;
+        let now = self.event_queue.now_ms;
         let Some(open) = self.nodes[node].open.get_mut(&request) else {
             return;
         };
@@ -294,7 +297,7 @@
     }
 
     fn feed(&mut self, node: usize, event: Event) {
-        let (mut actions, now) = (Vec::new(), self.agenda.now);
+        let (mut actions, now) = (Vec::new(), self.event_queue.now_ms);
         self.nodes[node].balancer.handle(now, event, &mut actions);
         for action in actions {
             match action {
@@ -315,7 +318,7 @@
                         server,
                         sent: now,
                     };
-                    self.agenda.push(through - now + WAY_MS, answer);
+                    self.event_queue.push(through - now + WAY_MS, answer);
                 }
                 Action::Reject { request, .. } | Action::Fail { request } => {
                     if let Some(open) = self.nodes[node].open.remove(&request.0) {
@@ -324,7 +327,7 @@
                     }
                 }
                 Action::SetTimer { timer, after_ms } => {
-                    self.agenda.push(after_ms, Due::Timer(node, timer));
+                    self.event_queue.push(after_ms, Due::Timer(node, timer));
                 }
                 _ => {}
             }
--- a/crates/measure/src/detectors.rs
+++ b/crates/measure/src/detectors.rs
@@ -8,7 +8,7 @@
 use simulation::{Link, NodeId, Outbox, Process, Simulation};
 use testkit::nodes::VirtualCluster;
 
-use crate::members::apart;
+use crate::parts::run_in_processes;
 use crate::system::{count, quantile};
 
 const PERIOD_MS: f64 = 500.0;
@@ -16,7 +16,7 @@
 const SUSPECT_MS: f64 = 2_500.0;
 /// What a datagram has beside its news, as sealed ones of `gossip` do.
 const HEAD: usize = 48;
-const MOST_NEWS: usize = 8;
+const MAX_UPDATES: usize = 8;
 const HELPERS: usize = 3;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -98,7 +98,7 @@
                 news.insert(0, (0, to)); // The buddy system: who is suspected is told first.
             }
             let often = 3 * usize::BITS.saturating_sub(self.known.len().leading_zeros());
-            for (sent, of) in news.into_iter().take(MOST_NEWS) {
+            for (sent, of) in news.into_iter().take(MAX_UPDATES) {
                 let known = &self.known[of];
                 bytes.extend_from_slice(&(of as u32).to_le_bytes());
                 bytes.extend_from_slice(&known.incarnation.to_le_bytes());
@@ -521,7 +521,7 @@
         "deaf: gone",
         "pair: gone"
     );
-    let said = apart(subject, plays(subject).len() as u64, 1);
+    let said = run_in_processes(subject, plays(subject).len() as u64, 1);
     said.iter()
         .filter_map(|said| said.lines().last())
         .for_each(|row| println!("{row}"));
--- a/crates/measure/src/event_queue.rs
+++ b/crates/measure/src/event_queue.rs
@@ -1,64 +1,73 @@
-//! What is due when, in virtual time.
+//! Events in virtual time, taken in the order of their times.
 
 use std::cmp::{Ordering, Reverse};
 use std::collections::BinaryHeap;
 
-/// Time and number, by which what is due is in order.
-struct At<T>(f64, u64, T);
+/// An event in the queue. Ordered by time, then by the order of insertion.
+struct QueuedEvent<T> {
+    at_ms: f64,
+    serial: u64,
+    event: T,
+}
 
-impl<T> PartialEq for At<T> {
+impl<T> PartialEq for QueuedEvent<T> {
     fn eq(&self, other: &Self) -> bool {
         self.cmp(other).is_eq()
     }
 }
 
-impl<T> Eq for At<T> {}
+impl<T> Eq for QueuedEvent<T> {}
 
-impl<T> PartialOrd for At<T> {
+impl<T> PartialOrd for QueuedEvent<T> {
     fn partial_cmp(&self, other: &Self) -> Option<Ordering> {
         Some(self.cmp(other))
     }
 }
 
-impl<T> Ord for At<T> {
+impl<T> Ord for QueuedEvent<T> {
     fn cmp(&self, other: &Self) -> Ordering {
-        self.0.total_cmp(&other.0).then(self.1.cmp(&other.1))
+        self.at_ms
+            .total_cmp(&other.at_ms)
+            .then(self.serial.cmp(&other.serial))
     }
 }
 
-/// What is due, in order of time and then of when it was asked for, and the time of what came last.
-pub struct Agenda<T> {
-    /// In milliseconds.
-    pub now: f64,
-    serial: u64,
-    due: BinaryHeap<Reverse<At<T>>>,
+/// Events that are due, and the virtual time.
+pub struct EventQueue<T> {
+    /// The time of the event that was taken last, in milliseconds.
+    pub now_ms: f64,
+    next_serial: u64,
+    events: BinaryHeap<Reverse<QueuedEvent<T>>>,
 }
 
-impl<T> Default for Agenda<T> {
+impl<T> Default for EventQueue<T> {
     fn default() -> Self {
         Self {
-            now: 0.0,
-            serial: 0,
-            due: BinaryHeap::new(),
+            now_ms: 0.0,
+            next_serial: 0,
+            events: BinaryHeap::new(),
         }
     }
 }
 
-impl<T> Agenda<T> {
-    /// Something is due so much later.
-    pub fn push(&mut self, after_ms: f64, due: T) {
-        self.serial += 1;
-        self.due
-            .push(Reverse(At(self.now + after_ms, self.serial, due)));
+impl<T> EventQueue<T> {
+    /// Adds an event that is due this long after the current time.
+    pub fn push(&mut self, after_ms: f64, event: T) {
+        self.next_serial += 1;
+        self.events.push(Reverse(QueuedEvent {
+            at_ms: self.now_ms + after_ms,
+            serial: self.next_serial,
+            event,
+        }));
     }
 
-    /// What is due next, if that is before the end; its time is now, then.
+    /// Takes the next event and advances the time to it. `None` if there is none until `end_ms`.
     pub fn next_before(&mut self, end_ms: f64) -> Option<T> {
-        let Reverse(At(at, _, due)) = self.due.pop()?;
-        if at > end_ms {
+        let Reverse(next) = self.events.pop()?;
+        if next.at_ms > end_ms {
             return None;
         }
-        self.now = at;
-        Some(due)
+        self.now_ms = next.at_ms;
+        Some(next.event)
     }
 }
--- a/crates/measure/src/main.rs
+++ b/crates/measure/src/main.rs
@@ -17,6 +17,7 @@
 mod members;
 mod outlier_detection;
 mod owners;
+mod parts;
 mod proxy;
 mod stable_hash;
 mod system;
@@ -92,7 +93,7 @@
     }
     system::describe();
     if let Some(seed) = line.seed {
-        members::some(&line.subject, seed, line.seeds);
+        print_parts(&line.subject, seed, line.seeds);
         return ExitCode::SUCCESS;
     }
     let wanted = SUBJECTS
@@ -101,3 +102,19 @@
     wanted.for_each(|(_, measure)| measure());
     ExitCode::SUCCESS
 }
+
+/// Prints some parts of a subject that runs in parts, a line each. A single seed that failed is printed with its fault
+/// schedule.
+fn print_parts(subject: &str, first: u64, count: u64) {
+    for part in first..first + count {
+        let line = match subject {
+            "members-days" => members::days_of(part),
+            "members-sizes" => members::size_row(part),
+            "members-large" => members::large_row(part),
+            "detectors" | "detectors-large" => detectors::row_of(subject, part),
+            "owners-drawn" => owners::trial_of(part),
+            _ => members::trial_of(part, count == 1),
+        };
+        println!("{line}");
+    }
+}
--- a/crates/measure/src/members.rs
+++ b/crates/measure/src/members.rs
@@ -1,10 +1,9 @@
-//! Membership among the nodes: in virtual time under drawn troubles and at size, and as processes under the same.
+//! Membership among the nodes: in virtual time under generated fault schedules and by size, and as processes under the
+//! same faults.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::{SocketAddr, UdpSocket};
-use std::process::Command;
-use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
-use std::sync::Mutex;
+use std::sync::atomic::{AtomicBool, Ordering};
 use std::thread;
 use std::time::{Duration, Instant};
 
@@ -14,67 +13,17 @@
 use testkit::nodes::{Output, VirtualCluster};
 use testkit::{Fleet, Load};
 
+use crate::parts::{run_in_processes, SEEDS_PER_PROCESS};
 use crate::system::{count, cpu, is_brief, memory_mb, quantile, time};
 
 const SEEDS: usize = 10_000;
-const MOST_NODES: usize = 50;
+const MAX_NODES: usize = 50;
 
-/// Plays numbers on all cores; each is taken once.
-pub fn on_all_cores(numbers: usize, play: impl Fn(u64) + Sync) {
-    let next = AtomicU64::new(0);
-    let workers = thread::available_parallelism().map_or(1, usize::from);
-    thread::scope(|scope| {
-        for _ in 0..workers {
-            scope.spawn(|| loop {
-                let number = next.fetch_add(1, Ordering::Relaxed);
-                if number >= numbers as u64 {
-                    return;
-                }
-                play(number);
-            });
-        }
-    });
-}
-
-/// Plays parts of a subject in processes of their own, and gives what each printed, in order: allocations are counted in
-/// this program, and threads would wait for each other's counts.
-pub fn apart(subject: &str, parts: u64, at_a_time: u64) -> Vec<String> {
-    let said = Mutex::new(BTreeMap::new());
-    let program = std::env::current_exe().expect("this program");
-    on_all_cores(parts.div_ceil(at_a_time) as usize, |part| {
-        let from = part * at_a_time;
-        let some = at_a_time.min(parts - from).to_string();
-        let mut command = Command::new(&program);
-        command.args([subject, "--seed", &from.to_string(), "--seeds", &some]);
-        command.args(is_brief().then_some("--brief"));
-        let output = command.output().expect("this program runs");
-        said.lock()
-            .expect("sound")
-            .insert(part, String::from_utf8_lossy(&output.stdout).into_owned());
-    });
-    said.into_inner().expect("sound").into_values().collect()
-}
-
-/// Some parts of a subject that is played in parts, a line each; of one drawn seed alone with its script, where it failed.
-pub fn some(subject: &str, from: u64, count: u64) {
-    for part in from..from + count {
-        match subject {
-            "members-days" => println!("{}", days_of(part)),
-            "members-sizes" => println!("{}", row(&SIZES, part)),
-            "members-large" => println!("{}", row(&LARGE, part)),
-            "detectors" | "detectors-large" => {
-                println!("{}", crate::detectors::row_of(subject, part));
-            }
-            "owners-drawn" => println!("{}", crate::owners::trial_of(part)),
-            _ => println!("{}", trial_of(part, count == 1)),
-        }
-    }
-}
-
-fn trial_of(seed: u64, with_script: bool) -> String {
-    match trial(seed, schedule_limits(seed, MOST_NODES), InjectedFault::None) {
+/// The line of one seed; of a failed one with its fault schedule, if `with_schedule`.
+pub fn trial_of(seed: u64, with_schedule: bool) -> String {
+    match trial(seed, schedule_limits(seed, MAX_NODES), InjectedFault::None) {
         Ok(trial) => format!("{AGREED} {:.0} {}", trial.agreed_ms, trial.deaths),
-        Err(error) if with_script => error,
+        Err(error) if with_schedule => error,
         Err(error) => error.lines().next().unwrap_or_default().to_owned(),
     }
 }
@@ -82,14 +31,11 @@
 /// How a line begins of a seed that went well: when all agreed, in milliseconds, and how many were rightly gone follow.
 const AGREED: &str = "agreed";
 
-/// Seeds that one process plays.
-pub const SEEDS_A_PROCESS: u64 = 50;
-
-/// Drawn troubles, in virtual time, in a process of its own for every few seeds.
+/// Generated fault schedules, in virtual time, with a process for every few seeds.
 pub fn drawn() {
     let seeds = count(SEEDS, 4) as u64;
     let start = Instant::now();
-    let said = apart("members-drawn", seeds, SEEDS_A_PROCESS);
+    let said = run_in_processes("members-drawn", seeds, SEEDS_PER_PROCESS);
     let lines = || said.iter().flat_map(|said| said.lines());
     let went_well = |line: &&str| line.starts_with(AGREED);
     let numbers = |at: usize| {
@@ -103,7 +49,7 @@
     let played = agreed.len();
     let failed: Vec<_> = lines().filter(|line| line.starts_with("seed ")).collect();
     println!(
-        "\n{seeds} seeds of drawn troubles, 5 to {MOST_NODES} nodes, a minute each; {:.0?}",
+        "\n{seeds} seeds of drawn troubles, 5 to {MAX_NODES} nodes, a minute each; {:.0?}",
         start.elapsed()
     );
     let [p50, p99, most] = [0.5, 0.99, 1.0].map(|part| quantile(&mut agreed, part));
@@ -119,9 +65,9 @@
 
 /// Nodes that are paused for a second now and then, on links that lose one in ten, in virtual time.
 pub fn node_days() {
-    let worlds = count(6, 1) as u64;
+    let simulations = count(6, 1) as u64;
     let start = Instant::now();
-    let said = apart("members-days", worlds, 1);
+    let said = run_in_processes("members-days", simulations, 1);
     let sum = |at: usize| {
         let last = said.iter().filter_map(|said| said.lines().last());
         last.filter_map(|line| line.split(' ').nth(at)?.parse::<f64>().ok())
@@ -135,8 +81,8 @@
     println!("false verdicts: {wrong}");
 }
 
-/// One world of them: days, pauses and false verdicts.
-fn days_of(seed: u64) -> String {
+/// The line of one seed: node-days, pauses and false verdicts.
+pub fn days_of(seed: u64) -> String {
     let hours = if is_brief() { 0.01 } else { DAYS_HOURS };
     let mut fleet = VirtualCluster::started(seed, DAYS_NODES);
     let mut rng = fastrand::Rng::with_seed(seed);
@@ -196,6 +142,16 @@
         .collect()
 }
 
+/// One row of the table by size.
+pub fn size_row(part: u64) -> String {
+    row(&SIZES, part)
+}
+
+/// One row of the table of the largest size.
+pub fn large_row(part: u64) -> String {
+    row(&LARGE, part)
+}
+
 fn row(sizes: &[(usize, usize)], part: u64) -> String {
     if part as usize >= plays(sizes).len() {
         return cuts(sizes[0].0.min(count(3_000, 30)));
@@ -223,7 +179,7 @@
     );
     // The last part is the one of cuts.
     let parts = plays(sizes).len() as u64 + u64::from(subject == "members-large");
-    let said = apart(subject, parts, 1);
+    let said = run_in_processes(subject, parts, 1);
     said.iter()
         .filter_map(|said| said.lines().last())
         .for_each(|row| println!("{row}"));
@@ -266,7 +222,7 @@
     let quiet = if nodes > 1_000 { 20_000.0 } else { 60_000.0 };
     let start = Instant::now();
     fleet.run(quiet);
-    // With the world's own work, and what other plays take of the machine.
+    // Includes the simulation's own work, and the effect of others that run at the same time.
     let cpu_us = start.elapsed().as_secs_f64() * 1e6 / (quiet / 1e3) / nodes as f64;
     let after = fleet.simulation.totals();
     let wrong = fleet.deaths_since(since).len();
@@ -303,7 +259,7 @@
     )
 }
 
-/// Processes of the program under drawn troubles, while six of them serve requests.
+/// Processes of the program under generated fault schedules, while six of them serve requests.
 pub fn processes() {
     const SERVING: usize = 6;
     let (nodes, minutes) = (count(30, 5), time(Duration::from_secs(600)));
--- a/crates/measure/src/outlier_detection.rs
+++ b/crates/measure/src/outlier_detection.rs
@@ -10,7 +10,7 @@
     Request, RequestId, ServerEntry, ServerId, ServerListUpdate, Settings,
 };
 
-use crate::event_queue::Agenda;
+use crate::event_queue::EventQueue;
 use crate::system::count;
 
 const AIM_MS: f64 = 200.0;
@@ -24,9 +24,9 @@
 const LAST_MS: f64 = 110_000.0;
 const SEEDS: usize = 5;
 
-/// What is wrong between the beginning and the end of the trouble.
+/// The fault that is injected from `BEGIN_MS` to `END_MS`.
 #[derive(Clone, Copy, Debug, PartialEq)]
-enum Trouble {
+enum ServerFault {
     /// One server answers each request with an error.
     OneBad,
     /// One is silent.
@@ -41,16 +41,16 @@
     CutOff,
 }
 
-const TROUBLES: [Trouble; 6] = [
-    Trouble::OneBad,
-    Trouble::OneSilent,
-    Trouble::Gray,
-    Trouble::ZoneLost,
-    Trouble::Liar,
-    Trouble::CutOff,
+const SERVER_FAULTS: [ServerFault; 6] = [
+    ServerFault::OneBad,
+    ServerFault::OneSilent,
+    ServerFault::Gray,
+    ServerFault::ZoneLost,
+    ServerFault::Liar,
+    ServerFault::CutOff,
 ];
 
-impl Trouble {
+impl ServerFault {
     /// Which servers are bad: attempts there are spent.
     fn bad(self) -> usize {
         match self {
@@ -107,10 +107,10 @@
     open: HashMap<u64, Open>,
 }
 
-struct World {
-    trouble: Trouble,
-    with_word: bool,
-    agenda: Agenda<Due>,
+struct FleetSimulation {
+    server_fault: ServerFault,
+    with_detection: bool,
+    event_queue: EventQueue<Due>,
     nodes: Vec<Node>,
     rng: Rng,
     requests: u64,
@@ -123,8 +123,8 @@
     ServerKey(server as u64 + 100)
 }
 
-impl World {
-    fn new(trouble: Trouble, with_word: bool, nodes: usize, seed: u64) -> Self {
+impl FleetSimulation {
+    fn new(server_fault: ServerFault, with_detection: bool, nodes: usize, seed: u64) -> Self {
         let mut rng = Rng::with_seed(seed);
         let entries = || {
             (0..SERVERS)
@@ -157,11 +157,11 @@
             }
         };
         let all = (0..nodes).map(node).collect();
-        let (agenda, requests, good, taken, spent) = (Agenda::default(), 0, 0.0, 0, 0);
+        let (event_queue, requests, good, taken, spent) = (EventQueue::default(), 0, 0.0, 0, 0);
         let mut world = Self {
-            trouble,
-            with_word,
-            agenda,
+            server_fault,
+            with_detection,
+            event_queue,
             nodes: all,
             rng,
             requests,
@@ -171,23 +171,25 @@
         };
         for node in 0..nodes {
             let first = world.rng.f64() * 1_000.0 / EACH_PER_S;
-            world.agenda.push(first, Due::Arrive(node));
-            if with_word {
-                world.agenda.push(first, Due::Turn(node));
+            world.event_queue.push(first, Due::Arrive(node));
+            if with_detection {
+                world.event_queue.push(first, Due::Turn(node));
             }
         }
         world
     }
 
     fn play(mut self) -> (f64, f64) {
-        while let Some(due) = self.agenda.next_before(LAST_MS) {
+        while let Some(due) = self.event_queue.next_before(LAST_MS) {
             match due {
                 Due::Arrive(node) => {
                     let after = -self.rng.f64().max(1e-9).ln() * 1_000.0 / EACH_PER_S;
-                    self.agenda.push(after, Due::Arrive(node));
+                    self.event_queue.push(after, Due::Arrive(node));
                     self.requests += 1;
                     let id = self.requests;
-                    self.nodes[node].open.insert(id, (self.agenda.now, 0, None));
+                    self.nodes[node]
+                        .open
+                        .insert(id, (self.event_queue.now_ms, 0, None));
                     self.taken += u64::from(self.counts());
                     self.feed(
                         node,
@@ -213,10 +215,10 @@
                     );
                 }
                 Due::Turn(node) => {
-                    self.agenda.push(1_000.0, Due::Turn(node));
-                    if self.trouble == Trouble::Liar
+                    self.event_queue.push(1_000.0, Due::Turn(node));
+                    if self.server_fault == ServerFault::Liar
                         && node == 0
-                        && (BEGIN_MS..END_MS).contains(&self.agenda.now)
+                        && (BEGIN_MS..END_MS).contains(&self.event_queue.now_ms)
                     {
                         self.attempt_ended(node, 0, Some(FailureKind::ErrorResponse));
                     }
@@ -230,9 +232,9 @@
         )
     }
 
-    /// What counts is from the beginning of the trouble on, its end and what follows among it.
+    /// Whether the current time is within the measured period: from the beginning of the fault until some time after its end.
     fn counts(&self) -> bool {
-        (BEGIN_MS..LAST_MS - DEADLINE_MS).contains(&self.agenda.now)
+        (BEGIN_MS..LAST_MS - DEADLINE_MS).contains(&self.event_queue.now_ms)
     }
 
     fn attempt_ended(&mut self, node: usize, server: usize, failure: Option<FailureKind>) {
@@ -244,7 +246,7 @@
         let mut actions = Vec::new();
         self.nodes[node]
             .detector
-            .handle(self.agenda.now, event, &mut actions);
+            .handle(self.event_queue.now_ms, event, &mut actions);
         for action in actions {
             match action {
                 outlier_detection::Action::Broadcast(bytes) => {
@@ -287,9 +289,11 @@
         if is_served {
             self.nodes[node].open.remove(&request);
             let counts = (BEGIN_MS..LAST_MS - DEADLINE_MS).contains(&arrived);
-            self.good += f64::from(u8::from(counts && self.agenda.now - arrived <= AIM_MS));
+            self.good += f64::from(u8::from(
+                counts && self.event_queue.now_ms - arrived <= AIM_MS,
+            ));
         }
-        if self.with_word {
+        if self.with_detection {
             let failure = match ending {
                 AttemptResult::Served => None,
                 AttemptResult::TimedOut => Some(FailureKind::TimedOut),
@@ -305,7 +309,7 @@
         let outcome = Outcome {
             request: RequestId(request),
             attempt,
-            elapsed_ms: self.agenda.now - sent,
+            elapsed_ms: self.event_queue.now_ms - sent,
             result: ending,
             complete: is_served,
             report,
@@ -317,11 +321,11 @@
         let mut actions = Vec::new();
         self.nodes[node]
             .balancer
-            .handle(self.agenda.now, event, &mut actions);
+            .handle(self.event_queue.now_ms, event, &mut actions);
         for action in actions {
             match action {
                 Action::Send { request, server } => {
-                    let (now, at) = (self.agenda.now, server.0);
+                    let (now, at) = (self.event_queue.now_ms, server.0);
                     let Some(open) = self.nodes[node].open.get_mut(&request.0) else {
                         continue;
                     };
@@ -329,16 +333,17 @@
                     open.1 += 1;
                     open.2 = Some((attempt, now));
                     let left = open.0 + DEADLINE_MS - now;
-                    let (ending, after) = self.trouble.end(now, node, at, &mut self.rng);
+                    let (ending, after) = self.server_fault.end(now, node, at, &mut self.rng);
                     let (ending, after) = if after > left {
                         (AttemptResult::TimedOut, left)
                     } else {
                         (ending, after)
                     };
-                    self.spent +=
-                        u64::from(at < self.trouble.bad() && (BEGIN_MS..END_MS).contains(&now));
+                    self.spent += u64::from(
+                        at < self.server_fault.bad() && (BEGIN_MS..END_MS).contains(&now),
+                    );
                     let ending = ENDINGS.iter().position(|held| *held == ending).unwrap_or(0) as u8;
-                    self.agenda.push(
+                    self.event_queue.push(
                         after,
                         Due::End {
                             node,
@@ -363,7 +368,7 @@
                     self.nodes[node].open.remove(&request.0);
                 }
                 Action::SetTimer { timer, after_ms } => {
-                    self.agenda.push(after_ms, Due::Timer(node, timer));
+                    self.event_queue.push(after_ms, Due::Timer(node, timer));
                 }
                 _ => {}
             }
@@ -374,7 +379,7 @@
         if let Some(open) = self.nodes[node].open.get_mut(&request) {
             open.2 = None;
         }
-        let elapsed_ms = self.agenda.now - sent;
+        let elapsed_ms = self.event_queue.now_ms - sent;
         let (request, ending) = (RequestId(request), AttemptResult::Cancelled);
         self.feed(
             node,
@@ -407,17 +412,19 @@
     );
     for nodes in [30, 300] {
         let nodes = count(nodes, 5);
-        for trouble in TROUBLES {
+        for server_fault in SERVER_FAULTS {
             let seeds = count(SEEDS, 1) as u64;
-            let mean = |with_word| {
-                let all = (0..seeds).map(|seed| World::new(trouble, with_word, nodes, seed).play());
+            let mean = |with_detection| {
+                let all = (0..seeds).map(|seed| {
+                    FleetSimulation::new(server_fault, with_detection, nodes, seed).play()
+                });
                 let (good, spent) = all.fold((0.0, 0.0), |sum, one| (sum.0 + one.0, sum.1 + one.1));
                 (good / seeds as f64, spent / seeds as f64)
             };
             let ((alone, spent), (word, less)) = (mean(false), mean(true));
             println!(
                 "{:>10} {nodes:>6} {alone:>14.4} {word:>14.4} {spent:>16.1} {less:>16.1} {:>7.2}",
-                format!("{trouble:?}"),
+                format!("{server_fault:?}"),
                 less / spent.max(1e-9),
             );
         }
--- a/crates/measure/src/owners.rs
+++ b/crates/measure/src/owners.rs
@@ -9,7 +9,7 @@
 use testkit::lease_simulation::{run_trial, SimulatedFleet};
 use testkit::{Fault, Fleet, Load, Register};
 
-use crate::members::{apart, SEEDS_A_PROCESS};
+use crate::parts::{run_in_processes, SEEDS_PER_PROCESS};
 use crate::system::{count, played_for, quantile, time};
 
 const SEEDS: usize = 100_000;
@@ -46,7 +46,7 @@
 pub fn drawn() {
     let seeds = count(SEEDS, 4) as u64;
     let start = Instant::now();
-    let said = apart("owners-drawn", seeds, SEEDS_A_PROCESS);
+    let said = run_in_processes("owners-drawn", seeds, SEEDS_PER_PROCESS);
     let lines = || said.iter().flat_map(|said| said.lines());
     let sum = |at: usize| {
         let held = lines().filter(|line| line.starts_with(PASSED));
