--- a/crates/measure/src/members.rs
+++ b/crates/measure/src/members.rs
@@ -9,7 +9,7 @@
 
 use gossip::{InjectedFault, State};
 use simulation::{Fault, FaultSchedule, Link, ScheduleLimits};
-use testkit::nodes::checker::{excuses, schedule_limits, trial};
+use testkit::nodes::checker::{schedule_limits, trial, Excuses};
 use testkit::nodes::{Output, VirtualCluster};
 use testkit::{Fleet, Load};
 
@@ -294,7 +294,7 @@
         fleet.play(&schedule);
         fleet.wait(Duration::from_secs(if round_ms < 1_000.0 { 0 } else { 8 }));
         agreed.push(fleet.agree_within(Duration::from_secs(30)).as_secs_f64());
-        let excuses = excuses(&schedule, nodes);
+        let excuses = Excuses::new(&schedule, nodes);
         let lines = fleet.gone_lines();
         for (by, at, name, why) in lines
             .into_iter()
--- a/crates/testkit/src/nodes/checker.rs
+++ b/crates/testkit/src/nodes/checker.rs
@@ -23,36 +23,75 @@
 /// Pauses with a shorter interval count as one: hardly any datagram of the node was received in between.
 const MIN_PAUSE_INTERVAL_MS: f64 = 1_000.0;
 
-/// Periods, each with start and end in milliseconds.
-type Spans = Vec<(f64, f64)>;
+/// A period.
+#[derive(Clone, Copy)]
+struct Span {
+    start_ms: f64,
+    end_ms: f64,
+}
+
+impl Span {
+    fn contains(self, at_ms: f64) -> bool {
+        self.start_ms <= at_ms && at_ms < self.end_ms
+    }
+
+    /// Whether a node paused for this long may be declared dead.
+    fn exceeds_suspicion_timeout(&self) -> bool {
+        self.end_ms - self.start_ms >= SUSPICION_TIMEOUT_MS
+    }
+}
 
 /// When which node may be declared dead by which other, by the fault schedule.
 pub struct Excuses {
     /// By node: when it was down, paused for too long, or partitioned.
-    faulty: Vec<Spans>,
+    faulty: Vec<Vec<Span>>,
     /// By node: when it was partitioned from a third of the others or more, or from half of them counting those that were
     /// down or paused. Then it may declare others dead, as the other side of a partition.
-    partitioned: Vec<Spans>,
+    partitioned: Vec<Vec<Span>>,
     /// By node: when it was paused, for however long.
-    pauses: Vec<Spans>,
-    /// When a quarter of all nodes were paused.
-    many_paused: Spans,
+    pauses: Vec<Vec<Span>>,
+    /// When a quarter of all nodes were down or paused.
+    many_unresponsive: Vec<Span>,
     /// When links were slow beyond the bounds. Then the refutation of what one side of a partition declares, or of what a
     /// resumed node reads, may arrive too late, and a short pause lasts longer for others.
-    slow_links: Spans,
+    slow_links: Vec<Span>,
 }
 
 impl Excuses {
+    /// The deaths that a fault schedule excuses in a cluster of this many nodes.
+    #[must_use]
+    pub fn new(schedule: &FaultSchedule, nodes: usize) -> Self {
+        let mut history = FaultHistory::new(pauses(schedule, nodes));
+        let mut steps: Vec<_> = schedule
+            .faults
+            .iter()
+            .map(|scheduled| (scheduled.at_ms, Some(&scheduled.fault)))
+            .collect();
+        let pause_ends = history.pauses.iter().flatten();
+        steps.extend(pause_ends.map(|pause| (pause.end_ms, None)));
+        steps.sort_by(|(a, _), (b, _)| a.total_cmp(b));
+        for (at_ms, fault) in steps {
+            if let Some(fault) = fault {
+                history.apply(at_ms, fault);
+            }
+            history.update(at_ms);
+        }
+        history.finish()
+    }
+
     /// Whether a node may be declared dead by another at a time, until `after_ms` after the end of a fault.
     #[must_use]
-    pub fn cover(&self, by: NodeId, node: NodeId, at: f64, after_ms: f64) -> bool {
-        let within = |spans: &Spans| {
+    pub fn cover(&self, by: NodeId, node: NodeId, at_ms: f64, after_ms: f64) -> bool {
+        let within = |spans: &Vec<Span>| {
             spans
                 .iter()
-                .any(|(from, until)| *from <= at && at <= until + after_ms)
+                .any(|span| span.start_ms <= at_ms && at_ms <= span.end_ms + after_ms)
+        };
+        let was_paused = || {
+            within(&self.pauses[node])
+                || within(&self.pauses[by])
+                || within(&self.many_unresponsive)
         };
-        let was_paused =
-            || within(&self.pauses[node]) || within(&self.pauses[by]) || within(&self.many_paused);
         let has_other_fault = || was_paused() || self.partitioned.iter().any(within);
         within(&self.faulty[node])
             || within(&self.partitioned[by])
@@ -63,120 +102,154 @@
 /// A condition that begins and ends.
 #[derive(Clone, Default)]
 struct Condition {
-    since: Option<f64>,
-    spans: Spans,
+    since_ms: Option<f64>,
+    spans: Vec<Span>,
 }
 
 impl Condition {
-    fn set(&mut self, at: f64, holds: bool) {
-        match (holds, self.since) {
-            (true, None) => self.since = Some(at),
-            (false, Some(from)) => {
-                self.spans.push((from, at));
-                self.since = None;
+    fn set(&mut self, at_ms: f64, holds: bool) {
+        match (holds, self.since_ms) {
+            (true, None) => self.since_ms = Some(at_ms),
+            (false, Some(start_ms)) => {
+                self.spans.push(Span {
+                    start_ms,
+                    end_ms: at_ms,
+                });
+                self.since_ms = None;
             }
             _ => {}
         }
     }
+
+    fn holds(&self) -> bool {
+        self.since_ms.is_some()
+    }
 }
 
 /// When each node was paused. Pauses in quick succession are one, and a pause within another does not shorten it.
-fn pauses(schedule: &FaultSchedule, nodes: usize) -> Vec<Spans> {
-    let mut pauses: Vec<Spans> = vec![Vec::new(); nodes];
-    for ScheduledFault { at_ms: at, fault } in &schedule.faults {
+fn pauses(schedule: &FaultSchedule, nodes: usize) -> Vec<Vec<Span>> {
+    let mut pauses: Vec<Vec<Span>> = vec![Vec::new(); nodes];
+    for ScheduledFault { at_ms, fault } in &schedule.faults {
         let Fault::Pause { node, ms } = fault else {
             continue;
         };
         match pauses[*node]
             .last_mut()
-            .filter(|(_, until)| *at <= until + MIN_PAUSE_INTERVAL_MS)
+            .filter(|pause| *at_ms <= pause.end_ms + MIN_PAUSE_INTERVAL_MS)
         {
-            Some((_, until)) => *until = until.max(at + ms),
-            None => pauses[*node].push((*at, at + ms)),
+            Some(pause) => pause.end_ms = pause.end_ms.max(at_ms + ms),
+            None => pauses[*node].push(Span {
+                start_ms: *at_ms,
+                end_ms: at_ms + ms,
+            }),
         }
     }
     pauses
 }
 
-/// The deaths that a fault schedule excuses.
-#[must_use]
-pub fn excuses(schedule: &FaultSchedule, nodes: usize) -> Excuses {
-    let pauses = pauses(schedule, nodes);
-    let long = |node: NodeId| {
-        pauses[node]
-            .iter()
-            .filter(|(from, until)| until - from >= SUSPICION_TIMEOUT_MS)
-    };
-    let mut down = vec![Condition::default(); nodes];
-    let mut apart = vec![Condition::default(); nodes];
-    let (mut slow, mut crowd) = (Condition::default(), Condition::default());
-    let mut cut = BTreeSet::new();
-    let mut times: Vec<_> = schedule
-        .faults
-        .iter()
-        .map(|scheduled| (scheduled.at_ms, Some(&scheduled.fault)))
-        .collect();
-    times.extend(pauses.iter().flatten().map(|(_, until)| (*until, None)));
-    times.sort_by(|(a, _), (b, _)| a.total_cmp(b));
-    for (at, fault) in times {
+/// The faults in effect while a schedule is followed, and the periods of those before.
+struct FaultHistory {
+    pauses: Vec<Vec<Span>>,
+    down: Vec<Condition>,
+    partitioned: Vec<Condition>,
+    many_unresponsive: Condition,
+    slow_links: Condition,
+    /// Sender and receiver of each link that is cut.
+    cut_links: BTreeSet<(NodeId, NodeId)>,
+}
+
+impl FaultHistory {
+    fn new(pauses: Vec<Vec<Span>>) -> Self {
+        let nodes = pauses.len();
+        Self {
+            pauses,
+            down: vec![Condition::default(); nodes],
+            partitioned: vec![Condition::default(); nodes],
+            many_unresponsive: Condition::default(),
+            slow_links: Condition::default(),
+            cut_links: BTreeSet::new(),
+        }
+    }
+
+    fn apply(&mut self, at_ms: f64, fault: &Fault) {
         match fault {
-            Some(Fault::Kill { node }) => down[*node].set(at, true),
-            Some(Fault::Start { node }) => down[*node].set(at, false),
-            Some(Fault::Cut { from, to }) => {
-                cut.insert((*from, *to));
+            Fault::Kill { node } => self.down[*node].set(at_ms, true),
+            Fault::Start { node } => self.down[*node].set(at_ms, false),
+            Fault::Cut { from, to } => {
+                self.cut_links.insert((*from, *to));
             }
-            Some(Fault::Restore { from, to }) => {
-                cut.remove(&(*from, *to));
+            Fault::Restore { from, to } => {
+                self.cut_links.remove(&(*from, *to));
             }
-            Some(Fault::AllLinks { link }) => {
-                cut.clear();
-                slow.set(at, link.delay_ms + link.jitter_ms > SLOW_LINK_MS);
+            Fault::AllLinks { link } => {
+                self.cut_links.clear();
+                let is_slow = link.delay_ms + link.jitter_ms > SLOW_LINK_MS;
+                self.slow_links.set(at_ms, is_slow);
             }
-            Some(Fault::HealAll) => {
-                cut.clear();
-                slow.set(at, false);
+            Fault::HealAll => {
+                self.cut_links.clear();
+                self.slow_links.set(at_ms, false);
             }
-            Some(Fault::Pause { .. } | Fault::Link { .. }) | None => {}
+            Fault::Pause { .. } | Fault::Link { .. } => {}
         }
-        let is_still = |node: NodeId| {
-            down[node].since.is_some() || long(node).any(|(from, until)| *from <= at && at < *until)
-        };
-        let still: Vec<_> = (0..nodes).map(is_still).collect();
-        crowd.set(
-            at,
-            4 * still.iter().filter(|still| **still).count() >= nodes,
-        );
-        for (node, apart) in apart.iter_mut().enumerate() {
-            let others = || (0..nodes).filter(|other| *other != node);
-            let unheard = |other: &NodeId| cut.contains(&(node, *other));
-            let deaf = |other: &NodeId| cut.contains(&(*other, node));
-            let worse = |still: &dyn Fn(&NodeId) -> bool| {
-                let ways = |cut: &dyn Fn(&NodeId) -> bool| {
-                    others().filter(|at| cut(at) || still(at)).count()
-                };
-                ways(&unheard).max(ways(&deaf))
-            };
-            let is_apart =
-                3 * worse(&|_| false) >= nodes - 1 || 2 * worse(&|at| still[*at]) >= nodes - 1;
-            apart.set(at, is_apart);
+    }
+
+    /// Updates the conditions that follow from several faults.
+    fn update(&mut self, at_ms: f64) {
+        let nodes = self.pauses.len();
+        let unresponsive: Vec<_> = (0..nodes)
+            .map(|node| self.is_unresponsive(node, at_ms))
+            .collect();
+        let count = unresponsive.iter().filter(|is| **is).count();
+        self.many_unresponsive.set(at_ms, 4 * count >= nodes);
+        let all_responsive = vec![false; nodes];
+        for node in 0..nodes {
+            let is_partitioned = 3 * self.unreachable_peers(node, &all_responsive) >= nodes - 1
+                || 2 * self.unreachable_peers(node, &unresponsive) >= nodes - 1;
+            self.partitioned[node].set(at_ms, is_partitioned);
         }
     }
-    let own = |node: NodeId| {
-        let spans = down[node]
-            .spans
+
+    fn is_unresponsive(&self, node: NodeId, at_ms: f64) -> bool {
+        self.down[node].holds() || self.long_pauses(node).any(|pause| pause.contains(at_ms))
+    }
+
+    fn long_pauses(&self, node: NodeId) -> impl Iterator<Item = &Span> {
+        self.pauses[node]
             .iter()
-            .chain(&apart[node].spans)
-            .chain(long(node));
-        spans.copied().collect()
-    };
-    let faulty = (0..nodes).map(own).collect();
-    let partitioned = apart.into_iter().map(|apart| apart.spans).collect();
-    Excuses {
-        faulty,
-        partitioned,
-        pauses,
-        many_paused: crowd.spans,
-        slow_links: slow.spans,
+            .filter(|pause| pause.exceeds_suspicion_timeout())
+    }
+
+    /// How many peers a node cannot reach, or cannot be reached by, whichever is more.
+    fn unreachable_peers(&self, node: NodeId, unresponsive: &[bool]) -> usize {
+        let peers = || (0..self.pauses.len()).filter(|peer| *peer != node);
+        let is_cut = |from, to| self.cut_links.contains(&(from, to));
+        let outgoing = peers().filter(|peer| is_cut(node, *peer) || unresponsive[*peer]);
+        let incoming = peers().filter(|peer| is_cut(*peer, node) || unresponsive[*peer]);
+        outgoing.count().max(incoming.count())
+    }
+
+    fn finish(self) -> Excuses {
+        let faulty = (0..self.pauses.len())
+            .map(|node| {
+                let down = self.down[node].spans.iter();
+                down.chain(&self.partitioned[node].spans)
+                    .chain(self.long_pauses(node))
+                    .copied()
+                    .collect()
+            })
+            .collect();
+        Excuses {
+            faulty,
+            partitioned: self
+                .partitioned
+                .into_iter()
+                .map(|partitioned| partitioned.spans)
+                .collect(),
+            pauses: self.pauses,
+            many_unresponsive: self.many_unresponsive.spans,
+            slow_links: self.slow_links.spans,
+        }
     }
 }
 
@@ -246,7 +319,7 @@
         }
     };
     cluster.run(5_000.0);
-    let excuses = excuses(&schedule, limits.nodes);
+    let excuses = Excuses::new(&schedule, limits.nodes);
     let deaths = cluster.deaths_since(start);
     for (by, at, name) in &deaths {
         let Some(node) = cluster.names.iter().position(|held| held == name) else {
