--- a/crates/measure/src/members.rs
+++ b/crates/measure/src/members.rs
@@ -23,8 +23,13 @@
 pub fn trial_of(seed: u64, with_schedule: bool) -> String {
     match trial(seed, schedule_limits(seed, MAX_NODES), InjectedFault::None) {
         Ok(trial) => format!("{AGREED} {:.0} {}", trial.agreed_ms, trial.deaths),
-        Err(error) if with_schedule => error,
-        Err(error) => error.lines().next().unwrap_or_default().to_owned(),
+        Err(error) if with_schedule => error.to_string(),
+        Err(error) => error
+            .to_string()
+            .lines()
+            .next()
+            .unwrap_or_default()
+            .to_owned(),
     }
 }
 
--- a/crates/testkit/src/nodes/checker.rs
+++ b/crates/testkit/src/nodes/checker.rs
@@ -2,6 +2,7 @@
 //! decide.
 
 use std::collections::{BTreeMap, BTreeSet};
+use std::fmt;
 
 use gossip::{InjectedFault, State};
 use simulation::{Fault, FaultSchedule, NodeId, ScheduleLimits, ScheduledFault};
@@ -253,8 +254,86 @@
     }
 }
 
-/// Describes a dead node that was accepted as alive again without a later incarnation.
-fn resurrection(cluster: &VirtualCluster) -> Option<String> {
+/// A guarantee that a trial found broken.
+#[derive(Clone, Debug, PartialEq)]
+pub enum Violation {
+    /// The views did not agree in time after the last fault. Describes one that was wrong.
+    Disagreement(String),
+    /// A node was declared dead without a fault that excuses it.
+    UnexcusedDeath {
+        /// The name of the dead node.
+        name: String,
+        /// Who declared it dead.
+        by: NodeId,
+        /// When, in milliseconds since the schedule began.
+        at_ms: f64,
+    },
+    /// A dead node was accepted as alive again without a later incarnation.
+    Resurrection {
+        /// The name of the node.
+        name: String,
+        /// Who accepted it.
+        by: NodeId,
+        /// When, in milliseconds of the simulation.
+        at_ms: f64,
+        /// The incarnation in which it was dead already.
+        incarnation: u64,
+    },
+    /// A datagram exceeded `gossip::MAX_DATAGRAM_BYTES`.
+    OversizedDatagram,
+}
+
+impl fmt::Display for Violation {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        match self {
+            Self::Disagreement(what) => f.write_str(what),
+            Self::UnexcusedDeath { name, by, at_ms } => write!(
+                f,
+                "{name} was declared dead by n{by} at {at_ms:.0} without a fault"
+            ),
+            Self::Resurrection {
+                name,
+                by,
+                at_ms,
+                incarnation,
+            } => write!(
+                f,
+                "{name} came back to n{by} at {at_ms:.0} as incarnation {incarnation} again"
+            ),
+            Self::OversizedDatagram => write!(f, "a datagram is too long"),
+        }
+    }
+}
+
+/// A trial that failed, with what is needed to reproduce it.
+#[derive(Clone, Debug, PartialEq)]
+pub struct TrialError {
+    /// The seed of the cluster and of its schedule.
+    pub seed: u64,
+    /// How many nodes there were.
+    pub nodes: usize,
+    /// What was wrong.
+    pub violation: Violation,
+    /// The faults that led to it.
+    pub schedule: FaultSchedule,
+}
+
+impl fmt::Display for TrialError {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        let Self {
+            seed,
+            nodes,
+            violation,
+            schedule,
+        } = self;
+        write!(f, "seed {seed}, {nodes} nodes: {violation}\n{schedule}")
+    }
+}
+
+impl std::error::Error for TrialError {}
+
+/// A dead node that was accepted as alive again without a later incarnation.
+fn resurrection(cluster: &VirtualCluster) -> Option<Violation> {
     let mut dead = BTreeMap::new();
     for (by, at, output) in cluster.outputs() {
         let Output::Change(change) = output else {
@@ -271,10 +350,12 @@
                         .get(&key)
                         .is_some_and(|held| change.incarnation <= *held) =>
             {
-                let (name, incarnation) = (change.name, change.incarnation);
-                return Some(format!(
-                    "{name} came back to n{by} at {at:.0} as incarnation {incarnation} again"
-                ));
+                return Some(Violation::Resurrection {
+                    name: change.name,
+                    by,
+                    at_ms: at,
+                    incarnation: change.incarnation,
+                });
             }
             _ => {
                 dead.remove(&key);
@@ -296,8 +377,8 @@
 ///
 /// # Errors
 ///
-/// Describes what was wrong, with the schedule.
-pub fn trial(seed: u64, limits: ScheduleLimits, fault: InjectedFault) -> Result<Trial, String> {
+/// A guarantee was broken.
+pub fn trial(seed: u64, limits: ScheduleLimits, fault: InjectedFault) -> Result<Trial, TrialError> {
     let schedule = FaultSchedule::generate(seed, limits);
     let mut cluster = VirtualCluster::new(seed, limits.nodes);
     cluster.injected_fault = fault;
@@ -305,15 +386,21 @@
     cluster.run(12_000.0);
     let start = cluster.simulation.now_ms();
     cluster.play(&schedule);
-    let describe =
-        |what: String| format!("seed {seed}, {} nodes: {what}\n{schedule}", limits.nodes);
+    let fail = |violation| {
+        Err(TrialError {
+            seed,
+            nodes: limits.nodes,
+            violation,
+            schedule: schedule.clone(),
+        })
+    };
     let schedule_end_ms = cluster.simulation.now_ms();
     let agreed_ms = loop {
         let passed = cluster.simulation.now_ms() - schedule_end_ms;
         match cluster.disagreement() {
             None => break passed,
             Some(error) if passed >= CONVERGENCE_MS + limits.max_pause_ms => {
-                return Err(describe(error))
+                return fail(Violation::Disagreement(error))
             }
             Some(_) => cluster.run(100.0),
         }
@@ -327,16 +414,18 @@
         };
         let at = at - start;
         if !excuses.cover(*by, node, at, GRACE_MS) {
-            return Err(describe(format!(
-                "{name} was declared dead by n{by} at {at:.0} without a fault"
-            )));
+            return fail(Violation::UnexcusedDeath {
+                name: name.clone(),
+                by: *by,
+                at_ms: at,
+            });
         }
     }
-    if let Some(what) = resurrection(&cluster) {
-        return Err(describe(what));
+    if let Some(violation) = resurrection(&cluster) {
+        return fail(violation);
     }
     if cluster.simulation.totals().max_datagram_bytes > gossip::MAX_DATAGRAM_BYTES {
-        return Err(describe("a datagram is too long".into()));
+        return fail(Violation::OversizedDatagram);
     }
     Ok(Trial {
         agreed_ms,
