--- a/crates/measure/src/members.rs
+++ b/crates/measure/src/members.rs
@@ -1,95 +1,46 @@
-//! Membership among the nodes: in virtual time under drawn troubles and at size, and as processes under the same.
+//! Membership among the nodes: in virtual time under generated fault schedules and by size, and as processes under the
+//! same faults.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::{SocketAddr, UdpSocket};
-use std::process::Command;
-use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
-use std::sync::Mutex;
+use std::sync::atomic::{AtomicBool, Ordering};
 use std::thread;
 use std::time::{Duration, Instant};
 
-use gossip::{Planted, State};
-use simulation::{draw, Bounds, Link, Trouble};
-use testkit::nodes::judge::{bounds, excuses, trial};
-use testkit::nodes::{Fleet as Virtual, Said};
+use gossip::{InjectedFault, State};
+use simulation::{Fault, FaultSchedule, Link, ScheduleLimits};
+use testkit::nodes::checker::{schedule_limits, trial, Excuses};
+use testkit::nodes::{Output, VirtualCluster};
 use testkit::{Fleet, Load};
 
+use crate::parts::{run_in_processes, SEEDS_PER_PROCESS};
 use crate::system::{count, cpu, is_brief, memory_mb, quantile, time};
 
 const SEEDS: usize = 10_000;
-const MOST_NODES: usize = 50;
+const MAX_NODES: usize = 50;
 
-/// Plays numbers on all cores; each is taken once.
-pub fn on_all_cores(numbers: usize, play: impl Fn(u64) + Sync) {
-    let next = AtomicU64::new(0);
-    let workers = thread::available_parallelism().map_or(1, usize::from);
-    thread::scope(|scope| {
-        for _ in 0..workers {
-            scope.spawn(|| loop {
-                let number = next.fetch_add(1, Ordering::Relaxed);
-                if number >= numbers as u64 {
-                    return;
-                }
-                play(number);
-            });
-        }
-    });
-}
-
-/// Plays parts of a subject in processes of their own, and gives what each printed, in order: allocations are counted in
-/// this program, and threads would wait for each other's counts.
-pub fn apart(subject: &str, parts: u64, at_a_time: u64) -> Vec<String> {
-    let said = Mutex::new(BTreeMap::new());
-    let program = std::env::current_exe().expect("this program");
-    on_all_cores(parts.div_ceil(at_a_time) as usize, |part| {
-        let from = part * at_a_time;
-        let some = at_a_time.min(parts - from).to_string();
-        let mut command = Command::new(&program);
-        command.args([subject, "--seed", &from.to_string(), "--seeds", &some]);
-        command.args(is_brief().then_some("--brief"));
-        let output = command.output().expect("this program runs");
-        said.lock()
-            .expect("sound")
-            .insert(part, String::from_utf8_lossy(&output.stdout).into_owned());
-    });
-    said.into_inner().expect("sound").into_values().collect()
-}
-
-/// Some parts of a subject that is played in parts, a line each; of one drawn seed alone with its script, where it failed.
-pub fn some(subject: &str, from: u64, count: u64) {
-    for part in from..from + count {
-        match subject {
-            "members-days" => println!("{}", days_of(part)),
-            "members-sizes" => println!("{}", row(&SIZES, part)),
-            "members-large" => println!("{}", row(&LARGE, part)),
-            "detectors" | "detectors-large" => {
-                println!("{}", crate::detectors::row_of(subject, part));
-            }
-            "owners-drawn" => println!("{}", crate::owners::trial_of(part)),
-            _ => println!("{}", trial_of(part, count == 1)),
-        }
-    }
-}
-
-fn trial_of(seed: u64, with_script: bool) -> String {
-    match trial(seed, bounds(seed, MOST_NODES), Planted::None) {
-        Ok(trial) => format!("{AGREED} {:.0} {}", trial.agreed_ms, trial.gone),
-        Err(error) if with_script => error,
-        Err(error) => error.lines().next().unwrap_or_default().to_owned(),
+/// The line of one seed; of a failed one with its fault schedule, if `with_schedule`.
+pub fn trial_of(seed: u64, with_schedule: bool) -> String {
+    match trial(seed, schedule_limits(seed, MAX_NODES), InjectedFault::None) {
+        Ok(trial) => format!("{AGREED} {:.0} {}", trial.agreed_ms, trial.deaths),
+        Err(error) if with_schedule => error.to_string(),
+        Err(error) => error
+            .to_string()
+            .lines()
+            .next()
+            .unwrap_or_default()
+            .to_owned(),
     }
 }
 
 /// How a line begins of a seed that went well: when all agreed, in milliseconds, and how many were rightly gone follow.
 const AGREED: &str = "agreed";
 
-/// Seeds that one process plays.
-pub const SEEDS_A_PROCESS: u64 = 50;
-
-/// Drawn troubles, in virtual time, in a process of its own for every few seeds.
+/// Generated fault schedules, in virtual time, with a process for every few seeds.
 pub fn drawn() {
     let seeds = count(SEEDS, 4) as u64;
     let start = Instant::now();
-    let said = apart("members-drawn", seeds, SEEDS_A_PROCESS);
+    let said = run_in_processes("members-drawn", seeds, SEEDS_PER_PROCESS);
     let lines = || said.iter().flat_map(|said| said.lines());
     let went_well = |line: &&str| line.starts_with(AGREED);
     let numbers = |at: usize| {
@@ -103,7 +54,7 @@
     let played = agreed.len();
     let failed: Vec<_> = lines().filter(|line| line.starts_with("seed ")).collect();
     println!(
-        "\n{seeds} seeds of drawn troubles, 5 to {MOST_NODES} nodes, a minute each; {:.0?}",
+        "\n{seeds} seeds of drawn troubles, 5 to {MAX_NODES} nodes, a minute each; {:.0?}",
         start.elapsed()
     );
     let [p50, p99, most] = [0.5, 0.99, 1.0].map(|part| quantile(&mut agreed, part));
@@ -119,9 +70,9 @@
 
 /// Nodes that are paused for a second now and then, on links that lose one in ten, in virtual time.
 pub fn node_days() {
-    let worlds = count(6, 1) as u64;
+    let simulations = count(6, 1) as u64;
     let start = Instant::now();
-    let said = apart("members-days", worlds, 1);
+    let said = run_in_processes("members-days", simulations, 1);
     let sum = |at: usize| {
         let last = said.iter().filter_map(|said| said.lines().last());
         last.filter_map(|line| line.split(' ').nth(at)?.parse::<f64>().ok())
@@ -135,35 +86,35 @@
     println!("false verdicts: {wrong}");
 }
 
-/// One world of them: days, pauses and false verdicts.
-fn days_of(seed: u64) -> String {
+/// The line of one seed: node-days, pauses and false verdicts.
+pub fn days_of(seed: u64) -> String {
     let hours = if is_brief() { 0.01 } else { DAYS_HOURS };
-    let mut fleet = Virtual::started(seed, DAYS_NODES);
+    let mut fleet = VirtualCluster::started(seed, DAYS_NODES);
     let mut rng = fastrand::Rng::with_seed(seed);
     fleet.all_links(Link {
         loss: 0.1,
         ..Link::default()
     });
-    let (since, mut paused) = (fleet.world.now_ms(), 0);
-    while fleet.world.now_ms() - since < hours * 3_600_000.0 {
+    let (since, mut paused) = (fleet.simulation.now_ms(), 0);
+    while fleet.simulation.now_ms() - since < hours * 3_600_000.0 {
         // Each node about once in two minutes.
-        fleet.world.pause(rng.usize(..DAYS_NODES), 1_000.0);
+        fleet.simulation.pause(rng.usize(..DAYS_NODES), 1_000.0);
         paused += 1;
         fleet.run(120_000.0 / DAYS_NODES as f64);
     }
     format!(
         "{:.3} {paused} {}",
         DAYS_NODES as f64 * hours / 24.0,
-        fleet.gone_since(since).len()
+        fleet.deaths_since(since).len()
     )
 }
 
 /// When which node first held the one that was killed for gone.
-fn seen(fleet: &Virtual, killed: &str, at_ms: f64) -> BTreeMap<usize, f64> {
+fn seen(fleet: &VirtualCluster, killed: &str, at_ms: f64) -> BTreeMap<usize, f64> {
     let mut seen = BTreeMap::new();
-    for (by, at, said) in fleet.said() {
-        if let Said::Change(change) = said {
-            if change.to == State::Gone && change.name == killed && at >= at_ms {
+    for (by, at, output) in fleet.outputs() {
+        if let Output::Change(change) = output {
+            if change.to == State::Dead && change.name == killed && at >= at_ms {
                 seen.entry(by).or_insert(at - at_ms);
             }
         }
@@ -196,6 +147,16 @@
         .collect()
 }
 
+/// One row of the table by size.
+pub fn size_row(part: u64) -> String {
+    row(&SIZES, part)
+}
+
+/// One row of the table of the largest size.
+pub fn large_row(part: u64) -> String {
+    row(&LARGE, part)
+}
+
 fn row(sizes: &[(usize, usize)], part: u64) -> String {
     if part as usize >= plays(sizes).len() {
         return cuts(sizes[0].0.min(count(3_000, 30)));
@@ -223,7 +184,7 @@
     );
     // The last part is the one of cuts.
     let parts = plays(sizes).len() as u64 + u64::from(subject == "members-large");
-    let said = apart(subject, parts, 1);
+    let said = run_in_processes(subject, parts, 1);
     said.iter()
         .filter_map(|said| said.lines().last())
         .for_each(|row| println!("{row}"));
@@ -231,30 +192,30 @@
 
 /// One that hears nobody, then two that do not hear each other: who is gone to others for it.
 fn cuts(nodes: usize) -> String {
-    let mut fleet = Virtual::new(nodes as u64, nodes);
+    let mut fleet = VirtualCluster::new(nodes as u64, nodes);
     fleet.start_all(1_000.0);
     fleet.run(60_000.0);
-    let since = fleet.world.now_ms();
+    let since = fleet.simulation.now_ms();
     (1..nodes).for_each(|from| fleet.cut(from, 0));
     fleet.run(30_000.0);
     let deaf: BTreeSet<_> = fleet
-        .gone_since(since)
+        .deaths_since(since)
         .into_iter()
         .filter(|(by, ..)| *by != 0)
         .map(|(.., name)| name)
         .collect();
     fleet.heal();
     fleet.run(10_000.0);
-    let since = fleet.world.now_ms();
+    let since = fleet.simulation.now_ms();
     fleet.cut(0, 1);
     fleet.cut(1, 0);
     fleet.run(60_000.0);
-    let pair = fleet.gone_since(since).len();
+    let pair = fleet.deaths_since(since).len();
     format!("{nodes:>6} nodes, one deaf for 30 s: {} gone to others; two deaf to each other for 60 s: {pair} verdicts", deaf.len())
 }
 
 fn size(nodes: usize, loss: f64, kills: usize) -> String {
-    let mut fleet = Virtual::new(nodes as u64, nodes);
+    let mut fleet = VirtualCluster::new(nodes as u64, nodes);
     fleet.all_links(Link {
         loss,
         ..Link::default()
@@ -262,23 +223,23 @@
     fleet.start_all(1_000.0);
     // Until nothing is told any more of the start of all.
     fleet.run(if nodes > 1_000 { 90_000.0 } else { 60_000.0 });
-    let (before, since) = (fleet.world.totals(), fleet.world.now_ms());
+    let (before, since) = (fleet.simulation.totals(), fleet.simulation.now_ms());
     let quiet = if nodes > 1_000 { 20_000.0 } else { 60_000.0 };
     let start = Instant::now();
     fleet.run(quiet);
-    // With the world's own work, and what other plays take of the machine.
+    // Includes the simulation's own work, and the effect of others that run at the same time.
     let cpu_us = start.elapsed().as_secs_f64() * 1e6 / (quiet / 1e3) / nodes as f64;
-    let after = fleet.world.totals();
-    let wrong = fleet.gone_since(since).len();
+    let after = fleet.simulation.totals();
+    let wrong = fleet.deaths_since(since).len();
     let rate = |count: u64| count as f64 / (quiet / 1e3) / nodes as f64;
     let (datagrams, bytes) = (
-        rate(after.sent.0 - before.sent.0),
-        rate(after.sent.1 - before.sent.1),
+        rate(after.sent.datagrams - before.sent.datagrams),
+        rate(after.sent.bytes - before.sent.bytes),
     );
     let (mut first, mut all) = (Vec::new(), Vec::new());
     for kill in 0..kills {
         let node = kill % nodes;
-        let at = fleet.world.now_ms();
+        let at = fleet.simulation.now_ms();
         // One that has just started may not have met it.
         let known = (0..nodes)
             .filter(|of| *of != node && fleet.state(*of, node).is_some())
@@ -303,7 +264,7 @@
     )
 }
 
-/// Processes of the program under drawn troubles, while six of them serve requests.
+/// Processes of the program under generated fault schedules, while six of them serve requests.
 pub fn processes() {
     const SERVING: usize = 6;
     let (nodes, minutes) = (count(30, 5), time(Duration::from_secs(600)));
@@ -321,24 +282,24 @@
         } else {
             30_000.0
         };
-        let drawn = Bounds {
+        let limits = ScheduleLimits {
             nodes,
-            from_ms: 0.0,
-            until_ms: round_ms,
-            troubles: 4,
-            pause_ms: 8_000.0,
-            loss: 0.3,
+            start_ms: 0.0,
+            end_ms: round_ms,
+            faults: 4,
+            max_pause_ms: 8_000.0,
+            max_loss: 0.3,
         };
-        let mut script = draw(rounds, drawn);
+        let mut schedule = FaultSchedule::generate(rounds, limits);
         // Who serves is not killed, so that every request can have its answer.
-        script
-            .0
-            .retain(|(_, trouble)| !matches!(trouble, Trouble::Kill { node } if *node < serving));
+        schedule
+            .faults
+            .retain(|scheduled| !matches!(scheduled.fault, Fault::Kill { node } if node < serving));
         let (since, before) = (Instant::now(), fleet.gone_lines().len());
-        fleet.play(&script);
+        fleet.play(&schedule);
         fleet.wait(Duration::from_secs(if round_ms < 1_000.0 { 0 } else { 8 }));
         agreed.push(fleet.agree_within(Duration::from_secs(30)).as_secs_f64());
-        let excuses = excuses(&script, nodes);
+        let excuses = Excuses::new(&schedule, nodes);
         let lines = fleet.gone_lines();
         for (by, at, name, why) in lines
             .into_iter()
@@ -349,7 +310,7 @@
             let Some(node) = (0..nodes).find(|node| fleet.name(*node) == name) else {
                 continue;
             };
-            // Processes start and are killed one after the other, so the script runs late by some seconds at the most.
+            // Processes start and are killed one after the other, so the schedule runs late by some seconds at the most.
             if excuses.cover(by, node, at, 15_000.0) {
                 rightly += 1;
             } else {
@@ -362,7 +323,7 @@
     let sent: u64 = totals.iter().map(|totals| totals.sent).sum();
     let lost: u64 = totals.iter().map(|totals| totals.lost).sum();
     let served: u64 = totals.iter().map(|totals| totals.of(200)).sum();
-    let passed = fleet.passed();
+    let relayed = fleet.relay_totals();
     println!(
         "\n{nodes} processes, {rounds} rounds of troubles, {:.0?}",
         start.elapsed()
@@ -379,7 +340,7 @@
     );
     println!(
         "datagrams: {}, {} bytes, the longest {}",
-        passed.datagrams, passed.bytes, passed.longest
+        relayed.datagrams, relayed.bytes, relayed.max_datagram_bytes
     );
 }
 
--- a/crates/testkit/src/lib.rs
+++ b/crates/testkit/src/lib.rs
@@ -25,13 +25,13 @@
 pub mod consul;
 mod discovery;
 mod fleet;
+pub mod lease_model;
+pub mod lease_simulation;
 pub mod link;
 mod load;
 mod message;
-pub mod model;
 mod node;
 pub mod nodes;
-pub mod owners;
 mod register;
 mod relay;
 mod server;
@@ -42,11 +42,12 @@
 pub use load::{Load, Totals};
 pub use message::{answer, post, read, Message};
 pub use node::{
-    config, program, program_path, settings, settings_with_aim, write_config, Client, Node,
+    config, pause_process_starts, program, program_path, settings, settings_with_aim, write_config,
+    Client, Node,
 };
 pub use register::{Effect, Register};
 pub use server::{Reply, Server, Unreachable};
-pub use simulation::{draw, Bounds, Link, Script, Trouble};
+pub use simulation::{Burst, Fault, FaultSchedule, Link, ScheduleLimits};
 pub use socket::{Endpoint, Kind, Listener, Stream};
 
 use std::thread;
--- a/src/main.rs
+++ b/src/main.rs
@@ -10,7 +10,7 @@
 use clap::{Args, Parser, Subcommand};
 use silverthread::node::admin::client::{self, Query};
 use silverthread::node::admin::config_file::OperatorConfig;
-use silverthread::node::cluster::FleetError;
+use silverthread::node::cluster::ClusterError;
 use silverthread::node::{config::Config, run, NodeError, NodeOptions};
 use silverthread::text::one_line;
 
@@ -91,7 +91,9 @@
         .and_then(|config| run(config, options));
     match result {
         Ok(()) => ExitCode::SUCCESS,
-        Err(error @ NodeError::Fleet(FleetError::Missing(_))) => fail(&error, EXIT_USAGE),
+        Err(error @ NodeError::Cluster(ClusterError::MissingSetting(_))) => {
+            fail(&error, EXIT_USAGE)
+        }
         Err(error) => fail(&error, EXIT_FAILURE),
     }
 }
--- a/src/node/admin/config_file.rs
+++ b/src/node/admin/config_file.rs
@@ -21,9 +21,9 @@
 
 use endpoint_discovery::SourcePolicy;
 
-pub use self::error::{ConfigFileError, Location, Problem};
+pub use self::error::{ConfigFileError, Problem};
 use self::raw::RawConfig;
-use crate::node::cluster::{Instances, Keeping};
+use crate::node::cluster::{ClusterSettings, LeaseSettings};
 use crate::node::discovery::consul::ConsulSource;
 use crate::node::upstream::addresses::ConfiguredAddresses;
 use crate::node::upstream::servers::PoolLimits;
@@ -41,9 +41,9 @@
     /// Limits on connections to servers.
     pub pool: PoolLimits,
     /// How the other nodes of the cluster are found.
-    pub instances: Option<Instances>,
+    pub instances: Option<ClusterSettings>,
     /// The acceptors that grant leases to the nodes of the cluster.
-    pub leases: Option<Keeping>,
+    pub leases: Option<LeaseSettings>,
     /// How nodes report outliers among the servers to each other.
     pub outlier_detection: Option<outlier_detection::Settings>,
 }
@@ -69,7 +69,7 @@
         if let Some(instances) = &config.instances {
             instances.read_key().map_err(|error| {
                 let problem = Problem::KeyFile(error.into());
-                ConfigFileError::at_offset(file, &text, instances.key_at, problem)
+                ConfigFileError::at_offset(file, &text, instances.key_file_offset, problem)
             })?;
         }
         Ok(config)
--- a/src/node/admin/server.rs
+++ b/src/node/admin/server.rs
@@ -15,9 +15,9 @@
 use tokio::task::AbortHandle;
 
 use crate::node::admin::log;
-use crate::node::cluster::Fleet;
-use crate::node::downstream::clients::{FrontOptions, Phase, ACCEPT_RETRY_INTERVAL};
-use crate::node::driver::Driver;
+use crate::node::cluster::Cluster;
+use crate::node::dispatcher::Dispatcher;
+use crate::node::downstream::server::{Phase, ServerOptions, ACCEPT_RETRY_INTERVAL};
 
 /// How long a connection may take from its accept to its end: many times what a command needs. A client that does not
 /// finish holds a descriptor no longer.
@@ -31,16 +31,16 @@
 /// Carries out admin commands.
 #[derive(Clone)]
 pub struct AdminServer {
-    driver: Rc<Driver>,
-    options: FrontOptions,
-    fleet: Option<Rc<Fleet>>,
+    driver: Rc<Dispatcher>,
+    options: ServerOptions,
+    fleet: Option<Rc<Cluster>>,
 }
 
 impl AdminServer {
     /// A server for the node of this driver. `options` are those of the node's accept loop, whose drain the server
     /// starts and cancels; `fleet` is the node's part in the cluster, if it takes part in one.
     #[must_use]
-    pub fn new(driver: Rc<Driver>, options: FrontOptions, fleet: Option<Rc<Fleet>>) -> Self {
+    pub fn new(driver: Rc<Dispatcher>, options: ServerOptions, fleet: Option<Rc<Cluster>>) -> Self {
         Self {
             driver,
             options,
@@ -85,7 +85,7 @@
     fn stats(&self) -> String {
         let mut rows = self.driver.metrics.render(self.driver.server_gauges());
         if let Some(fleet) = &self.fleet {
-            rows.push_str(&fleet.figures());
+            rows.push_str(&fleet.metrics());
         }
         end_rows(rows)
     }
@@ -110,7 +110,7 @@
     fn give(&self, shard: u8, receiver: &str) -> Result<String, Rejection> {
         let fleet = self.fleet.as_ref().ok_or(Rejection::NoLeases)?;
         fleet
-            .give(shard, receiver)
+            .transfer_shard(shard, receiver)
             .map_err(|error| Rejection::Transfer(error.into()))?;
         Ok("200 given\n".to_owned())
     }
--- a/src/node/cluster/outlier_detection.rs
+++ b/src/node/cluster/outlier_detection.rs
@@ -16,15 +16,15 @@
 use balancer::{AttemptResult, ServerId};
 use gossip::{Event as GossipEvent, MemberId, State};
 
-use super::{boot_ms, figure_lines, Fleet};
+use super::{boot_ms, metric_lines, Cluster};
 use crate::node::admin::log;
 use crate::node::clock::Alarm;
-use crate::node::driver::Driver;
+use crate::node::dispatcher::Dispatcher;
 
 /// A node's part in outlier detection.
 pub struct OutlierDetection {
     detector: RefCell<OutlierDetector>,
-    driver: Rc<Driver>,
+    driver: Rc<Dispatcher>,
     timer: Alarm,
     /// The number of the driver's list that `server_ids` is of.
     list_number: Cell<Option<u64>>,
@@ -34,6 +34,7 @@
 }
 
 /// What the end of an attempt says about the server.
+#[derive(Clone, Copy)]
 enum AttemptOutcome {
     Success,
     Failure(FailureKind),
@@ -64,7 +65,11 @@
     /// # Errors
     ///
     /// A setting is out of its range.
-    pub fn new(now_ms: f64, settings: Settings, driver: Rc<Driver>) -> Result<Self, SettingsError> {
+    pub fn new(
+        now_ms: f64,
+        settings: Settings,
+        driver: Rc<Dispatcher>,
+    ) -> Result<Self, SettingsError> {
         let detector = OutlierDetector::new(now_ms, settings, fastrand::f64())?;
         Ok(Self {
             detector: RefCell::new(detector),
@@ -87,7 +92,7 @@
 
     /// Passes the driver's endpoint list to the detector if it has changed.
     fn update_servers(&self, actions: &mut Vec<Action>) {
-        let list_number = self.driver.list_number();
+        let list_number = self.driver.endpoint_list_version();
         if self.list_number.replace(Some(list_number)) == Some(list_number) {
             return;
         }
@@ -111,7 +116,7 @@
             return;
         };
         self.log_weight(server, weight);
-        self.driver.hint(server, weight);
+        self.driver.set_weight_hint(server, weight);
     }
 
     /// Logs the begin and the end of a reduced weight; the steps between say nothing new.
@@ -146,7 +151,7 @@
     }
 }
 
-impl Fleet {
+impl Cluster {
     /// Passes an event to the detector and executes what follows. Nothing happens on a node without outlier detection.
     pub(super) fn handle_outlier_event(self: &Rc<Self>, event: Event<'_>) {
         let Some(part) = &self.outlier_detection else {
@@ -171,7 +176,7 @@
             others.map(|member| MemberId::of(&member.name)).collect()
         };
         for to in others {
-            self.feed(GossipEvent::Say { to, bytes });
+            self.handle_gossip_event(GossipEvent::SendPayload { to, bytes });
         }
     }
 
@@ -199,7 +204,7 @@
             return;
         };
         let fleet: Weak<Self> = Rc::downgrade(&self);
-        part.driver.watch(move |key, ending| {
+        part.driver.observe_attempts(move |key, ending| {
             if let Some(fleet) = fleet.upgrade() {
                 fleet.record_attempt(ServerKey(key), ending.into());
             }
@@ -253,7 +258,7 @@
             ("suspected", counters.ejections, 'c'),
             ("panics", counters.panics, 'c'),
         ];
-        figure_lines("word", &lines)
+        metric_lines("word", &lines)
     }
 }
 
