--- a/src/node/config.rs
+++ b/src/node/config.rs
@@ -1,6 +1,6 @@
 //! The platform's configuration: the file that the environment variable `ROUTER_CONFIG` names.
 //!
-//! [`raw`] has the file's types as they are written. [`Config::parse`] validates them; a [`Config`] is always usable.
+//! `raw` has the file's types as they are written. [`Config::parse`] validates them; a [`Config`] is always usable.
 
 mod raw;
 
