--- a/crates/balancer/src/queue.rs
+++ b/crates/balancer/src/queue.rs
@@ -119,7 +119,7 @@
             return;
         };
         if let Some(queue) = self.key_queues.queues.get_mut(key) {
-            let until_ms = self.now_ms + self.settings.key_quiet_ms;
+            let until_ms = self.now_ms + self.settings.key_cooldown_ms;
             queue.quiet_until_ms = until_ms;
             let key = key.into();
             self.key_queues
--- a/crates/balancer/src/settings.rs
+++ b/crates/balancer/src/settings.rs
@@ -152,8 +152,9 @@
     pub report_source: ReportSource,
     /// Whether servers may be health checked.
     pub health_checks: bool,
-    /// Quiet period of a key after an attempt that may still be running, where classes are ordered by key.
-    pub key_quiet_ms: f64,
+    /// Milliseconds that a key is held back after an attempt that may still be running, where a class is
+    /// ordered by key.
+    pub key_cooldown_ms: f64,
     /// The retry budget, where one is set.
     pub retry_budget: Option<RetryBudget>,
     /// A node without a subscription must poll again within this time.
@@ -194,7 +195,7 @@
             discovery: DiscoveryMode::Push,
             report_source: ReportSource::Inline,
             health_checks: false,
-            key_quiet_ms: 0.0,
+            key_cooldown_ms: 0.0,
             retry_budget: None,
             max_poll_interval_ms: 10_000.0,
             max_attempts: 3,
@@ -232,7 +233,7 @@
         require(positive(self.collapse_multiple), "tip_multiple")?;
         require(positive(self.collapse_after_ms), "tip_after_ms")?;
         require(self.node_index < self.nodes, "me")?;
-        require(not_negative(self.key_quiet_ms), "key_quiet_ms")?;
+        require(not_negative(self.key_cooldown_ms), "key_quiet_ms")?;
         if let Some(budget) = self.retry_budget {
             require(not_negative(budget.min_retries), "resends.free")?;
             require(
--- a/crates/balancer/tests/common/checker.rs
+++ b/crates/balancer/tests/common/checker.rs
@@ -131,7 +131,7 @@
             AttemptResult::TimedOut | AttemptResult::Reset | AttemptResult::Cancelled
         );
         if may_still_run {
-            request.quiet_from = now + self.settings.key_quiet_ms;
+            request.quiet_from = now + self.settings.key_cooldown_ms;
         }
         if outcome.result == AttemptResult::Served {
             self.served.push(now);
--- a/crates/balancer/tests/generated.rs
+++ b/crates/balancer/tests/generated.rs
@@ -44,7 +44,7 @@
     ]);
     settings.nodes = 1 + random.usize(..4);
     settings.health_checks = random.bool();
-    settings.key_quiet_ms = [0.0, 100.0][random.usize(..2)];
+    settings.key_cooldown_ms = [0.0, 100.0][random.usize(..2)];
     settings.classes[0].ordered_by_key = random.bool();
     settings.classes[2].ordered_by_key = random.bool();
     if random.bool() {
--- a/crates/balancer/tests/golden.rs
+++ b/crates/balancer/tests/golden.rs
@@ -274,7 +274,7 @@
         settings.machine_kinds,
     ) = (4, 1, 1, 2);
     (settings.slow_start_fraction, settings.slow_start_ms) = (0.35, 4_000.0);
-    settings.key_quiet_ms = 60.0;
+    settings.key_cooldown_ms = 60.0;
     settings
 }
 
--- a/crates/balancer/tests/queue.rs
+++ b/crates/balancer/tests/queue.rs
@@ -7,7 +7,7 @@
 
 fn ordered_node(quiet_ms: f64) -> Node {
     let mut settings = one_class(Idempotency::NonIdempotent);
-    (settings.classes[0].ordered_by_key, settings.key_quiet_ms) = (true, quiet_ms);
+    (settings.classes[0].ordered_by_key, settings.key_cooldown_ms) = (true, quiet_ms);
     let mut node = Node::new(settings, 1);
     node.servers(ready_servers(0..3));
     node
--- a/crates/balancer/tests/settings.rs
+++ b/crates/balancer/tests/settings.rs
@@ -11,7 +11,7 @@
 const OUT_OF_RANGE: [(&str, Spoil); 7] = [
     ("nodes", |s| s.nodes = 0),
     ("me", |s| s.node_index = 1),
-    ("key_quiet_ms", |s| s.key_quiet_ms = -1.0),
+    ("key_quiet_ms", |s| s.key_cooldown_ms = -1.0),
     ("probe_price", |s| s.health_check_price = f64::NAN),
     ("classes[].aim_ms", |s| {
         s.classes[0].latency_objective_ms = 0.0;
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -96,7 +96,7 @@
     read_number(rules, "cold_ms", &mut settings.slow_start_ms)?;
     read_number(rules, "tip_multiple", &mut settings.collapse_multiple)?;
     read_number(rules, "tip_after_ms", &mut settings.collapse_after_ms)?;
-    read_number(rules, "key_quiet_ms", &mut settings.key_quiet_ms)?;
+    read_number(rules, "key_quiet_ms", &mut settings.key_cooldown_ms)?;
     settings.retry_budget = parse_retry_budget(rules)?;
     Ok(())
 }
