--- a/crates/lease/src/manager.rs
+++ b/crates/lease/src/manager.rs
@@ -304,9 +304,9 @@
     #[must_use]
     pub fn permit(&self, now_ms: f64, shard: Shard) -> Option<Permit<'_>> {
         let lease = self.shards.get(usize::from(shard))?.lease.as_ref()?;
-        let until_ms = lease.expires_ms(self.quorum.quorum());
-        let is_valid = now_ms.max(self.now_ms) < until_ms;
-        is_valid.then_some(Permit::new(shard, lease.token, until_ms))
+        let expires_ms = lease.expires_ms(self.quorum.quorum());
+        let is_valid = now_ms.max(self.now_ms) < expires_ms;
+        is_valid.then_some(Permit::new(shard, lease.token, expires_ms))
     }
 
     /// The owner of each shard, as far as this node knows.
@@ -318,7 +318,7 @@
                 shard,
                 node: permit.as_ref().map(|_| self.settings.node).or(state.owner),
                 token: permit.as_ref().map_or(state.highest_token, Permit::token),
-                remaining_ms: permit.map_or(0.0, |permit| permit.until_ms() - now_ms),
+                remaining_ms: permit.map_or(0.0, |permit| permit.expires_ms() - now_ms),
                 since_ms: state.owner_since_ms,
             }
         })
--- a/crates/lease/src/manager/permit.rs
+++ b/crates/lease/src/manager/permit.rs
@@ -22,7 +22,7 @@
 /// let permit = lease::Permit {
 ///     shard: 0,
 ///     token: lease::FencingToken(1),
-///     until_ms: 1e9,
+///     expires_ms: 1e9,
 ///     manager: std::marker::PhantomData,
 /// };
 /// ```
@@ -30,16 +30,16 @@
 pub struct Permit<'a> {
     shard: Shard,
     token: FencingToken,
-    until_ms: f64,
+    expires_ms: f64,
     manager: PhantomData<&'a LeaseManager>,
 }
 
 impl Permit<'_> {
-    pub(super) fn new(shard: Shard, token: FencingToken, until_ms: f64) -> Self {
+    pub(super) fn new(shard: Shard, token: FencingToken, expires_ms: f64) -> Self {
         Self {
             shard,
             token,
-            until_ms,
+            expires_ms,
             manager: PhantomData,
         }
     }
@@ -58,14 +58,14 @@
 
     /// When the effect has to be complete, by this node's clock in milliseconds.
     #[must_use]
-    pub fn until_ms(&self) -> f64 {
-        self.until_ms
+    pub fn expires_ms(&self) -> f64 {
+        self.expires_ms
     }
 
     /// Whether the lease is still valid at this time, by this node's clock in milliseconds: checked
     /// right before what cannot be undone.
     #[must_use]
     pub fn is_valid_at(&self, now_ms: f64) -> bool {
-        now_ms < self.until_ms
+        now_ms < self.expires_ms
     }
 }
--- a/crates/lease/src/manager/tests.rs
+++ b/crates/lease/src/manager/tests.rs
@@ -138,19 +138,19 @@
 fn permit_after_the_lease_expired_is_refused_without_an_event() {
     let mut manager = manager(1, &[1, 2, 3], &[]);
     assert!(acquire(&mut manager, &[1, 2]));
-    let until_ms = manager.permit(210.0, 0).expect("it owns it").until_ms();
+    let expires_ms = manager.permit(210.0, 0).expect("it owns it").expires_ms();
     assert!(
-        until_ms < 200.0 + 625.0,
-        "from when it was requested: {until_ms}"
+        expires_ms < 200.0 + 625.0,
+        "from when it was requested: {expires_ms}"
     );
     let is_permitted = |now_ms| {
         manager
             .permit(now_ms, 0)
             .is_some_and(|permit| permit.is_valid_at(now_ms))
     };
-    assert!(is_permitted(until_ms - 1.0) && !is_permitted(until_ms) && !is_permitted(60_000.0));
+    assert!(is_permitted(expires_ms - 1.0) && !is_permitted(expires_ms) && !is_permitted(60_000.0));
     assert!(
-        manager.permit(until_ms, 0).is_none()
+        manager.permit(expires_ms, 0).is_none()
             && manager
                 .owners(60_000.0)
                 .all(|owner| owner.remaining_ms == 0.0)
--- a/src/node/cluster/fleet_log.rs
+++ b/src/node/cluster/fleet_log.rs
@@ -111,7 +111,7 @@
     fn remaining_lease(&self) -> Option<Duration> {
         let remaining_ms = self
             .fleet
-            .with_permit(self.shard, |permit, now_ms| permit.until_ms() - now_ms)?;
+            .with_permit(self.shard, |permit, now_ms| permit.expires_ms() - now_ms)?;
         Some(Duration::try_from_secs_f64(remaining_ms / 1e3).unwrap_or_default())
     }
 
