--- a/crates/gossip/src/dissemination.rs
+++ b/crates/gossip/src/dissemination.rs
@@ -87,7 +87,7 @@
         let state_before = entry.state;
         let is_same_process = entry.process_id == process_id;
         let is_later = incarnation > entry.incarnation
-            || (self.has_fault(InjectedFault::SameIncarnationWins)
+            || (self.has_fault(InjectedFault::EqualIncarnationAccepted)
                 && incarnation == entry.incarnation);
         let is_ignored = self.has_fault(InjectedFault::RefutationIgnored)
             && state_before == State::Dead
--- a/crates/gossip/src/event.rs
+++ b/crates/gossip/src/event.rs
@@ -167,12 +167,12 @@
     },
     /// Another process uses this node's name.
     NameConflict {
-        /// The incarnation of that process.
-        theirs: u64,
-        /// The incarnation of this one.
-        own: u64,
-        /// Whether this process gives way.
-        yields: bool,
+        /// Incarnation of that process.
+        other_incarnation: u64,
+        /// Incarnation of this process.
+        own_incarnation: u64,
+        /// Whether this process stops using the name.
+        is_superseded: bool,
     },
     /// The member table is full.
     TableFull,
@@ -192,18 +192,18 @@
                 write!(f, "this node refutes its death as incarnation {incarnation}")
             }
             Self::NameConflict {
-                theirs,
-                own,
-                yields,
+                other_incarnation,
+                own_incarnation,
+                is_superseded,
             } => {
-                let outcome = if *yields {
+                let outcome = if *is_superseded {
                     "this process gives way"
                 } else {
                     "this process stays"
                 };
                 write!(
                     f,
-                    "two processes have this node's name: incarnation {theirs} beside {own}; {outcome}"
+                    "two processes have this node's name: incarnation {other_incarnation} beside {own_incarnation}; {outcome}"
                 )
             }
             Self::TableFull => write!(
--- a/crates/gossip/src/failure_detector.rs
+++ b/crates/gossip/src/failure_detector.rs
@@ -151,7 +151,7 @@
         } else {
             observed_since_ms + self.settings.suspicion_timeout_ms
         };
-        let listening_since_ms = if self.has_fault(InjectedFault::PauseAtFaceValue) {
+        let listening_since_ms = if self.has_fault(InjectedFault::PauseNotDetected) {
             f64::NEG_INFINITY
         } else {
             self.detector.listening_since_ms
@@ -165,7 +165,7 @@
 
     /// Whether this node receives datagrams from any node: one that does not cannot vote on others.
     pub(crate) fn receives_from_any(&self) -> bool {
-        if self.has_fault(InjectedFault::DeafBelieved) {
+        if self.has_fault(InjectedFault::QuorumBypassed) {
             return true;
         }
         let listening_since_ms = self.detector.listening_since_ms;
--- a/crates/gossip/src/join.rs
+++ b/crates/gossip/src/join.rs
@@ -188,7 +188,7 @@
             Ok(Some(removed)) => self.unbind_member(removed),
             Ok(None) => {}
             Err(error) => {
-                self.metrics.reject(RejectReason::TableFull);
+                self.metrics.count_rejection(RejectReason::TableFull);
                 if !std::mem::replace(&mut self.discovery.has_logged_full_table, true) {
                     self.log(LogEvent::TableFull);
                 }
--- a/crates/gossip/src/metrics.rs
+++ b/crates/gossip/src/metrics.rs
@@ -35,7 +35,7 @@
 
 impl Metrics {
     /// Counts a rejected datagram or node.
-    pub fn reject(&mut self, reason: RejectReason) {
+    pub fn count_rejection(&mut self, reason: RejectReason) {
         self.rejected[reason as usize] += 1;
     }
 
--- a/crates/gossip/src/node.rs
+++ b/crates/gossip/src/node.rs
@@ -149,8 +149,8 @@
     }
 
     /// Counts a datagram that the driver rejected before it became an event.
-    pub fn reject(&mut self, reason: RejectReason) {
-        self.metrics.reject(reason);
+    pub fn count_rejection(&mut self, reason: RejectReason) {
+        self.metrics.count_rejection(reason);
     }
 
     /// The state of a node as this one reports it, suspicions included.
@@ -202,7 +202,7 @@
     fn detect_pause(&mut self) {
         let pause_ms = self.now_ms - self.next_tick_ms;
         let is_pause = pause_ms > self.settings.probe_interval_ms;
-        if !is_pause || self.has_fault(InjectedFault::PauseAtFaceValue) {
+        if !is_pause || self.has_fault(InjectedFault::PauseNotDetected) {
             return;
         }
         self.detector.restart_listening(self.now_ms);
--- a/crates/gossip/src/own_status.rs
+++ b/crates/gossip/src/own_status.rs
@@ -196,15 +196,15 @@
             .update(self.id, self.now_ms, State::Alive, their_incarnation + 1);
     }
 
-    pub(crate) fn log_name_conflict(&mut self, theirs: u64, yields: bool) {
+    pub(crate) fn log_name_conflict(&mut self, other_incarnation: u64, is_superseded: bool) {
         let is_due = self.now_ms - self.own.last_conflict_log_ms > REFUTATION_WINDOW_MS;
-        if yields || is_due {
+        if is_superseded || is_due {
             self.own.last_conflict_log_ms = self.now_ms;
-            let own = self.incarnation();
+            let own_incarnation = self.incarnation();
             self.log(LogEvent::NameConflict {
-                theirs,
-                own,
-                yields,
+                other_incarnation,
+                own_incarnation,
+                is_superseded,
             });
         }
     }
--- a/crates/gossip/src/quorum.rs
+++ b/crates/gossip/src/quorum.rs
@@ -74,7 +74,7 @@
         voters: usize,
         silence_ms: f64,
     ) -> bool {
-        if self.has_fault(InjectedFault::DeafBelieved) {
+        if self.has_fault(InjectedFault::QuorumBypassed) {
             return true;
         }
         let suspicion_timeout_ms = self.settings.suspicion_timeout_ms;
--- a/crates/gossip/src/settings.rs
+++ b/crates/gossip/src/settings.rs
@@ -53,12 +53,12 @@
 pub enum InjectedFault {
     #[default]
     None,
-    /// A refutation is ignored.
+    /// A node that was declared dead stays dead when the same process refutes it.
     RefutationIgnored,
     /// An equal incarnation counts as a later one.
-    SameIncarnationWins,
-    /// After a pause of the process, everything that was due meanwhile counts as missed.
-    PauseAtFaceValue,
-    /// A node that receives nothing suspects all others, and its votes count.
-    DeafBelieved,
+    EqualIncarnationAccepted,
+    /// A pause of this process is not detected, so that it counts as silence of the other nodes.
+    PauseNotDetected,
+    /// Every suspicion is confirmed without a quorum, and a node that receives nothing may still vote.
+    QuorumBypassed,
 }
--- a/crates/gossip/src/transport.rs
+++ b/crates/gossip/src/transport.rs
@@ -39,7 +39,7 @@
                 self.metrics.received.add(bytes.len());
                 self.process_datagram(from, datagram);
             }
-            Err(reason) => self.metrics.reject(reason),
+            Err(reason) => self.metrics.count_rejection(reason),
         }
     }
 
--- a/crates/gossip/tests/drawn_faults.rs
+++ b/crates/gossip/tests/drawn_faults.rs
@@ -35,7 +35,7 @@
 
 #[test]
 fn equal_incarnation_counted_as_later_is_detected() {
-    assert_detected(InjectedFault::SameIncarnationWins);
+    assert_detected(InjectedFault::EqualIncarnationAccepted);
 }
 
 /// Six of nine nodes pause for ten seconds, receive nothing of what is sent meanwhile and resume at the same moment on lossy
@@ -68,12 +68,12 @@
             .sum::<usize>()
     };
     assert_eq!(deaths(InjectedFault::None), 0);
-    assert!(deaths(InjectedFault::PauseAtFaceValue) > 0);
+    assert!(deaths(InjectedFault::PauseNotDetected) > 0);
 }
 
 #[test]
 fn vote_of_node_that_receives_nothing_is_detected() {
-    assert_detected(InjectedFault::DeafBelieved);
+    assert_detected(InjectedFault::QuorumBypassed);
 }
 
 /// Guards the precondition of every reproduction of a failure.
--- a/src/node/cluster/mod.rs
+++ b/src/node/cluster/mod.rs
@@ -231,7 +231,13 @@
             Action::Health(health) => log::line(format_args!("gossip: this node is {health}")),
             Action::Log(event) => {
                 log::line(format_args!("gossip: {event}"));
-                if matches!(event, LogEvent::NameConflict { yields: true, .. }) {
+                if matches!(
+                    event,
+                    LogEvent::NameConflict {
+                        is_superseded: true,
+                        ..
+                    }
+                ) {
                     self.stop_leases();
                 }
             }
--- a/src/node/cluster/socket.rs
+++ b/src/node/cluster/socket.rs
@@ -64,7 +64,9 @@
             }
             budget.refill(boot_ms());
             if budget.is_exhausted() {
-                self.gossip.borrow_mut().reject(RejectReason::RateLimited);
+                self.gossip
+                    .borrow_mut()
+                    .count_rejection(RejectReason::RateLimited);
                 tokio::time::sleep(READ_PAUSE).await;
                 continue;
             }
@@ -89,7 +91,10 @@
         let from = self.addresses.borrow().id_of(from);
         match from {
             Some(from) => self.handle_gossip_event(Event::Datagram { from, bytes }),
-            None => self.gossip.borrow_mut().reject(RejectReason::UnknownSender),
+            None => self
+                .gossip
+                .borrow_mut()
+                .count_rejection(RejectReason::UnknownSender),
         }
     }
 
