--- a/crates/consul/src/instance.rs
+++ b/crates/consul/src/instance.rs
@@ -14,7 +14,7 @@
 
 /// A check's status, by severity.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Status {
+pub enum CheckStatus {
     /// The check passes.
     Passing,
     /// The check warns.
@@ -31,7 +31,7 @@
     /// Its id.
     pub id: String,
     /// Its status.
-    pub status: Status,
+    pub status: CheckStatus,
 }
 
 /// A tagged address of a service.
@@ -275,12 +275,12 @@
 
     /// The most severe status of its checks; passing if it has none.
     #[must_use]
-    pub fn status(&self) -> Status {
+    pub fn status(&self) -> CheckStatus {
         self.checks
             .iter()
             .map(|check| check.status)
             .max()
-            .unwrap_or(Status::Passing)
+            .unwrap_or(CheckStatus::Passing)
     }
 }
 
@@ -292,11 +292,11 @@
         let is_maintenance_check =
             raw.id == NODE_MAINTENANCE_CHECK || raw.id.starts_with(SERVICE_MAINTENANCE_PREFIX);
         let status = match raw.status.as_str() {
-            "passing" => Status::Passing,
-            "warning" => Status::Warning,
-            "critical" if is_maintenance_check => Status::Maintenance,
-            "critical" => Status::Critical,
-            "maintenance" => Status::Maintenance,
+            "passing" => CheckStatus::Passing,
+            "warning" => CheckStatus::Warning,
+            "critical" if is_maintenance_check => CheckStatus::Maintenance,
+            "critical" => CheckStatus::Critical,
+            "maintenance" => CheckStatus::Maintenance,
             _ => return Err(InstanceError::UnknownCheckStatus(raw.status)),
         };
         Ok(Self { id: raw.id, status })
--- a/crates/consul/src/lib.rs
+++ b/crates/consul/src/lib.rs
@@ -46,15 +46,16 @@
 mod snapshot;
 mod watch;
 
-pub use instance::{Check, Instance, InstanceError, Status, TaggedAddress, Weights};
+pub use instance::{Check, CheckStatus, Instance, InstanceError, TaggedAddress, Weights};
 pub use json_stream::{JsonArrayStream, JsonStreamError, MAX_ELEMENT_BYTES};
 pub use mapping::{
-    FieldSource, FieldSourceError, InstanceFacts, KeySource, Lifecycle, Mapping, MetaRule,
+    FieldSource, FieldSourceError, KeySource, Lifecycle, MappedEndpoint, Mapping, MetaRule,
     StatusLifecycles, TagRule, UnidentifiedInstance,
 };
 pub use query::{Api, Consistency, Query};
 pub use response_head::ResponseHead;
 pub use snapshot::{Change, MalformedInstances, Snapshot, TooManyInstances, MAX_INSTANCES};
 pub use watch::{
-    Action, Event, PollError, ResponseError, Watch, WatchEvent, WatchSettings, MAX_RESPONSE_BYTES,
+    Action, Event, PollError, ResponseError, ServiceUpdate, Watch, WatchSettings,
+    MAX_RESPONSE_BYTES,
 };
--- a/crates/consul/src/mapping.rs
+++ b/crates/consul/src/mapping.rs
@@ -5,7 +5,7 @@
 use std::net::{IpAddr, SocketAddr};
 use std::str::FromStr;
 
-use crate::instance::{Instance, Status, TaggedAddress};
+use crate::instance::{CheckStatus, Instance, TaggedAddress};
 
 /// Whether an endpoint accepts requests, by severity.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
@@ -93,23 +93,23 @@
 /// The lifecycle that the most severe check status of an instance results in.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct StatusLifecycles {
-    /// For [`Status::Passing`].
+    /// For [`CheckStatus::Passing`].
     pub passing: Lifecycle,
-    /// For [`Status::Warning`].
+    /// For [`CheckStatus::Warning`].
     pub warning: Lifecycle,
-    /// For [`Status::Critical`].
+    /// For [`CheckStatus::Critical`].
     pub critical: Lifecycle,
-    /// For [`Status::Maintenance`].
+    /// For [`CheckStatus::Maintenance`].
     pub maintenance: Lifecycle,
 }
 
 impl StatusLifecycles {
-    fn of(self, status: Status) -> Lifecycle {
+    fn of(self, status: CheckStatus) -> Lifecycle {
         match status {
-            Status::Passing => self.passing,
-            Status::Warning => self.warning,
-            Status::Critical => self.critical,
-            Status::Maintenance => self.maintenance,
+            CheckStatus::Passing => self.passing,
+            CheckStatus::Warning => self.warning,
+            CheckStatus::Critical => self.critical,
+            CheckStatus::Maintenance => self.maintenance,
         }
     }
 }
@@ -187,7 +187,7 @@
 
 /// What an instance says about its endpoint.
 #[derive(Clone, Debug, PartialEq)]
-pub struct InstanceFacts {
+pub struct MappedEndpoint {
     /// The endpoint's key: its id or address, see [`KeySource`].
     pub key: String,
     /// Whether it accepts requests.
@@ -231,9 +231,9 @@
     /// # Errors
     ///
     /// The instance identifies no endpoint.
-    pub fn apply(&self, instance: &Instance) -> Result<InstanceFacts, UnidentifiedInstance> {
+    pub fn apply(&self, instance: &Instance) -> Result<MappedEndpoint, UnidentifiedInstance> {
         let status = instance.status();
-        let consul_weight = if status == Status::Passing {
+        let consul_weight = if status == CheckStatus::Passing {
             instance.weights.passing
         } else {
             instance.weights.warning
@@ -246,7 +246,7 @@
         let key = key.ok_or_else(|| UnidentifiedInstance {
             service_id: instance.id.clone(),
         })?;
-        Ok(InstanceFacts {
+        Ok(MappedEndpoint {
             key,
             lifecycle: self.lifecycle(instance, status),
             address,
@@ -261,7 +261,7 @@
     }
 
     /// The most severe lifecycle that its checks, tags and metadata result in.
-    fn lifecycle(&self, instance: &Instance, status: Status) -> Lifecycle {
+    fn lifecycle(&self, instance: &Instance, status: CheckStatus) -> Lifecycle {
         let by_tags = self
             .tag_rules
             .iter()
--- a/crates/consul/src/snapshot.rs
+++ b/crates/consul/src/snapshot.rs
@@ -6,7 +6,7 @@
 use std::rc::Rc;
 
 use crate::instance::{Instance, InstanceError};
-use crate::mapping::{InstanceFacts, Mapping};
+use crate::mapping::{MappedEndpoint, Mapping};
 use crate::query::Api;
 
 /// The most instances in a response: as many endpoints as the merged view holds per source.
@@ -16,7 +16,7 @@
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Change {
     /// New or changed endpoints, sorted by key.
-    pub updated: Vec<Rc<InstanceFacts>>,
+    pub updated: Vec<Rc<MappedEndpoint>>,
     /// Keys of endpoints that no instance describes any more.
     pub removed: Vec<String>,
 }
@@ -52,7 +52,7 @@
 
 struct CachedInstance {
     /// `None` if it identifies no endpoint.
-    facts: Option<Rc<InstanceFacts>>,
+    facts: Option<Rc<MappedEndpoint>>,
     /// The last response that contained it.
     response: u64,
 }
@@ -60,7 +60,7 @@
 /// A new instance of the response that is being received.
 struct NewInstance {
     hash: u64,
-    facts: Option<Rc<InstanceFacts>>,
+    facts: Option<Rc<MappedEndpoint>>,
 }
 
 /// The instances of the last complete response.
@@ -74,7 +74,7 @@
     /// The hashes of the instances that describe an endpoint, by its key.
     hashes_by_key: HashMap<String, Vec<u64>>,
     /// What was last reported, by key.
-    reported: HashMap<String, Rc<InstanceFacts>>,
+    reported: HashMap<String, Rc<MappedEndpoint>>,
     /// The number of the response that is being received.
     response: u64,
     /// The instances of that response that no earlier one had.
--- a/crates/consul/src/watch/event.rs
+++ b/crates/consul/src/watch/event.rs
@@ -4,7 +4,7 @@
 use std::rc::Rc;
 
 use crate::json_stream::JsonStreamError;
-use crate::mapping::InstanceFacts;
+use crate::mapping::MappedEndpoint;
 use crate::snapshot::TooManyInstances;
 
 /// What happens to a watch.
@@ -118,7 +118,7 @@
 
 /// What a complete response says.
 #[derive(Clone, Debug, PartialEq)]
-pub struct WatchEvent {
+pub struct ServiceUpdate {
     /// Whether it is current.
     pub is_current: bool,
     /// The version of everything in it.
@@ -126,7 +126,7 @@
     /// Increased when versions are not comparable with earlier ones.
     pub epoch: u64,
     /// New or changed endpoints.
-    pub updated: Vec<Rc<InstanceFacts>>,
+    pub updated: Vec<Rc<MappedEndpoint>>,
     /// Keys of endpoints that are no longer described.
     pub removed: Vec<String>,
 }
@@ -145,9 +145,9 @@
     /// Abandon the query that is under way and close its connection.
     CloseConnection,
     /// A complete response was received. If nothing changed, it confirms what was reported before.
-    Report(WatchEvent),
+    Report(ServiceUpdate),
     /// No agent responds.
-    ReportLost,
+    ReportUnreachable,
     /// Send [`Event::TimerExpired`] at this time. It replaces the time that was set before.
     SetTimer(f64),
     /// Log an error: one of this kind begins at an agent.
--- a/crates/consul/src/watch/mod.rs
+++ b/crates/consul/src/watch/mod.rs
@@ -20,7 +20,7 @@
 use index::IndexTracker;
 use rate_limit::{Outcome, RateLimit};
 
-pub use event::{Action, Event, PollError, ResponseError, WatchEvent};
+pub use event::{Action, Event, PollError, ResponseError, ServiceUpdate};
 
 /// The largest response: 20,000 instances of 2 KB, the size of one with two checks. Only the
 /// instance that is being received is held in memory; the limit ends a response without an end.
@@ -227,7 +227,7 @@
             self.log_error(now_ms, PollError::InvalidIndex, actions);
         }
         let Change { updated, removed } = change;
-        actions.push(Action::Report(WatchEvent {
+        actions.push(Action::Report(ServiceUpdate {
             is_current: is_complete && !is_stale,
             index,
             epoch: self.index.epoch,
@@ -279,7 +279,7 @@
         // Another agent's index may count differently: it is queried for everything.
         self.index.reset_blocking();
         if retry.has_lost_all_agents {
-            actions.push(Action::ReportLost);
+            actions.push(Action::ReportUnreachable);
         }
         actions.push(Action::SetTimer(now_ms + retry.delay_ms));
     }
--- a/crates/consul/tests/mapping.rs
+++ b/crates/consul/tests/mapping.rs
@@ -1,8 +1,8 @@
 //! Instances in the JSON of Consul's published pages, and what the operators' mapping makes of them.
 
 use consul::{
-    Api, FieldSource, Instance, InstanceFacts, KeySource, Lifecycle, Mapping, MetaRule, Status,
-    StatusLifecycles, TagRule,
+    Api, CheckStatus, FieldSource, Instance, KeySource, Lifecycle, MappedEndpoint, Mapping,
+    MetaRule, StatusLifecycles, TagRule,
 };
 
 const HEALTH: &str = r#"{
@@ -41,7 +41,7 @@
     }
 }
 
-fn map(instance: &Instance, mapping: &Mapping) -> InstanceFacts {
+fn map(instance: &Instance, mapping: &Mapping) -> MappedEndpoint {
     mapping.apply(instance).expect("it identifies an endpoint")
 }
 
@@ -205,7 +205,7 @@
             .replace("service:holds", id)
             .replace("STATUS", "critical");
         let instance = Instance::parse(Api::Health, text.as_bytes()).expect("an instance");
-        assert_eq!(instance.status(), Status::Maintenance, "{id}");
+        assert_eq!(instance.status(), CheckStatus::Maintenance, "{id}");
         assert_eq!(map(&instance, &mapping()).lifecycle, Lifecycle::Draining);
     }
 }
--- a/crates/consul/tests/robustness.rs
+++ b/crates/consul/tests/robustness.rs
@@ -79,7 +79,7 @@
                         prop_assert!(!is_under_way, "a query is under way");
                         is_under_way = true;
                     }
-                    Action::CloseConnection | Action::Report(_) | Action::ReportLost => is_under_way = false,
+                    Action::CloseConnection | Action::Report(_) | Action::ReportUnreachable => is_under_way = false,
                     Action::SetTimer(at_ms) => prop_assert!(*at_ms >= now_ms),
                     Action::LogError { .. } => {}
                 }
--- a/crates/consul/tests/watch.rs
+++ b/crates/consul/tests/watch.rs
@@ -1,7 +1,7 @@
 //! A watch whose agents lag, are wrong, restart or disappear, in virtual time.
 
 use consul::{
-    Action, Event, Lifecycle, Mapping, PollError, Query, Watch, WatchEvent, WatchSettings,
+    Action, Event, Lifecycle, Mapping, PollError, Query, ServiceUpdate, Watch, WatchSettings,
 };
 
 /// An instance in the JSON of the health API.
@@ -64,7 +64,7 @@
     }
 
     /// What was reported.
-    fn report(&self) -> &WatchEvent {
+    fn report(&self) -> &ServiceUpdate {
         let report = self.actions.iter().find_map(|action| match action {
             Action::Report(report) => Some(report),
             _ => None,
@@ -109,7 +109,7 @@
     }
 
     fn has_lost_all_agents(&self) -> bool {
-        self.actions.contains(&Action::ReportLost)
+        self.actions.contains(&Action::ReportUnreachable)
     }
 }
 
--- a/crates/endpoint-discovery/src/lib.rs
+++ b/crates/endpoint-discovery/src/lib.rs
@@ -60,7 +60,7 @@
 mod view;
 
 pub use endpoint::{Endpoint, Lifecycle, MAX_ENDPOINTS};
-pub use log_event::{LogEvent, SourceOpinion};
+pub use log_event::{LogEvent, SourceLifecycle};
 pub use merge::{merge, EffectiveAssertion, MergeOutcome, SourceStatus};
 pub use source::{
     Assertion, FlapDamping, Freshness, MatchBy, Removal, SourcePolicy, SourceUpdate, MAX_TOMBSTONES,
--- a/crates/endpoint-discovery/src/log_event.rs
+++ b/crates/endpoint-discovery/src/log_event.rs
@@ -7,7 +7,7 @@
 
 /// What one source asserts about an endpoint, for the log.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct SourceOpinion {
+pub struct SourceLifecycle {
     /// The source's name.
     pub source: String,
     /// The lifecycle that it asserts; `None` if it does not list the endpoint.
@@ -22,7 +22,7 @@
         /// The endpoint's id.
         id: String,
         /// What each source asserts.
-        opinions: Vec<SourceOpinion>,
+        source_lifecycles: Vec<SourceLifecycle>,
         /// What the merge made of it.
         outcome: MergeOutcome,
     },
@@ -38,7 +38,7 @@
         total: usize,
     },
     /// The deferred removals have taken effect, or the source has revoked them.
-    MassRemovalSettled {
+    MassRemovalResolved {
         /// The source's name.
         source: String,
     },
@@ -97,11 +97,11 @@
         match self {
             Self::Disagreement {
                 id,
-                opinions,
+                source_lifecycles,
                 outcome,
             } => {
                 write!(f, "view: {id:?} is {outcome}; sources disagree:")?;
-                for (position, SourceOpinion { source, lifecycle }) in opinions.iter().enumerate() {
+                for (position, SourceLifecycle { source, lifecycle }) in source_lifecycles.iter().enumerate() {
                     let separator = if position == 0 { "" } else { "," };
                     let lifecycle = lifecycle_text(*lifecycle);
                     write!(f, "{separator} {source} says {lifecycle}")?;
@@ -119,7 +119,7 @@
                 f,
                 "view: {source} removes {removed} of {total} endpoints at once; deferred until confirmed"
             ),
-            Self::MassRemovalSettled { source } => {
+            Self::MassRemovalResolved { source } => {
                 write!(f, "view: the mass removal by {source} is settled")
             }
             Self::LastResortStarted { endpoints } => write!(
--- a/crates/endpoint-discovery/src/source/pending.rs
+++ b/crates/endpoint-discovery/src/source/pending.rs
@@ -109,7 +109,7 @@
                 total,
             }
         } else {
-            LogEvent::MassRemovalSettled { source }
+            LogEvent::MassRemovalResolved { source }
         });
     }
 
@@ -123,7 +123,7 @@
         let Contact::StaleSince(since_ms) = self.contact else {
             return None;
         };
-        let expires_at_ms = since_ms + self.policy.hold_ms;
+        let expires_at_ms = since_ms + self.policy.retention_ms;
         if expires_at_ms > now_ms {
             return Some(expires_at_ms).filter(|at_ms| at_ms.is_finite());
         }
--- a/crates/endpoint-discovery/src/source/policy.rs
+++ b/crates/endpoint-discovery/src/source/policy.rs
@@ -43,7 +43,7 @@
     pub defers_new_epochs: bool,
     /// How long the source's removals stay in effect once it is stale, in milliseconds. Drains have
     /// no such limit.
-    pub hold_ms: f64,
+    pub retention_ms: f64,
     /// Flap damping, if any.
     pub damping: Option<FlapDamping>,
 }
@@ -62,7 +62,7 @@
             defers_undisputed_removals: false,
             confirm_ms: 30_000.0,
             defers_new_epochs: false,
-            hold_ms: f64::INFINITY,
+            retention_ms: f64::INFINITY,
             damping: None,
         }
     }
@@ -74,7 +74,7 @@
             may_add_endpoints: false,
             defers_undisputed_removals: true,
             defers_new_epochs: true,
-            hold_ms: 60_000.0,
+            retention_ms: 60_000.0,
             damping: Some(FlapDamping {
                 initial_ms: 2_000.0,
                 max_ms: 60_000.0,
--- a/crates/endpoint-discovery/src/view/mod.rs
+++ b/crates/endpoint-discovery/src/view/mod.rs
@@ -10,7 +10,7 @@
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 
 use crate::endpoint::{Endpoint, Lifecycle};
-use crate::log_event::{LogEvent, SourceOpinion};
+use crate::log_event::{LogEvent, SourceLifecycle};
 use crate::merge::{merge, MergeOutcome, SourceStatus};
 use crate::source::{KeySet, Source, SourcePolicy, SourceUpdate};
 use sources::Sources;
@@ -314,16 +314,17 @@
     if lifecycles.all(|lifecycle| Some(lifecycle) == first) {
         return None;
     }
-    let opinions = sources
-        .names()
-        .zip(asserted)
-        .map(|(source, lifecycle)| SourceOpinion {
-            source: source.to_owned(),
-            lifecycle: *lifecycle,
-        });
+    let source_lifecycles =
+        sources
+            .names()
+            .zip(asserted)
+            .map(|(source, lifecycle)| SourceLifecycle {
+                source: source.to_owned(),
+                lifecycle: *lifecycle,
+            });
     Some(LogEvent::Disagreement {
         id: id.to_owned(),
-        opinions: opinions.collect(),
+        source_lifecycles: source_lifecycles.collect(),
         outcome,
     })
 }
--- a/crates/endpoint-discovery/tests/removal.rs
+++ b/crates/endpoint-discovery/tests/removal.rs
@@ -85,7 +85,7 @@
     harness.report(CONSUL, assertions(0..10, Lifecycle::Ready, 12));
     harness.advance_ms(3_600_000.0);
     assert_eq!(harness.ready_count(), 10);
-    assert!(harness.log.contains(&LogEvent::MassRemovalSettled {
+    assert!(harness.log.contains(&LogEvent::MassRemovalResolved {
         source: "consul".into()
     }));
 }
--- a/src/node/admin/config_file/consul_source.rs
+++ b/src/node/admin/config_file/consul_source.rs
@@ -84,7 +84,7 @@
         } else {
             MatchBy::Id
         };
-        policy.hold_ms = self.hold_s.map_or(policy.hold_ms, Seconds::as_ms);
+        policy.retention_ms = self.hold_s.map_or(policy.retention_ms, Seconds::as_ms);
         if let Some(damping) = &self.damping {
             policy.damping = damping.enabled();
         }
--- a/src/node/discovery/consul/mod.rs
+++ b/src/node/discovery/consul/mod.rs
@@ -9,7 +9,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use consul::{Action, Event, InstanceFacts, Watch, WatchEvent, WatchSettings};
+use consul::{Action, Event, MappedEndpoint, ServiceUpdate, Watch, WatchSettings};
 use endpoint_discovery::{
     Assertion, Endpoint, Freshness, Lifecycle, Removal, SourceId, SourcePolicy, SourceUpdate,
 };
@@ -116,7 +116,7 @@
                 self.updates
                     .handle(endpoint_discovery::Event::SourceUpdated { source, update });
             }
-            Action::ReportLost => self
+            Action::ReportUnreachable => self
                 .updates
                 .handle(endpoint_discovery::Event::SourceLost { source }),
             Action::LogError { agent, error } => log::line(format_args!(
@@ -128,7 +128,7 @@
 }
 
 /// What a watch reports, as an update of the merged view.
-fn source_update(report: WatchEvent) -> SourceUpdate {
+fn source_update(report: ServiceUpdate) -> SourceUpdate {
     let version = report.index;
     SourceUpdate {
         freshness: if report.is_current {
@@ -150,7 +150,7 @@
     }
 }
 
-fn assertion(facts: &InstanceFacts, version: u64) -> Assertion {
+fn assertion(facts: &MappedEndpoint, version: u64) -> Assertion {
     let lifecycle = lifecycle(facts.lifecycle);
     Assertion {
         key: facts.key.clone(),
