--- a/crates/pool/src/action.rs
+++ b/crates/pool/src/action.rs
@@ -1,73 +1,76 @@
-//! Identifiers, results and actions of the pool.
+//! Identifiers, checkout results and actions of the pool.
 
 use crate::address::Route;
 
-/// A server, numbered by the pool's caller.
+/// Identifier of a server, assigned by the pool's caller.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct ServerKey(pub usize);
 
-/// A connection. Never reused.
+/// Identifier of a connection. Never reused.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct ConnectionId(pub u64);
 
-/// A dial. Never reused.
+/// Identifier of a dial. Never reused.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct DialId(pub u64);
 
-/// An attempt that waits for a connection. Never reused.
+/// Identifier of a checkout that waits for a connection. Never reused.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct CheckoutId(pub u64);
 
-/// One of a server's addresses, for as long as it is listed.
+/// Identifier of one of a server's routes. An address that is removed from the server's list and listed again
+/// gets a new one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct RouteId(pub u64);
 
 /// Result of a checkout.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Checkout {
-    /// An idle connection is available.
+    /// The idle connection that was checked out.
     Ready(ConnectionId),
-    /// A connection is granted, or the checkout fails, by a later [`Action`].
+    /// The checkout waits for a later [`Action::Grant`] or [`Action::Fail`].
     Pending(CheckoutId),
-    /// There is no connection to be had.
+    /// No connection can be provided.
     Failed(CheckoutError),
 }
 
-/// Why there is no connection.
+/// Reason why a checkout failed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CheckoutError {
-    /// The server is unknown, or has no address that may be used.
+    /// The server is unknown or was removed, or has no route that the checkout may use.
     NoRoute,
-    /// None of its addresses could be reached.
+    /// None of the server's addresses could be reached.
     Unreachable,
-    /// A limit on connections is reached.
+    /// A limit on connections or dials is reached.
     LimitReached,
 }
 
-/// How a connection ended.
+/// Reason why a connection was closed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CloseReason {
     /// The peer closed it while it was idle.
     ByPeer,
-    /// It delivered bytes that no request had asked for.
+    /// The peer sent bytes that no request had asked for.
     UnsolicitedBytes,
-    /// It broke before the last byte of a request was written.
+    /// An exchange failed before the last byte of its request was written.
     Broken,
-    /// It was used up, abandoned, or broke later.
+    /// Any other reason: the connection cannot be reused, its exchange was abandoned, or the exchange failed
+    /// after the complete request was written.
     Finished,
 }
 
-/// What the caller has to do.
+/// An instruction or a report to the pool's caller.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
-    /// Connect to an address, and report to [`Pool::dial_succeeded`](crate::Pool::dial_succeeded) or
+    /// Connect to an address, and report the result to
+    /// [`Pool::dial_succeeded`](crate::Pool::dial_succeeded) or
     /// [`Pool::dial_failed`](crate::Pool::dial_failed).
     Dial {
         /// The dial.
         dial: DialId,
         /// The server.
         server: ServerKey,
-        /// The address.
+        /// The address with its configuration.
         route: Route,
     },
     /// Abort a dial.
@@ -75,14 +78,14 @@
         /// The dial.
         dial: DialId,
     },
-    /// A pending checkout has its connection.
+    /// A pending checkout is granted a connection.
     Grant {
         /// The checkout.
         checkout: CheckoutId,
         /// The connection.
         connection: ConnectionId,
     },
-    /// A dial came up and nobody waits for it: keep the connection, it is idle.
+    /// A dial connected and no checkout waits for the connection: keep it open as idle.
     KeepIdle {
         /// The connection.
         connection: ConnectionId,
@@ -91,7 +94,7 @@
     Fail {
         /// The checkout.
         checkout: CheckoutId,
-        /// Why.
+        /// The reason.
         error: CheckoutError,
     },
     /// Close a connection that is idle or was just checked in.
@@ -99,21 +102,21 @@
         /// The connection.
         connection: ConnectionId,
     },
-    /// An address cannot be reached any more; reported once, until it can be reached again.
+    /// An address has become unreachable. Reported once, until the address is reachable again.
     RouteDown {
         /// The server.
         server: ServerKey,
-        /// The address.
+        /// The address with its configuration.
         route: Route,
     },
-    /// An address that was reported down can be reached again.
+    /// An address that was reported down is reachable again.
     RouteUp {
         /// The server.
         server: ServerKey,
-        /// The address.
+        /// The address with its configuration.
         route: Route,
     },
-    /// Call [`Pool::handle_timer`](crate::Pool::handle_timer) at this time, unless a later action names
-    /// another.
+    /// Call [`Pool::handle_timer`](crate::Pool::handle_timer) at this time, in milliseconds. Replaces the
+    /// time of an earlier `WakeAt`.
     WakeAt(f64),
 }
--- a/crates/pool/src/address.rs
+++ b/crates/pool/src/address.rs
@@ -1,17 +1,17 @@
-//! Addresses of three families, and the order in which they are dialed.
+//! Server addresses of three families (Unix, IPv6, IPv4) and the order in which they are dialed.
 
 use std::fmt;
 use std::net::{IpAddr, Ipv6Addr, SocketAddr};
 use std::path::PathBuf;
 use std::str::FromStr;
 
-/// Maximum length of a Unix socket path: `sun_path` has 108 bytes with its terminator (unix(7)).
+/// Maximum length of a Unix socket path, in bytes: `sun_path` has 108 bytes with its terminator (unix(7)).
 pub const MAX_UNIX_PATH_BYTES: usize = 107;
 
 /// Preference of a route for which none is configured.
 pub const DEFAULT_PREFERENCE: u16 = 100;
 
-/// Where a server can be reached.
+/// Address at which a server can be reached.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub enum Address {
     /// An IP address and TCP port.
@@ -31,14 +31,14 @@
     V4,
 }
 
-/// Why a text is not an address.
+/// Error of parsing an [`Address`].
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum AddressError {
-    /// It is neither `IP:PORT` nor `unix:PATH`.
+    /// The text is neither `IP:PORT` with a port above 0 nor `unix:PATH` with a path free of NUL bytes.
     Malformed(String),
-    /// The path is not absolute.
+    /// The path in the text is not absolute.
     Relative(String),
-    /// The path has this many bytes, more than the operating system accepts.
+    /// The path is longer than the operating system accepts; holds its length in bytes.
     TooLong(usize),
 }
 
@@ -50,7 +50,7 @@
             Self::TooLong(bytes) => {
                 write!(
                     f,
-                    "a Unix socket's path has {MAX_UNIX_PATH_BYTES} bytes at the most, not {bytes}"
+                    "a Unix socket path has at most {MAX_UNIX_PATH_BYTES} bytes, got {bytes}"
                 )
             }
         }
@@ -95,7 +95,7 @@
 }
 
 impl Address {
-    /// Returns its family.
+    /// Returns the address family.
     #[must_use]
     pub fn family(&self) -> Family {
         match self {
@@ -116,7 +116,7 @@
         }
     }
 
-    /// Scope by RFC 6724, section 3.1, as far as rule 8 (smaller scopes first) needs it.
+    /// Scope according to RFC 6724, section 3.1, as far as rule 8 (smaller scopes first) needs it.
     fn scope(&self) -> u8 {
         match self {
             Self::Unix(_) => 0,
@@ -153,9 +153,9 @@
 pub struct Route {
     /// The address.
     pub address: Address,
-    /// Lower values are dialed first.
+    /// Rank in the dial order: routes with lower values are dialed first.
     pub preference: u16,
-    /// Name in the log.
+    /// Name of the route in log lines.
     pub label: Option<String>,
 }
 
@@ -173,7 +173,7 @@
 
 /// Returns the indices of `routes` in the order in which they are dialed.
 ///
-/// Routes are ordered by preference, then by rules 6 and 8 of RFC 6724 (its other rules need the
+/// Routes are ordered by preference, then by rules 6 and 8 of RFC 6724 (its other rules depend on the
 /// system's source addresses); within one preference, families alternate (RFC 8305, section 4).
 #[must_use]
 pub fn connection_order(routes: &[Route]) -> Vec<usize> {
--- a/crates/pool/src/address/tests.rs
+++ b/crates/pool/src/address/tests.rs
@@ -1,30 +1,33 @@
-//! Tests of addresses and of the order in which they are tried.
+//! Tests of address parsing and of the order in which addresses are dialed.
 
 use super::*;
 
 fn route(text: &str, preference: u16) -> Route {
     Route {
         preference,
-        ..Route::new(text.parse().expect("an address"))
+        ..Route::new(text.parse().expect("parse a valid address"))
     }
 }
 
 fn ordered(routes: &[Route]) -> Vec<String> {
     connection_order(routes)
         .into_iter()
-        .map(|at| routes[at].address.to_string())
+        .map(|index| routes[index].address.to_string())
         .collect()
 }
 
 #[test]
-fn address_text_is_parsed_or_has_an_error() {
-    for good in ["127.0.0.1:80", "[::1]:80", "unix:/run/holds.sock"] {
+fn valid_address_is_parsed_and_invalid_one_is_rejected() {
+    for valid in ["127.0.0.1:80", "[::1]:80", "unix:/run/server.sock"] {
         assert_eq!(
-            good.parse::<Address>().expect("an address").to_string(),
-            good
+            valid
+                .parse::<Address>()
+                .expect("parse a valid address")
+                .to_string(),
+            valid
         );
     }
-    for bad in [
+    for invalid in [
         "",
         "localhost:80",
         "127.0.0.1",
@@ -34,7 +37,10 @@
         "unix:run/x",
         "unix:/a\0b",
     ] {
-        assert!(bad.parse::<Address>().is_err(), "{bad}");
+        assert!(
+            invalid.parse::<Address>().is_err(),
+            "{invalid:?} must be rejected"
+        );
     }
     let path = |bytes: usize| format!("unix:/{}", "x".repeat(bytes - 1));
     assert!(path(MAX_UNIX_PATH_BYTES).parse::<Address>().is_ok());
@@ -88,7 +94,7 @@
     );
 }
 
-/// Each line of the policy table of RFC 6724, section 2.1.
+/// Covers each row of the policy table of RFC 6724, section 2.1.
 #[test]
 fn precedence_matches_the_rfc_6724_policy_table() {
     let table = [
@@ -122,11 +128,11 @@
         let routes: Vec<_> = texts
             .iter()
             .enumerate()
-            .filter(|(at, _)| bits >> at & 1 == 1)
-            .map(|(at, text)| route(text, (at % 2) as u16))
+            .filter(|(index, _)| bits >> index & 1 == 1)
+            .map(|(index, text)| route(text, (index % 2) as u16))
             .collect();
-        let mut all = connection_order(&routes);
-        all.sort_unstable();
-        assert_eq!(all, (0..routes.len()).collect::<Vec<_>>());
+        let mut order = connection_order(&routes);
+        order.sort_unstable();
+        assert_eq!(order, (0..routes.len()).collect::<Vec<_>>());
     }
 }
--- a/crates/pool/src/address_owners.rs
+++ b/crates/pool/src/address_owners.rs
@@ -1,15 +1,15 @@
 //! Ownership of addresses that several servers claim.
 //!
-//! Owns the claims of all servers and the owner of each address. Invariant: an address has at most one
-//! owner, and has one if any ready server claims it. Requests for a server that is gone must not reach its
-//! successor at the same address.
+//! Stores the claims of all servers and the owner of each address. Invariant: an address has at most one
+//! owner, and has one if any ready server claims it. This keeps requests for a server that is gone from
+//! reaching its successor at the same address.
 
 use std::collections::{BTreeSet, HashMap};
 
 use crate::action::ServerKey;
 use crate::address::{Address, Route};
 
-/// What a server claims, as last reported.
+/// Routes that a server claims, as last reported.
 #[derive(Clone, Debug)]
 struct Claim {
     routes: Vec<Route>,
@@ -17,19 +17,20 @@
     is_ready: bool,
 }
 
-/// Result of a change of claims.
+/// Effect of changed claims on the servers.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct OwnershipChange {
-    /// Servers whose routes may differ from before.
+    /// Servers whose routes may have changed, without the displaced ones.
     pub rerouted: BTreeSet<ServerKey>,
-    /// Servers that have lost all addresses to others: they cannot exist any more.
+    /// Servers that claim addresses but own none, because other servers own them all: they count as gone.
     pub displaced: BTreeSet<ServerKey>,
 }
 
 /// The owner of each address.
 ///
 /// Of several servers that claim an address, the one that started last owns it; of two that started at the
-/// same time, the one that was reported last. A server that is not ready takes no address from another.
+/// same time, the one that was reported last. A server that is not ready takes no address from another
+/// server.
 #[derive(Clone, Debug, Default)]
 pub struct AddressOwners {
     claims: HashMap<ServerKey, Claim>,
@@ -46,8 +47,8 @@
     /// Records that a server claims `routes`, and adds servers whose routes may have changed to
     /// `rerouted`.
     ///
-    /// Servers may trade addresses within one list, so [`AddressOwners::resolve`] is called once all of
-    /// the list has been claimed.
+    /// Servers may exchange addresses within one endpoint list, so call [`AddressOwners::resolve`] only after
+    /// the claims of the complete list have been recorded.
     pub fn claim(
         &mut self,
         server: ServerKey,
@@ -92,8 +93,7 @@
         self.claims.insert(server, claim);
     }
 
-    /// Splits servers whose routes may have changed into those that still have one and those that are
-    /// displaced.
+    /// Separates the displaced servers from the others whose routes may have changed.
     #[must_use]
     pub fn resolve(&self, rerouted: BTreeSet<ServerKey>) -> OwnershipChange {
         let is_displaced = |server: &ServerKey| {
@@ -110,7 +110,8 @@
         }
     }
 
-    /// Removes a server's claims. Its addresses go to others that claim them; returns those.
+    /// Removes a server's claims, passes its addresses on to other servers that claim them, and returns those
+    /// servers.
     pub fn remove(&mut self, server: ServerKey) -> BTreeSet<ServerKey> {
         let mut rerouted = BTreeSet::new();
         self.release_except(server, &[], &mut rerouted);
@@ -128,7 +129,8 @@
         claim.routes.iter().filter(is_owned).cloned().collect()
     }
 
-    /// Passes on the addresses that a server owns and that are not in `kept`.
+    /// Releases the addresses that a server owns and that are not in `kept`, and passes them on to other
+    /// servers that claim them.
     fn release_except(
         &mut self,
         server: ServerKey,
@@ -158,7 +160,7 @@
     }
 
     /// Returns the ready server other than `released_by` that claims `address` and started last; of several
-    /// the lowest key, so that every node chooses the same.
+    /// that started at the same time, the one with the lowest key, so that every node chooses the same.
     fn successor(&self, address: &Address, released_by: ServerKey) -> Option<ServerKey> {
         self.claims
             .iter()
--- a/crates/pool/src/address_owners/tests.rs
+++ b/crates/pool/src/address_owners/tests.rs
@@ -1,11 +1,11 @@
-//! Tests of who owns an address.
+//! Tests of address ownership.
 
 use super::*;
 
 const A: ServerKey = ServerKey(0);
 const B: ServerKey = ServerKey(1);
 
-fn at(ports: &[u16]) -> Vec<Route> {
+fn routes_at(ports: &[u16]) -> Vec<Route> {
     let route = |port: &u16| Route::new(Address::Ip(([127, 0, 0, 1], *port).into()));
     ports.iter().map(route).collect()
 }
@@ -19,12 +19,18 @@
         is_ready: bool,
     ) -> OwnershipChange {
         let mut rerouted = BTreeSet::new();
-        self.claim(server, at(ports), started_at_ms, is_ready, &mut rerouted);
+        self.claim(
+            server,
+            routes_at(ports),
+            started_at_ms,
+            is_ready,
+            &mut rerouted,
+        );
         self.resolve(rerouted)
     }
 }
 
-fn set(servers: &[ServerKey]) -> BTreeSet<ServerKey> {
+fn server_set(servers: &[ServerKey]) -> BTreeSet<ServerKey> {
     servers.iter().copied().collect()
 }
 
@@ -32,22 +38,28 @@
 fn server_that_started_last_owns_the_address() {
     let mut owners = AddressOwners::new();
     owners.report(A, &[1], 100.0, true);
-    assert_eq!(owners.report(B, &[1], 200.0, true).displaced, set(&[A]));
+    assert_eq!(
+        owners.report(B, &[1], 200.0, true).displaced,
+        server_set(&[A])
+    );
     owners.remove(A);
     assert_eq!(
         owners.report(A, &[1], 100.0, true).displaced,
-        set(&[A]),
-        "it started before B"
+        server_set(&[A]),
+        "A started before B"
     );
-    assert_eq!(owners.routes(B), at(&[1]));
+    assert_eq!(owners.routes(B), routes_at(&[1]));
 }
 
 #[test]
 fn draining_server_takes_no_address() {
     let mut owners = AddressOwners::new();
     owners.report(A, &[1], 0.0, true);
-    assert_eq!(owners.report(B, &[1], 0.0, false).displaced, set(&[B]));
-    assert_eq!(owners.routes(A), at(&[1]));
+    assert_eq!(
+        owners.report(B, &[1], 0.0, false).displaced,
+        server_set(&[B])
+    );
+    assert_eq!(owners.routes(A), routes_at(&[1]));
 }
 
 #[test]
@@ -57,11 +69,11 @@
     let changed = owners.report(B, &[2, 3], 0.0, true);
     assert_eq!(
         (changed.rerouted, changed.displaced),
-        (set(&[A, B]), set(&[]))
+        (server_set(&[A, B]), server_set(&[]))
     );
     assert_eq!(
         (owners.routes(A), owners.routes(B)),
-        (at(&[1]), at(&[2, 3]))
+        (routes_at(&[1]), routes_at(&[2, 3]))
     );
 }
 
@@ -70,48 +82,54 @@
     let mut owners = AddressOwners::new();
     owners.report(A, &[1, 2], 0.0, true);
     owners.report(B, &[2, 3], 0.0, true);
-    assert_eq!(owners.report(B, &[3], 0.0, true).rerouted, set(&[A, B]));
-    assert_eq!(owners.routes(A), at(&[1, 2]));
+    assert_eq!(
+        owners.report(B, &[3], 0.0, true).rerouted,
+        server_set(&[A, B])
+    );
+    assert_eq!(owners.routes(A), routes_at(&[1, 2]));
     owners.report(B, &[2, 3], 0.0, true);
-    assert_eq!(owners.remove(B), set(&[A]));
-    assert_eq!(owners.routes(A), at(&[1, 2]));
+    assert_eq!(owners.remove(B), server_set(&[A]));
+    assert_eq!(owners.routes(A), routes_at(&[1, 2]));
 }
 
-/// Servers must not count as displaced in the middle of a list in which they trade addresses.
+/// Neither server may count as displaced before the complete list has been processed.
 #[test]
-fn servers_that_trade_addresses_in_one_list_both_stay() {
+fn servers_that_exchange_addresses_in_one_list_both_stay() {
     for started_at_ms in [0.0, 100.0] {
         let mut owners = AddressOwners::new();
         owners.report(A, &[1], 0.0, true);
         owners.report(B, &[2], started_at_ms, true);
         let mut rerouted = BTreeSet::new();
-        owners.claim(A, at(&[2]), 0.0, true, &mut rerouted);
-        owners.claim(B, at(&[1]), started_at_ms, true, &mut rerouted);
+        owners.claim(A, routes_at(&[2]), 0.0, true, &mut rerouted);
+        owners.claim(B, routes_at(&[1]), started_at_ms, true, &mut rerouted);
         assert_eq!(
             owners.resolve(rerouted),
             OwnershipChange {
-                rerouted: set(&[A, B]),
-                displaced: set(&[])
+                rerouted: server_set(&[A, B]),
+                displaced: server_set(&[])
             }
         );
-        assert_eq!((owners.routes(A), owners.routes(B)), (at(&[2]), at(&[1])));
+        assert_eq!(
+            (owners.routes(A), owners.routes(B)),
+            (routes_at(&[2]), routes_at(&[1]))
+        );
     }
 }
 
 #[test]
 fn server_without_an_address_is_not_displaced() {
     let mut owners = AddressOwners::new();
-    assert_eq!(owners.report(A, &[], 0.0, true).displaced, set(&[]));
+    assert_eq!(owners.report(A, &[], 0.0, true).displaced, server_set(&[]));
     assert!(owners.routes(A).is_empty());
-    assert_eq!(owners.report(A, &[1], 0.0, true).rerouted, set(&[A]));
+    assert_eq!(owners.report(A, &[1], 0.0, true).rerouted, server_set(&[A]));
     assert_eq!(
         owners.report(A, &[1], 0.0, true),
         OwnershipChange::default(),
-        "nothing is new"
+        "an unchanged claim changes no ownership"
     );
 }
 
-/// No address ever has two owners, and each that a ready server claims has one.
+/// No address ever has two owners, and each address that a ready server claims has one.
 #[test]
 fn each_claimed_address_has_one_owner() {
     let mut random = fastrand::Rng::with_seed(5);
@@ -133,11 +151,11 @@
             }
         }
         let owned: Vec<_> = (0..5)
-            .flat_map(|s| owners.routes(ServerKey(s)))
-            .map(|r| r.address)
+            .flat_map(|key| owners.routes(ServerKey(key)))
+            .map(|route| route.address)
             .collect();
         let distinct: std::collections::HashSet<_> = owned.iter().collect();
-        assert_eq!(owned.len(), distinct.len(), "two at one address");
+        assert_eq!(owned.len(), distinct.len(), "an address has two owners");
         assert_eq!(
             owned.len(),
             owners.owners.len(),
@@ -147,7 +165,7 @@
             assert!(claim
                 .routes
                 .iter()
-                .all(|r| owners.owners.contains_key(&r.address)));
+                .all(|route| owners.owners.contains_key(&route.address)));
         }
     }
 }
--- a/crates/pool/src/lib.rs
+++ b/crates/pool/src/lib.rs
@@ -1,14 +1,14 @@
 //! Pool of connections to servers, each of which may have several addresses.
 //!
 //! [`Pool`] decides which connection an attempt uses, when and where a new one is dialed, which one is
-//! closed, and what is remembered of each address. It has no socket, clock or thread: it is called with
+//! closed, and which state is kept for each address. It has no socket, clock or thread: it is called with
 //! the time and appends [`Action`]s for its caller to carry out. An attempt that finds an idle connection
-//! has it immediately ([`Checkout::Ready`]); otherwise it holds a [`CheckoutId`] until a connection is
-//! granted or none can be had. Callers that select servers see one server, whatever its addresses.
+//! gets it immediately ([`Checkout::Ready`]); otherwise it holds a [`CheckoutId`] until a connection is
+//! granted or the checkout fails. Server selection sees one server, however many addresses it has.
 //!
 //! Dialing several addresses follows RFC 8305 (Happy Eyeballs): dials start in order, one stagger apart;
-//! the first that comes up is used and the others are aborted before any byte of a request is written.
-//! The order is the operators' preference, then RFC 6724's precedence. Times are milliseconds of any
+//! the first to connect is used and the others are aborted before any byte of a request is written.
+//! The order is the operators' preference, then RFC 6724's precedence. Times are milliseconds on any
 //! monotonic clock.
 //!
 //! ```
@@ -18,13 +18,13 @@
 //! let (server, mut actions) = (ServerKey(0), Vec::new());
 //! let routes = vec![Route::new(Address::Ip("127.0.0.1:80".parse()?))];
 //! pool.update_routes(0.0, server, routes, &mut actions);
-//! let Checkout::Pending(checkout) = pool.check_out(0.0, server, &[], &mut actions) else { panic!("nothing is idle yet") };
+//! let Checkout::Pending(checkout) = pool.check_out(0.0, server, &[], &mut actions) else { panic!("a new pool has no idle connection") };
 //! let Action::Dial { dial, .. } = actions.remove(0) else { panic!("{actions:?}") };
 //! actions.clear();
 //! pool.dial_succeeded(1.0, dial, &mut actions);
 //! let Action::Grant { checkout: granted, connection } = actions.remove(0) else { panic!("{actions:?}") };
 //! assert_eq!(checkout, granted);
-//! // Its response has arrived; the next attempt gets the connection immediately.
+//! // The exchange is complete; the next attempt gets the idle connection immediately.
 //! pool.check_in(2.0, connection, &mut actions);
 //! assert_eq!(pool.check_out(2.0, server, &[], &mut actions), Checkout::Ready(connection));
 //! # Ok::<(), std::net::AddrParseError>(())
