--- a/crates/pool/src/limits.rs
+++ b/crates/pool/src/limits.rs
@@ -1,24 +1,27 @@
-//! Limits of the pool. What happens at each is stated with it.
+//! Limits of the pool, each with the behavior at the limit.
 
-/// Maximum number of addresses of a server: two of each of three families, and some to spare. Of more
-/// addresses, the first in their order count.
+/// Maximum number of addresses of a server: two of each of the three families, and two spare ones. Of more
+/// addresses, the first in dial order are used.
 pub const MAX_ADDRESSES: usize = 8;
 
-/// What the pool may use.
+/// Limits on the pool's connections, dials and waiting times.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Limits {
     /// Maximum number of connections, dials included. At the limit the connection that has been idle
-    /// longest is closed; without one, checkouts fail.
+    /// longest is closed; without an idle connection, checkouts fail.
     pub max_connections: usize,
-    /// Maximum number of them to one server, over all its addresses. At the limit checkouts fail.
+    /// Maximum number of connections to one server over all its addresses, dials included. At the limit
+    /// checkouts fail.
     pub max_connections_per_server: usize,
     /// Maximum number of dial races to one server at a time. At the limit checkouts wait.
     pub max_races_per_server: usize,
-    /// How long all addresses of a server together may take to be reached, in milliseconds.
+    /// Maximum duration of a dial race over all addresses of a server, and of a checkout's wait for a race,
+    /// in milliseconds. After it the checkout fails.
     pub dial_timeout_ms: f64,
-    /// How long the server keeps an idle connection, in milliseconds.
+    /// Time after which servers close an idle connection, in milliseconds. The pool closes it earlier.
     pub idle_timeout_ms: f64,
-    /// Dials per second to a server that is warming up: each of them costs it work.
+    /// Rate limit of dials to a server that is warming up, per second, because each connection costs it work.
+    /// At the limit checkouts wait.
     pub slow_start_dials_per_s: f64,
     /// Whether one connection more than needed is dialed while the load rises.
     pub dial_ahead: bool,
--- a/crates/pool/src/recovery.rs
+++ b/crates/pool/src/recovery.rs
@@ -1,14 +1,14 @@
-//! What follows a failed exchange: whether the request may have run, and whether its attempt goes on.
+//! Recovery from a failed exchange: whether the request may have run, and whether its attempt continues.
 //!
-//! A server runs a request once it has its last byte, and not before. That alone decides whether the
-//! request may have run, for each kind of address and each protocol.
+//! A server runs a request once it has received the last byte, and not before. That byte alone therefore
+//! decides whether the request may have run, for each address family and each protocol.
 
-/// How much of a request had been handed to the operating system when its exchange failed.
+/// Amount of a request that had been written to the operating system when its exchange failed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub enum BytesSent {
     /// No byte.
     None,
-    /// Some bytes, without the last.
+    /// Some bytes, but not the last.
     Partial,
     /// The complete request.
     Complete,
@@ -17,34 +17,34 @@
 /// How a connection failed during an exchange.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub enum ConnectionError {
-    /// It ended, or was found to have ended.
+    /// The connection was closed, or turned out to be closed already.
     Closed,
-    /// The peer read nothing more of the request for too long.
+    /// The peer did not read more of the request in time.
     Stalled,
-    /// What arrived is no response to the request, stalled, or is too large.
+    /// The received bytes are not a response to the request, or the response stalled or is too large.
     InvalidResponse,
 }
 
-/// What a connection was when the exchange began.
+/// State of a connection at the beginning of an exchange.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub enum ConnectionAge {
-    /// It had just come up.
+    /// It had just been established.
     New,
     /// It had carried an exchange, or had been idle.
     Reused,
 }
 
-/// What follows.
+/// Consequence of a failed exchange for its attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub enum Recovery {
-    /// Nothing was sent and nothing speaks against the address: the attempt continues on any connection.
+    /// Nothing was sent and the address is not at fault: the attempt continues on any connection.
     AnyConnection,
-    /// The request cannot have run: the attempt continues by another address. Without one the server is
-    /// unreachable.
+    /// The request cannot have run: the attempt continues over another address. Without another address the
+    /// server is unreachable.
     OtherAddress,
-    /// The request may have run and there is no response: the attempt is over.
+    /// The request may have run and there is no response: the attempt has failed.
     Reset,
-    /// The request may have run and the response is unusable: the attempt is over.
+    /// The request may have run and the response is unusable: the attempt has failed.
     Malformed,
 }
 
@@ -56,17 +56,19 @@
     }
 }
 
-/// Decides what follows a failed exchange.
+/// Returns the consequence of a failed exchange for its attempt.
 #[must_use]
 pub fn recovery(age: ConnectionAge, sent: BytesSent, error: ConnectionError) -> Recovery {
     match (sent, error, age) {
-        // A reused connection that is found closed, or with bytes on it, says nothing about its address ...
+        // A reused connection that turns out to be closed, or to hold unsolicited bytes, says nothing about
+        // its address.
         (
             BytesSent::None,
             ConnectionError::Closed | ConnectionError::InvalidResponse,
             ConnectionAge::Reused,
         ) => Recovery::AnyConnection,
-        // ... a new one does, and so does one on which the peer reads nothing.
+        // A failure of a new connection counts against the address, and so does a peer that stops reading or
+        // a connection that fails during the request.
         (BytesSent::None | BytesSent::Partial, ..) => Recovery::OtherAddress,
         (BytesSent::Complete, ConnectionError::Closed, _) => Recovery::Reset,
         (BytesSent::Complete, ConnectionError::InvalidResponse | ConnectionError::Stalled, _) => {
--- a/crates/pool/src/recovery/tests.rs
+++ b/crates/pool/src/recovery/tests.rs
@@ -1,8 +1,8 @@
-//! Tests of what follows a failed exchange.
+//! Tests of the recovery from a failed exchange.
 
 use super::*;
 
-/// The table of the design page, cell by cell.
+/// Covers each cell of the recovery table of the design page.
 #[test]
 fn recovery_matches_every_cell_of_the_design_table() {
     use BytesSent::{Complete, None, Partial};
@@ -39,12 +39,12 @@
         assert_eq!(
             expected.may_have_run(),
             sent == Complete,
-            "the last byte alone decides"
+            "a request may have run if and only if it was sent completely"
         );
     }
     let cells: std::collections::HashSet<_> = table
         .iter()
         .map(|(sent, error, age, _)| (*sent, *error, *age))
         .collect();
-    assert_eq!(cells.len(), 18, "every cell once");
+    assert_eq!(cells.len(), 18, "each combination is in the table once");
 }
--- a/crates/pool/src/route_health.rs
+++ b/crates/pool/src/route_health.rs
@@ -1,8 +1,8 @@
-//! Health of an address: consecutive failures and the backoff that follows from them.
+//! Health of an address: consecutive failures and the resulting backoff.
 
-/// Backoff after the first failure, doubled with each further one.
+/// Backoff after the first failure, in milliseconds, doubled with each further one.
 const MIN_BACKOFF_MS: f64 = 1_000.0;
-/// Upper bound of the backoff.
+/// Upper bound of the backoff, in milliseconds.
 const MAX_BACKOFF_MS: f64 = 60_000.0;
 /// Upper bound of the failure count: the backoff has reached its maximum long before.
 const MAX_FAILURES: u32 = 16;
@@ -12,14 +12,14 @@
 pub struct RouteHealth {
     failures: u32,
     backoff_until_ms: f64,
-    /// Whether one dial is testing the address now.
+    /// Whether a dial is testing the address.
     has_trial: bool,
 }
 
-/// Whether an address may be dialed in its place of the order.
+/// Whether an address is dialed at its regular place in the dial order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) enum RouteState {
-    /// No failure since it was last reached.
+    /// It has not failed since it was last reached.
     Healthy,
     /// It has failed and its backoff is over: one dial may test it.
     TrialDue,
@@ -36,7 +36,8 @@
         }
     }
 
-    /// Records that it could not be reached, or that a connection broke before a request was written.
+    /// Records that the address could not be reached, or that a connection broke before a request was
+    /// completely written.
     pub fn record_failure(&mut self, now_ms: f64) {
         self.failures = (self.failures + 1).min(MAX_FAILURES);
         let backoff_ms = MIN_BACKOFF_MS * f64::from(self.failures - 1).exp2();
@@ -44,17 +45,17 @@
         self.has_trial = false;
     }
 
-    /// Records that it was reached.
+    /// Records that the address was reached.
     pub fn record_success(&mut self) {
         *self = Self::default();
     }
 
-    /// Marks that one dial tests the address.
+    /// Marks the address as being tested by a dial.
     pub(crate) fn begin_trial(&mut self) {
         self.has_trial = true;
     }
 
-    /// Marks that the dial that tested it was aborted without a result.
+    /// Marks the test as aborted without a result.
     pub(crate) fn abort_trial(&mut self) {
         self.has_trial = false;
     }
--- a/crates/pool/src/route_health/tests.rs
+++ b/crates/pool/src/route_health/tests.rs
@@ -3,7 +3,7 @@
 use super::*;
 
 #[test]
-fn failing_address_backs_off_longer_each_time_and_is_tested_by_one_dial() {
+fn failing_address_backs_off_longer_and_is_tested_by_one_dial() {
     let mut health = RouteHealth::default();
     assert_eq!(health.state(0.0), RouteState::Healthy);
     for (failure, backoff_ms) in [
@@ -23,7 +23,7 @@
         assert_eq!(
             health.state(now_ms + backoff_ms),
             RouteState::BackingOff,
-            "one dial is testing it"
+            "a second dial must not test the address"
         );
     }
     health.record_success();
