--- a/crates/pool/src/checkout.rs
+++ b/crates/pool/src/checkout.rs
@@ -7,7 +7,7 @@
 use crate::server::{IdleConnection, InUse, PendingCheckout};
 
 impl Pool {
-    /// Checks out a connection to a server by none of the routes in `avoid`.
+    /// Checks out a connection to a server over a route that is not in `avoid`.
     pub fn check_out(
         &mut self,
         now_ms: f64,
@@ -29,9 +29,9 @@
         if state.routes.iter().all(|entry| avoid.contains(&entry.id)) {
             return Checkout::Failed(CheckoutError::NoRoute);
         }
-        // An idle connection in its cool-down will serve this checkout; otherwise one has to be dialed.
+        // An idle connection in its cool-down can be granted after it; without one, the pool has to dial.
         let is_cooling_down = state.idle.iter().any(|idle| !avoid.contains(&idle.route));
-        if !is_cooling_down && !self.make_room(server, actions) {
+        if !is_cooling_down && !self.ensure_capacity(server, actions) {
             return Checkout::Failed(CheckoutError::LimitReached);
         }
         let checkout = CheckoutId(self.next_id());
@@ -45,11 +45,11 @@
             });
             state.record_wait(now_ms);
         }
-        self.serve(now_ms, server, actions);
+        self.serve_checkouts(now_ms, server, actions);
         Checkout::Pending(checkout)
     }
 
-    /// Cancels a pending checkout. One that has been granted a connection checks that in instead.
+    /// Cancels a pending checkout. After a grant, the caller checks the connection in instead.
     pub fn cancel(&mut self, now_ms: f64, checkout: CheckoutId, actions: &mut Vec<Action>) {
         let Some(server) = self.checkouts.remove(&checkout) else {
             return;
@@ -59,7 +59,7 @@
         };
         state.remove_pending(checkout);
         self.release_race(server, checkout);
-        self.serve(now_ms, server, actions);
+        self.serve_checkouts(now_ms, server, actions);
     }
 
     /// Checks in a connection that can carry another exchange.
@@ -84,11 +84,11 @@
             since_ms: now_ms,
         });
         if !state.pending.is_empty() {
-            self.serve(now_ms, in_use.server, actions);
+            self.serve_checkouts(now_ms, in_use.server, actions);
         }
     }
 
-    /// Reports that a connection in use has ended. The caller has closed it.
+    /// Reports that a connection in use has ended and that the caller has closed it.
     pub fn connection_closed(
         &mut self,
         now_ms: f64,
@@ -99,8 +99,8 @@
         self.end_use(now_ms, connection, reason, None, actions);
     }
 
-    /// Reports that a connection was found closed, or with unsolicited bytes, when it was checked out and
-    /// before anything was written: it had been idle for `idle_ms`. The caller has closed it.
+    /// Reports that a checked-out connection turned out to be closed, or to hold unsolicited bytes, before
+    /// anything was written to it. It had been idle for `idle_ms`. The caller has closed it.
     pub fn found_stale(
         &mut self,
         now_ms: f64,
@@ -136,10 +136,10 @@
         let Some(state) = state else { return };
         state.in_use -= 1;
         state.record_close(now_ms, route, reason, idle_ms);
-        self.serve(now_ms, server, actions);
+        self.serve_checkouts(now_ms, server, actions);
     }
 
-    /// Grants idle connections to pending checkouts, in the order in which they came.
+    /// Grants idle connections to pending checkouts, the oldest checkout first.
     pub(crate) fn grant_idle(&mut self, now_ms: f64, server: ServerKey, actions: &mut Vec<Action>) {
         let mut index = 0;
         loop {
@@ -167,7 +167,7 @@
         }
     }
 
-    /// Grants a connection to a checkout that is no longer in the queue.
+    /// Grants a connection to a checkout that has been removed from the queue.
     pub(crate) fn grant(
         &mut self,
         server: ServerKey,
@@ -203,9 +203,9 @@
         actions.push(Action::Fail { checkout, error });
     }
 
-    /// Fails checkouts that have waited for as long as a race may take without having one: another server
-    /// may have a connection to spare.
-    pub(crate) fn fail_overdue(
+    /// Fails checkouts that have waited for the dial timeout without a race: another server may have a free
+    /// connection.
+    pub(crate) fn fail_overdue_checkouts(
         &mut self,
         now_ms: f64,
         server: ServerKey,
--- a/crates/pool/src/dial.rs
+++ b/crates/pool/src/dial.rs
@@ -1,7 +1,8 @@
-//! Dial races: dialing the addresses of a server one stagger apart until one comes up (RFC 8305).
+//! Dial races: dialing the addresses of a server one stagger apart until one connects (RFC 8305).
 //!
-//! A race belongs to the checkout for which it was started. If that is served otherwise, the race goes on
-//! for another checkout or for none: the server has already paid for the handshake.
+//! A race belongs to the checkout for which it was started. If that checkout gets another connection or is
+//! canceled, the race continues for another checkout or for none: the server has already spent work on the
+//! handshake.
 
 use std::collections::VecDeque;
 
@@ -10,9 +11,10 @@
 use crate::route_health::RouteState;
 use crate::server::{IdleConnection, ServerState};
 
-/// RFC 8305, section 5: the recommended delay between two connection attempts.
+/// Delay between two dials of a race, in milliseconds, as recommended by RFC 8305, section 5.
 const STAGGER_MS: f64 = 250.0;
-/// The delay after dialing an address that is being tested: a request must not pay for the test.
+/// Delay after a dial that tests an address after its backoff, in milliseconds: short, because the test must
+/// not slow down a request.
 const TRIAL_STAGGER_MS: f64 = 20.0;
 
 /// A dial that has not finished.
@@ -23,15 +25,15 @@
     pub started_ms: f64,
 }
 
-/// The dials for one checkout.
+/// Dials that compete to connect for one checkout.
 #[derive(Debug)]
 pub(crate) struct DialRace {
-    /// Whom it runs for; `None` once nobody waits for it.
+    /// The checkout that the race runs for; `None` if no checkout waits for it.
     pub checkout: Option<CheckoutId>,
-    /// Routes that have not been dialed yet, in order.
+    /// Routes that have not been dialed yet, in dial order.
     pub remaining: VecDeque<RouteId>,
     pub dials: Vec<OutstandingDial>,
-    /// When the next route is dialed.
+    /// Time at which the next route is dialed, in milliseconds.
     pub next_dial_ms: f64,
     pub deadline_ms: f64,
 }
@@ -41,7 +43,7 @@
         now_ms >= self.deadline_ms || (self.remaining.is_empty() && self.dials.is_empty())
     }
 
-    /// Returns when the race has to be looked at again.
+    /// Returns the time at which the race next has to be processed, in milliseconds.
     pub fn next_wake_ms(&self) -> f64 {
         if self.remaining.is_empty() {
             self.deadline_ms
@@ -52,8 +54,8 @@
 }
 
 impl Pool {
-    /// Reports that a dial has connected. Returns whether the pool uses the connection: then an
-    /// [`Action::Grant`] or [`Action::KeepIdle`] names it, otherwise the caller closes it.
+    /// Reports that a dial has connected. Returns whether the pool uses the connection: if so, an
+    /// [`Action::Grant`] or [`Action::KeepIdle`] contains its identifier, otherwise the caller closes it.
     #[must_use]
     pub fn dial_succeeded(&mut self, now_ms: f64, dial: DialId, actions: &mut Vec<Action>) -> bool {
         let Some((server, race_index, finished)) = self.remove_dial(dial) else {
@@ -64,17 +66,24 @@
         };
         state.record_dial_success(server, finished.route, actions);
         let race = state.races.remove(race_index);
-        // A route that has not come up while a later one has is slow, or a black hole.
-        for slow in &race.dials {
-            if now_ms - slow.started_ms >= STAGGER_MS {
-                state.record_dial_failure(now_ms, server, slow.route, actions);
+        // A route that has not connected within a stagger, while another one has, is slow or a black hole.
+        for outstanding in &race.dials {
+            if now_ms - outstanding.started_ms >= STAGGER_MS {
+                state.record_dial_failure(now_ms, server, outstanding.route, actions);
             }
         }
-        let owner = race.checkout;
+        let race_checkout = race.checkout;
         self.abort_race(race, actions);
         let connection = ConnectionId(self.next_id());
-        self.hand_out_new(now_ms, server, connection, finished.route, owner, actions);
-        self.serve(now_ms, server, actions);
+        self.assign_new_connection(
+            now_ms,
+            server,
+            connection,
+            finished.route,
+            race_checkout,
+            actions,
+        );
+        self.serve_checkouts(now_ms, server, actions);
         true
     }
 
@@ -89,7 +98,7 @@
         self.open_connections -= 1;
         state.record_dial_failure(now_ms, server, finished.route, actions);
         state.races[race_index].next_dial_ms = now_ms;
-        self.serve(now_ms, server, actions);
+        self.serve_checkouts(now_ms, server, actions);
     }
 
     /// Removes a finished dial from its race; returns the server, the race's index and the dial.
@@ -97,29 +106,34 @@
         let server = self.dials.remove(&dial)?;
         let state = self.servers.get_mut(&server)?;
         for (race_index, race) in state.races.iter_mut().enumerate() {
-            if let Some(index) = race.dials.iter().position(|out| out.dial == dial) {
+            if let Some(index) = race
+                .dials
+                .iter()
+                .position(|outstanding| outstanding.dial == dial)
+            {
                 return Some((server, race_index, race.dials.remove(index)));
             }
         }
         None
     }
 
-    /// Grants a new connection to the first checkout that may use its route, or keeps it idle. `owner` is
-    /// the checkout whose race brought it up.
-    fn hand_out_new(
+    /// Grants a new connection to the first pending checkout that may use its route, or keeps it idle.
+    /// `race_checkout` is the checkout that the connection's race ran for.
+    fn assign_new_connection(
         &mut self,
         now_ms: f64,
         server: ServerKey,
         connection: ConnectionId,
         route: RouteId,
-        owner: Option<CheckoutId>,
+        race_checkout: Option<CheckoutId>,
         actions: &mut Vec<Action>,
     ) {
         let Some(state) = self.servers.get_mut(&server) else {
             return;
         };
-        if let Some(pending) = state.pending_mut(owner) {
-            // Whoever gets the connection leaves its own race, if it has one, to this checkout.
+        if let Some(pending) = state.pending_mut(race_checkout) {
+            // The race of this checkout has ended. If the connection is granted to another checkout with a
+            // race, that race can be reassigned to this one.
             pending.has_race = false;
         }
         let receiver = state
@@ -138,7 +152,7 @@
         actions.push(Action::KeepIdle { connection });
     }
 
-    /// Aborts the outstanding dials of a race that is no longer in its server's list.
+    /// Aborts the outstanding dials of a race that has been removed from its server.
     pub(crate) fn abort_race(&mut self, race: DialRace, actions: &mut Vec<Action>) {
         for OutstandingDial { dial, route, .. } in race.dials {
             let server = self.dials.remove(&dial);
@@ -151,8 +165,8 @@
         }
     }
 
-    /// Releases the race of a checkout that has a connection by another way or was canceled: the race goes
-    /// on for a checkout without one, or for nobody.
+    /// Detaches the race of a checkout that was granted another connection or canceled. The race continues
+    /// for a pending checkout that has no race, or without a checkout.
     pub(crate) fn release_race(&mut self, server: ServerKey, checkout: CheckoutId) {
         let Some(state) = self.servers.get_mut(&server) else {
             return;
@@ -173,14 +187,14 @@
         } else if race.dials.is_empty() {
             state.races.remove(index);
         } else {
-            // The server has paid for what is being dialed: it serves the next checkout. No further route
-            // is dialed.
+            // The server has spent work on the outstanding dials, so they continue for the next checkout. No
+            // further route is dialed.
             race.checkout = None;
             race.remaining.clear();
         }
     }
 
-    /// Dials what is due in the races of a server, and ends races without routes or time left.
+    /// Starts the dials that are due in the races of a server, and ends races without routes or time left.
     pub(crate) fn run_races(&mut self, now_ms: f64, server: ServerKey, actions: &mut Vec<Action>) {
         let mut index = 0;
         while let Some(state) = self.servers.get_mut(&server) {
@@ -191,14 +205,14 @@
                 self.end_race(now_ms, server, index, actions);
             } else if now_ms >= race.next_dial_ms && !race.remaining.is_empty() {
                 self.dial_next(now_ms, server, index, actions);
-                // The same race is looked at again: its remaining routes may all be gone.
+                // The same race is checked again: it is over if it has no routes and no dials left.
             } else {
                 index += 1;
             }
         }
     }
 
-    /// Ends a race that found no connection; its checkout fails.
+    /// Ends a race that has not connected, and fails its checkout.
     fn end_race(
         &mut self,
         now_ms: f64,
@@ -233,7 +247,8 @@
         };
         let race = &mut state.races[index];
         if is_at_limit {
-            // The second route of a race makes no room for itself, and a race without a dial ends.
+            // No idle connection is closed for a further dial of a race. A race without an outstanding dial
+            // ends; another one tries again after a stagger.
             if race.dials.is_empty() {
                 race.remaining.clear();
             }
@@ -273,7 +288,7 @@
         self.open_connections += 1;
     }
 
-    /// Starts a race for each pending checkout that needs one, as far as the limits allow.
+    /// Assigns or starts a race for each pending checkout that needs one, as far as the limits allow.
     pub(crate) fn start_races(
         &mut self,
         now_ms: f64,
@@ -290,27 +305,27 @@
             {
                 return;
             }
-            let Some(need) = next_need(state, now_ms, limits.dial_ahead) else {
+            let Some(dial_need) = next_dial_need(state, now_ms, limits.dial_ahead) else {
                 return;
             };
-            if adopt_race(state, now_ms, &need) {
+            if assign_existing_race(state, now_ms, &dial_need) {
                 continue;
             }
-            if !self.make_room(server, actions) {
-                let Some(checkout) = need.checkout else {
+            if !self.ensure_capacity(server, actions) {
+                let Some(checkout) = dial_need.checkout else {
                     return;
                 };
                 self.fail(server, checkout, CheckoutError::LimitReached, actions);
                 continue;
             }
             if let Some(state) = self.servers.get_mut(&server) {
-                let remaining = state.dial_order(now_ms, &need.avoid).into();
-                state.spend_dial();
-                if let Some(pending) = state.pending_mut(need.checkout) {
+                let remaining = state.dial_order(now_ms, &dial_need.avoid).into();
+                state.take_dial_token();
+                if let Some(pending) = state.pending_mut(dial_need.checkout) {
                     pending.has_race = true;
                 }
                 state.races.push(DialRace {
-                    checkout: need.checkout,
+                    checkout: dial_need.checkout,
                     remaining,
                     dials: Vec::new(),
                     next_dial_ms: now_ms,
@@ -322,15 +337,18 @@
     }
 }
 
-/// A connection that has to be dialed: for a checkout, or ahead of a rising load.
+/// The need to dial a connection: for a checkout, or ahead of a rising load.
 struct DialNeed {
+    /// `None` for a dial ahead of a rising load.
     checkout: Option<CheckoutId>,
+    /// Routes that the connection must not use.
     avoid: Vec<RouteId>,
 }
 
-/// Returns the first pending checkout that no idle connection will serve, or a dial ahead.
-fn next_need(state: &ServerState, now_ms: f64, dial_ahead: bool) -> Option<DialNeed> {
-    let usable_idle = |avoid: &[RouteId]| {
+/// Returns the need of the first pending checkout that no idle connection can serve, or of a dial ahead of a
+/// rising load.
+fn next_dial_need(state: &ServerState, now_ms: f64, dial_ahead: bool) -> Option<DialNeed> {
+    let usable_idle_count = |avoid: &[RouteId]| {
         state
             .idle
             .iter()
@@ -342,38 +360,40 @@
         .iter()
         .enumerate()
         .filter(|(_, pending)| !pending.has_race)
-        .find(|(position, pending)| *position >= usable_idle(&pending.avoid));
+        .find(|(position, pending)| *position >= usable_idle_count(&pending.avoid));
     if let Some((_, pending)) = unserved {
         return Some(DialNeed {
             checkout: Some(pending.checkout),
             avoid: pending.avoid.clone(),
         });
     }
-    let is_wanted = dial_ahead && !state.routes.is_empty() && state.wants_dial_ahead(now_ms);
-    is_wanted.then(|| DialNeed {
+    let is_dial_ahead_due =
+        dial_ahead && !state.routes.is_empty() && state.should_dial_ahead(now_ms);
+    is_dial_ahead_due.then(|| DialNeed {
         checkout: None,
         avoid: Vec::new(),
     })
 }
 
-/// Gives a checkout a race that goes on for nobody, if there is one: it serves as well as a new one.
-fn adopt_race(state: &mut ServerState, now_ms: f64, need: &DialNeed) -> bool {
-    if need.checkout.is_none() {
+/// Assigns a race without a checkout, if there is one, to the checkout that needs a connection, in place of
+/// a new race. Returns whether it did.
+fn assign_existing_race(state: &mut ServerState, now_ms: f64, dial_need: &DialNeed) -> bool {
+    if dial_need.checkout.is_none() {
         return false;
     }
-    let mut remaining: VecDeque<RouteId> = state.dial_order(now_ms, &need.avoid).into();
-    let orphan = state.races.iter_mut().find(|race| {
+    let mut remaining: VecDeque<RouteId> = state.dial_order(now_ms, &dial_need.avoid).into();
+    let unassigned = state.races.iter_mut().find(|race| {
         race.checkout.is_none()
             && race
                 .dials
                 .iter()
-                .all(|dial| !need.avoid.contains(&dial.route))
+                .all(|dial| !dial_need.avoid.contains(&dial.route))
     });
-    let Some(race) = orphan else { return false };
+    let Some(race) = unassigned else { return false };
     remaining.retain(|route| race.dials.iter().all(|dial| dial.route != *route));
-    race.checkout = need.checkout;
+    race.checkout = dial_need.checkout;
     race.remaining = remaining;
-    if let Some(pending) = state.pending_mut(need.checkout) {
+    if let Some(pending) = state.pending_mut(dial_need.checkout) {
         pending.has_race = true;
     }
     true
--- a/crates/pool/src/idle.rs
+++ b/crates/pool/src/idle.rs
@@ -1,4 +1,4 @@
-//! Idle connections: closing expired ones, closes by the peer, and making room at the limit.
+//! Idle connections: expiry, closes by the peer, and eviction at the connection limit.
 
 use std::collections::HashMap;
 
@@ -33,8 +33,8 @@
         }));
     }
 
-    /// Reports that idle connections have ended, many at once if a server restarts. The caller has closed
-    /// them.
+    /// Reports that idle connections have ended, many at once if a server restarts, and that the caller has
+    /// closed them.
     pub fn idle_closed(
         &mut self,
         now_ms: f64,
@@ -53,10 +53,10 @@
                 state.record_close(now_ms, idle.route, reason, Some(idle_ms));
             }
         }
-        self.serve_active(now_ms, actions);
+        self.serve_active_servers(now_ms, actions);
     }
 
-    /// Closes connections that have been idle for too long.
+    /// Closes idle connections whose idle timeout has passed or whose route is no longer listed.
     pub fn close_expired(&mut self, now_ms: f64, actions: &mut Vec<Action>) {
         for state in self.servers.values_mut() {
             let routes = &state.routes;
@@ -73,14 +73,14 @@
         }
     }
 
-    /// Whether one more connection to `server` may be dialed. At the total limit, the connection that has
-    /// been idle longest is closed to make room.
-    pub(crate) fn make_room(&mut self, server: ServerKey, actions: &mut Vec<Action>) -> bool {
-        let own = self
+    /// Returns whether one more connection to `server` may be dialed. At the total limit, closes the
+    /// connection that has been idle longest, if there is one.
+    pub(crate) fn ensure_capacity(&mut self, server: ServerKey, actions: &mut Vec<Action>) -> bool {
+        let server_connections = self
             .servers
             .get(&server)
             .map_or(0, ServerState::open_connections);
-        if own >= self.limits.max_connections_per_server {
+        if server_connections >= self.limits.max_connections_per_server {
             return false;
         }
         if self.open_connections < self.limits.max_connections {
--- a/crates/pool/src/lib.rs
+++ b/crates/pool/src/lib.rs
@@ -57,4 +57,4 @@
 pub use pool::{Pool, RouteStatus};
 pub use recovery::{recovery, BytesSent, ConnectionAge, ConnectionError, Recovery};
 pub use route_health::RouteHealth;
-pub use unsolicited::UnsolicitedBytes;
+pub use unsolicited::UnsolicitedByteScore;
--- a/crates/pool/src/pool.rs
+++ b/crates/pool/src/pool.rs
@@ -1,7 +1,7 @@
 //! The pool: its servers, routes and timer.
 //!
-//! Owns all connection and dial ids, and the total of open connections. Invariant: that total is the number
-//! of idle connections, connections in use and outstanding dials, and never exceeds the limit.
+//! Owns all identifiers and the total of open connections. Invariant: that total is the number of idle
+//! connections, connections in use and outstanding dials, and never exceeds the limit.
 
 use std::collections::{BTreeSet, HashMap};
 
@@ -10,12 +10,12 @@
 use crate::limits::{Limits, MAX_ADDRESSES};
 use crate::server::{InUse, RouteEntry, ServerState};
 
-/// A route and its consecutive failures.
+/// A route and its number of consecutive failures.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct RouteStatus {
     /// The route.
     pub route: Route,
-    /// Consecutive failures.
+    /// Number of consecutive failures.
     pub failures: u32,
 }
 
@@ -87,8 +87,8 @@
 
     /// Sets the routes of a server, which is added if it is unknown.
     ///
-    /// Idle connections by routes that are no longer listed are closed; connections in use go on, and are
-    /// closed when they are checked in. What is remembered of an address stays while it is listed.
+    /// Idle connections over routes that are no longer listed are closed; connections in use are closed
+    /// when they are checked in. The health and idle timeout of an address are kept while it is listed.
     pub fn update_routes(
         &mut self,
         now_ms: f64,
@@ -112,31 +112,31 @@
         }
         self.close_unlisted_idle(server, actions);
         self.update_races(now_ms, server, &previous_ids, actions);
-        self.serve(now_ms, server, actions);
+        self.serve_checkouts(now_ms, server, actions);
     }
 
-    /// Builds the ordered entries of `routes`, with what is remembered of those in `previous`.
+    /// Builds the entries of `routes` in dial order, with the state of the addresses that are in `previous`.
     fn route_entries(
         &mut self,
         mut previous: Vec<RouteEntry>,
         routes: Vec<Route>,
     ) -> Vec<RouteEntry> {
-        let mut listed: Vec<Route> = Vec::new();
+        let mut distinct: Vec<Route> = Vec::new();
         for route in routes {
-            if listed.iter().all(|other| other.address != route.address) {
-                listed.push(route);
+            if distinct.iter().all(|other| other.address != route.address) {
+                distinct.push(route);
             }
         }
-        let mut entries = Vec::with_capacity(listed.len().min(MAX_ADDRESSES));
-        for index in connection_order(&listed).into_iter().take(MAX_ADDRESSES) {
-            let route = listed[index].clone();
-            let known = previous
+        let mut entries = Vec::with_capacity(distinct.len().min(MAX_ADDRESSES));
+        for index in connection_order(&distinct).into_iter().take(MAX_ADDRESSES) {
+            let route = distinct[index].clone();
+            let previous_index = previous
                 .iter()
                 .position(|entry| entry.route.address == route.address);
-            entries.push(if let Some(known) = known {
+            entries.push(if let Some(previous_index) = previous_index {
                 RouteEntry {
                     route,
-                    ..previous.remove(known)
+                    ..previous.remove(previous_index)
                 }
             } else {
                 let id = RouteId(self.next_id());
@@ -165,7 +165,7 @@
         self.open_connections -= closed;
     }
 
-    /// Takes unlisted routes out of the races of a server, and adds those that are new.
+    /// Removes unlisted routes from the races of a server, and adds the new ones.
     fn update_races(
         &mut self,
         now_ms: f64,
@@ -181,16 +181,18 @@
         let mut aborted = 0;
         for race in &mut state.races {
             race.remaining.retain(|id| is_listed(*id));
-            race.dials.retain(|out| {
-                let is_kept = is_listed(out.route);
+            race.dials.retain(|outstanding| {
+                let is_kept = is_listed(outstanding.route);
                 if !is_kept {
                     aborted += 1;
-                    self.dials.remove(&out.dial);
-                    actions.push(Action::AbortDial { dial: out.dial });
+                    self.dials.remove(&outstanding.dial);
+                    actions.push(Action::AbortDial {
+                        dial: outstanding.dial,
+                    });
                 }
                 is_kept
             });
-            // A checkout that waits for a route that is gone is dialed at one that is new.
+            // A checkout that waits for an unlisted route is dialed over the new ones instead.
             if race.checkout.is_some() {
                 let new_ids = routes.iter().map(|entry| entry.id);
                 race.remaining
@@ -203,7 +205,7 @@
         self.open_connections -= aborted;
     }
 
-    /// Marks a server as warming up until `until_ms`: it is dialed no faster than the slow-start rate.
+    /// Marks a server as warming up until `until_ms`: its dials are limited to the slow-start rate.
     pub fn set_warming_up(&mut self, server: ServerKey, until_ms: f64) {
         let incarnation = self.next_id();
         self.servers
@@ -230,24 +232,29 @@
         self.schedule_wake(now_ms, actions);
     }
 
-    /// Handles the time that [`Action::WakeAt`] asked for.
+    /// Processes the races, deadlines and cool-downs that are due. Called at the time of [`Action::WakeAt`].
     pub fn handle_timer(&mut self, now_ms: f64, actions: &mut Vec<Action>) {
         self.wake_at_ms = f64::INFINITY;
-        self.serve_active(now_ms, actions);
+        self.serve_active_servers(now_ms, actions);
         self.schedule_wake(now_ms, actions);
     }
 
-    pub(crate) fn serve_active(&mut self, now_ms: f64, actions: &mut Vec<Action>) {
+    pub(crate) fn serve_active_servers(&mut self, now_ms: f64, actions: &mut Vec<Action>) {
         for server in self.active.clone() {
-            self.serve(now_ms, server, actions);
+            self.serve_checkouts(now_ms, server, actions);
         }
     }
 
-    /// Grants what is available to the pending checkouts of a server, and dials what is not.
-    pub(crate) fn serve(&mut self, now_ms: f64, server: ServerKey, actions: &mut Vec<Action>) {
+    /// Grants idle connections to the pending checkouts of a server, and dials connections for the others.
+    pub(crate) fn serve_checkouts(
+        &mut self,
+        now_ms: f64,
+        server: ServerKey,
+        actions: &mut Vec<Action>,
+    ) {
         self.grant_idle(now_ms, server, actions);
         self.run_races(now_ms, server, actions);
-        self.fail_overdue(now_ms, server, actions);
+        self.fail_overdue_checkouts(now_ms, server, actions);
         self.start_races(now_ms, server, actions);
         let is_active = self
             .servers
@@ -270,7 +277,7 @@
             .filter_map(|server| self.servers.get(server))
             .map(|state| state.next_wake_ms(now_ms, dials_per_s, max_races))
             .fold(f64::INFINITY, f64::min);
-        // A time in the past belongs to a server that has not been looked at yet.
+        // A time in the past belongs to a server that has not been processed yet.
         let next_ms = next_ms.max(now_ms);
         if next_ms < self.wake_at_ms || (next_ms.is_finite() && self.wake_at_ms <= now_ms) {
             self.wake_at_ms = next_ms;
--- a/crates/pool/src/server.rs
+++ b/crates/pool/src/server.rs
@@ -1,7 +1,7 @@
 //! State of one server in the pool: its routes, idle connections, pending checkouts and dial races.
 //!
-//! Nothing here changes the pool's totals except [`ServerState::take_idle`], which is given the count of
-//! open connections.
+//! The methods leave the pool's totals unchanged, except [`ServerState::take_idle`], which updates the total
+//! of open connections that it is given.
 
 use std::collections::VecDeque;
 
@@ -10,29 +10,29 @@
 use crate::dial::DialRace;
 use crate::idle_timeout::IdleTimeout;
 use crate::route_health::{RouteHealth, RouteState};
-use crate::unsolicited::UnsolicitedBytes;
+use crate::unsolicited::UnsolicitedByteScore;
 
-/// Dials in a row to a server that is warming up; the rate after them is in [`Limits`](crate::Limits).
+/// Capacity of the token bucket of dials to a server that is warming up, in dials; its refill rate is in
+/// [`Limits`](crate::Limits).
 const SLOW_START_DIAL_BURST: f64 = 8.0;
-/// A server whose dial allowance is used up is looked at again no sooner than after this fraction of the
-/// time per dial ...
-const MIN_MISSING_ALLOWANCE: f64 = 0.01;
-/// ... and is dialed at no lower rate than this, whatever the limit is.
+/// Minimum wait for the next dial token, as a fraction of the time per dial.
+const MIN_MISSING_TOKENS: f64 = 0.01;
+/// Minimum refill rate of dial tokens, in dials per second, even if the configured limit is lower.
 const MIN_SLOW_START_DIALS_PER_S: f64 = 0.1;
-/// Half-life of the count of waits by which a rising load is recognized.
+/// Half-life, in milliseconds, of the count of checkouts that had to wait, which indicates a rising load.
 const RISING_LOAD_HALF_LIFE_MS: f64 = 100.0;
-/// Decayed count of waits from which on the load counts as rising.
+/// Minimum decayed count of checkouts that had to wait at which the load counts as rising.
 const MIN_RISING_LOAD_WAITS: f64 = 4.0;
 const MS_PER_S: f64 = 1e3;
 
-/// One of the server's addresses and what is remembered of it while it is listed.
+/// A route of the server, with the state that is kept while its address is listed.
 #[derive(Clone, Debug)]
 pub(crate) struct RouteEntry {
     pub id: RouteId,
     pub route: Route,
     pub health: RouteHealth,
     pub idle_timeout: IdleTimeout,
-    /// Whether [`Action::RouteDown`] was the last report.
+    /// Whether the last report on the route was [`Action::RouteDown`].
     pub is_reported_down: bool,
 }
 
@@ -61,7 +61,7 @@
 pub(crate) struct InUse {
     pub server: ServerKey,
     pub route: RouteId,
-    /// Which of the servers that have had the key it belongs to.
+    /// [`ServerState::incarnation`] of the server that the connection belongs to.
     pub incarnation: u64,
 }
 
@@ -69,16 +69,16 @@
 #[derive(Clone, Debug)]
 pub(crate) struct PendingCheckout {
     pub checkout: CheckoutId,
-    /// When it fails if no race runs for it.
+    /// Time at which it fails unless a race runs for it, in milliseconds.
     pub deadline_ms: f64,
     pub has_race: bool,
-    /// Routes by which its connection must not go.
+    /// Routes that its connection must not use.
     pub avoid: Vec<RouteId>,
 }
 
-/// A token bucket of dials to a server that is warming up.
+/// Token bucket of dials to a server that is warming up.
 #[derive(Clone, Copy, Debug)]
-struct DialAllowance {
+struct DialTokenBucket {
     tokens: f64,
     updated_ms: f64,
 }
@@ -99,17 +99,18 @@
 /// State of one server.
 #[derive(Debug)]
 pub(crate) struct ServerState {
+    /// Distinguishes servers that have had the same key, one after the other.
     pub incarnation: u64,
-    /// In the order in which they are dialed.
+    /// Routes in dial order.
     pub routes: Vec<RouteEntry>,
-    /// The most recently used last.
+    /// Idle connections, the most recently used last.
     pub idle: Vec<IdleConnection>,
     pub in_use: usize,
     pub pending: VecDeque<PendingCheckout>,
     pub races: Vec<DialRace>,
     pub warming_up_until_ms: f64,
-    unsolicited: UnsolicitedBytes,
-    dial_allowance: DialAllowance,
+    unsolicited_score: UnsolicitedByteScore,
+    dial_tokens: DialTokenBucket,
     waits: WaitCount,
 }
 
@@ -123,8 +124,8 @@
             pending: VecDeque::new(),
             races: Vec::new(),
             warming_up_until_ms: f64::NEG_INFINITY,
-            unsolicited: UnsolicitedBytes::default(),
-            dial_allowance: DialAllowance {
+            unsolicited_score: UnsolicitedByteScore::default(),
+            dial_tokens: DialTokenBucket {
                 tokens: SLOW_START_DIAL_BURST,
                 updated_ms: f64::NEG_INFINITY,
             },
@@ -168,7 +169,8 @@
         self.pending.retain(|pending| pending.checkout != checkout);
     }
 
-    /// Learns from the end of a connection; `idle_ms` is how long it had been idle, if it was.
+    /// Updates the route's health or idle timeout, or the score of unsolicited bytes, after a connection was
+    /// closed. `idle_ms` is how long the connection had been idle, if it was.
     pub fn record_close(
         &mut self,
         now_ms: f64,
@@ -177,7 +179,7 @@
         idle_ms: Option<f64>,
     ) {
         match (reason, idle_ms) {
-            (CloseReason::UnsolicitedBytes, _) => self.unsolicited.record(now_ms),
+            (CloseReason::UnsolicitedBytes, _) => self.unsolicited_score.record(now_ms),
             (CloseReason::Broken, _) => {
                 if let Some(entry) = self.route_mut(route) {
                     entry.health.record_failure(now_ms);
@@ -225,7 +227,7 @@
         }
     }
 
-    /// Returns the routes in the order in which they are dialed now: those that are backing off last.
+    /// Returns the routes that are not in `avoid` in dial order, those that are backing off last.
     pub fn dial_order(&self, now_ms: f64, avoid: &[RouteId]) -> Vec<RouteId> {
         let is_backing_off =
             |entry: &&RouteEntry| entry.health.state(now_ms) == RouteState::BackingOff;
@@ -241,8 +243,8 @@
             .collect()
     }
 
-    /// Takes the most recently used idle connection that is past its cool-down, by the first route in
-    /// order that has one. Expired connections are closed on the way.
+    /// Takes an idle connection that is past its cool-down: the most recently used one over the first route
+    /// in order that has any. Expired connections found on the way are closed.
     pub fn take_idle(
         &mut self,
         now_ms: f64,
@@ -250,7 +252,7 @@
         open_connections: &mut usize,
         actions: &mut Vec<Action>,
     ) -> Option<IdleConnection> {
-        let cool_down_ms = self.unsolicited.cool_down_ms(now_ms);
+        let cool_down_ms = self.unsolicited_score.cool_down_ms(now_ms);
         loop {
             let index = self.best_idle(now_ms, cool_down_ms, avoid)?;
             let idle = self.idle.remove(index);
@@ -290,26 +292,27 @@
         is_expired(&self.routes, idle, now_ms)
     }
 
-    /// Whether a server that is warming up may be dialed once more: each connection costs it work.
+    /// Refills the dial tokens and returns whether the server may be dialed. Only a server that is warming up
+    /// is limited, because each connection costs it work.
     pub fn may_dial(&mut self, now_ms: f64, dials_per_s: f64) -> bool {
         if now_ms >= self.warming_up_until_ms {
             return true;
         }
-        let DialAllowance { tokens, updated_ms } = self.dial_allowance;
-        let regained = if updated_ms.is_finite() {
+        let DialTokenBucket { tokens, updated_ms } = self.dial_tokens;
+        let refilled = if updated_ms.is_finite() {
             (now_ms - updated_ms).max(0.0) * dials_per_s.max(MIN_SLOW_START_DIALS_PER_S) / MS_PER_S
         } else {
             0.0
         };
-        self.dial_allowance = DialAllowance {
-            tokens: (tokens + regained).min(SLOW_START_DIAL_BURST),
+        self.dial_tokens = DialTokenBucket {
+            tokens: (tokens + refilled).min(SLOW_START_DIAL_BURST),
             updated_ms: now_ms,
         };
-        self.dial_allowance.tokens >= 1.0
+        self.dial_tokens.tokens >= 1.0
     }
 
-    pub fn spend_dial(&mut self) {
-        self.dial_allowance.tokens -= 1.0;
+    pub fn take_dial_token(&mut self) {
+        self.dial_tokens.tokens -= 1.0;
     }
 
     pub fn record_wait(&mut self, now_ms: f64) {
@@ -319,15 +322,15 @@
         };
     }
 
-    /// Whether one connection more than needed should be dialed, as the load rises.
-    pub fn wants_dial_ahead(&self, now_ms: f64) -> bool {
+    /// Whether one connection more than needed should be dialed because the load rises.
+    pub fn should_dial_ahead(&self, now_ms: f64) -> bool {
         self.waits.decayed(now_ms) >= MIN_RISING_LOAD_WAITS
             && now_ms >= self.warming_up_until_ms
             && self.idle.is_empty()
             && self.races.iter().all(|race| race.checkout.is_some())
     }
 
-    /// Returns when this server has to be looked at again; infinity for never.
+    /// Returns the time at which this server next has to be processed, in milliseconds; infinity for never.
     pub fn next_wake_ms(&self, now_ms: f64, dials_per_s: f64, max_races: usize) -> f64 {
         let next_race_ms = self
             .races
@@ -340,12 +343,12 @@
             .min(self.next_allowed_dial_ms(now_ms, dials_per_s, max_races))
     }
 
-    /// Returns when the cool-down of an idle connection ends for which a checkout waits.
+    /// Returns the next end of an idle connection's cool-down if a checkout waits, otherwise infinity.
     fn next_cool_down_end_ms(&self, now_ms: f64) -> f64 {
         if self.pending.is_empty() {
             return f64::INFINITY;
         }
-        let cool_down_ms = self.unsolicited.cool_down_ms(now_ms);
+        let cool_down_ms = self.unsolicited_score.cool_down_ms(now_ms);
         self.idle
             .iter()
             .map(|idle| idle.since_ms + cool_down_ms)
@@ -353,7 +356,7 @@
             .fold(f64::INFINITY, f64::min)
     }
 
-    /// Returns the next deadline of a pending checkout; they are queued in the order of their deadlines.
+    /// Returns the next deadline of a pending checkout. The queue is in the order of the deadlines.
     fn next_deadline_ms(&self, now_ms: f64) -> f64 {
         self.pending
             .iter()
@@ -362,7 +365,8 @@
             .unwrap_or(f64::INFINITY)
     }
 
-    /// Returns when a server that is warming up may be dialed again, if a checkout waits for that.
+    /// Returns when a server that is warming up may be dialed again if a checkout waits for that, otherwise
+    /// infinity.
     fn next_allowed_dial_ms(&self, now_ms: f64, dials_per_s: f64, max_races: usize) -> f64 {
         let is_throttled = now_ms < self.warming_up_until_ms
             && self.pending.len() > self.races.len()
@@ -370,7 +374,7 @@
         if !is_throttled {
             return f64::INFINITY;
         }
-        let missing = (1.0 - self.dial_allowance.tokens).max(MIN_MISSING_ALLOWANCE);
+        let missing = (1.0 - self.dial_tokens.tokens).max(MIN_MISSING_TOKENS);
         now_ms + missing * MS_PER_S / dials_per_s.max(MIN_SLOW_START_DIALS_PER_S)
     }
 }
--- a/crates/pool/src/unsolicited/tests.rs
+++ b/crates/pool/src/unsolicited/tests.rs
@@ -4,28 +4,29 @@
 
 const NOW_MS: f64 = 1e9;
 
-/// Returns after how many seconds connections are reused without a cool-down again.
-fn seconds_until_forgotten(unsolicited: &UnsolicitedBytes) -> f64 {
+/// Returns how long cool-downs apply from `NOW_MS` on, in seconds.
+fn cool_down_period_s(score: &UnsolicitedByteScore) -> f64 {
     (0..1_000)
         .map(f64::from)
-        .find(|seconds| unsolicited.cool_down_ms(NOW_MS + seconds * 1e3) < COOL_DOWN_MS)
-        .expect("the score decays")
+        .find(|seconds| score.cool_down_ms(NOW_MS + seconds * 1e3) < COOL_DOWN_MS)
+        .expect("no cool-down applies after 1000 s")
 }
 
-/// Neither does every request pay a cool-down, nor is there none for a server that needs one.
+/// The cool-down must not delay requests to other servers, and must not end too early for a server that needs
+/// it.
 #[test]
-fn server_with_unsolicited_bytes_has_a_cool_down_that_decays() {
-    let mut unsolicited = UnsolicitedBytes::default();
-    assert_eq!(unsolicited.cool_down_ms(NOW_MS).to_bits(), 0);
-    unsolicited.record(NOW_MS);
-    assert!((unsolicited.cool_down_ms(NOW_MS) - COOL_DOWN_MS).abs() < 1e-9);
-    let after_one = seconds_until_forgotten(&unsolicited);
+fn unsolicited_bytes_cause_a_cool_down_until_the_score_decays() {
+    let mut score = UnsolicitedByteScore::default();
+    assert_eq!(score.cool_down_ms(NOW_MS).to_bits(), 0);
+    score.record(NOW_MS);
+    assert!((score.cool_down_ms(NOW_MS) - COOL_DOWN_MS).abs() < 1e-9);
+    let after_one = cool_down_period_s(&score);
     for _ in 0..100 {
-        unsolicited.record(NOW_MS);
+        score.record(NOW_MS);
     }
-    let after_many = seconds_until_forgotten(&unsolicited);
+    let after_many = cool_down_period_s(&score);
     assert!(
         after_one >= 60.0 && after_many > after_one && after_many < 4.0 * after_one,
-        "{after_one}, {after_many}"
+        "cool-downs apply for {after_one} s after one event and {after_many} s after 100"
     );
 }
