--- a/crates/pool/tests/dial_races.rs
+++ b/crates/pool/tests/dial_races.rs
@@ -1,4 +1,5 @@
-//! Dialing several addresses, in virtual time: black holes, refusals, lists that change midway.
+//! Checkouts and dial races in virtual time: black holes, refused dials, address lists that change during a
+//! race, limits and closes.
 
 use pool::{
     Action, Checkout, CheckoutError, CheckoutId, CloseReason, ConnectionId, DialId, Limits, Pool,
@@ -8,11 +9,11 @@
 const SERVER: ServerKey = ServerKey(0);
 const V6: &str = "[2001:db8::1]:80";
 const V4: &str = "10.0.0.1:80";
-const UNIX: &str = "unix:/run/holds.sock";
+const UNIX: &str = "unix:/run/server.sock";
 
 struct Harness {
     pool: Pool,
-    now: f64,
+    now_ms: f64,
     actions: Vec<Action>,
     /// Outstanding dials, oldest first.
     dials: Vec<(DialId, String)>,
@@ -20,32 +21,32 @@
     failed: Vec<(CheckoutId, CheckoutError)>,
     closed: Vec<ConnectionId>,
     route_reports: Vec<String>,
-    wake_at: f64,
+    wake_at_ms: f64,
 }
 
 fn routes(texts: &[&str]) -> Vec<Route> {
     texts
         .iter()
-        .map(|text| Route::new(text.parse().expect("an address")))
+        .map(|text| Route::new(text.parse().expect("parse a valid address")))
         .collect()
 }
 
 impl Harness {
     fn new(texts: &[&str]) -> Self {
-        Self::with(texts, Limits::default())
+        Self::with_limits(texts, Limits::default())
     }
 
-    fn with(texts: &[&str], limits: Limits) -> Self {
+    fn with_limits(texts: &[&str], limits: Limits) -> Self {
         let mut harness = Self {
             pool: Pool::new(limits),
-            now: 1_000_000.0,
+            now_ms: 1_000_000.0,
             actions: Vec::new(),
             dials: Vec::new(),
             granted: Vec::new(),
             failed: Vec::new(),
             closed: Vec::new(),
             route_reports: Vec::new(),
-            wake_at: f64::INFINITY,
+            wake_at_ms: f64::INFINITY,
         };
         harness.update(texts);
         harness
@@ -53,7 +54,7 @@
 
     fn update(&mut self, texts: &[&str]) {
         self.pool
-            .update_routes(self.now, SERVER, routes(texts), &mut self.actions);
+            .update_routes(self.now_ms, SERVER, routes(texts), &mut self.actions);
         self.apply_actions();
     }
 
@@ -63,14 +64,14 @@
                 Action::Dial { dial, route, .. } => {
                     self.dials.push((dial, route.address.to_string()));
                 }
-                Action::AbortDial { dial } => self.dials.retain(|(out, _)| *out != dial),
+                Action::AbortDial { dial } => self.dials.retain(|(other, _)| *other != dial),
                 Action::Grant {
                     checkout,
                     connection,
                 } => self.granted.push((checkout, connection)),
                 Action::Fail { checkout, error } => self.failed.push((checkout, error)),
                 Action::Close { connection } => self.closed.push(connection),
-                Action::WakeAt(at) => self.wake_at = at,
+                Action::WakeAt(at_ms) => self.wake_at_ms = at_ms,
                 Action::RouteDown { route, .. } => {
                     self.route_reports.push(format!("down {}", route.address));
                 }
@@ -85,7 +86,7 @@
     fn check_out(&mut self) -> Checkout {
         let result = self
             .pool
-            .check_out(self.now, SERVER, &[], &mut self.actions);
+            .check_out(self.now_ms, SERVER, &[], &mut self.actions);
         self.apply_actions();
         result
     }
@@ -93,69 +94,77 @@
     fn pending_checkout(&mut self) -> CheckoutId {
         match self.check_out() {
             Checkout::Pending(checkout) => checkout,
-            other => panic!("{other:?}"),
+            other => panic!("expected a pending checkout, got {other:?}"),
         }
     }
 
     /// Finishes the dial to an address; returns whether the pool uses the connection.
     fn finish_dial(&mut self, text: &str, is_connected: bool) -> bool {
-        let at = self.dials.iter().position(|(_, to)| to == text);
-        let (dial, _) = self
-            .dials
-            .remove(at.unwrap_or_else(|| panic!("{text} is not being dialed: {:?}", self.dials)));
+        let index = self.dials.iter().position(|(_, address)| address == text);
+        let (dial, _) = self.dials.remove(
+            index.unwrap_or_else(|| panic!("{text} is not being dialed: {:?}", self.dials)),
+        );
         let is_used = if is_connected {
-            self.pool.dial_succeeded(self.now, dial, &mut self.actions)
+            self.pool
+                .dial_succeeded(self.now_ms, dial, &mut self.actions)
         } else {
-            self.pool.dial_failed(self.now, dial, &mut self.actions);
+            self.pool.dial_failed(self.now_ms, dial, &mut self.actions);
             false
         };
         self.apply_actions();
         is_used
     }
 
-    fn advance(&mut self, ms: f64) {
-        let end = self.now + ms;
-        while self.wake_at <= end {
-            self.now = self.now.max(self.wake_at);
-            self.wake_at = f64::INFINITY;
-            self.pool.handle_timer(self.now, &mut self.actions);
+    fn advance(&mut self, duration_ms: f64) {
+        let end_ms = self.now_ms + duration_ms;
+        while self.wake_at_ms <= end_ms {
+            self.now_ms = self.now_ms.max(self.wake_at_ms);
+            self.wake_at_ms = f64::INFINITY;
+            self.pool.handle_timer(self.now_ms, &mut self.actions);
             self.apply_actions();
         }
-        self.now = end;
+        self.now_ms = end_ms;
     }
 
     fn dialing(&self) -> Vec<&str> {
-        self.dials.iter().map(|(_, to)| to.as_str()).collect()
+        self.dials
+            .iter()
+            .map(|(_, address)| address.as_str())
+            .collect()
     }
 
     fn check_in(&mut self, connection: ConnectionId) {
-        self.pool.check_in(self.now, connection, &mut self.actions);
+        self.pool
+            .check_in(self.now_ms, connection, &mut self.actions);
         self.apply_actions();
     }
 
     fn close(&mut self, connection: ConnectionId, reason: CloseReason) {
         if self.pool.route_of(connection).is_some() {
             self.pool
-                .connection_closed(self.now, connection, reason, &mut self.actions);
+                .connection_closed(self.now_ms, connection, reason, &mut self.actions);
         } else {
-            self.pool
-                .idle_closed(self.now, &[(connection, reason)].into(), &mut self.actions);
+            self.pool.idle_closed(
+                self.now_ms,
+                &[(connection, reason)].into(),
+                &mut self.actions,
+            );
         }
         self.apply_actions();
     }
 
-    /// A server that has sent unsolicited bytes, with one idle connection in its cool-down.
+    /// Returns a harness whose server has sent unsolicited bytes and has one idle connection in its cool-down.
     fn with_unsolicited_bytes() -> (Self, ConnectionId) {
         let mut harness = Self::new(&[V4]);
-        let connection = harness.connection(V4);
+        let connection = harness.connect(V4);
         harness.close(connection, CloseReason::UnsolicitedBytes);
-        let connection = harness.connection(V4);
+        let connection = harness.connect(V4);
         harness.check_in(connection);
         (harness, connection)
     }
 
-    /// A connection by this address, granted and in use.
-    fn connection(&mut self, text: &str) -> ConnectionId {
+    /// Establishes a connection over this address; returns it granted and in use.
+    fn connect(&mut self, text: &str) -> ConnectionId {
         self.pending_checkout();
         for _ in 0..8 {
             if self.dialing().contains(&text) {
@@ -164,12 +173,12 @@
             self.advance(250.0);
         }
         self.finish_dial(text, true);
-        self.granted.pop().expect("granted").1
+        self.granted.pop().expect("the new connection is granted").1
     }
 }
 
 #[test]
-fn addresses_are_dialed_a_stagger_apart_and_the_first_connection_wins() {
+fn dials_start_one_stagger_apart_and_first_to_connect_is_used() {
     let mut harness = Harness::new(&[V4, V6, UNIX]);
     let checkout = harness.pending_checkout();
     assert_eq!(harness.dialing(), [UNIX]);
@@ -181,7 +190,7 @@
     assert_eq!(harness.dialing(), [UNIX, V6, V4]);
     assert!(harness.finish_dial(V6, true));
     assert_eq!(harness.granted[0].0, checkout);
-    assert!(harness.dials.is_empty(), "the others are aborted");
+    assert!(harness.dials.is_empty(), "the other dials must be aborted");
     assert_eq!(harness.pool.open_connections(), 1);
 }
 
@@ -215,15 +224,19 @@
     assert!(harness.dials.is_empty());
 }
 
-/// New connections must not each pay a stagger for a black hole.
+/// Each new connection would otherwise wait one stagger for a black hole.
 #[test]
-fn black_hole_is_dialed_last_and_tested_by_one_dial_with_a_short_stagger() {
+fn black_hole_is_dialed_last_and_tested_with_short_stagger() {
     let mut harness = Harness::new(&[V4, V6]);
     harness.pending_checkout();
     harness.advance(250.0);
     harness.finish_dial(V4, true);
     harness.pending_checkout();
-    assert_eq!(harness.dialing(), [V4], "the address that failed goes last");
+    assert_eq!(
+        harness.dialing(),
+        [V4],
+        "the failed address must be dialed last"
+    );
     harness.finish_dial(V4, true);
     harness.advance(1_000.0);
     harness.pending_checkout();
@@ -231,19 +244,23 @@
     assert_eq!(
         harness.dialing(),
         [V6, V4],
-        "one tests it, the other does not"
+        "exactly one race must test the failed address"
     );
     harness.advance(20.0);
     assert_eq!(
         harness.dialing(),
         [V6, V4, V4],
-        "and waits no stagger for it"
+        "the race that tests it must go on after the short stagger"
     );
     harness.finish_dial(V4, true);
     harness.finish_dial(V6, true);
     assert_eq!(harness.granted.len(), 4);
     harness.pending_checkout();
-    assert_eq!(harness.dialing(), [V6], "it is back");
+    assert_eq!(
+        harness.dialing(),
+        [V6],
+        "the recovered address must be dialed first"
+    );
 }
 
 #[test]
@@ -251,12 +268,12 @@
     let mut harness = Harness::new(&[V4, V6]);
     harness.pending_checkout();
     harness.advance(250.0);
-    let both = harness.dials.clone();
+    let dials = harness.dials.clone();
     assert!(harness.finish_dial(V6, true));
     let is_used = harness
         .pool
-        .dial_succeeded(harness.now, both[1].0, &mut harness.actions);
-    assert!(!is_used, "the caller closes it");
+        .dial_succeeded(harness.now_ms, dials[1].0, &mut harness.actions);
+    assert!(!is_used, "a second connection of the race must not be used");
     assert_eq!(
         (harness.pool.open_connections(), harness.granted.len()),
         (1, 1)
@@ -269,13 +286,13 @@
     let checkout = harness.pending_checkout();
     harness
         .pool
-        .cancel(harness.now, checkout, &mut harness.actions);
+        .cancel(harness.now_ms, checkout, &mut harness.actions);
     harness.apply_actions();
     harness.advance(300.0);
     assert_eq!(
         harness.dialing(),
         [V6],
-        "no further address is dialed for nobody"
+        "no further address may be dialed without a checkout"
     );
     harness.finish_dial(V6, true);
     assert_eq!(
@@ -285,98 +302,111 @@
     assert!(matches!(harness.check_out(), Checkout::Ready(_)));
 }
 
-/// A server must not pay for connections that nobody uses: each checkout that finds all in use starts a dial, and
-/// most are served by a check-in before theirs is up.
+/// A server must not spend work on connections that nobody uses: each checkout that finds all connections in
+/// use starts a dial, and most are granted a checked-in connection before their dial connects.
 #[test]
-fn orphaned_dial_is_adopted_by_the_next_checkout() {
+fn dial_without_a_checkout_is_reused_by_the_next_checkout() {
     let mut harness = Harness::new(&[V4]);
-    let connection = harness.connection(V4);
+    let connection = harness.connect(V4);
     for round in 0..100 {
         let checkout = harness.pending_checkout();
         harness.check_in(connection);
         assert_eq!(
             harness.granted.last(),
             Some(&(checkout, connection)),
-            "{round}"
+            "round {round}: the checked-in connection must be granted"
+        );
+        assert_eq!(
+            harness.dialing(),
+            [V4],
+            "round {round}: one dial must be outstanding"
         );
-        assert_eq!(harness.dialing(), [V4], "one dial is outstanding, {round}");
     }
     assert_eq!(harness.pool.open_connections(), 2);
     harness.finish_dial(V4, false);
     assert_eq!(
         (harness.pool.open_connections(), harness.failed.len()),
         (1, 0),
-        "its failure fails no checkout"
+        "the failure of a dial without a checkout must fail no checkout"
     );
 }
 
 #[test]
-fn dial_of_a_canceled_checkout_goes_to_another_that_waits() {
+fn dial_of_a_canceled_checkout_serves_a_pending_one() {
     let limits = Limits {
         max_races_per_server: 1,
         ..Limits::default()
     };
-    let mut harness = Harness::with(&[V4], limits);
+    let mut harness = Harness::with_limits(&[V4], limits);
     let (first, second) = (harness.pending_checkout(), harness.pending_checkout());
     assert_eq!(harness.dialing(), [V4]);
     harness
         .pool
-        .cancel(harness.now, first, &mut harness.actions);
+        .cancel(harness.now_ms, first, &mut harness.actions);
     harness.apply_actions();
     harness.finish_dial(V4, true);
     assert_eq!(harness.granted[0].0, second);
 }
 
 #[test]
-fn idle_connection_by_the_first_address_is_checked_out_first() {
+fn idle_connection_over_the_first_address_is_preferred() {
     let mut harness = Harness::new(&[V4, V6]);
-    let six = harness.connection(V6);
-    let four = harness.connection(V4);
-    harness.check_in(six);
+    let v6 = harness.connect(V6);
+    let v4 = harness.connect(V4);
+    harness.check_in(v6);
     harness.advance(1.0);
-    harness.check_in(four);
-    assert_eq!(harness.check_out(), Checkout::Ready(six));
-    assert_eq!(harness.check_out(), Checkout::Ready(four));
+    harness.check_in(v4);
+    assert_eq!(harness.check_out(), Checkout::Ready(v6));
+    assert_eq!(harness.check_out(), Checkout::Ready(v4));
 }
 
 #[test]
-fn checkout_uses_no_avoided_route() {
+fn checkout_does_not_use_avoided_routes() {
     let mut harness = Harness::new(&[V4, V6]);
-    let six = harness.connection(V6);
-    let route = harness.pool.route_of(six).expect("in use");
-    harness.check_in(six);
+    let v6 = harness.connect(V6);
+    let route = harness
+        .pool
+        .route_of(v6)
+        .expect("a connection in use has a route");
+    harness.check_in(v6);
     let result = harness
         .pool
-        .check_out(harness.now, SERVER, &[route], &mut harness.actions);
+        .check_out(harness.now_ms, SERVER, &[route], &mut harness.actions);
     harness.apply_actions();
     assert!(matches!(result, Checkout::Pending(_)));
     assert_eq!(harness.dialing(), [V4]);
-    let mut alone = Harness::new(&[V4]);
-    let connection = alone.connection(V4);
-    let route = alone.pool.route_of(connection).expect("in use");
-    let result = alone
+    let mut single_route = Harness::new(&[V4]);
+    let connection = single_route.connect(V4);
+    let route = single_route
         .pool
-        .check_out(alone.now, SERVER, &[route], &mut alone.actions);
+        .route_of(connection)
+        .expect("a connection in use has a route");
+    let result = single_route.pool.check_out(
+        single_route.now_ms,
+        SERVER,
+        &[route],
+        &mut single_route.actions,
+    );
     assert_eq!(result, Checkout::Failed(CheckoutError::NoRoute));
 }
 
-/// An address changes its family between two lists, with a request in flight and a connection idle.
+/// An address changes its family between two lists while one connection is in use and another is idle.
 #[test]
-fn unlisted_route_closes_idle_connections_now_and_used_ones_at_check_in() {
+fn unlisted_route_closes_idle_now_and_in_use_at_check_in() {
     let mut harness = Harness::new(&[V4]);
-    let (idle, used) = (harness.connection(V4), harness.connection(V4));
+    let (idle, in_use) = (harness.connect(V4), harness.connect(V4));
     harness.check_in(idle);
     harness.update(&[V6]);
     assert_eq!(harness.closed, [idle]);
-    harness.check_in(used);
-    assert_eq!(harness.closed, [idle, used]);
+    harness.check_in(in_use);
+    assert_eq!(harness.closed, [idle, in_use]);
     assert_eq!(harness.pool.open_connections(), 0);
     harness.pending_checkout();
     assert_eq!(harness.dialing(), [V6]);
 }
 
 #[test]
-fn checkout_that_waits_for_an_unlisted_route_is_dialed_at_the_new_one() {
+fn checkout_of_an_unlisted_route_is_dialed_over_the_new_one() {
     let mut harness = Harness::new(&[V4]);
     let checkout = harness.pending_checkout();
     harness.update(&[V6]);
@@ -399,13 +429,13 @@
     harness.finish_dial(V6, false);
     harness.finish_dial(V4, true);
     harness.update(&[V6, V4, UNIX]);
-    let all = harness.pool.route_statuses(harness.now, SERVER);
-    let all: Vec<_> = all
+    let statuses = harness.pool.route_statuses(harness.now_ms, SERVER);
+    let failures: Vec<_> = statuses
         .iter()
         .map(|status| (status.route.address.to_string(), status.failures))
         .collect();
     assert_eq!(
-        all,
+        failures,
         [(UNIX.to_owned(), 0), (V4.to_owned(), 0), (V6.to_owned(), 1)]
     );
 }
@@ -416,9 +446,9 @@
     let mut texts: Vec<_> = texts.iter().map(String::as_str).collect();
     texts.push(UNIX);
     let harness = Harness::new(&texts);
-    let all = harness.pool.route_statuses(harness.now, SERVER);
+    let statuses = harness.pool.route_statuses(harness.now_ms, SERVER);
     assert_eq!(
-        (all.len(), all[0].route.address.to_string()),
+        (statuses.len(), statuses[0].route.address.to_string()),
         (pool::MAX_ADDRESSES, UNIX.to_owned())
     );
 }
@@ -426,36 +456,36 @@
 #[test]
 fn removed_server_fails_pending_checkouts_and_leaks_nothing() {
     let mut harness = Harness::new(&[V4]);
-    let (idle, used) = (harness.connection(V4), harness.connection(V4));
+    let (idle, in_use) = (harness.connect(V4), harness.connect(V4));
     harness.check_in(idle);
-    let _now = harness.check_out();
+    let _ready = harness.check_out();
     let checkout = harness.pending_checkout();
     harness
         .pool
-        .remove_server(harness.now, SERVER, &mut harness.actions);
+        .remove_server(harness.now_ms, SERVER, &mut harness.actions);
     harness.apply_actions();
     assert_eq!(harness.failed, [(checkout, CheckoutError::NoRoute)]);
-    harness.check_in(used);
+    harness.check_in(in_use);
     harness.check_in(idle);
     assert_eq!(harness.pool.open_connections(), 0);
 }
 
 #[test]
-fn connection_limit_closes_the_longest_idle_or_fails_the_checkout() {
+fn connection_limit_evicts_the_longest_idle_or_fails_checkout() {
     let limits = Limits {
         max_connections: 2,
         ..Limits::default()
     };
-    let mut harness = Harness::with(&[V4], limits);
+    let mut harness = Harness::with_limits(&[V4], limits);
     let other = ServerKey(1);
     harness
         .pool
-        .update_routes(harness.now, other, routes(&[V6]), &mut harness.actions);
-    let (a, b) = (harness.connection(V4), harness.connection(V4));
+        .update_routes(harness.now_ms, other, routes(&[V6]), &mut harness.actions);
+    let (a, b) = (harness.connect(V4), harness.connect(V4));
     assert_eq!(
         harness
             .pool
-            .check_out(harness.now, other, &[], &mut harness.actions),
+            .check_out(harness.now_ms, other, &[], &mut harness.actions),
         Checkout::Failed(CheckoutError::LimitReached)
     );
     harness.check_in(a);
@@ -464,7 +494,7 @@
     assert!(matches!(
         harness
             .pool
-            .check_out(harness.now, other, &[], &mut harness.actions),
+            .check_out(harness.now_ms, other, &[], &mut harness.actions),
         Checkout::Pending(_)
     ));
     harness.apply_actions();
@@ -478,8 +508,8 @@
         max_connections_per_server: 2,
         ..Limits::default()
     };
-    let mut harness = Harness::with(&[V4, V6], limits);
-    let (_a, _b) = (harness.connection(V6), harness.connection(V6));
+    let mut harness = Harness::with_limits(&[V4, V6], limits);
+    let (_a, _b) = (harness.connect(V6), harness.connect(V6));
     assert_eq!(
         harness.check_out(),
         Checkout::Failed(CheckoutError::LimitReached)
@@ -493,34 +523,47 @@
         dial_timeout_ms: 10_000.0,
         ..Limits::default()
     };
-    let mut harness = Harness::with(&[V4], limits);
-    harness.pool.set_warming_up(SERVER, harness.now + 60_000.0);
+    let mut harness = Harness::with_limits(&[V4], limits);
+    harness
+        .pool
+        .set_warming_up(SERVER, harness.now_ms + 60_000.0);
     for _ in 0..40 {
         harness.pending_checkout();
     }
-    assert_eq!(harness.dials.len(), 8, "the burst");
+    assert_eq!(
+        harness.dials.len(),
+        8,
+        "the burst must be dialed immediately"
+    );
     let mut dialed = 8;
     for _ in 0..20 {
-        while let Some((_, to)) = harness.dials.first().cloned() {
-            harness.finish_dial(&to, true);
+        while let Some((_, address)) = harness.dials.first().cloned() {
+            harness.finish_dial(&address, true);
         }
         harness.advance(100.0);
         dialed += harness.dials.len();
     }
-    assert!((26..=30).contains(&dialed), "{dialed} in two seconds");
+    assert!(
+        (26..=30).contains(&dialed),
+        "expected 26 to 30 dials in two seconds, got {dialed}"
+    );
 }
 
-/// Attempts must not wait at a server until their deadline while another has capacity.
+/// Attempts must not wait at a server until their deadline while another server has capacity.
 #[test]
 fn checkout_without_a_race_fails_at_the_dial_timeout() {
     let limits = Limits {
         max_races_per_server: 1,
         ..Limits::default()
     };
-    let mut harness = Harness::with(&[V4], limits);
+    let mut harness = Harness::with_limits(&[V4], limits);
     let (first, second) = (harness.pending_checkout(), harness.pending_checkout());
     harness.advance(999.0);
-    assert!(harness.failed.is_empty(), "{:?}", harness.failed);
+    assert!(
+        harness.failed.is_empty(),
+        "failed before the timeout: {:?}",
+        harness.failed
+    );
     harness.advance(2.0);
     assert_eq!(
         harness.failed,
@@ -535,27 +578,27 @@
 #[test]
 fn route_is_reported_down_once_and_up_once() {
     let mut harness = Harness::new(&[V4]);
-    for up in [false, false, false, true, true, false] {
+    for is_connected in [false, false, false, true, true, false] {
         harness.pending_checkout();
-        harness.finish_dial(V4, up);
+        harness.finish_dial(V4, is_connected);
         harness.advance(100_000.0);
     }
-    let [down, up] = ["down", "up"].map(|what| format!("{what} {V4}"));
+    let [down, up] = ["down", "up"].map(|state| format!("{state} {V4}"));
     assert_eq!(harness.route_reports, [down.clone(), up, down]);
 }
 
 #[test]
-fn empty_list_fails_pending_checkouts_and_closes_idle_connections() {
+fn empty_list_fails_pending_checkouts_and_closes_connections() {
     let mut harness = Harness::new(&[V4, V6]);
-    let (idle, used) = (harness.connection(V6), harness.connection(V6));
+    let (idle, in_use) = (harness.connect(V6), harness.connect(V6));
     harness.check_in(idle);
     assert_eq!(harness.check_out(), Checkout::Ready(idle));
     let checkout = harness.pending_checkout();
-    harness.check_in(used);
-    let waits = harness.pending_checkout();
+    harness.check_in(in_use);
+    let unserved = harness.pending_checkout();
     harness.update(&[]);
-    assert_eq!(harness.failed, [(waits, CheckoutError::Unreachable)]);
-    assert_eq!(harness.granted.last(), Some(&(checkout, used)));
+    assert_eq!(harness.failed, [(unserved, CheckoutError::Unreachable)]);
+    assert_eq!(harness.granted.last(), Some(&(checkout, in_use)));
     assert_eq!(
         harness.check_out(),
         Checkout::Failed(CheckoutError::NoRoute)
@@ -563,17 +606,21 @@
     harness.check_in(idle);
     assert!(
         harness.closed.contains(&idle),
-        "a used connection is closed at check-in"
+        "a connection in use must be closed at check-in"
     );
-    // An orphaned dial takes no new address.
+    // A race without a checkout does not dial new addresses.
     let mut harness = Harness::new(&[V6]);
     let checkout = harness.pending_checkout();
     harness
         .pool
-        .cancel(harness.now, checkout, &mut harness.actions);
+        .cancel(harness.now_ms, checkout, &mut harness.actions);
     harness.apply_actions();
     harness.update(&[V4]);
-    assert!(harness.dials.is_empty(), "{:?}", harness.dialing());
+    assert!(
+        harness.dials.is_empty(),
+        "dialed without a checkout: {:?}",
+        harness.dialing()
+    );
     assert_eq!(harness.pool.open_connections(), 0);
 }
 
@@ -583,7 +630,7 @@
     let checkout = harness.pending_checkout();
     assert!(
         harness.dials.is_empty(),
-        "a cool-down is shorter than a dial"
+        "a checkout must wait for the cool-down, which is shorter than a dial"
     );
     harness.advance(4.9);
     assert!(harness.granted.is_empty());
@@ -591,17 +638,17 @@
     assert_eq!(harness.granted, [(checkout, connection)]);
     harness.check_in(connection);
     harness.advance(600_000.0);
-    let connection = harness.connection(V4);
+    let connection = harness.connect(V4);
     harness.check_in(connection);
     assert_eq!(
         harness.check_out(),
         Checkout::Ready(connection),
-        "forgotten in the end"
+        "the cool-down must end once the score has decayed"
     );
 }
 
 #[test]
-fn checkout_that_waits_for_a_cool_down_is_dialed_if_the_connection_ends() {
+fn checkout_in_a_cool_down_is_dialed_if_the_connection_ends() {
     let (mut harness, connection) = Harness::with_unsolicited_bytes();
     let checkout = harness.pending_checkout();
     harness.close(connection, CloseReason::UnsolicitedBytes);
@@ -611,15 +658,15 @@
 }
 
 #[test]
-fn burst_of_three_thousand_closes_teaches_nothing_and_leaks_nothing() {
+fn burst_of_closes_keeps_the_idle_timeout_and_leaks_nothing() {
     let limits = Limits {
         max_connections: 4_000,
         max_connections_per_server: 4_000,
         max_races_per_server: 4_000,
         ..Limits::default()
     };
-    let mut harness = Harness::with(&[V4], limits);
-    let all: Vec<_> = (0..3_000).map(|_| harness.connection(V4)).collect();
+    let mut harness = Harness::with_limits(&[V4], limits);
+    let all: Vec<_> = (0..3_000).map(|_| harness.connect(V4)).collect();
     for connection in &all {
         harness.check_in(*connection);
     }
@@ -630,7 +677,7 @@
         .collect();
     harness
         .pool
-        .idle_closed(harness.now, &ended, &mut harness.actions);
+        .idle_closed(harness.now_ms, &ended, &mut harness.actions);
     assert_eq!(
         (
             harness.pool.idle_count(SERVER),
@@ -639,11 +686,11 @@
         (0, 0)
     );
     assert_eq!(
-        harness.pool.route_statuses(harness.now, SERVER)[0].failures,
+        harness.pool.route_statuses(harness.now_ms, SERVER)[0].failures,
         0,
-        "the address counts as healthy"
+        "closes by the peer must not count as failures"
     );
-    let connection = harness.connection(V4);
+    let connection = harness.connect(V4);
     harness.check_in(connection);
     harness.advance(10_000.0);
     assert_eq!(harness.check_out(), Checkout::Ready(connection));
@@ -652,33 +699,33 @@
 #[test]
 fn idle_connections_are_closed_before_the_server_closes_them() {
     let mut harness = Harness::new(&[V4]);
-    let connection = harness.connection(V4);
+    let connection = harness.connect(V4);
     harness.check_in(connection);
     harness.advance(10_000.0);
     harness.close(connection, CloseReason::ByPeer);
-    let connection = harness.connection(V4);
+    let connection = harness.connect(V4);
     harness.check_in(connection);
     harness.advance(9_000.0);
     harness
         .pool
-        .close_expired(harness.now, &mut harness.actions);
+        .close_expired(harness.now_ms, &mut harness.actions);
     harness.apply_actions();
     assert_eq!(harness.closed, [connection]);
 }
 
 #[test]
 fn rising_load_dials_one_connection_ahead_if_enabled() {
-    for ahead in [false, true] {
-        let mut harness = Harness::with(
+    for is_enabled in [false, true] {
+        let mut harness = Harness::with_limits(
             &[V4],
             Limits {
-                dial_ahead: ahead,
+                dial_ahead: is_enabled,
                 ..Limits::default()
             },
         );
         for _ in 0..6 {
             harness.pending_checkout();
         }
-        assert_eq!(harness.dials.len(), if ahead { 7 } else { 6 });
+        assert_eq!(harness.dials.len(), if is_enabled { 7 } else { 6 });
     }
 }
--- a/crates/pool/tests/model.rs
+++ b/crates/pool/tests/model.rs
@@ -1,4 +1,4 @@
-//! The pool against a model, in virtual time, over seeded sequences of everything that can happen.
+//! Property tests of the pool against a model, in virtual time, over seeded sequences of all events.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -24,14 +24,14 @@
     avoid: Vec<RouteId>,
 }
 
-/// What the pool's caller knows: the outstanding dials, and each connection in exactly one place.
+/// State of the pool's caller: the outstanding dials, and the connections, each either idle or in use.
 #[derive(Default)]
 struct Model {
     dials: BTreeSet<DialId>,
     idle: BTreeSet<ConnectionId>,
     in_use: BTreeMap<ConnectionId, usize>,
     pending: BTreeMap<CheckoutId, PendingCheckout>,
-    /// What was granted in the last step, and the routes it was to avoid.
+    /// Connections that were granted in the last step, with the routes that their checkouts avoid.
     granted: Vec<(ConnectionId, Vec<RouteId>)>,
     wake_at_ms: Option<f64>,
 }
@@ -41,9 +41,9 @@
         for action in actions {
             match action {
                 Action::RouteDown { .. } | Action::RouteUp { .. } => {}
-                Action::Dial { dial, .. } => assert!(self.dials.insert(dial), "dialed twice"),
+                Action::Dial { dial, .. } => assert!(self.dials.insert(dial), "dial started twice"),
                 Action::AbortDial { dial } => {
-                    assert!(self.dials.remove(&dial), "nothing to abort");
+                    assert!(self.dials.remove(&dial), "{dial:?} is not outstanding");
                 }
                 Action::Grant {
                     checkout,
@@ -51,11 +51,14 @@
                 } => self.grant(checkout, connection),
                 Action::KeepIdle { connection } => assert!(self.idle.insert(connection)),
                 Action::Fail { checkout, .. } => {
-                    assert!(self.pending.remove(&checkout).is_some(), "nobody waits");
+                    assert!(
+                        self.pending.remove(&checkout).is_some(),
+                        "{checkout:?} is not pending"
+                    );
                 }
                 Action::Close { connection } => assert!(
                     self.idle.remove(&connection) || self.in_use.remove(&connection).is_some(),
-                    "closed twice"
+                    "{connection:?} is not open"
                 ),
                 Action::WakeAt(at_ms) => {
                     assert!(at_ms.is_finite() && at_ms >= now_ms);
@@ -66,7 +69,10 @@
     }
 
     fn grant(&mut self, checkout: CheckoutId, connection: ConnectionId) {
-        let pending = self.pending.remove(&checkout).expect("somebody waits");
+        let pending = self
+            .pending
+            .remove(&checkout)
+            .expect("a granted checkout is pending");
         self.granted.push((connection, pending.avoid));
         self.idle.remove(&connection);
         self.begin_use(connection, pending.server);
@@ -75,7 +81,7 @@
     fn begin_use(&mut self, connection: ConnectionId, server: usize) {
         assert!(
             self.in_use.insert(connection, server).is_none(),
-            "a connection has two users"
+            "{connection:?} was already in use"
         );
     }
 }
@@ -85,7 +91,7 @@
         .iter()
         .enumerate()
         .filter(|(index, _)| bits >> index & 1 == 1)
-        .map(|(_, text)| Route::new(text.parse().expect("an address")))
+        .map(|(_, text)| Route::new(text.parse().expect("parse a valid address")))
         .collect()
 }
 
@@ -157,11 +163,17 @@
             .check_out(self.now_ms, ServerKey(index), &avoid, actions)
         {
             Checkout::Ready(connection) => {
-                assert!(self.model.idle.remove(&connection), "not idle");
-                let route = self.pool.route_of(connection).expect("in use");
+                assert!(
+                    self.model.idle.remove(&connection),
+                    "{connection:?} was not idle"
+                );
+                let route = self
+                    .pool
+                    .route_of(connection)
+                    .expect("a connection in use has a route");
                 assert!(!avoid.contains(&route));
                 if self.random.u8(..8) == 0 {
-                    self.find_stale(connection, actions);
+                    self.report_stale(connection, actions);
                 } else {
                     self.model.begin_use(connection, index);
                 }
@@ -177,7 +189,7 @@
         }
     }
 
-    fn find_stale(&mut self, connection: ConnectionId, actions: &mut Vec<Action>) {
+    fn report_stale(&mut self, connection: ConnectionId, actions: &mut Vec<Action>) {
         let reason = if self.random.bool() {
             CloseReason::ByPeer
         } else {
@@ -242,7 +254,7 @@
     }
 
     fn handle_due_timers(&mut self) {
-        while let Some(due_ms) = self.model.wake_at_ms.filter(|at| *at <= self.now_ms) {
+        while let Some(due_ms) = self.model.wake_at_ms.filter(|at_ms| *at_ms <= self.now_ms) {
             self.model.wake_at_ms = None;
             let mut actions = Vec::new();
             self.pool
@@ -256,12 +268,19 @@
             let route = self.pool.route_of(connection);
             assert!(
                 route.is_none_or(|route| !avoid.contains(&route)),
-                "granted by a route to avoid"
+                "{connection:?} was granted over a route to avoid"
             );
         }
         let open = self.model.dials.len() + self.model.idle.len() + self.model.in_use.len();
-        assert_eq!(self.pool.open_connections(), open, "descriptors leak");
-        assert!(open <= MAX_CONNECTIONS, "beyond the limit");
+        assert_eq!(
+            self.pool.open_connections(),
+            open,
+            "the pool's count of open connections is wrong"
+        );
+        assert!(
+            open <= MAX_CONNECTIONS,
+            "{open} connections exceed the limit of {MAX_CONNECTIONS}"
+        );
         let idle: BTreeSet<_> = self.pool.idle_connections().collect();
         assert_eq!(idle, self.model.idle);
         for (checkout, pending) in &self.model.pending {
@@ -269,17 +288,20 @@
             let server = pending.server;
             assert!(
                 has_progress,
-                "{checkout:?} of server {server} waits for nothing"
+                "{checkout:?} of server {server} waits without a dial or a timer"
             );
         }
     }
 
-    /// Every pending checkout is granted or fails, even if no dial ever finishes.
+    /// Checks that every pending checkout is granted or fails, even if no dial ever finishes.
     fn finish_pending(&mut self) {
         let mut rounds = 0;
         while !self.model.pending.is_empty() {
             rounds += 1;
-            assert!(rounds < 10_000, "a checkout waits for ever");
+            assert!(
+                rounds < 10_000,
+                "a checkout is still pending after 10,000 timers"
+            );
             self.now_ms = self
                 .model
                 .wake_at_ms
@@ -309,9 +331,12 @@
                 .remove_server(self.now_ms, ServerKey(index), &mut actions);
             self.model.apply(self.now_ms, actions);
         }
-        assert_eq!(self.pool.open_connections(), 0, "nothing is left");
-        assert!(self.model.dials.is_empty(), "nothing is left");
-        assert!(self.model.idle.is_empty(), "nothing is left");
+        assert_eq!(self.pool.open_connections(), 0, "connections leaked");
+        assert!(self.model.dials.is_empty(), "dials were not aborted");
+        assert!(
+            self.model.idle.is_empty(),
+            "idle connections were not closed"
+        );
     }
 }
 
@@ -330,9 +355,9 @@
     }
 }
 
-/// An idle connection past its cool-down is never passed over for a wait.
+/// A checkout must get an idle connection that is past its cool-down instead of waiting.
 #[test]
-fn checkout_never_waits_beside_an_idle_connection() {
+fn checkout_never_waits_while_a_connection_is_idle() {
     let mut random = fastrand::Rng::with_seed(9);
     let mut pool = Pool::new(Limits::default());
     let (server, mut in_use, mut dials) = (ServerKey(0), Vec::new(), Vec::new());
@@ -344,7 +369,10 @@
         if random.bool() {
             match pool.check_out(now_ms, server, &[], &mut actions) {
                 Checkout::Ready(connection) => in_use.push(connection),
-                _ => assert_eq!(idle, 0, "it waits beside an idle connection"),
+                _ => assert_eq!(
+                    idle, 0,
+                    "a checkout waits while {idle} connections are idle"
+                ),
             }
         } else if !in_use.is_empty() {
             let connection = in_use.swap_remove(random.usize(..in_use.len()));
@@ -353,7 +381,7 @@
         for action in std::mem::take(&mut actions) {
             match action {
                 Action::Dial { dial, .. } => dials.push(dial),
-                Action::AbortDial { dial } => dials.retain(|out| *out != dial),
+                Action::AbortDial { dial } => dials.retain(|outstanding| *outstanding != dial),
                 Action::Grant { connection, .. } => in_use.push(connection),
                 _ => {}
             }
