--- a/crates/pool/src/server.rs
+++ b/crates/pool/src/server.rs
@@ -12,8 +12,8 @@
 use crate::route_health::{RouteHealth, RouteState};
 use crate::unsolicited::UnsolicitedByteScore;
 
-/// Capacity of the token bucket of dials to a server that is warming up, in dials; its refill rate is in
-/// [`Limits`](crate::Limits).
+/// Capacity of the token bucket of dials to a server that is warming up, in dials; its refill rate is
+/// [`Limits::slow_start_dials_per_s`](crate::Limits::slow_start_dials_per_s).
 const SLOW_START_DIAL_BURST: f64 = 8.0;
 /// Minimum wait for the next dial token, as a fraction of the time per dial.
 const MIN_MISSING_TOKENS: f64 = 0.01;
