--- a/src/node/admin/config_file/validation.rs
+++ b/src/node/admin/config_file/validation.rs
@@ -172,7 +172,7 @@
         Self {
             max_connections_per_server: raw.connections_per_server.map(|limit| limit.0),
             max_concurrent_dials: raw.dials_at_a_time.map(|limit| limit.0),
-            cold_dials_per_s: raw.cold_dials_per_s.map(|rate| rate.0),
+            slow_start_dials_per_s: raw.cold_dials_per_s.map(|rate| rate.0),
             dial_ahead: raw.ahead,
         }
     }
--- a/src/node/clock.rs
+++ b/src/node/clock.rs
@@ -1,18 +1,18 @@
-//! The node's clock, and an alarm for state machines that have no clock of their own.
+//! The node's clock, and a timer for state machines that do not read a clock themselves.
 
 use std::cell::Cell;
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
 use tokio::sync::Notify;
 
-/// The longest sleep between two reads of the clock.
+/// The longest sleep before the clock is read again.
 const MAX_SLEEP: Duration = Duration::from_secs(3_600);
 
-/// A monotonic clock in Unix time: the Unix time at the start plus the time since, which steps of the system's clock do
-/// not move. The start times of servers are on the same scale.
+/// A monotonic clock in Unix time: the Unix time when the clock was created plus the time elapsed since then. Later steps
+/// of the system clock do not affect it. The start times of servers are on the same scale.
 ///
-/// It must not count from zero: the balancer treats a server without any report as last reported at zero. With a clock
-/// near zero all servers would seem to have just reported, and idle ones would not be tried.
+/// It must not count from zero: the balancer treats a server without any load report as having last reported at time
+/// zero. With a clock near zero, all servers would appear to have just reported, and idle ones would not be tried.
 #[derive(Clone, Copy, Debug)]
 pub struct Clock {
     start: Instant,
@@ -20,7 +20,7 @@
 }
 
 impl Clock {
-    /// A clock that starts now.
+    /// Creates a clock that starts at the current Unix time.
     #[must_use]
     pub fn new() -> Self {
         let unix = SystemTime::now()
@@ -32,22 +32,22 @@
         }
     }
 
-    /// The time, in milliseconds of Unix time.
+    /// The current Unix time in milliseconds.
     #[must_use]
     pub fn now_ms(self) -> f64 {
         self.start_ms + self.start.elapsed().as_secs_f64() * 1e3
     }
 }
 
-/// A single alarm, for a state machine that wants to be called at a time of its own.
+/// A resettable timer for a state machine that requests to be called at a certain time.
 #[derive(Debug)]
-pub struct Alarm {
+pub struct Timer {
     at_ms: Cell<f64>,
     changed: Notify,
 }
 
-impl Alarm {
-    /// An alarm that is not set.
+impl Timer {
+    /// Creates a timer that is not set.
     #[must_use]
     pub fn new() -> Self {
         Self {
@@ -56,24 +56,25 @@
         }
     }
 
-    /// Sets the alarm, in milliseconds of the clock that [`rings`](Self::rings) reads. Replaces the time set before.
+    /// Sets the expiry time in milliseconds of the clock that is passed to [`wait`](Self::wait). Replaces an earlier
+    /// setting.
     pub fn set(&self, at_ms: f64) {
         self.at_ms.set(at_ms);
         self.changed.notify_one();
     }
 
-    /// Waits until the alarm rings; from then on it is not set. Cancel safe: until it has rung it stays set.
-    pub async fn rings(&self, now_ms: impl Fn() -> f64) {
+    /// Waits until the timer expires, and clears it. Cancel safe: the timer stays set until it has expired.
+    pub async fn wait(&self, now_ms: impl Fn() -> f64) {
         loop {
-            let left_ms = self.at_ms.get() - now_ms();
-            if left_ms <= 0.0 {
+            let remaining_ms = self.at_ms.get() - now_ms();
+            if remaining_ms <= 0.0 {
                 return self.at_ms.set(f64::INFINITY);
             }
-            let left = Duration::try_from_secs_f64(left_ms / 1e3)
+            let sleep_time = Duration::try_from_secs_f64(remaining_ms / 1e3)
                 .unwrap_or(MAX_SLEEP)
                 .min(MAX_SLEEP);
             tokio::select! {
-                () = tokio::time::sleep(left) => {}
+                () = tokio::time::sleep(sleep_time) => {}
                 () = self.changed.notified() => {}
             }
         }
--- a/src/node/cluster/leases.rs
+++ b/src/node/cluster/leases.rs
@@ -19,7 +19,7 @@
 use super::fence_file::{self, FenceFileReadError};
 use super::{boot_ms, Cluster};
 use crate::node::admin::log;
-use crate::node::clock::Alarm;
+use crate::node::clock::Timer;
 use settings::{node_id, node_ids};
 
 pub use settings::LeaseSettings;
@@ -55,7 +55,7 @@
 pub struct LeaseParticipant {
     /// `None`: another process has this node's name.
     manager: RefCell<Option<LeaseManager>>,
-    alarm: Alarm,
+    timer: Timer,
     /// The names of the node ids, as far as they are known.
     names: RefCell<BTreeMap<NodeId, String>>,
     /// The latest effect of each shard's owners.
@@ -90,7 +90,7 @@
         let manager = LeaseManager::new(now_ms, settings).map_err(LeaseStartError::Settings)?;
         let participant = Self {
             manager: RefCell::new(Some(manager)),
-            alarm: Alarm::new(),
+            timer: Timer::new(),
             names: RefCell::default(),
             effects: RefCell::default(),
             fence_file: lease_settings.fence_file.clone(),
@@ -186,7 +186,7 @@
                 to: MemberId(to.0),
                 bytes: &bytes,
             }),
-            Action::WakeAt(at_ms) => participant.alarm.set(at_ms),
+            Action::WakeAt(at_ms) => participant.timer.set(at_ms),
             Action::OwnershipChanged {
                 shard,
                 token,
@@ -210,9 +210,9 @@
         let Some(participant) = &self.leases else {
             return;
         };
-        participant.alarm.set(0.0);
+        participant.timer.set(0.0);
         loop {
-            participant.alarm.rings(boot_ms).await;
+            participant.timer.wait(boot_ms).await;
             self.handle_lease_event(Event::TimerExpired);
         }
     }
@@ -281,7 +281,7 @@
                      the previous ones",
                     settings.configuration
                 ));
-                participant.alarm.set(0.0);
+                participant.timer.set(0.0);
             }
             Err(error) => log::line(format_args!("leases: reconfiguration rejected: {error}")),
         }
--- a/src/node/cluster/mod.rs
+++ b/src/node/cluster/mod.rs
@@ -27,7 +27,7 @@
 use self::address_book::AddressBook;
 use self::settings::ResolvedSettings;
 use crate::node::admin::log;
-use crate::node::clock::Alarm;
+use crate::node::clock::Timer;
 use crate::node::config::Config;
 use crate::node::dispatcher::Dispatcher;
 
@@ -69,7 +69,7 @@
     gossip: RefCell<Gossip>,
     socket: UdpSocket,
     addresses: RefCell<AddressBook>,
-    alarm: Alarm,
+    timer: Timer,
     name: String,
     /// Whether the operators' file lists the peers, so that the platform's list is ignored.
     has_configured_peers: Cell<bool>,
@@ -136,7 +136,7 @@
             gossip: RefCell::new(Gossip::new(boot_ms(), gossip_settings)),
             socket,
             addresses: RefCell::default(),
-            alarm: Alarm::new(),
+            timer: Timer::new(),
             name: resolved.name,
             has_configured_peers: Cell::new(settings.peers.is_some()),
             leases,
@@ -201,7 +201,7 @@
 
     async fn run_timer(self: Rc<Self>) {
         loop {
-            self.alarm.rings(boot_ms).await;
+            self.timer.wait(boot_ms).await;
             self.handle_gossip_event(Event::Timer);
         }
     }
@@ -226,7 +226,7 @@
     fn execute(self: &Rc<Self>, action: Action) {
         match action {
             Action::Send { to, bytes } => self.send_datagram(to, &bytes),
-            Action::WakeAt(at_ms) => self.alarm.set(at_ms),
+            Action::WakeAt(at_ms) => self.timer.set(at_ms),
             Action::Changed(change) => log::line(format_args!("gossip: {change}")),
             Action::Health(health) => log::line(format_args!("gossip: this node is {health}")),
             Action::Log(event) => {
--- a/src/node/cluster/outlier_detection.rs
+++ b/src/node/cluster/outlier_detection.rs
@@ -18,14 +18,14 @@
 
 use super::{boot_ms, metric_lines, Cluster};
 use crate::node::admin::log;
-use crate::node::clock::Alarm;
+use crate::node::clock::Timer;
 use crate::node::dispatcher::Dispatcher;
 
 /// A node's part in outlier detection.
 pub struct OutlierDetection {
     detector: RefCell<OutlierDetector>,
     driver: Rc<Dispatcher>,
-    timer: Alarm,
+    timer: Timer,
     /// The number of the driver's list that `server_ids` is of.
     list_number: Cell<Option<u64>>,
     server_ids: RefCell<HashMap<ServerKey, ServerId>>,
@@ -74,7 +74,7 @@
         Ok(Self {
             detector: RefCell::new(detector),
             driver,
-            timer: Alarm::new(),
+            timer: Timer::new(),
             list_number: Cell::new(None),
             server_ids: RefCell::default(),
             outlier_weight: settings.outlier_weight,
@@ -211,7 +211,7 @@
         });
         part.timer.set(0.0);
         loop {
-            part.timer.rings(boot_ms).await;
+            part.timer.wait(boot_ms).await;
             self.handle_outlier_event(Event::TimerFired);
         }
     }
--- a/src/node/discovery/endpoint_list/mod.rs
+++ b/src/node/discovery/endpoint_list/mod.rs
@@ -108,7 +108,7 @@
     async fn wait_for_subscription(&mut self) {
         if self.delivery == Delivery::Subscribed {
             tokio::select! {
-                () = self.updates.driver().subscribe.notified() => {}
+                () = self.updates.driver().subscribe_requested.notified() => {}
                 Ok(()) = self.addresses.changed() => {}
             }
         }
--- a/src/node/discovery/updates.rs
+++ b/src/node/discovery/updates.rs
@@ -11,7 +11,7 @@
 };
 
 use crate::node::admin::log;
-use crate::node::clock::Alarm;
+use crate::node::clock::Timer;
 use crate::node::config::EndpointList;
 use crate::node::discovery::endpoint_list::decode::decode_endpoints;
 use crate::node::dispatcher::Dispatcher;
@@ -27,7 +27,7 @@
 
 struct MergedView {
     view: RefCell<EndpointView>,
-    timer: Alarm,
+    timer: Timer,
     list: ListState,
 }
 
@@ -63,7 +63,7 @@
             driver,
             merged: Some(MergedView {
                 view: RefCell::new(EndpointView::new(vec![list_policy])),
-                timer: Alarm::new(),
+                timer: Timer::new(),
                 list: ListState::default(),
             }),
         });
@@ -159,7 +159,7 @@
     async fn run_timer(self: Rc<Self>) {
         let Some(merged) = &self.merged else { return };
         loop {
-            merged.timer.rings(|| self.driver.now_ms()).await;
+            merged.timer.wait(|| self.driver.now_ms()).await;
             self.handle(Event::TimerExpired);
         }
     }
--- a/src/node/dispatcher/mod.rs
+++ b/src/node/dispatcher/mod.rs
@@ -55,7 +55,7 @@
     is_handling: Cell<bool>,
     timers: TimerQueue,
     /// Notified when the balancer requests the changes of the endpoint list.
-    pub subscribe: Notify,
+    pub subscribe_requested: Notify,
     observer: RefCell<Option<AttemptObserver>>,
     /// When a node that shuts down must have responded to all requests.
     shutdown_deadline: Cell<Option<Instant>>,
@@ -100,7 +100,7 @@
             events: RefCell::default(),
             is_handling: Cell::new(false),
             timers: TimerQueue::default(),
-            subscribe: Notify::new(),
+            subscribe_requested: Notify::new(),
             observer: RefCell::default(),
             shutdown_deadline: Cell::default(),
         });
@@ -155,7 +155,7 @@
             Action::Fail { request } => self.respond(request.0, FinalResponse::Failed),
             Action::SetTimer { timer, after_ms } => self.set_balancer_timer(timer, after_ms),
             Action::CloseIdle { server } => self.servers.close_idle(server),
-            Action::Subscribe => self.subscribe.notify_one(),
+            Action::Subscribe => self.subscribe_requested.notify_one(),
             Action::HealthCheck { server } => self.reject_health_check(server),
             Action::Log(ref event) => log::line(event),
         }
--- a/src/node/dispatcher/server_ids.rs
+++ b/src/node/dispatcher/server_ids.rs
@@ -215,7 +215,11 @@
             started_at_ms: Some(endpoint.started_at_ms).filter(|at_ms| *at_ms > 0.0),
             cell: endpoint.cell.unwrap_or(0),
             zone: self.names.zones.get(&endpoint.zone).unwrap_or(0),
-            machine_kind: self.names.kinds.get(&endpoint.machine_type).unwrap_or(0),
+            machine_kind: self
+                .names
+                .machine_kinds
+                .get(&endpoint.machine_type)
+                .unwrap_or(0),
         }
     }
 }
--- a/src/node/dispatcher/settings_names.rs
+++ b/src/node/dispatcher/settings_names.rs
@@ -19,7 +19,7 @@
     /// Zones.
     pub zones: Names,
     /// Machine kinds.
-    pub kinds: Names,
+    pub machine_kinds: Names,
 }
 
 impl SettingNames {
@@ -30,7 +30,7 @@
             rules: config.settings.classes.iter().map(ClassRule::new).collect(),
             tenants: config.tenants.clone(),
             zones: config.zones.clone(),
-            kinds: config.kinds.clone(),
+            machine_kinds: config.kinds.clone(),
         }
     }
 
--- a/src/node/upstream/servers.rs
+++ b/src/node/upstream/servers.rs
@@ -21,7 +21,7 @@
 use tokio::sync::oneshot;
 use tokio::task::AbortHandle;
 
-use crate::node::clock::{Alarm, Clock};
+use crate::node::clock::{Clock, Timer};
 use crate::node::config::Config;
 use crate::node::upstream::addresses::{routes, ConfiguredAddresses};
 
@@ -46,7 +46,7 @@
     /// Concurrent dial races to one server.
     pub max_concurrent_dials: Option<usize>,
     /// Dials per second to a server in slow start.
-    pub cold_dials_per_s: Option<f64>,
+    pub slow_start_dials_per_s: Option<f64>,
     /// Whether one connection more than needed is dialed under a rising load.
     pub dial_ahead: bool,
 }
@@ -60,7 +60,7 @@
     table: RefCell<BTreeMap<ServerId, Server>>,
     address_owners: RefCell<AddressOwners>,
     configured_addresses: RefCell<ConfiguredAddresses>,
-    alarm: Alarm,
+    timer: Timer,
     slow_start_ms: f64,
     drain_grace: Duration,
     clock: Clock,
@@ -88,7 +88,7 @@
                 .max_concurrent_dials
                 .unwrap_or(defaults.max_races_per_server),
             slow_start_dials_per_s: pool_limits
-                .cold_dials_per_s
+                .slow_start_dials_per_s
                 .unwrap_or(defaults.slow_start_dials_per_s),
             dial_ahead: pool_limits.dial_ahead,
             dial_timeout_ms: ms(config.dial_timeout),
@@ -102,7 +102,7 @@
             table: RefCell::default(),
             address_owners: RefCell::default(),
             configured_addresses: RefCell::new(configured_addresses),
-            alarm: Alarm::new(),
+            timer: Timer::new(),
             slow_start_ms: config.settings.slow_start_ms,
             drain_grace: config.drain_grace,
             clock,
--- a/src/node/upstream/servers/actions.rs
+++ b/src/node/upstream/servers/actions.rs
@@ -27,7 +27,7 @@
     /// Runs the pool's timer. Never completes.
     pub async fn run_timer(self: Rc<Self>) {
         loop {
-            self.alarm.rings(|| self.now_ms()).await;
+            self.timer.wait(|| self.now_ms()).await;
             self.with_pool(Pool::handle_timer);
             tokio::task::yield_now().await; // Other tasks run even if the pool's timer is due again.
         }
@@ -68,7 +68,7 @@
                 self.log_route(server, &route, "does not come up");
             }
             Action::RouteUp { server, route } => self.log_route(server, &route, "comes up again"),
-            Action::WakeAt(at_ms) => self.alarm.set(at_ms),
+            Action::WakeAt(at_ms) => self.timer.set(at_ms),
         }
     }
 
