--- a/crates/consul/src/instance.rs
+++ b/crates/consul/src/instance.rs
@@ -1,4 +1,4 @@
-//! An instance of a service, as Consul's two API endpoints describe it.
+//! An instance of a service, as returned by Consul's health and catalog APIs.
 
 use std::collections::HashMap;
 use std::fmt;
@@ -7,12 +7,12 @@
 
 use crate::query::Api;
 
-/// The check id of a node's maintenance mode.
+/// Check id that indicates a node's maintenance mode.
 const NODE_MAINTENANCE_CHECK: &str = "_node_maintenance";
-/// The prefix of the check ids of services' maintenance modes.
+/// Prefix of the check ids that indicate a service's maintenance mode.
 const SERVICE_MAINTENANCE_PREFIX: &str = "_service_maintenance";
 
-/// A check's status, by severity.
+/// A check's status, in ascending order of severity.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum CheckStatus {
     /// The check passes.
@@ -28,9 +28,9 @@
 /// A check of an instance.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Check {
-    /// Its id.
+    /// The check's id.
     pub id: String,
-    /// Its status.
+    /// The check's status.
     pub status: CheckStatus,
 }
 
@@ -46,13 +46,13 @@
 /// Consul's load-balancing weights of an instance.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Weights {
-    /// While all checks pass.
+    /// The weight while all checks pass.
     pub passing: f64,
-    /// While a check warns.
+    /// The weight while a check warns.
     pub warning: f64,
 }
 
-/// Consul's own default.
+/// Consul's default weights.
 impl Default for Weights {
     fn default() -> Self {
         Self {
@@ -73,7 +73,7 @@
     pub node_meta: HashMap<String, String>,
     /// The service's id, unique on its node.
     pub id: String,
-    /// The service's address; empty if it is the node's.
+    /// The service's address; empty if the service uses the node's address.
     pub address: String,
     /// The service's port.
     pub port: u16,
@@ -81,32 +81,32 @@
     pub tags: Vec<String>,
     /// The service's metadata.
     pub meta: HashMap<String, String>,
-    /// The service's further addresses, by tag.
+    /// The service's additional addresses, by tag.
     pub tagged_addresses: HashMap<String, TaggedAddress>,
     /// The service's weights.
     pub weights: Weights,
     /// The service's checks and its node's.
     pub checks: Vec<Check>,
-    /// `ModifyIndex`: when it was last registered, as Consul counts changes.
+    /// `ModifyIndex`: Consul's index of the last change to the registration.
     pub modify_index: u64,
 }
 
-/// Why an element of a response is not an instance.
+/// Error from parsing an element of a response as an instance.
 #[derive(Debug)]
 pub enum InstanceError {
-    /// It is not JSON, or lacks what makes an instance: the node's name, the service's id, a check's
-    /// status.
+    /// The element is not valid JSON, or lacks a required field: the node's name, the service's id
+    /// or a check's status.
     Json(serde_json::Error),
-    /// A check's status is none of the known ones.
+    /// A check has an unknown status.
     UnknownCheckStatus(String),
 }
 
 impl fmt::Display for InstanceError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        f.write_str("an instance is malformed: ")?;
+        f.write_str("malformed instance: ")?;
         match self {
             Self::Json(error) => write!(f, "{error}"),
-            Self::UnknownCheckStatus(status) => write!(f, "a check's status is {status:?}"),
+            Self::UnknownCheckStatus(status) => write!(f, "unknown check status {status:?}"),
         }
     }
 }
@@ -222,7 +222,7 @@
 }
 
 impl Instance {
-    /// Parses an element of a response.
+    /// Parses an element of a response's array.
     ///
     /// # Errors
     ///
@@ -273,7 +273,7 @@
         }
     }
 
-    /// The most severe status of its checks; passing if it has none.
+    /// The most severe status of the instance's checks; passing if it has no checks.
     #[must_use]
     pub fn status(&self) -> CheckStatus {
         self.checks
@@ -287,7 +287,7 @@
 impl TryFrom<RawCheck> for Check {
     type Error = InstanceError;
 
-    /// Maintenance mode is a critical check with a reserved id.
+    /// Consul represents maintenance mode as a critical check with a reserved id.
     fn try_from(raw: RawCheck) -> Result<Self, InstanceError> {
         let is_maintenance_check =
             raw.id == NODE_MAINTENANCE_CHECK || raw.id.starts_with(SERVICE_MAINTENANCE_PREFIX);
--- a/crates/consul/src/lib.rs
+++ b/crates/consul/src/lib.rs
@@ -1,14 +1,15 @@
-//! A client of Consul's catalog and health API, without a socket: what to query ([`Query`]), when
-//! and from which agent ([`Watch`]), what a response says ([`Instance`], [`Mapping`]) and what has
-//! changed since the last one ([`Snapshot`]).
+//! A sans-I/O client of Consul's catalog and health API. It builds queries ([`Query`]), decides when
+//! to send them and to which agent ([`Watch`]), parses the instances in a response ([`Instance`]),
+//! maps them to endpoints ([`Mapping`]) and detects changes since the last response ([`Snapshot`]).
 //!
-//! A [`Watch`] follows one service by blocking queries through several agents. It handles what
-//! comes over the wire, in pieces of any size, and appends what must be done. A response counts
-//! completely or not at all. It is parsed while it arrives, one instance at a time, and an instance
-//! that has not changed costs a hash of its bytes: the size of a response bounds no memory.
+//! A [`Watch`] follows one service with blocking queries to one of several agents. It handles
+//! received bytes in pieces of any size and appends the actions that the caller must perform. A
+//! response takes effect completely or not at all. It is parsed while it arrives, one instance at a
+//! time, so that no response is buffered as a whole; an unchanged instance costs only a hash of its
+//! bytes.
 //!
-//! Source: the published HTTP API pages of Consul ("Blocking Queries", "Consistency Modes",
-//! "Health", "Catalog", "Filtering"). Times are milliseconds of any clock that never goes back.
+//! Reference: the published HTTP API pages of Consul ("Blocking Queries", "Consistency Modes",
+//! "Health", "Catalog", "Filtering"). Times are milliseconds of any monotonic clock.
 //!
 //! ```
 //! use consul::{Action, Event, Lifecycle, Mapping, Query, Watch, WatchSettings};
@@ -34,8 +35,8 @@
 //!     Action::Report(report) => Some(report),
 //!     _ => None,
 //! });
-//! let facts = &report.expect("the response is complete").updated[0];
-//! assert_eq!((facts.key.as_str(), facts.lifecycle), ("s-1", Lifecycle::Ready));
+//! let endpoint = &report.expect("a complete response is reported").updated[0];
+//! assert_eq!((endpoint.key.as_str(), endpoint.lifecycle), ("s-1", Lifecycle::Ready));
 //! ```
 
 mod instance;
--- a/crates/consul/src/mapping.rs
+++ b/crates/consul/src/mapping.rs
@@ -1,5 +1,5 @@
-//! The operators' mapping from instances to endpoints: which endpoint an instance is, whether it
-//! accepts requests, and its attributes.
+//! The mapping from Consul instances to endpoints that operators configure. It determines an
+//! endpoint's key, lifecycle and attributes.
 
 use std::fmt;
 use std::net::{IpAddr, SocketAddr};
@@ -7,12 +7,12 @@
 
 use crate::instance::{CheckStatus, Instance, TaggedAddress};
 
-/// Whether an endpoint accepts requests, by severity.
+/// Whether an endpoint accepts requests, in ascending order of severity.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Lifecycle {
     /// It accepts requests.
     Ready,
-    /// It finishes the requests that it has and gets no new ones.
+    /// It finishes its current requests and gets no new ones.
     Draining,
     /// It is removed.
     Gone,
@@ -29,11 +29,11 @@
     Meta(String),
     /// `node-meta:KEY`: the node's metadata.
     NodeMeta(String),
-    /// `tag:PREFIX`: what follows the prefix in the first tag that has it.
+    /// `tag:PREFIX`: the remainder of the first tag with this prefix.
     Tag(String),
 }
 
-/// A text that names no [`FieldSource`].
+/// Error from parsing a [`FieldSource`].
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct FieldSourceError(String);
 
@@ -41,7 +41,7 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(
             f,
-            "{:?} is none of `service-id`, `node`, `meta:KEY`, `node-meta:KEY`, `tag:PREFIX`",
+            "invalid field {:?}: expected `service-id`, `node`, `meta:KEY`, `node-meta:KEY` or `tag:PREFIX`",
             self.0
         )
     }
@@ -81,16 +81,16 @@
     }
 }
 
-/// What identifies the endpoint of an instance.
+/// Where the key that identifies an instance's endpoint is taken from.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum KeySource {
-    /// The endpoint's id, taken from this field.
+    /// The key is the endpoint's id, taken from this field.
     Id(FieldSource),
-    /// The endpoint's address.
+    /// The key is the endpoint's address.
     Address,
 }
 
-/// The lifecycle that the most severe check status of an instance results in.
+/// The lifecycle that results from each status of an instance, its most severe check status.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct StatusLifecycles {
     /// For [`CheckStatus::Passing`].
@@ -104,7 +104,7 @@
 }
 
 impl StatusLifecycles {
-    fn of(self, status: CheckStatus) -> Lifecycle {
+    fn for_status(self, status: CheckStatus) -> Lifecycle {
         match status {
             CheckStatus::Passing => self.passing,
             CheckStatus::Warning => self.warning,
@@ -114,7 +114,7 @@
     }
 }
 
-/// The lifecycle that a tag results in.
+/// A rule that assigns a lifecycle to instances with a tag.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct TagRule {
     /// The tag.
@@ -123,12 +123,12 @@
     pub lifecycle: Lifecycle,
 }
 
-/// The lifecycle that a value in the service's metadata results in.
+/// A rule that assigns a lifecycle to instances with a value in the service's metadata.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct MetaRule {
-    /// The metadata's key.
+    /// The key in the metadata.
     pub key: String,
-    /// Its value.
+    /// The value that the key must have.
     pub value: String,
     /// The resulting lifecycle.
     pub lifecycle: Lifecycle,
@@ -137,28 +137,28 @@
 /// How instances are mapped to endpoints.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Mapping {
-    /// What identifies the endpoint.
+    /// The source of the endpoint's key.
     pub key: KeySource,
-    /// The tagged address that is the endpoint's; without one, the service's own, or else its
-    /// node's.
+    /// The tag of the address that becomes the endpoint's. If this is unset or the instance lacks
+    /// it, the service's address is used, or else its node's.
     pub tagged_address: Option<String>,
-    /// Tagged addresses at which the endpoint is reached, too.
+    /// The tags of additional addresses at which the endpoint is reachable.
     pub alternate_tagged_addresses: Vec<String>,
-    /// The lifecycle by check status.
+    /// The lifecycle for each check status.
     pub status_lifecycles: StatusLifecycles,
-    /// The lifecycle by tags.
+    /// The rules that match the service's tags.
     pub tag_rules: Vec<TagRule>,
-    /// The lifecycle by the service's metadata.
+    /// The rules that match the service's metadata.
     pub meta_rules: Vec<MetaRule>,
-    /// The field of the zone.
+    /// The field that holds the zone.
     pub zone: Option<FieldSource>,
-    /// The field of the machine type.
+    /// The field that holds the machine type.
     pub machine_type: Option<FieldSource>,
-    /// The field of the cell.
+    /// The field that holds the cell.
     pub cell: Option<FieldSource>,
-    /// The field of the weight; without one, Consul's own weights apply.
+    /// The field that holds the weight. Without a valid number in it, Consul's own weights apply.
     pub weight: Option<FieldSource>,
-    /// The field of the time of the last start, in milliseconds of Unix time.
+    /// The field that holds the time of the last start, in milliseconds of Unix time.
     pub started_at_ms: Option<FieldSource>,
 }
 
@@ -185,7 +185,7 @@
     }
 }
 
-/// What an instance says about its endpoint.
+/// An endpoint's key, lifecycle and attributes, as derived from one instance.
 #[derive(Clone, Debug, PartialEq)]
 pub struct MappedEndpoint {
     /// The endpoint's key: its id or address, see [`KeySource`].
@@ -194,7 +194,7 @@
     pub lifecycle: Lifecycle,
     /// Its address; `None` if there is none, or it is a host name.
     pub address: Option<SocketAddr>,
-    /// Its further addresses.
+    /// Its additional addresses.
     pub alternate_addresses: Vec<SocketAddr>,
     /// Its zone.
     pub zone: Option<String>,
@@ -204,13 +204,15 @@
     pub cell: Option<usize>,
     /// When it last started, in milliseconds of Unix time.
     pub started_at_ms: Option<f64>,
-    /// Its weight with its checks as they are.
+    /// Its weight at the current status of its checks.
     pub weight: f64,
-    /// When the instance was last registered: of two instances of one endpoint the later counts.
+    /// The instance's [`modify_index`](Instance::modify_index): of several instances of one
+    /// endpoint, the one with the highest index is used.
     pub modify_index: u64,
 }
 
-/// An instance that identifies no endpoint: the field that [`KeySource`] names is missing.
+/// Error from mapping an instance whose endpoint cannot be identified: the field that [`KeySource`]
+/// names is missing or empty, or the instance has no valid IP address and port.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct UnidentifiedInstance {
     /// The service's id.
@@ -219,18 +221,22 @@
 
 impl fmt::Display for UnidentifiedInstance {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "instance {:?} identifies no endpoint", self.service_id)
+        write!(
+            f,
+            "instance {:?} does not identify an endpoint",
+            self.service_id
+        )
     }
 }
 
 impl std::error::Error for UnidentifiedInstance {}
 
 impl Mapping {
-    /// Maps an instance to what it says about its endpoint.
+    /// Derives an endpoint from an instance.
     ///
     /// # Errors
     ///
-    /// The instance identifies no endpoint.
+    /// The instance does not identify an endpoint.
     pub fn apply(&self, instance: &Instance) -> Result<MappedEndpoint, UnidentifiedInstance> {
         let status = instance.status();
         let consul_weight = if status == CheckStatus::Passing {
@@ -260,7 +266,7 @@
         })
     }
 
-    /// The most severe lifecycle that its checks, tags and metadata result in.
+    /// The most severe lifecycle that results from the instance's checks, tags and metadata.
     fn lifecycle(&self, instance: &Instance, status: CheckStatus) -> Lifecycle {
         let by_tags = self
             .tag_rules
@@ -274,7 +280,7 @@
             .map(|rule| rule.lifecycle);
         by_tags
             .chain(by_meta)
-            .fold(self.status_lifecycles.of(status), Lifecycle::max)
+            .fold(self.status_lifecycles.for_status(status), Lifecycle::max)
     }
 
     fn address(&self, instance: &Instance) -> Option<SocketAddr> {
@@ -300,7 +306,7 @@
     }
 }
 
-/// `None` for a host name, which is not looked up, and for port 0.
+/// Returns `None` for a host name, as names are not resolved, and for port 0.
 fn socket_address(address: &str, port: u16) -> Option<SocketAddr> {
     let address: IpAddr = address.parse().ok()?;
     (port > 0).then_some(SocketAddr::new(address, port))
@@ -310,7 +316,7 @@
     field?.value(instance)?.parse().ok()
 }
 
-/// A finite number that is not negative; any other value is ignored.
+/// Parses a finite number that is not negative; returns `None` for any other value.
 fn parse_number(field: Option<&FieldSource>, instance: &Instance) -> Option<f64> {
     parse_field(field, instance).filter(|number: &f64| number.is_finite() && *number >= 0.0)
 }
--- a/crates/consul/tests/mapping.rs
+++ b/crates/consul/tests/mapping.rs
@@ -1,4 +1,4 @@
-//! Instances in the JSON of Consul's published pages, and what the operators' mapping makes of them.
+//! Mapping of instances to endpoints, with JSON as in Consul's published pages.
 
 use consul::{
     Api, CheckStatus, FieldSource, Instance, KeySource, Lifecycle, MappedEndpoint, Mapping,
@@ -27,7 +27,8 @@
   "ServiceWeights": {"Passing": 2, "Warning": 1}, "Namespace": "default"}"#;
 
 fn health(status: &str) -> Instance {
-    Instance::parse(Api::Health, HEALTH.replace("STATUS", status).as_bytes()).expect("an instance")
+    Instance::parse(Api::Health, HEALTH.replace("STATUS", status).as_bytes())
+        .expect("parse the health API's instance")
 }
 
 fn mapping() -> Mapping {
@@ -42,21 +43,30 @@
 }
 
 fn map(instance: &Instance, mapping: &Mapping) -> MappedEndpoint {
-    mapping.apply(instance).expect("it identifies an endpoint")
+    mapping
+        .apply(instance)
+        .expect("the instance identifies an endpoint")
 }
 
 #[test]
 fn health_api_instance_is_mapped_with_every_attribute() {
-    let facts = map(&health("passing"), &mapping());
+    let endpoint = map(&health("passing"), &mapping());
     assert_eq!(
-        (facts.key.as_str(), facts.lifecycle, facts.modify_index),
+        (
+            endpoint.key.as_str(),
+            endpoint.lifecycle,
+            endpoint.modify_index
+        ),
         ("s-1", Lifecycle::Ready, 12)
     );
-    assert_eq!(facts.address, "10.1.10.13:8443".parse().ok());
-    assert_eq!(facts.zone.as_deref(), Some("b"));
-    assert_eq!(facts.machine_type.as_deref(), Some("m2"));
-    assert_eq!((facts.cell, facts.started_at_ms), (Some(3), Some(1.7e12)));
-    assert_eq!(facts.weight.to_bits(), 10_f64.to_bits());
+    assert_eq!(endpoint.address, "10.1.10.13:8443".parse().ok());
+    assert_eq!(endpoint.zone.as_deref(), Some("b"));
+    assert_eq!(endpoint.machine_type.as_deref(), Some("m2"));
+    assert_eq!(
+        (endpoint.cell, endpoint.started_at_ms),
+        (Some(3), Some(1.7e12))
+    );
+    assert_eq!(endpoint.weight.to_bits(), 10_f64.to_bits());
     assert_eq!(
         map(&health("warning"), &mapping()).weight.to_bits(),
         0_f64.to_bits()
@@ -74,23 +84,28 @@
         assert_eq!(
             parsed.to_bits(),
             weight.to_bits(),
-            "{field}: what is no number is ignored"
+            "weight from {field}: a value that is not a number is ignored"
         );
     }
 }
 
 #[test]
 fn catalog_api_instance_is_mapped_with_the_nodes_address() {
-    let instance = Instance::parse(Api::Catalog, CATALOG.as_bytes()).expect("an instance");
-    let facts = map(&instance, &mapping());
+    let instance = Instance::parse(Api::Catalog, CATALOG.as_bytes())
+        .expect("parse the catalog API's instance");
+    let endpoint = map(&instance, &mapping());
     assert_eq!(
-        (facts.key.as_str(), facts.lifecycle, facts.modify_index),
+        (
+            endpoint.key.as_str(),
+            endpoint.lifecycle,
+            endpoint.modify_index
+        ),
         ("s-1", Lifecycle::Ready, 52)
     );
     assert_eq!(
-        facts.address,
+        endpoint.address,
         "192.168.10.10:5000".parse().ok(),
-        "the node's, as the service has none"
+        "the node's address is used because the service has none"
     );
     assert_eq!(instance.node_meta["rack"], "r7");
 }
@@ -110,7 +125,7 @@
         assert_eq!(map(&health("passing"), &mapping).key, address);
     }
     let alternate_tagged_addresses = vec!["lan_ipv6".into(), "wan_ipv6".into(), "lan".into()];
-    let others = map(
+    let alternates = map(
         &health("passing"),
         &Mapping {
             alternate_tagged_addresses,
@@ -118,15 +133,15 @@
         },
     )
     .alternate_addresses;
-    let others: Vec<_> = others.iter().map(ToString::to_string).collect();
+    let alternates: Vec<_> = alternates.iter().map(ToString::to_string).collect();
     assert_eq!(
-        others,
+        alternates,
         ["[2001:db8::7]:8001", "10.1.10.14:8000"],
-        "those that the instance has"
+        "only the tagged addresses that the instance has"
     );
 }
 
-fn zone_drains(zone: &str) -> MetaRule {
+fn drain_zone_rule(zone: &str) -> MetaRule {
     MetaRule {
         key: "zone".into(),
         value: zone.into(),
@@ -146,7 +161,7 @@
         assert_eq!(
             map(&health(status), &mapping()).lifecycle,
             lifecycle,
-            "{status}"
+            "status {status} with the default mapping"
         );
     }
     let strict = StatusLifecycles {
@@ -168,7 +183,7 @@
         assert_eq!(
             map(&health(status), &strict).lifecycle,
             lifecycle,
-            "{status}"
+            "status {status} with the strict mapping"
         );
     }
     let by_tag = Mapping {
@@ -184,7 +199,7 @@
     );
     assert_eq!(map(&health("critical"), &by_tag).lifecycle, Lifecycle::Gone);
     let by_meta = Mapping {
-        meta_rules: vec![zone_drains("b")],
+        meta_rules: vec![drain_zone_rule("b")],
         ..mapping()
     };
     assert_eq!(
@@ -192,7 +207,7 @@
         Lifecycle::Draining
     );
     let other = Mapping {
-        meta_rules: vec![zone_drains("c")],
+        meta_rules: vec![drain_zone_rule("c")],
         ..mapping()
     };
     assert_eq!(map(&health("passing"), &other).lifecycle, Lifecycle::Ready);
@@ -204,8 +219,9 @@
         let text = HEALTH
             .replace("service:holds", id)
             .replace("STATUS", "critical");
-        let instance = Instance::parse(Api::Health, text.as_bytes()).expect("an instance");
-        assert_eq!(instance.status(), CheckStatus::Maintenance, "{id}");
+        let instance = Instance::parse(Api::Health, text.as_bytes())
+            .expect("parse an instance with a maintenance check");
+        assert_eq!(instance.status(), CheckStatus::Maintenance, "check {id}");
         assert_eq!(map(&instance, &mapping()).lifecycle, Lifecycle::Draining);
     }
 }
@@ -219,21 +235,22 @@
     assert_eq!(
         without_key
             .apply(&health("passing"))
-            .expect_err("no key")
+            .expect_err("the key field is missing")
             .service_id,
         "holds-1"
     );
     let with_host_name = HEALTH
         .replace("10.1.10.13", "holds.example")
         .replace("STATUS", "passing");
-    let instance = Instance::parse(Api::Health, with_host_name.as_bytes()).expect("an instance");
+    let instance = Instance::parse(Api::Health, with_host_name.as_bytes())
+        .expect("parse an instance with a host name");
     let by_address = Mapping {
         key: KeySource::Address,
         ..mapping()
     };
     assert!(
         by_address.apply(&instance).is_err(),
-        "names are not looked up"
+        "host names are not resolved"
     );
     assert_eq!(map(&instance, &mapping()).address, None);
 }
@@ -241,9 +258,12 @@
 #[test]
 fn field_source_is_parsed_in_the_documented_forms_only() {
     for valid in ["service-id", "node", "meta:a", "node-meta:a:b", "tag:x-"] {
-        assert!(valid.parse::<FieldSource>().is_ok(), "{valid}");
+        assert!(valid.parse::<FieldSource>().is_ok(), "{valid:?} is valid");
     }
     for invalid in ["", "meta", "meta:", "tags:x", "service", "node-meta:"] {
-        assert!(invalid.parse::<FieldSource>().is_err(), "{invalid}");
+        assert!(
+            invalid.parse::<FieldSource>().is_err(),
+            "{invalid:?} is invalid"
+        );
     }
 }
