--- a/crates/consul/src/json_stream/mod.rs
+++ b/crates/consul/src/json_stream/mod.rs
@@ -1,47 +1,47 @@
 //! Splits a JSON array into its elements while it arrives in pieces of any size.
 //!
-//! It holds at most one element, so that the size of a response bounds no memory.
+//! At most one element is buffered, so that memory use does not grow with the size of a response.
 
 use std::fmt;
 
-/// The largest element. An instance with a hundred checks of the largest output that Consul stores
-/// by default (4 KB each) would be larger; such an instance is no usable server.
+/// Maximum size of an element, in bytes. An instance with a hundred checks of the largest output
+/// that Consul stores by default (4 KB each) exceeds it, but is not expected of a usable server.
 pub const MAX_ELEMENT_BYTES: usize = 256 * 1024;
 
-/// Why a stream is not a JSON array.
+/// Error from splitting a stream that is not a valid JSON array.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum JsonStreamError {
-    /// It does not begin as an array, or its elements are not separated as an array's are.
+    /// The stream does not begin with a bracket, or its elements are not separated by single commas.
     NotAnArray,
     /// Bytes follow the end of the array.
     TrailingBytes,
     /// An element is larger than [`MAX_ELEMENT_BYTES`].
     ElementTooLarge,
-    /// It ended before the array did.
+    /// The stream ended before the array.
     Truncated,
 }
 
 impl fmt::Display for JsonStreamError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
-            Self::NotAnArray => "it is not a JSON array",
-            Self::TrailingBytes => "bytes follow the end of its array",
-            Self::ElementTooLarge => "an instance of it is too large",
-            Self::Truncated => "it is truncated",
+            Self::NotAnArray => "not a JSON array",
+            Self::TrailingBytes => "bytes after the end of the JSON array",
+            Self::ElementTooLarge => "array element too large",
+            Self::Truncated => "truncated JSON array",
         })
     }
 }
 
 impl std::error::Error for JsonStreamError {}
 
-/// Where in the array the next byte is.
+/// Position in the array of the next byte.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 enum Position {
     #[default]
     BeforeArray,
-    /// After the opening bracket: an element or the end.
+    /// After the opening bracket: an element or the closing bracket must follow.
     BeforeFirstElement,
-    /// After a comma: an element.
+    /// After a comma: an element must follow.
     BeforeNextElement,
     /// Within an element, outside of strings.
     InElement {
@@ -58,12 +58,12 @@
     AfterArray,
 }
 
-/// Splits an array into elements. The elements themselves are not validated: that they are JSON
-/// shows when they are parsed.
+/// Splits an array into elements. The elements themselves are not validated; whoever parses them
+/// must do so.
 #[derive(Debug, Default)]
 pub struct JsonArrayStream {
     position: Position,
-    /// The beginning of the current element, if it arrived with an earlier piece.
+    /// The beginning of the current element, if it arrived in an earlier piece.
     partial_element: Vec<u8>,
 }
 
@@ -78,21 +78,21 @@
         piece: &[u8],
         mut on_element: impl FnMut(&[u8]),
     ) -> Result<(), JsonStreamError> {
-        let mut element_start = 0; // Of the current element in this piece.
-        let mut i = 0;
-        while i < piece.len() {
-            let byte = piece[i];
+        let mut element_start = 0; // Start of the current element within this piece.
+        let mut offset = 0;
+        while offset < piece.len() {
+            let byte = piece[offset];
             match self.position {
                 Position::InString { depth } => {
                     // Most bytes are in strings: they are skipped in a loop of their own.
-                    let Some(stop) = piece[i..]
+                    let Some(skipped) = piece[offset..]
                         .iter()
                         .position(|byte| matches!(byte, b'"' | b'\\'))
                     else {
                         break;
                     };
-                    i += stop;
-                    self.position = if piece[i] == b'"' {
+                    offset += skipped;
+                    self.position = if piece[offset] == b'"' {
                         Position::InElement { depth }
                     } else {
                         Position::InEscape { depth }
@@ -100,14 +100,14 @@
                 }
                 Position::InEscape { depth } => self.position = Position::InString { depth },
                 Position::InElement { depth: 0 } if matches!(byte, b',' | b']') => {
-                    self.finish_element(&piece[element_start..i], &mut on_element)?;
+                    self.finish_element(&piece[element_start..offset], &mut on_element)?;
                     self.position = if byte == b',' {
                         Position::BeforeNextElement
                     } else {
                         Position::AfterArray
                     };
                 }
-                Position::InElement { depth } => self.position = within_element(depth, byte),
+                Position::InElement { depth } => self.position = position_after(depth, byte),
                 _ if matches!(byte, b' ' | b'\t' | b'\n' | b'\r') => {}
                 Position::BeforeArray if byte == b'[' => {
                     self.position = Position::BeforeFirstElement;
@@ -118,14 +118,14 @@
                 Position::BeforeFirstElement | Position::BeforeNextElement
                     if !matches!(byte, b',' | b']' | b'}') =>
                 {
-                    element_start = i;
+                    element_start = offset;
                     self.position = Position::InElement { depth: 0 };
-                    continue; // The byte itself may open a string or a bracket.
+                    continue; // Process the byte again: it may open a string or a nested value.
                 }
                 Position::AfterArray => return Err(JsonStreamError::TrailingBytes),
                 _ => return Err(JsonStreamError::NotAnArray),
             }
-            i += 1;
+            offset += 1;
         }
         if self.is_within_element() {
             self.append_partial(&piece[element_start..])?;
@@ -133,7 +133,7 @@
         Ok(())
     }
 
-    /// Checks that the array is complete, at the end of the stream.
+    /// Checks at the end of the stream that the array is complete.
     ///
     /// # Errors
     ///
@@ -161,7 +161,8 @@
         Ok(())
     }
 
-    /// Passes on an element whose last part is `part`, copied only if it arrived in several pieces.
+    /// Calls `on_element` with the element that ends with `part`. The element is copied only if it
+    /// arrived in several pieces.
     fn finish_element(
         &mut self,
         part: &[u8],
@@ -181,8 +182,8 @@
     }
 }
 
-/// The position after a byte within an element that does not end there.
-fn within_element(depth: u32, byte: u8) -> Position {
+/// The position after a byte of an element, at nesting depth `depth`, that does not end the element.
+fn position_after(depth: u32, byte: u8) -> Position {
     match byte {
         b'"' => Position::InString { depth },
         b'{' | b'[' => Position::InElement { depth: depth + 1 },
--- a/crates/consul/src/json_stream/tests.rs
+++ b/crates/consul/src/json_stream/tests.rs
@@ -14,7 +14,7 @@
 #[test]
 fn elements_are_the_same_wherever_the_stream_is_split() {
     let text = br#" [ {"a": "],}\"\\", "b": [1, {}]} , 7,"x, y" , [ ] ] "#;
-    let expected = elements_of(&[text]).expect("an array");
+    let expected = elements_of(&[text]).expect("split a valid JSON array");
     assert_eq!(
         expected,
         [r#"{"a": "],}\"\\", "b": [1, {}]}"#, "7", r#""x, y""#, "[ ]"]
@@ -29,7 +29,10 @@
             );
         }
     }
-    let end = text.iter().rposition(|byte| *byte == b']').expect("an end");
+    let end = text
+        .iter()
+        .rposition(|byte| *byte == b']')
+        .expect("the text has a closing bracket");
     for length in 0..=end {
         assert_eq!(
             elements_of(&[&text[..length]]),
@@ -41,7 +44,7 @@
 }
 
 #[test]
-fn stream_that_is_not_an_array_is_an_error() {
+fn stream_that_is_not_an_array_is_rejected() {
     for text in [
         "{}",
         "null",
--- a/crates/consul/src/query/mod.rs
+++ b/crates/consul/src/query/mod.rs
@@ -3,7 +3,7 @@
 use std::fmt::Write;
 
 const MS_PER_S: f64 = 1e3;
-/// The jitter that Consul adds to a wait, as a share of it.
+/// Maximum jitter that Consul adds to a wait, as a fraction of the wait.
 const MAX_JITTER: f64 = 1.0 / 16.0;
 
 /// The API endpoint that lists a service's instances.
@@ -18,11 +18,11 @@
 /// The consistency mode: how current a response must be.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Consistency {
-    /// From the leader, except for a moment after it changed.
+    /// From the leader, but possibly stale for a short time after a leader change.
     Default,
-    /// From any server, however outdated.
+    /// From any server, regardless of its staleness.
     Stale,
-    /// From a leader that has verified that it is one.
+    /// From a leader that has verified its leadership.
     Consistent,
     /// From the agent's cache.
     Cached,
@@ -68,8 +68,8 @@
         }
     }
 
-    /// Path and parameters of a request that is answered once something is newer than `index`; with 0
-    /// it is answered at once.
+    /// Path and parameters of a request that blocks until there is a change newer than `index`. With
+    /// index 0 it does not block.
     #[must_use]
     pub fn path(&self, index: u64) -> String {
         let api = match self.api {
@@ -103,15 +103,15 @@
         path
     }
 
-    /// The longest that Consul blocks while nothing changes, in milliseconds: it adds up to a
-    /// sixteenth of the wait as jitter, so that not all clients return at once.
+    /// Maximum time that Consul blocks while nothing changes, in milliseconds. Consul adds up to a
+    /// sixteenth of the wait as jitter, so that not all blocked clients return at the same time.
     #[must_use]
     pub fn max_wait_ms(&self) -> f64 {
         f64::from(self.wait_s) * MS_PER_S * (1.0 + MAX_JITTER)
     }
 }
 
-/// Percent-encodes all bytes but the unreserved ones of RFC 3986.
+/// Percent-encodes all bytes except the unreserved characters of RFC 3986.
 fn percent_encode(text: &str) -> String {
     let mut encoded = String::with_capacity(text.len());
     for byte in text.bytes() {
--- a/crates/consul/src/response_head/mod.rs
+++ b/crates/consul/src/response_head/mod.rs
@@ -1,18 +1,18 @@
-//! What the headers of a Consul response say about its version and age.
+//! Parsing of the headers that carry the version and age of a Consul response.
 
 const MS_PER_S: f64 = 1e3;
 
-/// The headers that say how current a response is. One that is missing or invalid is `None`.
+/// Version and age of a response. The field of a missing or invalid header is `None`.
 ///
-/// Source: Consul's API pages "Blocking Queries", "Consistency Modes" and "Agent Caching".
+/// Reference: Consul's API pages "Blocking Queries", "Consistency Modes" and "Agent Caching".
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct ResponseHead {
     /// `X-Consul-Index`.
     pub index: Option<u64>,
     /// `X-Consul-KnownLeader`.
     pub known_leader: Option<bool>,
-    /// `X-Consul-LastContact`, in milliseconds: when the responding server last heard from the
-    /// leader.
+    /// `X-Consul-LastContact`, in milliseconds: time since the responding server was last in contact
+    /// with the leader.
     pub last_contact_ms: Option<f64>,
     /// `Age`, in seconds, of a response from an agent's cache.
     pub age_s: Option<f64>,
@@ -21,7 +21,7 @@
 }
 
 impl ResponseHead {
-    /// Parses headers; their names may be in any case.
+    /// Parses headers; their names are case-insensitive.
     #[must_use]
     pub fn parse(headers: &[(&str, &str)]) -> Self {
         let mut head = Self::default();
@@ -40,7 +40,7 @@
     }
 
     /// Whether the response may be older than `max_age_ms`, or comes from a server without a
-    /// leader.
+    /// known leader.
     #[must_use]
     pub fn is_stale(&self, max_age_ms: f64) -> bool {
         let cached_for_ms = self.age_s.filter(|_| self.is_cached).unwrap_or(0.0) * MS_PER_S;
@@ -49,6 +49,7 @@
     }
 }
 
+/// Parses a finite duration that is not negative.
 fn parse_duration(text: &str) -> Option<f64> {
     text.parse()
         .ok()
--- a/crates/consul/src/response_head/tests.rs
+++ b/crates/consul/src/response_head/tests.rs
@@ -2,17 +2,17 @@
 
 #[test]
 fn response_without_leader_or_beyond_maximum_age_is_stale() {
-    let stale = |headers: &[(&str, &str)]| ResponseHead::parse(headers).is_stale(5_000.0);
-    assert!(!stale(&[]));
-    assert!(!stale(&[
+    let is_stale = |headers: &[(&str, &str)]| ResponseHead::parse(headers).is_stale(5_000.0);
+    assert!(!is_stale(&[]));
+    assert!(!is_stale(&[
         ("X-Consul-KnownLeader", "true"),
         ("X-Consul-LastContact", "5000")
     ]));
-    assert!(stale(&[("X-Consul-KnownLeader", "false")]));
-    assert!(stale(&[("x-consul-lastcontact", "5001")]));
-    assert!(stale(&[("X-Cache", "HIT"), ("Age", "6")]));
-    assert!(!stale(&[("X-Cache", "MISS"), ("Age", "6")]));
-    assert!(stale(&[
+    assert!(is_stale(&[("X-Consul-KnownLeader", "false")]));
+    assert!(is_stale(&[("x-consul-lastcontact", "5001")]));
+    assert!(is_stale(&[("X-Cache", "HIT"), ("Age", "6")]));
+    assert!(!is_stale(&[("X-Cache", "MISS"), ("Age", "6")]));
+    assert!(is_stale(&[
         ("X-Cache", "HIT"),
         ("Age", "3"),
         ("X-Consul-LastContact", "3000")
