--- a/crates/consul/src/watch/event.rs
+++ b/crates/consul/src/watch/event.rs
@@ -1,4 +1,4 @@
-//! What a watch is told, what it asks of its caller, and what it reports.
+//! Input events, actions, errors and reports of a watch.
 
 use std::fmt;
 use std::rc::Rc;
@@ -7,34 +7,35 @@
 use crate::mapping::MappedEndpoint;
 use crate::snapshot::TooManyInstances;
 
-/// What happens to a watch.
+/// An input event of a watch.
 #[derive(Debug)]
 pub enum Event<'a> {
-    /// The time that [`Action::SetTimer`] named has come; also the first event of a watch.
+    /// The timer of [`Action::SetTimer`] has expired. Also the first event of a watch, which starts
+    /// it.
     TimerExpired,
     /// The head of the response was received.
     Head {
-        /// Its status code.
+        /// The status code.
         status: u16,
-        /// Its headers: names, in any case, and values.
+        /// The headers: case-insensitive names, and values.
         headers: &'a [(&'a str, &'a str)],
     },
     /// A piece of the response's body was received.
     Body(&'a [u8]),
     /// The response is complete.
     End,
-    /// There is no connection, or it broke. The text says why, for the log.
+    /// The connection could not be established, or was lost, for this reason (logged).
     ConnectionFailed(String),
 }
 
-/// Why the body of a response cannot be used.
+/// Reason for which the body of a response is rejected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ResponseError {
-    /// It is not a complete JSON array.
+    /// The body is not a complete JSON array.
     Stream(JsonStreamError),
-    /// It has too many instances.
+    /// The body has too many instances.
     TooManyInstances(TooManyInstances),
-    /// It is larger than [`MAX_RESPONSE_BYTES`](crate::MAX_RESPONSE_BYTES).
+    /// The body is larger than [`MAX_RESPONSE_BYTES`](crate::MAX_RESPONSE_BYTES).
     TooLarge,
 }
 
@@ -43,7 +44,7 @@
         match self {
             Self::Stream(error) => write!(f, "{error}"),
             Self::TooManyInstances(error) => write!(f, "{error}"),
-            Self::TooLarge => f.write_str("it is too large"),
+            Self::TooLarge => f.write_str("response body too large"),
         }
     }
 }
@@ -58,10 +59,10 @@
     }
 }
 
-/// What is wrong with an agent or its response.
+/// An error in a query of an agent.
 #[derive(Clone, Debug, PartialEq)]
 pub enum PollError {
-    /// The agent cannot be queried, for this reason.
+    /// The connection to the agent failed, for this reason.
     Unreachable(String),
     /// The agent responded with this status code.
     Status(u16),
@@ -69,19 +70,19 @@
     Unauthorized,
     /// The agent did not respond in time.
     Timeout,
-    /// The response cannot be used.
+    /// The response was rejected as a whole.
     InvalidResponse(ResponseError),
-    /// Instances of the response cannot be parsed; the others count.
+    /// Some instances of the response could not be parsed; the others are used.
     MalformedInstances {
-        /// How many.
+        /// The number of these instances.
         count: usize,
-        /// The error of the first.
+        /// The error of the first one.
         first_error: String,
     },
-    /// So many instances identify no endpoint by the operators' mapping.
+    /// This number of instances do not identify an endpoint under the operators' mapping.
     UnidentifiedInstances(usize),
-    /// The index went back, did not change while the content did, or is missing: what the response
-    /// says takes effect only once confirmed.
+    /// The index decreased, did not change although the content did, or is missing. The response's
+    /// changes take effect only once confirmed.
     InvalidIndex,
 }
 
@@ -90,18 +91,18 @@
         match self {
             Self::Unreachable(reason) => write!(f, "unreachable: {reason}"),
             Self::Status(status) => write!(f, "responded with status {status}"),
-            Self::Unauthorized => f.write_str("rejected the token"),
+            Self::Unauthorized => f.write_str("rejected the token or requires one"),
             Self::Timeout => f.write_str("did not respond in time"),
             Self::InvalidResponse(error) => write!(f, "invalid response: {error}"),
             Self::MalformedInstances { count, first_error } => {
-                write!(f, "{first_error} ({count} of them)")
+                write!(f, "skipped {count} instances; first error: {first_error}")
             }
             Self::UnidentifiedInstances(count) => write!(
                 f,
-                "{count} instances identify no endpoint; see `id` in the operators' file"
+                "{count} instances do not identify an endpoint; check `id` in the operators' file"
             ),
             Self::InvalidIndex => f.write_str(
-                "the index went back or did not change with the content; changes are deferred until confirmed",
+                "the index is missing, decreased or did not change with the content; changes are deferred until confirmed",
             ),
         }
     }
@@ -116,45 +117,45 @@
     }
 }
 
-/// What a complete response says.
+/// The content of a complete response, as changes since the previous one.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ServiceUpdate {
-    /// Whether it is current.
+    /// Whether the response is not stale and all of its instances could be parsed.
     pub is_current: bool,
-    /// The version of everything in it.
+    /// The response's index: the version of everything in it.
     pub index: u64,
-    /// Increased when versions are not comparable with earlier ones.
+    /// Increased whenever indexes are not comparable with earlier ones.
     pub epoch: u64,
     /// New or changed endpoints.
     pub updated: Vec<Rc<MappedEndpoint>>,
-    /// Keys of endpoints that are no longer described.
+    /// Keys of endpoints that no instance describes any longer.
     pub removed: Vec<String>,
 }
 
-/// What the caller must do.
+/// An action that the caller must perform.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
-    /// Send a GET request to an agent, over a connection that may be kept. The caller adds the
+    /// Send a GET request to an agent, over a new or a kept-alive connection. The caller adds the
     /// token.
     SendQuery {
-        /// The agent, by its position.
+        /// The agent's position in the configured order.
         agent: usize,
-        /// Path and parameters.
+        /// The path and parameters.
         path: String,
     },
-    /// Abandon the query that is under way and close its connection.
+    /// Abort the query in flight and close its connection.
     CloseConnection,
-    /// A complete response was received. If nothing changed, it confirms what was reported before.
+    /// Process a complete response. One without changes confirms the earlier reports.
     Report(ServiceUpdate),
-    /// No agent responds.
+    /// Treat the source as unreachable: every agent has failed.
     ReportUnreachable,
-    /// Send [`Event::TimerExpired`] at this time. It replaces the time that was set before.
+    /// Send [`Event::TimerExpired`] at this time, in milliseconds. Replaces the previous timer.
     SetTimer(f64),
-    /// Log an error: one of this kind begins at an agent.
+    /// Log an error of a kind that has not recently occurred at this agent.
     LogError {
-        /// The agent, by its position.
+        /// The agent's position in the configured order.
         agent: usize,
-        /// What is wrong.
+        /// The error.
         error: PollError,
     },
 }
--- a/crates/consul/src/watch/failover.rs
+++ b/crates/consul/src/watch/failover.rs
@@ -1,33 +1,37 @@
-//! Which agent is queried, and how long to wait after failures.
+//! Selection of the agent to query, and backoff after failures.
 
-/// The delay after the first failure of all agents, before jitter.
+/// Delay after every agent has failed once, before jitter, in milliseconds.
 const MIN_BACKOFF_MS: f64 = 250.0;
-/// The longest delay after failures of all agents, before jitter.
+/// Maximum delay while every agent fails, before jitter, in milliseconds.
 const MAX_BACKOFF_MS: f64 = 30_000.0;
-/// The delay doubles no more often than this: it exceeds its maximum then.
+/// Maximum number of times that the delay doubles; it exceeds [`MAX_BACKOFF_MS`] before that.
 const MAX_DOUBLINGS: u32 = 10;
-/// The delay before the next agent is tried.
+/// Delay before the next agent is tried, while some have not failed yet, in milliseconds.
 const NEXT_AGENT_DELAY_MS: f64 = 20.0;
-/// Stale responses in a row after which another agent is queried.
+/// Number of consecutive stale responses after which another agent is queried.
 const MAX_STALE_RESPONSES: u32 = 3;
 
-/// What follows a failure.
+/// How to continue after a failure.
 pub(super) struct Retry {
+    /// Delay before the next query, in milliseconds.
     pub delay_ms: f64,
-    /// Whether every agent has failed, for the first time since the last response.
-    pub has_lost_all_agents: bool,
+    /// Whether to report that no agent responds: every agent has now failed, for the first time
+    /// since the last response.
+    pub should_report_unreachable: bool,
 }
 
-/// Queries the agents in turn, and stays with one that responds.
+/// Selects the agents in rotation, and stays with one that responds.
 #[derive(Debug)]
 pub(super) struct Failover {
     agent_count: usize,
     current_agent: usize,
-    /// Failures since the last response.
+    /// Number of failures since the last response.
     failures: u32,
-    is_lost: bool,
+    /// Whether every agent has failed since the last response.
+    all_agents_failed: bool,
+    /// Number of consecutive stale responses.
     stale_responses: u32,
-    /// For the jitter.
+    /// Source of the jitter.
     random: fastrand::Rng,
 }
 
@@ -37,7 +41,7 @@
             agent_count,
             current_agent: 0,
             failures: 0,
-            is_lost: false,
+            all_agents_failed: false,
             stale_responses: 0,
             random: fastrand::Rng::with_seed(seed),
         }
@@ -47,7 +51,7 @@
         self.current_agent
     }
 
-    /// Records a failure and moves on to the next agent.
+    /// Records a failure and selects the next agent.
     pub fn record_failure(&mut self) -> Retry {
         self.failures = self.failures.saturating_add(1);
         self.select_next_agent();
@@ -55,22 +59,22 @@
         if self.failures < agent_count {
             return Retry {
                 delay_ms: NEXT_AGENT_DELAY_MS,
-                has_lost_all_agents: false,
+                should_report_unreachable: false,
             };
         }
         let doublings = (self.failures - agent_count).min(MAX_DOUBLINGS);
         let backoff_ms = (MIN_BACKOFF_MS * 2_f64.powi(doublings as i32)).min(MAX_BACKOFF_MS);
         Retry {
             delay_ms: backoff_ms * (0.5 + 0.5 * self.random.f64()),
-            has_lost_all_agents: !std::mem::replace(&mut self.is_lost, true),
+            should_report_unreachable: !std::mem::replace(&mut self.all_agents_failed, true),
         }
     }
 
-    /// Records a response; returns whether another agent is queried next, because this one has been
-    /// stale several times in a row.
+    /// Records a response; returns whether the next agent was selected because this one has sent
+    /// [`MAX_STALE_RESPONSES`] consecutive stale responses.
     pub fn record_response(&mut self, is_stale: bool) -> bool {
         self.failures = 0;
-        self.is_lost = false;
+        self.all_agents_failed = false;
         self.stale_responses = if is_stale {
             self.stale_responses + 1
         } else {
--- a/crates/consul/src/watch/index.rs
+++ b/crates/consul/src/watch/index.rs
@@ -1,37 +1,39 @@
-//! Consul's index: what a blocking query waits on, and whether versions are comparable.
+//! Tracking of Consul's index, on which blocking queries wait and which versions the responses.
 
-/// Follows the index of successive responses.
+/// Tracks the index of successive responses.
 #[derive(Debug, Default)]
 pub(super) struct IndexTracker {
-    /// The index that the next query waits on; 0: it does not block.
+    /// The index on which the next query blocks; with 0 it does not block.
     pub blocking_index: u64,
     /// The index of the last response.
     last_index: u64,
-    /// Increased when versions are not comparable with earlier ones.
+    /// Increased whenever indexes are not comparable with earlier ones.
     pub epoch: u64,
+    /// Whether there has been a response.
     has_response: bool,
 }
 
 impl IndexTracker {
-    /// Records the index of a response; returns whether it is valid. By Consul's published rules an
-    /// index that goes back means that the next query starts at zero, and one that is not greater
-    /// than zero is no index.
+    /// Records the index of a response; returns whether it is valid. According to Consul's
+    /// documentation, a valid index is greater than zero, and the query that follows a decreased
+    /// index must start at zero again.
     pub fn record(&mut self, index: u64, has_changes: bool) -> bool {
-        let went_back = index < self.last_index;
-        let did_not_change = index == self.last_index && has_changes && self.has_response;
-        self.epoch += u64::from(went_back || did_not_change);
+        let has_decreased = index < self.last_index;
+        let is_unchanged_despite_changes =
+            index == self.last_index && has_changes && self.has_response;
+        self.epoch += u64::from(has_decreased || is_unchanged_despite_changes);
         self.last_index = index;
-        self.blocking_index = if went_back { 0 } else { index };
+        self.blocking_index = if has_decreased { 0 } else { index };
         self.has_response = true;
-        !(went_back || did_not_change || index == 0)
+        !(has_decreased || is_unchanged_despite_changes || index == 0)
     }
 
-    /// Lets the next query return everything at once.
+    /// Makes the next query return immediately, without blocking.
     pub fn reset_blocking(&mut self) {
         self.blocking_index = 0;
     }
 
-    /// Whether the last response had an index at all.
+    /// Whether the last response had an index.
     pub fn has_index(&self) -> bool {
         self.last_index > 0
     }
--- a/crates/consul/src/watch/mod.rs
+++ b/crates/consul/src/watch/mod.rs
@@ -1,8 +1,8 @@
-//! Follows one service: which agent is queried when, what a response counts for, and what to do
-//! when none comes.
+//! State machine that follows one service: it schedules the queries, selects the agents, processes
+//! the responses, and handles failures and timeouts.
 //!
-//! A [`Watch`] owns the snapshot of the last complete response. Invariants: at most one query is
-//! under way, a timer is always set, and a response counts completely or not at all.
+//! A [`Watch`] owns the snapshot of the last complete response. Invariants: at most one query is in
+//! flight, a timer is always set, and a response takes effect completely or not at all.
 
 mod error_log;
 mod event;
@@ -18,29 +18,31 @@
 use error_log::ErrorLog;
 use failover::Failover;
 use index::IndexTracker;
-use rate_limit::{Outcome, RateLimit};
+use rate_limit::{RateLimit, ResponseKind};
 
 pub use event::{Action, Event, PollError, ResponseError, ServiceUpdate};
 
-/// The largest response: 20,000 instances of 2 KB, the size of one with two checks. Only the
-/// instance that is being received is held in memory; the limit ends a response without an end.
+/// Maximum size of a response, in bytes: 20,000 instances of 2 KB, the size of one with two checks.
+/// Only the instance being received is buffered; the limit guards against a response that never
+/// ends.
 pub const MAX_RESPONSE_BYTES: usize = 40 * 1024 * 1024;
 
-/// What Consul's server and the network may take beyond the wait of a blocking query.
+/// Time that Consul's server and the network may take in addition to the wait of a blocking query, in
+/// milliseconds.
 const RESPONSE_GRACE_MS: f64 = 5_000.0;
-/// A body of which nothing is received for this long is abandoned: a local agent sends a response
-/// without pauses.
+/// Time without body data after which a response is abandoned, in milliseconds: a local agent sends a
+/// response without pauses.
 const STALL_TIMEOUT_MS: f64 = 5_000.0;
-/// How long receiving a whole body may take. A body that trickles in would otherwise keep the source
-/// live for ever.
-const MAX_RECEIVE_MS: f64 = 30_000.0;
-/// A response that takes no longer than this did not block.
-const IMMEDIATE_MS: f64 = 100.0;
+/// Maximum time for receiving a whole body, in milliseconds. Without it, a body that trickles in would
+/// keep the source live indefinitely.
+const RECEIVE_TIMEOUT_MS: f64 = 30_000.0;
+/// Maximum response time of a query that is considered not to have blocked, in milliseconds.
+const MAX_IMMEDIATE_RESPONSE_MS: f64 = 100.0;
 const STATUS_OK: u16 = 200;
 const STATUS_UNAUTHORIZED: u16 = 401;
 const STATUS_FORBIDDEN: u16 = 403;
 
-/// How a service is followed.
+/// Settings of a watch.
 #[derive(Clone, Debug, PartialEq)]
 pub struct WatchSettings {
     /// The query.
@@ -51,12 +53,12 @@
     pub agent_count: usize,
     /// The age beyond which a response is stale, in milliseconds.
     pub max_age_ms: f64,
-    /// The interval between responses in quick succession, in milliseconds.
+    /// The minimum interval between responses beyond a burst, in milliseconds.
     pub response_interval_ms: f64,
 }
 
 impl WatchSettings {
-    /// Settings with the default age and interval.
+    /// Settings with the default maximum age and response interval.
     #[must_use]
     pub fn new(query: Query, mapping: Mapping, agent_count: usize) -> Self {
         Self {
@@ -71,7 +73,7 @@
 
 #[derive(Debug)]
 enum Phase {
-    /// No query is under way; the timer starts the next one.
+    /// No query is in flight; the timer starts the next one.
     Idle,
     /// A query was sent; the response's head has not been received.
     AwaitingHead { sent_at_ms: f64 },
@@ -101,8 +103,8 @@
 }
 
 impl Watch {
-    /// A watch that begins with its first [`Event::TimerExpired`]. `seed` determines the jitter of
-    /// its delays.
+    /// Creates a watch, which sends its first query on its first [`Event::TimerExpired`]. `seed`
+    /// determines the jitter of its delays.
     #[must_use]
     pub fn new(settings: WatchSettings, seed: u64) -> Self {
         Self {
@@ -116,14 +118,14 @@
         }
     }
 
-    /// How many instances the last complete response had.
+    /// Number of distinct instances in the last complete response.
     #[must_use]
     pub fn instance_count(&self) -> usize {
         self.snapshot.instance_count()
     }
 
-    /// Handles one event that happened at `now_ms` and appends what must be done, in that order.
-    /// Events of a query that was abandoned are ignored.
+    /// Handles an event that occurred at `now_ms`, and appends the actions to perform, in their order.
+    /// Events of an abandoned query are ignored.
     pub fn handle(&mut self, now_ms: f64, event: Event<'_>, actions: &mut Vec<Action>) {
         match (&mut self.phase, event) {
             (Phase::Idle, Event::TimerExpired) => self.send_query(now_ms, actions),
@@ -186,25 +188,25 @@
         });
     }
 
-    /// Receives a piece of the body; returns by when the body must be complete.
+    /// Receives a piece of the body; returns the deadline for the whole body.
     fn receive(&mut self, piece: &[u8]) -> Result<f64, ResponseError> {
         let Phase::ReceivingBody(response) = &mut self.phase else {
             return Ok(f64::INFINITY);
         };
         response.received_bytes += piece.len();
         let (snapshot, settings) = (&mut self.snapshot, &self.settings);
-        let mut added = Ok(());
-        let pushed = response.stream.push(piece, |element| {
-            if added.is_ok() {
-                added = snapshot.add(settings.query.api, &settings.mapping, element);
+        let mut add_result = Ok(());
+        let push_result = response.stream.push(piece, |element| {
+            if add_result.is_ok() {
+                add_result = snapshot.add(settings.query.api, &settings.mapping, element);
             }
         });
-        pushed.map_err(ResponseError::Stream)?;
-        added.map_err(ResponseError::TooManyInstances)?;
+        push_result.map_err(ResponseError::Stream)?;
+        add_result.map_err(ResponseError::TooManyInstances)?;
         if response.received_bytes > MAX_RESPONSE_BYTES {
             return Err(ResponseError::TooLarge);
         }
-        Ok(response.head_at_ms + MAX_RECEIVE_MS)
+        Ok(response.head_at_ms + RECEIVE_TIMEOUT_MS)
     }
 
     fn end_response(&mut self, now_ms: f64, actions: &mut Vec<Action>) {
@@ -216,8 +218,8 @@
             return self.fail(now_ms, error, actions);
         }
         self.log_instance_errors(now_ms, actions);
-        // An instance that could not be parsed may be a ready endpoint: the response must not
-        // remove any.
+        // A malformed instance may be a ready endpoint, so the response must not count as current:
+        // otherwise it would remove that endpoint.
         let is_complete = self.snapshot.malformed().is_none();
         let is_stale = response.head.is_stale(self.settings.max_age_ms);
         let change = self.snapshot.commit();
@@ -235,13 +237,13 @@
             removed,
         }));
         if self.failover.record_response(is_stale) {
-            // The other agent may have nothing newer: a blocking query would leave the source stale
-            // for the whole wait.
+            // The next agent may have no newer data, and a blocking query would then leave the source
+            // stale for the whole wait.
             self.index.reset_blocking();
         }
-        let is_immediate = now_ms - response.sent_at_ms <= IMMEDIATE_MS;
-        let outcome = self.outcome(is_stale || (!has_changes && is_immediate));
-        let delay_ms = self.rate_limit.delay_ms(now_ms, outcome);
+        let is_immediate = now_ms - response.sent_at_ms <= MAX_IMMEDIATE_RESPONSE_MS;
+        let response_kind = self.response_kind(is_stale || (!has_changes && is_immediate));
+        let delay_ms = self.rate_limit.delay_ms(now_ms, response_kind);
         actions.push(Action::SetTimer(now_ms + delay_ms));
     }
 
@@ -253,22 +255,22 @@
             };
             self.log_error(now_ms, error, actions);
         }
-        let unidentified = self.snapshot.unidentified();
-        if unidentified > 0 {
-            let error = PollError::UnidentifiedInstances(unidentified);
+        let unidentified_count = self.snapshot.unidentified_count();
+        if unidentified_count > 0 {
+            let error = PollError::UnidentifiedInstances(unidentified_count);
             self.log_error(now_ms, error, actions);
         }
     }
 
-    fn outcome(&self, is_idle: bool) -> Outcome {
-        if is_idle {
-            Outcome::Idle
+    fn response_kind(&self, is_without_progress: bool) -> ResponseKind {
+        if is_without_progress {
+            ResponseKind::NoProgress
         } else if self.index.blocking_index > 0 {
-            Outcome::Blocking
+            ResponseKind::Blocking
         } else if self.index.has_index() {
-            Outcome::IndexReset
+            ResponseKind::IndexReset
         } else {
-            Outcome::NoIndex
+            ResponseKind::NoIndex
         }
     }
 
@@ -276,15 +278,16 @@
         self.phase = Phase::Idle;
         self.log_error(now_ms, error, actions);
         let retry = self.failover.record_failure();
-        // Another agent's index may count differently: it is queried for everything.
+        // The next agent's index may not be comparable with this one's, so the next query must not
+        // block.
         self.index.reset_blocking();
-        if retry.has_lost_all_agents {
+        if retry.should_report_unreachable {
             actions.push(Action::ReportUnreachable);
         }
         actions.push(Action::SetTimer(now_ms + retry.delay_ms));
     }
 
-    /// Logs an error of the current agent, unless it continues.
+    /// Logs an error of the current agent, unless one of the same kind has recently occurred there.
     fn log_error(&mut self, now_ms: f64, error: PollError, actions: &mut Vec<Action>) {
         let agent = self.failover.current_agent();
         if self.error_log.record(now_ms, agent, &error) {
@@ -293,7 +296,7 @@
     }
 }
 
-/// The error of a response with this status code, if any.
+/// The error that a status code stands for; `None` for success.
 fn status_error(status: u16) -> Option<PollError> {
     match status {
         STATUS_OK => None,
--- a/crates/consul/tests/robustness.rs
+++ b/crates/consul/tests/robustness.rs
@@ -1,4 +1,4 @@
-//! Nothing that an agent sends causes a panic, and an invalid response reports nothing.
+//! Arbitrary data from an agent causes no panic, and an invalid response is not reported as current.
 
 use consul::{Action, Api, Event, Instance, Mapping, Query, Watch, WatchSettings};
 use proptest::prelude::*;
@@ -18,7 +18,7 @@
     #![proptest_config(ProptestConfig { cases: 2_000, failure_persistence: None, ..ProptestConfig::default() })]
 
     #[test]
-    fn body_of_arbitrary_bytes_is_reported_only_if_it_is_a_list(
+    fn arbitrary_body_is_reported_only_if_it_is_a_json_array(
         pieces in proptest::collection::vec(proptest::collection::vec(any::<u8>(), 0..60), 0..8),
         index in ".{0,20}",
         age in ".{0,8}",
@@ -31,17 +31,17 @@
         }
         watch.handle(1.0, Event::End, &mut actions);
         let body: Vec<u8> = pieces.concat();
-        let is_list = serde_json::from_slice::<Vec<serde::de::IgnoredAny>>(&body).is_ok();
+        let is_json_array = serde_json::from_slice::<Vec<serde::de::IgnoredAny>>(&body).is_ok();
         let is_reported = actions.iter().any(|action| matches!(action, Action::Report(report) if report.is_current));
-        prop_assert!(is_list || !is_reported, "reported from {body:?}");
+        prop_assert!(is_json_array || !is_reported, "reported although it is not a JSON array: {body:?}");
     }
 
-    /// It is reported, rejected, or reported as not current.
+    /// A corrupted response is reported, rejected, or reported as not current.
     #[test]
     fn corrupted_response_is_reported_only_if_it_is_json(changes in proptest::collection::vec((0..VALID.len(), any::<u8>()), 1..4)) {
         let mut bytes = VALID.as_bytes().to_vec();
-        for (at, byte) in changes {
-            bytes[at] = byte;
+        for (position, byte) in changes {
+            bytes[position] = byte;
         }
         let (mut watch, mut actions) = (watch(), Vec::new());
         watch.handle(1.0, Event::Head { status: 200, headers: &[("X-Consul-Index", "5")] }, &mut actions);
@@ -59,7 +59,7 @@
 
     #[test]
     fn events_in_any_order_send_one_query_at_a_time(events in proptest::collection::vec(0..6_u8, 1..60)) {
-        let (mut watch, mut now_ms, mut is_under_way) = (watch(), 0.0, true);
+        let (mut watch, mut now_ms, mut is_in_flight) = (watch(), 0.0, true);
         for event in events {
             let mut actions = Vec::new();
             now_ms += 50.0;
@@ -71,21 +71,21 @@
                 4 => Event::End,
                 _ => Event::ConnectionFailed("reset".into()),
             };
-            let ends = matches!(event, Event::End | Event::ConnectionFailed(_) | Event::Head { status: 500, .. });
+            let ends_query = matches!(event, Event::End | Event::ConnectionFailed(_) | Event::Head { status: 500, .. });
             watch.handle(now_ms, event, &mut actions);
             for action in &actions {
                 match action {
                     Action::SendQuery { .. } => {
-                        prop_assert!(!is_under_way, "a query is under way");
-                        is_under_way = true;
+                        prop_assert!(!is_in_flight, "a second query was sent while one is in flight");
+                        is_in_flight = true;
                     }
-                    Action::CloseConnection | Action::Report(_) | Action::ReportUnreachable => is_under_way = false,
+                    Action::CloseConnection | Action::Report(_) | Action::ReportUnreachable => is_in_flight = false,
                     Action::SetTimer(at_ms) => prop_assert!(*at_ms >= now_ms),
                     Action::LogError { .. } => {}
                 }
             }
-            if ends && !actions.is_empty() {
-                is_under_way = false;
+            if ends_query && !actions.is_empty() {
+                is_in_flight = false;
             }
         }
     }
--- a/crates/consul/tests/watch.rs
+++ b/crates/consul/tests/watch.rs
@@ -1,4 +1,4 @@
-//! A watch whose agents lag, are wrong, restart or disappear, in virtual time.
+//! A watch in virtual time, with agents that lag, send wrong data, restart or disappear.
 
 use consul::{
     Action, Event, Lifecycle, Mapping, PollError, Query, ServiceUpdate, Watch, WatchSettings,
@@ -16,7 +16,7 @@
     format!("[{}]", instances.join(","))
 }
 
-/// A watch with the time and the actions of its last events.
+/// A watch with its current time and the actions of its last events.
 struct WatchHarness {
     watch: Watch,
     now_ms: f64,
@@ -24,8 +24,8 @@
 }
 
 impl WatchHarness {
-    fn new(agents: usize) -> Self {
-        let settings = WatchSettings::new(Query::health("holds"), Mapping::default(), agents);
+    fn new(agent_count: usize) -> Self {
+        let settings = WatchSettings::new(Query::health("holds"), Mapping::default(), agent_count);
         let mut harness = Self {
             watch: Watch::new(settings, 1),
             now_ms: 0.0,
@@ -40,21 +40,21 @@
         self.watch.handle(self.now_ms, event, &mut self.actions);
     }
 
-    /// Advances to the timer.
+    /// Advances the time to the timer, and expires it.
     fn expire_timer(&mut self) {
         self.now_ms = self.timer_ms();
         self.handle(Event::TimerExpired);
     }
 
     fn timer_ms(&self) -> f64 {
-        let at = self.actions.iter().rev().find_map(|action| match action {
-            Action::SetTimer(at) => Some(*at),
+        let at_ms = self.actions.iter().rev().find_map(|action| match action {
+            Action::SetTimer(at_ms) => Some(*at_ms),
             _ => None,
         });
-        at.expect("a timer is always set")
+        at_ms.expect("every step sets a timer")
     }
 
-    /// The query that was sent: agent and path.
+    /// The agent and path of the query that was sent.
     fn sent_query(&self) -> (usize, String) {
         let query = self.actions.iter().find_map(|action| match action {
             Action::SendQuery { agent, path } => Some((*agent, path.clone())),
@@ -63,7 +63,7 @@
         query.unwrap_or_else(|| panic!("no query sent: {:?}", self.actions))
     }
 
-    /// What was reported.
+    /// The update that was reported.
     fn report(&self) -> &ServiceUpdate {
         let report = self.actions.iter().find_map(|action| match action {
             Action::Report(report) => Some(report),
@@ -72,7 +72,7 @@
         report.unwrap_or_else(|| panic!("nothing reported: {:?}", self.actions))
     }
 
-    /// Receives a complete response; `actions` has what followed.
+    /// Receives a complete response; `actions` then holds the resulting actions.
     fn respond(&mut self, index: u64, body: &str) {
         self.respond_with_headers(
             &[
@@ -108,13 +108,13 @@
         errors
     }
 
-    fn has_lost_all_agents(&self) -> bool {
+    fn reports_unreachable(&self) -> bool {
         self.actions.contains(&Action::ReportUnreachable)
     }
 }
 
 #[test]
-fn each_query_blocks_on_the_index_of_the_response_before() {
+fn query_blocks_on_the_index_of_the_previous_response() {
     let mut harness = WatchHarness::new(1);
     assert_eq!(harness.sent_query(), (0, "/v1/health/service/holds".into()));
     harness.respond(
@@ -181,7 +181,7 @@
 }
 
 #[test]
-fn index_that_goes_back_begins_a_new_epoch_without_blocking() {
+fn decreased_index_begins_a_new_epoch_without_blocking() {
     let mut harness = WatchHarness::new(1);
     harness.respond(41, &list(&[instance("a", "critical")]));
     harness.expire_timer();
@@ -197,20 +197,20 @@
 }
 
 #[test]
-fn change_without_a_new_index_begins_a_new_epoch() {
+fn change_with_an_unchanged_index_begins_a_new_epoch() {
     let mut harness = WatchHarness::new(1);
-    for turn in 0..4 {
+    for round in 0..4 {
         harness.respond(
             41,
-            &list(&[instance("a", ["passing", "critical"][turn % 2])]),
+            &list(&[instance("a", ["passing", "critical"][round % 2])]),
         );
-        assert_eq!(harness.report().epoch, turn as u64);
+        assert_eq!(harness.report().epoch, round as u64);
         harness.expire_timer();
     }
 }
 
 #[test]
-fn index_that_jumps_ahead_and_back_begins_a_new_epoch() {
+fn index_that_jumps_up_and_decreases_begins_a_new_epoch() {
     let mut harness = WatchHarness::new(1);
     harness.respond(41, &list(&[]));
     harness.expire_timer();
@@ -224,13 +224,13 @@
     assert_eq!(
         (harness.report().epoch, harness.report().removed.len()),
         (1, 1),
-        "a new epoch, and reported"
+        "epoch and number of removed endpoints"
     );
 }
 
-/// Guards against a loop of queries that are answered at once.
+/// Guards against a busy loop of queries to an agent that responds immediately.
 #[test]
-fn agent_that_does_not_block_is_queried_less_and_less_often() {
+fn agent_that_does_not_block_is_queried_less_often() {
     for index in ["41", "0", "none", "-3"] {
         let mut harness = WatchHarness::new(1);
         let mut queries = 0;
@@ -249,9 +249,9 @@
     }
 }
 
-/// Guards against a loop of queries whose responses change each time.
+/// Guards against a busy loop of queries whose responses change each time.
 #[test]
-fn incessant_changes_are_rate_limited() {
+fn constant_changes_are_rate_limited() {
     let mut harness = WatchHarness::new(1);
     let (mut queries, mut index) = (0, 1);
     while harness.now_ms < 10_000.0 {
@@ -267,28 +267,28 @@
 }
 
 #[test]
-fn burst_of_changes_after_a_while_is_not_delayed() {
+fn burst_of_changes_after_a_pause_is_not_delayed() {
     let mut harness = WatchHarness::new(1);
     harness.respond(1, "[]");
     harness.expire_timer();
     harness.now_ms += 10_000.0;
-    let start = harness.now_ms;
+    let started_at_ms = harness.now_ms;
     for index in 2..6 {
         harness.respond(index, &list(&[instance(&format!("a{index}"), "passing")]));
         harness.expire_timer();
     }
-    assert!(harness.now_ms - start < 1.0);
+    assert!(harness.now_ms - started_at_ms < 1.0);
 }
 
 #[test]
-fn agent_that_is_stale_several_times_is_replaced_by_the_next() {
+fn agent_that_is_stale_repeatedly_is_replaced_by_the_next() {
     for header in [
         ("X-Consul-KnownLeader", "false"),
         ("X-Consul-LastContact", "60000"),
     ] {
         let mut harness = WatchHarness::new(2);
-        for turn in 0..3 {
-            assert_eq!(harness.sent_query().0, 0, "turn {turn}");
+        for round in 0..3 {
+            assert_eq!(harness.sent_query().0, 0, "round {round}");
             harness.respond_with_headers(
                 &[("X-Consul-Index", "41"), header],
                 &list(&[instance("a", "passing")]),
@@ -296,37 +296,41 @@
             assert!(!harness.report().is_current);
             harness.expire_timer();
         }
-        // Its data may be no newer: a blocking query would leave the source stale for the whole wait.
+        // The next agent may have no newer data, and a blocking query would then leave the source
+        // stale for the whole wait.
         assert_eq!(harness.sent_query(), (1, "/v1/health/service/holds".into()));
     }
 }
 
 #[test]
-fn failing_agents_are_queried_in_turn_and_then_with_backoff() {
+fn failing_agents_are_queried_in_rotation_and_with_backoff() {
     let mut harness = WatchHarness::new(3);
     harness.respond(41, &list(&[instance("a", "passing")]));
     harness.expire_timer();
-    let mut lost = 0;
+    let mut unreachable_reports = 0;
     for agent in [0, 1, 2] {
         assert_eq!(harness.sent_query().0, agent);
         harness.handle(Event::ConnectionFailed("refused".into()));
         assert_eq!(
-            harness.has_lost_all_agents(),
+            harness.reports_unreachable(),
             agent == 2,
-            "lost once every agent has failed"
+            "the source is unreachable only once every agent has failed"
         );
-        lost += usize::from(harness.has_lost_all_agents());
+        unreachable_reports += usize::from(harness.reports_unreachable());
         harness.expire_timer();
     }
     assert!(harness.now_ms < 1_000.0);
     let mut waits = Vec::new();
     for _ in 0..40 {
         harness.handle(Event::ConnectionFailed("refused".into()));
-        lost += usize::from(harness.has_lost_all_agents());
+        unreachable_reports += usize::from(harness.reports_unreachable());
         waits.push(harness.timer_ms() - harness.now_ms);
         harness.expire_timer();
     }
-    assert_eq!(lost, 1, "reported once");
+    assert_eq!(
+        unreachable_reports, 1,
+        "number of reports that the source is unreachable"
+    );
     assert!(
         waits.iter().all(|wait| (125.0..=30_000.0).contains(wait)),
         "{waits:?}"
@@ -337,17 +341,18 @@
     );
     let distinct: std::collections::HashSet<_> =
         waits[30..].iter().map(|wait| *wait as u64).collect();
-    assert!(distinct.len() > 5, "with jitter");
-    // One that responds again is queried for everything, and its response is reported.
+    assert!(distinct.len() > 5, "the delays have jitter: {distinct:?}");
+    // The first response after the failures is reported, and the next query blocks again.
     harness.respond(41, &list(&[instance("a", "passing")]));
     assert!(harness.report().is_current);
     harness.expire_timer();
     assert!(harness.sent_query().1.contains("index=41"));
 }
 
-/// Failing for an hour is logged once per agent, and once more if it fails again after a while.
+/// An error that continues for an hour is logged once per agent, and once more if it occurs again
+/// after a pause.
 #[test]
-fn error_is_logged_when_it_begins_and_not_while_it_continues() {
+fn error_that_continues_is_logged_only_when_it_begins() {
     let mut harness = WatchHarness::new(2);
     let mut logged = 0;
     while harness.now_ms < 3_600_000.0 {
@@ -363,7 +368,7 @@
     assert_eq!(
         harness.errors(),
         [&PollError::Unauthorized],
-        "an error of another kind"
+        "an error of another kind is logged"
     );
     harness.expire_timer();
     for _ in 0..2 {
@@ -375,26 +380,29 @@
     assert_eq!(harness.errors().len(), 1);
 }
 
-/// Guards against a log line for each of ten responses a second.
+/// Guards against one log line per response, at ten responses per second.
 #[test]
 fn index_that_is_always_invalid_is_logged_once() {
     for (first, second) in [(41, 7), (41, 41), (0, 0)] {
         let (mut harness, mut logged) = (WatchHarness::new(1), 0);
-        for turn in 0..100 {
-            let index = if turn % 2 == 0 { first } else { second };
+        for round in 0..100 {
+            let index = if round % 2 == 0 { first } else { second };
             harness.respond(
                 index,
-                &list(&[instance("a", ["passing", "critical"][turn % 2])]),
+                &list(&[instance("a", ["passing", "critical"][round % 2])]),
             );
             logged += harness.errors().len();
             harness.expire_timer();
         }
-        assert_eq!(logged, 1, "{first}, {second}");
+        assert_eq!(
+            logged, 1,
+            "log lines for the alternating indexes {first} and {second}"
+        );
     }
 }
 
 #[test]
-fn error_status_discards_nothing_that_is_known() {
+fn error_status_discards_no_known_instance() {
     for status in [429, 403, 500, 503, 302, 204] {
         let mut harness = WatchHarness::new(1);
         harness.respond(41, &list(&[instance("a", "passing")]));
@@ -404,7 +412,7 @@
             headers: &[("X-Consul-Index", "50")],
         });
         assert!(
-            harness.actions.contains(&Action::CloseConnection) && harness.has_lost_all_agents()
+            harness.actions.contains(&Action::CloseConnection) && harness.reports_unreachable()
         );
         harness.handle(Event::Body(b"[]"));
         harness.handle(Event::End);
@@ -419,8 +427,8 @@
 #[test]
 fn response_truncated_anywhere_changes_nothing() {
     let body = list(&[instance("a", "critical"), instance("b", "passing")]);
-    for at in 0..body.len() {
-        for in_order in [true, false] {
+    for length in 0..body.len() {
+        for ends_normally in [true, false] {
             let mut harness = WatchHarness::new(1);
             harness.respond(
                 41,
@@ -431,13 +439,13 @@
                 status: 200,
                 headers: &[("X-Consul-Index", "50")],
             });
-            harness.handle(Event::Body(&body.as_bytes()[..at]));
-            harness.handle(if in_order {
+            harness.handle(Event::Body(&body.as_bytes()[..length]));
+            harness.handle(if ends_normally {
                 Event::End
             } else {
                 Event::ConnectionFailed("reset".into())
             });
-            assert!(harness.has_lost_all_agents(), "truncated at {at}");
+            assert!(harness.reports_unreachable(), "truncated to {length} bytes");
             assert!(!harness
                 .actions
                 .iter()
@@ -456,7 +464,7 @@
 }
 
 #[test]
-fn response_that_never_comes_or_stalls_is_abandoned() {
+fn response_that_is_missing_or_stalls_is_abandoned() {
     let mut harness = WatchHarness::new(2);
     harness.respond(41, "[]");
     harness.expire_timer();
@@ -470,21 +478,21 @@
         status: 200,
         headers: &[],
     });
-    let begun = harness.now_ms;
+    let head_at_ms = harness.now_ms;
     harness.handle(Event::Body(b"["));
     harness.expire_timer();
     assert_eq!(
         (
-            harness.now_ms - begun,
+            harness.now_ms - head_at_ms,
             harness.actions.contains(&Action::CloseConnection)
         ),
         (5_000.0, true)
     );
 }
 
-/// Guards against a source that stays live while a response trickles in for ever.
+/// Guards against a source that stays live while a response trickles in indefinitely.
 #[test]
-fn response_that_trickles_is_abandoned() {
+fn response_that_trickles_in_is_abandoned() {
     let mut harness = WatchHarness::new(1);
     harness.handle(Event::Head {
         status: 200,
@@ -492,18 +500,18 @@
     });
     let mut pieces = 0;
     loop {
-        let woken = harness.timer_ms();
+        let timer_ms = harness.timer_ms();
         harness.now_ms += 4_000.0;
-        if woken <= harness.now_ms {
-            harness.now_ms = woken;
+        if timer_ms <= harness.now_ms {
+            harness.now_ms = timer_ms;
             harness.handle(Event::TimerExpired);
             break;
         }
         harness.handle(Event::Body(b" "));
         pieces += 1;
-        assert!(pieces < 20, "it is never abandoned");
+        assert!(pieces < 20, "not abandoned after {pieces} pieces");
     }
-    assert!(harness.has_lost_all_agents() && harness.actions.contains(&Action::CloseConnection));
+    assert!(harness.reports_unreachable() && harness.actions.contains(&Action::CloseConnection));
 }
 
 #[test]
@@ -514,12 +522,15 @@
         headers: &[("X-Consul-Index", "1")],
     });
     harness.handle(Event::Body(b"["));
-    let mut fed = 0;
+    let mut sent_bytes = 0;
     let piece = format!("{},", instance("a", "passing")).repeat(100);
-    while !harness.has_lost_all_agents() {
+    while !harness.reports_unreachable() {
         harness.handle(Event::Body(piece.as_bytes()));
-        fed += piece.len();
-        assert!(fed < 50_000_000, "it is never abandoned");
+        sent_bytes += piece.len();
+        assert!(
+            sent_bytes < 50_000_000,
+            "not abandoned after {sent_bytes} bytes"
+        );
     }
     assert_eq!(harness.watch.instance_count(), 0);
 }
@@ -529,7 +540,7 @@
     for body in ["", "null", "{}", "\"[]\"", "[1,", "<html>", "[] trailing"] {
         let mut harness = WatchHarness::new(1);
         harness.respond(41, body);
-        assert!(harness.has_lost_all_agents(), "{body}");
+        assert!(harness.reports_unreachable(), "body {body:?} is rejected");
     }
     let malformed_instances = [
         "7",
@@ -552,7 +563,7 @@
         let report = harness.report();
         assert!(
             !report.is_current,
-            "the malformed one may be an endpoint: {malformed}"
+            "a response with the malformed instance {malformed} is not current"
         );
         assert_eq!(
             (report.updated.len(), report.updated[0].key.as_str()),
@@ -644,11 +655,11 @@
         .collect();
     harness.respond(1, &list(&all));
     assert_eq!(harness.report().updated.len(), 5_000);
-    for turn in 0..20 {
+    for round in 0..20 {
         harness.expire_timer();
         harness.now_ms += 1_000.0;
-        all[turn * 7] = instance(&format!("s-{}", turn * 7), "critical");
-        harness.respond(turn as u64 + 2, &list(&all));
+        all[round * 7] = instance(&format!("s-{}", round * 7), "critical");
+        harness.respond(round as u64 + 2, &list(&all));
         assert_eq!(
             (
                 harness.report().updated.len(),
@@ -656,6 +667,6 @@
             ),
             (1, 0)
         );
-        assert_eq!(harness.report().updated[0].key, format!("s-{}", turn * 7));
+        assert_eq!(harness.report().updated[0].key, format!("s-{}", round * 7));
     }
 }
