--- a/crates/endpoint-discovery/src/endpoint.rs
+++ b/crates/endpoint-discovery/src/endpoint.rs
@@ -1,19 +1,20 @@
-//! An endpoint: one server, as the sources describe it.
+//! An endpoint: one server with the attributes that the sources report.
 
 use std::net::SocketAddr;
 
-/// The most endpoints that one source may assert: four times the largest list that the tests use,
-/// and about 20 MB. Further endpoints are ignored.
+/// Maximum number of endpoints per source: four times the largest list that the tests use, and about
+/// 20 MB. Further endpoints are ignored.
 pub const MAX_ENDPOINTS: usize = 20_000;
 
 /// Whether an endpoint accepts requests.
 ///
-/// The order is that of severity: of two assertions with one version the greater lifecycle holds.
+/// In ascending order of severity: of two assertions with the same version, the more severe one
+/// takes precedence.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Lifecycle {
     /// It accepts requests.
     Ready,
-    /// It finishes the requests that it has and gets no new ones.
+    /// It finishes its current requests and gets no new ones.
     Draining,
     /// It was removed, or its health checks fail.
     Gone,
@@ -24,9 +25,9 @@
 pub struct Endpoint {
     /// The server's id, the same on every node.
     pub id: String,
-    /// Its main address; `None` where no source knows one.
+    /// Its main address; `None` if unknown.
     pub address: Option<SocketAddr>,
-    /// Further addresses at which this node reaches it.
+    /// Additional addresses at which this node can reach it.
     pub alternate_addresses: Vec<SocketAddr>,
     /// Whether it accepts requests.
     pub lifecycle: Lifecycle,
@@ -43,7 +44,7 @@
 }
 
 impl Endpoint {
-    /// A ready endpoint of which nothing but the id is known.
+    /// Creates a ready endpoint with an id, a weight of 1 and no other known attribute.
     #[must_use]
     pub fn new(id: impl Into<String>) -> Self {
         Self {
@@ -59,8 +60,8 @@
         }
     }
 
-    /// Fills the attributes that are unknown here from another source's description, and keeps the
-    /// later of both start times.
+    /// Fills unknown attributes from another source's description, and keeps the later of the two
+    /// start times.
     pub(crate) fn fill_missing_from(&mut self, other: &Self) {
         self.address = self.address.or(other.address);
         if self.alternate_addresses.is_empty() {
--- a/crates/endpoint-discovery/src/lib.rs
+++ b/crates/endpoint-discovery/src/lib.rs
@@ -1,12 +1,13 @@
-//! One view of the endpoints, merged from several sources that may lag, be wrong or disappear.
+//! Merges the endpoints that several sources report into one view. The sources may lag, be wrong or
+//! disappear.
 //!
-//! [`EndpointView`] has no socket, clock or thread: it handles [`Event`]s with their time and
-//! appends [`Action`]s. What a source last reported about an endpoint is its *latest* assertion;
-//! the one that counts is its *effective* assertion. The rules that lead from one to the other
-//! (`source`) protect against a source that is wrong; a table ([`merge`]) makes one outcome of the
-//! effective assertions of all sources.
+//! [`EndpointView`] performs no I/O and reads no clock: it handles [`Event`]s with their time and
+//! appends [`Action`]s. The last assertion of a source about an endpoint is its *latest* one; the
+//! one that the view uses is its *effective* one. The `source` module decides when the latest
+//! assertion becomes effective, which protects against faulty sources; [`merge`] combines the
+//! effective assertions of all sources into one outcome.
 //!
-//! Times are milliseconds of Unix time, as the start times of servers are.
+//! Times are milliseconds of Unix time, like the start times of servers.
 //!
 //! ```
 //! use endpoint_discovery::{
@@ -38,7 +39,7 @@
 //!     Action::Publish(endpoints) if endpoints[0].lifecycle == Lifecycle::Ready
 //! ));
 //!
-//! // Consul alone knows that it drains: that takes effect at once.
+//! // A drain takes effect at once, even if only Consul reports it.
 //! actions.clear();
 //! let draining = Assertion {
 //!     key: "s-1".into(),
--- a/crates/endpoint-discovery/src/source/mod.rs
+++ b/crates/endpoint-discovery/src/source/mod.rs
@@ -1,7 +1,7 @@
 //! One source: its latest assertions, and which of them are in effect.
 //!
-//! It records what the source reports, and whether the source is live. When a latest assertion takes
-//! effect is decided in `pending`. Invariant: a key is in the pending set if and only if its latest
+//! This module records the source's reports and whether the source is live; `pending` decides when a
+//! latest assertion takes effect. Invariant: a key is in the pending set if and only if its latest
 //! lifecycle differs from the effective one.
 
 mod pending;
@@ -20,14 +20,14 @@
 pub use policy::{FlapDamping, MatchBy, SourcePolicy};
 pub use update::{Assertion, Freshness, Removal, SourceUpdate};
 
-/// The most removed endpoints that a source's records keep, so that older assertions that arrive
-/// late are recognized as such. Beyond it the earliest removed are forgotten.
+/// Maximum number of removed endpoints of which a source keeps the record, so that an older assertion
+/// that arrives late is recognized as such. The earliest removed are evicted first.
 pub const MAX_TOMBSTONES: usize = 4_096;
 
 /// A set of a source's keys.
 pub(crate) type KeySet = BTreeSet<String>;
 
-/// Whether the source has been in contact.
+/// State of the contact with a source.
 #[derive(Clone, Copy, PartialEq)]
 enum Contact {
     /// It has not reported anything yet.
@@ -54,12 +54,14 @@
     pending: KeySet,
     /// Removals within the panic window, earliest first.
     recent_removals: VecDeque<RecentRemoval>,
-    /// Records that are effectively ready.
+    /// Number of records whose effective lifecycle is ready.
     ready_count: usize,
     /// Keys of removed endpoints, earliest first.
     tombstones: VecDeque<String>,
     contact: Contact,
+    /// Whether the log has a deferred mass removal that is not resolved yet.
     is_mass_removal_reported: bool,
+    /// Whether the log has the excess over [`MAX_ENDPOINTS`].
     is_limit_reported: bool,
 }
 
@@ -93,12 +95,12 @@
         self.records.get(key)?.effective
     }
 
-    /// The attributes that the source knows of an endpoint.
+    /// The attributes that the source has reported for an endpoint.
     pub fn endpoint(&self, key: &str) -> Option<&Endpoint> {
         self.records.get(key)?.endpoint.as_ref()
     }
 
-    /// When the version in effect was first received, in milliseconds.
+    /// When the version in effect took effect, in milliseconds.
     pub fn effective_since_ms(&self, key: &str) -> f64 {
         self.records
             .get(key)
@@ -110,12 +112,12 @@
         &self.pending
     }
 
-    /// Whether nothing is known from the source.
+    /// Whether the source has no records.
     pub fn is_empty(&self) -> bool {
         self.records.is_empty()
     }
 
-    /// Forgets everything that the source reported; returns the keys that it had.
+    /// Drops everything that the source has reported; returns the keys of the dropped records.
     pub fn clear(&mut self) -> KeySet {
         let affected = self.keys();
         *self = Self::new(self.policy.clone());
@@ -185,13 +187,15 @@
                 source: self.policy.name.clone(),
             });
         }
-        // Live and stale make no difference to any merge outcome; expired does, for every endpoint.
+        // Merge outcomes are the same for a live and a stale source. They may differ for an expired
+        // one, so every endpoint is merged again.
         if before == Contact::Expired {
             affected.extend(self.keys());
         }
     }
 
-    /// A current report confirms the earlier assertions that it does not change.
+    /// Confirms every pending assertion: a current report confirms the earlier assertions that it does
+    /// not change.
     fn confirm_pending(&mut self) {
         for key in &self.pending {
             if let Some(record) = self.records.get_mut(key) {
@@ -200,6 +204,7 @@
         }
     }
 
+    /// Records one assertion.
     fn record(
         &mut self,
         receipt: Receipt,
@@ -231,6 +236,7 @@
         self.pending.remove(&assertion.key);
     }
 
+    /// Records the first assertion about an endpoint, unless the source has too many.
     fn record_first(
         &mut self,
         receipt: Receipt,
@@ -266,14 +272,14 @@
     }
 }
 
-/// A weight of zero is a drain under another name: the endpoint finishes what it has and gets
-/// nothing new.
+/// Turns a ready assertion with a weight of zero into a drain: such an endpoint finishes its current
+/// requests and gets no new ones.
 fn with_weight_applied(mut assertion: Assertion) -> Assertion {
-    let is_weightless = assertion
+    let has_zero_weight = assertion
         .endpoint
         .as_ref()
         .is_some_and(|endpoint| endpoint.weight <= 0.0);
-    if assertion.lifecycle == Lifecycle::Ready && is_weightless {
+    if assertion.lifecycle == Lifecycle::Ready && has_zero_weight {
         assertion.lifecycle = Lifecycle::Draining;
     }
     assertion
--- a/crates/endpoint-discovery/src/source/pending.rs
+++ b/crates/endpoint-discovery/src/source/pending.rs
@@ -1,8 +1,8 @@
 //! Puts pending assertions into effect when they are due.
 //!
-//! A source may be wrong: it lags, forgets, is restored from an old snapshot, or fails all its checks
-//! at once. So an assertion that could take many endpoints away takes effect only once it has been
-//! confirmed, while a drain takes effect at once.
+//! A source may be faulty: it may lag, lose data, be restored from an old snapshot or report all its
+//! health checks as failed at once. An assertion that could remove many endpoints therefore takes
+//! effect only once it has been confirmed, while a drain takes effect at once.
 
 use crate::endpoint::Lifecycle;
 use crate::log_event::LogEvent;
@@ -12,26 +12,28 @@
 
 /// When a pending assertion takes effect.
 #[derive(Clone, Copy, PartialEq)]
-enum TakesEffect {
+enum EffectTime {
     /// At this time, in milliseconds.
     At(f64),
     /// Not before a current report confirms it.
     OnceConfirmed,
 }
 
-/// Removals within the panic window, with those that would come on top.
+/// Counts of the removals within the panic window, including the pending ones.
 struct RemovalCount {
+    /// Number of removed endpoints.
     removed: usize,
-    /// Endpoints that the source had before them.
+    /// Number of endpoints that the source had before these removals.
     total: usize,
 }
 
 impl Source {
-    /// Puts every pending assertion into effect that is due; returns when to call this again.
+    /// Puts every pending assertion into effect that is due, and expires the source if it has been
+    /// stale for too long. Returns when to call this again, in milliseconds.
     ///
-    /// `ready_elsewhere` are the pending keys that another source calls ready; they matter only if
-    /// the policy defers disputed removals alone.
-    pub fn settle(
+    /// `ready_elsewhere` holds the pending keys that another source reports as ready; it is used only
+    /// if the policy does not defer undisputed removals.
+    pub fn apply_due(
         &mut self,
         now_ms: f64,
         ready_elsewhere: &KeySet,
@@ -61,7 +63,7 @@
         });
     }
 
-    /// Returns when the next of the remaining ones takes effect.
+    /// Puts the due assertions into effect; returns when the next pending one takes effect.
     fn apply_pending(
         &mut self,
         now_ms: f64,
@@ -76,16 +78,16 @@
             };
             let is_disputed =
                 self.policy.defers_undisputed_removals || ready_elsewhere.contains(&key);
-            match self.takes_effect(record, is_mass_removal && is_disputed) {
-                TakesEffect::At(at_ms) if at_ms <= now_ms => {
+            match self.effect_time(record, is_mass_removal && is_disputed) {
+                EffectTime::At(at_ms) if at_ms <= now_ms => {
                     self.put_into_effect(now_ms, &key);
                     affected.insert(key);
                 }
-                TakesEffect::At(at_ms) => {
+                EffectTime::At(at_ms) => {
                     next_ms = Some(next_ms.map_or(at_ms, |next_ms| next_ms.min(at_ms)));
                     self.pending.insert(key);
                 }
-                TakesEffect::OnceConfirmed => {
+                EffectTime::OnceConfirmed => {
                     self.pending.insert(key);
                 }
             }
@@ -113,7 +115,7 @@
         });
     }
 
-    /// Expires a source that has been stale for too long; returns when that is otherwise due.
+    /// Expires the source if it has been stale for too long; otherwise returns when it will expire.
     fn expire(
         &mut self,
         now_ms: f64,
@@ -135,7 +137,8 @@
         None
     }
 
-    /// Records whose latest assertion would remove an endpoint that is ready or unknown so far.
+    /// Records whose latest assertion removes an endpoint that is still ready or has no effective
+    /// lifecycle yet.
     fn pending_removals(&self) -> impl Iterator<Item = &Record> {
         self.pending
             .iter()
@@ -145,27 +148,28 @@
 
     fn count_removals(&self) -> RemovalCount {
         let pending = self.pending_removals().count();
-        let unknown_before = self
+        let without_effect = self
             .pending_removals()
             .filter(|record| record.effective.is_none())
             .count();
         let removed = self.recent_removals.len();
         RemovalCount {
             removed: removed + pending,
-            total: self.ready_count + removed + unknown_before,
+            total: self.ready_count + removed + without_effect,
         }
     }
 
-    /// Whether more endpoints are removed within the window than take effect at once. Guards
-    /// against a source that lost its data, or whose checks all fail for a reason of its own.
+    /// Whether the removals within the window exceed the panic threshold. Guards against a source
+    /// that lost its data, or whose health checks all fail for a reason other than the servers.
     fn is_mass_removal(&self) -> bool {
         let RemovalCount { removed, total } = self.count_removals();
         self.pending_removals().count() > 0
             && removed as f64 > self.policy.panic_share * total as f64
     }
 
-    /// When a record's latest assertion takes effect; `is_deferred` says that a removal waits.
-    fn takes_effect(&self, record: &Record, is_deferred: bool) -> TakesEffect {
+    /// When a record's latest assertion takes effect. With `is_deferred`, a removal must first stand for
+    /// the policy's confirmation time.
+    fn effect_time(&self, record: &Record, is_deferred: bool) -> EffectTime {
         let LatestAssertion {
             lifecycle,
             version,
@@ -173,10 +177,10 @@
             is_confirmed,
         } = record.latest;
         if lifecycle == Lifecycle::Draining {
-            return TakesEffect::At(f64::NEG_INFINITY); // A drain never waits.
+            return EffectTime::At(f64::NEG_INFINITY); // A drain is never deferred.
         }
         if !is_confirmed {
-            return TakesEffect::OnceConfirmed;
+            return EffectTime::OnceConfirmed;
         }
         let is_new_epoch =
             self.policy.defers_new_epochs && version.epoch != record.effective_version.epoch;
@@ -186,7 +190,7 @@
             } else {
                 0.0
             };
-        TakesEffect::At(match (record.effective, lifecycle) {
+        EffectTime::At(match (record.effective, lifecycle) {
             (None | Some(Lifecycle::Ready), Lifecycle::Gone) if is_deferred => {
                 since_ms + self.policy.confirm_ms
             }
@@ -231,7 +235,7 @@
         }
     }
 
-    /// Forgets the endpoints that were removed first, beyond the limit.
+    /// Drops the records of the earliest removed endpoints beyond [`MAX_TOMBSTONES`].
     fn evict_tombstones(&mut self, affected: &mut KeySet) {
         while self.tombstones.len() > MAX_TOMBSTONES {
             let Some(key) = self.tombstones.pop_front() else {
--- a/crates/endpoint-discovery/src/source/policy.rs
+++ b/crates/endpoint-discovery/src/source/policy.rs
@@ -1,23 +1,22 @@
-//! How far a source is trusted: the part of it that operators configure.
+//! The policies that operators configure per source: when its assertions take effect.
 
-/// What a source's keys identify.
+/// The kind of a source's keys.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum MatchBy {
     /// Endpoint ids.
     Id,
-    /// Endpoint addresses, as the sources that match by id know them.
+    /// Endpoint addresses, as reported by the sources that match by id.
     Address,
 }
 
-/// Flap damping: how long an endpoint that repeatedly leaves and returns is kept out after each
-/// return.
+/// Flap damping: the delay before an endpoint that repeatedly ceases to be ready may be ready again.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct FlapDamping {
-    /// The delay after the second return, in milliseconds; it doubles with each further one.
+    /// The delay after the second return, in milliseconds; it doubles with each further return.
     pub initial_ms: f64,
-    /// The longest delay, in milliseconds.
+    /// The maximum delay, in milliseconds.
     pub max_ms: f64,
-    /// The time in which half of the flaps are forgotten, in milliseconds.
+    /// The half-life of the flap count, in milliseconds.
     pub half_life_ms: f64,
 }
 
@@ -28,21 +27,21 @@
     pub name: String,
     /// Whether it may add endpoints that no other source lists.
     pub may_add_endpoints: bool,
-    /// What its keys identify.
+    /// The kind of its keys.
     pub match_by: MatchBy,
-    /// Removals are deferred if they exceed this share of the source's endpoints within
+    /// Panic threshold: removals are deferred if they exceed this share of the source's endpoints within
     /// `panic_window_ms`.
     pub panic_share: f64,
     /// The window in which removals are counted, in milliseconds.
     pub panic_window_ms: f64,
-    /// Whether mass removals are deferred even if no other source calls the endpoints ready.
+    /// Whether mass removals are deferred even if no other source reports the endpoints as ready.
     pub defers_undisputed_removals: bool,
-    /// How long a deferred assertion must stand before it takes effect, in milliseconds.
+    /// Time for which a deferred assertion must stand before it takes effect, in milliseconds.
     pub confirm_ms: f64,
-    /// Whether assertions of a new epoch (an index that went back) are deferred, too.
+    /// Whether assertions of a new epoch, such as after a decreased index, are deferred as well.
     pub defers_new_epochs: bool,
-    /// How long the source's removals stay in effect once it is stale, in milliseconds. Drains have
-    /// no such limit.
+    /// Time for which the source's removals stay in effect once it is stale, in milliseconds. Drains
+    /// have no such limit.
     pub retention_ms: f64,
     /// Flap damping, if any.
     pub damping: Option<FlapDamping>,
--- a/crates/endpoint-discovery/src/source/record.rs
+++ b/crates/endpoint-discovery/src/source/record.rs
@@ -1,13 +1,12 @@
-//! What is stored of one endpoint of a source.
+//! The record that a source keeps of one endpoint.
 
 use crate::endpoint::{Endpoint, Lifecycle};
 use crate::source::policy::FlapDamping;
 use crate::source::update::{EpochVersion, Receipt};
 
-/// The most flaps that are counted per endpoint: the delay has reached its maximum long before.
+/// Maximum flap count per endpoint; the delay reaches its maximum long before.
 const MAX_FLAPS: f64 = 16.0;
-/// An endpoint with fewer recent flaps than this is not damped: leaving and returning once is no
-/// flapping.
+/// Flap count below which an endpoint is not damped: one removal and return is not flapping.
 const TOLERATED_FLAPS: f64 = 1.5;
 
 /// The latest assertion, in effect or not.
@@ -21,14 +20,14 @@
     pub is_confirmed: bool,
 }
 
-/// One endpoint of a source.
+/// The record of one endpoint of a source.
 #[derive(Clone)]
 pub(super) struct Record {
     pub latest: LatestAssertion,
     /// The lifecycle in effect; `None` before the first one.
     pub effective: Option<Lifecycle>,
     pub effective_version: EpochVersion,
-    /// When `effective_version` was first received, in milliseconds.
+    /// When `effective_version` took effect, in milliseconds.
     pub effective_since_ms: f64,
     pub flaps: FlapCounter,
     pub endpoint: Option<Endpoint>,
@@ -37,8 +36,8 @@
 impl Record {
     /// The record of an endpoint's first assertion.
     ///
-    /// It takes effect at once, even if outdated, as it replaces nothing; only a removal does not,
-    /// since it could take away what other sources list.
+    /// It takes effect at once, even if outdated, because it replaces nothing. A removal is the
+    /// exception, because it could remove an endpoint that other sources list.
     pub fn first(lifecycle: Lifecycle, endpoint: Option<Endpoint>, receipt: Receipt) -> Self {
         Self {
             latest: LatestAssertion {
@@ -58,14 +57,14 @@
         }
     }
 
-    /// Whether an assertion is newer than the latest one. Of two with the same version the more
-    /// severe holds, so that the order of delivery makes no difference.
+    /// Whether an assertion replaces the latest one: it has a greater version, or the same version and
+    /// at least the same severity. The order of delivery therefore makes no difference.
     pub fn is_superseded_by(&self, lifecycle: Lifecycle, version: EpochVersion) -> bool {
         version > self.latest.version
             || (version == self.latest.version && lifecycle >= self.latest.lifecycle)
     }
 
-    /// Stores the latest assertion, without effect yet.
+    /// Stores the latest assertion without putting it into effect.
     pub fn set_latest(&mut self, lifecycle: Lifecycle, receipt: Receipt) {
         let latest = &mut self.latest;
         if latest.lifecycle != lifecycle {
@@ -76,7 +75,8 @@
         latest.is_confirmed |= receipt.is_current;
     }
 
-    /// Whether the latest assertion takes away an endpoint that is effectively ready or unknown.
+    /// Whether the latest assertion removes an endpoint that is still ready or has no effective
+    /// lifecycle yet.
     pub fn has_pending_removal(&self) -> bool {
         self.latest.lifecycle == Lifecycle::Gone
             && matches!(self.effective, None | Some(Lifecycle::Ready))
@@ -88,7 +88,7 @@
     }
 }
 
-/// How often an endpoint has recently ceased to be ready; the count decays exponentially.
+/// Exponentially decaying count of how often an endpoint has ceased to be ready.
 #[derive(Clone, Copy)]
 pub(super) struct FlapCounter {
     count: f64,
@@ -106,7 +106,7 @@
         self.updated_at_ms = now_ms;
     }
 
-    /// How long an endpoint that returns at `now_ms` is kept out, in milliseconds.
+    /// The delay before an endpoint that returns at `now_ms` may be ready again, in milliseconds.
     pub fn damping_delay_ms(self, now_ms: f64, damping: FlapDamping) -> f64 {
         let flaps = self.count_at(now_ms, damping.half_life_ms);
         if flaps < TOLERATED_FLAPS {
--- a/crates/endpoint-discovery/src/view/address_index.rs
+++ b/crates/endpoint-discovery/src/view/address_index.rs
@@ -1,8 +1,8 @@
-//! Which endpoints are at which address, for sources that match by address.
+//! Index of endpoints by address, for sources that match by address.
 
 use std::collections::{BTreeSet, HashMap};
 
-/// Addresses of endpoints, in both directions. Several endpoints may share an address.
+/// Bidirectional index of endpoint ids and addresses. Several endpoints may share an address.
 #[derive(Default)]
 pub(super) struct AddressIndex {
     ids_by_address: HashMap<String, BTreeSet<String>>,
--- a/crates/endpoint-discovery/src/view/mod.rs
+++ b/crates/endpoint-discovery/src/view/mod.rs
@@ -1,8 +1,8 @@
-//! The merged view: what all sources' effective assertions make of each endpoint, and what has
-//! changed since it was last published.
+//! The merged view: merges the effective assertions of all sources about each endpoint, and publishes
+//! the changes.
 //!
 //! It owns the sources and the published state of every endpoint. Invariant: the published changes,
-//! applied one after the other, add up to [`EndpointView::endpoints`].
+//! applied in order, result in [`EndpointView::endpoints`].
 
 mod address_index;
 mod sources;
@@ -15,13 +15,14 @@
 use crate::source::{KeySet, Source, SourcePolicy, SourceUpdate};
 use sources::Sources;
 
-/// A source, by its position: those given to [`EndpointView::new`] come first.
+/// The position of a source: those given to [`EndpointView::new`] come first.
 pub type SourceId = usize;
 
-/// Disagreements that are logged one by one in one step; the others are only counted.
+/// Maximum number of disagreements that are logged individually per step; the others are only
+/// counted.
 const MAX_LOGGED_DISAGREEMENTS: usize = 8;
 
-/// What happens to the sources.
+/// An input event of the view.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Event {
     /// A source reported.
@@ -36,33 +37,36 @@
         /// The source.
         source: SourceId,
     },
-    /// A source is no longer followed: its assertions count no more.
+    /// A source is no longer followed: its assertions are dropped.
     SourceRemoved {
         /// The source.
         source: SourceId,
     },
-    /// The time that [`Action::SetTimer`] named has come.
+    /// The timer of [`Action::SetTimer`] has expired.
     TimerExpired,
 }
 
-/// What the caller must do.
+/// An action that the caller must perform.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
-    /// Take over these endpoints, sorted by id; one that is gone is no longer in the view.
+    /// Apply these changed endpoints, which are sorted by id. One whose lifecycle is gone is no longer
+    /// in the view.
     Publish(Vec<Endpoint>),
-    /// Send [`Event::TimerExpired`] at this time, in milliseconds of Unix time. It replaces the
-    /// time that was set before.
+    /// Send [`Event::TimerExpired`] at this time, in milliseconds of Unix time. Replaces the previous
+    /// timer.
     SetTimer(f64),
     /// Write a line to the operators' log.
     Log(LogEvent),
 }
 
+/// The state of one endpoint in the view.
 #[derive(Default)]
 struct Entry {
     /// The endpoint as last published; `None` if it is not in the view.
     published: Option<Endpoint>,
+    /// The outcome of the last merge; `None` before the first one.
     outcome: Option<MergeOutcome>,
-    /// What each source asserted at the last merge.
+    /// The lifecycle that each source asserted at the last merge.
     asserted: Vec<Option<Lifecycle>>,
 }
 
@@ -72,18 +76,19 @@
 pub struct EndpointView {
     sources: Sources,
     entries: HashMap<String, Entry>,
-    /// Endpoints whose outcome is ready.
+    /// Number of endpoints whose outcome is ready.
     ready_count: usize,
-    /// Endpoints that one source removed and another calls ready.
+    /// Ids of the endpoints that one source removed and another reports as ready.
     disputed: BTreeSet<String>,
     /// Whether the disputed endpoints are used because no other is ready.
     is_last_resort: bool,
+    /// The time of the last [`Action::SetTimer`] that has not expired, in milliseconds.
     timer_ms: Option<f64>,
 }
 
 impl EndpointView {
-    /// A view of what these sources will report. Where several describe an endpoint equally well,
-    /// the first takes precedence.
+    /// Creates a view of these sources. If several descriptions of an endpoint have equal precedence,
+    /// that of the first source is used.
     #[must_use]
     pub fn new(sources: Vec<SourcePolicy>) -> Self {
         Self {
@@ -96,7 +101,8 @@
         }
     }
 
-    /// Adds a source of which nothing is known yet. A removed source of the same name is reused.
+    /// Adds a source that has not reported yet. It takes the position of a removed source of the same
+    /// name, if there is one.
     pub fn add_source(&mut self, policy: SourcePolicy) -> SourceId {
         self.sources.add(policy)
     }
@@ -114,12 +120,12 @@
         self.sources.get(source).map(Source::status)
     }
 
-    /// Handles one event that happened at `now_ms` (milliseconds of Unix time, never going back)
-    /// and appends what must be done. An event of an unknown source is ignored.
+    /// Handles an event that occurred at `now_ms` (milliseconds of Unix time, never decreasing) and
+    /// appends the actions to perform. An event of an unknown source is ignored.
     pub fn handle(&mut self, now_ms: f64, event: Event, actions: &mut Vec<Action>) {
         let mut log_events = Vec::new();
         let mut changed_ids = self.apply(now_ms, event, &mut log_events);
-        let next_timer_ms = self.settle_sources(now_ms, &mut changed_ids, &mut log_events);
+        let next_timer_ms = self.apply_due(now_ms, &mut changed_ids, &mut log_events);
         let changed = self.update(changed_ids, &mut log_events);
         if !changed.is_empty() {
             actions.push(Action::Publish(changed));
@@ -131,7 +137,7 @@
         self.timer_ms = next_timer_ms;
     }
 
-    /// Passes an event to its source; returns the endpoints that it may have changed.
+    /// Passes an event to its source; returns the ids of the endpoints that it may have changed.
     fn apply(
         &mut self,
         now_ms: f64,
@@ -166,8 +172,9 @@
         self.sources.endpoint_ids(id, affected)
     }
 
-    /// Lets every source put into effect what is due; returns when the next thing is.
-    fn settle_sources(
+    /// Puts the due assertions of every source into effect; returns when the next one is due, in
+    /// milliseconds.
+    fn apply_due(
         &mut self,
         now_ms: f64,
         changed_ids: &mut BTreeSet<String>,
@@ -180,32 +187,32 @@
                 continue;
             };
             let mut affected = KeySet::new();
-            let due_ms = source.settle(now_ms, &ready_elsewhere, &mut affected, log_events);
+            let due_ms = source.apply_due(now_ms, &ready_elsewhere, &mut affected, log_events);
             changed_ids.extend(self.sources.endpoint_ids(id, affected));
             next_ms = next_ms.into_iter().chain(due_ms).reduce(f64::min);
         }
         next_ms
     }
 
-    /// Merges these endpoints anew; returns those whose published state changed, sorted by id.
+    /// Merges these endpoints again; returns those whose published state changed, sorted by id.
     fn update(&mut self, ids: BTreeSet<String>, log_events: &mut Vec<LogEvent>) -> Vec<Endpoint> {
-        // By id, so that an endpoint changes at most once per step and the caller never sees an
-        // intermediate state.
+        // Keyed by id, so that an endpoint changes at most once per step and no intermediate state is
+        // published.
         let mut changed = BTreeMap::new();
         let mut disagreements = Vec::new();
         for id in ids {
             self.merge_endpoint(&id, &mut changed, &mut disagreements);
         }
         self.update_last_resort(&mut changed, log_events);
-        let unlogged = disagreements.len().saturating_sub(MAX_LOGGED_DISAGREEMENTS);
+        let unlogged_count = disagreements.len().saturating_sub(MAX_LOGGED_DISAGREEMENTS);
         log_events.extend(disagreements.into_iter().take(MAX_LOGGED_DISAGREEMENTS));
-        if unlogged > 0 {
-            log_events.push(LogEvent::MoreDisagreements(unlogged));
+        if unlogged_count > 0 {
+            log_events.push(LogEvent::MoreDisagreements(unlogged_count));
         }
         changed.into_values().collect()
     }
 
-    /// Starts or ends the last resort, which guards against a source that empties the view alone.
+    /// Starts or ends the last resort, which prevents one source alone from emptying the view.
     fn update_last_resort(
         &mut self,
         changed: &mut BTreeMap<String, Endpoint>,
@@ -279,7 +286,8 @@
             Some(MergeOutcome::Draining) => Lifecycle::Draining,
             _ => Lifecycle::Gone,
         };
-        // A ready endpoint without an address is of no use; a draining one may still have requests.
+        // A ready endpoint without an address cannot be used; a draining one may still have requests
+        // in flight.
         let is_usable =
             |endpoint: &Endpoint| endpoint.address.is_some() || lifecycle == Lifecycle::Draining;
         let current = attributes
--- a/crates/endpoint-discovery/src/view/sources.rs
+++ b/crates/endpoint-discovery/src/view/sources.rs
@@ -1,4 +1,5 @@
-//! All sources together: how their keys relate to endpoint ids, and what they know of one endpoint.
+//! The set of all sources: maps their keys to endpoint ids, and combines their assertions about an
+//! endpoint and their descriptions of it.
 
 use std::cmp::Ordering;
 use std::collections::BTreeSet;
@@ -9,24 +10,25 @@
 use crate::view::address_index::AddressIndex;
 use crate::view::SourceId;
 
-/// The sources in their order of precedence, and the addresses by which some of them name endpoints.
+/// The sources in their order of precedence, and the index for those that match by address.
 pub(super) struct Sources {
     sources: Vec<Source>,
     addresses: AddressIndex,
 }
 
-/// One source's description of an endpoint, with what decides its precedence.
+/// One source's description of an endpoint, with the properties that determine its precedence.
 struct Description<'a> {
     may_add_endpoints: bool,
+    /// Whether the source still lists the endpoint.
     is_present: bool,
     endpoint: &'a Endpoint,
 }
 
 impl Description<'_> {
-    /// Sources that may add endpoints come first, then those that still list this one, then the
-    /// latest start time.
+    /// Descriptions from sources that may add endpoints come first, then those from sources that still
+    /// list this one, then those with the latest start time.
     fn precedence(&self, other: &Self) -> Ordering {
-        let starts = other
+        let by_start = other
             .endpoint
             .started_at_ms
             .total_cmp(&self.endpoint.started_at_ms);
@@ -34,7 +36,7 @@
             .may_add_endpoints
             .cmp(&self.may_add_endpoints)
             .then(other.is_present.cmp(&self.is_present))
-            .then(starts)
+            .then(by_start)
     }
 }
 
@@ -46,8 +48,8 @@
         }
     }
 
-    /// Adds a source. One of the same name that was cleared is reused, so that sources that come
-    /// and go do not grow the list.
+    /// Adds a source. It replaces an empty source of the same name, so that repeatedly removing and
+    /// adding a source does not grow the list.
     pub fn add(&mut self, policy: SourcePolicy) -> SourceId {
         let reusable = self
             .sources
@@ -80,8 +82,8 @@
             .map(|source| source.policy.name.as_str())
     }
 
-    /// The ids of the endpoints that a source's keys stand for; updates the address index first if
-    /// the source matches by id.
+    /// The ids of the endpoints that a source's keys identify. If the source matches by id, this also
+    /// updates the address index.
     pub fn endpoint_ids(&mut self, id: SourceId, keys: KeySet) -> BTreeSet<String> {
         let Some(source) = self.sources.get(id) else {
             return BTreeSet::new();
@@ -92,16 +94,18 @@
                 .flat_map(|address| self.addresses.ids_at(address));
             return ids.cloned().collect();
         }
-        for id in &keys {
-            let address = self.attributes(id).and_then(|endpoint| endpoint.address);
+        for endpoint_id in &keys {
+            let address = self
+                .attributes(endpoint_id)
+                .and_then(|endpoint| endpoint.address);
             self.addresses
-                .set(id, address.map(|address| address.to_string()));
+                .set(endpoint_id, address.map(|address| address.to_string()));
         }
         keys
     }
 
-    /// The pending keys of a source that another source calls ready. Empty if the source's policy
-    /// does not ask for it.
+    /// The pending keys of a source that another source, which has not expired, reports as ready.
+    /// Empty if the source matches by address, or if its policy does not need them.
     pub fn ready_elsewhere(&self, id: SourceId) -> KeySet {
         let source = &self.sources[id];
         if source.policy.defers_undisputed_removals || source.policy.match_by == MatchBy::Address {
@@ -122,8 +126,8 @@
             .collect()
     }
 
-    /// What is known of an endpoint: the description that takes precedence, with its gaps filled
-    /// from the others.
+    /// The attributes of an endpoint: the description that takes precedence, with unknown attributes
+    /// filled from the others. `None` if no source describes it.
     pub fn attributes(&self, id: &str) -> Option<Endpoint> {
         let mut descriptions: Vec<_> = self
             .sources
@@ -150,7 +154,7 @@
         Some(attributes)
     }
 
-    /// What each source effectively asserts about an endpoint.
+    /// The effective assertion of each source about an endpoint.
     pub fn assertions(&self, id: &str) -> Vec<EffectiveAssertion> {
         let started_at_ms = self.started_at_ms(id);
         self.sources
@@ -166,7 +170,7 @@
             .collect()
     }
 
-    /// When an endpoint last started, as far as any source knows.
+    /// The latest start time of an endpoint that any source reports; 0 if none does.
     fn started_at_ms(&self, id: &str) -> f64 {
         let attributes = self.attributes(id);
         self.sources
@@ -177,7 +181,8 @@
             .fold(0.0, f64::max)
     }
 
-    /// A source's key for an endpoint.
+    /// A source's key for an endpoint; `None` if the source matches by address and the endpoint's
+    /// address is unknown.
     fn key<'a>(&'a self, source: &Source, id: &'a str) -> Option<&'a str> {
         match source.policy.match_by {
             MatchBy::Id => Some(id),
