--- a/crates/endpoint-discovery/src/log_event.rs
+++ b/crates/endpoint-discovery/src/log_event.rs
@@ -5,12 +5,12 @@
 use crate::endpoint::{Lifecycle, MAX_ENDPOINTS};
 use crate::merge::MergeOutcome;
 
-/// What one source asserts about an endpoint, for the log.
+/// The lifecycle that one source asserts for an endpoint.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct SourceLifecycle {
     /// The source's name.
     pub source: String,
-    /// The lifecycle that it asserts; `None` if it does not list the endpoint.
+    /// The asserted lifecycle; `None` if the source does not list the endpoint.
     pub lifecycle: Option<Lifecycle>,
 }
 
@@ -21,33 +21,33 @@
     Disagreement {
         /// The endpoint's id.
         id: String,
-        /// What each source asserts.
+        /// The lifecycle that each source asserts.
         source_lifecycles: Vec<SourceLifecycle>,
-        /// What the merge made of it.
+        /// The merged outcome.
         outcome: MergeOutcome,
     },
-    /// Further disagreements in the same step, beyond those that are logged one by one.
+    /// The number of further disagreements in the same step, which are not logged individually.
     MoreDisagreements(usize),
-    /// A source removes so many of its endpoints within a short time that the removals are deferred.
+    /// A source's removals are deferred because they exceed its panic threshold.
     MassRemovalDeferred {
         /// The source's name.
         source: String,
-        /// Endpoints that it removes.
+        /// Number of endpoints that the source removes.
         removed: usize,
-        /// Endpoints that it had before.
+        /// Number of endpoints that the source had before.
         total: usize,
     },
-    /// The deferred removals have taken effect, or the source has revoked them.
+    /// No removal is deferred any longer: each has taken effect or was revoked by the source.
     MassRemovalResolved {
         /// The source's name.
         source: String,
     },
-    /// No endpoint would be left: those are used that one source removed and another calls ready.
+    /// No endpoint is ready, so those are used that one source removed and another reports as ready.
     LastResortStarted {
-        /// How many.
+        /// Number of endpoints that are used as the last resort.
         endpoints: usize,
     },
-    /// Other endpoints are ready again, and the last resort has ended.
+    /// The last resort has ended: an endpoint is ready again, or none is disputed any longer.
     LastResortEnded,
     /// A source responds again, with current data.
     SourceLive {
@@ -59,13 +59,13 @@
         /// The source's name.
         source: String,
     },
-    /// A source has been stale for longer than its assertions are retained: its removals no longer
-    /// count.
+    /// A source has been stale for longer than its assertions are retained: its removals are ignored
+    /// from now on.
     SourceExpired {
         /// The source's name.
         source: String,
     },
-    /// A source lists more than [`MAX_ENDPOINTS`]; the rest is ignored.
+    /// A source lists more than [`MAX_ENDPOINTS`] endpoints; the others are ignored.
     TooManyEndpoints {
         /// The source's name.
         source: String,
@@ -87,7 +87,7 @@
             Self::Ready => "ready",
             Self::Draining => "draining",
             Self::Removed { .. } => "gone",
-            Self::Unlisted => "not used, as no source that may add endpoints lists it",
+            Self::Unlisted => "not used because no source that may add endpoints lists it",
         })
     }
 }
@@ -104,7 +104,7 @@
                 for (position, SourceLifecycle { source, lifecycle }) in source_lifecycles.iter().enumerate() {
                     let separator = if position == 0 { "" } else { "," };
                     let lifecycle = lifecycle_text(*lifecycle);
-                    write!(f, "{separator} {source} says {lifecycle}")?;
+                    write!(f, "{separator} {source} reports {lifecycle}")?;
                 }
                 Ok(())
             }
@@ -120,13 +120,13 @@
                 "view: {source} removes {removed} of {total} endpoints at once; deferred until confirmed"
             ),
             Self::MassRemovalResolved { source } => {
-                write!(f, "view: the mass removal by {source} is settled")
+                write!(f, "view: the mass removal by {source} has taken effect or was revoked")
             }
             Self::LastResortStarted { endpoints } => write!(
                 f,
-                "view: no endpoint would be left; {endpoints} that one source removed are used as the last resort"
+                "view: no endpoint is ready; last resort started with {endpoints} that one source removed and another reports as ready"
             ),
-            Self::LastResortEnded => write!(f, "view: endpoints are ready again; last resort ended"),
+            Self::LastResortEnded => write!(f, "view: last resort ended"),
             Self::SourceLive { source } => write!(f, "view: {source} is live"),
             Self::SourceStale { source } => write!(
                 f,
@@ -134,10 +134,10 @@
             ),
             Self::SourceExpired { source } => write!(
                 f,
-                "view: {source} has been stale for too long and expired; its removals no longer count"
+                "view: {source} has expired after being stale for too long; its removals are ignored"
             ),
             Self::TooManyEndpoints { source } => {
-                write!(f, "view: {source} lists more than {MAX_ENDPOINTS} endpoints")
+                write!(f, "view: {source} lists more than {MAX_ENDPOINTS} endpoints; the others are ignored")
             }
         }
     }
--- a/crates/endpoint-discovery/src/merge.rs
+++ b/crates/endpoint-discovery/src/merge.rs
@@ -1,4 +1,4 @@
-//! The merge table: what the assertions of all sources about one endpoint amount to.
+//! The merge table: combines the assertions of all sources about one endpoint into an outcome.
 //!
 //! `docs/endpoint-discovery/design.md` shows it as a table; `tests/merge_table.rs` checks the code
 //! against it, cell by cell.
@@ -16,10 +16,10 @@
     Expired,
 }
 
-/// What one source effectively asserts about an endpoint.
+/// The effective assertion of one source about an endpoint.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct EffectiveAssertion {
-    /// The lifecycle; `None` if the source does not list the endpoint and never has.
+    /// The lifecycle; `None` if no assertion of the source is in effect.
     pub lifecycle: Option<Lifecycle>,
     /// The source's status.
     pub source_status: SourceStatus,
@@ -29,7 +29,7 @@
     pub superseded_by_restart: bool,
 }
 
-/// What the sources together make of an endpoint.
+/// The outcome of all sources' assertions about an endpoint.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum MergeOutcome {
     /// It accepts requests.
@@ -38,8 +38,8 @@
     Draining,
     /// A source's assertion removes it.
     Removed {
-        /// Another source that has not expired asserts that it is ready. Such endpoints are used as
-        /// the last resort if no other is ready.
+        /// Whether a source that has not expired asserts that it is ready, and no source drains it.
+        /// Disputed endpoints are used as the last resort if no endpoint is ready.
         disputed: bool,
     },
     /// No source that may add endpoints lists it.
@@ -49,9 +49,9 @@
 /// What one assertion contributes to the outcome.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum Contribution {
-    /// Ready, by a source that may add endpoints.
+    /// Ready, from a source that may add endpoints.
     Adds,
-    /// Ready, by a source that may not.
+    /// Ready, from a source that may not add endpoints.
     Confirms,
     Drains,
     Removes,
@@ -68,7 +68,7 @@
         match self.lifecycle {
             None => Contribution::Nothing,
             Some(Lifecycle::Ready) => ready,
-            // An assertion about a process does not apply to its successor.
+            // An assertion about a server's process does not apply after the server restarts.
             Some(Lifecycle::Draining) if self.superseded_by_restart => ready,
             Some(Lifecycle::Draining) => Contribution::Drains,
             Some(Lifecycle::Gone)
@@ -116,7 +116,7 @@
     };
     let any = |condition: fn(EffectiveAssertion) -> bool| assertions.iter().copied().any(condition);
     let drains = contributes(Contribution::Drains);
-    // Remembered so that one source alone cannot empty the view.
+    // Recorded so that one source alone cannot empty the view.
     let disputed = any(EffectiveAssertion::is_unexpired_ready) && !drains;
     if any(EffectiveAssertion::is_authoritative_removal) {
         MergeOutcome::Removed { disputed }
--- a/crates/endpoint-discovery/tests/common/mod.rs
+++ b/crates/endpoint-discovery/tests/common/mod.rs
@@ -11,11 +11,11 @@
 pub const ENDPOINT_LIST: SourceId = 0;
 pub const CONSUL: SourceId = 1;
 
-/// A view that carries out its own timers, with what it has published and logged.
+/// A view that runs its own timers, with the endpoints that it has published and its log.
 pub struct ViewHarness {
     pub view: EndpointView,
     pub now_ms: f64,
-    /// The published changes, added up.
+    /// The published changes, applied in order.
     pub published: BTreeMap<String, Endpoint>,
     pub log: Vec<LogEvent>,
     pub timer_ms: Option<f64>,
@@ -33,16 +33,20 @@
         }
     }
 
-    /// A view of which both sources have called so many endpoints ready; Consul adds none.
-    pub fn with_advisory_consul(endpoints: usize) -> Self {
+    /// A view with this number of endpoints, which both sources report as ready. Consul may not add
+    /// endpoints.
+    pub fn with_advisory_consul(endpoint_count: usize) -> Self {
         let mut harness = Self::new(SourcePolicy::advisory("consul"));
-        harness.report(ENDPOINT_LIST, assertions(0..endpoints, Lifecycle::Ready, 1));
-        harness.report(CONSUL, assertions(0..endpoints, Lifecycle::Ready, 10));
-        assert_eq!(harness.ready_count(), endpoints);
+        harness.report(
+            ENDPOINT_LIST,
+            assertions(0..endpoint_count, Lifecycle::Ready, 1),
+        );
+        harness.report(CONSUL, assertions(0..endpoint_count, Lifecycle::Ready, 10));
+        assert_eq!(harness.ready_count(), endpoint_count);
         harness
     }
 
-    /// Handles an event; returns the endpoints that it changed.
+    /// Handles an event; returns the endpoints that changed.
     pub fn handle(&mut self, event: Event) -> Vec<Endpoint> {
         let (mut actions, mut changed) = (Vec::new(), Vec::new());
         self.view.handle(self.now_ms, event, &mut actions);
@@ -58,7 +62,11 @@
                     changed.extend(endpoints);
                 }
                 Action::SetTimer(at_ms) => {
-                    assert!(at_ms > self.now_ms, "a timer lies in the future");
+                    assert!(
+                        at_ms > self.now_ms,
+                        "timer at {at_ms} ms is not after the current time, {} ms",
+                        self.now_ms
+                    );
                     self.timer_ms = Some(at_ms);
                 }
                 Action::Log(event) => self.log.push(event),
@@ -67,7 +75,7 @@
         changed
     }
 
-    /// Advances the time, with every timer that expires meanwhile.
+    /// Advances the time, and expires every timer that is due within it.
     pub fn advance_ms(&mut self, ms: f64) {
         let end_ms = self.now_ms + ms;
         while let Some(at_ms) = self.timer_ms.filter(|at_ms| *at_ms <= end_ms) {
@@ -96,12 +104,12 @@
         })
     }
 
-    /// A current report in the first epoch.
+    /// Sends a current report in the first epoch.
     pub fn report(&mut self, source: SourceId, assertions: Vec<Assertion>) -> Vec<Endpoint> {
         self.update(source, Freshness::Current, 0, assertions)
     }
 
-    /// A current report in the first epoch that no longer lists these keys.
+    /// Sends a current report in the first epoch that removes these keys.
     pub fn remove(
         &mut self,
         source: SourceId,
@@ -143,12 +151,12 @@
     }
 }
 
-/// An address made of the number in an id.
+/// An address whose port is derived from the number in an id.
 pub fn address(id: &str) -> std::net::SocketAddr {
     let number: u16 = id
         .trim_start_matches(|c: char| !c.is_ascii_digit())
         .parse()
-        .expect("a number");
+        .expect("an id ends with a number");
     ([10, 0, 0, 1], 1_000 + number).into()
 }
 
--- a/crates/endpoint-discovery/tests/drain.rs
+++ b/crates/endpoint-discovery/tests/drain.rs
@@ -1,4 +1,4 @@
-//! Draining endpoints: at once, by any source, and ended only by that source or a restart.
+//! Drains: any source starts one at once, and only the same source or a restart ends it.
 
 mod common;
 use common::*;
@@ -6,7 +6,7 @@
 use endpoint_discovery::*;
 
 #[test]
-fn drain_takes_effect_at_once_and_is_ended_by_its_source_alone() {
+fn drain_takes_effect_at_once_and_only_its_source_ends_it() {
     for (source, other) in [(ENDPOINT_LIST, CONSUL), (CONSUL, ENDPOINT_LIST)] {
         let mut harness = ViewHarness::with_advisory_consul(4);
         let changed = harness.report(source, vec![assertion("s-2", Lifecycle::Draining, 11)]);
@@ -37,11 +37,11 @@
         Some(SourceStatus::Expired)
     );
     assert_eq!(harness.lifecycle("s-1"), Lifecycle::Draining);
-    assert_eq!(harness.ready_count(), 3, "no other endpoint is lost");
+    assert_eq!(harness.ready_count(), 3, "the other endpoints stay ready");
 }
 
-/// Guards against a process that is kept out because its predecessor drained, and against a drain that
-/// ends because an earlier start is learnt late.
+/// Guards against a restarted server that gets no requests because its previous process drained, and
+/// against a drain that ends because a start before it is reported late.
 #[test]
 fn drain_ends_with_a_later_start_and_not_with_an_earlier_one() {
     let mut harness = ViewHarness::with_advisory_consul(4);
@@ -66,7 +66,7 @@
             "started at {started_at_ms}, drained at {drained_at_ms}"
         );
     }
-    // The same version again is not newer than the start; another version is.
+    // Repeating the version from before the restart has no effect; a new version has.
     harness.report(CONSUL, vec![assertion("s-1", Lifecycle::Draining, 11)]);
     assert_eq!(harness.lifecycle("s-1"), Lifecycle::Ready);
     harness.report(CONSUL, vec![assertion("s-1", Lifecycle::Draining, 12)]);
@@ -80,32 +80,37 @@
     assert_eq!((harness.ready_count(), harness.published.len()), (0, 6));
 }
 
-/// Guards against two Consul agents with different data that are queried in turn.
+/// Guards against a drain that ends when two Consul agents with different data are queried
+/// alternately, so that each response begins a new epoch.
 #[test]
-fn drain_is_kept_by_epochs_that_alternate() {
+fn drain_is_kept_while_epochs_alternate() {
     let mut harness = ViewHarness::with_advisory_consul(4);
-    for turn in 0..100 {
-        let lifecycle = [Lifecycle::Draining, Lifecycle::Ready][turn % 2];
+    for round in 0..100 {
+        let lifecycle = [Lifecycle::Draining, Lifecycle::Ready][round % 2];
         harness.update(
             CONSUL,
             Freshness::Current,
-            turn as u64 + 1,
-            vec![assertion("s-0", lifecycle, 20 - (turn % 2) as u64)],
+            round as u64 + 1,
+            vec![assertion("s-0", lifecycle, 20 - (round % 2) as u64)],
         );
         harness.advance_ms(5_000.0);
-        assert_eq!(harness.lifecycle("s-0"), Lifecycle::Draining, "turn {turn}");
+        assert_eq!(
+            harness.lifecycle("s-0"),
+            Lifecycle::Draining,
+            "round {round}"
+        );
     }
 }
 
 #[test]
-fn endpoint_of_weight_zero_drains() {
+fn endpoint_with_a_weight_of_zero_drains() {
     let mut harness = ViewHarness::with_advisory_consul(2);
-    let mut weightless = assertion("s-0", Lifecycle::Ready, 11);
-    weightless.endpoint = Some(Endpoint {
+    let mut zero_weight = assertion("s-0", Lifecycle::Ready, 11);
+    zero_weight.endpoint = Some(Endpoint {
         weight: 0.0,
         ..endpoint("s-0")
     });
-    harness.report(CONSUL, vec![weightless]);
+    harness.report(CONSUL, vec![zero_weight]);
     assert_eq!(harness.lifecycle("s-0"), Lifecycle::Draining);
     harness.report(CONSUL, vec![assertion("s-0", Lifecycle::Ready, 12)]);
     assert_eq!(harness.lifecycle("s-0"), Lifecycle::Ready);
--- a/crates/endpoint-discovery/tests/invariants.rs
+++ b/crates/endpoint-discovery/tests/invariants.rs
@@ -33,7 +33,7 @@
     })
 }
 
-/// Anything that a source may do.
+/// A step of a test: an event of a source, or the passage of time.
 #[derive(Clone, Debug)]
 enum Step {
     Report(Freshness, u64, Vec<(usize, Lifecycle)>),
@@ -74,8 +74,8 @@
     }
 }
 
-/// A view in which both sources have called every endpoint ready.
-fn all_ready(consul: SourcePolicy) -> ViewHarness {
+/// A view in which both sources have reported every endpoint as ready.
+fn view_with_all_ready(consul: SourcePolicy) -> ViewHarness {
     let mut harness = ViewHarness::new(consul);
     for source in [ENDPOINT_LIST, CONSUL] {
         harness.report(source, assertions(0..ENDPOINTS, Lifecycle::Ready, 1));
@@ -112,14 +112,14 @@
         prop_assert_eq!(published(&assertions), published(&shuffled));
     }
 
-    /// Drains are excepted: a source may drain every endpoint.
+    /// This excludes drains: a source may drain every endpoint.
     #[test]
-    fn single_source_cannot_empty_the_view_against_a_live_one(
+    fn faulty_source_cannot_empty_the_view_despite_a_live_one(
         steps in proptest::collection::vec(step(), 1..40),
         faulty in any_source(),
     ) {
-        // The other source calls all of them ready to the end; the faulty one has done so once.
-        let mut harness = all_ready(SourcePolicy::advisory("consul"));
+        // The other source reports all endpoints as ready throughout; the faulty one did so once.
+        let mut harness = view_with_all_ready(SourcePolicy::advisory("consul"));
         for (index, step) in steps.into_iter().enumerate() {
             let step = match step {
                 Step::Report(freshness, epoch, endpoints) => {
@@ -132,7 +132,7 @@
                 step => step,
             };
             perform(&mut harness, faulty, index as u64 + 2, step);
-            prop_assert!(harness.ready_count() > 0, "no endpoint is left");
+            prop_assert!(harness.ready_count() > 0, "no endpoint is ready after step {index}");
         }
     }
 
@@ -142,10 +142,10 @@
         draining in any_source(),
     ) {
         let policy = SourcePolicy { may_add_endpoints: true, ..SourcePolicy::advisory("consul") };
-        let mut harness = all_ready(policy);
+        let mut harness = view_with_all_ready(policy);
         harness.report(draining, vec![assertion("s-0", Lifecycle::Draining, 1_000)]);
         for (index, (source, step)) in steps.into_iter().enumerate() {
-            // The source that drained it asserts only what is older or about other endpoints.
+            // The draining source asserts only older versions, or asserts about other endpoints.
             let step = match step {
                 Step::Report(freshness, _, endpoints) if source == draining => {
                     Step::Report(freshness, 0, endpoints)
@@ -153,12 +153,12 @@
                 step => step,
             };
             perform(&mut harness, source, index as u64 + 2, step);
-            prop_assert!(harness.lifecycle("s-0") != Lifecycle::Ready);
+            prop_assert!(harness.lifecycle("s-0") != Lifecycle::Ready, "drain ended at step {index}");
         }
     }
 
     #[test]
-    fn published_changes_add_up_to_the_view(
+    fn published_changes_result_in_the_view(
         steps in proptest::collection::vec((any_source(), step()), 1..40),
         may_add_endpoints: bool,
     ) {
--- a/crates/endpoint-discovery/tests/matching.rs
+++ b/crates/endpoint-discovery/tests/matching.rs
@@ -1,4 +1,4 @@
-//! Which endpoint an assertion is about, and which source describes it.
+//! Matching of assertions to endpoints, by id or by address, and precedence of descriptions.
 
 mod common;
 use common::*;
@@ -21,7 +21,7 @@
     assert_eq!(
         harness.ready_count(),
         2,
-        "lost for a day, and what it last listed is still used"
+        "endpoints that Consul listed before it was lost for a day are still used"
     );
 }
 
@@ -32,8 +32,8 @@
     harness.remove(CONSUL, 11, ["s-0".to_owned()]);
     assert_eq!(harness.lifecycle("s-0"), Lifecycle::Gone);
     harness.advance_ms(10_000.0);
-    // The endpoint list is first, with the new start: Consul's last assertion was about the
-    // predecessor.
+    // The endpoint list reports the restart first: Consul's last assertion is about the previous
+    // process.
     let mut restarted = assertion("s-0", Lifecycle::Ready, 3);
     restarted.endpoint = Some(Endpoint {
         started_at_ms: harness.now_ms - 100.0,
@@ -54,7 +54,7 @@
     harness
 }
 
-/// Consul's assertion about the address of the endpoint of this id.
+/// Consul's assertion about the address of the endpoint with this id.
 fn by_address(id: &str, lifecycle: Lifecycle, version: u64) -> Assertion {
     Assertion {
         key: address(id).to_string(),
@@ -67,7 +67,7 @@
 #[test]
 fn assertions_by_address_apply_to_the_endpoint_that_moves_there() {
     let mut harness = with_consul_by_address();
-    let others = [
+    let other_assertions = [
         by_address("s-1", Lifecycle::Ready, 10),
         by_address("s-2", Lifecycle::Ready, 10),
     ];
@@ -78,12 +78,12 @@
                 by_address("s-0", Lifecycle::Draining, 10),
                 by_address("s-7", Lifecycle::Gone, 10),
             ],
-            others.into(),
+            other_assertions.into(),
         ]
         .concat(),
     );
     assert_eq!(harness.lifecycle("s-0"), Lifecycle::Draining);
-    // It moves to an address that Consul calls gone, then to one that Consul does not list.
+    // The endpoint moves to an address that Consul reports as gone, then to one that it does not list.
     for (to, expected) in [("s-7", Lifecycle::Gone), ("s-8", Lifecycle::Ready)] {
         let mut moved = assertion("s-0", Lifecycle::Ready, if to == "s-7" { 2 } else { 3 });
         moved.endpoint = Some(Endpoint {
@@ -91,9 +91,13 @@
             ..endpoint(to)
         });
         harness.report(ENDPOINT_LIST, vec![moved]);
-        assert_eq!(harness.lifecycle("s-0"), expected, "at {to}");
+        assert_eq!(
+            harness.lifecycle("s-0"),
+            expected,
+            "moved to the address of {to}"
+        );
     }
-    // Another endpoint moves to the address that drains.
+    // Another endpoint moves to the draining address.
     let mut other = assertion("s-1", Lifecycle::Ready, 4);
     other.endpoint = Some(Endpoint {
         id: "s-1".into(),
@@ -106,12 +110,12 @@
 #[test]
 fn drain_by_address_applies_to_every_endpoint_at_it() {
     let mut harness = with_consul_by_address();
-    let mut twin = assertion("s-9", Lifecycle::Ready, 2);
-    twin.endpoint = Some(Endpoint {
+    let mut same_address = assertion("s-9", Lifecycle::Ready, 2);
+    same_address.endpoint = Some(Endpoint {
         id: "s-9".into(),
         ..endpoint("s-0")
     });
-    harness.report(ENDPOINT_LIST, vec![twin]);
+    harness.report(ENDPOINT_LIST, vec![same_address]);
     harness.report(CONSUL, vec![by_address("s-0", Lifecycle::Draining, 10)]);
     assert_eq!(
         (harness.lifecycle("s-0"), harness.lifecycle("s-9")),
--- a/crates/endpoint-discovery/tests/merge_table.rs
+++ b/crates/endpoint-discovery/tests/merge_table.rs
@@ -14,16 +14,18 @@
     SourceStatus::Expired,
 ];
 
-/// Rows: what the endpoint list asserts. Columns: what the other source asserts (nothing, ready,
-/// draining, gone), live or stale. R ready, D draining, U unlisted, X removed, V removed and
-/// disputed.
+/// Outcomes for a live or stale other source that may not add endpoints. Rows: the assertion of the
+/// endpoint list; columns: that of the other source; both in the order nothing, ready, draining, gone.
+/// R ready, D draining, U unlisted, X removed, V removed and disputed.
 const ADVISORY: [&str; 4] = ["UUUU", "RRDV", "DDDD", "XVXX"];
-/// The same for an expired other source.
+/// Outcomes for an expired other source that may not add endpoints.
 const ADVISORY_EXPIRED: [&str; 4] = ["UUUU", "RRDR", "DDDD", "XXXX"];
-/// The other source may add endpoints.
+/// Outcomes for a live or stale other source that may add endpoints.
 const ADDING: [&str; 4] = ["URDX", "RRDV", "DDDX", "XVXX"];
+/// Outcomes for an expired other source that may add endpoints.
 const ADDING_EXPIRED: [&str; 4] = ["URDU", "RRDR", "DDDD", "XXXX"];
-/// The server has restarted since the other source's assertion.
+/// Outcomes if the server has restarted since the assertion of the other source, which is live or
+/// stale and may not add endpoints.
 const ADVISORY_SUPERSEDED: [&str; 4] = ["UUUU", "RRRR", "DDDD", "XVVX"];
 
 fn letter(outcome: MergeOutcome) -> char {
@@ -36,8 +38,8 @@
     }
 }
 
-/// What the endpoint list asserts.
-fn listed(lifecycle: Option<Lifecycle>, source_status: SourceStatus) -> EffectiveAssertion {
+/// The assertion of the endpoint list.
+fn list_assertion(lifecycle: Option<Lifecycle>, source_status: SourceStatus) -> EffectiveAssertion {
     EffectiveAssertion {
         lifecycle,
         source_status,
@@ -46,24 +48,24 @@
     }
 }
 
-fn check(
+fn check_table(
     table: &[&str; 4],
     other: impl Fn(Option<Lifecycle>) -> EffectiveAssertion,
     list_status: SourceStatus,
 ) {
     for (row, list_lifecycle) in table.iter().zip(LIFECYCLES) {
-        let listed = listed(list_lifecycle, list_status);
+        let list = list_assertion(list_lifecycle, list_status);
         for (expected, lifecycle) in row.chars().zip(LIFECYCLES) {
             let other = other(lifecycle);
             assert_eq!(
-                letter(merge(&[listed, other])),
+                letter(merge(&[list, other])),
                 expected,
-                "{listed:?} beside {other:?}"
+                "endpoint list {list:?}, other source {other:?}"
             );
             assert_eq!(
-                letter(merge(&[other, listed])),
+                letter(merge(&[other, list])),
                 expected,
-                "the order of sources makes no difference"
+                "outcome depends on the order: other source {other:?}, endpoint list {list:?}"
             );
         }
     }
@@ -82,7 +84,7 @@
                 }
             };
             let is_expired = source_status == SourceStatus::Expired;
-            check(
+            check_table(
                 if is_expired {
                     &ADVISORY_EXPIRED
                 } else {
@@ -91,19 +93,20 @@
                 other(false, false),
                 list_status,
             );
-            check(
+            check_table(
                 if is_expired { &ADDING_EXPIRED } else { &ADDING },
                 other(true, false),
                 list_status,
             );
             if !is_expired {
-                check(&ADVISORY_SUPERSEDED, other(false, true), list_status);
+                check_table(&ADVISORY_SUPERSEDED, other(false, true), list_status);
             }
         }
     }
 }
 
-/// `source` relies on it: a source that becomes stale and live again changes no outcome.
+/// The `source` module relies on this: it merges no endpoint again when a source becomes stale, or live
+/// again.
 #[test]
 fn merge_outcome_is_the_same_for_live_and_stale_sources() {
     for (a, b) in LIFECYCLES
@@ -115,7 +118,7 @@
         {
             let outcome = |source_status| {
                 merge(&[
-                    listed(a, SourceStatus::Live),
+                    list_assertion(a, SourceStatus::Live),
                     EffectiveAssertion {
                         lifecycle: b,
                         source_status,
@@ -127,14 +130,14 @@
             assert_eq!(
                 outcome(SourceStatus::Live),
                 outcome(SourceStatus::Stale),
-                "{a:?}, {b:?}"
+                "live endpoint list asserts {a:?}, other source asserts {b:?}"
             );
         }
     }
 }
 
-/// No ready assertion of a third source cancels a drain, and only sources that may add endpoints
-/// list one.
+/// A third source cannot end a drain, and a source that may not add endpoints cannot list one,
+/// whatever it asserts.
 #[test]
 fn third_source_cannot_end_a_drain_or_list_an_endpoint() {
     let assertion = |lifecycle, may_add_endpoints| EffectiveAssertion {
@@ -150,7 +153,11 @@
                 assertion(Lifecycle::Draining, false),
                 assertion(lifecycle, may_add_endpoints),
             ];
-            assert_ne!(merge(&all), MergeOutcome::Ready, "{lifecycle:?}");
+            assert_ne!(
+                merge(&all),
+                MergeOutcome::Ready,
+                "third source asserts {lifecycle:?}"
+            );
             let all = [
                 assertion(Lifecycle::Ready, false),
                 assertion(lifecycle, false),
--- a/crates/endpoint-discovery/tests/staleness.rs
+++ b/crates/endpoint-discovery/tests/staleness.rs
@@ -11,19 +11,27 @@
     harness.report(CONSUL, vec![assertion("s-0", Lifecycle::Gone, 11)]);
     harness.handle(Event::SourceLost { source: CONSUL });
     harness.advance_ms(59_000.0);
-    assert_eq!(harness.lifecycle("s-0"), Lifecycle::Gone, "retained");
+    assert_eq!(
+        harness.lifecycle("s-0"),
+        Lifecycle::Gone,
+        "the removal is retained"
+    );
     harness.advance_ms(1_000.0);
-    assert_eq!(harness.lifecycle("s-0"), Lifecycle::Ready, "expired");
+    assert_eq!(
+        harness.lifecycle("s-0"),
+        Lifecycle::Ready,
+        "the removal has expired"
+    );
     harness.report(CONSUL, vec![]);
     assert_eq!(
         harness.lifecycle("s-0"),
         Lifecycle::Gone,
-        "live again, and it still removes it"
+        "the source is live again, and its removal takes effect again"
     );
 }
 
 #[test]
-fn outdated_report_drains_and_does_nothing_else_until_confirmed() {
+fn outdated_report_only_drains_until_it_is_confirmed() {
     let mut harness = ViewHarness::with_advisory_consul(4);
     harness.report(CONSUL, vec![assertion("s-0", Lifecycle::Draining, 11)]);
     let outdated = vec![
@@ -43,11 +51,12 @@
     assert_eq!(
         lifecycles,
         [Lifecycle::Ready, Lifecycle::Gone, Lifecycle::Draining],
-        "confirmed by a current report"
+        "a current report confirms the outdated one"
     );
 }
 
-/// Guards against an agent that was restored from a snapshot: its older state ends no drain at once.
+/// Guards against a Consul agent that was restored from a snapshot: its older state must not end a
+/// drain, or remove an endpoint, at once.
 #[test]
 fn new_epoch_takes_effect_only_once_confirmed() {
     let mut harness = ViewHarness::with_advisory_consul(10);
