--- a/crates/consul/src/json_stream/mod.rs
+++ b/crates/consul/src/json_stream/mod.rs
@@ -11,7 +11,8 @@
 /// Error from splitting a stream that is not a valid JSON array.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum JsonStreamError {
-    /// The stream does not begin with a bracket, or its elements are not separated by single commas.
+    /// The stream does not begin with a bracket, or its elements are not separated by single
+    /// commas.
     NotAnArray,
     /// Bytes follow the end of the array.
     TrailingBytes,
@@ -182,7 +183,8 @@
     }
 }
 
-/// The position after a byte of an element, at nesting depth `depth`, that does not end the element.
+/// The position after a byte of an element, at nesting depth `depth`, that does not end the
+/// element.
 fn position_after(depth: u32, byte: u8) -> Position {
     match byte {
         b'"' => Position::InString { depth },
--- a/crates/consul/src/lib.rs
+++ b/crates/consul/src/lib.rs
@@ -1,6 +1,7 @@
-//! A sans-I/O client of Consul's catalog and health API. It builds queries ([`Query`]), decides when
-//! to send them and to which agent ([`Watch`]), parses the instances in a response ([`Instance`]),
-//! maps them to endpoints ([`Mapping`]) and detects changes since the last response ([`Snapshot`]).
+//! A sans-I/O client of Consul's catalog and health API. It builds queries ([`Query`]), decides
+//! when to send them and to which agent ([`Watch`]), parses the instances in a response
+//! ([`Instance`]), maps them to endpoints ([`Mapping`]) and detects changes since the last response
+//! ([`Snapshot`]).
 //!
 //! A [`Watch`] follows one service with blocking queries to one of several agents. It handles
 //! received bytes in pieces of any size and appends the actions that the caller must perform. A
--- a/crates/consul/src/mapping.rs
+++ b/crates/consul/src/mapping.rs
@@ -90,7 +90,8 @@
     Address,
 }
 
-/// The lifecycle that results from each status of an instance, its most severe check status.
+/// The lifecycle that results from each status of an instance, which is the most severe status of
+/// its checks.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct StatusLifecycles {
     /// For [`CheckStatus::Passing`].
@@ -306,7 +307,7 @@
     }
 }
 
-/// Returns `None` for a host name, as names are not resolved, and for port 0.
+/// Parses an IP address; returns `None` for a host name, as names are not resolved, and for port 0.
 fn socket_address(address: &str, port: u16) -> Option<SocketAddr> {
     let address: IpAddr = address.parse().ok()?;
     (port > 0).then_some(SocketAddr::new(address, port))
--- a/crates/consul/src/query/mod.rs
+++ b/crates/consul/src/query/mod.rs
@@ -68,8 +68,8 @@
         }
     }
 
-    /// Path and parameters of a request that blocks until there is a change newer than `index`. With
-    /// index 0 it does not block.
+    /// Path and parameters of a request that blocks until there is a change newer than `index`.
+    /// With index 0 it does not block.
     #[must_use]
     pub fn path(&self, index: u64) -> String {
         let api = match self.api {
--- a/crates/consul/src/response_head/mod.rs
+++ b/crates/consul/src/response_head/mod.rs
@@ -11,8 +11,8 @@
     pub index: Option<u64>,
     /// `X-Consul-KnownLeader`.
     pub known_leader: Option<bool>,
-    /// `X-Consul-LastContact`, in milliseconds: time since the responding server was last in contact
-    /// with the leader.
+    /// `X-Consul-LastContact`, in milliseconds: time since the responding server was last in
+    /// contact with the leader.
     pub last_contact_ms: Option<f64>,
     /// `Age`, in seconds, of a response from an agent's cache.
     pub age_s: Option<f64>,
--- a/crates/consul/src/snapshot.rs
+++ b/crates/consul/src/snapshot.rs
@@ -68,9 +68,9 @@
 
 /// The instances of the last complete response.
 ///
-/// Instances are recognized by a hash of their bytes: an unchanged instance is not parsed again. The
-/// hash function has a random key in each process, so that nobody can construct two instances that
-/// collide.
+/// Instances are recognized by a hash of their bytes: an unchanged instance is not parsed again.
+/// The hash function has a random key in each process, so that nobody can construct two instances
+/// that collide.
 #[derive(Default)]
 pub struct Snapshot {
     hasher: RandomState,
--- a/crates/consul/src/watch/event.rs
+++ b/crates/consul/src/watch/event.rs
@@ -24,7 +24,7 @@
     Body(&'a [u8]),
     /// The response is complete.
     End,
-    /// The connection could not be established, or was lost, for this reason (logged).
+    /// The connection could not be established, or was lost. The text is the reason, for the log.
     ConnectionFailed(String),
 }
 
@@ -59,7 +59,7 @@
     }
 }
 
-/// An error in a query of an agent.
+/// An error in querying an agent, or in its response.
 #[derive(Clone, Debug, PartialEq)]
 pub enum PollError {
     /// The connection to the agent failed, for this reason.
--- a/crates/consul/src/watch/mod.rs
+++ b/crates/consul/src/watch/mod.rs
@@ -27,14 +27,14 @@
 /// ends.
 pub const MAX_RESPONSE_BYTES: usize = 40 * 1024 * 1024;
 
-/// Time that Consul's server and the network may take in addition to the wait of a blocking query, in
-/// milliseconds.
+/// Time that Consul's server and the network may take in addition to the wait of a blocking query,
+/// in milliseconds.
 const RESPONSE_GRACE_MS: f64 = 5_000.0;
-/// Time without body data after which a response is abandoned, in milliseconds: a local agent sends a
-/// response without pauses.
+/// Time without body data after which a response is abandoned, in milliseconds: a local agent sends
+/// a response without pauses.
 const STALL_TIMEOUT_MS: f64 = 5_000.0;
-/// Maximum time for receiving a whole body, in milliseconds. Without it, a body that trickles in would
-/// keep the source live indefinitely.
+/// Maximum time for receiving a whole body, in milliseconds. Without it, a body that trickles in
+/// would keep the source live indefinitely.
 const RECEIVE_TIMEOUT_MS: f64 = 30_000.0;
 /// Maximum response time of a query that is considered not to have blocked, in milliseconds.
 const MAX_IMMEDIATE_RESPONSE_MS: f64 = 100.0;
@@ -124,8 +124,8 @@
         self.snapshot.instance_count()
     }
 
-    /// Handles an event that occurred at `now_ms`, and appends the actions to perform, in their order.
-    /// Events of an abandoned query are ignored.
+    /// Handles an event that occurred at `now_ms`, and appends the actions to perform, in their
+    /// order. Events of an abandoned query are ignored.
     pub fn handle(&mut self, now_ms: f64, event: Event<'_>, actions: &mut Vec<Action>) {
         match (&mut self.phase, event) {
             (Phase::Idle, Event::TimerExpired) => self.send_query(now_ms, actions),
@@ -237,8 +237,8 @@
             removed,
         }));
         if self.failover.record_response(is_stale) {
-            // The next agent may have no newer data, and a blocking query would then leave the source
-            // stale for the whole wait.
+            // The next agent may have no newer data, and a blocking query would then leave the
+            // source stale for the whole wait.
             self.index.reset_blocking();
         }
         let is_immediate = now_ms - response.sent_at_ms <= MAX_IMMEDIATE_RESPONSE_MS;
--- a/crates/consul/src/watch/rate_limit.rs
+++ b/crates/consul/src/watch/rate_limit.rs
@@ -1,8 +1,8 @@
 //! The delay between a response and the next query.
 
 /// Number of responses that may follow one another without a delay. Each response lists every
-/// instance, so the rate must be limited for a service that changes constantly and for an agent that
-/// does not block.
+/// instance, so the rate must be limited for a service that changes constantly and for an agent
+/// that does not block.
 const BURST: f64 = 5.0;
 /// Maximum delay after responses without progress, in milliseconds.
 const MAX_NO_PROGRESS_DELAY_MS: f64 = 2_000.0;
@@ -16,8 +16,8 @@
     Blocking,
     /// It came immediately and changed nothing, or is stale.
     NoProgress,
-    /// It had an index that decreased. The next query does not block, so that it returns an index to
-    /// block on.
+    /// It had an index that decreased. The next query does not block, so that it returns an index
+    /// to block on.
     IndexReset,
     /// It had no index.
     NoIndex,
@@ -30,7 +30,8 @@
     interval_ms: f64,
     tokens: f64,
     refilled_at_ms: f64,
-    /// Delay after the next response without progress, before it doubles, in milliseconds.
+    /// Delay after the last response without progress, in milliseconds; it doubles with each
+    /// further one.
     no_progress_delay_ms: f64,
 }
 
--- a/crates/consul/tests/robustness.rs
+++ b/crates/consul/tests/robustness.rs
@@ -1,4 +1,5 @@
-//! Arbitrary data from an agent causes no panic, and an invalid response is not reported as current.
+//! Arbitrary data from an agent causes no panic, and an invalid response is not reported as
+//! current.
 
 use consul::{Action, Api, Event, Instance, Mapping, Query, Watch, WatchSettings};
 use proptest::prelude::*;
@@ -33,7 +34,7 @@
         let body: Vec<u8> = pieces.concat();
         let is_json_array = serde_json::from_slice::<Vec<serde::de::IgnoredAny>>(&body).is_ok();
         let is_reported = actions.iter().any(|action| matches!(action, Action::Report(report) if report.is_current));
-        prop_assert!(is_json_array || !is_reported, "reported although it is not a JSON array: {body:?}");
+        prop_assert!(is_json_array || !is_reported, "reported, but not a JSON array: {body:?}");
     }
 
     /// A corrupted response is reported, rejected, or reported as not current.
@@ -76,7 +77,7 @@
             for action in &actions {
                 match action {
                     Action::SendQuery { .. } => {
-                        prop_assert!(!is_in_flight, "a second query was sent while one is in flight");
+                        prop_assert!(!is_in_flight, "a query was sent while one is in flight");
                         is_in_flight = true;
                     }
                     Action::CloseConnection | Action::Report(_) | Action::ReportUnreachable => is_in_flight = false,
--- a/crates/endpoint-discovery/src/endpoint.rs
+++ b/crates/endpoint-discovery/src/endpoint.rs
@@ -2,8 +2,8 @@
 
 use std::net::SocketAddr;
 
-/// Maximum number of endpoints per source: four times the largest list that the tests use, and about
-/// 20 MB. Further endpoints are ignored.
+/// Maximum number of endpoints per source: four times the largest list that the tests use, and
+/// about 20 MB. Further endpoints are ignored.
 pub const MAX_ENDPOINTS: usize = 20_000;
 
 /// Whether an endpoint accepts requests.
--- a/crates/endpoint-discovery/src/log_event.rs
+++ b/crates/endpoint-discovery/src/log_event.rs
@@ -37,14 +37,16 @@
         /// Number of endpoints that the source had before.
         total: usize,
     },
-    /// No removal is deferred any longer: each has taken effect or was revoked by the source.
+    /// A mass removal is no longer deferred: each removal has taken effect or was revoked by the
+    /// source.
     MassRemovalResolved {
         /// The source's name.
         source: String,
     },
-    /// No endpoint is ready, so those are used that one source removed and another reports as ready.
+    /// No endpoint is ready, so the disputed ones are used: one source removed them, and another
+    /// reports them as ready.
     LastResortStarted {
-        /// Number of endpoints that are used as the last resort.
+        /// Number of disputed endpoints.
         endpoints: usize,
     },
     /// The last resort has ended: an endpoint is ready again, or none is disputed any longer.
@@ -59,8 +61,8 @@
         /// The source's name.
         source: String,
     },
-    /// A source has been stale for longer than its assertions are retained: its removals are ignored
-    /// from now on.
+    /// A source has been stale for longer than its assertions are retained: its removals are
+    /// ignored from now on.
     SourceExpired {
         /// The source's name.
         source: String,
@@ -101,7 +103,9 @@
                 outcome,
             } => {
                 write!(f, "view: {id:?} is {outcome}; sources disagree:")?;
-                for (position, SourceLifecycle { source, lifecycle }) in source_lifecycles.iter().enumerate() {
+                for (position, SourceLifecycle { source, lifecycle }) in
+                    source_lifecycles.iter().enumerate()
+                {
                     let separator = if position == 0 { "" } else { "," };
                     let lifecycle = lifecycle_text(*lifecycle);
                     write!(f, "{separator} {source} reports {lifecycle}")?;
@@ -120,11 +124,14 @@
                 "view: {source} removes {removed} of {total} endpoints at once; deferred until confirmed"
             ),
             Self::MassRemovalResolved { source } => {
-                write!(f, "view: the mass removal by {source} has taken effect or was revoked")
+                write!(
+                    f,
+                    "view: the mass removal by {source} has taken effect or was revoked"
+                )
             }
             Self::LastResortStarted { endpoints } => write!(
                 f,
-                "view: no endpoint is ready; last resort started with {endpoints} that one source removed and another reports as ready"
+                "view: no endpoint is ready; last resort started with {endpoints} endpoints that one source removed and another reports as ready"
             ),
             Self::LastResortEnded => write!(f, "view: last resort ended"),
             Self::SourceLive { source } => write!(f, "view: {source} is live"),
@@ -137,7 +144,10 @@
                 "view: {source} has expired after being stale for too long; its removals are ignored"
             ),
             Self::TooManyEndpoints { source } => {
-                write!(f, "view: {source} lists more than {MAX_ENDPOINTS} endpoints; the others are ignored")
+                write!(
+                    f,
+                    "view: {source} lists more than {MAX_ENDPOINTS} endpoints; the others are ignored"
+                )
             }
         }
     }
--- a/crates/endpoint-discovery/src/source/mod.rs
+++ b/crates/endpoint-discovery/src/source/mod.rs
@@ -1,8 +1,8 @@
 //! One source: its latest assertions, and which of them are in effect.
 //!
-//! This module records the source's reports and whether the source is live; `pending` decides when a
-//! latest assertion takes effect. Invariant: a key is in the pending set if and only if its latest
-//! lifecycle differs from the effective one.
+//! This module records the source's reports and whether the source is live; `pending` decides when
+//! a latest assertion takes effect. Invariant: a key is in the pending set if and only if its
+//! latest lifecycle differs from the effective one.
 
 mod pending;
 mod policy;
@@ -20,8 +20,8 @@
 pub use policy::{FlapDamping, MatchBy, SourcePolicy};
 pub use update::{Assertion, Freshness, Removal, SourceUpdate};
 
-/// Maximum number of removed endpoints of which a source keeps the record, so that an older assertion
-/// that arrives late is recognized as such. The earliest removed are evicted first.
+/// Maximum number of removed endpoints of which a source keeps the record, so that an older
+/// assertion that arrives late is recognized as such. The earliest removed are evicted first.
 pub const MAX_TOMBSTONES: usize = 4_096;
 
 /// A set of a source's keys.
@@ -59,9 +59,9 @@
     /// Keys of removed endpoints, earliest first.
     tombstones: VecDeque<String>,
     contact: Contact,
-    /// Whether the log has a deferred mass removal that is not resolved yet.
+    /// Whether a deferred mass removal has been logged that is not resolved yet.
     is_mass_removal_reported: bool,
-    /// Whether the log has the excess over [`MAX_ENDPOINTS`].
+    /// Whether an excess over [`MAX_ENDPOINTS`] has been logged.
     is_limit_reported: bool,
 }
 
@@ -100,7 +100,7 @@
         self.records.get(key)?.endpoint.as_ref()
     }
 
-    /// When the version in effect took effect, in milliseconds.
+    /// When the effective version took effect, in milliseconds.
     pub fn effective_since_ms(&self, key: &str) -> f64 {
         self.records
             .get(key)
@@ -194,8 +194,8 @@
         }
     }
 
-    /// Confirms every pending assertion: a current report confirms the earlier assertions that it does
-    /// not change.
+    /// Confirms every pending assertion: a current report confirms the earlier assertions that it
+    /// does not change.
     fn confirm_pending(&mut self) {
         for key in &self.pending {
             if let Some(record) = self.records.get_mut(key) {
@@ -272,8 +272,8 @@
     }
 }
 
-/// Turns a ready assertion with a weight of zero into a drain: such an endpoint finishes its current
-/// requests and gets no new ones.
+/// Turns a ready assertion with a weight of zero into a drain: such an endpoint finishes its
+/// current requests and gets no new ones.
 fn with_weight_applied(mut assertion: Assertion) -> Assertion {
     let has_zero_weight = assertion
         .endpoint
--- a/crates/endpoint-discovery/src/source/pending.rs
+++ b/crates/endpoint-discovery/src/source/pending.rs
@@ -1,8 +1,8 @@
 //! Puts pending assertions into effect when they are due.
 //!
-//! A source may be faulty: it may lag, lose data, be restored from an old snapshot or report all its
-//! health checks as failed at once. An assertion that could remove many endpoints therefore takes
-//! effect only once it has been confirmed, while a drain takes effect at once.
+//! A source may be faulty: it may lag, lose data, be restored from an old snapshot or report all
+//! its health checks as failed at once. An assertion that could remove many endpoints therefore
+//! takes effect only once it has been confirmed, while a drain takes effect at once.
 
 use crate::endpoint::Lifecycle;
 use crate::log_event::LogEvent;
@@ -31,8 +31,8 @@
     /// Puts every pending assertion into effect that is due, and expires the source if it has been
     /// stale for too long. Returns when to call this again, in milliseconds.
     ///
-    /// `ready_elsewhere` holds the pending keys that another source reports as ready; it is used only
-    /// if the policy does not defer undisputed removals.
+    /// `ready_elsewhere` holds the pending keys that another source reports as ready; it is used
+    /// only if the policy does not defer undisputed removals.
     pub fn apply_due(
         &mut self,
         now_ms: f64,
@@ -160,15 +160,15 @@
     }
 
     /// Whether the removals within the window exceed the panic threshold. Guards against a source
-    /// that lost its data, or whose health checks all fail for a reason other than the servers.
+    /// that lost its data, or whose health checks all fail for a reason unrelated to the servers.
     fn is_mass_removal(&self) -> bool {
         let RemovalCount { removed, total } = self.count_removals();
         self.pending_removals().count() > 0
             && removed as f64 > self.policy.panic_share * total as f64
     }
 
-    /// When a record's latest assertion takes effect. With `is_deferred`, a removal must first stand for
-    /// the policy's confirmation time.
+    /// When a record's latest assertion takes effect. With `is_deferred`, a removal must first
+    /// stand for the policy's confirmation time.
     fn effect_time(&self, record: &Record, is_deferred: bool) -> EffectTime {
         let LatestAssertion {
             lifecycle,
--- a/crates/endpoint-discovery/src/source/policy.rs
+++ b/crates/endpoint-discovery/src/source/policy.rs
@@ -1,4 +1,4 @@
-//! The policies that operators configure per source: when its assertions take effect.
+//! Per-source policies, configured by operators, for when assertions take effect.
 
 /// The kind of a source's keys.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -9,7 +9,8 @@
     Address,
 }
 
-/// Flap damping: the delay before an endpoint that repeatedly ceases to be ready may be ready again.
+/// Flap damping: the delay before an endpoint that repeatedly ceases to be ready may be ready
+/// again.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct FlapDamping {
     /// The delay after the second return, in milliseconds; it doubles with each further return.
@@ -29,8 +30,8 @@
     pub may_add_endpoints: bool,
     /// The kind of its keys.
     pub match_by: MatchBy,
-    /// Panic threshold: removals are deferred if they exceed this share of the source's endpoints within
-    /// `panic_window_ms`.
+    /// Panic threshold: removals are deferred if they exceed this share of the source's endpoints
+    /// within `panic_window_ms`.
     pub panic_share: f64,
     /// The window in which removals are counted, in milliseconds.
     pub panic_window_ms: f64,
@@ -40,8 +41,8 @@
     pub confirm_ms: f64,
     /// Whether assertions of a new epoch, such as after a decreased index, are deferred as well.
     pub defers_new_epochs: bool,
-    /// Time for which the source's removals stay in effect once it is stale, in milliseconds. Drains
-    /// have no such limit.
+    /// Time for which the source's removals stay in effect once it is stale, in milliseconds.
+    /// Drains have no such limit.
     pub retention_ms: f64,
     /// Flap damping, if any.
     pub damping: Option<FlapDamping>,
--- a/crates/endpoint-discovery/src/source/record.rs
+++ b/crates/endpoint-discovery/src/source/record.rs
@@ -57,8 +57,8 @@
         }
     }
 
-    /// Whether an assertion replaces the latest one: it has a greater version, or the same version and
-    /// at least the same severity. The order of delivery therefore makes no difference.
+    /// Whether an assertion replaces the latest one: it has a greater version, or the same version
+    /// and at least the same severity. The order of delivery therefore makes no difference.
     pub fn is_superseded_by(&self, lifecycle: Lifecycle, version: EpochVersion) -> bool {
         version > self.latest.version
             || (version == self.latest.version && lifecycle >= self.latest.lifecycle)
--- a/crates/endpoint-discovery/src/source/update.rs
+++ b/crates/endpoint-discovery/src/source/update.rs
@@ -37,8 +37,8 @@
 /// One report of a source: the changes since the last report, or the full state.
 #[derive(Clone, Debug, PartialEq)]
 pub struct SourceUpdate {
-    /// Whether the report is current. A current report confirms every earlier assertion that it does not
-    /// change.
+    /// Whether the report is current. A current report confirms every earlier assertion that it
+    /// does not change.
     pub freshness: Freshness,
     /// Increased by the source's reader whenever versions are not comparable with earlier ones.
     pub epoch: u64,
@@ -55,7 +55,7 @@
     pub version: u64,
 }
 
-/// Circumstances of the receipt of an assertion.
+/// Time, version and freshness of a received assertion.
 #[derive(Clone, Copy)]
 pub(super) struct Receipt {
     /// Time of receipt, in milliseconds.
--- a/crates/endpoint-discovery/src/view/mod.rs
+++ b/crates/endpoint-discovery/src/view/mod.rs
@@ -1,5 +1,5 @@
-//! The merged view: merges the effective assertions of all sources about each endpoint, and publishes
-//! the changes.
+//! The merged view: merges the effective assertions of all sources about each endpoint, and
+//! publishes the changes.
 //!
 //! It owns the sources and the published state of every endpoint. Invariant: the published changes,
 //! applied in order, result in [`EndpointView::endpoints`].
@@ -15,7 +15,7 @@
 use crate::source::{KeySet, Source, SourcePolicy, SourceUpdate};
 use sources::Sources;
 
-/// The position of a source: those given to [`EndpointView::new`] come first.
+/// The position of a source in the view; those given to [`EndpointView::new`] come first.
 pub type SourceId = usize;
 
 /// Maximum number of disagreements that are logged individually per step; the others are only
@@ -49,11 +49,11 @@
 /// An action that the caller must perform.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
-    /// Apply these changed endpoints, which are sorted by id. One whose lifecycle is gone is no longer
-    /// in the view.
+    /// Apply these changed endpoints, which are sorted by id. One whose lifecycle is gone is no
+    /// longer in the view.
     Publish(Vec<Endpoint>),
-    /// Send [`Event::TimerExpired`] at this time, in milliseconds of Unix time. Replaces the previous
-    /// timer.
+    /// Send [`Event::TimerExpired`] at this time, in milliseconds of Unix time. Replaces the
+    /// previous timer.
     SetTimer(f64),
     /// Write a line to the operators' log.
     Log(LogEvent),
@@ -72,7 +72,7 @@
 
 /// The merged view. See the [crate] documentation.
 ///
-/// Limits: [`MAX_ENDPOINTS`](crate::MAX_ENDPOINTS) per source.
+/// Limit: [`MAX_ENDPOINTS`](crate::MAX_ENDPOINTS) endpoints per source.
 pub struct EndpointView {
     sources: Sources,
     entries: HashMap<String, Entry>,
@@ -87,8 +87,8 @@
 }
 
 impl EndpointView {
-    /// Creates a view of these sources. If several descriptions of an endpoint have equal precedence,
-    /// that of the first source is used.
+    /// Creates a view of these sources. If several descriptions of an endpoint have equal
+    /// precedence, that of the first source is used.
     #[must_use]
     pub fn new(sources: Vec<SourcePolicy>) -> Self {
         Self {
@@ -101,8 +101,8 @@
         }
     }
 
-    /// Adds a source that has not reported yet. It takes the position of a removed source of the same
-    /// name, if there is one.
+    /// Adds a source that has not reported yet. It takes the position of a removed source of the
+    /// same name, if there is one.
     pub fn add_source(&mut self, policy: SourcePolicy) -> SourceId {
         self.sources.add(policy)
     }
@@ -196,8 +196,8 @@
 
     /// Merges these endpoints again; returns those whose published state changed, sorted by id.
     fn update(&mut self, ids: BTreeSet<String>, log_events: &mut Vec<LogEvent>) -> Vec<Endpoint> {
-        // Keyed by id, so that an endpoint changes at most once per step and no intermediate state is
-        // published.
+        // Keyed by id, so that an endpoint changes at most once per step and no intermediate state
+        // is published.
         let mut changed = BTreeMap::new();
         let mut disagreements = Vec::new();
         for id in ids {
@@ -286,8 +286,8 @@
             Some(MergeOutcome::Draining) => Lifecycle::Draining,
             _ => Lifecycle::Gone,
         };
-        // A ready endpoint without an address cannot be used; a draining one may still have requests
-        // in flight.
+        // A ready endpoint without an address cannot be used; a draining one may still have
+        // requests in flight.
         let is_usable =
             |endpoint: &Endpoint| endpoint.address.is_some() || lifecycle == Lifecycle::Draining;
         let current = attributes
--- a/crates/endpoint-discovery/src/view/sources.rs
+++ b/crates/endpoint-discovery/src/view/sources.rs
@@ -25,8 +25,8 @@
 }
 
 impl Description<'_> {
-    /// Descriptions from sources that may add endpoints come first, then those from sources that still
-    /// list this one, then those with the latest start time.
+    /// Descriptions from sources that may add endpoints come first, then those from sources that
+    /// still list this one, then those with the latest start time.
     fn precedence(&self, other: &Self) -> Ordering {
         let by_start = other
             .endpoint
@@ -82,8 +82,8 @@
             .map(|source| source.policy.name.as_str())
     }
 
-    /// The ids of the endpoints that a source's keys identify. If the source matches by id, this also
-    /// updates the address index.
+    /// The ids of the endpoints that a source's keys identify. If the source matches by id, this
+    /// also updates the address index.
     pub fn endpoint_ids(&mut self, id: SourceId, keys: KeySet) -> BTreeSet<String> {
         let Some(source) = self.sources.get(id) else {
             return BTreeSet::new();
@@ -126,8 +126,8 @@
             .collect()
     }
 
-    /// The attributes of an endpoint: the description that takes precedence, with unknown attributes
-    /// filled from the others. `None` if no source describes it.
+    /// The attributes of an endpoint: the description that takes precedence, with unknown
+    /// attributes filled from the others. `None` if no source describes it.
     pub fn attributes(&self, id: &str) -> Option<Endpoint> {
         let mut descriptions: Vec<_> = self
             .sources
--- a/crates/endpoint-discovery/tests/drain.rs
+++ b/crates/endpoint-discovery/tests/drain.rs
@@ -40,8 +40,8 @@
     assert_eq!(harness.ready_count(), 3, "the other endpoints stay ready");
 }
 
-/// Guards against a restarted server that gets no requests because its previous process drained, and
-/// against a drain that ends because a start before it is reported late.
+/// Guards against a restarted server that gets no requests because its previous process drained,
+/// and against a drain that ends because an earlier start is reported late.
 #[test]
 fn drain_ends_with_a_later_start_and_not_with_an_earlier_one() {
     let mut harness = ViewHarness::with_advisory_consul(4);
--- a/crates/endpoint-discovery/tests/invariants.rs
+++ b/crates/endpoint-discovery/tests/invariants.rs
@@ -153,7 +153,7 @@
                 step => step,
             };
             perform(&mut harness, source, index as u64 + 2, step);
-            prop_assert!(harness.lifecycle("s-0") != Lifecycle::Ready, "drain ended at step {index}");
+            prop_assert!(harness.lifecycle("s-0") != Lifecycle::Ready, "drain ended in step {index}");
         }
     }
 
--- a/crates/endpoint-discovery/tests/limits.rs
+++ b/crates/endpoint-discovery/tests/limits.rs
@@ -52,7 +52,8 @@
         );
         assert!(harness.published.is_empty());
     }
-    // The remaining tombstones count toward the limit; the rest of it is available to new endpoints.
+    // The remaining tombstones count toward the limit; the rest of it is available to new
+    // endpoints.
     let new_ids = 30_000..30_000 + MAX_ENDPOINTS - MAX_TOMBSTONES;
     harness.report(CONSUL, assertions(new_ids.clone(), Lifecycle::Ready, 9_999));
     assert_eq!(harness.ready_count(), new_ids.len());
--- a/crates/endpoint-discovery/tests/matching.rs
+++ b/crates/endpoint-discovery/tests/matching.rs
@@ -83,7 +83,8 @@
         .concat(),
     );
     assert_eq!(harness.lifecycle("s-0"), Lifecycle::Draining);
-    // The endpoint moves to an address that Consul reports as gone, then to one that it does not list.
+    // The endpoint moves to an address that Consul reports as gone, then to one that it does not
+    // list.
     for (to, expected) in [("s-7", Lifecycle::Gone), ("s-8", Lifecycle::Ready)] {
         let mut moved = assertion("s-0", Lifecycle::Ready, if to == "s-7" { 2 } else { 3 });
         moved.endpoint = Some(Endpoint {
--- a/crates/endpoint-discovery/tests/merge_table.rs
+++ b/crates/endpoint-discovery/tests/merge_table.rs
@@ -15,8 +15,8 @@
 ];
 
 /// Outcomes for a live or stale other source that may not add endpoints. Rows: the assertion of the
-/// endpoint list; columns: that of the other source; both in the order nothing, ready, draining, gone.
-/// R ready, D draining, U unlisted, X removed, V removed and disputed.
+/// endpoint list; columns: that of the other source; both in the order nothing, ready, draining,
+/// gone. R ready, D draining, U unlisted, X removed, V removed and disputed.
 const ADVISORY: [&str; 4] = ["UUUU", "RRDV", "DDDD", "XVXX"];
 /// Outcomes for an expired other source that may not add endpoints.
 const ADVISORY_EXPIRED: [&str; 4] = ["UUUU", "RRDR", "DDDD", "XXXX"];
@@ -105,8 +105,8 @@
     }
 }
 
-/// The `source` module relies on this: it merges no endpoint again when a source becomes stale, or live
-/// again.
+/// The `source` module relies on this: it merges no endpoint again when a source becomes stale, or
+/// live again.
 #[test]
 fn merge_outcome_is_the_same_for_live_and_stale_sources() {
     for (a, b) in LIFECYCLES
--- a/crates/endpoint-discovery/tests/removal.rs
+++ b/crates/endpoint-discovery/tests/removal.rs
@@ -34,9 +34,9 @@
     );
 }
 
-/// Guards against a mass removal on a node that starts while all of Consul's health checks fail for a
-/// reason other than the servers. Consul has not reported the endpoints before, but the endpoint list
-/// has.
+/// Guards against a mass removal on a node that starts while all of Consul's health checks fail for
+/// a reason unrelated to the servers. Consul has not reported the endpoints before, but the endpoint
+/// list has.
 #[test]
 fn mass_removal_in_the_first_report_is_deferred() {
     for (freshness, gone_count, ready_count) in [
