--- a/crates/consul/src/json_stream/mod.rs
+++ b/crates/consul/src/json_stream/mod.rs
@@ -59,8 +59,8 @@
     AfterArray,
 }
 
-/// Splits an array into elements. The elements themselves are not validated; whoever parses them
-/// must do so.
+/// Splits an array into elements. The elements themselves are not validated; their parser must do
+/// so.
 #[derive(Debug, Default)]
 pub struct JsonArrayStream {
     position: Position,
--- a/crates/consul/src/json_stream/tests.rs
+++ b/crates/consul/src/json_stream/tests.rs
@@ -59,7 +59,7 @@
         assert_eq!(
             elements_of(&[text.as_bytes()]),
             Err(JsonStreamError::NotAnArray),
-            "{text}"
+            "{text:?} is not a JSON array"
         );
     }
     assert_eq!(
--- a/crates/consul/tests/watch.rs
+++ b/crates/consul/tests/watch.rs
@@ -320,11 +320,11 @@
         harness.expire_timer();
     }
     assert!(harness.now_ms < 1_000.0);
-    let mut waits = Vec::new();
+    let mut delays_ms = Vec::new();
     for _ in 0..40 {
         harness.handle(Event::ConnectionFailed("refused".into()));
         unreachable_reports += usize::from(harness.reports_unreachable());
-        waits.push(harness.timer_ms() - harness.now_ms);
+        delays_ms.push(harness.timer_ms() - harness.now_ms);
         harness.expire_timer();
     }
     assert_eq!(
@@ -332,15 +332,19 @@
         "number of reports that the source is unreachable"
     );
     assert!(
-        waits.iter().all(|wait| (125.0..=30_000.0).contains(wait)),
-        "{waits:?}"
+        delays_ms
+            .iter()
+            .all(|delay_ms| (125.0..=30_000.0).contains(delay_ms)),
+        "delays in ms: {delays_ms:?}"
     );
     assert!(
-        waits[30..].iter().all(|wait| *wait >= 15_000.0),
-        "{waits:?}"
+        delays_ms[30..].iter().all(|delay_ms| *delay_ms >= 15_000.0),
+        "delays in ms: {delays_ms:?}"
     );
-    let distinct: std::collections::HashSet<_> =
-        waits[30..].iter().map(|wait| *wait as u64).collect();
+    let distinct: std::collections::HashSet<_> = delays_ms[30..]
+        .iter()
+        .map(|delay_ms| *delay_ms as u64)
+        .collect();
     assert!(distinct.len() > 5, "the delays have jitter: {distinct:?}");
     // The first response after the failures is reported, and the next query blocks again.
     harness.respond(41, &list(&[instance("a", "passing")]));
--- a/crates/endpoint-discovery/src/lib.rs
+++ b/crates/endpoint-discovery/src/lib.rs
@@ -4,7 +4,7 @@
 //! [`EndpointView`] performs no I/O and reads no clock: it handles [`Event`]s with their time and
 //! appends [`Action`]s. The last assertion of a source about an endpoint is its *latest* one; the
 //! one that the view uses is its *effective* one. The `source` module decides when the latest
-//! assertion becomes effective, which protects against faulty sources; [`merge`] combines the
+//! assertion becomes effective, which protects against faulty sources; [`merge()`] combines the
 //! effective assertions of all sources into one outcome.
 //!
 //! Times are milliseconds of Unix time, like the start times of servers.
--- a/crates/endpoint-discovery/src/merge.rs
+++ b/crates/endpoint-discovery/src/merge.rs
@@ -98,7 +98,7 @@
     }
 }
 
-/// Merges what the sources assert about one endpoint. The order of the assertions is irrelevant.
+/// Merges the sources' assertions about one endpoint. The order of the assertions is irrelevant.
 ///
 /// - `Gone` from a source that may add endpoints removes the endpoint, whatever the other sources
 ///   assert, until that source expires or the server restarts.
--- a/crates/endpoint-discovery/tests/removal.rs
+++ b/crates/endpoint-discovery/tests/removal.rs
@@ -35,8 +35,8 @@
 }
 
 /// Guards against a mass removal on a node that starts while all of Consul's health checks fail for
-/// a reason unrelated to the servers. Consul has not reported the endpoints before, but the endpoint
-/// list has.
+/// a reason unrelated to the servers. Consul has not reported the endpoints before, but the
+/// endpoint list has.
 #[test]
 fn mass_removal_in_the_first_report_is_deferred() {
     for (freshness, gone_count, ready_count) in [
@@ -156,7 +156,7 @@
     );
     assert!(
         delays_ms[5] > 4.0 * delays_ms[1] && delays_ms[1] > 1_000.0,
-        "{delays_ms:?}"
+        "delays in ms after each return: {delays_ms:?}"
     );
     harness.report(CONSUL, vec![assertion("s-0", Lifecycle::Gone, version)]);
     harness.report(
