--- a/crates/balancer/src/action.rs
+++ b/crates/balancer/src/action.rs
@@ -1,4 +1,4 @@
-//! What a balancer tells the embedding node to do.
+//! Instructions of a balancer to the embedding node.
 
 use std::fmt;
 
@@ -32,14 +32,14 @@
         /// The attempt.
         attempt: usize,
     },
-    /// Final answer: the load is shed and nothing was executed, or a repeat is harmless.
+    /// Final answer: the request is shed. Nothing was executed, or a repeat is harmless.
     Reject {
         /// The request.
         request: RequestId,
-        /// How many milliseconds the client should wait before it retries, where that is known.
+        /// Milliseconds that the client should wait before it retries, if known.
         retry_after_ms: Option<f64>,
     },
-    /// Final answer: failed, perhaps after it took effect.
+    /// Final answer: the request failed and may have taken effect.
     Fail {
         /// The request.
         request: RequestId,
@@ -57,7 +57,7 @@
     Log(LogEvent),
 }
 
-/// Something that the operators should know. `Display` gives the text of a log line.
+/// An event for the operators' log. `Display` gives the text of the log line.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LogEvent {
     /// The server list cannot be fetched; the previous one stays in use.
--- a/crates/balancer/src/event.rs
+++ b/crates/balancer/src/event.rs
@@ -1,32 +1,33 @@
-//! What the embedding node tells a balancer: client requests, results of attempts, list updates,
-//! timers and health checks.
+//! Events that the embedding node passes to a balancer: client requests, results of attempts, list
+//! updates, timers and health checks.
 //!
-//! Times are milliseconds. Events carry durations; the instant that they happened at is passed to
-//! [`Balancer::handle`](crate::Balancer::handle) beside them.
+//! Times are in milliseconds. Events contain durations only; the time at which an event happened is a
+//! separate argument of [`Balancer::handle`](crate::Balancer::handle).
 
 use crate::server_list::{ServerId, ServerListUpdate};
 
-/// A client's request, numbered by the embedding node and never reused.
+/// Id of a client's request, assigned by the embedding node and never reused.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct RequestId(pub u64);
 
 /// A client's request.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Request {
-    /// Its id.
+    /// Id of the request.
     pub id: RequestId,
     /// Index of its class in [`Settings::classes`](crate::Settings::classes).
     pub class: usize,
     /// Index of its tenant.
     pub tenant: usize,
-    /// Its key, if it has one.
+    /// Ordering key; it has an effect only if the class is
+    /// [`ordered_by_key`](crate::Class::ordered_by_key).
     pub key: Option<Box<str>>,
     /// Milliseconds until the client stops waiting.
     pub timeout_ms: f64,
 }
 
 impl Request {
-    /// A request of the first tenant, without a key.
+    /// Creates a request of the first tenant without a key.
     #[must_use]
     pub fn new(id: RequestId, class: usize, timeout_ms: f64) -> Self {
         Self {
@@ -39,12 +40,12 @@
     }
 }
 
-/// A server's own account of its load; a figure that it does not report is absent.
+/// The load that a server reports; a value that it does not report is absent.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct LoadReport {
-    /// Requests in flight there.
+    /// Requests in flight on the server.
     pub in_flight: Option<f64>,
-    /// Requests queued there.
+    /// Requests queued on the server.
     pub queued: Option<f64>,
 }
 
@@ -65,11 +66,11 @@
     Reset,
     /// The response cannot be parsed or is incomplete; the request may have run.
     Malformed,
-    /// The server objects to the request itself, as any other server would; that is the client's answer.
+    /// The server rejected the request as invalid, as any other would; the client gets that response.
     ClientError,
     /// Cancelled by the node; the request may have run.
     Cancelled,
-    /// It was never sent.
+    /// The request was never sent.
     NotSent,
 }
 
@@ -97,7 +98,7 @@
     pub elapsed_ms: f64,
     /// How it ended.
     pub result: AttemptResult,
-    /// Whether the request is finished, by this outcome or before it.
+    /// Whether the client has its final answer, from this outcome or from an earlier one.
     pub complete: bool,
     /// The server's load report, if the response carried one.
     pub report: Option<LoadReport>,
@@ -108,9 +109,9 @@
 pub enum Event {
     /// An update of the server list.
     ServerList(ServerListUpdate),
-    /// A client's request, which is owed exactly one final answer from now on.
+    /// A client's request, which must get exactly one final answer.
     Request(Request),
-    /// A streamed response has begun; the attempt belongs to the client from now on.
+    /// The streaming of a response to the client has begun. Causes no action.
     StreamStarted {
         /// The request.
         request: RequestId,
@@ -119,14 +120,14 @@
     },
     /// An attempt ended.
     Outcome(Outcome),
-    /// Other nodes suspect a server. A server that is the only candidate is used all the same.
+    /// Other nodes suspect a server. It is still used if no candidate is healthy.
     Hint {
         /// The server.
         server: ServerId,
-        /// The fraction, 0 to 1, of its ordinary traffic that it should receive; 1 withdraws an earlier hint.
+        /// Fraction, 0 to 1, of its ordinary traffic that it should receive; 1 withdraws an earlier hint.
         weight: f64,
     },
-    /// The client disconnected; no answer is owed any more.
+    /// The client disconnected and needs no answer.
     ClientGone(RequestId),
     /// A timer set by [`Action::SetTimer`](crate::Action::SetTimer) expired.
     Timer(u64),
--- a/crates/balancer/src/lib.rs
+++ b/crates/balancer/src/lib.rs
@@ -1,9 +1,9 @@
 //! The decisions of a load balancer that distributes requests over HTTP servers.
 //!
-//! A [`Balancer`] is one node's decision logic, without clock, threads or I/O. It is built from
-//! [`Settings`] and a seed, is passed events with the time that they happened at, and returns the
-//! actions that the node is to carry out. Its core is HSQ (Islam, "Network Load Balancing Methods",
-//! section IV.E): one count for each ready server, and the lowest count gets the request.
+//! A [`Balancer`] is the decision logic of one node, without a clock, threads or I/O. It is created from
+//! [`Settings`] and a seed, receives events together with their times, and returns the actions that the
+//! node must carry out. Its core is HSQ (Islam, "Network Load Balancing Methods", section IV.E): each
+//! ready server has a count, and the server with the lowest count gets the request.
 //!
 //! | module | decides |
 //! | --- | --- |
@@ -11,16 +11,16 @@
 //! | `selection`, `sampling` | which server gets a request |
 //! | `admission` | which requests are shed under overload |
 //! | `retry`, `request` | whether a request is attempted again, and its final answer |
-//! | `queue` | when a request may run whose key must be in order |
+//! | `queue` | when a request of a class that is ordered by key may run |
 //! | `outlier` | which servers are ejected |
-//! | `slow_start` | how much a server that warms up gets |
+//! | `slow_start` | how many requests a warming server gets |
 //! | `health_check` | whether servers are polled for their load before a send |
 //! | `idle_connections` | whether an idle connection is used |
-//! | `latency`, `traffic`, `window` | nothing: the estimates that the others go by |
+//! | `latency`, `traffic`, `window` | nothing; they hold the estimates that the other modules use |
 //!
-//! A decision allocates nothing once a node is warm. Small functions that run for each request or
-//! candidate are marked `#[inline]`, because they are called across modules; without it a decision
-//! costs 5 to 10 percent more.
+//! A decision allocates nothing once the buffers have grown to their working size. Small functions that
+//! run for each request or candidate are marked `#[inline]`, because they are called across modules;
+//! without it a decision costs 5 to 10 percent more.
 //!
 //! # Example
 //!
@@ -37,7 +37,7 @@
 //! let mut balancer = Balancer::new(settings, 42)?;
 //! let mut actions = Vec::new();
 //!
-//! // Discovery names two servers.
+//! // Discovery reports two servers.
 //! let servers = (0..2).map(|i| ServerEntry::new(ServerId(i), Availability::Ready)).collect();
 //! balancer.handle(0.0, Event::ServerList(ServerListUpdate::Full(servers)), &mut actions);
 //!
@@ -46,7 +46,7 @@
 //! balancer.handle(1.0, Event::Request(request), &mut actions);
 //! let Some(Action::Send { server, .. }) = actions.pop() else { panic!("nothing sent") };
 //!
-//! // The server answers. A load report would become its count.
+//! // The server answers. A load report in the response would become the server's count.
 //! let outcome = Outcome {
 //!     request: RequestId(7),
 //!     attempt: 0,
--- a/crates/balancer/src/server_list.rs
+++ b/crates/balancer/src/server_list.rs
@@ -1,15 +1,15 @@
-//! Servers as discovery names them.
+//! The server list as discovery reports it.
 
-/// A server, numbered by the embedding node; a number is never reused for another server.
+/// Id of a server, assigned by the embedding node and never reused for another server.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ServerId(pub usize);
 
-/// What discovery says of a server.
+/// Availability of a server according to discovery.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Availability {
     /// It accepts requests.
     Ready,
-    /// It finishes the requests that it has; nothing new may be sent.
+    /// It finishes its current requests and must not be sent new ones.
     Draining,
     /// It was removed from the list, or never was on it.
     #[default]
@@ -21,23 +21,23 @@
 pub struct ServerEntry {
     /// The server.
     pub server: ServerId,
-    /// Its position on the ring that all nodes share: a number that every node derives alike from the
-    /// server's name, evenly distributed, such as a hash.
+    /// Position on the ring that all nodes share: an evenly distributed number that every node derives
+    /// identically from the server's name, such as a hash.
     pub ring_position: u64,
     /// Whether it accepts requests.
     pub availability: Availability,
-    /// When it last started, in milliseconds; `None` means long ago.
+    /// Time of its last start, in milliseconds; `None` means long ago.
     pub started_at_ms: Option<f64>,
-    /// Its cell.
+    /// Index of its cell.
     pub cell: usize,
-    /// Its zone.
+    /// Index of its zone.
     pub zone: usize,
-    /// Its machine kind.
+    /// Index of its machine kind.
     pub machine_kind: usize,
 }
 
 impl ServerEntry {
-    /// A server of the first zone, cell and machine kind that started long ago.
+    /// Creates an entry of a server of the first zone, cell and machine kind that started long ago.
     #[must_use]
     pub fn new(server: ServerId, availability: Availability) -> Self {
         Self {
@@ -59,8 +59,8 @@
     Changes(Vec<ServerEntry>),
     /// The complete list: a server that is absent is gone.
     Full(Vec<ServerEntry>),
-    /// The complete list as last cached, perhaps long ago.
+    /// The complete list from a cache, possibly old.
     Cached(Vec<ServerEntry>),
-    /// A poll failed or the subscription broke; the previous list stands.
+    /// A poll failed or the subscription broke; the previous list stays in use.
     Failed,
 }
--- a/crates/balancer/src/settings.rs
+++ b/crates/balancer/src/settings.rs
@@ -1,6 +1,6 @@
 //! The settings of a balancer, and their validation.
 //!
-//! The platform's own names for them are mapped where they are parsed; see `settings_file` in the
+//! The platform's own names for them are mapped where they are parsed, in the module `settings` of the
 //! root package.
 
 use std::fmt;
@@ -23,11 +23,12 @@
 pub enum Idempotency {
     /// It is idempotent: it may be repeated freely.
     Idempotent,
-    /// It has an idempotency key: the servers of a scope discard repeats for some time.
+    /// It has an idempotency key, by which the servers of a scope discard repeats within a window.
     IdempotencyKey {
         /// The servers that discard repeats.
         scope: KeyScope,
-        /// For how long, from the sending of the first attempt that may have run.
+        /// Length of the deduplication window in milliseconds, from the sending of the first attempt
+        /// that may have run.
         window_ms: f64,
     },
     /// It must never be executed twice.
@@ -35,8 +36,8 @@
 }
 
 impl Idempotency {
-    /// Whether a rejection is truthful for a request that may have run: its repeat has no second
-    /// effect on any server.
+    /// Whether a repeat has no second effect on any server. Only then may a request that may have run be
+    /// rejected.
     #[must_use]
     pub fn repeat_is_harmless(self) -> bool {
         matches!(
@@ -74,20 +75,21 @@
 /// A class of requests.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Class {
-    /// Latency objective: an answer within this time counts in full.
+    /// Latency objective in milliseconds; an answer within it has its full value.
     pub latency_objective_ms: f64,
-    /// How long a client waits in all, over every attempt.
+    /// Time that a client waits over all attempts together, in milliseconds.
     pub deadline_ms: f64,
     /// What happens if a request is executed twice.
     pub idempotency: Idempotency,
-    /// Value of an answer in time, relative to other classes. Under overload the lowest is shed first.
+    /// Value of an answer in time, relative to other classes. Under overload the lowest value per unit of
+    /// work is shed first.
     pub priority_weight: f64,
     /// Whether requests with the same key run one at a time, in the order in which this node accepted them.
     pub ordered_by_key: bool,
 }
 
 impl Class {
-    /// A class of priority weight one whose requests may run in any order.
+    /// Creates a class of priority weight one whose requests may run in any order.
     #[must_use]
     pub fn new(latency_objective_ms: f64, deadline_ms: f64, idempotency: Idempotency) -> Self {
         Self {
@@ -103,7 +105,7 @@
 /// How the server list reaches a node.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DiscoveryMode {
-    /// Changes arrive unasked.
+    /// Changes arrive without a subscription.
     Push,
     /// Changes arrive only at a node that has subscribed.
     Subscribe,
@@ -112,26 +114,26 @@
 /// Where the servers' load reports come from.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ReportSource {
-    /// Every response, and health checks.
+    /// Every response, and responses to health checks.
     Inline,
-    /// Health checks only.
+    /// Responses to health checks only.
     HealthCheck,
-    /// There are none.
+    /// Servers report no load.
     Off,
 }
 
 /// How many retries a node may send.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct RetryBudget {
-    /// Retries in any window, however few requests the node accepted ...
+    /// Retries allowed in any window, regardless of the number of accepted requests.
     pub min_retries: f64,
-    /// ... and so many more for each request that it accepted in the window.
+    /// Additional retries for each request that the node accepted in the window.
     pub retries_per_request: f64,
-    /// Length of the window.
+    /// Length of the window, in milliseconds.
     pub window_ms: f64,
 }
 
-/// All that a balancer is told when it starts.
+/// The configuration of a balancer.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Settings {
     /// Classes of requests; a request names one by index.
@@ -140,9 +142,9 @@
     pub tenant_quotas_per_s: Vec<f64>,
     /// Number of nodes that share the servers.
     pub nodes: usize,
-    /// The node's own number among them, from zero.
+    /// Index of this node among them, from zero.
     pub node_index: usize,
-    /// The node's own zone.
+    /// Index of this node's zone.
     pub zone: usize,
     /// Number of machine kinds.
     pub machine_kinds: usize,
@@ -150,28 +152,29 @@
     pub discovery: DiscoveryMode,
     /// Where load reports come from.
     pub report_source: ReportSource,
-    /// Whether servers may be health checked.
+    /// Whether health checks may be sent to servers.
     pub health_checks: bool,
-    /// Milliseconds that a key is held back after an attempt that may still be running, where a class is
-    /// ordered by key.
+    /// Time in milliseconds for which the next request of a key is held back after an attempt that may
+    /// still be running, in classes that are ordered by key.
     pub key_cooldown_ms: f64,
     /// The retry budget, where one is set.
     pub retry_budget: Option<RetryBudget>,
-    /// A node without a subscription must poll again within this time.
+    /// Longest interval at which a node without a subscription may poll, in milliseconds.
     pub max_poll_interval_ms: f64,
-    /// Attempts allowed for one request.
+    /// Maximum number of attempts of one request.
     pub max_attempts: usize,
     /// Whether an attempt may be cancelled.
     pub cancel: bool,
-    /// Slow start: a server starts with at least this fraction of its capacity ...
+    /// Fraction of its capacity that a server has at least when it starts.
     pub slow_start_fraction: f64,
-    /// ... and has all of it after this time.
+    /// Duration of the slow start, after which a server has its full capacity, in milliseconds.
     pub slow_start_ms: f64,
-    /// A server that warms up collapses when sent more than this multiple of its capacity ...
+    /// Multiple of its current capacity beyond which a warming server collapses, if it is sent more for
+    /// `collapse_after_ms`.
     pub collapse_multiple: f64,
-    /// ... for this long.
+    /// Time in milliseconds for which a warming server withstands such an overload.
     pub collapse_after_ms: f64,
-    /// Price of one health check for each request, as a fraction of the value of a result.
+    /// Price of one health check per request, as a fraction of the value of a result.
     pub health_check_price: f64,
 }
 
@@ -182,7 +185,7 @@
 }
 
 impl Settings {
-    /// Settings for one node with these classes, and no restriction beyond the defaults.
+    /// Creates settings for a single node with these classes, and defaults for everything else.
     #[must_use]
     pub fn new(classes: Vec<Class>) -> Self {
         Self {
@@ -212,8 +215,8 @@
     ///
     /// # Errors
     ///
-    /// Names the first setting that is not, by the name under which it is documented to users of the
-    /// previous versions.
+    /// Returns the first setting that is out of range, under the name by which previous versions
+    /// documented it.
     pub fn validate(&self) -> Result<(), SettingsError> {
         require(!self.classes.is_empty(), "classes")?;
         for class in &self.classes {
@@ -221,38 +224,38 @@
         }
         let quotas = &self.tenant_quotas_per_s;
         require(
-            quotas.iter().all(|quota| not_negative(*quota)),
+            quotas.iter().all(|quota| is_non_negative(*quota)),
             "quotas_per_s",
         )?;
         require(self.nodes > 0, "nodes")?;
-        require(positive(self.max_poll_interval_ms), "ask_within_ms")?;
+        require(is_positive(self.max_poll_interval_ms), "ask_within_ms")?;
         require(self.max_attempts > 0, "max_attempts")?;
         let fraction = self.slow_start_fraction;
-        require(positive(fraction) && fraction <= 1.0, "cold_from")?;
-        require(not_negative(self.slow_start_ms), "cold_ms")?;
-        require(positive(self.collapse_multiple), "tip_multiple")?;
-        require(positive(self.collapse_after_ms), "tip_after_ms")?;
+        require(is_positive(fraction) && fraction <= 1.0, "cold_from")?;
+        require(is_non_negative(self.slow_start_ms), "cold_ms")?;
+        require(is_positive(self.collapse_multiple), "tip_multiple")?;
+        require(is_positive(self.collapse_after_ms), "tip_after_ms")?;
         require(self.node_index < self.nodes, "me")?;
-        require(not_negative(self.key_cooldown_ms), "key_quiet_ms")?;
+        require(is_non_negative(self.key_cooldown_ms), "key_quiet_ms")?;
         if let Some(budget) = self.retry_budget {
-            require(not_negative(budget.min_retries), "resends.free")?;
+            require(is_non_negative(budget.min_retries), "resends.free")?;
             require(
-                not_negative(budget.retries_per_request),
+                is_non_negative(budget.retries_per_request),
                 "resends.per_request",
             )?;
-            require(positive(budget.window_ms), "resends.span_ms")?;
+            require(is_positive(budget.window_ms), "resends.span_ms")?;
         }
-        require(not_negative(self.health_check_price), "probe_price")
+        require(is_non_negative(self.health_check_price), "probe_price")
     }
 }
 
 impl Class {
     fn validate(&self) -> Result<(), SettingsError> {
-        require(positive(self.latency_objective_ms), "classes[].aim_ms")?;
-        require(positive(self.deadline_ms), "classes[].deadline_ms")?;
-        require(not_negative(self.priority_weight), "classes[].worth")?;
+        require(is_positive(self.latency_objective_ms), "classes[].aim_ms")?;
+        require(is_positive(self.deadline_ms), "classes[].deadline_ms")?;
+        require(is_non_negative(self.priority_weight), "classes[].worth")?;
         if let Idempotency::IdempotencyKey { window_ms, .. } = self.idempotency {
-            require(not_negative(window_ms), "classes[].window_ms")?;
+            require(is_non_negative(window_ms), "classes[].window_ms")?;
         }
         Ok(())
     }
@@ -266,11 +269,11 @@
     }
 }
 
-fn positive(value: f64) -> bool {
+fn is_positive(value: f64) -> bool {
     value.is_finite() && value > 0.0
 }
 
-fn not_negative(value: f64) -> bool {
+fn is_non_negative(value: f64) -> bool {
     value.is_finite() && value >= 0.0
 }
 
@@ -281,7 +284,7 @@
 }
 
 impl SettingsError {
-    /// The name of the setting, as error messages have always given it.
+    /// The name of the setting, unchanged since earlier versions.
     #[must_use]
     pub fn key(&self) -> &str {
         self.key
--- a/crates/balancer/src/window.rs
+++ b/crates/balancer/src/window.rs
@@ -1,4 +1,4 @@
-//! Events counted over a sliding window of time.
+//! Counting of events in a sliding time window.
 
 use std::collections::VecDeque;
 
@@ -12,7 +12,7 @@
         self.0.push_back(now_ms);
     }
 
-    /// Counts the events after `since_ms` and forgets the others.
+    /// Counts the events after `since_ms` and drops older ones.
     #[inline]
     pub fn count_since(&mut self, since_ms: f64) -> f64 {
         while self.0.front().is_some_and(|at_ms| *at_ms <= since_ms) {
