--- a/crates/balancer/src/queue.rs
+++ b/crates/balancer/src/queue.rs
@@ -1,7 +1,7 @@
 //! Queues of requests that share a key and must run one at a time, in the order of acceptance.
 //!
-//! The request at the head of a queue has the turn. After an attempt that may still be running the
-//! key has a quiet period, in which no request of it is sent.
+//! Only the request at the head of a queue may run. After an attempt that may still be running the key
+//! has a cooldown, in which the request itself may be retried, but the next one of the key is not sent.
 
 use std::collections::{HashMap, VecDeque};
 
@@ -10,46 +10,46 @@
 use crate::request::PendingRequest;
 use crate::timer::TimerKind;
 
-/// Share of its time after which a request that still waits is answered.
-const MAX_WAIT_SHARE: f64 = 0.95;
+/// Fraction of its timeout after which a request that is still queued gets its answer.
+const MAX_WAIT_FRACTION: f64 = 0.95;
 
-/// The requests of one key, the one that has the turn first.
+/// The requests of one key, of which only the first may run.
 #[derive(Default)]
 struct KeyQueue {
     requests: VecDeque<RequestId>,
-    quiet_until_ms: f64,
+    cooldown_until_ms: f64,
 }
 
 impl KeyQueue {
-    fn has_turn(&self, id: RequestId, now_ms: f64) -> bool {
-        self.requests.front() == Some(&id) && self.quiet_until_ms <= now_ms
+    fn may_run(&self, id: RequestId, now_ms: f64) -> bool {
+        self.requests.front() == Some(&id) && self.cooldown_until_ms <= now_ms
     }
 }
 
-/// A quiet period that will end.
-struct QuietPeriod {
+/// The cooldown of one key.
+struct Cooldown {
     until_ms: f64,
     key: Box<str>,
 }
 
-/// The queues of all keys that have requests or are quiet.
+/// The queues of all keys that have requests or a cooldown.
 #[derive(Default)]
 pub(crate) struct KeyQueues {
     queues: HashMap<Box<str>, KeyQueue>,
-    /// In order of their ends, as all are equally long.
-    quiet_periods: VecDeque<QuietPeriod>,
+    /// In the order in which they end, as all are equally long.
+    cooldowns: VecDeque<Cooldown>,
 }
 
 impl KeyQueues {
-    /// Forgets keys whose quiet period has ended and that no request waits for.
-    fn forget_unused(&mut self, now_ms: f64) {
-        let ended = |period: &QuietPeriod| period.until_ms <= now_ms;
-        while self.quiet_periods.front().is_some_and(ended) {
-            let Some(QuietPeriod { key, .. }) = self.quiet_periods.pop_front() else {
+    /// Removes keys that have no requests and whose cooldown has ended.
+    fn remove_unused(&mut self, now_ms: f64) {
+        let ended = |period: &Cooldown| period.until_ms <= now_ms;
+        while self.cooldowns.front().is_some_and(ended) {
+            let Some(Cooldown { key, .. }) = self.cooldowns.pop_front() else {
                 return;
             };
             let unused =
-                |queue: &KeyQueue| queue.requests.is_empty() && queue.quiet_until_ms <= now_ms;
+                |queue: &KeyQueue| queue.requests.is_empty() && queue.cooldown_until_ms <= now_ms;
             if self.queues.get(&key).is_some_and(unused) {
                 self.queues.remove(&key);
             }
@@ -57,33 +57,36 @@
     }
 }
 
-/// Who runs next once a request has left its queue.
-struct NextTurn {
+/// The new head of a queue after the previous one has left.
+struct NextRequest {
     id: RequestId,
-    /// What remains of the key's quiet period; not positive if it is over.
-    quiet_ms: f64,
+    /// Rest of the key's cooldown in milliseconds; zero or negative if it has ended.
+    remaining_cooldown_ms: f64,
 }
 
 impl KeyQueues {
-    /// Takes a request out; the next one, if the request had the turn.
-    fn remove(&mut self, key: &str, id: RequestId, now_ms: f64) -> Option<NextTurn> {
+    /// Removes a request; returns the new head if the request was the head.
+    fn remove(&mut self, key: &str, id: RequestId, now_ms: f64) -> Option<NextRequest> {
         let queue = self.queues.get_mut(key)?;
         let head = queue.requests.front().copied();
         queue.requests.retain(|waiting| *waiting != id);
-        let quiet_ms = queue.quiet_until_ms - now_ms;
-        if queue.requests.is_empty() && quiet_ms <= 0.0 {
+        let remaining_cooldown_ms = queue.cooldown_until_ms - now_ms;
+        if queue.requests.is_empty() && remaining_cooldown_ms <= 0.0 {
             self.queues.remove(key);
             return None;
         }
         let next = queue.requests.front().copied();
-        next.filter(|_| head == Some(id))
-            .map(|id| NextTurn { id, quiet_ms })
+        next.filter(|_| head == Some(id)).map(|id| NextRequest {
+            id,
+            remaining_cooldown_ms,
+        })
     }
 }
 
 impl Balancer {
-    /// Queues a request that must run in order. `false`: it is its turn, or it need not be in order.
-    pub(crate) fn wait_for_turn(
+    /// Queues a request that must run in order. Returns whether it must wait; `false` if it may run now
+    /// or is not ordered.
+    pub(crate) fn join_key_queue(
         &mut self,
         id: RequestId,
         request: &PendingRequest,
@@ -92,50 +95,55 @@
         let Some(key) = request.ordering_key.clone() else {
             return false;
         };
-        self.key_queues.forget_unused(self.now_ms);
+        self.key_queues.remove_unused(self.now_ms);
         let queue = self.key_queues.queues.entry(key).or_default();
         queue.requests.push_back(id);
         let is_head = queue.requests.len() == 1;
-        let quiet_ms = queue.quiet_until_ms - self.now_ms;
-        if is_head && quiet_ms <= 0.0 {
+        let remaining_cooldown_ms = queue.cooldown_until_ms - self.now_ms;
+        if is_head && remaining_cooldown_ms <= 0.0 {
             return false;
         }
-        self.set_request_timer(id, TimerKind::QueueTimeout, timeout_ms * MAX_WAIT_SHARE);
+        self.set_request_timer(id, TimerKind::QueueTimeout, timeout_ms * MAX_WAIT_FRACTION);
         if is_head {
-            self.set_request_timer(id, TimerKind::KeyTurn, quiet_ms);
+            self.set_request_timer(id, TimerKind::KeyCooldown, remaining_cooldown_ms);
         }
         true
     }
 
-    pub(crate) fn has_turn(&self, id: RequestId, request: &PendingRequest) -> bool {
+    pub(crate) fn may_run(&self, id: RequestId, request: &PendingRequest) -> bool {
         let key = request.ordering_key.as_deref();
         let queue = key.and_then(|key| self.key_queues.queues.get(key));
-        queue.is_some_and(|queue| queue.has_turn(id, self.now_ms))
+        queue.is_some_and(|queue| queue.may_run(id, self.now_ms))
     }
 
-    /// An attempt of the request may still be running: its key is quiet for a while.
-    pub(crate) fn start_quiet_period(&mut self, request: &PendingRequest) {
+    /// Starts the cooldown of a request's key, because an attempt may still be running.
+    pub(crate) fn start_key_cooldown(&mut self, request: &PendingRequest) {
         let Some(key) = request.ordering_key.as_deref() else {
             return;
         };
         if let Some(queue) = self.key_queues.queues.get_mut(key) {
             let until_ms = self.now_ms + self.settings.key_cooldown_ms;
-            queue.quiet_until_ms = until_ms;
+            queue.cooldown_until_ms = until_ms;
             let key = key.into();
             self.key_queues
-                .quiet_periods
-                .push_back(QuietPeriod { until_ms, key });
+                .cooldowns
+                .push_back(Cooldown { until_ms, key });
         }
     }
 
-    /// A request is finished, with no attempt in flight: the next one of its key may run.
+    /// Removes a finished request without an attempt in flight from its queue, and lets the key's next
+    /// request run.
     pub(crate) fn leave_key_queue(&mut self, id: RequestId, key: Option<&str>) {
         let next = key.and_then(|key| self.key_queues.remove(key, id, self.now_ms));
         let Some(next) = next else {
             return;
         };
-        if next.quiet_ms > 0.0 {
-            return self.set_request_timer(next.id, TimerKind::KeyTurn, next.quiet_ms);
+        if next.remaining_cooldown_ms > 0.0 {
+            return self.set_request_timer(
+                next.id,
+                TimerKind::KeyCooldown,
+                next.remaining_cooldown_ms,
+            );
         }
         let request = self.pending.remove(&next.id);
         self.dispatch(next.id, request.expect("a queued request is pending"));
--- a/crates/balancer/src/request.rs
+++ b/crates/balancer/src/request.rs
@@ -1,8 +1,8 @@
-//! A request that is owed an answer or has an attempt in flight: its record, and its way from
+//! A request that has no final answer yet or has an attempt in flight: its record, and its path from
 //! acceptance to the final answer.
 //!
-//! `Balancer::pending` owns the records. A request leaves it when it has its final answer and no
-//! attempt is in flight; exactly one final answer is given.
+//! `Balancer::pending` owns the records. A record is removed when the request has its final answer and
+//! no attempt is in flight; each request gets exactly one final answer.
 
 use crate::action::Action;
 use crate::balancer::Balancer;
@@ -11,48 +11,50 @@
 use crate::server_list::{ServerEntry, ServerId};
 use crate::timer::TimerKind;
 
-/// Attempt lists that are kept for reuse, so that a request allocates nothing; a busier node
-/// allocates beyond that.
+/// Number of attempt lists kept for reuse, so that a request allocates nothing. A node with more
+/// requests at a time allocates the rest.
 const MAX_SPARE_ATTEMPT_LISTS: usize = 256;
 
 /// One attempt of a request.
 pub(crate) struct Attempt {
     pub server: ServerId,
-    /// The server as it was then: it may be forgotten before the request is finished.
+    /// The server's entry at the time of sending; its record may be removed before the request is done.
     pub entry: ServerEntry,
     pub sent_at_ms: f64,
-    /// Requests in flight at the server, this one included.
+    /// Requests in flight at the server, including this one.
     pub depth: f64,
     pub expected_latency_ms: f64,
-    /// Whether it was sent on a connection that had been idle for a latency objective.
+    /// Whether it was sent on a connection that had been idle for a mean latency objective.
     pub on_idle_connection: bool,
     pub in_flight: bool,
 }
 
-/// A request that waits for its turn or for load reports, or has attempts in flight.
+/// A request that is queued, waits for load reports, or has attempts in flight.
 #[derive(Default)]
 pub(crate) struct PendingRequest {
     pub class: usize,
-    /// What a server may be overloaded for alone: the tenant where there are several, else the class.
+    /// Group for which alone a server may be overloaded: the tenant if there are several, otherwise the
+    /// class.
     pub quota_group: usize,
-    /// The key, of a request that must run in order.
+    /// The key of a request that must run in order.
     pub ordering_key: Option<Box<str>>,
     pub accepted_at_ms: f64,
     pub deadline_ms: f64,
-    /// Servers polled for their load, and those of them that responded.
+    /// Servers polled for their load before the next attempt.
     pub polled: Vec<ServerId>,
+    /// Those of the polled servers that have responded.
     pub responded: Vec<ServerId>,
     pub attempts: Vec<Attempt>,
     /// Index of the first attempt that may have run or may still run.
     pub first_run: Option<usize>,
     pub answered: bool,
-    /// When there may be capacity, if the last selection found none.
+    /// Milliseconds until there may be capacity, if the last selection found too little.
     pub retry_after_ms: Option<f64>,
 }
 
 impl PendingRequest {
-    /// Records by how much the shortest wait exceeds what the request can wait for: by then that much
-    /// of the queue will have drained, and the client can be told so.
+    /// Records by how much the shortest expected wait exceeds the longest admissible one. After that
+    /// time enough of the queue will have drained, so the client can be asked to retry then.
     pub fn set_retry_after(&mut self, excess_ms: f64) {
         self.retry_after_ms = Some(excess_ms).filter(|ms| ms.is_finite() && *ms > 0.0);
     }
@@ -86,16 +88,19 @@
         self.observe_arrival();
         self.retries.request_accepted(now_ms);
         self.refresh_warm_capacity();
-        if !self.too_late(&pending) && self.wait_for_turn(id, &pending, request.timeout_ms) {
+        if !self.deadline_too_near(&pending)
+            && self.join_key_queue(id, &pending, request.timeout_ms)
+        {
             self.pending.insert(id, pending);
             return;
         }
         self.dispatch(id, pending);
     }
 
-    /// Sends a request, for the first time or as a retry, polls for loads before, or answers it.
+    /// Sends a request, for the first time or as a retry, after a poll of the servers' loads where
+    /// polling is enabled; finishes the request if it cannot be sent.
     pub(crate) fn dispatch(&mut self, id: RequestId, mut request: PendingRequest) {
-        if request.answered || self.too_late(&request) || !self.may_attempt(&request) {
+        if request.answered || self.deadline_too_near(&request) || !self.may_attempt(&request) {
             return self.finish_or_wait(id, request);
         }
         if self.health_checks.enabled
@@ -123,7 +128,7 @@
         let server = self
             .servers
             .get_mut(&server_id)
-            .expect("a selected server is known");
+            .expect("a selected server has a record");
         let idle = server.is_idle(now_ms, self.objective_ms);
         let close_idle = idle && self.idle_connections.should_close(&mut self.random);
         if close_idle {
@@ -159,17 +164,17 @@
         self.schedule_overdue_poll(id, request, expected_latency_ms);
     }
 
-    /// Sets a timer for an answer that is late, where the server can be asked and the attempt replaced.
+    /// Sets a timer to poll the server if the answer is late, where the attempt could then be replaced.
     fn schedule_overdue_poll(&mut self, id: RequestId, request: &PendingRequest, expected_ms: f64) {
         let replaceable = self.settings.cancel && self.may_attempt(request);
         if self.health_checks.enabled && replaceable && expected_ms > 0.0 {
-            let usual = self.latency.by_class[request.class];
-            let after_ms = (usual.mean + usual.deviation) * expected_ms;
+            let class_multiple = self.latency.by_class[request.class];
+            let after_ms = (class_multiple.mean + class_multiple.deviation) * expected_ms;
             self.set_request_timer(id, TimerKind::AttemptOverdue, after_ms);
         }
     }
 
-    /// What an answer takes at this depth, by what all servers have shown.
+    /// Expected latency of an answer at this depth, from the results of all servers.
     fn expected_latency_ms(&self, depth: f64) -> f64 {
         let relative_depth = if self.health_checks.enabled {
             depth / self.latency.all.depth.mean.max(1.0)
@@ -192,15 +197,15 @@
         let server = request.attempts[index].server;
         self.apply_report(server, outcome.report);
         self.record_result(&request, &request.attempts[index], outcome);
-        let forgettable = self.servers.get(&server);
-        if forgettable.is_some_and(Server::is_forgettable) {
+        let removable = self.servers.get(&server);
+        if removable.is_some_and(Server::is_forgettable) {
             self.servers.remove(&server);
         }
         if request.first_run == Some(index) && !outcome.result.may_have_run() {
             request.first_run = None;
         }
         if outcome.result.may_still_run() {
-            self.start_quiet_period(&request);
+            self.start_key_cooldown(&request);
         }
         request.answered |= outcome.complete;
         self.dispatch(id, request);
@@ -223,8 +228,8 @@
         self.finish_or_wait(id, request);
     }
 
-    /// Gives the final answer if one is owed and no attempt is in flight; then the next request of the
-    /// key may run. A rejection says that a repeat is harmless, so it is given only where that is true.
+    /// Gives the final answer if there is none yet and no attempt is in flight; the key's next request
+    /// may then run. A rejection implies that a repeat is harmless, so it is given only if that holds.
     pub(crate) fn finish_or_wait(&mut self, id: RequestId, mut request: PendingRequest) {
         request.polled.clear();
         if request.attempts.iter().any(|attempt| attempt.in_flight) {
--- a/crates/balancer/src/retry.rs
+++ b/crates/balancer/src/retry.rs
@@ -1,4 +1,4 @@
-//! Whether a request may be attempted again: by its class, its time, and the node's retry budget.
+//! Whether a request may be attempted again, by its class, its deadline and the node's retry budget.
 
 use crate::balancer::Balancer;
 use crate::request::PendingRequest;
@@ -6,14 +6,15 @@
 use crate::settings::{Idempotency, RetryBudget, Settings};
 use crate::window::SlidingWindow;
 
-/// Budget where none is set: retries as a share of the requests accepted in the window, so that they
-/// cannot multiply an overload.
-const DEFAULT_RETRY_SHARE: f64 = 0.2;
+/// Retries per request accepted in the window, in the budget that applies where none is set. Limits how
+/// much retries add to an overload.
+const DEFAULT_RETRIES_PER_REQUEST: f64 = 0.2;
 /// Window of the default budget, in mean latency objectives.
 const DEFAULT_WINDOW_OBJECTIVES: f64 = 25.0;
-/// Share of the window for repeats within which a retry is sent: it must arrive in it, too.
-const KEY_WINDOW_SHARE: f64 = 0.8;
-/// The windows of the budget are counted this much on the safe side.
+/// Fraction of the deduplication window within which a retry is sent, as it must also arrive within it.
+const DEDUP_WINDOW_FRACTION: f64 = 0.8;
+/// Margin in milliseconds by which fewer accepted requests and more retries are counted, so that the
+/// budget is not exceeded.
 const WINDOW_MARGIN_MS: f64 = 1.0;
 
 /// The retry budget and what has been used of it.
@@ -28,7 +29,7 @@
     pub fn new(settings: &Settings, objective_ms: f64) -> Self {
         let default = RetryBudget {
             min_retries: settings.max_attempts as f64,
-            retries_per_request: DEFAULT_RETRY_SHARE,
+            retries_per_request: DEFAULT_RETRIES_PER_REQUEST,
             window_ms: DEFAULT_WINDOW_OBJECTIVES * objective_ms,
         };
         Self {
@@ -40,7 +41,7 @@
     #[inline]
     pub fn request_accepted(&mut self, now_ms: f64) {
         self.accepted.push(now_ms);
-        // Forgets what the budget does not count any more, on a node that never retries, too.
+        // Drops entries that have left the window, also on a node that never retries.
         self.remaining(now_ms);
     }
 
@@ -48,7 +49,7 @@
         self.sent.push(now_ms);
     }
 
-    /// How many more retries the budget allows now.
+    /// Number of further retries that the budget allows now.
     #[inline]
     pub fn remaining(&mut self, now_ms: f64) -> f64 {
         let since_ms = now_ms - self.budget.window_ms;
@@ -59,21 +60,21 @@
 }
 
 impl Balancer {
-    /// Whether a request is too near its deadline to be sent: what remains must do for polling, where
-    /// servers are polled, and for the answer.
+    /// Whether a request is too near its deadline to be sent: the remaining time must allow for polling,
+    /// if servers are polled, and for an answer.
     #[inline]
-    pub(crate) fn too_late(&self, request: &PendingRequest) -> bool {
+    pub(crate) fn deadline_too_near(&self, request: &PendingRequest) -> bool {
         self.now_ms + self.health_checks.reserve_ms(self.objective_ms) >= request.deadline_ms
     }
 
-    /// Whether its class and its earlier attempts allow one more, once none is in flight.
+    /// Whether a request's class and earlier attempts allow another attempt, if none is in flight.
     #[inline]
     pub(crate) fn may_attempt(&self, request: &PendingRequest) -> bool {
         let first_run = request.first_run_attempt();
         let allowed = match (first_run, self.settings.classes[request.class].idempotency) {
             (None, _) | (_, Idempotency::Idempotent) => true,
             (Some(first), Idempotency::IdempotencyKey { window_ms, .. }) => {
-                self.now_ms - first.sent_at_ms < window_ms * KEY_WINDOW_SHARE
+                self.now_ms - first.sent_at_ms < window_ms * DEDUP_WINDOW_FRACTION
             }
             (Some(_), Idempotency::NonIdempotent) => false,
         };
--- a/crates/balancer/src/timer.rs
+++ b/crates/balancer/src/timer.rs
@@ -1,8 +1,8 @@
 //! The timers that a balancer sets, and their encoding as the opaque number that the embedding node
-//! hands back in [`Event::Timer`](crate::Event::Timer).
+//! returns in [`Event::Timer`](crate::Event::Timer).
 //!
-//! Number zero is the timer for a new subscription; every other is a request's id times eight, plus
-//! the kind. A number of any other form is ignored.
+//! Number zero is the timer for a new subscription; any other number is a request's id times eight plus
+//! the code of the timer's kind. Numbers of any other form are ignored.
 
 use crate::action::Action;
 use crate::balancer::Balancer;
@@ -12,16 +12,16 @@
 const KIND_MASK: u64 = (1 << KIND_BITS) - 1;
 const RESUBSCRIBE: u64 = 0;
 
-/// What a request waits for.
+/// What the expiry of a request's timer means.
 #[derive(Clone, Copy, PartialEq, Eq)]
 pub(crate) enum TimerKind {
-    /// A request that waits for its turn is out of time.
+    /// A queued request has run out of time.
     QueueTimeout,
-    /// The quiet period of a key has ended.
-    KeyTurn,
-    /// Servers that were polled for their load have had their time.
+    /// The cooldown of a key has ended.
+    KeyCooldown,
+    /// The poll of servers for their load has timed out.
     LoadPoll,
-    /// An attempt takes longer than answers ordinarily do.
+    /// An attempt takes longer than an ordinary answer.
     AttemptOverdue,
 }
 
@@ -39,7 +39,7 @@
             Self::Request { id, kind } => {
                 let kind = match kind {
                     TimerKind::QueueTimeout => 1,
-                    TimerKind::KeyTurn => 2,
+                    TimerKind::KeyCooldown => 2,
                     TimerKind::LoadPoll => 3,
                     TimerKind::AttemptOverdue => 4,
                 };
@@ -51,7 +51,7 @@
     pub fn from_number(number: u64) -> Option<Self> {
         let kind = match number & KIND_MASK {
             1 => TimerKind::QueueTimeout,
-            2 => TimerKind::KeyTurn,
+            2 => TimerKind::KeyCooldown,
             3 => TimerKind::LoadPoll,
             4 => TimerKind::AttemptOverdue,
             _ if number == RESUBSCRIBE => return Some(Self::Resubscribe),
@@ -85,7 +85,7 @@
         let polling = !request.polled.is_empty();
         match kind {
             TimerKind::QueueTimeout if unsent => return self.finish_or_wait(id, request),
-            TimerKind::KeyTurn if unsent && !polling && self.has_turn(id, &request) => {
+            TimerKind::KeyCooldown if unsent && !polling && self.may_run(id, &request) => {
                 return self.dispatch(id, request);
             }
             TimerKind::LoadPoll if polling => return self.dispatch(id, request),
