--- a/crates/balancer/src/balancer.rs
+++ b/crates/balancer/src/balancer.rs
@@ -1,4 +1,4 @@
-//! The balancer's state and its event loop. Each decision is in the module of its subject.
+//! The balancer's state and its event handler. Each decision is in the module of its subject.
 
 use std::collections::{BTreeMap, HashMap};
 
@@ -7,7 +7,7 @@
 use crate::event::{AttemptResult, Event, LoadReport, RequestId};
 use crate::health_check::HealthChecks;
 use crate::idle_connections::IdleConnections;
-use crate::latency::{initial_class_share, LatencyEstimate, LatencyModel};
+use crate::latency::{initial_class_multiple, LatencyEstimate, LatencyModel};
 use crate::queue::KeyQueues;
 use crate::request::{Attempt, PendingRequest};
 use crate::retry::RetryLimiter;
@@ -24,26 +24,26 @@
 
 /// Decides for one node. See the [crate] page for an example.
 ///
-/// The default value has no class and fails every request.
+/// The default value has no classes and fails every request.
 #[derive(Default)]
 pub struct Balancer {
     pub(crate) settings: Settings,
     pub(crate) random: fastrand::Rng,
-    /// When the event at hand happened.
+    /// Time of the event that is being handled.
     pub(crate) now_ms: f64,
-    /// Mean latency objective of the classes: the time scale of all judgements.
+    /// Mean latency objective of the classes, in which most other durations are expressed.
     pub(crate) objective_ms: f64,
-    /// The actions that the event at hand leads to.
+    /// Actions that result from the event that is being handled.
     pub(crate) actions: Vec<Action>,
     pub(crate) servers: BTreeMap<ServerId, Server>,
-    /// The ready servers in one order for all nodes, turned so that this node's subset comes first.
+    /// The ready servers in an order that all nodes share, rotated so that this node's subset is first.
     pub(crate) ring: Vec<ServerId>,
     pub(crate) subscription: Subscription,
     pub(crate) sampler: Sampler,
     pub(crate) warm_capacity: WarmCapacity,
     pub(crate) scratch: Scratch,
     pub(crate) pending: HashMap<RequestId, PendingRequest>,
-    /// Lists of attempts kept for the next requests.
+    /// Emptied attempt lists that later requests reuse.
     pub(crate) spare_attempt_lists: Vec<Vec<Attempt>>,
     pub(crate) key_queues: KeyQueues,
     pub(crate) retries: RetryLimiter,
@@ -52,30 +52,30 @@
     pub(crate) traffic: Traffic,
     pub(crate) health_checks: HealthChecks,
     pub(crate) idle_connections: IdleConnections,
-    /// When requests were served.
+    /// Times at which requests were served.
     pub(crate) served: SlidingWindow,
 }
 
 impl Balancer {
-    /// A balancer that knows no server yet. The same settings, seed and events lead to the same actions.
+    /// Creates a balancer without servers. The same settings, seed and events lead to the same actions.
     ///
     /// # Errors
     ///
-    /// Names the first setting that is out of range.
+    /// Returns the name of the first setting that is out of range.
     pub fn new(settings: Settings, seed: u64) -> Result<Self, SettingsError> {
         settings.validate()?;
         let objectives = settings.classes.iter().map(|c| c.latency_objective_ms);
         let objective_ms = objectives.sum::<f64>() / settings.classes.len() as f64;
-        let class_shares = settings
+        let class_multiples = settings
             .classes
             .iter()
-            .map(|class| initial_class_share(class.latency_objective_ms / objective_ms));
+            .map(|class| initial_class_multiple(class.latency_objective_ms / objective_ms));
         Ok(Self {
             random: fastrand::Rng::with_seed(seed),
             retries: RetryLimiter::new(&settings, objective_ms),
             admission: Admission::new(settings.classes.len()),
             latency: LatencyModel {
-                by_class: class_shares.collect(),
+                by_class: class_multiples.collect(),
                 all: LatencyEstimate::default(),
                 by_kind: vec![LatencyEstimate::default(); settings.machine_kinds],
             },
@@ -88,8 +88,8 @@
         })
     }
 
-    /// Handles one event that happened at `now_ms`, and appends the actions that it leads to, in the
-    /// order in which they are to be carried out.
+    /// Handles an event that happened at `now_ms` and appends the resulting actions, in the order in
+    /// which the node must carry them out.
     ///
     /// `now_ms` must not be less than in an earlier call. Events about unknown servers, requests,
     /// attempts and timers are ignored.
@@ -120,13 +120,13 @@
         actions.append(&mut self.actions);
     }
 
-    /// How many servers it keeps a record of: those of the list, and others while an attempt is in flight.
+    /// Number of servers with a record: those on the list, and removed ones with an attempt in flight.
     #[must_use]
     pub fn servers_known(&self) -> usize {
         self.servers.len()
     }
 
-    /// How many servers of the list it avoids: those that are draining or ejected.
+    /// Number of listed servers that are draining or ejected.
     #[must_use]
     pub fn servers_excluded(&self, now_ms: f64) -> usize {
         let listed = |server: &&Server| server.entry.availability != Availability::Gone;
@@ -137,7 +137,7 @@
             .count()
     }
 
-    /// A report overwrites the count of its server alone (HSQ).
+    /// Sets a server's count to its reported load; other servers' counts do not change (HSQ).
     pub(crate) fn apply_report(&mut self, server_id: ServerId, report: Option<LoadReport>) {
         let reading = report.and_then(|report| report.in_flight.or(report.queued));
         if let (Some(server), Some(reading)) = (self.servers.get_mut(&server_id), reading) {
--- a/crates/balancer/src/latency.rs
+++ b/crates/balancer/src/latency.rs
@@ -1,18 +1,17 @@
 //! Running estimates of latency and concurrency, from the results of attempts.
 //!
-//! Holds no state of its own: the balancer keeps one estimate for each server, each machine kind and
-//! all servers together. Every estimate fades with time, so that a server is not judged by a fault
-//! that is long past.
+//! The balancer keeps one estimate for each server, one for each machine kind and one for all servers
+//! together. Estimates decay with time, so that a server is not judged by a fault that is long past.
 
-/// Weight of one more sample in a running mean: about the last sixteen count.
+/// Weight of a new sample in a running mean, which thus covers about the last 16 samples.
 pub(crate) const GAIN: f64 = 1.0 / 16.0;
-/// Weight of one more sample in a mean that many servers or a whole class contribute to.
+/// Weight of a new sample in a running mean to which many servers or a whole class contribute.
 pub(crate) const SHARED_GAIN: f64 = GAIN / 4.0;
-/// Samples after which a mean is trusted on its own.
+/// Number of samples after which a running mean is used on its own.
 pub(crate) const CONFIDENT_SAMPLES: f64 = 1.0 / GAIN;
-/// Samples that the estimate of a server's kind weighs as much as, beside the server's own.
+/// Weight of a prior, in samples, when an estimate is blended with it.
 pub(crate) const PRIOR_SAMPLES: f64 = 4.0;
-/// Half-life of samples, in mean latency objectives: what is not confirmed is forgotten.
+/// Half-life of the weight of samples, in mean latency objectives.
 pub(crate) const HALF_LIFE_OBJECTIVES: f64 = 6.0;
 
 /// A running mean and mean absolute deviation.
@@ -20,7 +19,7 @@
 pub(crate) struct RunningMean {
     pub mean: f64,
     pub deviation: f64,
-    /// Samples that the mean rests on, at most the inverse of the gain.
+    /// Effective number of samples, at most the inverse of the gain.
     pub samples: f64,
 }
 
@@ -38,24 +37,24 @@
     }
 }
 
-/// What a request is expected to meet.
+/// A latency and the number of requests in flight at which it was measured or is expected.
 #[derive(Clone, Copy)]
-pub(crate) struct Expectation {
-    /// Latency, in milliseconds of a class of average work.
+pub(crate) struct LatencyAtDepth {
+    /// Latency in milliseconds, of a class with average work.
     pub latency_ms: f64,
-    /// Requests in flight there while the latency was measured.
+    /// Requests in flight at the server while the latency was measured.
     pub depth: f64,
 }
 
-impl Expectation {
-    /// Requests that are served side by side for each millisecond of latency: a measure of capacity.
+impl LatencyAtDepth {
+    /// Concurrent requests per millisecond of latency, a measure of capacity.
     #[inline]
     pub fn capacity(self) -> f64 {
         self.depth / self.latency_ms
     }
 }
 
-/// Latency, and how many requests were in flight meanwhile.
+/// Running means of the latency and of the requests in flight while it was measured.
 #[derive(Clone, Copy, Default)]
 pub(crate) struct LatencyEstimate {
     pub latency: RunningMean,
@@ -64,14 +63,14 @@
 }
 
 impl LatencyEstimate {
-    /// Samples that the estimate still weighs, by what has faded since the last one.
+    /// Weight of the estimate in samples, after its decay since the last one.
     #[inline]
     pub fn weight(&self, now_ms: f64, half_life_ms: f64) -> f64 {
         self.latency.samples * 0.5_f64.powf((now_ms - self.updated_at_ms) / half_life_ms)
     }
 
     #[inline]
-    pub fn add(&mut self, now_ms: f64, half_life_ms: f64, sample: Expectation, gain: f64) {
+    pub fn add(&mut self, now_ms: f64, half_life_ms: f64, sample: LatencyAtDepth, gain: f64) {
         self.latency.samples = self.weight(now_ms, half_life_ms);
         self.depth.samples = self.latency.samples;
         self.latency.add(sample.latency_ms, gain);
@@ -79,41 +78,41 @@
         self.updated_at_ms = now_ms;
     }
 
-    /// The estimate blended with what is known beyond it, which counts as [`PRIOR_SAMPLES`].
+    /// The estimate blended with a prior that has the weight of [`PRIOR_SAMPLES`].
     #[inline]
-    pub fn blend(&self, now_ms: f64, half_life_ms: f64, prior: Expectation) -> Expectation {
+    pub fn blend(&self, now_ms: f64, half_life_ms: f64, prior: LatencyAtDepth) -> LatencyAtDepth {
         let weight = self.weight(now_ms, half_life_ms);
         let mix = |own: f64, prior: f64| {
             (own * weight + prior * PRIOR_SAMPLES) / (weight + PRIOR_SAMPLES)
         };
-        Expectation {
+        LatencyAtDepth {
             latency_ms: mix(self.latency.mean, prior.latency_ms),
             depth: mix(self.depth.mean, prior.depth),
         }
     }
 }
 
-/// The estimates that do not belong to one server.
+/// The estimates that are not specific to one server.
 #[derive(Default)]
 pub(crate) struct LatencyModel {
-    /// Latency of each class, as a multiple of what was expected.
+    /// Latency of each class, as a multiple of the expected latency.
     pub by_class: Vec<RunningMean>,
     pub all: LatencyEstimate,
     pub by_kind: Vec<LatencyEstimate>,
 }
 
-/// One answer, or a time-out that tells of a server's load.
+/// The latency of one answer, or of a time-out that indicates the server's load.
 pub(crate) struct LatencySample {
     pub now_ms: f64,
-    /// Half-life of what is learned of a server or a machine kind.
+    /// Half-life of the estimates of one server and of one machine kind, in milliseconds.
     pub half_life_ms: f64,
-    /// Half-life of what is learned of all servers together.
+    /// Half-life of the estimate of all servers together, in milliseconds.
     pub shared_half_life_ms: f64,
     pub class: usize,
     pub machine_kind: usize,
     pub elapsed_ms: f64,
     pub depth: f64,
-    /// What was expected when the attempt was sent; zero if nothing was known.
+    /// Expected latency when the attempt was sent, in milliseconds; zero without any estimate.
     pub expected_ms: f64,
 }
 
@@ -130,21 +129,21 @@
             ..
         } = *sample;
         let class = &mut self.by_class[sample.class];
-        let usual = class.mean;
-        // A multiple of a mean that rests on a few answers may be far too large. It would stay for as
-        // long as it takes to forget it, and all be rejected meanwhile.
+        let class_multiple = class.mean;
+        // A multiple of a mean of few answers may be far too large. It would persist until later
+        // answers outweigh it, and all requests would be rejected in the meantime.
         let known = self.all.weight(now_ms, shared_half_life_ms) >= CONFIDENT_SAMPLES;
         if sample.expected_ms > 0.0 && known {
             class.add(elapsed_ms / sample.expected_ms, SHARED_GAIN);
         }
-        let measured = Expectation {
+        let measured = LatencyAtDepth {
             latency_ms: elapsed_ms,
             depth,
         };
         self.all
             .add(now_ms, shared_half_life_ms, measured, SHARED_GAIN);
-        let normalized = Expectation {
-            latency_ms: elapsed_ms / usual,
+        let normalized = LatencyAtDepth {
+            latency_ms: elapsed_ms / class_multiple,
             depth,
         };
         server.add(now_ms, half_life_ms, normalized, GAIN);
@@ -154,11 +153,11 @@
     }
 }
 
-/// How long a class takes beside the others before answers show it, with the weight of a confident
-/// mean: half of an answer's time is taken to be its own work, in proportion to the class's latency
-/// objective, and half the queueing that all classes share. Without it a single first answer would
-/// decide how long a class takes.
-pub(crate) fn initial_class_share(relative_objective: f64) -> RunningMean {
+/// The initial latency multiple of a class, with the weight of a confident mean. Half of an answer's
+/// time is assumed to be the class's own work, in proportion to its latency objective, and half the
+/// queueing that all classes share. Without this prior the first answer alone would determine the
+/// multiple.
+pub(crate) fn initial_class_multiple(relative_objective: f64) -> RunningMean {
     RunningMean {
         mean: f64::midpoint(1.0, relative_objective),
         deviation: 1.0,
--- a/crates/balancer/src/outlier.rs
+++ b/crates/balancer/src/outlier.rs
@@ -1,7 +1,7 @@
-//! Outlier detection: what the result of an attempt says of its server, and when a server is ejected.
+//! Outlier detection: what the result of an attempt says about its server, and when a server is ejected.
 //!
 //! A server that fails quickly, hangs or cannot be reached has a low count, so the counts alone would
-//! favour it. An ejected server is on trial once its time is over, until it serves a request.
+//! favour it. After its ejection a server is on trial: it gets one request at a time until it serves one.
 
 use crate::action::{Action, LogEvent};
 use crate::balancer::Balancer;
@@ -10,31 +10,33 @@
 use crate::request::{Attempt, PendingRequest};
 use crate::server::Server;
 
-/// A server is ejected, or not sent a quota group that it is overloaded for, for this many mean
+/// Duration of an ejection, and of withholding a quota group for which a server is overloaded, in mean
 /// latency objectives.
 const EJECTION_OBJECTIVES: f64 = 2.0;
-/// Mean deviations beyond the mean latency that are no ordinary answer (as TCP's time-out, RFC 6298).
+/// Mean deviations above the mean latency within which answers are ordinary (as in TCP's
+/// retransmission time-out, RFC 6298).
 const TIMEOUT_DEVIATIONS: f64 = 4.0;
-/// Malformed responses in a row that are no accident: a good server, or the network, has one at times.
+/// Consecutive malformed responses that are a fault. A healthy server, or the network, causes a single
+/// one at times.
 const MAX_CONSECUTIVE_MALFORMED: usize = 3;
-/// Connections broken under a request in a row that are no accident.
+/// Consecutive connections broken during a request that are a fault.
 const MAX_CONSECUTIVE_RESETS: usize = 2;
-/// No answer takes no time: other latencies are measured in it.
+/// Lower bound of a measured latency, in milliseconds. Latencies are divisors, so none may be zero.
 const MIN_ELAPSED_MS: f64 = 0.001;
 
-/// One result, as it is judged.
+/// A result and the context in which it is judged.
 struct Observation {
     result: AttemptResult,
     elapsed_ms: f64,
-    /// Latency of the class, as a multiple of the expected one, before this result.
-    usual: RunningMean,
-    /// Whether the server has served a request that was sent later. Then a time-out is a connection
-    /// that fell silent, and not a server that hangs or is crowded.
+    /// Latency of the class as a multiple of the expected latency, before this result.
+    class_multiple: RunningMean,
+    /// Whether the server has served a request that was sent later. A time-out then indicates a dead
+    /// connection, not a server that hangs or is overloaded.
     overtaken: bool,
 }
 
 impl Observation {
-    /// Whether the server is at fault; `None` if the result says nothing of the server.
+    /// Whether the server is at fault; `None` if the result says nothing about the server.
     fn is_fault(&self, server: &Server, attempt: &Attempt) -> Option<bool> {
         match self.result {
             AttemptResult::Served | AttemptResult::Overloaded => Some(false),
@@ -42,24 +44,24 @@
                 Some(server.consecutive_malformed >= MAX_CONSECUTIVE_MALFORMED)
             }
             AttemptResult::Reset => Some(server.consecutive_resets >= MAX_CONSECUTIVE_RESETS),
-            AttemptResult::TimedOut => Some(!self.overtaken && self.exceeds_usual(attempt)),
+            AttemptResult::TimedOut => Some(!self.overtaken && self.is_overlong(attempt)),
             AttemptResult::Error | AttemptResult::Unreachable => Some(true),
             AttemptResult::Cancelled | AttemptResult::NotSent | AttemptResult::ClientError => None,
         }
     }
 
-    /// A time-out shorter than an answer may ordinarily take says nothing of the server.
-    fn exceeds_usual(&self, attempt: &Attempt) -> bool {
-        let longest = self.usual.mean + TIMEOUT_DEVIATIONS * self.usual.deviation;
+    /// Whether a time-out is longer than an ordinary answer. A shorter one is not the server's fault.
+    fn is_overlong(&self, attempt: &Attempt) -> bool {
+        let longest = self.class_multiple.mean + TIMEOUT_DEVIATIONS * self.class_multiple.deviation;
         self.elapsed_ms >= longest * attempt.expected_latency_ms
     }
 
-    /// Whether the time it took is a measure of the server's latency. Where counts are fresh a time-out
-    /// tells of the one answer, not of the load.
-    fn measures_latency(&self, counts_are_fresh: bool) -> bool {
+    /// Whether the elapsed time is a sample of the server's latency. Where servers are polled, a
+    /// time-out concerns a single answer and not the load.
+    fn measures_latency(&self, servers_are_polled: bool) -> bool {
         match self.result {
             AttemptResult::Served => true,
-            AttemptResult::TimedOut => !counts_are_fresh && !self.overtaken,
+            AttemptResult::TimedOut => !servers_are_polled && !self.overtaken,
             _ => false,
         }
     }
@@ -84,7 +86,8 @@
         self.count_consecutive(result);
     }
 
-    /// Whether it was reached now, and not by the attempt before.
+    /// Records whether an attempt reached the server; returns whether this one did and the previous
+    /// one did not.
     fn newly_contacted(&mut self, result: AttemptResult) -> bool {
         let reached = !matches!(result, AttemptResult::Unreachable | AttemptResult::Reset);
         !std::mem::replace(&mut self.contacted, reached) && reached
@@ -96,7 +99,7 @@
         ejected.map(|_| LogEvent::ServerRecovered(self.entry.server))
     }
 
-    /// Ejects it, or does so again after a failed trial, which is not logged.
+    /// Ejects the server, or ejects it again after a failed trial, which is not logged.
     fn eject(&mut self, now_ms: f64, until_ms: f64) -> Option<LogEvent> {
         let ejected = self.ejected_until_ms;
         if ejected.is_some_and(|until_ms| until_ms > now_ms) {
@@ -110,7 +113,7 @@
 }
 
 impl Balancer {
-    /// Learns from the result of an attempt, and ejects its server or ends its ejection.
+    /// Updates the estimates with the result of an attempt, and ejects its server or ends its ejection.
     pub(crate) fn record_result(
         &mut self,
         request: &PendingRequest,
@@ -121,7 +124,7 @@
         let server = self
             .servers
             .get_mut(&attempt.server)
-            .expect("a server with an attempt in flight is kept");
+            .expect("a server with an attempt in flight has a record");
         server.attempt_ended(outcome.result, now_ms);
         if !request.answered {
             self.idle_connections
@@ -130,7 +133,7 @@
         let observation = Observation {
             result: outcome.result,
             elapsed_ms: outcome.elapsed_ms.max(MIN_ELAPSED_MS),
-            usual: self.latency.by_class[request.class],
+            class_multiple: self.latency.by_class[request.class],
             overtaken: server.latest_served_sent_at_ms > attempt.sent_at_ms,
         };
         let Some(fault) = observation.is_fault(server, attempt) else {
--- a/crates/balancer/src/selection.rs
+++ b/crates/balancer/src/selection.rs
@@ -7,7 +7,7 @@
 use std::collections::BTreeMap;
 
 use crate::balancer::Balancer;
-use crate::latency::{Expectation, HALF_LIFE_OBJECTIVES};
+use crate::latency::{LatencyAtDepth, HALF_LIFE_OBJECTIVES};
 use crate::request::PendingRequest;
 use crate::server::Server;
 use crate::server_list::{ServerEntry, ServerId};
@@ -59,19 +59,19 @@
 #[derive(Default)]
 pub(crate) struct Scratch {
     pub candidates: Vec<Candidate>,
-    by_kind: Vec<Expectation>,
+    by_kind: Vec<LatencyAtDepth>,
     sample: Vec<ServerId>,
 }
 
 /// What is expected of a server before its own results count.
 struct Priors {
-    all: Expectation,
+    all: LatencyAtDepth,
     /// By machine kind; empty where servers are polled, as their counts say enough.
-    by_kind: Vec<Expectation>,
+    by_kind: Vec<LatencyAtDepth>,
 }
 
 impl Priors {
-    fn of(&self, server: &Server) -> Expectation {
+    fn of(&self, server: &Server) -> LatencyAtDepth {
         let kind = self.by_kind.get(server.entry.machine_kind);
         kind.copied().unwrap_or(self.all)
     }
@@ -347,7 +347,7 @@
     }
 
     fn priors(&mut self) -> Priors {
-        let unknown = Expectation {
+        let unknown = LatencyAtDepth {
             latency_ms: self.objective_ms / INITIAL_LATENCY_DIVISOR,
             depth: 1.0,
         };
