--- a/crates/balancer/src/health_check.rs
+++ b/crates/balancer/src/health_check.rs
@@ -1,8 +1,8 @@
-//! Health checks, which poll servers for their load before a request is sent, and ask after attempts
-//! that are overdue.
+//! Health checks, which poll servers for their load before a request is sent and when an attempt is
+//! overdue.
 //!
-//! Polling is used where it costs little and responses come quickly: counts are then fresh when they
-//! decide, also on a node that sees a request a second and hears too seldom of any server.
+//! Polling is used where it costs little and responses are fast. Counts are then fresh at each decision,
+//! even on a node with one request per second, which otherwise gets too few load reports of any server.
 
 use crate::action::Action;
 use crate::balancer::Balancer;
@@ -13,20 +13,20 @@
 use crate::settings::{ReportSource, Settings};
 use crate::timer::TimerKind;
 
-/// Servers polled before a send.
+/// Number of servers polled before a send.
 pub(crate) const POLLED_SERVERS: usize = 5;
-/// Polling is used where it costs no more than this share of the value of a result ...
+/// Highest price of one request's polls at which polling is used, as a fraction of a result's value.
 const MAX_POLL_PRICE: f64 = 0.02;
-/// ... and responses take no more than this share of a mean latency objective.
-const MAX_POLL_SHARE: f64 = 0.02;
-/// Polls that a request must have time for before it is sent.
+/// Time-out of a poll, in mean latency objectives. Polling ends if the mean round trip exceeds it.
+const POLL_TIMEOUT_OBJECTIVES: f64 = 0.02;
+/// Number of poll time-outs that must be left before a request's deadline when it is sent.
 const RESERVED_POLLS: f64 = 3.0;
-/// An overdue attempt is asked after again after this share of a mean latency objective.
-const OVERDUE_RETRY_SHARE: f64 = 0.125;
-/// A server that reports fewer requests than this holds none.
-const MIN_HELD: f64 = 0.5;
+/// Interval between polls of a server with an overdue attempt, in mean latency objectives.
+const OVERDUE_REPOLL_OBJECTIVES: f64 = 0.125;
+/// A server that reports fewer requests in flight than this has none.
+const MIN_IN_FLIGHT: f64 = 0.5;
 
-/// Whether servers are polled, and how long their responses take.
+/// Whether servers are polled before each send, and the round-trip time of health checks.
 #[derive(Default)]
 pub(crate) struct HealthChecks {
     pub enabled: bool,
@@ -43,29 +43,31 @@
         }
     }
 
-    /// Time that a request must have left for polls.
+    /// Time before its deadline that a request must have left for polls, in milliseconds.
     pub fn reserve_ms(&self, objective_ms: f64) -> f64 {
         if self.enabled {
-            RESERVED_POLLS * MAX_POLL_SHARE * objective_ms
+            RESERVED_POLLS * POLL_TIMEOUT_OBJECTIVES * objective_ms
         } else {
             0.0
         }
     }
 
-    /// Takes note of a response; polling ends for good where health checks queue as requests do,
-    /// because their reports are then too old.
+    /// Records a response. Ends polling for good if health checks are queued as requests are, because
+    /// their reports are then too old.
     fn responded(&mut self, elapsed_ms: f64, objective_ms: f64) {
         let round_trip_ms = &mut self.round_trip_ms;
         round_trip_ms.add(elapsed_ms, GAIN);
-        if round_trip_ms.is_confident() && round_trip_ms.mean > MAX_POLL_SHARE * objective_ms {
+        if round_trip_ms.is_confident()
+            && round_trip_ms.mean > POLL_TIMEOUT_OBJECTIVES * objective_ms
+        {
             self.enabled = false;
         }
     }
 }
 
 impl Balancer {
-    /// Polls servers that a request may go to. `false`: there are none. Servers that do not respond in
-    /// time are passed over.
+    /// Polls servers that a request may go to; returns `false` if there are none. Servers that do not
+    /// respond in time are skipped, unless none responds.
     pub(crate) fn poll_candidates(&mut self, id: RequestId, request: &mut PendingRequest) -> bool {
         request.responded.clear();
         let candidates = self.candidates(request);
@@ -78,18 +80,19 @@
         }
         let polled = !request.polled.is_empty();
         if polled {
-            let timeout_ms = MAX_POLL_SHARE * self.objective_ms;
+            let timeout_ms = POLL_TIMEOUT_OBJECTIVES * self.objective_ms;
             self.set_request_timer(id, TimerKind::LoadPoll, timeout_ms);
         }
         polled
     }
 
-    /// Asks a server for its load on behalf of a request; one health check at a time serves all.
+    /// Requests a server's load on behalf of a request. Requests that wait for the same server share
+    /// one health check.
     pub(crate) fn poll_load(&mut self, server_id: ServerId, id: RequestId) {
         let server = self
             .servers
             .get_mut(&server_id)
-            .expect("a polled server is known");
+            .expect("a polled server has a record");
         if server.report_waiters.is_empty() {
             self.actions.push(Action::HealthCheck { server: server_id });
         }
@@ -111,12 +114,12 @@
         self.health_checks.responded(elapsed_ms, self.objective_ms);
         for id in waiters {
             if let Some(request) = self.pending.remove(&id) {
-                self.report_arrived(id, request, server_id, report);
+                self.load_report_received(id, request, server_id, report);
             }
         }
     }
 
-    fn report_arrived(
+    fn load_report_received(
         &mut self,
         id: RequestId,
         mut request: PendingRequest,
@@ -129,17 +132,17 @@
                 return self.dispatch(id, request);
             }
         } else if let Some(attempt) = self.overdue_attempt(&request, server_id) {
-            self.resolve_overdue(id, attempt, server_id, report);
+            self.handle_overdue_attempt(id, attempt, server_id, report);
         }
         self.pending.insert(id, request);
     }
 
-    /// The attempt of a request that a server should have answered by now, where it may be cancelled.
+    /// Index of the request's overdue attempt at a server, if the attempt may be cancelled.
     fn overdue_attempt(&self, request: &PendingRequest, server_id: ServerId) -> Option<usize> {
         if request.answered || !self.settings.cancel {
             return None;
         }
-        let min_ms = MAX_POLL_SHARE * self.objective_ms;
+        let min_ms = POLL_TIMEOUT_OBJECTIVES * self.objective_ms;
         let is_overdue = |attempt: &Attempt| {
             let due_ms = attempt.expected_latency_ms.max(min_ms);
             attempt.in_flight
@@ -149,23 +152,26 @@
         request.attempts.iter().position(is_overdue)
     }
 
-    /// A server that holds nothing will not answer any more, whatever the cause, and the connection to
-    /// it may be dead; one that holds something is asked again.
-    fn resolve_overdue(
+    /// Cancels an overdue attempt if its server has no request in flight: whatever the cause, no answer
+    /// will come, and the connection may be dead. Otherwise schedules another poll.
+    fn handle_overdue_attempt(
         &mut self,
         id: RequestId,
         attempt: usize,
         server_id: ServerId,
         report: LoadReport,
     ) {
-        if report.in_flight.is_some_and(|held| held < MIN_HELD) {
+        if report
+            .in_flight
+            .is_some_and(|in_flight| in_flight < MIN_IN_FLIGHT)
+        {
             self.actions.push(Action::Cancel {
                 request: id,
                 attempt,
             });
             self.actions.push(Action::CloseIdle { server: server_id });
         } else {
-            let after_ms = self.objective_ms * OVERDUE_RETRY_SHARE;
+            let after_ms = self.objective_ms * OVERDUE_REPOLL_OBJECTIVES;
             self.set_request_timer(id, TimerKind::AttemptOverdue, after_ms);
         }
     }
