--- a/crates/balancer/src/admission.rs
+++ b/crates/balancer/src/admission.rs
@@ -1,56 +1,56 @@
-//! Admission control: which requests are shed under overload, in which work that ends too late would
-//! crowd out work in time.
+//! Admission control: sheds requests under overload, so that answers that would be late do not take
+//! capacity from answers that would be in time.
 //!
-//! A request is admitted while its answer is expected within its class's latency objective; the less
-//! its class is worth, the sooner it is shed.
+//! A request is admitted while its answer is expected within its class's latency objective. The lower
+//! the value of the class per unit of work, the sooner its requests are shed.
 
 use crate::balancer::Balancer;
 use crate::latency::{RunningMean, GAIN};
 use crate::request::PendingRequest;
 use crate::server_list::ServerId;
 
-/// Share of its latency objective that an answer may be expected to take. The rest allows for what is
-/// not known: counts are guesses between reports.
-const OBJECTIVE_SHARE: f64 = 0.45;
-/// The same where the count is fresh, because servers are polled before each send.
-const FRESH_OBJECTIVE_SHARE: f64 = 0.8;
-/// The class of least worth gets this share of that.
-const MIN_PRIORITY_SHARE: f64 = 0.5;
-/// Share of a class's requests that is admitted below which the class goes by its own objective alone.
-const MIN_ADMITTED_SHARE: f64 = 0.3;
-/// Rejections in a row, and for how long, after which a request is sent all the same: the estimate
-/// that rejects is refuted by an attempt alone. The platform does not tolerate a node that rejects
-/// 15 requests over 4 s and tries none.
+/// Fraction of its latency objective that an answer may be expected to take. The rest is a margin for
+/// uncertainty, because counts are estimates between reports.
+const OBJECTIVE_FRACTION: f64 = 0.45;
+/// The same fraction where servers are polled before each send, so that counts are fresh.
+const POLLED_OBJECTIVE_FRACTION: f64 = 0.8;
+/// Lower bound of the factor that scales this fraction by the relative value density of a class.
+const MIN_PRIORITY_FACTOR: f64 = 0.5;
+/// Admitted fraction of a class's requests below which only the class's own objective limits the wait.
+const MIN_ADMITTED_FRACTION: f64 = 0.3;
+/// After this many consecutive rejections over at least this time a request is sent regardless of the
+/// estimates, because only an attempt can refute them. The platform does not tolerate a node that
+/// rejects 15 requests over 4 s without an attempt.
 const MAX_CONSECUTIVE_REJECTIONS: usize = 12;
-const MAX_REJECTING_MS: f64 = 3_000.0;
+const MAX_REJECTION_RUN_MS: f64 = 3_000.0;
 
-/// Requests shed in a row.
+/// A run of consecutive rejections.
 #[derive(Clone, Copy, Default)]
 struct RejectionRun {
     count: usize,
     since_ms: f64,
 }
 
-/// What was admitted and shed of late.
+/// Recent admission history.
 #[derive(Default)]
 pub(crate) struct Admission {
-    /// Share of each class's requests that was sent.
-    admitted_share: Vec<RunningMean>,
+    /// Running fraction of each class's requests that were admitted.
+    admitted_fraction: Vec<RunningMean>,
     rejections: RejectionRun,
 }
 
 impl Admission {
     pub fn new(classes: usize) -> Self {
         Self {
-            admitted_share: vec![RunningMean::default(); classes],
+            admitted_fraction: vec![RunningMean::default(); classes],
             rejections: RejectionRun::default(),
         }
     }
 
-    /// Whether the estimates have rejected everything for so long that they must be put to the test.
-    fn must_probe(&self, now_ms: f64) -> bool {
+    /// Whether every request has been rejected for so long that one must be sent to test the estimates.
+    fn trial_is_due(&self, now_ms: f64) -> bool {
         let RejectionRun { count, since_ms } = self.rejections;
-        count >= MAX_CONSECUTIVE_REJECTIONS && now_ms - since_ms >= MAX_REJECTING_MS
+        count >= MAX_CONSECUTIVE_REJECTIONS && now_ms - since_ms >= MAX_REJECTION_RUN_MS
     }
 
     fn record(&mut self, class: usize, admitted: bool, now_ms: f64) {
@@ -63,16 +63,16 @@
                 run.since_ms
             },
         };
-        self.admitted_share[class].add(f64::from(u8::from(admitted)), GAIN);
+        self.admitted_fraction[class].add(f64::from(u8::from(admitted)), GAIN);
     }
 }
 
 impl Balancer {
-    /// Selects a server for a request's first attempt; `None` sheds it.
+    /// Selects a server for a request's first attempt; `None` if the request is shed.
     pub(crate) fn select_first(&mut self, request: &mut PendingRequest) -> Option<ServerId> {
         let max_wait_ms = self.admissible_wait_ms(request);
         let mut server = self.select(request, max_wait_ms);
-        if server.is_none() && self.admission.must_probe(self.now_ms) {
+        if server.is_none() && self.admission.trial_is_due(self.now_ms) {
             server = self.select(request, f64::INFINITY);
         }
         self.admission
@@ -80,29 +80,32 @@
         server
     }
 
-    /// The wait up to which a request is admitted, in milliseconds of a class of average work.
+    /// The longest expected wait at which a request is admitted, in milliseconds, normalized to a
+    /// class with average work.
     pub(crate) fn admissible_wait_ms(&self, request: &PendingRequest) -> f64 {
         if self.latency.all.latency.samples == 0.0 {
-            return f64::INFINITY; // Without one answer there is nothing to reject by.
+            return f64::INFINITY; // There is no estimate before the first answer.
         }
-        let share = self.objective_share(request.class);
+        let fraction = self.objective_fraction(request.class);
         let remaining_ms = request.deadline_ms - self.now_ms;
         if self.health_checks.enabled {
             let objective_ms = self.settings.classes[request.class].latency_objective_ms;
             let due_ms = request.accepted_at_ms + objective_ms;
-            return (due_ms.min(request.deadline_ms) - self.now_ms) * share;
+            return (due_ms.min(request.deadline_ms) - self.now_ms) * fraction;
         }
-        // A class must not be starved by the near objective of a worthier one, to no gain of that.
-        let admitted = self.admission.admitted_share[request.class];
-        if admitted.is_confident() && admitted.mean < MIN_ADMITTED_SHARE {
+        // The short objective of a class of higher value must not starve this class where the other
+        // class gains nothing by it.
+        let admitted = self.admission.admitted_fraction[request.class];
+        if admitted.is_confident() && admitted.mean < MIN_ADMITTED_FRACTION {
             let own_ms = self.normalized_objective_ms(request.class);
-            return own_ms.min(remaining_ms) * self.usable_capacity() * OBJECTIVE_SHARE;
+            return own_ms.min(remaining_ms) * self.usable_capacity() * OBJECTIVE_FRACTION;
         }
-        self.nearest_objective_ms(request.class, remaining_ms) * share
+        self.nearest_objective_ms(request.class, remaining_ms) * fraction
     }
 
-    /// The nearest objective among the class itself and worthier ones: a distant objective must not let
-    /// low worth fill the queues in which worthier classes would be late.
+    /// The shortest normalized objective among the class itself and classes of higher value density,
+    /// at most `remaining_ms`. A class of low value with a long objective must not fill the queues in
+    /// which classes of higher value would be late.
     fn nearest_objective_ms(&self, class: usize, remaining_ms: f64) -> f64 {
         let own = self.value_density(class);
         (0..self.latency.by_class.len())
@@ -111,18 +114,18 @@
             .fold(remaining_ms, f64::min)
     }
 
-    /// Value of a class's requests for each unit of work.
+    /// Value of a class's requests per unit of work.
     fn value_density(&self, class: usize) -> f64 {
         self.settings.classes[class].priority_weight / self.latency.by_class[class].mean
     }
 
-    /// A class's latency objective in milliseconds of a class of average work.
+    /// A class's latency objective in milliseconds, normalized to a class with average work.
     fn normalized_objective_ms(&self, class: usize) -> f64 {
         self.settings.classes[class].latency_objective_ms / self.latency.by_class[class].mean
     }
 
-    /// Share of the objective that an answer may be expected to take.
-    fn objective_share(&self, class: usize) -> f64 {
+    /// Fraction of the objective that an answer of the class may be expected to take.
+    fn objective_fraction(&self, class: usize) -> f64 {
         let classes = 0..self.latency.by_class.len();
         let best = classes
             .map(|class| self.value_density(class))
@@ -132,20 +135,20 @@
         } else {
             1.0
         };
-        let share = if self.health_checks.enabled {
-            FRESH_OBJECTIVE_SHARE
+        let fraction = if self.health_checks.enabled {
+            POLLED_OBJECTIVE_FRACTION
         } else {
-            OBJECTIVE_SHARE
+            OBJECTIVE_FRACTION
         };
         self.usable_capacity()
-            * share
-            * (MIN_PRIORITY_SHARE + (1.0 - MIN_PRIORITY_SHARE) * priority)
+            * fraction
+            * (MIN_PRIORITY_FACTOR + (1.0 - MIN_PRIORITY_FACTOR) * priority)
     }
 
-    /// The part of the servers' capacity to reckon with. What warms up cannot take its part of the work
-    /// yet, and a node that hears of queues late must not let them grow meanwhile.
+    /// The fraction of the servers' capacity that admission relies on. Warming servers cannot take
+    /// their full share yet, and a node with old reports must not let queues grow until it notices.
     fn usable_capacity(&self) -> f64 {
-        if self.traffic.well_informed || self.health_checks.enabled {
+        if self.traffic.has_recent_reports || self.health_checks.enabled {
             1.0
         } else {
             self.warm_capacity.fraction
--- a/crates/balancer/src/request.rs
+++ b/crates/balancer/src/request.rs
@@ -85,7 +85,7 @@
             attempts: self.spare_attempt_lists.pop().unwrap_or_default(),
             ..PendingRequest::default()
         };
-        self.observe_arrival();
+        self.record_arrival();
         self.retries.request_accepted(now_ms);
         self.refresh_warm_capacity();
         if !self.deadline_too_near(&pending)
--- a/crates/balancer/src/sampling.rs
+++ b/crates/balancer/src/sampling.rs
@@ -1,36 +1,37 @@
-//! Sampling of long server lists: looking at every server for each request would cost milliseconds.
+//! Sampling of long server lists: assessing every server for each request would take milliseconds.
 //!
-//! The sample is as good as the whole list. Of servers that were never contacted all but the kind is
-//! unknown, so a few stand for all, and the selection prefers those that were; of these, and of the
-//! warming ones, so many have a fast one among them nearly always.
+//! A sample serves as well as the whole list. Only the machine kind is known of servers that were never
+//! contacted, so a few represent all of them, and the selection prefers contacted ones. A sample has
+//! enough contacted and enough warming servers that nearly always one of them is fast.
 
 use crate::balancer::Balancer;
 use crate::server::Server;
 use crate::server_list::ServerId;
 
-/// Of a list no longer than this every server is looked at for each request.
+/// Length of the list up to which every server is assessed for each request, and of the part of the
+/// ring in which a sample looks for the next servers.
 const MAX_FULL_SCAN: usize = 64;
-/// Of a longer one so many that were contacted, and so many that warm up and are open to this node ...
+/// Limit, in a sample, of the contacted servers, and of the warming servers to which this node may send.
 const MAX_SAMPLED: usize = 24;
-/// ... and the next so many of this node's turn of the ring.
+/// Number of servers in a sample that come next on the ring, from this node's position.
 const MAX_NEXT_ON_RING: usize = 8;
-/// Servers are taken to have at most this multiple of the mean capacity.
+/// Assumed upper bound of a server's capacity, as a multiple of the mean capacity.
 const MAX_RELATIVE_CAPACITY: f64 = 4.0;
 
-/// A server that warms up, as it was when the servers were indexed.
+/// A server that was warming up when the servers were indexed.
 struct WarmingServer {
     threshold: f64,
     server_id: ServerId,
 }
 
-/// What samples are drawn from; empty while the list is short.
+/// The servers from which samples are drawn; empty while the list is short.
 #[derive(Default)]
 pub(crate) struct Sampler {
-    /// Servers contacted, some perhaps no more.
+    /// Contacted servers. Those that no longer count as contacted are removed when they are drawn.
     contacted: Vec<ServerId>,
-    /// Servers that warm up, by their threshold.
+    /// Warming servers, in order of their slow-start thresholds.
     warming: Vec<WarmingServer>,
-    /// How many servers of each machine kind are ready.
+    /// Number of ready servers of each machine kind.
     ready_by_kind: Vec<f64>,
 }
 
@@ -83,7 +84,8 @@
         self.ring.len() > MAX_FULL_SCAN
     }
 
-    /// Draws from a long list the servers that a request may go to, by what this node `served` of late.
+    /// Draws the servers that a request may go to from a long list. `served` is the number of requests
+    /// that this node served recently.
     pub(crate) fn sample(&mut self, sample: &mut Vec<ServerId>, served: f64) {
         self.sample_contacted(sample);
         self.sample_warming(sample, served);
@@ -107,24 +109,25 @@
         }
     }
 
-    /// Those contacted are among the drawn, or there are many of them; so of the others only.
+    /// Adds warming servers that are not contacted. Contacted ones are already in the sample, or there
+    /// are enough others of them.
     fn sample_warming(&mut self, sample: &mut Vec<ServerId>, served: f64) {
         let multiple = MAX_RELATIVE_CAPACITY * self.slow_start_multiple();
         let budget = multiple * served / self.ring.len() as f64;
         let max_budget = budget.max(1.0 / self.settings.nodes as f64);
         let warming = &self.sampler.warming;
-        let open = warming.partition_point(|warming| {
+        let eligible = warming.partition_point(|warming| {
             let server = self.servers.get(&warming.server_id);
             server.is_some_and(|server| server.slow_start_threshold < max_budget)
         });
-        let start = self.random.usize(0..open.max(1));
-        let from_start = (0..open).map(|offset| warming[(start + offset) % open].server_id);
+        let start = self.random.usize(0..eligible.max(1));
+        let from_start = (0..eligible).map(|offset| warming[(start + offset) % eligible].server_id);
         let uncontacted = from_start.filter(|server_id| self.is_ready_uncontacted(*server_id));
         sample.extend(uncontacted.take(MAX_SAMPLED));
     }
 
-    /// The next servers of the ring that have not failed, filled up from the whole ring. A node that has
-    /// contacted nothing beyond a part of the ring that is out of reach finds the others that way.
+    /// Adds the next uncontacted servers of the ring that have not failed, and random ones from the
+    /// whole ring if there are too few. A node whose part of the ring is unreachable finds others so.
     fn sample_ring(&mut self, sample: &mut Vec<ServerId>) {
         let before = sample.len();
         let nearest = self.ring.iter().take(MAX_FULL_SCAN).copied();
--- a/crates/balancer/src/selection.rs
+++ b/crates/balancer/src/selection.rs
@@ -1,8 +1,8 @@
 //! Server selection by HSQ (Islam, "Network Load Balancing Methods", section IV.E): the request goes
-//! to the lowest count, and the count grows by one.
+//! to the server with the lowest count, and that count is incremented.
 //!
-//! All else here decides which servers are candidates, and keeps many nodes from acting alike on the
-//! same old report.
+//! The rest of the module decides which servers are candidates, and prevents many nodes from reacting
+//! to the same old report in the same way.
 
 use std::collections::BTreeMap;
 
@@ -14,48 +14,48 @@
 use crate::settings::Settings;
 use crate::slow_start::warm_fraction;
 
-/// A server whose expected wait is this multiple of the shortest is not selected.
+/// Multiple of the shortest expected wait above which a server is not selected.
 const MAX_RELATIVE_WAIT: f64 = 2.5;
-/// The same where not all servers are heard of within a latency objective: counts are older there.
-const MAX_RELATIVE_WAIT_UNINFORMED: f64 = 1.5;
-/// A server with at most so many attempts of this node in flight, and at most this count, has no queue
-/// to speak of.
+/// The same on a node with stale reports, whose counts are older.
+const MAX_RELATIVE_WAIT_STALE: f64 = 1.5;
+/// A server with at most this many attempts of this node in flight, and at most this count, is assumed
+/// to have no queue.
 const MAX_UNQUEUED_IN_FLIGHT: usize = 2;
 const MAX_UNQUEUED_COUNT: f64 = 3.0;
-/// Servers among which the lowest count decides where reports are old.
-const MAX_CHOICES_UNINFORMED: usize = 2;
-/// All nodes together try an idle server about so often in a mean latency objective.
+/// Number of servers whose counts are compared where reports are stale.
+const MAX_CHOICES_STALE: usize = 2;
+/// Approximate number of trials of an idle server by all nodes together, per mean latency objective.
 const TRIALS_PER_OBJECTIVE: f64 = 2.0;
-/// Expected latency before any answer, as a divisor of the mean latency objective.
+/// Divisor of the mean latency objective that gives the expected latency before the first answer.
 const INITIAL_LATENCY_DIVISOR: f64 = 4.0;
-/// Intervals between requests, in objectives, at which a node is taken to know nothing for certain.
-const UNCERTAIN_INTERVALS: f64 = 2.0;
+/// Requests of a node per mean latency objective at or below which its estimates are least certain.
+const UNCERTAIN_REQUESTS_PER_OBJECTIVE: f64 = 2.0;
 
-/// A server as the selection sees it.
+/// A server and the criteria by which the selection judges it.
 #[allow(
     clippy::struct_excessive_bools,
     reason = "independent facts, each the criterion of one filter"
 )]
 pub(crate) struct Candidate {
     pub server: ServerId,
-    /// Expected latency there.
+    /// Expected latency at the server, in milliseconds.
     wait_ms: f64,
-    /// The count, in the same unit where capacities differ.
+    /// The count, multiplied by the latency per request where capacities may differ.
     rank: f64,
-    /// Admitted whatever its expected wait: it has no queue, or is due for a trial.
+    /// Whether it is admitted regardless of its expected wait: it has no queue, or a trial is due.
     always_admitted: bool,
     healthy: bool,
     same_zone: bool,
     contacted: bool,
-    /// Nothing has failed there since it last served.
-    never_ejected: bool,
-    /// It warms up and is filled before others.
+    /// Whether it has not been ejected since it last served a request.
+    no_open_ejection: bool,
+    /// Whether it is warming up and is filled before others.
     fill_first: bool,
-    /// The part of its capacity that it has; of a server that is not filled first, all.
+    /// Fraction of its capacity that is available; 1 for a server that is not filled first.
     warm_fraction: f64,
 }
 
-/// Buffers that are filled anew for each request, kept so that none is allocated.
+/// Buffers that are reused for each request, to avoid allocations.
 #[derive(Default)]
 pub(crate) struct Scratch {
     pub candidates: Vec<Candidate>,
@@ -63,10 +63,10 @@
     sample: Vec<ServerId>,
 }
 
-/// What is expected of a server before its own results count.
+/// Expected latency and depth of a server before its own results are included.
 struct Priors {
     all: LatencyAtDepth,
-    /// By machine kind; empty where servers are polled, as their counts say enough.
+    /// By machine kind; empty where servers are polled, as their counts suffice.
     by_kind: Vec<LatencyAtDepth>,
 }
 
@@ -80,7 +80,7 @@
         self.of(server).capacity()
     }
 
-    /// Capacity of so many ready servers of each machine kind.
+    /// Total capacity of the ready servers, from their number by machine kind.
     fn total_capacity(&self, ready_by_kind: &[f64]) -> f64 {
         let kinds = self.by_kind.iter().zip(ready_by_kind);
         kinds
@@ -89,7 +89,7 @@
     }
 }
 
-/// The servers by which a candidate is measured.
+/// The servers to which a candidate is compared.
 struct Subset<'a> {
     servers: &'a BTreeMap<ServerId, Server>,
     members: &'a [ServerId],
@@ -106,7 +106,7 @@
         self.iter().map(|server| priors.capacity(server)).sum()
     }
 
-    /// Mean count for each unit of capacity, of the servers that have a count.
+    /// Mean count per unit of capacity, over the servers that have a count.
     fn mean_count(&self, priors: &Priors) -> f64 {
         let counts = self
             .iter()
@@ -115,28 +115,28 @@
     }
 }
 
-/// What is the same for all servers while one request's candidates are assessed.
+/// The inputs that all servers share while the candidates of one request are assessed.
 struct Assessment<'a> {
     settings: &'a Settings,
     request: &'a PendingRequest,
     now_ms: f64,
     objective_ms: f64,
     half_life_ms: f64,
-    well_informed: bool,
-    by_health_check: bool,
+    has_recent_reports: bool,
+    servers_are_polled: bool,
     priors: &'a Priors,
-    /// Mean count for each unit of capacity: the count of a server that has none yet.
+    /// Mean count per unit of capacity, from which a server without a count starts.
     mean_count: f64,
     total_capacity: f64,
-    /// Requests that this node served within the window of slow start.
+    /// Number of requests that this node served within the slow-start window.
     served: f64,
     slow_start_multiple: f64,
     /// The server of the first attempt that may have run.
-    first_run_on: Option<&'a ServerEntry>,
+    first_run_server: Option<&'a ServerEntry>,
 }
 
 impl Assessment<'_> {
-    /// The server as a candidate, or `None` if the request must not be sent there.
+    /// Assesses a server as a candidate; `None` if the request must not be sent there.
     #[inline]
     fn assess(
         &self,
@@ -146,7 +146,7 @@
     ) -> Option<Candidate> {
         let idempotency = self.settings.classes[self.request.class].idempotency;
         let allowed = |first| idempotency.may_retry_on(first, &server.entry);
-        if !self.first_run_on.is_none_or(allowed) {
+        if !self.first_run_server.is_none_or(allowed) {
             return None;
         }
         let capacity = self.priors.capacity(server);
@@ -158,15 +158,16 @@
                 return None;
             }
         }
-        // By other nodes' hints this node need not find out by itself that a server is bad. There is a
-        // random draw only where there is a hint.
+        // Because of other nodes' hints this node need not fail requests itself to detect a bad server.
+        // There is a random draw only where there is a hint.
         let withheld = server.withheld_fraction > 0.0 && random.f64() < server.withheld_fraction;
         let overloaded = server.is_overloaded_for(self.request.quota_group, self.now_ms);
-        let fill_first = warm_fraction.is_some() && !self.well_informed && !self.by_health_check;
+        let fill_first =
+            warm_fraction.is_some() && !self.has_recent_reports && !self.servers_are_polled;
         Some(Candidate {
             server: server_id,
             wait_ms: self.requests_ahead(server, count) * latency_per_request,
-            rank: if self.by_health_check {
+            rank: if self.servers_are_polled {
                 count
             } else {
                 count * latency_per_request
@@ -175,7 +176,7 @@
             healthy: !overloaded && !server.is_ejected(self.now_ms) && !withheld,
             same_zone: server.entry.zone == self.settings.zone,
             contacted: server.contacted || warm_fraction.is_some(),
-            never_ejected: server.ejected_until_ms.is_none(),
+            no_open_ejection: server.ejected_until_ms.is_none(),
             fill_first,
             warm_fraction: warm_fraction.filter(|_| fill_first).unwrap_or(1.0),
         })
@@ -183,7 +184,7 @@
 
     #[inline]
     fn latency_per_request(&self, server: &Server) -> f64 {
-        let expected = if self.by_health_check {
+        let expected = if self.servers_are_polled {
             self.priors.all
         } else {
             let prior = self.priors.of(server);
@@ -192,18 +193,19 @@
         expected.latency_ms / expected.depth
     }
 
-    /// Requests that the server has once this one is sent.
+    /// Number of requests at the server once this one is sent.
     #[inline]
     fn requests_ahead(&self, server: &Server, count: f64) -> f64 {
-        if self.by_health_check {
+        if self.servers_are_polled {
             count + 1.0
         } else {
             server.in_flight as f64 + 1.0
         }
     }
 
-    /// A warming server looks idle, so all nodes keep to its budget, each in proportion to what it
-    /// served. Where that is less than one request, the threshold lets some nodes send one.
+    /// A warming server looks idle, so all nodes keep within its budget, each in proportion to the
+    /// number of requests that it served. Where a node's part is less than one request, the server's
+    /// random threshold lets only some nodes send one.
     #[inline]
     fn exceeds_slow_start_budget(
         &self,
@@ -221,42 +223,43 @@
 
     #[inline]
     fn is_always_admitted(&self, server: &Server, count: f64) -> bool {
-        if self.by_health_check {
+        if self.servers_are_polled {
             return count == 0.0;
         }
-        // Requests must not be rejected beside servers without a queue: what answers take there is
-        // work and the network. This covers a list of few servers, a node alone and one just started.
-        // Where servers run one request at a time, or reports are old, the bound on this node's own
-        // attempts limits the harm.
+        // Requests must not be rejected while a server has no queue, as its latency is then work and
+        // network time. This covers short lists, a single node and a node that has just started.
+        // Where servers run one request at a time, or reports are old, the limit on this node's own
+        // attempts bounds the harm.
         let unqueued = server.in_flight <= MAX_UNQUEUED_IN_FLIGHT && count <= MAX_UNQUEUED_COUNT;
-        // Rejections must end: all nodes together go on trying an idle server.
+        // All nodes together keep trying an idle server, so that rejections can end.
         let idle_ms = self.now_ms - server.estimate.updated_at_ms;
         let trial_ms = self.objective_ms * self.settings.nodes as f64 / TRIALS_PER_OBJECTIVE;
         let trial_due = server.in_flight == 0 && idle_ms > trial_ms;
-        self.well_informed && (unqueued || trial_due)
+        self.has_recent_reports && (unqueued || trial_due)
     }
 }
 
 impl Balancer {
-    /// The server with the lowest count among the candidates that answer within `max_wait_ms`, ties
-    /// broken at random. Where there is none, the request learns when to retry.
+    /// Selects the server with the lowest count among the candidates that are expected to answer within
+    /// `max_wait_ms`, with ties broken at random. If all are expected to take longer, the request gets
+    /// its retry-after time.
     pub(crate) fn select(
         &mut self,
         request: &mut PendingRequest,
         max_wait_ms: f64,
     ) -> Option<ServerId> {
         let mut candidates = self.candidates(request);
-        let tolerance = self.random.f64().powf(self.certainty());
+        let wait_scale = self.random.f64().powf(self.uncertainty());
         let min_wait_ms = lowest(&candidates, |c| c.wait_ms);
-        request.set_retry_after(min_wait_ms * tolerance - max_wait_ms);
+        request.set_retry_after(min_wait_ms * wait_scale - max_wait_ms);
         candidates
-            .retain(|c| c.wait_ms * tolerance <= max_wait_ms || c.always_admitted || c.fill_first);
+            .retain(|c| c.wait_ms * wait_scale <= max_wait_ms || c.always_admitted || c.fill_first);
         self.drop_backed_up(&mut candidates);
-        if self.traffic.well_informed {
-            // Nodes that keep to their zones are less in each other's way.
+        if self.traffic.has_recent_reports {
+            // Nodes that prefer their own zones interfere less with each other.
             prefer(&mut candidates, |c| c.same_zone);
         } else if !self.health_checks.enabled {
-            self.narrow_uninformed(&mut candidates);
+            self.narrow_by_stale_reports(&mut candidates);
         }
         let lowest_rank = lowest(&candidates, |c| c.rank);
         candidates.retain(|c| c.rank <= lowest_rank);
@@ -265,52 +268,53 @@
         selected
     }
 
-    /// The exponent of the tolerance of a wait: the fewer requests in half an objective, the less is
-    /// known, and the more of them are admitted by chance, so that not all are rejected at once.
-    fn certainty(&self) -> f64 {
+    /// Exponent of the random factor by which expected waits are scaled down. The fewer requests the
+    /// node has per half objective, the less certain its estimates are, and the more requests it admits
+    /// at random, so that it does not reject all at once.
+    fn uncertainty(&self) -> f64 {
         if self.health_checks.enabled {
             0.0
         } else {
             let interval_ms = self.traffic.interval_ms.mean;
-            (UNCERTAIN_INTERVALS * interval_ms / self.objective_ms).min(1.0)
+            (UNCERTAIN_REQUESTS_PER_OBJECTIVE * interval_ms / self.objective_ms).min(1.0)
         }
     }
 
-    /// Drops servers whose answers take long of late, whatever they report.
+    /// Drops servers whose recent answers took long, whatever load they report.
     fn drop_backed_up(&self, candidates: &mut Vec<Candidate>) {
-        let relative = if self.traffic.well_informed {
+        let relative = if self.traffic.has_recent_reports {
             MAX_RELATIVE_WAIT
         } else {
-            MAX_RELATIVE_WAIT_UNINFORMED
+            MAX_RELATIVE_WAIT_STALE
         };
         let bound_ms = lowest(candidates, |c| c.wait_ms) * relative;
-        let by_health_check = self.health_checks.enabled;
-        candidates.retain(|c| by_health_check || c.wait_ms * c.warm_fraction <= bound_ms);
+        let servers_are_polled = self.health_checks.enabled;
+        candidates.retain(|c| servers_are_polled || c.wait_ms * c.warm_fraction <= bound_ms);
     }
 
-    /// Leaves the few candidates of a node that hears of each server too seldom to compare all.
-    fn narrow_uninformed(&mut self, candidates: &mut Vec<Candidate>) {
-        // Such a node keeps to servers that it has contacted, and to those just started: of others it
-        // would hear too seldom.
+    /// Narrows the candidates on a node that gets reports of each server too rarely to compare all.
+    fn narrow_by_stale_reports(&mut self, candidates: &mut Vec<Candidate>) {
+        // Such a node keeps to the servers that it has contacted and to those just started, as reports
+        // of further servers would be too rare.
         prefer(candidates, |c| c.contacted);
-        // One in ten nodes at a time may fill a warming server. If those do not, the warm ones bear
-        // what was taken from their likes.
+        // One in ten nodes at a time may fill a warming server. If those nodes do not, the warm servers
+        // also carry the load of the servers that were replaced.
         prefer(candidates, |c| c.fill_first);
-        // Where none is contacted yet, the ring says which come next: by chance some servers would be
-        // contacted by more nodes than others.
+        // If none is contacted yet, the order of the ring decides. With a random choice some servers
+        // would be contacted by more nodes than others.
         if !candidates.iter().any(|c| c.contacted) {
-            prefer(candidates, |c| c.never_ejected);
-            candidates.truncate(MAX_CHOICES_UNINFORMED);
+            prefer(candidates, |c| c.no_open_ejection);
+            candidates.truncate(MAX_CHOICES_STALE);
         }
-        // Every node reads the same old low report; each looks at a few servers only, drawn afresh, so
-        // that they do not all send to the same one.
+        // All nodes get the same old low report. Each compares only a few servers, drawn at random for
+        // each request, so that they do not all send to the same one.
         self.random.shuffle(candidates);
-        candidates.truncate(MAX_CHOICES_UNINFORMED);
+        candidates.truncate(MAX_CHOICES_STALE);
     }
 
-    /// The subset: the first servers of the ring that the rules allow for this request and that are
-    /// healthy; where none is, the first that are not. Of a request that has polled servers, those that
-    /// responded.
+    /// The candidates of a request: the first healthy servers of the ring to which it may be sent, or
+    /// the first unhealthy ones if none is healthy. If polled servers have responded, only those are
+    /// considered. Servers without an earlier attempt of the request are preferred.
     pub(crate) fn candidates(&mut self, request: &PendingRequest) -> Vec<Candidate> {
         let served = self
             .served
@@ -338,12 +342,12 @@
         candidates
     }
 
-    /// Whether a sample of the list will do. A retry that is bound to a cell or a zone looks at the
-    /// whole list, as a sample may hold none of its servers.
+    /// Whether a sample of the list suffices. A retry that is restricted to a cell or a zone considers
+    /// the whole list, as a sample may contain none of its servers.
     fn may_sample(&self, request: &PendingRequest) -> bool {
         let idempotency = self.settings.classes[request.class].idempotency;
-        let unbound = request.first_run.is_none() || idempotency.repeat_is_harmless();
-        !self.health_checks.enabled && self.is_list_long() && unbound
+        let unrestricted = request.first_run.is_none() || idempotency.repeat_is_harmless();
+        !self.health_checks.enabled && self.is_list_long() && unrestricted
     }
 
     fn priors(&mut self) -> Priors {
@@ -396,14 +400,14 @@
             now_ms: self.now_ms,
             objective_ms: self.objective_ms,
             half_life_ms: self.traffic.half_life_ms,
-            well_informed: self.traffic.well_informed,
-            by_health_check: self.health_checks.enabled,
+            has_recent_reports: self.traffic.has_recent_reports,
+            servers_are_polled: self.health_checks.enabled,
             priors,
             mean_count: subset.mean_count(priors),
             total_capacity,
             served,
             slow_start_multiple: self.slow_start_multiple(),
-            first_run_on: request.first_run_attempt().map(|attempt| &attempt.entry),
+            first_run_server: request.first_run_attempt().map(|attempt| &attempt.entry),
         };
         let considered = if request.responded.is_empty() {
             members
@@ -431,13 +435,13 @@
     }
 }
 
-fn lowest(candidates: &[Candidate], figure: fn(&Candidate) -> f64) -> f64 {
-    candidates.iter().map(figure).fold(f64::INFINITY, f64::min)
+fn lowest(candidates: &[Candidate], value: fn(&Candidate) -> f64) -> f64 {
+    candidates.iter().map(value).fold(f64::INFINITY, f64::min)
 }
 
-/// Leaves the candidates that fit, if there are any.
-fn prefer(candidates: &mut Vec<Candidate>, fits: impl Fn(&Candidate) -> bool) {
-    if candidates.iter().any(&fits) {
-        candidates.retain(fits);
+/// Keeps only the candidates that meet a criterion, if there are any.
+fn prefer(candidates: &mut Vec<Candidate>, criterion: impl Fn(&Candidate) -> bool) {
+    if candidates.iter().any(&criterion) {
+        candidates.retain(criterion);
     }
 }
--- a/crates/balancer/src/slow_start.rs
+++ b/crates/balancer/src/slow_start.rs
@@ -1,25 +1,25 @@
-//! Slow start: servers that warm up, the budget of requests that all nodes together keep to for each
-//! of them, and the part of the fleet's capacity that is warm.
+//! Slow start: servers that warm up, the request budget of each of them that all nodes share, and the
+//! warm fraction of the servers' total capacity.
 
 use crate::balancer::Balancer;
 use crate::server::Server;
 use crate::settings::Settings;
 
-/// Share of what makes a warming server collapse that is sent to it: capacities are guesses, arrivals
-/// come in bunches.
-const BUDGET_SHARE: f64 = 0.5;
-/// How often in the time that a server warms up the warm capacity is computed again.
-const REFRESHES: f64 = 8.0;
+/// Fraction of the load at which a warming server collapses that it is sent. The margin allows for
+/// estimated capacities and bursty arrivals.
+const BUDGET_FRACTION: f64 = 0.5;
+/// Number of times that the warm capacity is recomputed while a server warms up.
+const REFRESHES_PER_WARM_UP: f64 = 8.0;
 
-/// The part of the ready servers' capacity that is warm.
+/// The warm fraction of the ready servers' capacity.
 #[derive(Default)]
 pub(crate) struct WarmCapacity {
     pub fraction: f64,
-    /// When it changes without a change of the server list; infinite if nothing warms up.
+    /// Time of the next change without a list update, in milliseconds; infinite if no server warms up.
     refresh_at_ms: f64,
 }
 
-/// The part of its capacity that a server has at least while it warms up; `None` once it is warm.
+/// The fraction of its capacity that a server has at least while it warms up; `None` once it is warm.
 #[inline]
 pub(crate) fn warm_fraction(settings: &Settings, now_ms: f64, server: &Server) -> Option<f64> {
     let age_ms = now_ms - server.entry.started_at_ms?;
@@ -28,20 +28,20 @@
 }
 
 impl Balancer {
-    /// How often a warming server may be sent its share of what this node has served. Where counts are
-    /// old it is filled up before others rather than being one among them, so its budget is what makes
-    /// it as busy as they are.
+    /// Multiple of its share of this node's requests that a warming server may be sent. Where reports
+    /// are stale it is filled before others instead of being compared with them, so its budget alone
+    /// keeps it only as busy as they are.
     #[inline]
     pub(crate) fn slow_start_multiple(&self) -> f64 {
-        let multiple = BUDGET_SHARE * self.settings.collapse_multiple;
-        if self.traffic.well_informed {
+        let multiple = BUDGET_FRACTION * self.settings.collapse_multiple;
+        if self.traffic.has_recent_reports {
             multiple
         } else {
             multiple.min(1.0)
         }
     }
 
-    /// Computes the warm capacity again where servers have warmed up since, although no new list came.
+    /// Recomputes the warm capacity if servers have warmed up without a list update.
     #[inline]
     pub(crate) fn refresh_warm_capacity(&mut self) {
         if self.now_ms >= self.warm_capacity.refresh_at_ms {
@@ -49,7 +49,7 @@
         }
     }
 
-    /// Computes how much of the capacity is warm, and what a sample of a long list is drawn from.
+    /// Computes the warm capacity, and the servers from which samples of a long list are drawn.
     pub(crate) fn index_servers(&mut self) {
         let index_sample = self.is_list_long();
         self.sampler.clear();
@@ -66,7 +66,7 @@
         self.warm_capacity = WarmCapacity {
             fraction: warm / self.ring.len().max(1) as f64,
             refresh_at_ms: if any_warming {
-                self.now_ms + self.settings.slow_start_ms / REFRESHES
+                self.now_ms + self.settings.slow_start_ms / REFRESHES_PER_WARM_UP
             } else {
                 f64::INFINITY
             },
