--- a/crates/balancer/src/request.rs
+++ b/crates/balancer/src/request.rs
@@ -198,7 +198,7 @@
         self.apply_report(server, outcome.report);
         self.record_result(&request, &request.attempts[index], outcome);
         let removable = self.servers.get(&server);
-        if removable.is_some_and(Server::is_forgettable) {
+        if removable.is_some_and(Server::is_removable) {
             self.servers.remove(&server);
         }
         if request.first_run == Some(index) && !outcome.result.may_have_run() {
--- a/crates/balancer/src/subscription.rs
+++ b/crates/balancer/src/subscription.rs
@@ -1,5 +1,5 @@
-//! Following the server list: applying updates, subscribing to changes, and polling again with
-//! backoff after a failure.
+//! Keeping the server list up to date: applying updates, subscribing to changes, and subscribing again
+//! with backoff after a failure.
 
 use crate::action::{Action, LogEvent};
 use crate::balancer::Balancer;
@@ -8,15 +8,15 @@
 use crate::settings::DiscoveryMode;
 use crate::timer::Timer;
 
-/// The longest wait before a new subscription, as a share of the longest interval between polls that
-/// is allowed; the shortest is a sixteenth of that.
-const MAX_RESUBSCRIBE_SHARE: f64 = 0.25;
-/// Failed polls after which the backoff does not grow any more.
+/// Longest delay before a new subscription, as a fraction of the longest allowed interval between
+/// polls. The delay after the first failure is a sixteenth of it, before jitter.
+const MAX_RESUBSCRIBE_FRACTION: f64 = 0.25;
+/// Number of failed polls after which the backoff stops growing.
 const MAX_BACKOFF_DOUBLINGS: i32 = 4;
-/// The longest wait before a new subscription, in milliseconds.
+/// Longest delay before a new subscription, in milliseconds.
 ///
-/// A change counts as known 6 s after discovery could be reached; in that time a poll that was given
-/// up, this wait and the next poll must be over.
+/// A node is expected to have received a change 6 s after discovery is reachable again. A poll that
+/// times out, this delay and the next poll must fit into that time.
 pub const MAX_RESUBSCRIBE_DELAY_MS: f64 = 1_500.0;
 
 /// The state of the subscription to the server list.
@@ -52,7 +52,7 @@
         for entry in entries {
             self.update_server(entry);
         }
-        self.servers.retain(|_, server| !server.is_forgettable());
+        self.servers.retain(|_, server| !server.is_removable());
         self.rebuild_ring();
         self.index_servers();
     }
@@ -63,7 +63,7 @@
             Some(server) if server.entry.started_at_ms == entry.started_at_ms => {
                 server.entry = entry;
             }
-            // What was learned of a process does not hold for its successor.
+            // State derived from one process does not apply to its successor.
             previous => {
                 let server = Server {
                     in_flight: previous.map_or(0, |previous| previous.in_flight),
@@ -76,9 +76,9 @@
         }
     }
 
-    /// Orders the ready servers alike on all nodes, turned so that each node starts elsewhere, evenly
-    /// along the ring. A node keeps to the first servers that may be used, so that not every node
-    /// connects to every server; a change of the list moves few of them.
+    /// Orders the ready servers identically on all nodes, and rotates the order so that the nodes start
+    /// at evenly spaced positions of the ring. A node uses the first suitable servers, so that not every
+    /// node connects to every server; a list update changes few of them.
     fn rebuild_ring(&mut self) {
         let ready = self.servers.iter().filter(|(_, server)| server.is_ready());
         let mut ring: Vec<_> = ready
@@ -90,16 +90,16 @@
         self.ring = ring.into_iter().map(|(_, server_id)| server_id).collect();
     }
 
-    /// Schedules a new subscription: without one the node would send to servers long gone. The wait
-    /// grows with each failure and is drawn at random, so that many nodes do not call at once.
+    /// Schedules a new subscription; without one the node would send to servers that are long gone. The
+    /// delay grows with each failure and has jitter, so that many nodes do not subscribe at once.
     fn schedule_resubscribe(&mut self) {
         if self.subscription.failed_polls == 0 {
             self.actions
                 .push(Action::Log(LogEvent::ServerListUnavailable));
         }
         self.subscription.retry_scheduled = true;
-        let share_ms = self.settings.max_poll_interval_ms * MAX_RESUBSCRIBE_SHARE;
-        let max_ms = share_ms.min(MAX_RESUBSCRIBE_DELAY_MS);
+        let fraction_ms = self.settings.max_poll_interval_ms * MAX_RESUBSCRIBE_FRACTION;
+        let max_ms = fraction_ms.min(MAX_RESUBSCRIBE_DELAY_MS);
         let halvings = MAX_BACKOFF_DOUBLINGS - self.subscription.failed_polls;
         let after_ms = max_ms / 2_f64.powi(halvings) * (0.5 + 0.5 * self.random.f64());
         self.subscription.failed_polls =
