--- a/crates/balancer/tests/admission.rs
+++ b/crates/balancer/tests/admission.rs
@@ -10,17 +10,17 @@
 #[test]
 fn node_with_few_requests_sheds_a_part_of_them() {
     let rejections_of = |elapsed: f64, gap: f64| {
-        let mut settings = one_class(Idempotency::Idempotent);
+        let mut settings = settings_with_one_class(Idempotency::Idempotent);
         settings.max_attempts = 1;
         let mut node = Node::new(settings, 1);
-        node.servers(ready_servers(0..30));
+        node.set_servers(ready_servers(0..30));
         let mut rejections = 0;
         for id in 0..1_000 {
             let actions = node.request(id, 0, 800.0);
             rejections += usize::from(is_rejected(&actions));
             node.now += gap;
             if sent_server(&actions).is_some() {
-                node.end(id, 0, elapsed, AttemptResult::Served);
+                node.end_attempt(id, 0, elapsed, AttemptResult::Served);
             }
         }
         rejections
@@ -36,10 +36,10 @@
 /// While everything fails there is no better server: traffic must go on, and recover by itself.
 #[test]
 fn shedding_ends_when_the_servers_recover() {
-    let mut settings = one_class(Idempotency::Idempotent);
+    let mut settings = settings_with_one_class(Idempotency::Idempotent);
     settings.max_attempts = 1;
     let mut node = Node::new(settings, 1);
-    node.servers(ready_servers(0..4));
+    node.set_servers(ready_servers(0..4));
     let mut last = (0, 0);
     for id in 0..3_000 {
         let broken = (500..1_000).contains(&id);
@@ -51,7 +51,7 @@
             } else {
                 (30.0, AttemptResult::Served)
             };
-            node.end(id, 0, elapsed, result);
+            node.end_attempt(id, 0, elapsed, result);
         }
         if id >= 2_000 {
             last = (last.0 + usize::from(sent), last.1 + 1);
@@ -67,16 +67,16 @@
 /// not do so so often that the trials alone overload the servers.
 #[test]
 fn trials_of_many_overloaded_nodes_stay_few() {
-    let mut settings = one_class(Idempotency::Idempotent);
+    let mut settings = settings_with_one_class(Idempotency::Idempotent);
     (settings.nodes, settings.max_attempts) = (16, 1);
     let mut node = Node::new(settings, 1);
-    node.servers(ready_servers(0..10));
+    node.set_servers(ready_servers(0..10));
     let mut tried = 0;
     for id in 0..4_000 {
         let sent = sent_server(&node.request(id, 0, 800.0)).is_some();
         node.now += 10.0;
         if sent {
-            node.end(id, 0, 790.0, AttemptResult::Served);
+            node.end_attempt(id, 0, 790.0, AttemptResult::Served);
             tried += u32::from(id >= 2_000);
         }
     }
@@ -91,10 +91,10 @@
 /// ones must be forgotten soon, or it sheds requests that idle servers could serve.
 #[test]
 fn overload_at_start_is_soon_forgotten() {
-    let mut settings = one_class(Idempotency::Idempotent);
+    let mut settings = settings_with_one_class(Idempotency::Idempotent);
     (settings.nodes, settings.max_attempts) = (12, 1);
     let mut node = Node::new(settings, 1);
-    node.servers(ready_servers(0..20));
+    node.set_servers(ready_servers(0..20));
     let mut out = std::collections::VecDeque::new();
     let (mut asked, mut rejections) = (0, 0);
     for id in 0..620_u64 {
@@ -102,7 +102,7 @@
         let crowded = id < 120;
         while out.front().is_some_and(|(_, _, end)| *end <= node.now) {
             let (id, elapsed, _) = out.pop_front().expect("checked");
-            node.end(id, 0, elapsed, AttemptResult::Served);
+            node.end_attempt(id, 0, elapsed, AttemptResult::Served);
         }
         let sent = sent_server(&node.request(id, 0, 800.0)).is_some();
         if sent {
@@ -133,7 +133,7 @@
     ]);
     settings.max_attempts = 1;
     let mut node = Node::new(settings, 1);
-    node.servers(ready_servers(0..2));
+    node.set_servers(ready_servers(0..2));
     let mut rejections = [0; 2];
     let mut out = std::collections::VecDeque::new();
     for id in 0..4_000_u64 {
@@ -148,7 +148,7 @@
         // One answer in 20 ms is half of what is asked for; answers wait for all that is before them.
         if id % 2 == 0 {
             if let Some((id, since)) = out.pop_front() {
-                node.end(id, 0, node.now - since, AttemptResult::Served);
+                node.end_attempt(id, 0, node.now - since, AttemptResult::Served);
             }
         }
     }
@@ -159,19 +159,19 @@
 /// estimate over all servers must fade, too, or it goes on shedding (incident if6f780).
 #[test]
 fn overload_at_start_is_forgotten_by_a_node_with_few_requests() {
-    let mut settings = one_class(Idempotency::IdempotencyKey {
+    let mut settings = settings_with_one_class(Idempotency::IdempotencyKey {
         scope: KeyScope::Cell,
         window_ms: 500.0,
     });
     (settings.nodes, settings.max_attempts) = (42, 1);
     let mut node = Node::new(settings, 1);
-    node.servers(ready_servers(0..16));
+    node.set_servers(ready_servers(0..16));
     let mut rejections = 0;
     for id in 0..450 {
         let sent = sent_server(&node.request(id, 0, 800.0)).is_some();
         node.now += 100.0;
         if sent {
-            node.end(
+            node.end_attempt(
                 id,
                 0,
                 if id < 50 { 790.0 } else { 60.0 },
@@ -191,17 +191,17 @@
 #[test]
 fn server_that_reports_no_load_is_not_overloaded() {
     for (reported, none_rejected) in [(0.0, true), (5.0, false)] {
-        let mut settings = one_class(Idempotency::Idempotent);
+        let mut settings = settings_with_one_class(Idempotency::Idempotent);
         settings.nodes = 1_000; // Else an idle server would be tried all the same, now and then.
         let mut node = Node::new(settings, 1);
-        node.servers(ready_servers(0..2));
+        node.set_servers(ready_servers(0..2));
         let mut rejections = 0;
         for id in 0..60 {
             node.now += 10.0;
             let actions = node.request(id, 0, 800.0);
             rejections += usize::from(is_rejected(&actions));
             if sent_server(&actions).is_some() {
-                node.report(id, 0, 390.0, AttemptResult::Served, Some(reported));
+                node.end_attempt_with_report(id, 0, 390.0, AttemptResult::Served, Some(reported));
             }
         }
         assert_eq!(
@@ -217,15 +217,15 @@
 #[test]
 fn server_with_few_requests_has_capacity_for_one_more() {
     for (reported, taken) in [(0.0, 3), (2.0, 2), (5.0, 0)] {
-        let mut settings = one_class(Idempotency::Idempotent);
+        let mut settings = settings_with_one_class(Idempotency::Idempotent);
         settings.nodes = 1_000; // Else an idle server would be tried all the same, now and then.
         let mut node = Node::new(settings, 1);
-        node.servers(ready_servers(0..1));
+        node.set_servers(ready_servers(0..1));
         for id in 0..60 {
             node.now += 10.0;
             let served = sent_server(&node.request(id, 0, 800.0)).is_some();
             if served {
-                node.report(id, 0, 390.0, AttemptResult::Served, Some(reported));
+                node.end_attempt_with_report(id, 0, 390.0, AttemptResult::Served, Some(reported));
             }
         }
         let sent = (60..66)
@@ -239,9 +239,9 @@
 /// many times slower, and the node would shed nearly everything for seconds.
 #[test]
 fn fast_first_answer_does_not_make_its_class_look_slow() {
-    let mut node = node_of_many(11);
-    serve_in_turn(&mut node, 0..1, [1.0; 3]);
-    let (_, rejections) = serve_in_turn(&mut node, 1..150, [90.0; 3]);
+    let mut node = node_of_large_cluster(11);
+    serve_requests(&mut node, 0..1, [1.0; 3]);
+    let (_, rejections) = serve_requests(&mut node, 1..150, [90.0; 3]);
     assert!(
         rejections <= 3,
         "{rejections} of 150 rejected with every answer well within its objective"
@@ -251,7 +251,8 @@
 /// A class with a near objective and short answers must not be shed until its answers are known.
 #[test]
 fn class_with_near_objective_is_admitted_by_a_new_node() {
-    let (_, rejections) = serve_in_turn(&mut node_of_many(3), 0..60, [90.0, 135.0, 215.0]);
+    let (_, rejections) =
+        serve_requests(&mut node_of_large_cluster(3), 0..60, [90.0, 135.0, 215.0]);
     assert!(rejections <= 8, "{rejections} of 60 rejected");
 }
 
@@ -259,7 +260,7 @@
 /// well within an objective of 2.5 s, whatever becomes of a class whose objective is 80 ms.
 #[test]
 fn class_with_distant_objective_is_not_starved_by_an_unreachable_one() {
-    let mut settings = one_class(Idempotency::Idempotent);
+    let mut settings = settings_with_one_class(Idempotency::Idempotent);
     settings.classes = vec![
         Class::new(80.0, 300.0, Idempotency::Idempotent),
         Class::new(400.0, 1_500.0, Idempotency::Idempotent),
@@ -270,7 +271,7 @@
     ];
     settings.nodes = 300;
     let mut node = Node::new(settings, 1);
-    node.servers(ready_servers(0..180));
+    node.set_servers(ready_servers(0..180));
     let (mut asked, mut rejections) = ([0; 3], [0; 3]);
     for id in 0..900 {
         node.now += 60.0;
@@ -279,7 +280,7 @@
         let sent = sent_server(&actions).is_some();
         if sent {
             node.now += 1.0;
-            node.end(id, 0, [180.0, 180.0, 400.0][class], AttemptResult::Served);
+            node.end_attempt(id, 0, [180.0, 180.0, 400.0][class], AttemptResult::Served);
         }
         if id >= 300 {
             asked[class] += 1;
@@ -301,10 +302,10 @@
 #[test]
 fn node_that_rejects_all_sends_one_request_now_and_then() {
     for gap_ms in [20.0, 100.0, 250.0, 1_000.0] {
-        let mut settings = one_class(Idempotency::Idempotent);
+        let mut settings = settings_with_one_class(Idempotency::Idempotent);
         settings.nodes = 100_000; // Else an idle server would be tried all the same, now and then.
         let mut node = Node::new(settings, 1);
-        node.servers(ready_servers(0..4));
+        node.set_servers(ready_servers(0..4));
         // By all that it learns, answers take many times their objective.
         let (mut row, mut since, mut sent) = (0, node.now, Vec::new());
         for id in 0..2_000 {
@@ -312,7 +313,7 @@
             if sent_server(&node.request(id, 0, 800.0)).is_some() {
                 sent.push(node.now);
                 (row, since) = (0, node.now);
-                node.report(id, 0, 30_000.0, AttemptResult::Served, Some(50.0));
+                node.end_attempt_with_report(id, 0, 30_000.0, AttemptResult::Served, Some(50.0));
             } else {
                 row += 1;
             }
@@ -331,7 +332,7 @@
         let are_few = late.iter().all(|gap| *gap >= 3_000.0) || gap_ms > 100.0;
         assert!(!late.is_empty() && are_few, "{gap_ms}: {late:?}");
         // Without servers there is nothing to try.
-        node.servers(Vec::new());
+        node.set_servers(Vec::new());
         for id in 5_000..5_040 {
             node.now += 100.0;
             assert!(is_rejected(&node.request(id, 0, 800.0)), "request {id}");
--- a/crates/balancer/tests/common/mod.rs
+++ b/crates/balancer/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! Helpers of the tests: short ways to build events, and to feed a balancer.
+//! Test helpers that build events and feed them to a balancer.
 #![allow(dead_code, reason = "each test file uses some of the helpers")]
 
 use balancer::*;
@@ -12,7 +12,7 @@
 impl Node {
     pub fn new(settings: Settings, seed: u64) -> Self {
         Self {
-            balancer: Balancer::new(settings, seed).expect("valid settings"),
+            balancer: Balancer::new(settings, seed).expect("the settings are in range"),
             now: 1_000.0,
         }
     }
@@ -23,7 +23,7 @@
         actions
     }
 
-    pub fn servers(&mut self, entries: Vec<ServerEntry>) -> Vec<Action> {
+    pub fn set_servers(&mut self, entries: Vec<ServerEntry>) -> Vec<Action> {
         self.feed(Event::ServerList(ServerListUpdate::Full(entries)))
     }
 
@@ -35,29 +35,29 @@
         )))
     }
 
-    /// The server that a request is sent to; it must be sent.
-    pub fn sent_to(&mut self, id: u64) -> usize {
+    /// Feeds a request that must be sent at once, and returns the server that it is sent to.
+    pub fn dispatch(&mut self, id: u64) -> usize {
         let actions = self.request(id, 0, 80_000.0);
         sent_server(&actions).unwrap_or_else(|| panic!("request {id} was not sent: {actions:?}"))
     }
 
-    pub fn end(
+    pub fn end_attempt(
         &mut self,
         id: u64,
         attempt: usize,
         elapsed_ms: f64,
         result: AttemptResult,
     ) -> Vec<Action> {
-        self.report(id, attempt, elapsed_ms, result, None)
+        self.end_attempt_with_report(id, attempt, elapsed_ms, result, None)
     }
 
-    pub fn report(
+    pub fn end_attempt_with_report(
         &mut self,
         id: u64,
         attempt: usize,
         elapsed_ms: f64,
         result: AttemptResult,
-        held: Option<f64>,
+        in_flight: Option<f64>,
     ) -> Vec<Action> {
         self.feed(Event::Outcome(Outcome {
             request: RequestId(id),
@@ -65,7 +65,7 @@
             elapsed_ms,
             result,
             complete: result == AttemptResult::Served,
-            report: held.map(|n| LoadReport {
+            report: in_flight.map(|n| LoadReport {
                 in_flight: Some(n),
                 queued: None,
             }),
@@ -94,12 +94,12 @@
     actions.iter().any(|a| matches!(a, Action::Fail { .. }))
 }
 
-pub fn one_class(idempotency: Idempotency) -> Settings {
+pub fn settings_with_one_class(idempotency: Idempotency) -> Settings {
     Settings::new(vec![Class::new(400.0, 800.0, idempotency)])
 }
 
-/// Settings whose latency objective is so distant that nothing is shed.
-pub fn settings_with_distant_objective() -> Settings {
+/// Settings whose latency objective is so long that nothing is shed.
+pub fn settings_with_long_objective() -> Settings {
     Settings::new(vec![Class::new(
         40_000.0,
         80_000.0,
@@ -107,31 +107,32 @@
     )])
 }
 
-pub fn node_of_many(me: usize) -> Node {
+/// One of 300 nodes that share 180 servers, with slow start and three classes.
+pub fn node_of_large_cluster(node_index: usize) -> Node {
     let idempotency = Idempotency::IdempotencyKey {
         scope: KeyScope::Cell,
         window_ms: 6_000.0,
     };
-    let mut settings = one_class(Idempotency::Idempotent);
+    let mut settings = settings_with_one_class(Idempotency::Idempotent);
     settings.classes = vec![
         Class::new(300.0, 750.0, Idempotency::Idempotent),
         Class::new(500.0, 1_500.0, Idempotency::Idempotent),
         Class::new(1_200.0, 6_000.0, idempotency),
     ];
-    (settings.nodes, settings.node_index) = (300, me);
+    (settings.nodes, settings.node_index) = (300, node_index);
     (settings.slow_start_fraction, settings.slow_start_ms) = (0.35, 8_000.0);
     (settings.collapse_multiple, settings.collapse_after_ms) = (3.0, 1_500.0);
-    let mut node = Node::new(settings, me as u64);
-    node.servers(ready_servers(0..180));
+    let mut node = Node::new(settings, node_index as u64);
+    node.set_servers(ready_servers(0..180));
     node
 }
 
-/// Sends requests of the node's classes in turn, each answered after its class's time. Returns the servers that
-/// they were sent to, and how many were rejected.
-pub fn serve_in_turn(
+/// Feeds requests of the node's classes in rotation, each answered with the latency of its class. Returns the
+/// servers that they were sent to, and the number of rejections.
+pub fn serve_requests(
     node: &mut Node,
     ids: std::ops::Range<u64>,
-    took: [f64; 3],
+    latencies_ms: [f64; 3],
 ) -> (Vec<usize>, usize) {
     let (mut sent, mut rejections) = (Vec::new(), 0);
     for id in ids {
@@ -142,31 +143,31 @@
         if let Some(server) = sent_server(&actions) {
             sent.push(server);
             node.now += 1.0;
-            node.end(id, 0, took[class], AttemptResult::Served);
+            node.end_attempt(id, 0, latencies_ms[class], AttemptResult::Served);
         }
     }
     (sent, rejections)
 }
 
 /// Settings under which servers are polled for their load before each send.
-pub fn polling_settings(idempotency: Idempotency) -> Settings {
-    let mut settings = one_class(idempotency);
+pub fn settings_with_polling(idempotency: Idempotency) -> Settings {
+    let mut settings = settings_with_one_class(idempotency);
     (settings.health_checks, settings.report_source) = (true, ReportSource::HealthCheck);
     settings
 }
 
-/// Expires the timer of one kind that was set for a request, at its time.
+/// Advances the time to the expiry of the timer of one kind that `actions` set, and feeds the expiry.
 pub fn expire_timer(node: &mut Node, actions: &[Action], kind: u64) -> Vec<Action> {
-    let due = actions.iter().find_map(|a| match a {
+    let set_timer = actions.iter().find_map(|a| match a {
         Action::SetTimer { timer, after_ms } if timer & 7 == kind => Some((*timer, *after_ms)),
         _ => None,
     });
-    let (timer, after_ms) = due.expect("a timer of that kind");
+    let (timer, after_ms) = set_timer.expect("the actions set a timer of this kind");
     node.now += after_ms;
     node.feed(Event::Timer(timer))
 }
 
-/// FNV-1a of 64 bits, with its bits mixed once more.
+/// The 64-bit FNV-1a hash with an additional mixing step.
 pub fn digest(text: &str) -> u64 {
     let hash = text.bytes().fold(0xcbf2_9ce4_8422_2325_u64, |hash, byte| {
         (hash ^ u64::from(byte)).wrapping_mul(0x0100_0000_01b3)
@@ -174,7 +175,7 @@
     (hash ^ (hash >> 32)).wrapping_mul(0x9e37_79b9_7f4a_7c15)
 }
 
-/// The log's text at the time of the recording.
+/// The text of a log event when the digests were recorded; it stays although the log line was reworded.
 pub fn recorded_log_text(event: LogEvent) -> String {
     match event {
         LogEvent::ServerListUnavailable => "the list of servers does not come".to_owned(),
--- a/crates/balancer/tests/final_answer.rs
+++ b/crates/balancer/tests/final_answer.rs
@@ -15,52 +15,60 @@
         },
         Idempotency::NonIdempotent,
     ] {
-        let mut node = Node::new(one_class(idempotency), 1);
+        let mut node = Node::new(settings_with_one_class(idempotency), 1);
         assert!(
             is_rejected(&node.request(1, 0, 100.0)),
             "nothing ran, so a rejection is truthful"
         );
-        node.servers(Vec::new());
+        node.set_servers(Vec::new());
         assert!(is_rejected(&node.request(2, 0, 100.0)));
     }
 }
 
 #[test]
 fn request_of_unknown_class_fails() {
-    let mut node = Node::new(one_class(Idempotency::Idempotent), 1);
-    node.servers(ready_servers(0..2));
+    let mut node = Node::new(settings_with_one_class(Idempotency::Idempotent), 1);
+    node.set_servers(ready_servers(0..2));
     assert!(is_failed(&node.request(1, 7, 100.0)));
 }
 
 #[test]
 fn time_out_at_the_deadline_fails_at_once() {
-    let mut node = Node::new(one_class(Idempotency::NonIdempotent), 1);
-    node.servers(ready_servers(0..3));
-    node.sent_to(1);
+    let mut node = Node::new(settings_with_one_class(Idempotency::NonIdempotent), 1);
+    node.set_servers(ready_servers(0..3));
+    node.dispatch(1);
     node.now += 800.0;
-    assert!(is_failed(&node.end(1, 0, 800.0, AttemptResult::TimedOut)));
+    assert!(is_failed(&node.end_attempt(
+        1,
+        0,
+        800.0,
+        AttemptResult::TimedOut
+    )));
     assert!(
-        node.end(1, 0, 801.0, AttemptResult::Served).is_empty(),
+        node.end_attempt(1, 0, 801.0, AttemptResult::Served)
+            .is_empty(),
         "a result comes once"
     );
 }
 
 #[test]
 fn request_of_disconnected_client_gets_no_further_action() {
-    let mut node = Node::new(one_class(Idempotency::Idempotent), 1);
-    node.servers(ready_servers(0..3));
-    node.sent_to(1);
+    let mut node = Node::new(settings_with_one_class(Idempotency::Idempotent), 1);
+    node.set_servers(ready_servers(0..3));
+    node.dispatch(1);
     node.feed(Event::ClientGone(RequestId(1)));
     node.now += 5.0;
-    assert!(sent_server(&node.end(1, 0, 5.0, AttemptResult::Error)).is_none());
+    assert!(sent_server(&node.end_attempt(1, 0, 5.0, AttemptResult::Error)).is_none());
     assert!(node.feed(Event::ClientGone(RequestId(1))).is_empty());
 }
 
 #[test]
 fn events_with_unknown_ids_are_ignored() {
-    let mut node = Node::new(one_class(Idempotency::Idempotent), 1);
-    node.servers(ready_servers(0..2));
-    assert!(node.end(77, 0, 5.0, AttemptResult::Served).is_empty());
+    let mut node = Node::new(settings_with_one_class(Idempotency::Idempotent), 1);
+    node.set_servers(ready_servers(0..2));
+    assert!(node
+        .end_attempt(77, 0, 5.0, AttemptResult::Served)
+        .is_empty());
     assert!(node.feed(Event::ClientGone(RequestId(77))).is_empty());
     assert!(node.feed(Event::Timer(0)).is_empty() && node.feed(Event::Timer(5)).is_empty());
     assert!(node
@@ -76,9 +84,9 @@
         report: Some(LoadReport::default()),
     };
     assert!(node.feed(probed).is_empty());
-    node.sent_to(1);
+    node.dispatch(1);
     assert!(
-        node.end(1, 9, 5.0, AttemptResult::Error).is_empty(),
+        node.end_attempt(1, 9, 5.0, AttemptResult::Error).is_empty(),
         "an attempt that was never made"
     );
 }
@@ -86,9 +94,9 @@
 /// A client error is no fault of the server, and another server would give the same answer.
 #[test]
 fn client_error_ends_the_request_and_ejects_no_server() {
-    let mut node = Node::new(one_class(Idempotency::Idempotent), 1);
-    node.servers(ready_servers(0..2));
-    let at = node.sent_to(1);
+    let mut node = Node::new(settings_with_one_class(Idempotency::Idempotent), 1);
+    node.set_servers(ready_servers(0..2));
+    let at = node.dispatch(1);
     let outcome = Outcome {
         request: RequestId(1),
         attempt: 0,
@@ -98,6 +106,6 @@
         report: None,
     };
     assert_eq!(node.feed(Event::Outcome(outcome)), []);
-    let sent: Vec<_> = (2..4).map(|id| node.sent_to(id)).collect();
+    let sent: Vec<_> = (2..4).map(|id| node.dispatch(id)).collect();
     assert!(sent.contains(&at), "{sent:?}");
 }
--- a/crates/balancer/tests/health_check.rs
+++ b/crates/balancer/tests/health_check.rs
@@ -38,8 +38,8 @@
 #[test]
 fn polled_server_with_the_lowest_count_is_selected() {
     for seed in 0..50 {
-        let mut node = Node::new(polling_settings(Idempotency::Idempotent), seed);
-        node.servers(ready_servers(0..20));
+        let mut node = Node::new(settings_with_polling(Idempotency::Idempotent), seed);
+        node.set_servers(ready_servers(0..20));
         let polled = polled_servers(&node.request(1, 0, 800.0));
         assert_eq!(polled.len(), 5);
         let mut last = Vec::new();
@@ -55,8 +55,8 @@
 /// objective.
 #[test]
 fn server_that_does_not_respond_to_a_poll_is_passed_over() {
-    let mut node = Node::new(polling_settings(Idempotency::Idempotent), 1);
-    node.servers(ready_servers(0..20));
+    let mut node = Node::new(settings_with_polling(Idempotency::Idempotent), 1);
+    node.set_servers(ready_servers(0..20));
     let actions = node.request(1, 0, 800.0);
     let polled = polled_servers(&actions);
     respond_to_poll(&mut node, polled[1], 4.0);
@@ -72,8 +72,8 @@
 #[test]
 fn server_that_drains_while_polled_gets_nothing() {
     for seed in 0..20 {
-        let mut node = Node::new(polling_settings(Idempotency::Idempotent), seed);
-        node.servers(ready_servers(0..5));
+        let mut node = Node::new(settings_with_polling(Idempotency::Idempotent), seed);
+        node.set_servers(ready_servers(0..5));
         let polled = polled_servers(&node.request(1, 0, 800.0));
         respond_to_poll(&mut node, polled[0], 0.0);
         let draining = ServerEntry::new(ServerId(polled[0]), Availability::Draining);
@@ -88,12 +88,12 @@
 
 /// Sends one request to the only server, which serves it; then another, which stays in flight.
 fn one_in_flight(idempotency: Idempotency) -> (Node, Vec<Action>) {
-    let mut node = Node::new(polling_settings(idempotency), 1);
-    node.servers(ready_servers(0..1));
+    let mut node = Node::new(settings_with_polling(idempotency), 1);
+    node.set_servers(ready_servers(0..1));
     node.request(1, 0, 800.0);
     assert_eq!(sent_server(&respond_to_poll(&mut node, 0, 0.0)), Some(0));
     node.now += 50.0;
-    node.end(1, 0, 50.0, AttemptResult::Served);
+    node.end_attempt(1, 0, 50.0, AttemptResult::Served);
     node.request(2, 0, 800.0);
     let sent = respond_to_poll(&mut node, 0, 0.0);
     (node, sent)
@@ -124,7 +124,7 @@
         ]
     );
     node.now += 1.0;
-    node.end(2, 0, 80.0, AttemptResult::Cancelled);
+    node.end_attempt(2, 0, 80.0, AttemptResult::Cancelled);
     assert_eq!(
         sent_server(&respond_to_poll(&mut node, 0, 0.0)),
         Some(0),
@@ -135,8 +135,8 @@
 /// A health check sent before the attempt may end after it: its report says nothing of the attempt.
 #[test]
 fn late_poll_response_cancels_nothing() {
-    let mut node = Node::new(polling_settings(Idempotency::Idempotent), 1);
-    node.servers(ready_servers(0..2));
+    let mut node = Node::new(settings_with_polling(Idempotency::Idempotent), 1);
+    node.set_servers(ready_servers(0..2));
     let actions = node.request(1, 0, 800.0);
     let (polled, mut sent) = (
         polled_servers(&actions),
@@ -166,10 +166,10 @@
 fn polled_subsets_are_small_and_even() {
     let (nodes, mut load_of) = (400, [0; 100]);
     for me in 0..nodes {
-        let mut settings = polling_settings(Idempotency::Idempotent);
+        let mut settings = settings_with_polling(Idempotency::Idempotent);
         (settings.node_index, settings.nodes) = (me, nodes);
         let mut node = Node::new(settings, me as u64);
-        node.servers(ready_servers(0..100));
+        node.set_servers(ready_servers(0..100));
         let mut contacted = std::collections::BTreeSet::new();
         for id in 0..12 {
             node.now += 1_000.0;
--- a/crates/balancer/tests/outlier.rs
+++ b/crates/balancer/tests/outlier.rs
@@ -8,20 +8,21 @@
 /// A server that fails quickly reports a short queue and would attract more requests.
 #[test]
 fn server_that_fails_quickly_is_ejected_until_it_serves() {
-    let mut node = Node::new(one_class(Idempotency::Idempotent), 1);
-    node.servers(ready_servers(0..4));
+    let mut node = Node::new(settings_with_one_class(Idempotency::Idempotent), 1);
+    node.set_servers(ready_servers(0..4));
     let run = |node: &mut Node, from: u64, bad: bool| {
         let mut sent = 0;
         for id in from..from + 400 {
-            let at = node.sent_to(id);
+            let at = node.dispatch(id);
             node.now += 10.0;
             sent += usize::from(at == 0);
             if bad && at == 0 {
-                let again = node.report(id, 0, 2.0, AttemptResult::Error, Some(0.0));
+                let again =
+                    node.end_attempt_with_report(id, 0, 2.0, AttemptResult::Error, Some(0.0));
                 let attempt = usize::from(sent_server(&again).is_some());
-                node.end(id, attempt, 30.0, AttemptResult::Served);
+                node.end_attempt(id, attempt, 30.0, AttemptResult::Served);
             } else {
-                node.end(id, 0, 30.0, AttemptResult::Served);
+                node.end_attempt(id, 0, 30.0, AttemptResult::Served);
             }
         }
         sent
@@ -40,8 +41,8 @@
 /// A server that accepts requests and answers none has an ordinary count.
 #[test]
 fn silent_server_is_passed_over() {
-    let mut node = Node::new(one_class(Idempotency::Idempotent), 1);
-    node.servers(ready_servers(0..4));
+    let mut node = Node::new(settings_with_one_class(Idempotency::Idempotent), 1);
+    node.set_servers(ready_servers(0..4));
     let mut hung = 0;
     for id in 0..600 {
         let at = sent_server(&node.request(id, 0, 800.0));
@@ -49,7 +50,7 @@
         if id > 200 && at == Some(0) {
             hung += 1;
         } else if at.is_some() {
-            node.report(
+            node.end_attempt_with_report(
                 id,
                 0,
                 30.0,
@@ -64,13 +65,13 @@
 /// Where a node seldom hears of a server, three failures in a row take half a minute: one is enough.
 #[test]
 fn one_failure_ejects_where_little_is_heard() {
-    let mut settings = one_class(Idempotency::Idempotent);
+    let mut settings = settings_with_one_class(Idempotency::Idempotent);
     settings.nodes = 200;
     let mut node = Node::new(settings, 1);
-    node.servers(ready_servers(0..40));
+    node.set_servers(ready_servers(0..40));
     let (mut failures, mut contacted) = (0, Vec::new());
     for id in 0..400 {
-        let (mut at, mut attempt) = (node.sent_to(id), 0);
+        let (mut at, mut attempt) = (node.dispatch(id), 0);
         if id < 50 && !contacted.contains(&at) {
             contacted.push(at);
         }
@@ -78,13 +79,14 @@
         // From the fiftieth request on, half of the servers that it has contacted are unreachable.
         while id >= 50 && contacted.iter().step_by(2).any(|down| *down == at) {
             failures += 1;
-            let Some(next) = sent_server(&node.end(id, attempt, 5.0, AttemptResult::Unreachable))
+            let Some(next) =
+                sent_server(&node.end_attempt(id, attempt, 5.0, AttemptResult::Unreachable))
             else {
                 break;
             };
             (at, attempt) = (next, attempt + 1);
         }
-        node.end(id, attempt, 50.0, AttemptResult::Served);
+        node.end_attempt(id, attempt, 50.0, AttemptResult::Served);
     }
     // In turn they would be sent half of all requests; trials are a sixteenth at the most.
     let down = contacted.len().div_ceil(2);
@@ -97,8 +99,8 @@
 /// One malformed response may come from any server; a server that sends nothing else is ejected.
 #[test]
 fn only_repeated_malformed_responses_eject() {
-    let mut node = Node::new(one_class(Idempotency::Idempotent), 1);
-    node.servers(ready_servers(0..2));
+    let mut node = Node::new(settings_with_one_class(Idempotency::Idempotent), 1);
+    node.set_servers(ready_servers(0..2));
     let mut outs = 0;
     for id in 0..3 {
         let sent = node.request(id, 0, 800.0);
@@ -106,12 +108,12 @@
         let mut attempt = 0;
         while at != 0 {
             node.now += 1.0;
-            let again = node.end(id, attempt, 1.0, AttemptResult::Error);
+            let again = node.end_attempt(id, attempt, 1.0, AttemptResult::Error);
             attempt += 1;
             at = sent_server(&again).expect("sent again");
         }
         node.now += 1.0;
-        let notes = node.end(id, attempt, 1.0, AttemptResult::Malformed);
+        let notes = node.end_attempt(id, attempt, 1.0, AttemptResult::Malformed);
         outs += notes
             .iter()
             .filter(|a| matches!(a, Action::Log(LogEvent::ServerEjected(ServerId(0)))))
@@ -131,17 +133,17 @@
 #[test]
 fn only_repeated_connection_resets_eject() {
     for (breaks, stays) in [(1, true), (2, false)] {
-        let mut node = Node::new(one_class(Idempotency::Idempotent), 1);
-        node.servers(ready_servers(0..2));
+        let mut node = Node::new(settings_with_one_class(Idempotency::Idempotent), 1);
+        node.set_servers(ready_servers(0..2));
         for id in 0..breaks {
             // The other server is not listed meanwhile, so that every request goes to the first.
-            node.servers(ready_servers(0..1));
-            node.sent_to(id);
-            node.servers(ready_servers(0..2));
-            node.end(id, 0, 1.0, AttemptResult::Reset);
+            node.set_servers(ready_servers(0..1));
+            node.dispatch(id);
+            node.set_servers(ready_servers(0..2));
+            node.end_attempt(id, 0, 1.0, AttemptResult::Reset);
         }
         node.now += 10.0;
-        let contacted = (10..40).any(|id| node.sent_to(id) == 0);
+        let contacted = (10..40).any(|id| node.dispatch(id) == 0);
         assert_eq!(contacted, stays, "after {breaks}");
     }
 }
@@ -151,18 +153,18 @@
 #[test]
 fn time_out_overtaken_by_a_later_answer_does_not_eject() {
     for answers in [true, false] {
-        let mut node = Node::new(one_class(Idempotency::Idempotent), 1);
-        node.servers(ready_servers(0..1));
-        node.sent_to(0);
+        let mut node = Node::new(settings_with_one_class(Idempotency::Idempotent), 1);
+        node.set_servers(ready_servers(0..1));
+        node.dispatch(0);
         node.now += 10.0;
-        node.sent_to(1);
+        node.dispatch(1);
         node.now += 20.0;
         if answers {
-            node.end(1, 0, 20.0, AttemptResult::Served);
+            node.end_attempt(1, 0, 20.0, AttemptResult::Served);
         }
-        node.servers(ready_servers(0..2));
+        node.set_servers(ready_servers(0..2));
         node.now += 770.0;
-        node.end(0, 0, 800.0, AttemptResult::TimedOut);
+        node.end_attempt(0, 0, 800.0, AttemptResult::TimedOut);
         let contacted = (10..30).any(|id| sent_server(&node.request(id, 0, 800.0)) == Some(0));
         assert_eq!(contacted, answers);
     }
@@ -171,10 +173,10 @@
 /// A server that rejects one tenant must not be lost for the others.
 #[test]
 fn server_overloaded_for_one_tenant_serves_the_others() {
-    let mut settings = one_class(Idempotency::Idempotent);
+    let mut settings = settings_with_one_class(Idempotency::Idempotent);
     (settings.tenant_quotas_per_s, settings.nodes) = (vec![1_000.0; 2], 2);
     let mut node = Node::new(settings, 1);
-    node.servers(ready_servers(0..2));
+    node.set_servers(ready_servers(0..2));
     let mut sent = [0; 2];
     for id in 0..200 {
         node.now += 20.0;
@@ -187,7 +189,7 @@
         while let Some(at) = sent_server(&actions) {
             sent[tenant] += usize::from(at == 0);
             let full = at == 0 && tenant == 0;
-            actions = node.end(
+            actions = node.end_attempt(
                 id,
                 attempt,
                 50.0,
--- a/crates/balancer/tests/queue.rs
+++ b/crates/balancer/tests/queue.rs
@@ -6,10 +6,10 @@
 use balancer::*;
 
 fn ordered_node(quiet_ms: f64) -> Node {
-    let mut settings = one_class(Idempotency::NonIdempotent);
+    let mut settings = settings_with_one_class(Idempotency::NonIdempotent);
     (settings.classes[0].ordered_by_key, settings.key_cooldown_ms) = (true, quiet_ms);
     let mut node = Node::new(settings, 1);
-    node.servers(ready_servers(0..3));
+    node.set_servers(ready_servers(0..3));
     node
 }
 
@@ -30,7 +30,7 @@
     assert!(sent_server(&waits).is_none() && !is_rejected(&waits));
     assert!(sent_server(&request_with_key(&mut node, 3, "b", 800.0)).is_some());
     assert!(sent_server(&node.request(4, 0, 800.0)).is_some());
-    let next = node.end(1, 0, 40.0, AttemptResult::Served);
+    let next = node.end_attempt(1, 0, 40.0, AttemptResult::Served);
     assert!(
         matches!(
             next[..],
@@ -49,7 +49,7 @@
     let mut node = ordered_node(100.0);
     request_with_key(&mut node, 1, "a", 800.0);
     request_with_key(&mut node, 2, "a", 800.0);
-    let again = node.end(1, 0, 1.0, AttemptResult::Overloaded);
+    let again = node.end_attempt(1, 0, 1.0, AttemptResult::Overloaded);
     assert!(
         again.iter().any(|a| matches!(
             a,
@@ -65,7 +65,7 @@
         sent_server(&gone).is_none(),
         "its attempt is still in flight"
     );
-    let over = node.end(1, 1, 5.0, AttemptResult::Cancelled);
+    let over = node.end_attempt(1, 1, 5.0, AttemptResult::Cancelled);
     assert!(
         sent_server(&over).is_none(),
         "the key is in its quiet period"
@@ -86,7 +86,8 @@
     assert!(is_rejected(&expire_timer(&mut node, &waits, 1)));
     assert!(node.now - since < 200.0);
     assert!(
-        node.end(1, 0, 400.0, AttemptResult::Served).is_empty(),
+        node.end_attempt(1, 0, 400.0, AttemptResult::Served)
+            .is_empty(),
         "nothing more happens to it"
     );
 }
--- a/crates/balancer/tests/recorded.rs
+++ b/crates/balancer/tests/recorded.rs
@@ -8,9 +8,9 @@
 #[test]
 fn same_seed_and_events_give_the_same_actions() {
     let run = || {
-        let mut node = Node::new(settings_with_distant_objective(), 9);
-        node.servers(ready_servers(0..7));
-        (0..20).map(|id| node.sent_to(id)).collect::<Vec<_>>()
+        let mut node = Node::new(settings_with_long_objective(), 9);
+        node.set_servers(ready_servers(0..7));
+        (0..20).map(|id| node.dispatch(id)).collect::<Vec<_>>()
     };
     assert_eq!(run(), run());
 }
@@ -62,7 +62,7 @@
         NotSent,
     ];
     let mut random = fastrand::Rng::with_seed(seed);
-    let mut settings = one_class(Idempotency::Idempotent);
+    let mut settings = settings_with_one_class(Idempotency::Idempotent);
     let idempotency = Idempotency::IdempotencyKey {
         scope: KeyScope::Cell,
         window_ms: 6_000.0,
@@ -81,14 +81,14 @@
     for e in &mut entries {
         (e.machine_kind, e.zone, e.cell) = (e.server.0 % 2, e.server.0 % 4, e.server.0 / 4);
     }
-    let mut all = recorded_text(&node.servers(entries.clone()));
+    let mut all = recorded_text(&node.set_servers(entries.clone()));
     for id in 0..2_000 {
         node.now += random.f64() * 2.0 * gap_ms;
         if id % 100 == 99 {
             let one = &mut entries[random.usize(0..servers)];
             one.availability = [Availability::Ready, Availability::Draining][random.usize(0..2)];
             one.started_at_ms = Some(node.now);
-            node.servers(entries.clone());
+            node.set_servers(entries.clone());
         }
         let mut actions = node.request(id, random.usize(0..2), 400.0 + random.f64() * 400.0);
         for attempt in 0..4 {
@@ -99,7 +99,13 @@
             node.now += random.f64() * 5.0;
             let result = endings.get(random.usize(0..60)).copied().unwrap_or(Served);
             let held = (random.usize(0..3) == 0).then(|| random.usize(0..12) as f64);
-            actions = node.report(id, attempt, 20.0 + random.f64() * 200.0, result, held);
+            actions = node.end_attempt_with_report(
+                id,
+                attempt,
+                20.0 + random.f64() * 200.0,
+                result,
+                held,
+            );
         }
     }
     digest(&all)
--- a/crates/balancer/tests/retry.rs
+++ b/crates/balancer/tests/retry.rs
@@ -17,11 +17,11 @@
         (AttemptResult::Reset, false),
         (AttemptResult::Cancelled, false),
     ] {
-        let mut node = Node::new(one_class(Idempotency::NonIdempotent), 1);
-        node.servers(ready_servers(0..3));
-        node.sent_to(1);
+        let mut node = Node::new(settings_with_one_class(Idempotency::NonIdempotent), 1);
+        node.set_servers(ready_servers(0..3));
+        node.dispatch(1);
         node.now += 5.0;
-        let actions = node.end(1, 0, 5.0, result);
+        let actions = node.end_attempt(1, 0, 5.0, result);
         assert_eq!(sent_server(&actions).is_some(), again, "{result:?}");
         assert_eq!(is_failed(&actions), !again, "{result:?}");
         assert!(!is_rejected(&actions), "{result:?}");
@@ -30,7 +30,7 @@
 
 #[test]
 fn request_with_cell_scoped_key_is_retried_within_cell_and_window() {
-    let settings = one_class(Idempotency::IdempotencyKey {
+    let settings = settings_with_one_class(Idempotency::IdempotencyKey {
         scope: KeyScope::Cell,
         window_ms: 500.0,
     });
@@ -41,10 +41,10 @@
             for (i, entry) in entries.iter_mut().enumerate() {
                 entry.cell = i / 2;
             }
-            node.servers(entries);
-            let first = node.sent_to(1);
+            node.set_servers(entries);
+            let first = node.dispatch(1);
             node.now += wait;
-            let actions = node.end(1, 0, wait, AttemptResult::Error);
+            let actions = node.end_attempt(1, 0, wait, AttemptResult::Error);
             assert!(
                 !is_rejected(&actions),
                 "a rejection would promise that nothing ran"
@@ -59,32 +59,38 @@
 
 #[test]
 fn request_with_globally_scoped_key_may_be_rejected_after_it_ran() {
-    let mut settings = one_class(Idempotency::IdempotencyKey {
+    let mut settings = settings_with_one_class(Idempotency::IdempotencyKey {
         scope: KeyScope::All,
         window_ms: 500.0,
     });
     settings.max_attempts = 1;
     let mut node = Node::new(settings, 1);
-    node.servers(ready_servers(0..3));
-    node.sent_to(1);
+    node.set_servers(ready_servers(0..3));
+    node.dispatch(1);
     node.now += 5.0;
-    assert!(is_rejected(&node.end(1, 0, 5.0, AttemptResult::Error)));
+    assert!(is_rejected(&node.end_attempt(
+        1,
+        0,
+        5.0,
+        AttemptResult::Error
+    )));
 }
 
 /// The sample of a long list may hold no server of the cell to which a retry is bound.
 #[test]
 fn retry_bound_to_a_cell_finds_its_servers_in_a_long_list() {
-    let mut node = node_of_many(5);
+    let mut node = node_of_large_cluster(5);
     let mut entries = ready_servers(0..180);
     for entry in &mut entries {
         entry.cell = entry.server.0 % 60;
     }
-    node.servers(entries);
-    serve_in_turn(&mut node, 0..60, [60.0; 3]);
+    node.set_servers(entries);
+    serve_requests(&mut node, 0..60, [60.0; 3]);
     for id in 100..110 {
         node.now += 60.0;
         let first = sent_server(&node.request(id, 2, 5_000.0)).expect("sent");
-        let second = sent_server(&node.end(id, 0, 50.0, AttemptResult::Error)).expect("sent again");
+        let second =
+            sent_server(&node.end_attempt(id, 0, 50.0, AttemptResult::Error)).expect("sent again");
         assert!(
             second != first && second % 60 == first % 60,
             "{first}, then {second}"
@@ -95,25 +101,27 @@
 /// A request that is sent just before its deadline would be answered too late.
 #[test]
 fn request_near_its_deadline_is_not_sent() {
-    let mut node = Node::new(polling_settings(Idempotency::Idempotent), 1);
-    node.servers(ready_servers(0..3));
+    let mut node = Node::new(settings_with_polling(Idempotency::Idempotent), 1);
+    node.set_servers(ready_servers(0..3));
     assert!(is_rejected(&node.request(1, 0, 20.0)));
 }
 
 /// Retries stay within the budget just after a start and when traffic falls away, too.
 #[test]
 fn retries_never_exceed_the_budget() {
-    let mut settings = one_class(Idempotency::Idempotent);
+    let mut settings = settings_with_one_class(Idempotency::Idempotent);
     settings.retry_budget = Some(RetryBudget {
         min_retries: 2.0,
         retries_per_request: 0.1,
         window_ms: 1_000.0,
     });
     let mut node = Node::new(settings, 1);
-    node.servers(ready_servers(0..4));
+    node.set_servers(ready_servers(0..4));
     let again = |node: &mut Node, id: u64| {
         node.request(id, 0, 800.0);
-        usize::from(sent_server(&node.end(id, 0, 1.0, AttemptResult::Unreachable)).is_some())
+        usize::from(
+            sent_server(&node.end_attempt(id, 0, 1.0, AttemptResult::Unreachable)).is_some(),
+        )
     };
     assert_eq!(
         (0..9).map(|id| again(&mut node, id)).sum::<usize>(),
@@ -123,7 +131,7 @@
     node.now += 2_000.0;
     for id in 20..50 {
         node.request(id, 0, 800.0);
-        node.end(id, 0, 1.0, AttemptResult::Served);
+        node.end_attempt(id, 0, 1.0, AttemptResult::Served);
     }
     assert_eq!(
         (50..59).map(|id| again(&mut node, id)).sum::<usize>(),
--- a/crates/balancer/tests/selection_uninformed.rs
+++ b/crates/balancer/tests/selection_uninformed.rs
@@ -8,15 +8,15 @@
 /// A node that hears of each server once in many objectives keeps to those that it knows, in turn.
 #[test]
 fn node_with_few_requests_keeps_to_contacted_servers() {
-    let mut settings = one_class(Idempotency::Idempotent);
+    let mut settings = settings_with_one_class(Idempotency::Idempotent);
     settings.nodes = 200;
     let mut node = Node::new(settings, 1);
-    node.servers(ready_servers(0..60));
+    node.set_servers(ready_servers(0..60));
     let mut contacted = std::collections::BTreeSet::new();
     for id in 0..600 {
-        contacted.insert(node.sent_to(id));
+        contacted.insert(node.dispatch(id));
         node.now += 100.0;
-        node.report(
+        node.end_attempt_with_report(
             id,
             0,
             50.0,
@@ -36,9 +36,9 @@
 fn servers_are_contacted_by_equally_many_nodes() {
     let mut contacted = vec![0_u32; 180];
     for me in 0..300 {
-        let mut node = node_of_many(me);
+        let mut node = node_of_large_cluster(me);
         for id in 0..4 {
-            contacted[node.sent_to(id)] += 1; // Nothing is answered: each request goes to another server.
+            contacted[node.dispatch(id)] += 1; // Nothing is answered: each request goes to another server.
             node.now += 60.0;
         }
     }
@@ -59,7 +59,7 @@
 /// passes over what has failed, and looks beyond.
 #[test]
 fn node_whose_part_of_the_ring_is_unreachable_finds_other_servers() {
-    let (mut node, mut served) = (node_of_many(0), 0);
+    let (mut node, mut served) = (node_of_large_cluster(0), 0);
     for id in 0..200 {
         node.now += 60.0;
         let mut actions = node.request(id, 0, 700.0);
@@ -73,7 +73,7 @@
                 AttemptResult::Served
             };
             served += usize::from(result == AttemptResult::Served);
-            actions = node.end(id, attempt, 50.0, result);
+            actions = node.end_attempt(id, attempt, 50.0, result);
         }
     }
     assert!(
--- a/crates/balancer/tests/server_list.rs
+++ b/crates/balancer/tests/server_list.rs
@@ -7,8 +7,8 @@
 
 #[test]
 fn draining_and_removed_servers_get_no_new_requests() {
-    let mut node = Node::new(one_class(Idempotency::Idempotent), 1);
-    node.servers(ready_servers(0..3));
+    let mut node = Node::new(settings_with_one_class(Idempotency::Idempotent), 1);
+    node.set_servers(ready_servers(0..3));
     let mut entry = ServerEntry::new(ServerId(0), Availability::Draining);
     node.feed(Event::ServerList(ServerListUpdate::Changes(vec![
         entry.clone()
@@ -16,15 +16,15 @@
     entry.server = ServerId(1);
     entry.availability = Availability::Gone;
     node.feed(Event::ServerList(ServerListUpdate::Changes(vec![entry])));
-    assert!((0..20).all(|id| node.sent_to(id) == 2));
+    assert!((0..20).all(|id| node.dispatch(id) == 2));
     // A complete list without it removes the last one, too.
-    node.servers(ready_servers(3..4));
-    assert!((20..40).all(|id| node.sent_to(id) == 3));
+    node.set_servers(ready_servers(3..4));
+    assert!((20..40).all(|id| node.dispatch(id) == 3));
 }
 
 #[test]
 fn subscription_is_renewed_with_backoff_after_failures() {
-    let mut settings = one_class(Idempotency::Idempotent);
+    let mut settings = settings_with_one_class(Idempotency::Idempotent);
     settings.discovery = DiscoveryMode::Subscribe;
     settings.max_poll_interval_ms = 10_000.0;
     let mut node = Node::new(settings, 1);
@@ -76,7 +76,7 @@
 /// Memory is bounded by the servers that there are; one with an attempt in flight is kept until that ends.
 #[test]
 fn removed_server_is_forgotten_once_nothing_is_in_flight() {
-    let mut node = Node::new(one_class(Idempotency::Idempotent), 1);
+    let mut node = Node::new(settings_with_one_class(Idempotency::Idempotent), 1);
     for n in 0..100 {
         node.now += 10.0;
         let entry = |availability| vec![ServerEntry::new(ServerId(n), availability)];
@@ -84,7 +84,7 @@
             Availability::Ready,
         ))));
         let id = n as u64;
-        assert_eq!(node.sent_to(id), n);
+        assert_eq!(node.dispatch(id), n);
         node.feed(Event::ServerList(ServerListUpdate::Changes(entry(
             Availability::Gone,
         ))));
@@ -93,7 +93,12 @@
             1,
             "its result is outstanding"
         );
-        assert!(!is_rejected(&node.end(id, 0, 5.0, AttemptResult::Served)));
+        assert!(!is_rejected(&node.end_attempt(
+            id,
+            0,
+            5.0,
+            AttemptResult::Served
+        )));
         assert_eq!(node.balancer.servers_known(), 0);
     }
 }
@@ -117,11 +122,11 @@
     };
     let mut waits = vec![Vec::new(); 8];
     for seed in 0..NODES {
-        let mut settings = one_class(Idempotency::Idempotent);
+        let mut settings = settings_with_one_class(Idempotency::Idempotent);
         (settings.discovery, settings.max_poll_interval_ms) = (DiscoveryMode::Subscribe, 10_000.0);
         (settings.nodes, settings.node_index) = (NODES, seed);
         let mut node = Node::new(settings, seed as u64);
-        node.servers(ready_servers(0..4));
+        node.set_servers(ready_servers(0..4));
         for waits in &mut waits {
             waits.push(wait(&mut node));
         }
--- a/crates/balancer/tests/settings.rs
+++ b/crates/balancer/tests/settings.rs
@@ -29,7 +29,7 @@
 #[test]
 fn setting_out_of_range_is_named() {
     for (key, spoil) in OUT_OF_RANGE {
-        let mut settings = one_class(Idempotency::Idempotent);
+        let mut settings = settings_with_one_class(Idempotency::Idempotent);
         spoil(&mut settings);
         let error = Balancer::new(settings, 1).err().expect("out of range");
         assert_eq!(error.key(), key);
--- a/crates/balancer/tests/slow_start.rs
+++ b/crates/balancer/tests/slow_start.rs
@@ -11,23 +11,23 @@
 /// must stay within the budget that all nodes share.
 #[test]
 fn warming_server_gets_no_more_than_its_budget() {
-    let mut settings = one_class(Idempotency::Idempotent);
+    let mut settings = settings_with_one_class(Idempotency::Idempotent);
     settings.nodes = 3;
     settings.slow_start_fraction = 0.3;
     settings.slow_start_ms = 9_000.0;
     settings.collapse_multiple = 2.5;
     settings.collapse_after_ms = 3_000.0;
     let mut node = Node::new(settings, 1);
-    node.servers(ready_servers(0..10));
+    node.set_servers(ready_servers(0..10));
     let mut at = BTreeMap::new();
     let mut slow_start_sends = Vec::new();
     for id in 0..3_000 {
         if id == 1_500 {
             let mut entries = ready_servers(0..11);
             entries[10].started_at_ms = Some(node.now);
-            node.servers(entries);
+            node.set_servers(entries);
         }
-        at.insert(id, node.sent_to(id));
+        at.insert(id, node.dispatch(id));
         if at[&id] == 10 {
             slow_start_sends.push(node.now);
         }
@@ -43,7 +43,7 @@
             let elapsed = if warming { 10.0 } else { 40.0 };
             // ReportSource come now and then, so that counts rise in between.
             let held = (warming || id % 16 == 0).then_some(held);
-            node.report(id - 10, 0, elapsed, AttemptResult::Served, held);
+            node.end_attempt_with_report(id - 10, 0, elapsed, AttemptResult::Served, held);
         }
     }
     // All nodes together serve 250 requests a second on ten servers; a warming one's capacity begins at 0.3 of a tenth.
@@ -66,7 +66,7 @@
 /// A restarted node has served nothing yet; which servers warm up it knows from its list.
 #[test]
 fn restarted_node_sends_one_request_to_a_warming_server() {
-    let mut settings = one_class(Idempotency::Idempotent);
+    let mut settings = settings_with_one_class(Idempotency::Idempotent);
     (settings.slow_start_fraction, settings.slow_start_ms) = (0.3, 9_000.0);
     (settings.collapse_multiple, settings.collapse_after_ms) = (2.5, 3_000.0);
     let mut node = Node::new(settings, 1);
@@ -82,7 +82,7 @@
 /// Where a node's part of a warming server's budget is less than one request, most nodes must send none.
 #[test]
 fn many_nodes_share_the_budget_of_a_warming_server() {
-    let mut settings = one_class(Idempotency::Idempotent);
+    let mut settings = settings_with_one_class(Idempotency::Idempotent);
     settings.nodes = 200;
     (settings.slow_start_fraction, settings.slow_start_ms) = (0.3, 9_000.0);
     (settings.collapse_multiple, settings.collapse_after_ms) = (2.5, 3_000.0);
@@ -90,18 +90,18 @@
     for seed in 0..200 {
         let mut node = Node::new(settings.clone(), seed);
         let mut entries = ready_servers(0..60);
-        node.servers(entries.clone());
+        node.set_servers(entries.clone());
         let mut warming = 0;
         for id in 0..60 {
             if id == 30 {
                 // Half of the servers are removed, so that most nodes look for servers that they have not contacted.
                 entries[59].started_at_ms = Some(node.now);
-                node.servers(entries.split_off(30));
+                node.set_servers(entries.split_off(30));
             }
-            let at = node.sent_to(id);
+            let at = node.dispatch(id);
             warming += usize::from(id >= 30 && at == 59);
             node.now += 100.0;
-            node.end(id, 0, 50.0, AttemptResult::Served);
+            node.end_attempt(id, 0, 50.0, AttemptResult::Served);
         }
         senders += usize::from(warming > 0);
         sends += warming;
@@ -118,7 +118,7 @@
 /// have contacted.
 #[test]
 fn newly_started_servers_are_used_beside_contacted_ones() {
-    let mut settings = one_class(Idempotency::Idempotent);
+    let mut settings = settings_with_one_class(Idempotency::Idempotent);
     settings.nodes = 200;
     (settings.slow_start_fraction, settings.slow_start_ms) = (1.0, 5_000.0);
     (settings.collapse_multiple, settings.collapse_after_ms) = (100.0, 1_000.0);
@@ -126,18 +126,18 @@
     for seed in 0..8 {
         let mut node = Node::new(settings.clone(), seed);
         let mut entries = ready_servers(0..60);
-        node.servers(entries.clone());
+        node.set_servers(entries.clone());
         for id in 0..150 {
             if id == 100 {
                 entries.extend(ready_servers(60..70));
                 entries[60..]
                     .iter_mut()
                     .for_each(|e| e.started_at_ms = Some(node.now));
-                node.servers(entries.clone());
+                node.set_servers(entries.clone());
             }
-            new += usize::from(node.sent_to(id) >= 60);
+            new += usize::from(node.dispatch(id) >= 60);
             node.now += 100.0;
-            node.end(id, 0, 50.0, AttemptResult::Served);
+            node.end_attempt(id, 0, 50.0, AttemptResult::Served);
         }
     }
     assert!(
@@ -152,7 +152,7 @@
     for entry in &mut entries[120..] {
         (entry.server, entry.started_at_ms) = (ServerId(entry.server.0 + 1_000), Some(node.now));
     }
-    node.servers(entries);
+    node.set_servers(entries);
 }
 
 /// Warming servers must not be idle beside overloaded warm ones, although each node has contacted few of them;
@@ -162,10 +162,10 @@
     let mut sends = std::collections::BTreeMap::<usize, Vec<f64>>::new();
     let (mut warming, mut all) = (0.0, 0.0);
     for me in 0..300 {
-        let mut node = node_of_many(me);
-        serve_in_turn(&mut node, 0..120, [60.0; 3]);
+        let mut node = node_of_large_cluster(me);
+        serve_requests(&mut node, 0..120, [60.0; 3]);
         restart_a_third(&mut node);
-        let (sent, _) = serve_in_turn(&mut node, 120..186, [60.0; 3]);
+        let (sent, _) = serve_requests(&mut node, 120..186, [60.0; 3]);
         for (nth, server) in sent
             .iter()
             .enumerate()
@@ -208,13 +208,13 @@
     // Slower and slower answers, until every request is rejected.
     let rejected_with = |warming: bool, after: u64| {
         let slower = (100..300).step_by(10).map(|took| {
-            let (mut node, took) = (node_of_many(7), [f64::from(took); 3]);
-            serve_in_turn(&mut node, 0..200, took);
+            let (mut node, took) = (node_of_large_cluster(7), [f64::from(took); 3]);
+            serve_requests(&mut node, 0..200, took);
             if warming {
                 restart_a_third(&mut node);
             }
-            serve_in_turn(&mut node, 200..200 + after, took);
-            serve_in_turn(&mut node, 500..560, took).1
+            serve_requests(&mut node, 200..200 + after, took);
+            serve_requests(&mut node, 500..560, took).1
         });
         slower.sum::<usize>()
     };
@@ -248,13 +248,13 @@
         entries
     };
     let start = |me: usize, now: f64, life: u64| {
-        let mut settings = one_class(Idempotency::Idempotent);
+        let mut settings = settings_with_one_class(Idempotency::Idempotent);
         (settings.nodes, settings.node_index) = (nodes, me);
         (settings.slow_start_fraction, settings.slow_start_ms) = (0.35, 8_000.0);
         (settings.collapse_multiple, settings.collapse_after_ms) = (3.0, 1_500.0);
         let mut node = Node::new(settings, seed << 32 | (me as u64) << 8 | life);
         node.now = now;
-        node.servers(listed(now));
+        node.set_servers(listed(now));
         node
     };
     let mut sends = std::collections::BTreeMap::<usize, Vec<f64>>::new();
@@ -272,7 +272,7 @@
             }
             node.now = now;
             if !std::mem::replace(&mut started, now >= starts_at) && started {
-                node.servers(listed(now));
+                node.set_servers(listed(now));
             }
             if !restarted && now > starts_at + 1_000.0 {
                 (node, restarted) = (start(me, now, 1), true);
@@ -287,7 +287,7 @@
                 } else {
                     Some(10.0).filter(|_| random.u8(0..4) == 0)
                 };
-                node.report(id, 0, 60.0, AttemptResult::Served, report);
+                node.end_attempt_with_report(id, 0, 60.0, AttemptResult::Served, report);
             }
         }
     }
