--- a/crates/balancer/tests/admission.rs
+++ b/crates/balancer/tests/admission.rs
@@ -1,12 +1,12 @@
-//! Admission control: what is shed under overload, and when that ends.
+//! Admission control: which requests are shed under overload, and when shedding ends.
 
 mod common;
 use common::*;
 
 use balancer::*;
 
-/// A node that sees few requests judges by few results: it must shed a part of the load, and neither
-/// all nor none.
+/// A node with few requests has few results to estimate from. Under overload it must shed some of the
+/// load, but not all of it.
 #[test]
 fn node_with_few_requests_sheds_a_part_of_them() {
     let rejections_of = |elapsed: f64, gap: f64| {
@@ -25,7 +25,11 @@
         }
         rejections
     };
-    assert_eq!(rejections_of(100.0, 100.0), 0, "all in time");
+    assert_eq!(
+        rejections_of(100.0, 100.0),
+        0,
+        "nothing is rejected while answers are in time"
+    );
     let rejections = rejections_of(400.0, 100.0);
     assert!(
         (300..995).contains(&rejections),
@@ -33,20 +37,21 @@
     );
 }
 
-/// While everything fails there is no better server: traffic must go on, and recover by itself.
+/// While all servers fail there is no better choice. Traffic must continue, so that it recovers without
+/// intervention.
 #[test]
 fn shedding_ends_when_the_servers_recover() {
     let mut settings = settings_with_one_class(Idempotency::Idempotent);
     settings.max_attempts = 1;
     let mut node = Node::new(settings, 1);
     node.set_servers(ready_servers(0..4));
-    let mut last = (0, 0);
+    let mut late_requests = (0, 0);
     for id in 0..3_000 {
-        let broken = (500..1_000).contains(&id);
+        let failing = (500..1_000).contains(&id);
         let sent = sent_server(&node.request(id, 0, 800.0)).is_some();
         node.now += 10.0;
         if sent {
-            let (elapsed, result) = if broken {
+            let (elapsed, result) = if failing {
                 (800.0, AttemptResult::TimedOut)
             } else {
                 (30.0, AttemptResult::Served)
@@ -54,111 +59,117 @@
             node.end_attempt(id, 0, elapsed, result);
         }
         if id >= 2_000 {
-            last = (last.0 + usize::from(sent), last.1 + 1);
+            late_requests = (late_requests.0 + usize::from(sent), late_requests.1 + 1);
         }
     }
     assert!(
-        last.0 * 100 > last.1 * 95,
-        "{last:?} sent long after the fault"
+        late_requests.0 * 100 > late_requests.1 * 95,
+        "(sent, all) long after the fault, expected more than 95 percent: {late_requests:?}"
     );
 }
 
-/// While every answer is late, nodes try idle servers to learn when that ends. Many nodes together must
-/// not do so so often that the trials alone overload the servers.
+/// While every answer is late, nodes try idle servers to detect the end of the overload. The trials of many
+/// nodes together must not overload the servers.
 #[test]
 fn trials_of_many_overloaded_nodes_stay_few() {
     let mut settings = settings_with_one_class(Idempotency::Idempotent);
     (settings.nodes, settings.max_attempts) = (16, 1);
     let mut node = Node::new(settings, 1);
     node.set_servers(ready_servers(0..10));
-    let mut tried = 0;
+    let mut trials = 0;
     for id in 0..4_000 {
         let sent = sent_server(&node.request(id, 0, 800.0)).is_some();
         node.now += 10.0;
         if sent {
             node.end_attempt(id, 0, 790.0, AttemptResult::Served);
-            tried += u32::from(id >= 2_000);
+            trials += u32::from(id >= 2_000);
         }
     }
-    // Twenty seconds are fifty objectives; sixteen nodes together may try each server some hundred times.
+    // 20 s are 50 objectives, in which 16 nodes together may try each server about 100 times.
     assert!(
-        (10..=10 * 2 * 50 / 16 * 3 / 2).contains(&tried),
-        "{tried} trials"
+        (10..=10 * 2 * 50 / 16 * 3 / 2).contains(&trials),
+        "{trials} trials"
     );
 }
 
-/// A node that sees few requests has few results of each server. After an overload at its start the slow
-/// ones must be forgotten soon, or it sheds requests that idle servers could serve.
+/// A node with few requests has few results of each server. Slow results of an overload at its start must
+/// decay soon, or it sheds requests that idle servers could serve.
 #[test]
-fn overload_at_start_is_soon_forgotten() {
+fn shedding_ends_soon_after_an_overload_at_start() {
     let mut settings = settings_with_one_class(Idempotency::Idempotent);
     (settings.nodes, settings.max_attempts) = (12, 1);
     let mut node = Node::new(settings, 1);
     node.set_servers(ready_servers(0..20));
-    let mut out = std::collections::VecDeque::new();
-    let (mut asked, mut rejections) = (0, 0);
+    let mut in_flight = std::collections::VecDeque::new();
+    let (mut requests, mut rejections) = (0, 0);
     for id in 0..620_u64 {
         node.now += 10.0;
-        let crowded = id < 120;
-        while out.front().is_some_and(|(_, _, end)| *end <= node.now) {
-            let (id, elapsed, _) = out.pop_front().expect("checked");
+        let overloaded = id < 120;
+        while in_flight
+            .front()
+            .is_some_and(|(_, _, end)| *end <= node.now)
+        {
+            let (id, elapsed, _) = in_flight.pop_front().expect("the queue is not empty");
             node.end_attempt(id, 0, elapsed, AttemptResult::Served);
         }
         let sent = sent_server(&node.request(id, 0, 800.0)).is_some();
         if sent {
-            let elapsed = if crowded { 600.0 } else { 50.0 };
-            out.push_back((id, elapsed, node.now + elapsed));
+            let elapsed = if overloaded { 600.0 } else { 50.0 };
+            in_flight.push_back((id, elapsed, node.now + elapsed));
         }
-        // From three seconds after the overload, for two.
+        // For 2 s, from 3 s after the overload.
         if (420..620).contains(&id) {
-            asked += 1;
+            requests += 1;
             rejections += u32::from(!sent);
         }
     }
     assert!(
-        rejections * 10 < asked,
-        "{rejections} of {asked} rejected by what was long past"
+        rejections * 10 < requests,
+        "{rejections} of {requests} requests rejected 3 s after the overload, expected under a tenth"
     );
 }
 
-/// A class of low priority with a distant objective could wait long. It must not fill the queues in which
-/// a class of higher priority with a near objective would be late.
+/// Requests of a low-priority class with a long objective could wait long. They must not fill the queues in
+/// which a high-priority class with a short objective would be late.
 #[test]
 fn low_priority_does_not_crowd_out_high_priority() {
-    let mut near = Class::new(200.0, 2_000.0, Idempotency::Idempotent);
-    near.priority_weight = 5.0;
+    let mut short_objective = Class::new(200.0, 2_000.0, Idempotency::Idempotent);
+    short_objective.priority_weight = 5.0;
     let mut settings = Settings::new(vec![
-        near,
+        short_objective,
         Class::new(4_000.0, 8_000.0, Idempotency::Idempotent),
     ]);
     settings.max_attempts = 1;
     let mut node = Node::new(settings, 1);
     node.set_servers(ready_servers(0..2));
     let mut rejections = [0; 2];
-    let mut out = std::collections::VecDeque::new();
+    let mut in_flight = std::collections::VecDeque::new();
     for id in 0..4_000_u64 {
         let class = (id % 2) as usize;
         let sent = sent_server(&node.request(id, class, 2_000.0)).is_some();
         if sent {
-            out.push_back((id, node.now));
+            in_flight.push_back((id, node.now));
         } else {
             rejections[class] += 1;
         }
         node.now += 10.0;
-        // One answer in 20 ms is half of what is asked for; answers wait for all that is before them.
+        // The servers answer one request per 20 ms, half of the demand, in the order of sending.
         if id % 2 == 0 {
-            if let Some((id, since)) = out.pop_front() {
+            if let Some((id, since)) = in_flight.pop_front() {
                 node.end_attempt(id, 0, node.now - since, AttemptResult::Served);
             }
         }
     }
-    assert!(rejections[1] > 2 * rejections[0], "{rejections:?}");
+    assert!(
+        rejections[1] > 2 * rejections[0],
+        "rejections of the high and the low priority: {rejections:?}"
+    );
 }
 
-/// After an overload at its start a node that sees few requests and sheds most of them learns little. Its
-/// estimate over all servers must fade, too, or it goes on shedding (incident if6f780).
+/// A node with few requests that sheds most of them gets few new results after an overload at its start. The
+/// estimate over all servers must decay, too, or the node keeps shedding (incident if6f780).
 #[test]
-fn overload_at_start_is_forgotten_by_a_node_with_few_requests() {
+fn node_with_few_requests_recovers_from_overload_at_start() {
     let mut settings = settings_with_one_class(Idempotency::IdempotencyKey {
         scope: KeyScope::Cell,
         window_ms: 500.0,
@@ -182,17 +193,17 @@
     }
     assert!(
         rejections < 30,
-        "{rejections} of 300 rejected ten seconds after the overload and later"
+        "{rejections} of 300 requests rejected from 10 s after the overload on, expected under 30"
     );
 }
 
-/// Long answers of a server that reports no load are work and network, no queue: requests are not shed
-/// beside it. Beside one that reports a queue they are.
+/// The latency of a server that reports no load is work and network time, not queueing, so no requests are
+/// shed. They are shed if servers report a queue.
 #[test]
-fn server_that_reports_no_load_is_not_overloaded() {
+fn slow_servers_that_report_no_load_cause_no_shedding() {
     for (reported, none_rejected) in [(0.0, true), (5.0, false)] {
         let mut settings = settings_with_one_class(Idempotency::Idempotent);
-        settings.nodes = 1_000; // Else an idle server would be tried all the same, now and then.
+        settings.nodes = 1_000; // With few nodes an idle server would occasionally be tried anyway.
         let mut node = Node::new(settings, 1);
         node.set_servers(ready_servers(0..2));
         let mut rejections = 0;
@@ -207,18 +218,18 @@
         assert_eq!(
             rejections == 0,
             none_rejected,
-            "{rejections} rejections where {reported} are reported"
+            "{rejections} rejections at a reported load of {reported}"
         );
     }
 }
 
-/// The expected wait must not double with the second request: a server runs some side by side, and the
-/// network does not queue. From the fourth of its own on, or where the server reports many, a node sheds.
+/// The expected wait must not double with the second request, as servers run some requests concurrently and
+/// the network does not queue. A node sheds its fourth request in flight, or if the server reports many.
 #[test]
 fn server_with_few_requests_has_capacity_for_one_more() {
-    for (reported, taken) in [(0.0, 3), (2.0, 2), (5.0, 0)] {
+    for (reported, expected_sends) in [(0.0, 3), (2.0, 2), (5.0, 0)] {
         let mut settings = settings_with_one_class(Idempotency::Idempotent);
-        settings.nodes = 1_000; // Else an idle server would be tried all the same, now and then.
+        settings.nodes = 1_000; // With few nodes an idle server would occasionally be tried anyway.
         let mut node = Node::new(settings, 1);
         node.set_servers(ready_servers(0..1));
         for id in 0..60 {
@@ -231,11 +242,14 @@
         let sent = (60..66)
             .filter(|id| sent_server(&node.request(*id, 0, 800.0)).is_some())
             .count();
-        assert_eq!(sent, taken, "where {reported} are reported");
+        assert_eq!(
+            sent, expected_sends,
+            "sends at a reported load of {reported}"
+        );
     }
 }
 
-/// A class's share of the mean latency must not be set by one fast first answer: all that follow would look
+/// One fast first answer must not determine the latency multiple of a class. All later answers would appear
 /// many times slower, and the node would shed nearly everything for seconds.
 #[test]
 fn fast_first_answer_does_not_make_its_class_look_slow() {
@@ -244,22 +258,25 @@
     let (_, rejections) = serve_requests(&mut node, 1..150, [90.0; 3]);
     assert!(
         rejections <= 3,
-        "{rejections} of 150 rejected with every answer well within its objective"
+        "{rejections} of 149 requests rejected with every answer well within its objective, expected 3 at most"
     );
 }
 
-/// A class with a near objective and short answers must not be shed until its answers are known.
+/// A new node must not shed a class with a short objective and short answers before it has results.
 #[test]
-fn class_with_near_objective_is_admitted_by_a_new_node() {
+fn class_with_short_objective_is_admitted_by_a_new_node() {
     let (_, rejections) =
         serve_requests(&mut node_of_large_cluster(3), 0..60, [90.0, 135.0, 215.0]);
-    assert!(rejections <= 8, "{rejections} of 60 rejected");
+    assert!(
+        rejections <= 8,
+        "{rejections} of 60 requests rejected, expected 8 at most"
+    );
 }
 
-/// A class of low priority that takes long must not be starved by the near objective of another: 200 ms are
-/// well within an objective of 2.5 s, whatever becomes of a class whose objective is 80 ms.
+/// The short objective of one class must not starve a slow class of low priority. Latencies of 400 ms are well
+/// within an objective of 2.5 s, although another class misses its objective of 80 ms.
 #[test]
-fn class_with_distant_objective_is_not_starved_by_an_unreachable_one() {
+fn class_with_long_objective_is_not_starved_by_a_short_one() {
     let mut settings = settings_with_one_class(Idempotency::Idempotent);
     settings.classes = vec![
         Class::new(80.0, 300.0, Idempotency::Idempotent),
@@ -272,7 +289,7 @@
     settings.nodes = 300;
     let mut node = Node::new(settings, 1);
     node.set_servers(ready_servers(0..180));
-    let (mut asked, mut rejections) = ([0; 3], [0; 3]);
+    let (mut requests, mut rejections) = ([0; 3], [0; 3]);
     for id in 0..900 {
         node.now += 60.0;
         let class = (id % 3) as usize;
@@ -283,55 +300,58 @@
             node.end_attempt(id, 0, [180.0, 180.0, 400.0][class], AttemptResult::Served);
         }
         if id >= 300 {
-            asked[class] += 1;
+            requests[class] += 1;
             rejections[class] += usize::from(!sent);
         }
     }
     assert!(
-        rejections[0] * 2 > asked[0],
-        "the near objective is unreachable: {rejections:?} of {asked:?}"
+        rejections[0] * 2 > requests[0],
+        "the short objective cannot be met, so half must be rejected: {rejections:?} of {requests:?}"
     );
     assert!(
-        rejections[2] * 10 < asked[2] * 7,
-        "the distant objective is not: {rejections:?} of {asked:?} rejected"
+        rejections[2] * 10 < requests[2] * 7,
+        "the long objective is met, so 70 percent is the most: {rejections:?} of {requests:?} rejected"
     );
 }
 
-/// A node must not reject everything for as long as it takes to forget what it saw. The platform allows no
-/// 15 rejections over 4 s without an attempt; an estimate that rejects is tested about that often.
+/// A node must not reject everything until its estimates have decayed. The platform does not allow 15
+/// rejections over 4 s without an attempt; estimates that reject everything are tested about that often.
 #[test]
-fn node_that_rejects_all_sends_one_request_now_and_then() {
+fn node_that_rejects_everything_sends_occasional_trials() {
     for gap_ms in [20.0, 100.0, 250.0, 1_000.0] {
         let mut settings = settings_with_one_class(Idempotency::Idempotent);
-        settings.nodes = 100_000; // Else an idle server would be tried all the same, now and then.
+        settings.nodes = 100_000; // With few nodes an idle server would occasionally be tried anyway.
         let mut node = Node::new(settings, 1);
         node.set_servers(ready_servers(0..4));
-        // By all that it learns, answers take many times their objective.
-        let (mut row, mut since, mut sent) = (0, node.now, Vec::new());
+        // Every answer takes many times its objective.
+        let (mut consecutive_rejections, mut since, mut sent) = (0, node.now, Vec::new());
         for id in 0..2_000 {
             node.now += gap_ms;
             if sent_server(&node.request(id, 0, 800.0)).is_some() {
                 sent.push(node.now);
-                (row, since) = (0, node.now);
+                (consecutive_rejections, since) = (0, node.now);
                 node.end_attempt_with_report(id, 0, 30_000.0, AttemptResult::Served, Some(50.0));
             } else {
-                row += 1;
+                consecutive_rejections += 1;
             }
             assert!(
-                row < 15 || node.now - since < 4_000.0,
-                "{row} rejected since {since} by {}",
+                consecutive_rejections < 15 || node.now - since < 4_000.0,
+                "{consecutive_rejections} consecutive rejections from {since} ms to {} ms",
                 node.now
             );
         }
-        let late: Vec<_> = sent
+        let gaps: Vec<_> = sent
             .windows(2)
             .skip(sent.len() / 2)
             .map(|two| two[1] - two[0])
             .collect();
-        // Where requests are few, some are sent by chance as ever.
-        let are_few = late.iter().all(|gap| *gap >= 3_000.0) || gap_ms > 100.0;
-        assert!(!late.is_empty() && are_few, "{gap_ms}: {late:?}");
-        // Without servers there is nothing to try.
+        // A node with few requests admits some of them at random anyway.
+        let gaps_are_long = gaps.iter().all(|gap| *gap >= 3_000.0) || gap_ms > 100.0;
+        assert!(
+            !gaps.is_empty() && gaps_are_long,
+            "one request per {gap_ms} ms, gaps between sends in ms: {gaps:?}"
+        );
+        // Without servers every request is rejected.
         node.set_servers(Vec::new());
         for id in 5_000..5_040 {
             node.now += 100.0;
--- a/crates/balancer/tests/final_answer.rs
+++ b/crates/balancer/tests/final_answer.rs
@@ -18,7 +18,7 @@
         let mut node = Node::new(settings_with_one_class(idempotency), 1);
         assert!(
             is_rejected(&node.request(1, 0, 100.0)),
-            "nothing ran, so a rejection is truthful"
+            "a request that never ran must be rejected, not failed"
         );
         node.set_servers(Vec::new());
         assert!(is_rejected(&node.request(2, 0, 100.0)));
@@ -33,7 +33,7 @@
 }
 
 #[test]
-fn time_out_at_the_deadline_fails_at_once() {
+fn time_out_at_the_deadline_fails_the_request_at_once() {
     let mut node = Node::new(settings_with_one_class(Idempotency::NonIdempotent), 1);
     node.set_servers(ready_servers(0..3));
     node.dispatch(1);
@@ -47,7 +47,7 @@
     assert!(
         node.end_attempt(1, 0, 801.0, AttemptResult::Served)
             .is_empty(),
-        "a result comes once"
+        "a second result of the attempt must be ignored"
     );
 }
 
@@ -87,16 +87,16 @@
     node.dispatch(1);
     assert!(
         node.end_attempt(1, 9, 5.0, AttemptResult::Error).is_empty(),
-        "an attempt that was never made"
+        "the result of an attempt that was never made must be ignored"
     );
 }
 
-/// A client error is no fault of the server, and another server would give the same answer.
+/// A client error is not the server's fault, and any other server would give the same answer.
 #[test]
 fn client_error_ends_the_request_and_ejects_no_server() {
     let mut node = Node::new(settings_with_one_class(Idempotency::Idempotent), 1);
     node.set_servers(ready_servers(0..2));
-    let at = node.dispatch(1);
+    let server = node.dispatch(1);
     let outcome = Outcome {
         request: RequestId(1),
         attempt: 0,
@@ -107,5 +107,8 @@
     };
     assert_eq!(node.feed(Event::Outcome(outcome)), []);
     let sent: Vec<_> = (2..4).map(|id| node.dispatch(id)).collect();
-    assert!(sent.contains(&at), "{sent:?}");
+    assert!(
+        sent.contains(&server),
+        "server {server} must still be selected, got {sent:?}"
+    );
 }
--- a/crates/balancer/tests/retry.rs
+++ b/crates/balancer/tests/retry.rs
@@ -1,14 +1,14 @@
-//! Retries: idempotency, the window of a key, the deadline and the retry budget.
+//! Retries: idempotency, the deduplication window of a key, the deadline and the retry budget.
 
 mod common;
 use common::*;
 
 use balancer::*;
 
-/// Without proof that it did not run, a non-idempotent request is neither retried nor rejected.
+/// A non-idempotent request that may have run is neither retried nor rejected.
 #[test]
 fn non_idempotent_request_is_retried_only_if_it_cannot_have_run() {
-    for (result, again) in [
+    for (result, is_retried) in [
         (AttemptResult::Overloaded, true),
         (AttemptResult::Unreachable, true),
         (AttemptResult::NotSent, true),
@@ -22,19 +22,19 @@
         node.dispatch(1);
         node.now += 5.0;
         let actions = node.end_attempt(1, 0, 5.0, result);
-        assert_eq!(sent_server(&actions).is_some(), again, "{result:?}");
-        assert_eq!(is_failed(&actions), !again, "{result:?}");
+        assert_eq!(sent_server(&actions).is_some(), is_retried, "{result:?}");
+        assert_eq!(is_failed(&actions), !is_retried, "{result:?}");
         assert!(!is_rejected(&actions), "{result:?}");
     }
 }
 
 #[test]
-fn request_with_cell_scoped_key_is_retried_within_cell_and_window() {
+fn request_with_cell_key_is_retried_within_cell_and_window() {
     let settings = settings_with_one_class(Idempotency::IdempotencyKey {
         scope: KeyScope::Cell,
         window_ms: 500.0,
     });
-    for (wait, again) in [(5.0, true), (399.0, true), (401.0, false), (600.0, false)] {
+    for (wait, is_retried) in [(5.0, true), (399.0, true), (401.0, false), (600.0, false)] {
         for seed in 0..20 {
             let mut node = Node::new(settings.clone(), seed);
             let mut entries = ready_servers(0..6);
@@ -47,18 +47,21 @@
             let actions = node.end_attempt(1, 0, wait, AttemptResult::Error);
             assert!(
                 !is_rejected(&actions),
-                "a rejection would promise that nothing ran"
+                "a request that may have run must not be rejected"
             );
             match sent_server(&actions) {
-                Some(at) => assert!(again && at / 2 == first / 2, "{wait} ms: {first} then {at}"),
-                None => assert!(!again && is_failed(&actions), "{wait} ms"),
+                Some(server) => assert!(
+                    is_retried && server / 2 == first / 2,
+                    "{wait} ms: {first} then {server}"
+                ),
+                None => assert!(!is_retried && is_failed(&actions), "{wait} ms"),
             }
         }
     }
 }
 
 #[test]
-fn request_with_globally_scoped_key_may_be_rejected_after_it_ran() {
+fn request_with_global_key_may_be_rejected_after_it_ran() {
     let mut settings = settings_with_one_class(Idempotency::IdempotencyKey {
         scope: KeyScope::All,
         window_ms: 500.0,
@@ -76,7 +79,7 @@
     )));
 }
 
-/// The sample of a long list may hold no server of the cell to which a retry is bound.
+/// The sample of a long list may contain no server of the cell to which a retry is restricted.
 #[test]
 fn retry_bound_to_a_cell_finds_its_servers_in_a_long_list() {
     let mut node = node_of_large_cluster(5);
@@ -88,17 +91,17 @@
     serve_requests(&mut node, 0..60, [60.0; 3]);
     for id in 100..110 {
         node.now += 60.0;
-        let first = sent_server(&node.request(id, 2, 5_000.0)).expect("sent");
-        let second =
-            sent_server(&node.end_attempt(id, 0, 50.0, AttemptResult::Error)).expect("sent again");
+        let first = sent_server(&node.request(id, 2, 5_000.0)).expect("the request is sent");
+        let second = sent_server(&node.end_attempt(id, 0, 50.0, AttemptResult::Error))
+            .expect("the request is retried");
         assert!(
             second != first && second % 60 == first % 60,
-            "{first}, then {second}"
+            "sent to server {first}, then to server {second}, expected another one of the same cell"
         );
     }
 }
 
-/// A request that is sent just before its deadline would be answered too late.
+/// A request that is sent just before its deadline would be answered after it.
 #[test]
 fn request_near_its_deadline_is_not_sent() {
     let mut node = Node::new(settings_with_polling(Idempotency::Idempotent), 1);
@@ -106,7 +109,7 @@
     assert!(is_rejected(&node.request(1, 0, 20.0)));
 }
 
-/// Retries stay within the budget just after a start and when traffic falls away, too.
+/// Retries stay within the budget, also just after a start and after traffic has ceased.
 #[test]
 fn retries_never_exceed_the_budget() {
     let mut settings = settings_with_one_class(Idempotency::Idempotent);
@@ -117,16 +120,16 @@
     });
     let mut node = Node::new(settings, 1);
     node.set_servers(ready_servers(0..4));
-    let again = |node: &mut Node, id: u64| {
+    let count_retry = |node: &mut Node, id: u64| {
         node.request(id, 0, 800.0);
         usize::from(
             sent_server(&node.end_attempt(id, 0, 1.0, AttemptResult::Unreachable)).is_some(),
         )
     };
     assert_eq!(
-        (0..9).map(|id| again(&mut node, id)).sum::<usize>(),
+        (0..9).map(|id| count_retry(&mut node, id)).sum::<usize>(),
         2,
-        "just after the start"
+        "retries just after the start"
     );
     node.now += 2_000.0;
     for id in 20..50 {
@@ -134,20 +137,20 @@
         node.end_attempt(id, 0, 1.0, AttemptResult::Served);
     }
     assert_eq!(
-        (50..59).map(|id| again(&mut node, id)).sum::<usize>(),
+        (50..59).map(|id| count_retry(&mut node, id)).sum::<usize>(),
         5,
-        "a tenth of 30, and then some"
+        "retries after 30 further requests: 2, and a tenth of all accepted"
     );
     node.now += 990.0;
     assert_eq!(
-        (60..69).map(|id| again(&mut node, id)).sum::<usize>(),
+        (60..69).map(|id| count_retry(&mut node, id)).sum::<usize>(),
         1,
-        "those before still count"
+        "retries while the earlier ones are still in the window"
     );
     node.now += 2_000.0;
     assert_eq!(
-        (80..89).map(|id| again(&mut node, id)).sum::<usize>(),
+        (80..89).map(|id| count_retry(&mut node, id)).sum::<usize>(),
         2,
-        "traffic fell away"
+        "retries after a pause in traffic"
     );
 }
