--- a/crates/balancer/tests/health_check.rs
+++ b/crates/balancer/tests/health_check.rs
@@ -16,9 +16,9 @@
     actions.iter().filter_map(server).collect()
 }
 
-fn respond_to_poll(node: &mut Node, server: usize, held: f64) -> Vec<Action> {
+fn respond_to_poll(node: &mut Node, server: usize, in_flight: f64) -> Vec<Action> {
     let report = Some(LoadReport {
-        in_flight: Some(held),
+        in_flight: Some(in_flight),
         queued: None,
     });
     let (server, result) = (ServerId(server), AttemptResult::Served);
@@ -30,11 +30,13 @@
     })
 }
 
+/// Code of the timer that ends a poll.
 const LOAD_POLL: u64 = 3;
 
+/// Code of the timer of an overdue attempt.
 const ATTEMPT_OVERDUE: u64 = 4;
 
-/// Where reports come by health checks only, the lowest of the polled counts decides.
+/// Where servers report their load in health checks only, the lowest of the polled counts decides.
 #[test]
 fn polled_server_with_the_lowest_count_is_selected() {
     for seed in 0..50 {
@@ -43,18 +45,22 @@
         let polled = polled_servers(&node.request(1, 0, 800.0));
         assert_eq!(polled.len(), 5);
         let mut last = Vec::new();
-        for (held, server) in [3.0, 2.0, 1.0, 2.0, 3.0].iter().zip(&polled) {
-            assert_eq!(sent_server(&last), None, "sent before all had responded");
-            last = respond_to_poll(&mut node, *server, *held);
+        for (in_flight, server) in [3.0, 2.0, 1.0, 2.0, 3.0].iter().zip(&polled) {
+            assert_eq!(
+                sent_server(&last),
+                None,
+                "the request was sent before all polled servers had responded"
+            );
+            last = respond_to_poll(&mut node, *server, *in_flight);
         }
         assert_eq!(sent_server(&last), Some(polled[2]));
     }
 }
 
-/// A server that hangs or is gone does not respond: a request must not wait for it beyond a fiftieth of an
-/// objective.
+/// A server that hangs or is gone does not respond to a poll. A request must not wait for it longer than a
+/// fiftieth of its objective.
 #[test]
-fn server_that_does_not_respond_to_a_poll_is_passed_over() {
+fn server_that_does_not_respond_to_a_poll_is_skipped() {
     let mut node = Node::new(settings_with_polling(Idempotency::Idempotent), 1);
     node.set_servers(ready_servers(0..20));
     let actions = node.request(1, 0, 800.0);
@@ -70,7 +76,7 @@
 
 /// A server may be reported as draining while a request waits for its load report.
 #[test]
-fn server_that_drains_while_polled_gets_nothing() {
+fn server_that_drains_while_polled_gets_no_request() {
     for seed in 0..20 {
         let mut node = Node::new(settings_with_polling(Idempotency::Idempotent), seed);
         node.set_servers(ready_servers(0..5));
@@ -82,11 +88,13 @@
             .iter()
             .map(|server| respond_to_poll(&mut node, *server, 2.0))
             .last();
-        assert!(sent_server(&last.expect("polled")).is_some_and(|at| at != polled[0]));
+        assert!(sent_server(&last.expect("several servers were polled"))
+            .is_some_and(|server| server != polled[0]));
     }
 }
 
-/// Sends one request to the only server, which serves it; then another, which stays in flight.
+/// A node with one server that has served a request and has a second one in flight, and the actions by which
+/// that one was sent.
 fn one_in_flight(idempotency: Idempotency) -> (Node, Vec<Action>) {
     let mut node = Node::new(settings_with_polling(idempotency), 1);
     node.set_servers(ready_servers(0..1));
@@ -99,17 +107,17 @@
     (node, sent)
 }
 
-/// Lost answers and silently dropped connections would cost the whole deadline: a server that holds no request
-/// will not answer any more.
+/// A lost answer or a silently dropped connection would cost a request its whole deadline. A server without a
+/// request in flight will not answer, so the attempt is cancelled and the request is sent again.
 #[test]
-fn lost_answer_costs_an_attempt_and_not_the_request() {
+fn lost_answer_costs_only_the_attempt() {
     let (mut node, sent) = one_in_flight(Idempotency::Idempotent);
     let polled = expire_timer(&mut node, &sent, ATTEMPT_OVERDUE);
     assert_eq!(polled_servers(&polled), [0]);
     let busy = respond_to_poll(&mut node, 0, 1.0);
     assert!(
         !busy.iter().any(|a| matches!(a, Action::Cancel { .. })),
-        "it is still working"
+        "the attempt must not be cancelled while the server has a request in flight"
     );
     expire_timer(&mut node, &busy, ATTEMPT_OVERDUE);
     let idle = respond_to_poll(&mut node, 0, 0.0);
@@ -128,11 +136,12 @@
     assert_eq!(
         sent_server(&respond_to_poll(&mut node, 0, 0.0)),
         Some(0),
-        "sent again"
+        "the request must be sent again"
     );
 }
 
-/// A health check sent before the attempt may end after it: its report says nothing of the attempt.
+/// A health check that was sent before an attempt may end after the attempt was sent. Its report says nothing
+/// about the attempt.
 #[test]
 fn late_poll_response_cancels_nothing() {
     let mut node = Node::new(settings_with_polling(Idempotency::Idempotent), 1);
@@ -142,33 +151,33 @@
         polled_servers(&actions),
         expire_timer(&mut node, &actions, LOAD_POLL),
     );
-    let at = sent_server(&sent).expect("by the counts known before");
+    let selected = sent_server(&sent).expect("the request is sent when the poll times out");
     for server in polled {
         sent.extend(respond_to_poll(&mut node, server, 0.0));
     }
     assert!(
         !sent.iter().any(|a| matches!(a, Action::Cancel { .. })),
-        "{at}: {sent:?}"
+        "the attempt at server {selected} must not be cancelled: {sent:?}"
     );
 }
 
-/// An overdue non-idempotent request may have run: it could not be retried.
+/// An overdue non-idempotent request may have run and could not be retried, so no poll is scheduled.
 #[test]
-fn overdue_non_idempotent_attempt_is_not_asked() {
+fn overdue_non_idempotent_attempt_causes_no_poll() {
     let (_, sent) = one_in_flight(Idempotency::NonIdempotent);
     assert!(!sent
         .iter()
         .any(|a| matches!(a, Action::SetTimer { timer, .. } if timer & 7 == ATTEMPT_OVERDUE)));
 }
 
-/// Each node keeps to few servers, and all nodes together are spread evenly over them.
+/// Each node uses few servers, and the nodes are spread evenly over all servers.
 #[test]
 fn polled_subsets_are_small_and_even() {
-    let (nodes, mut load_of) = (400, [0; 100]);
-    for me in 0..nodes {
+    let (nodes, mut nodes_by_server) = (400, [0; 100]);
+    for node_index in 0..nodes {
         let mut settings = settings_with_polling(Idempotency::Idempotent);
-        (settings.node_index, settings.nodes) = (me, nodes);
-        let mut node = Node::new(settings, me as u64);
+        (settings.node_index, settings.nodes) = (node_index, nodes);
+        let mut node = Node::new(settings, node_index as u64);
         node.set_servers(ready_servers(0..100));
         let mut contacted = std::collections::BTreeSet::new();
         for id in 0..12 {
@@ -177,18 +186,22 @@
             contacted.extend(polled_servers(&actions));
             expire_timer(&mut node, &actions, LOAD_POLL);
         }
-        assert!(contacted.len() <= 5, "{} servers", contacted.len());
-        for at in contacted {
-            load_of[at] += 1;
+        assert!(
+            contacted.len() <= 5,
+            "node {node_index} polled {} servers, expected 5 at most",
+            contacted.len()
+        );
+        for server in contacted {
+            nodes_by_server[server] += 1;
         }
     }
-    // 400 nodes of 5 servers each are 20 to a server.
-    let (least, most) = (
-        load_of.iter().min().expect("some"),
-        load_of.iter().max().expect("some"),
+    // 400 nodes with 5 servers each, over 100 servers, give 20 nodes per server.
+    let (min, max) = (
+        nodes_by_server.iter().min().expect("there are servers"),
+        nodes_by_server.iter().max().expect("there are servers"),
     );
     assert!(
-        *least >= 18 && *most <= 22,
-        "{least} to {most} nodes to a server"
+        *min >= 18 && *max <= 22,
+        "{min} to {max} nodes per server, expected 18 to 22"
     );
 }
--- a/crates/balancer/tests/outlier.rs
+++ b/crates/balancer/tests/outlier.rs
@@ -13,13 +13,13 @@
     let run = |node: &mut Node, from: u64, bad: bool| {
         let mut sent = 0;
         for id in from..from + 400 {
-            let at = node.dispatch(id);
+            let server = node.dispatch(id);
             node.now += 10.0;
-            sent += usize::from(at == 0);
-            if bad && at == 0 {
-                let again =
+            sent += usize::from(server == 0);
+            if bad && server == 0 {
+                let retried =
                     node.end_attempt_with_report(id, 0, 2.0, AttemptResult::Error, Some(0.0));
-                let attempt = usize::from(sent_server(&again).is_some());
+                let attempt = usize::from(sent_server(&retried).is_some());
                 node.end_attempt(id, attempt, 30.0, AttemptResult::Served);
             } else {
                 node.end_attempt(id, 0, 30.0, AttemptResult::Served);
@@ -27,29 +27,35 @@
         }
         sent
     };
-    assert!(run(&mut node, 0, false) > 50);
+    assert!(
+        run(&mut node, 0, false) > 50,
+        "a healthy server must get its share of the traffic"
+    );
     assert!(
         run(&mut node, 1_000, true) < 25,
-        "a failing server keeps its traffic"
+        "a failing server must lose its traffic"
     );
     run(&mut node, 2_000, false);
     node.now += 10_000.0;
     run(&mut node, 2_500, false);
-    assert!(run(&mut node, 3_000, false) > 50, "it does not recover");
+    assert!(
+        run(&mut node, 3_000, false) > 50,
+        "a recovered server must get its share of the traffic again"
+    );
 }
 
-/// A server that accepts requests and answers none has an ordinary count.
+/// A server that accepts requests and answers none has an inconspicuous count.
 #[test]
-fn silent_server_is_passed_over() {
+fn silent_server_gets_few_requests() {
     let mut node = Node::new(settings_with_one_class(Idempotency::Idempotent), 1);
     node.set_servers(ready_servers(0..4));
-    let mut hung = 0;
+    let mut sent_to_silent = 0;
     for id in 0..600 {
-        let at = sent_server(&node.request(id, 0, 800.0));
+        let server = sent_server(&node.request(id, 0, 800.0));
         node.now += 10.0;
-        if id > 200 && at == Some(0) {
-            hung += 1;
-        } else if at.is_some() {
+        if id > 200 && server == Some(0) {
+            sent_to_silent += 1;
+        } else if server.is_some() {
             node.end_attempt_with_report(
                 id,
                 0,
@@ -59,69 +65,73 @@
             );
         }
     }
-    assert!(hung < 12, "{hung} requests went to a silent server");
+    assert!(
+        sent_to_silent < 12,
+        "{sent_to_silent} requests went to a silent server"
+    );
 }
 
-/// Where a node seldom hears of a server, three failures in a row take half a minute: one is enough.
+/// On a node that uses each server rarely, three consecutive failures would take half a minute. One failure
+/// must eject the server.
 #[test]
-fn one_failure_ejects_where_little_is_heard() {
+fn one_failure_ejects_on_a_node_with_few_requests() {
     let mut settings = settings_with_one_class(Idempotency::Idempotent);
     settings.nodes = 200;
     let mut node = Node::new(settings, 1);
     node.set_servers(ready_servers(0..40));
     let (mut failures, mut contacted) = (0, Vec::new());
     for id in 0..400 {
-        let (mut at, mut attempt) = (node.dispatch(id), 0);
-        if id < 50 && !contacted.contains(&at) {
-            contacted.push(at);
+        let (mut server, mut attempt) = (node.dispatch(id), 0);
+        if id < 50 && !contacted.contains(&server) {
+            contacted.push(server);
         }
         node.now += 100.0;
-        // From the fiftieth request on, half of the servers that it has contacted are unreachable.
-        while id >= 50 && contacted.iter().step_by(2).any(|down| *down == at) {
+        // From the 50th request on, half of the contacted servers are unreachable.
+        while id >= 50 && contacted.iter().step_by(2).any(|down| *down == server) {
             failures += 1;
             let Some(next) =
                 sent_server(&node.end_attempt(id, attempt, 5.0, AttemptResult::Unreachable))
             else {
                 break;
             };
-            (at, attempt) = (next, attempt + 1);
+            (server, attempt) = (next, attempt + 1);
         }
         node.end_attempt(id, attempt, 50.0, AttemptResult::Served);
     }
-    // In turn they would be sent half of all requests; trials are a sixteenth at the most.
+    // Without ejections they would get half of all requests; trials are a sixteenth at most.
     let down = contacted.len().div_ceil(2);
     assert!(
         (1..=down + 350 / 16).contains(&failures),
-        "{failures} attempts at {down} servers that are down"
+        "{failures} attempts at {down} unreachable servers"
     );
 }
 
-/// One malformed response may come from any server; a server that sends nothing else is ejected.
+/// Any server may send one malformed response; a server that sends only malformed responses is ejected.
 #[test]
 fn only_repeated_malformed_responses_eject() {
     let mut node = Node::new(settings_with_one_class(Idempotency::Idempotent), 1);
     node.set_servers(ready_servers(0..2));
-    let mut outs = 0;
+    let mut ejections = 0;
     for id in 0..3 {
         let sent = node.request(id, 0, 800.0);
-        let mut at = sent_server(&sent).expect("sent");
+        let mut server = sent_server(&sent).expect("the request is sent");
         let mut attempt = 0;
-        while at != 0 {
+        while server != 0 {
             node.now += 1.0;
-            let again = node.end_attempt(id, attempt, 1.0, AttemptResult::Error);
+            let retried = node.end_attempt(id, attempt, 1.0, AttemptResult::Error);
             attempt += 1;
-            at = sent_server(&again).expect("sent again");
+            server = sent_server(&retried).expect("the request is retried");
         }
         node.now += 1.0;
-        let notes = node.end_attempt(id, attempt, 1.0, AttemptResult::Malformed);
-        outs += notes
+        let actions = node.end_attempt(id, attempt, 1.0, AttemptResult::Malformed);
+        ejections += actions
             .iter()
             .filter(|a| matches!(a, Action::Log(LogEvent::ServerEjected(ServerId(0)))))
             .count();
         assert_eq!(
-            outs,
+            ejections,
             usize::from(id == 2),
-            "after {} malformed responses",
+            "ejections after {} malformed responses",
             id + 1
         );
         node.feed(Event::ClientGone(RequestId(id)));
@@ -129,14 +139,15 @@
     }
 }
 
-/// Connections break now and then, and must not eject one server after another; the second reset in a row does.
+/// Connections break occasionally, which must not eject one server after another. The second consecutive reset
+/// ejects the server.
 #[test]
 fn only_repeated_connection_resets_eject() {
     for (breaks, stays) in [(1, true), (2, false)] {
         let mut node = Node::new(settings_with_one_class(Idempotency::Idempotent), 1);
         node.set_servers(ready_servers(0..2));
         for id in 0..breaks {
-            // The other server is not listed meanwhile, so that every request goes to the first.
+            // The second server is unlisted while the request is sent, so that it goes to the first.
             node.set_servers(ready_servers(0..1));
             node.dispatch(id);
             node.set_servers(ready_servers(0..2));
@@ -144,12 +155,15 @@
         }
         node.now += 10.0;
         let contacted = (10..40).any(|id| node.dispatch(id) == 0);
-        assert_eq!(contacted, stays, "after {breaks}");
+        assert_eq!(
+            contacted, stays,
+            "whether the server is used after {breaks} resets"
+        );
     }
 }
 
-/// A server that has answered a later request does not hang: only the connection fell silent. Without such an
-/// answer the time-out ejects it.
+/// A server that has answered a later request does not hang; the connection of the earlier one is dead. Without
+/// such an answer the time-out ejects the server.
 #[test]
 fn time_out_overtaken_by_a_later_answer_does_not_eject() {
     for answers in [true, false] {
@@ -166,11 +180,14 @@
         node.now += 770.0;
         node.end_attempt(0, 0, 800.0, AttemptResult::TimedOut);
         let contacted = (10..30).any(|id| sent_server(&node.request(id, 0, 800.0)) == Some(0));
-        assert_eq!(contacted, answers);
+        assert_eq!(
+            contacted, answers,
+            "whether the server is used if it answered a later request: {answers}"
+        );
     }
 }
 
-/// A server that rejects one tenant must not be lost for the others.
+/// A server that rejects the requests of one tenant must stay in use for the others.
 #[test]
 fn server_overloaded_for_one_tenant_serves_the_others() {
     let mut settings = settings_with_one_class(Idempotency::Idempotent);
@@ -186,14 +203,14 @@
             ..Request::new(RequestId(id), 0, 800.0)
         }));
         let mut attempt = 0;
-        while let Some(at) = sent_server(&actions) {
-            sent[tenant] += usize::from(at == 0);
-            let full = at == 0 && tenant == 0;
+        while let Some(server) = sent_server(&actions) {
+            sent[tenant] += usize::from(server == 0);
+            let overloaded = server == 0 && tenant == 0;
             actions = node.end_attempt(
                 id,
                 attempt,
                 50.0,
-                if full {
+                if overloaded {
                     AttemptResult::Overloaded
                 } else {
                     AttemptResult::Served
@@ -204,7 +221,10 @@
     }
     assert!(
         sent[1] > 20,
-        "the other tenant does not use the server any more: {sent:?}"
+        "the second tenant must still use the server, requests sent to it by tenant: {sent:?}"
+    );
+    assert!(
+        sent[0] < 15,
+        "the first tenant must stop using the server, requests sent to it by tenant: {sent:?}"
     );
-    assert!(sent[0] < 15, "and the first keeps trying: {sent:?}");
 }
--- a/crates/balancer/tests/selection.rs
+++ b/crates/balancer/tests/selection.rs
@@ -1,11 +1,11 @@
-//! Server selection by HSQ: each of its claims, and what guards its ordinary path.
+//! Server selection by HSQ: the rules of the method, and the safeguards around it.
 
 mod common;
 use common::*;
 
 use balancer::*;
 
-/// Each of the first sends goes to a server that has had none yet: every own send counts one.
+/// Each of the first sends goes to a server without one so far, as every send increments the count.
 #[test]
 fn own_sends_raise_the_count() {
     let mut node = Node::new(settings_with_long_objective(), 1);
@@ -13,7 +13,7 @@
     for round in 0..3 {
         let mut seen: Vec<usize> = (0..5).map(|i| node.dispatch(round * 5 + i)).collect();
         seen.sort_unstable();
-        assert_eq!(seen, [0, 1, 2, 3, 4], "round {round}");
+        assert_eq!(seen, [0, 1, 2, 3, 4], "servers selected in round {round}");
     }
 }
 
@@ -25,10 +25,13 @@
         node.set_servers(ready_servers(0..4));
         first[node.dispatch(1)] += 1;
     }
-    assert!(first.iter().all(|n| (60..140).contains(n)), "{first:?}");
+    assert!(
+        first.iter().all(|n| (60..140).contains(n)),
+        "first requests by server, expected about 100 each: {first:?}"
+    );
 }
 
-/// Has every server answer alike, so that all are known to have the same capacity.
+/// A node to which all servers have answered equally fast, so that it estimates equal capacities.
 fn warmed_up_node(servers: usize, settings: Settings) -> Node {
     let mut node = Node::new(settings, 3);
     node.set_servers(ready_servers(0..servers));
@@ -45,15 +48,15 @@
 #[test]
 fn report_overwrites_the_count_of_its_server_alone() {
     let mut node = warmed_up_node(3, settings_with_long_objective());
-    // One attempt is put on each server; server by server its answer reports another load.
-    let at: Vec<usize> = (0..3).map(|id| node.dispatch(id)).collect();
-    for (id, held) in [(0, 9.0), (1, 2.0), (2, 9.0)] {
+    // Each server gets one request, and each answer reports a different load.
+    let servers: Vec<usize> = (0..3).map(|id| node.dispatch(id)).collect();
+    for (id, in_flight) in [(0, 9.0), (1, 2.0), (2, 9.0)] {
         node.now += 40.0;
-        node.end_attempt_with_report(id, 0, 40.0, AttemptResult::Served, Some(held));
+        node.end_attempt_with_report(id, 0, 40.0, AttemptResult::Served, Some(in_flight));
     }
-    // The second now stands 7 under the others: it gets the next sends, until it is backed up.
-    assert_eq!(node.dispatch(100), at[1]);
-    assert_eq!(node.dispatch(101), at[1]);
+    // The second count is now 7 lower than the others, so that server gets the next sends.
+    assert_eq!(node.dispatch(100), servers[1]);
+    assert_eq!(node.dispatch(101), servers[1]);
 }
 
 #[test]
@@ -62,9 +65,9 @@
     node.set_servers(ready_servers(0..2));
     let first = node.dispatch(1);
     node.now += 40.0;
-    // It takes what is expected of unknown servers, a quarter of the objective: their capacities stay equal.
+    // The latency is that expected of unknown servers, a quarter of the objective, so capacities stay equal.
     node.end_attempt(1, 0, 10_000.0, AttemptResult::Served);
-    // Without a report the answered send still counts, so the other server is next.
+    // Without a report the completed send still counts, so the other server is next.
     assert_ne!(node.dispatch(2), first);
 }
 
@@ -86,29 +89,29 @@
     }
 }
 
-/// Sends requests whose reports change with every second answer of a server.
-fn teach_interval(node: &mut Node) {
+/// Sends requests to which each server reports a load that changes with every second answer.
+fn establish_report_interval(node: &mut Node) {
     let mut answers = [0; 2];
     for id in 500..560 {
-        let at = node.dispatch(id);
-        answers[at] += 1;
+        let server = node.dispatch(id);
+        answers[server] += 1;
         node.now += 100.0;
         node.end_attempt_with_report(
             id,
             0,
             40.0,
             AttemptResult::Served,
-            Some(f64::from(1 + answers[at] / 2 % 2)),
+            Some(f64::from(1 + answers[server] / 2 % 2)),
         );
     }
 }
 
-/// Several answers may carry one and the same report: a repeated one must not erase own sends.
+/// Several answers may carry the same report. A repeated report must not discard sends from the count.
 #[test]
 fn repeated_report_does_not_erase_own_sends() {
     let mut node = warmed_up_node(2, settings_with_long_objective());
-    teach_interval(&mut node);
-    // One answer from each, with the same report: the counts are equal and nothing is in flight.
+    establish_report_interval(&mut node);
+    // One answer of each server with the same report: the counts are equal and nothing is in flight.
     let mut out = [None; 2];
     for id in 1..100 {
         match &mut out[node.dispatch(id)] {
@@ -119,7 +122,7 @@
     node.now += 10_000.0;
     for id in out {
         node.end_attempt_with_report(
-            id.expect("both were sent to"),
+            id.expect("both servers were sent a request"),
             0,
             40.0,
             AttemptResult::Served,
@@ -128,44 +131,58 @@
     }
     let sends: Vec<usize> = (100..102).map(|id| node.dispatch(id)).collect();
     assert_ne!(sends[0], sends[1]);
-    // One repeats its 5 at once; if that were taken as fresh, its own send would be forgotten and it
-    // would get the next two.
+    // One server repeats its report of 5 at once. If that were taken as fresh, the send to it would be
+    // discarded and it would get the next two requests.
     let repeating = sends[0];
     node.now += 1.0;
     node.end_attempt_with_report(100, 0, 40.0, AttemptResult::Served, Some(5.0));
     let next: Vec<usize> = (200..202).map(|id| node.dispatch(id)).collect();
     assert!(
         next != [repeating, repeating],
-        "the repeat erased an own send"
+        "the repeated report must not discard a send: {next:?}"
     );
 }
 
-/// An idle server's report stays the same: one that repeats late is fresh all the same.
+/// An idle server always reports the same load. A report that is repeated after a long time is fresh.
 #[test]
 fn report_repeated_late_is_fresh() {
     let mut node = warmed_up_node(2, settings_with_long_objective());
-    teach_interval(&mut node);
+    establish_report_interval(&mut node);
     let mut out = [Vec::new(), Vec::new()];
     for id in 1..13 {
         out[node.dispatch(id)].push(id);
     }
     node.now += 10_000.0;
-    // Every answer takes 40 ms for each request its server held, so that their capacities stay equal.
+    // Each answer takes 40 ms per request in flight at its server, so that the capacities stay equal.
     for (ids, reading) in out.iter().zip([0.0, 6.0]) {
-        for (id, held) in ids.iter().zip(1..) {
-            let report = (held == ids.len()).then_some(reading);
-            node.end_attempt_with_report(*id, 0, 40.0 * held as f64, AttemptResult::Served, report);
+        for (id, in_flight) in ids.iter().zip(1..) {
+            let report = (in_flight == ids.len()).then_some(reading);
+            node.end_attempt_with_report(
+                *id,
+                0,
+                40.0 * in_flight as f64,
+                AttemptResult::Served,
+                report,
+            );
         }
     }
     for id in 20..24 {
-        assert_eq!(node.dispatch(id), 0, "send {id}");
+        assert_eq!(
+            node.dispatch(id),
+            0,
+            "request {id} must go to the server with the lowest report"
+        );
         node.end_attempt(id, 0, 40.0, AttemptResult::Served);
     }
     node.now += 10_000.0;
     node.dispatch(30);
     node.end_attempt_with_report(30, 0, 40.0, AttemptResult::Served, Some(0.0));
     for id in 40..44 {
-        assert_eq!(node.dispatch(id), 0, "the second 0 was not fresh");
+        assert_eq!(
+            node.dispatch(id),
+            0,
+            "the repeated report of 0 must be taken as fresh"
+        );
         node.end_attempt(id, 0, 40.0, AttemptResult::Served);
     }
 }
@@ -173,17 +190,18 @@
 #[test]
 fn server_without_a_report_starts_at_the_mean_count() {
     let mut node = warmed_up_node(2, settings_with_long_objective());
-    let at: Vec<usize> = (0..2).map(|id| node.dispatch(id)).collect();
+    let servers: Vec<usize> = (0..2).map(|id| node.dispatch(id)).collect();
     node.now += 40.0;
     node.end_attempt_with_report(0, 0, 40.0, AttemptResult::Served, Some(1.0));
     node.end_attempt_with_report(1, 0, 40.0, AttemptResult::Served, Some(9.0));
     node.set_servers(ready_servers(0..3));
-    // Counts are 1, 9 and, new, their mean 5: the low one first, four times, as nothing backs up.
+    // The counts are 1 and 9, and the new server starts at their mean of 5. The server with 1 gets four
+    // requests first, as it answers each at once.
     for id in 100..104 {
         assert_eq!(
             node.dispatch(id),
-            at[0],
-            "the new server was taken to be idle"
+            servers[0],
+            "the new server must not be selected as idle"
         );
         node.end_attempt(id, 0, 40.0, AttemptResult::Served);
     }
@@ -197,7 +215,7 @@
     assert_eq!(seen, [0, 1, 2, 3]);
 }
 
-/// Unlike servers must not be sent alike: a slower one gets less.
+/// Servers of different speed must not get equal traffic; a slower one gets less.
 #[test]
 fn slower_server_is_sent_less() {
     let mut sent = [0; 2];
@@ -205,9 +223,9 @@
         let mut node = Node::new(settings_with_long_objective(), seed);
         node.set_servers(ready_servers(0..2));
         for id in 0..300 {
-            let at = node.dispatch(id);
-            sent[at] += 1;
-            let elapsed = if at == 0 { 30.0 } else { 90.0 };
+            let server = node.dispatch(id);
+            sent[server] += 1;
+            let elapsed = if server == 0 { 30.0 } else { 90.0 };
             node.now += elapsed;
             node.end_attempt_with_report(
                 id,
@@ -218,10 +236,13 @@
             );
         }
     }
-    assert!(sent[0] > sent[1] * 3 / 2, "{sent:?}");
+    assert!(
+        sent[0] > sent[1] * 3 / 2,
+        "requests sent to the fast and the slow server: {sent:?}"
+    );
 }
 
-/// Servers of the same zone get the requests until the best of them is backed up; then others count, too.
+/// Servers of the same zone get the requests until the best of them is backed up; then other zones are used, too.
 #[test]
 fn same_zone_is_preferred_while_not_backed_up() {
     let mut settings = settings_with_long_objective();
@@ -233,14 +254,17 @@
     node.set_servers(entries);
     let sent: Vec<usize> = (0..4).map(|id| node.dispatch(id)).collect();
     assert!(
-        sent.iter().all(|at| *at >= 2),
-        "no more than twice what a far one would take: {sent:?}"
+        sent.iter().all(|server| *server >= 2),
+        "the first requests must stay in the zone: {sent:?}"
     );
     let sent: Vec<usize> = (4..8).map(|id| node.dispatch(id)).collect();
-    assert!(sent.iter().any(|at| *at < 2), "then the far ones: {sent:?}");
+    assert!(
+        sent.iter().any(|server| *server < 2),
+        "further requests must also leave the zone: {sent:?}"
+    );
 }
 
-/// A zone without a healthy server is left, however near.
+/// If no server of the node's own zone is healthy, requests go to other zones.
 #[test]
 fn failing_servers_of_the_same_zone_are_left_for_others() {
     let mut settings = settings_with_long_objective();
@@ -250,16 +274,22 @@
     entries[2].zone = 1;
     node.set_servers(entries);
     for id in 0..3 {
-        assert!(id > 0 || node.dispatch(id) == 2);
+        assert!(
+            id > 0 || node.dispatch(id) == 2,
+            "the first request must go to the server of the own zone"
+        );
         if id > 0 {
-            assert!(node.dispatch(id) < 2, "it is ejected");
+            assert!(
+                node.dispatch(id) < 2,
+                "request {id} must not go to the ejected server"
+            );
             continue;
         }
         node.now += 1.0;
         let retried = node.end_attempt(id, 0, 1.0, AttemptResult::Unreachable);
         assert!(
-            sent_server(&retried).is_some_and(|at| at < 2),
-            "{retried:?}"
+            sent_server(&retried).is_some_and(|server| server < 2),
+            "the retry must go to another zone: {retried:?}"
         );
         node.end_attempt(id, 1, 20.0, AttemptResult::Served);
     }
--- a/crates/balancer/tests/selection_uninformed.rs
+++ b/crates/balancer/tests/selection_uninformed.rs
@@ -1,11 +1,11 @@
-//! Server selection on a node that hears of each server once in many latency objectives.
+//! Server selection on a node that gets a load report of each server once in many latency objectives.
 
 mod common;
 use common::*;
 
 use balancer::*;
 
-/// A node that hears of each server once in many objectives keeps to those that it knows, in turn.
+/// A node that gets reports of each server rarely uses only those that it has contacted.
 #[test]
 fn node_with_few_requests_keeps_to_contacted_servers() {
     let mut settings = settings_with_one_class(Idempotency::Idempotent);
@@ -26,19 +26,19 @@
     }
     assert!(
         (1..20).contains(&contacted.len()),
-        "{} of 60 servers at four requests in an objective",
+        "{} of 60 servers contacted at four requests per objective, expected under 20",
         contacted.len()
     );
 }
 
-/// By chance some servers would be contacted by many nodes, and others by few.
+/// With random choices some servers would be contacted by many nodes, and others by few.
 #[test]
 fn servers_are_contacted_by_equally_many_nodes() {
     let mut contacted = vec![0_u32; 180];
-    for me in 0..300 {
-        let mut node = node_of_large_cluster(me);
+    for node_index in 0..300 {
+        let mut node = node_of_large_cluster(node_index);
         for id in 0..4 {
-            contacted[node.dispatch(id)] += 1; // Nothing is answered: each request goes to another server.
+            contacted[node.dispatch(id)] += 1; // Without answers each request goes to another server.
             node.now += 60.0;
         }
     }
@@ -48,17 +48,17 @@
         .map(|n| (f64::from(*n) - mean).powi(2))
         .sum::<f64>()
         / 180.0;
-    // A node's first server is drawn from all: it does not know yet how many requests it will see.
+    // A node's first server is drawn from all servers, as its request rate is still unknown.
     assert!(
         variance < mean / 2.0,
-        "variance {variance:.2} at a mean of {mean:.2}; by chance it is as large"
+        "variance {variance:.2} at a mean of {mean:.2}, expected under half the mean; random choices give the mean"
     );
 }
 
-/// A new node must not go on trying the servers of its part of the ring while none of them is reachable: it
-/// passes over what has failed, and looks beyond.
+/// A new node must not keep trying the servers of its part of the ring if none of them is reachable. It skips
+/// servers that have failed and tries those beyond.
 #[test]
-fn node_whose_part_of_the_ring_is_unreachable_finds_other_servers() {
+fn node_with_unreachable_part_of_the_ring_finds_other_servers() {
     let (mut node, mut served) = (node_of_large_cluster(0), 0);
     for id in 0..200 {
         node.now += 60.0;
@@ -78,6 +78,6 @@
     }
     assert!(
         served >= 120,
-        "{served} of 200 served with half of the servers reachable"
+        "{served} of 200 requests served with half of the servers reachable, expected 120 or more"
     );
 }
--- a/crates/balancer/tests/slow_start.rs
+++ b/crates/balancer/tests/slow_start.rs
@@ -1,4 +1,4 @@
-//! Slow start: the budget that all nodes together keep to for a server that warms up.
+//! Slow start: the request budget of a warming server that all nodes share.
 
 mod common;
 use common::*;
@@ -7,8 +7,8 @@
 
 use balancer::*;
 
-/// A warming server reports no queue and would attract all requests. A node that carries most of the traffic
-/// must stay within the budget that all nodes share.
+/// A warming server reports no queue and would attract all requests. A node with most of the traffic must stay
+/// within the budget that all nodes share.
 #[test]
 fn warming_server_gets_no_more_than_its_budget() {
     let mut settings = settings_with_one_class(Idempotency::Idempotent);
@@ -19,7 +19,7 @@
     settings.collapse_after_ms = 3_000.0;
     let mut node = Node::new(settings, 1);
     node.set_servers(ready_servers(0..10));
-    let mut at = BTreeMap::new();
+    let mut selected_server = BTreeMap::new();
     let mut slow_start_sends = Vec::new();
     for id in 0..3_000 {
         if id == 1_500 {
@@ -27,26 +27,26 @@
             entries[10].started_at_ms = Some(node.now);
             node.set_servers(entries);
         }
-        at.insert(id, node.dispatch(id));
-        if at[&id] == 10 {
+        selected_server.insert(id, node.dispatch(id));
+        if selected_server[&id] == 10 {
             slow_start_sends.push(node.now);
         }
         node.now += 4.0;
         if id >= 10 {
-            // While it warms up it answers fast and reports hardly any load.
-            let warming = at[&(id - 10)] == 10;
-            let held = if warming {
+            // While it warms up, the server answers fast and reports hardly any load.
+            let warming = selected_server[&(id - 10)] == 10;
+            let in_flight = if warming {
                 0.1 * (id % 2) as f64
             } else {
                 (300 + id % 2) as f64
             };
             let elapsed = if warming { 10.0 } else { 40.0 };
-            // ReportSource come now and then, so that counts rise in between.
-            let held = (warming || id % 16 == 0).then_some(held);
-            node.end_attempt_with_report(id - 10, 0, elapsed, AttemptResult::Served, held);
+            // Warm servers report their load occasionally, so that counts rise in between.
+            let in_flight = (warming || id % 16 == 0).then_some(in_flight);
+            node.end_attempt_with_report(id - 10, 0, elapsed, AttemptResult::Served, in_flight);
         }
     }
-    // All nodes together serve 250 requests a second on ten servers; a warming one's capacity begins at 0.3 of a tenth.
+    // The node serves 250 requests per second on ten servers; a warming one starts with 0.3 of a tenth of that.
     let start = 1_000.0 + 1_500.0 * 4.0;
     for window in 0..6 {
         let from = start + f64::from(window) * 500.0;
@@ -57,13 +57,16 @@
         let capacity = 25.0 * 3.0 * (0.3 + 0.7 * (from + 3_000.0 - start) / 9_000.0);
         assert!(
             sent < 2.5 * capacity,
-            "{sent} in window {window}, capacity {capacity}"
+            "{sent} requests in window {window}, at a capacity of {capacity}"
         );
     }
-    assert!(!slow_start_sends.is_empty(), "it gets some requests");
+    assert!(
+        !slow_start_sends.is_empty(),
+        "the warming server must get some requests"
+    );
 }
 
-/// A restarted node has served nothing yet; which servers warm up it knows from its list.
+/// A restarted node has served nothing yet, but its server list says which servers are warming up.
 #[test]
 fn restarted_node_sends_one_request_to_a_warming_server() {
     let mut settings = settings_with_one_class(Idempotency::Idempotent);
@@ -79,14 +82,14 @@
     assert_eq!(warming, 1);
 }
 
-/// Where a node's part of a warming server's budget is less than one request, most nodes must send none.
+/// If a node's part of a warming server's budget is less than one request, most nodes must send none.
 #[test]
 fn many_nodes_share_the_budget_of_a_warming_server() {
     let mut settings = settings_with_one_class(Idempotency::Idempotent);
     settings.nodes = 200;
     (settings.slow_start_fraction, settings.slow_start_ms) = (0.3, 9_000.0);
     (settings.collapse_multiple, settings.collapse_after_ms) = (2.5, 3_000.0);
-    let (mut senders, mut sends) = (0, 0);
+    let (mut sending_nodes, mut sends) = (0, 0);
     for seed in 0..200 {
         let mut node = Node::new(settings.clone(), seed);
         let mut entries = ready_servers(0..60);
@@ -94,28 +97,28 @@
         let mut warming = 0;
         for id in 0..60 {
             if id == 30 {
-                // Half of the servers are removed, so that most nodes look for servers that they have not contacted.
+                // Half of the servers are removed, so that most nodes need servers that they have not contacted.
                 entries[59].started_at_ms = Some(node.now);
                 node.set_servers(entries.split_off(30));
             }
-            let at = node.dispatch(id);
-            warming += usize::from(id >= 30 && at == 59);
+            let server = node.dispatch(id);
+            warming += usize::from(id >= 30 && server == 59);
             node.now += 100.0;
             node.end_attempt(id, 0, 50.0, AttemptResult::Served);
         }
-        senders += usize::from(warming > 0);
+        sending_nodes += usize::from(warming > 0);
         sends += warming;
     }
-    // 200 nodes send 10 a second each to the 30 servers left: a warm one carries 67 a second, and this one
-    // may get 2.5 times 0.3 of that for three seconds.
+    // 200 nodes send 10 requests per second each to the remaining 30 servers. A warm server gets 67 per second,
+    // and the warming one may get 2.5 times 0.3 of that for 3 s.
     assert!(
-        (1..=2 * senders).contains(&sends) && sends < 150,
-        "{sends} sends of {senders} nodes"
+        (1..=2 * sending_nodes).contains(&sends) && sends < 150,
+        "{sends} sends by {sending_nodes} nodes, expected under 150 and 2 per node at most"
     );
 }
 
-/// In a release, new servers must not stand idle beside overloaded ones because nodes keep to those that they
-/// have contacted.
+/// During a rollout, new servers must not stay idle beside overloaded ones although nodes prefer the servers
+/// that they have contacted.
 #[test]
 fn newly_started_servers_are_used_beside_contacted_ones() {
     let mut settings = settings_with_one_class(Idempotency::Idempotent);
@@ -142,11 +145,11 @@
     }
     assert!(
         new >= 8 * 5,
-        "{new} of 400 requests to ten new servers of seventy"
+        "{new} of 400 requests to 10 new servers of 70, expected 40 or more"
     );
 }
 
-/// Replaces a third of the servers by new ones.
+/// Replaces a third of the servers by newly started ones.
 fn restart_a_third(node: &mut Node) {
     let mut entries = ready_servers(0..180);
     for entry in &mut entries[120..] {
@@ -155,14 +158,14 @@
     node.set_servers(entries);
 }
 
-/// Warming servers must not be idle beside overloaded warm ones, although each node has contacted few of them;
-/// and all nodes together must not overload them.
+/// Warming servers must not be idle beside overloaded warm ones, although each node has contacted few of them.
+/// All nodes together must not overload them either.
 #[test]
-fn many_nodes_fill_warming_servers_to_their_share_and_no_further() {
+fn many_nodes_fill_warming_servers_up_to_their_share() {
     let mut sends = std::collections::BTreeMap::<usize, Vec<f64>>::new();
     let (mut warming, mut all) = (0.0, 0.0);
-    for me in 0..300 {
-        let mut node = node_of_large_cluster(me);
+    for node_index in 0..300 {
+        let mut node = node_of_large_cluster(node_index);
         serve_requests(&mut node, 0..120, [60.0; 3]);
         restart_a_third(&mut node);
         let (sent, _) = serve_requests(&mut node, 120..186, [60.0; 3]);
@@ -176,13 +179,13 @@
         }
         all += sent.len() as f64;
     }
-    // Over 4 s they have 0.35 to 0.67 of their capacity: a fifth of the whole.
+    // Over 4 s the warming third has 0.35 to 0.67 of its capacity, a fifth of the total.
     assert!(
         (0.14..0.24).contains(&(warming / all)),
-        "warming servers had {:.3} of the requests",
+        "warming servers got {:.3} of the requests, expected 0.14 to 0.24",
         warming / all
     );
-    // A warm server bears at least what it was sent before, and a warming one 0.35 of that or more.
+    // A warm server can carry at least its previous traffic, and a warming one 0.35 of that or more.
     let collapses_at = 3.0 * 0.35 * 300.0 * 1_500.0 / 61.0 / 180.0;
     let within = |times: &[f64], from: f64| {
         times
@@ -194,39 +197,39 @@
         .values()
         .flat_map(|times| times.iter().map(|from| within(times, *from)))
         .max();
-    let most = most.expect("some were sent");
+    let most = most.expect("warming servers were sent requests");
     assert!(
         (most as f64) < collapses_at,
-        "a warming server had {most} in 1.5 s, and collapses at {collapses_at:.0}"
+        "a warming server got {most} requests in 1.5 s, and collapses at {collapses_at:.0}"
     );
 }
 
-/// Queues must not grow before a node hears of them: while much of the capacity warms up, less is admitted.
-/// That ends once all are warm, also if no list arrives any more.
+/// Queues must not grow before a node gets reports of them, so less is admitted while much of the capacity is
+/// warming up. This ends when all servers are warm, also without a further list update.
 #[test]
 fn less_is_admitted_only_while_many_servers_warm_up() {
-    // Slower and slower answers, until every request is rejected.
+    // The answers become slower until every request is rejected.
     let rejected_with = |warming: bool, after: u64| {
-        let slower = (100..300).step_by(10).map(|took| {
-            let (mut node, took) = (node_of_large_cluster(7), [f64::from(took); 3]);
-            serve_requests(&mut node, 0..200, took);
+        let slower = (100..300).step_by(10).map(|latency_ms| {
+            let (mut node, latency_ms) = (node_of_large_cluster(7), [f64::from(latency_ms); 3]);
+            serve_requests(&mut node, 0..200, latency_ms);
             if warming {
                 restart_a_third(&mut node);
             }
-            serve_requests(&mut node, 200..200 + after, took);
-            serve_requests(&mut node, 500..560, took).1
+            serve_requests(&mut node, 200..200 + after, latency_ms);
+            serve_requests(&mut node, 500..560, latency_ms).1
         });
         slower.sum::<usize>()
     };
     let (warm, warming) = (rejected_with(false, 0), rejected_with(true, 0));
     assert!(
         warming > warm + 20,
-        "{warming} rejected beside warming servers, {warm} beside warm ones"
+        "{warming} requests rejected with warming servers, {warm} with warm ones"
     );
     let (warm, warmed) = (rejected_with(false, 200), rejected_with(true, 200));
     assert!(
         warmed <= warm + 20,
-        "{warmed} rejected after they warmed up, {warm} beside warm ones"
+        "{warmed} requests rejected after the servers warmed up, {warm} with servers that were always warm"
     );
 }
 
@@ -235,8 +238,9 @@
 
 const SERVERS: usize = 12;
 
-/// The most that any of four servers that start together is sent in 1.5 s by all nodes. The nodes have equal
-/// traffic, or the first of them three times as much; half of them are restarted a second later, or none.
+/// Largest number of requests that all nodes together send in 1.5 s to one of four servers that start at the same
+/// time. If `uneven`, the first node has three times the traffic of each other node; if `restarts`, half of the
+/// nodes are restarted 1 s later.
 fn max_sent_to_a_warming_server(nodes: usize, uneven: bool, restarts: bool, seed: u64) -> usize {
     let starts_at = 9_000.0;
     let listed = |now: f64| {
@@ -247,24 +251,31 @@
         }
         entries
     };
-    let start = |me: usize, now: f64, life: u64| {
+    let start = |node_index: usize, now: f64, incarnation: u64| {
         let mut settings = settings_with_one_class(Idempotency::Idempotent);
-        (settings.nodes, settings.node_index) = (nodes, me);
+        (settings.nodes, settings.node_index) = (nodes, node_index);
         (settings.slow_start_fraction, settings.slow_start_ms) = (0.35, 8_000.0);
         (settings.collapse_multiple, settings.collapse_after_ms) = (3.0, 1_500.0);
-        let mut node = Node::new(settings, seed << 32 | (me as u64) << 8 | life);
+        let mut node = Node::new(
+            settings,
+            seed << 32 | (node_index as u64) << 8 | incarnation,
+        );
         node.now = now;
         node.set_servers(listed(now));
         node
     };
     let mut sends = std::collections::BTreeMap::<usize, Vec<f64>>::new();
     let parts = nodes as f64 + if uneven { 2.0 } else { 0.0 };
-    for me in 0..nodes {
-        let part = if uneven && me == 0 { 3.0 } else { 1.0 } / parts;
+    for node_index in 0..nodes {
+        let part = if uneven && node_index == 0 { 3.0 } else { 1.0 } / parts;
         let mean_gap = 1e3 / (REQUESTS_PER_S * SERVERS as f64 * part);
-        let mut random = fastrand::Rng::with_seed(seed ^ (me as u64) << 16);
-        let (mut node, mut id, mut started, mut restarted) =
-            (start(me, 1_000.0, 0), 0, false, !restarts || me % 2 == 1);
+        let mut random = fastrand::Rng::with_seed(seed ^ (node_index as u64) << 16);
+        let (mut node, mut id, mut started, mut restarted) = (
+            start(node_index, 1_000.0, 0),
+            0,
+            false,
+            !restarts || node_index % 2 == 1,
+        );
         loop {
             let now = node.now - mean_gap * (1.0 - random.f64()).ln();
             if now > starts_at + 6_000.0 {
@@ -275,13 +286,13 @@
                 node.set_servers(listed(now));
             }
             if !restarted && now > starts_at + 1_000.0 {
-                (node, restarted) = (start(me, now, 1), true);
+                (node, restarted) = (start(node_index, now, 1), true);
             }
             id += 1;
             if let Some(server) = sent_server(&node.request(id, 0, 700.0)) {
                 sends.entry(server).or_default().push(now);
-                // The others report load and a server that has just started none: it attracts all nodes. Of the
-                // others not every answer has a report, so that their counts rise above the initial count.
+                // A server that has just started reports no load, unlike the others, and so attracts all nodes.
+                // Only some answers of the others have a report, so that their counts rise above the initial count.
                 let report = if server >= 1_000 {
                     Some(0.0)
                 } else {
@@ -292,7 +303,11 @@
         }
     }
     let mut warming: Vec<_> = sends.split_off(&1_000).into_values().collect();
-    assert_eq!(warming.len(), 4, "warming servers are used at all");
+    assert_eq!(
+        warming.len(),
+        4,
+        "all four warming servers must get requests"
+    );
     for times in &mut warming {
         times.sort_by(f64::total_cmp);
     }
@@ -306,25 +321,28 @@
         .iter()
         .flat_map(|times| times.iter().map(|from| within(times, *from)))
         .max()
-        .expect("some were sent")
+        .expect("warming servers were sent requests")
 }
 
-/// A warming server bears what all nodes together send, few or many, with uneven traffic, and when nodes are
-/// restarted and forget what they sent: of a budget of N, only 2 root N + 2 more is chance.
+/// All nodes together must not overload a warming server, whether they are few or many, with even or uneven
+/// traffic, and when restarted nodes lose the record of their sends. With a budget of N requests, up to
+/// 2 sqrt(N) + 2 more are within random variation.
 #[test]
-fn warming_servers_bear_the_sum_of_few_nodes_and_of_many() {
+fn warming_servers_are_not_overloaded_by_few_or_many_nodes() {
     let budget = 3.0 * 0.35 * REQUESTS_PER_S * 1.5;
-    let bears = budget + 2.0 * budget.sqrt() + 2.0;
+    let max_allowed = budget + 2.0 * budget.sqrt() + 2.0;
     for nodes in [2, 5, 20, 30, 300] {
         for (uneven, restarts) in [(false, false), (true, false), (false, true), (true, true)] {
             let most = (0..3)
                 .map(|seed| max_sent_to_a_warming_server(nodes, uneven, restarts, seed))
                 .max()
-                .expect("three");
-            println!("{nodes} nodes, uneven {uneven}, restarts {restarts}: {most} of {bears:.0}");
+                .expect("there are three seeds");
+            println!(
+                "{nodes} nodes, uneven {uneven}, restarts {restarts}: {most} of {max_allowed:.0}"
+            );
             assert!(
-                most as f64 <= bears,
-                "{nodes} nodes, uneven: {uneven}, restarts: {restarts}: {most} > {bears:.0}"
+                most as f64 <= max_allowed,
+                "{nodes} nodes, uneven: {uneven}, restarts: {restarts}: {most} requests > {max_allowed:.0}"
             );
         }
     }
