--- a/crates/balancer/src/admission.rs
+++ b/crates/balancer/src/admission.rs
@@ -100,13 +100,13 @@
             let own_ms = self.normalized_objective_ms(request.class);
             return own_ms.min(remaining_ms) * self.usable_capacity() * OBJECTIVE_FRACTION;
         }
-        self.nearest_objective_ms(request.class, remaining_ms) * fraction
+        self.shortest_objective_ms(request.class, remaining_ms) * fraction
     }
 
     /// The shortest normalized objective among the class itself and classes of higher value density,
     /// at most `remaining_ms`. A class of low value with a long objective must not fill the queues in
     /// which classes of higher value would be late.
-    fn nearest_objective_ms(&self, class: usize, remaining_ms: f64) -> f64 {
+    fn shortest_objective_ms(&self, class: usize, remaining_ms: f64) -> f64 {
         let own = self.value_density(class);
         (0..self.latency.by_class.len())
             .filter(|other| *other == class || self.value_density(*other) > own)
--- a/crates/balancer/src/event.rs
+++ b/crates/balancer/src/event.rs
@@ -52,7 +52,7 @@
 /// How an attempt ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AttemptResult {
-    /// Served.
+    /// A successful response.
     Served,
     /// An error response; the request may have run.
     Error,
--- a/crates/balancer/src/latency.rs
+++ b/crates/balancer/src/latency.rs
@@ -132,8 +132,8 @@
         let class_multiple = class.mean;
         // A multiple of a mean of few answers may be far too large. It would persist until later
         // answers outweigh it, and all requests would be rejected in the meantime.
-        let known = self.all.weight(now_ms, shared_half_life_ms) >= CONFIDENT_SAMPLES;
-        if sample.expected_ms > 0.0 && known {
+        let has_confident_mean = self.all.weight(now_ms, shared_half_life_ms) >= CONFIDENT_SAMPLES;
+        if sample.expected_ms > 0.0 && has_confident_mean {
             class.add(elapsed_ms / sample.expected_ms, SHARED_GAIN);
         }
         let measured = LatencyAtDepth {
--- a/crates/balancer/src/queue.rs
+++ b/crates/balancer/src/queue.rs
@@ -43,7 +43,7 @@
 impl KeyQueues {
     /// Removes keys that have no requests and whose cooldown has ended.
     fn remove_unused(&mut self, now_ms: f64) {
-        let ended = |period: &Cooldown| period.until_ms <= now_ms;
+        let ended = |cooldown: &Cooldown| cooldown.until_ms <= now_ms;
         while self.cooldowns.front().is_some_and(ended) {
             let Some(Cooldown { key, .. }) = self.cooldowns.pop_front() else {
                 return;
--- a/crates/balancer/src/request.rs
+++ b/crates/balancer/src/request.rs
@@ -197,8 +197,8 @@
         let server = request.attempts[index].server;
         self.apply_report(server, outcome.report);
         self.record_result(&request, &request.attempts[index], outcome);
-        let removable = self.servers.get(&server);
-        if removable.is_some_and(Server::is_removable) {
+        let record = self.servers.get(&server);
+        if record.is_some_and(Server::is_removable) {
             self.servers.remove(&server);
         }
         if request.first_run == Some(index) && !outcome.result.may_have_run() {
--- a/crates/balancer/src/sampling.rs
+++ b/crates/balancer/src/sampling.rs
@@ -109,8 +109,8 @@
         }
     }
 
-    /// Adds warming servers that are not contacted. Contacted ones are already in the sample, or there
-    /// are enough others of them.
+    /// Adds warming servers that are not contacted. Contacted ones are already in the sample, unless it
+    /// is full of other contacted servers.
     fn sample_warming(&mut self, sample: &mut Vec<ServerId>, served: f64) {
         let multiple = MAX_RELATIVE_CAPACITY * self.slow_start_multiple();
         let budget = multiple * served / self.ring.len() as f64;
@@ -127,7 +127,7 @@
     }
 
     /// Adds the next uncontacted servers of the ring that have not failed, and random ones from the
-    /// whole ring if there are too few. A node whose part of the ring is unreachable finds others so.
+    /// whole ring if there are too few. This way a node whose part of the ring is unreachable finds others.
     fn sample_ring(&mut self, sample: &mut Vec<ServerId>) {
         let before = sample.len();
         let nearest = self.ring.iter().take(MAX_FULL_SCAN).copied();
--- a/crates/balancer/src/selection.rs
+++ b/crates/balancer/src/selection.rs
@@ -259,7 +259,7 @@
             // Nodes that prefer their own zones interfere less with each other.
             prefer(&mut candidates, |c| c.same_zone);
         } else if !self.health_checks.enabled {
-            self.narrow_by_stale_reports(&mut candidates);
+            self.narrow_for_stale_reports(&mut candidates);
         }
         let lowest_rank = lowest(&candidates, |c| c.rank);
         candidates.retain(|c| c.rank <= lowest_rank);
@@ -293,7 +293,7 @@
     }
 
     /// Narrows the candidates on a node that gets reports of each server too rarely to compare all.
-    fn narrow_by_stale_reports(&mut self, candidates: &mut Vec<Candidate>) {
+    fn narrow_for_stale_reports(&mut self, candidates: &mut Vec<Candidate>) {
         // Such a node keeps to the servers that it has contacted and to those just started, as reports
         // of further servers would be too rare.
         prefer(candidates, |c| c.contacted);
@@ -351,13 +351,13 @@
     }
 
     fn priors(&mut self) -> Priors {
-        let unknown = LatencyAtDepth {
+        let initial = LatencyAtDepth {
             latency_ms: self.objective_ms / INITIAL_LATENCY_DIVISOR,
             depth: 1.0,
         };
         let now_ms = self.now_ms;
         let shared_half_life_ms = HALF_LIFE_OBJECTIVES * self.objective_ms;
-        let all = self.latency.all.blend(now_ms, shared_half_life_ms, unknown);
+        let all = self.latency.all.blend(now_ms, shared_half_life_ms, initial);
         let mut by_kind = std::mem::take(&mut self.scratch.by_kind);
         by_kind.clear();
         if !self.health_checks.enabled {
--- a/crates/balancer/src/slow_start.rs
+++ b/crates/balancer/src/slow_start.rs
@@ -5,8 +5,8 @@
 use crate::server::Server;
 use crate::settings::Settings;
 
-/// Fraction of the load at which a warming server collapses that it is sent. The margin allows for
-/// estimated capacities and bursty arrivals.
+/// Fraction of a warming server's collapse load that may be sent to it. The margin allows for estimated
+/// capacities and bursty arrivals.
 const BUDGET_FRACTION: f64 = 0.5;
 /// Number of times that the warm capacity is recomputed while a server warms up.
 const REFRESHES_PER_WARM_UP: f64 = 8.0;
@@ -15,7 +15,8 @@
 #[derive(Default)]
 pub(crate) struct WarmCapacity {
     pub fraction: f64,
-    /// Time of the next change without a list update, in milliseconds; infinite if no server warms up.
+    /// Time at which to recompute it without a list update, in milliseconds; infinite if no server warms
+    /// up.
     refresh_at_ms: f64,
 }
 
@@ -29,8 +30,8 @@
 
 impl Balancer {
     /// Multiple of its share of this node's requests that a warming server may be sent. Where reports
-    /// are stale it is filled before others instead of being compared with them, so its budget alone
-    /// keeps it only as busy as they are.
+    /// are stale it is filled before others instead of being compared with them, so only its budget
+    /// makes it as busy as they are and no busier.
     #[inline]
     pub(crate) fn slow_start_multiple(&self) -> f64 {
         let multiple = BUDGET_FRACTION * self.settings.collapse_multiple;
--- a/crates/balancer/tests/admission.rs
+++ b/crates/balancer/tests/admission.rs
@@ -88,7 +88,7 @@
     // 20 s are 50 objectives, in which 16 nodes together may try each server about 100 times.
     assert!(
         (10..=10 * 2 * 50 / 16 * 3 / 2).contains(&trials),
-        "{trials} trials"
+        "{trials} trials of 10 servers in 20 s"
     );
 }
 
--- a/crates/balancer/tests/outlier.rs
+++ b/crates/balancer/tests/outlier.rs
@@ -10,13 +10,13 @@
 fn server_that_fails_quickly_is_ejected_until_it_serves() {
     let mut node = Node::new(settings_with_one_class(Idempotency::Idempotent), 1);
     node.set_servers(ready_servers(0..4));
-    let run = |node: &mut Node, from: u64, bad: bool| {
+    let run = |node: &mut Node, from: u64, failing: bool| {
         let mut sent = 0;
         for id in from..from + 400 {
             let server = node.dispatch(id);
             node.now += 10.0;
             sent += usize::from(server == 0);
-            if bad && server == 0 {
+            if failing && server == 0 {
                 let retried =
                     node.end_attempt_with_report(id, 0, 2.0, AttemptResult::Error, Some(0.0));
                 let attempt = usize::from(sent_server(&retried).is_some());
@@ -143,10 +143,10 @@
 /// ejects the server.
 #[test]
 fn only_repeated_connection_resets_eject() {
-    for (breaks, stays) in [(1, true), (2, false)] {
+    for (resets, stays_in_use) in [(1, true), (2, false)] {
         let mut node = Node::new(settings_with_one_class(Idempotency::Idempotent), 1);
         node.set_servers(ready_servers(0..2));
-        for id in 0..breaks {
+        for id in 0..resets {
             // The second server is unlisted while the request is sent, so that it goes to the first.
             node.set_servers(ready_servers(0..1));
             node.dispatch(id);
@@ -156,8 +156,8 @@
         node.now += 10.0;
         let contacted = (10..40).any(|id| node.dispatch(id) == 0);
         assert_eq!(
-            contacted, stays,
-            "whether the server is used after {breaks} resets"
+            contacted, stays_in_use,
+            "whether the server is used after {resets} resets"
         );
     }
 }
--- a/crates/balancer/tests/queue.rs
+++ b/crates/balancer/tests/queue.rs
@@ -39,7 +39,7 @@
                 ..
             }]
         ),
-        "{next:?}"
+        "the next request of the key must be sent: {next:?}"
     );
 }
 
@@ -58,7 +58,7 @@
                 ..
             }
         )),
-        "{retried:?}"
+        "the first request must be retried: {retried:?}"
     );
     let gone = node.feed(Event::ClientGone(RequestId(1)));
     assert!(
--- a/crates/balancer/tests/retry.rs
+++ b/crates/balancer/tests/retry.rs
@@ -22,9 +22,20 @@
         node.dispatch(1);
         node.now += 5.0;
         let actions = node.end_attempt(1, 0, 5.0, result);
-        assert_eq!(sent_server(&actions).is_some(), is_retried, "{result:?}");
-        assert_eq!(is_failed(&actions), !is_retried, "{result:?}");
-        assert!(!is_rejected(&actions), "{result:?}");
+        assert_eq!(
+            sent_server(&actions).is_some(),
+            is_retried,
+            "after an attempt with the result {result:?}"
+        );
+        assert_eq!(
+            is_failed(&actions),
+            !is_retried,
+            "after an attempt with the result {result:?}"
+        );
+        assert!(
+            !is_rejected(&actions),
+            "after an attempt with the result {result:?}"
+        );
     }
 }
 
@@ -52,9 +63,12 @@
             match sent_server(&actions) {
                 Some(server) => assert!(
                     is_retried && server / 2 == first / 2,
-                    "{wait} ms: {first} then {server}"
+                    "retried on server {server} {wait} ms after the attempt on server {first}"
+                ),
+                None => assert!(
+                    !is_retried && is_failed(&actions),
+                    "not retried after {wait} ms: {actions:?}"
                 ),
-                None => assert!(!is_retried && is_failed(&actions), "{wait} ms"),
             }
         }
     }
--- a/crates/balancer/tests/selection.rs
+++ b/crates/balancer/tests/selection.rs
@@ -112,15 +112,15 @@
     let mut node = warmed_up_node(2, settings_with_long_objective());
     establish_report_interval(&mut node);
     // One answer of each server with the same report: the counts are equal and nothing is in flight.
-    let mut out = [None; 2];
+    let mut unanswered = [None; 2];
     for id in 1..100 {
-        match &mut out[node.dispatch(id)] {
+        match &mut unanswered[node.dispatch(id)] {
             first @ None => *first = Some(id),
             Some(_) => drop(node.end_attempt(id, 0, 80.0, AttemptResult::Served)),
         }
     }
     node.now += 10_000.0;
-    for id in out {
+    for id in unanswered {
         node.end_attempt_with_report(
             id.expect("both servers were sent a request"),
             0,
@@ -148,13 +148,13 @@
 fn report_repeated_late_is_fresh() {
     let mut node = warmed_up_node(2, settings_with_long_objective());
     establish_report_interval(&mut node);
-    let mut out = [Vec::new(), Vec::new()];
+    let mut unanswered = [Vec::new(), Vec::new()];
     for id in 1..13 {
-        out[node.dispatch(id)].push(id);
+        unanswered[node.dispatch(id)].push(id);
     }
     node.now += 10_000.0;
     // Each answer takes 40 ms per request in flight at its server, so that the capacities stay equal.
-    for (ids, reading) in out.iter().zip([0.0, 6.0]) {
+    for (ids, reading) in unanswered.iter().zip([0.0, 6.0]) {
         for (id, in_flight) in ids.iter().zip(1..) {
             let report = (in_flight == ids.len()).then_some(reading);
             node.end_attempt_with_report(
@@ -195,8 +195,8 @@
     node.end_attempt_with_report(0, 0, 40.0, AttemptResult::Served, Some(1.0));
     node.end_attempt_with_report(1, 0, 40.0, AttemptResult::Served, Some(9.0));
     node.set_servers(ready_servers(0..3));
-    // The counts are 1 and 9, and the new server starts at their mean of 5. The server with 1 gets four
-    // requests first, as it answers each at once.
+    // The counts are 1 and 9, and the new server starts at their mean of 5. The server with 1 gets the
+    // next four requests, as none of them backs up.
     for id in 100..104 {
         assert_eq!(
             node.dispatch(id),
--- a/crates/balancer/tests/server_list.rs
+++ b/crates/balancer/tests/server_list.rs
@@ -32,7 +32,7 @@
         0..2,
     ))));
     assert_eq!(actions, [Action::Subscribe]);
-    let mut waits = Vec::new();
+    let mut delays_ms = Vec::new();
     for call in 0..8 {
         let actions = node.feed(Event::ServerList(ServerListUpdate::Failed));
         let log_lines = actions
@@ -52,7 +52,7 @@
                 .is_empty(),
             "a failure must not set a second timer"
         );
-        waits.push(after_ms);
+        delays_ms.push(after_ms);
         node.now += after_ms;
         assert_eq!(node.feed(Event::Timer(timer)), [Action::Subscribe]);
         assert!(
@@ -61,8 +61,8 @@
         );
     }
     assert!(
-        waits[0] < waits[4] && waits.iter().all(|w| *w <= MAX_RESUBSCRIBE_DELAY_MS),
-        "the delays must grow up to {MAX_RESUBSCRIBE_DELAY_MS} ms: {waits:?}"
+        delays_ms[0] < delays_ms[4] && delays_ms.iter().all(|w| *w <= MAX_RESUBSCRIBE_DELAY_MS),
+        "the delays must grow up to {MAX_RESUBSCRIBE_DELAY_MS} ms: {delays_ms:?}"
     );
     let list = || Event::ServerList(ServerListUpdate::Full(ready_servers(0..2)));
     let logged = node.feed(list());
@@ -113,7 +113,7 @@
 fn resubscriptions_of_many_nodes_are_spread_over_time() {
     const NODES: usize = 300;
     const WITHIN_MS: f64 = 100.0;
-    let wait = |node: &mut Node| {
+    let resubscribe = |node: &mut Node| {
         let actions = node.feed(Event::ServerList(ServerListUpdate::Failed));
         let timer = actions.iter().find_map(|action| match action {
             Action::SetTimer { timer, after_ms } => Some((*timer, *after_ms)),
@@ -124,31 +124,31 @@
         assert!(node.feed(Event::Timer(timer)).contains(&Action::Subscribe));
         after_ms
     };
-    let mut waits = vec![Vec::new(); 8];
+    let mut delays_ms = vec![Vec::new(); 8];
     for seed in 0..NODES {
         let mut settings = settings_with_one_class(Idempotency::Idempotent);
         (settings.discovery, settings.max_poll_interval_ms) = (DiscoveryMode::Subscribe, 10_000.0);
         (settings.nodes, settings.node_index) = (NODES, seed);
         let mut node = Node::new(settings, seed as u64);
         node.set_servers(ready_servers(0..4));
-        for waits in &mut waits {
-            waits.push(wait(&mut node));
+        for delays_ms in &mut delays_ms {
+            delays_ms.push(resubscribe(&mut node));
         }
     }
-    for (call, waits) in waits.iter_mut().enumerate() {
-        waits.sort_by(f64::total_cmp);
-        let (shortest, longest) = (waits[0], waits[NODES - 1]);
+    for (call, delays_ms) in delays_ms.iter_mut().enumerate() {
+        delays_ms.sort_by(f64::total_cmp);
+        let (shortest, longest) = (delays_ms[0], delays_ms[NODES - 1]);
         assert!(
             longest <= MAX_RESUBSCRIBE_DELAY_MS && longest >= 1.8 * shortest,
             "delays of poll {call}: {shortest} to {longest} ms"
         );
         let count_from = |from: f64| {
-            waits
+            delays_ms
                 .iter()
                 .filter(|at| (from..from + WITHIN_MS).contains(*at))
                 .count()
         };
-        let max_concurrent = waits
+        let max_concurrent = delays_ms
             .iter()
             .map(|from| count_from(*from))
             .max()
--- a/crates/balancer/tests/slow_start.rs
+++ b/crates/balancer/tests/slow_start.rs
@@ -150,7 +150,7 @@
 }
 
 /// Replaces a third of the servers by newly started ones.
-fn restart_a_third(node: &mut Node) {
+fn replace_a_third(node: &mut Node) {
     let mut entries = ready_servers(0..180);
     for entry in &mut entries[120..] {
         (entry.server, entry.started_at_ms) = (ServerId(entry.server.0 + 1_000), Some(node.now));
@@ -167,7 +167,7 @@
     for node_index in 0..300 {
         let mut node = node_of_large_cluster(node_index);
         serve_requests(&mut node, 0..120, [60.0; 3]);
-        restart_a_third(&mut node);
+        replace_a_third(&mut node);
         let (sent, _) = serve_requests(&mut node, 120..186, [60.0; 3]);
         for (nth, server) in sent
             .iter()
@@ -214,7 +214,7 @@
             let (mut node, latency_ms) = (node_of_large_cluster(7), [f64::from(latency_ms); 3]);
             serve_requests(&mut node, 0..200, latency_ms);
             if warming {
-                restart_a_third(&mut node);
+                replace_a_third(&mut node);
             }
             serve_requests(&mut node, 200..200 + after, latency_ms);
             serve_requests(&mut node, 500..560, latency_ms).1
