--- a/crates/balancer/tests/server_list.rs
+++ b/crates/balancer/tests/server_list.rs
@@ -1,4 +1,4 @@
-//! Following the server list: updates, subscriptions, and what is forgotten.
+//! Keeping the server list up to date: updates, subscriptions, and removal of records.
 
 mod common;
 use common::*;
@@ -7,8 +7,8 @@
 
 #[test]
 fn draining_and_removed_servers_get_no_new_requests() {
-    let mut node = Node::new(one_class(Idempotency::Idempotent), 1);
-    node.servers(ready_servers(0..3));
+    let mut node = Node::new(settings_with_one_class(Idempotency::Idempotent), 1);
+    node.set_servers(ready_servers(0..3));
     let mut entry = ServerEntry::new(ServerId(0), Availability::Draining);
     node.feed(Event::ServerList(ServerListUpdate::Changes(vec![
         entry.clone()
@@ -16,15 +16,15 @@
     entry.server = ServerId(1);
     entry.availability = Availability::Gone;
     node.feed(Event::ServerList(ServerListUpdate::Changes(vec![entry])));
-    assert!((0..20).all(|id| node.sent_to(id) == 2));
-    // A complete list without it removes the last one, too.
-    node.servers(ready_servers(3..4));
-    assert!((20..40).all(|id| node.sent_to(id) == 3));
+    assert!((0..20).all(|id| node.dispatch(id) == 2));
+    // A complete list without the last server removes it, too.
+    node.set_servers(ready_servers(3..4));
+    assert!((20..40).all(|id| node.dispatch(id) == 3));
 }
 
 #[test]
 fn subscription_is_renewed_with_backoff_after_failures() {
-    let mut settings = one_class(Idempotency::Idempotent);
+    let mut settings = settings_with_one_class(Idempotency::Idempotent);
     settings.discovery = DiscoveryMode::Subscribe;
     settings.max_poll_interval_ms = 10_000.0;
     let mut node = Node::new(settings, 1);
@@ -32,51 +32,55 @@
         0..2,
     ))));
     assert_eq!(actions, [Action::Subscribe]);
-    let mut waits = Vec::new();
+    let mut delays_ms = Vec::new();
     for call in 0..8 {
         let actions = node.feed(Event::ServerList(ServerListUpdate::Failed));
-        let notes = actions
+        let log_lines = actions
             .iter()
             .filter(|a| matches!(a, Action::Log(_)))
             .count();
         assert_eq!(
-            notes,
+            log_lines,
             usize::from(call == 0),
-            "the failure is logged once: {actions:?}"
+            "only the first failure must be logged: {actions:?}"
         );
         let [.., Action::SetTimer { timer, after_ms }] = actions[..] else {
-            panic!("{actions:?}")
+            panic!("a failure must set a timer: {actions:?}")
         };
         assert!(
             node.feed(Event::ServerList(ServerListUpdate::Failed))
                 .is_empty(),
-            "one poll at a time"
+            "a failure must not set a second timer"
         );
-        waits.push(after_ms);
+        delays_ms.push(after_ms);
         node.now += after_ms;
         assert_eq!(node.feed(Event::Timer(timer)), [Action::Subscribe]);
         assert!(
             node.feed(Event::Timer(timer)).is_empty(),
-            "a timer is used once"
+            "a timer must not have an effect twice"
         );
     }
     assert!(
-        waits[0] < waits[4] && waits.iter().all(|w| *w <= MAX_RESUBSCRIBE_DELAY_MS),
-        "{waits:?}"
+        delays_ms[0] < delays_ms[4] && delays_ms.iter().all(|w| *w <= MAX_RESUBSCRIBE_DELAY_MS),
+        "the delays must grow up to {MAX_RESUBSCRIBE_DELAY_MS} ms: {delays_ms:?}"
     );
     let list = || Event::ServerList(ServerListUpdate::Full(ready_servers(0..2)));
-    let noted = node.feed(list());
+    let logged = node.feed(list());
     assert!(
-        matches!(noted[..], [Action::Log(_)]),
-        "and so is its end: {noted:?}"
+        matches!(logged[..], [Action::Log(_)]),
+        "the end of the failure must be logged: {logged:?}"
+    );
+    assert!(
+        node.feed(list()).is_empty(),
+        "the end of the failure must be logged once"
     );
-    assert!(node.feed(list()).is_empty(), "once");
 }
 
-/// Memory is bounded by the servers that there are; one with an attempt in flight is kept until that ends.
+/// Memory is bounded by the number of current servers; a removed one with an attempt in flight is kept until
+/// the attempt ends.
 #[test]
-fn removed_server_is_forgotten_once_nothing_is_in_flight() {
-    let mut node = Node::new(one_class(Idempotency::Idempotent), 1);
+fn record_of_removed_server_is_dropped_after_its_last_attempt() {
+    let mut node = Node::new(settings_with_one_class(Idempotency::Idempotent), 1);
     for n in 0..100 {
         node.now += 10.0;
         let entry = |availability| vec![ServerEntry::new(ServerId(n), availability)];
@@ -84,70 +88,76 @@
             Availability::Ready,
         ))));
         let id = n as u64;
-        assert_eq!(node.sent_to(id), n);
+        assert_eq!(node.dispatch(id), n);
         node.feed(Event::ServerList(ServerListUpdate::Changes(entry(
             Availability::Gone,
         ))));
         assert_eq!(
             node.balancer.servers_known(),
             1,
-            "its result is outstanding"
+            "the record must be kept while a result is outstanding"
         );
-        assert!(!is_rejected(&node.end(id, 0, 5.0, AttemptResult::Served)));
+        assert!(!is_rejected(&node.end_attempt(
+            id,
+            0,
+            5.0,
+            AttemptResult::Served
+        )));
         assert_eq!(node.balancer.servers_known(), 0);
     }
 }
 
-/// All nodes notice a failure of discovery at the same instant, and each poll's failure as soon as it is made.
-/// The polls of 300 nodes spread over the backoff each time, and none waits longer than is allowed.
+/// All nodes detect an outage of discovery at the same instant, and each failed poll at once. The polls of 300
+/// nodes must be spread over the backoff each time, and no delay may exceed the maximum.
 #[test]
 fn resubscriptions_of_many_nodes_are_spread_over_time() {
     const NODES: usize = 300;
     const WITHIN_MS: f64 = 100.0;
-    let wait = |node: &mut Node| {
+    let resubscribe = |node: &mut Node| {
         let actions = node.feed(Event::ServerList(ServerListUpdate::Failed));
         let timer = actions.iter().find_map(|action| match action {
             Action::SetTimer { timer, after_ms } => Some((*timer, *after_ms)),
             _ => None,
         });
-        let (timer, after_ms) = timer.expect("it polls again");
+        let (timer, after_ms) = timer.expect("a failure sets a timer");
         node.now += after_ms;
         assert!(node.feed(Event::Timer(timer)).contains(&Action::Subscribe));
         after_ms
     };
-    let mut waits = vec![Vec::new(); 8];
+    let mut delays_ms = vec![Vec::new(); 8];
     for seed in 0..NODES {
-        let mut settings = one_class(Idempotency::Idempotent);
+        let mut settings = settings_with_one_class(Idempotency::Idempotent);
         (settings.discovery, settings.max_poll_interval_ms) = (DiscoveryMode::Subscribe, 10_000.0);
         (settings.nodes, settings.node_index) = (NODES, seed);
         let mut node = Node::new(settings, seed as u64);
-        node.servers(ready_servers(0..4));
-        for waits in &mut waits {
-            waits.push(wait(&mut node));
+        node.set_servers(ready_servers(0..4));
+        for delays_ms in &mut delays_ms {
+            delays_ms.push(resubscribe(&mut node));
         }
     }
-    for (call, waits) in waits.iter_mut().enumerate() {
-        waits.sort_by(f64::total_cmp);
-        let (least, most) = (waits[0], waits[NODES - 1]);
+    for (call, delays_ms) in delays_ms.iter_mut().enumerate() {
+        delays_ms.sort_by(f64::total_cmp);
+        let (shortest, longest) = (delays_ms[0], delays_ms[NODES - 1]);
         assert!(
-            most <= MAX_RESUBSCRIBE_DELAY_MS && most >= 1.8 * least,
-            "{call}: {least} to {most}"
+            longest <= MAX_RESUBSCRIBE_DELAY_MS && longest >= 1.8 * shortest,
+            "delays of poll {call}: {shortest} to {longest} ms"
         );
-        let together = |from: f64| {
-            waits
+        let count_from = |from: f64| {
+            delays_ms
                 .iter()
                 .filter(|at| (from..from + WITHIN_MS).contains(*at))
                 .count()
         };
-        let crowd = waits
+        let max_concurrent = delays_ms
             .iter()
-            .map(|from| together(*from))
+            .map(|from| count_from(*from))
             .max()
-            .expect("some");
-        // The first polls come soon, as most subscriptions break alone; from the fifth on, a quarter is the most.
+            .expect("there are delays");
+        // The first polls follow soon, as most subscriptions break alone. From the fifth on, at most a quarter of
+        // the nodes may poll at the same time.
         assert!(
-            call < 4 || crowd * 4 <= NODES,
-            "{call}: {crowd} in {WITHIN_MS} ms"
+            call < 4 || max_concurrent * 4 <= NODES,
+            "poll {call}: {max_concurrent} of {NODES} nodes poll within {WITHIN_MS} ms"
         );
     }
 }
