--- a/crates/outlier-detection/src/detector.rs
+++ b/crates/outlier-detection/src/detector.rs
@@ -403,7 +403,7 @@
     fn outlier_weight(&self) -> f64 {
         (OUTLIER_WEIGHT_OF_ALL_NODES / self.cluster_size as f64)
             .max(MIN_OUTLIER_WEIGHT)
-            .min(self.settings.outlier_weight)
+            .min(self.settings.max_outlier_weight)
     }
 }
 
--- a/crates/outlier-detection/src/settings.rs
+++ b/crates/outlier-detection/src/settings.rs
@@ -16,7 +16,7 @@
     /// The fraction of all reported attempts at a server that has to have failed. `share` in the operators' file.
     pub min_failed_fraction: f64,
     /// The highest weight of an outlier; with many nodes it is lower. `floor` in the operators' file.
-    pub outlier_weight: f64,
+    pub max_outlier_weight: f64,
     /// The highest fraction of servers that may be outliers; a node that finds more of them failing is not believed.
     /// `panic_share` in the operators' file.
     pub max_outlier_fraction: f64,
@@ -29,7 +29,7 @@
             half_life_ms: 10_000.0,
             min_reporters: 3,
             min_failed_fraction: 0.5,
-            outlier_weight: 0.05,
+            max_outlier_weight: 0.05,
             max_outlier_fraction: 0.3,
         }
     }
@@ -69,14 +69,14 @@
             half_life_ms,
             min_reporters,
             min_failed_fraction,
-            outlier_weight,
+            max_outlier_weight,
             max_outlier_fraction,
         } = self;
         require((100.0..=60_000.0).contains(interval_ms), "turn_ms")?;
         require((1_000.0..=600_000.0).contains(half_life_ms), "half_life_ms")?;
         require((2..=16).contains(min_reporters), "reporters")?;
         require((0.1..=1.0).contains(min_failed_fraction), "share")?;
-        require((0.0001..=0.5).contains(outlier_weight), "floor")?;
+        require((0.0001..=0.5).contains(max_outlier_weight), "floor")?;
         require((0.0..=0.5).contains(max_outlier_fraction), "panic_share")
     }
 }
--- a/src/node/admin/config_file/validation.rs
+++ b/src/node/admin/config_file/validation.rs
@@ -298,7 +298,7 @@
             half_life_ms: raw.half_life_ms.unwrap_or(default.half_life_ms),
             min_reporters: raw.reporters.unwrap_or(default.min_reporters),
             min_failed_fraction: raw.share.unwrap_or(default.min_failed_fraction),
-            outlier_weight: raw.floor.unwrap_or(default.outlier_weight),
+            max_outlier_weight: raw.floor.unwrap_or(default.max_outlier_weight),
             max_outlier_fraction: raw.panic_share.unwrap_or(default.max_outlier_fraction),
         };
         match settings.check() {
--- a/src/node/cluster/outlier_detection.rs
+++ b/src/node/cluster/outlier_detection.rs
@@ -30,7 +30,7 @@
     list_number: Cell<Option<u64>>,
     server_ids: RefCell<HashMap<ServerKey, ServerId>>,
     /// The highest weight of an outlier.
-    outlier_weight: f64,
+    max_outlier_weight: f64,
 }
 
 /// What the end of an attempt says about the server.
@@ -77,7 +77,7 @@
             timer: Timer::new(),
             list_number: Cell::new(None),
             server_ids: RefCell::default(),
-            outlier_weight: settings.outlier_weight,
+            max_outlier_weight: settings.max_outlier_weight,
         })
     }
 
@@ -126,7 +126,7 @@
             log::line(format_args!(
                 "outlier detection: {name} has recovered and gets its whole share again"
             ));
-        } else if weight <= self.outlier_weight {
+        } else if weight <= self.max_outlier_weight {
             log::line(format_args!(
                 "outlier detection: {name} is an outlier by the reports of several nodes; its traffic is reduced"
             ));
