--- a/crates/measure/src/bin/allocations.rs
+++ b/crates/measure/src/bin/allocations.rs
@@ -64,7 +64,7 @@
             .expect("somebody waits");
         let (_phase, phases) = watch::channel(Phase::Serving);
         tokio::select! {
-            () = server::serve(listener, Rc::clone(&driver), ServerOptions::own(phases, 100)) => {}
+            () = server::serve(listener, Rc::clone(&driver), ServerOptions::for_unshared_listener(phases, 100)) => {}
             _ = ended => {}
         }
     });
--- a/src/node/downstream/body_stream.rs
+++ b/src/node/downstream/body_stream.rs
@@ -28,8 +28,8 @@
 pub enum StreamError {
     /// The connection that it was read from failed.
     Connection(ConnectionError),
-    /// The client that it was streamed to has left, or reads too slowly.
-    ClientLeft,
+    /// The receiver that it was streamed to was dropped, or reads below the minimum transfer rate.
+    ReceiverGone,
 }
 
 /// A body ended before it was complete. The peer that it is written to must be able to tell.
@@ -139,7 +139,7 @@
     ///
     /// # Errors
     ///
-    /// [`StreamError::ClientLeft`] if the receiver is gone, or below the minimum transfer rate: a peer that reads a byte now
+    /// [`StreamError::ReceiverGone`] if the receiver was dropped, or reads below the minimum transfer rate: a peer that reads a byte now
     /// and then would hold the other's connection for as long as it likes.
     pub async fn send(&mut self, chunk: Bytes) -> Result<(), StreamError> {
         if chunk.is_empty() {
@@ -155,7 +155,7 @@
         self.deadline.record_bytes(bytes);
         sent.ok()
             .and_then(Result::ok)
-            .ok_or(StreamError::ClientLeft)
+            .ok_or(StreamError::ReceiverGone)
     }
 
     fn now_ms(&self) -> f64 {
--- a/src/node/downstream/body_stream/tests.rs
+++ b/src/node/downstream/body_stream/tests.rs
@@ -93,7 +93,7 @@
     assert_eq!(stream_end.get(), Some(StreamEnd::ClientLeft));
     assert_eq!(
         sender.send(Bytes::from_static(b"ef")).await,
-        Err(StreamError::ClientLeft)
+        Err(StreamError::ReceiverGone)
     );
 }
 
--- a/src/node/downstream/server.rs
+++ b/src/node/downstream/server.rs
@@ -37,7 +37,7 @@
     /// The drain that operators control.
     pub drain: Rc<Cell<Drain>>,
     /// Whether the platform owns the listening socket, and another process of this node may listen on it, too.
-    pub is_shared: bool,
+    pub is_listener_shared: bool,
     /// Limit on open connections.
     pub max_connections: usize,
     /// Limit on the bytes of long request bodies that are buffered at a time, over all connections.
@@ -47,12 +47,12 @@
 impl ServerOptions {
     /// Options for a listening socket that only this process uses, without a drain.
     #[must_use]
-    pub fn own(phases: watch::Receiver<Phase>, max_connections: usize) -> Self {
+    pub fn for_unshared_listener(phases: watch::Receiver<Phase>, max_connections: usize) -> Self {
         let max_buffered_upload_bytes = Limits::default().buffered_upload_bytes();
         Self {
             phases,
             drain: Rc::default(),
-            is_shared: false,
+            is_listener_shared: false,
             max_connections,
             max_buffered_upload_bytes,
         }
@@ -109,7 +109,9 @@
             .connection_policy(self.driver.now_ms());
         let shutdown_policy = match self.phase() {
             Phase::ShuttingDown(_) => ConnectionPolicy::CloseIdle,
-            Phase::Draining(_) if self.options.is_shared => ConnectionPolicy::CloseAfterResponse,
+            Phase::Draining(_) if self.options.is_listener_shared => {
+                ConnectionPolicy::CloseAfterResponse
+            }
             _ => ConnectionPolicy::KeepAlive,
         };
         drain_policy.max(shutdown_policy)
@@ -118,7 +120,7 @@
     /// Waits until the node must stop accepting connections.
     async fn stop_accepting(&self) {
         let mut phases = self.options.phases.clone();
-        if self.options.is_shared {
+        if self.options.is_listener_shared {
             let _ = phases.wait_for(|phase| *phase != Phase::Serving).await;
             return tokio::time::sleep(SHARED_ACCEPT_PERIOD).await;
         }
@@ -128,7 +130,7 @@
 
 async fn accept_until_shutdown(listener: TcpListener, state: &Rc<ServerState>) {
     accept_connections(&listener, state).await;
-    if !state.options.is_shared {
+    if !state.options.is_listener_shared {
         accept_backlog(&listener, state).await;
     }
     drop(listener);
@@ -154,7 +156,7 @@
     if let Some(deadline) = deadline {
         state.driver.limit_deadlines(deadline);
     }
-    if !state.options.is_shared {
+    if !state.options.is_listener_shared {
         state.table.retain_connections();
     }
     std::future::pending::<()>().await;
--- a/src/node/mod.rs
+++ b/src/node/mod.rs
@@ -141,9 +141,9 @@
     ));
     let (phase, phases) = watch::channel(Phase::Serving);
     let front_options = ServerOptions {
-        is_shared,
+        is_listener_shared: is_shared,
         max_buffered_upload_bytes: config.limits.buffered_upload_bytes(),
-        ..ServerOptions::own(phases, config.limits.client_connections())
+        ..ServerOptions::for_unshared_listener(phases, config.limits.client_connections())
     };
     if let Some(address) = config.control {
         let server = AdminServer::new(
--- a/src/node/upstream/http1/response_reader.rs
+++ b/src/node/upstream/http1/response_reader.rs
@@ -192,7 +192,7 @@
         (AttemptResult::Served, Err(StreamError::Connection(_))) => {
             (AttemptResult::Malformed, None)
         }
-        (AttemptResult::Served, Err(StreamError::ClientLeft)) => (AttemptResult::Cancelled, None),
+        (AttemptResult::Served, Err(StreamError::ReceiverGone)) => (AttemptResult::Cancelled, None),
         (AttemptResult::Served, Ok(body)) => (AttemptResult::Served, body),
         (AttemptResult::ClientError, body) => (
             AttemptResult::ClientError,
--- a/tests/close_range.rs
+++ b/tests/close_range.rs
@@ -156,7 +156,11 @@
             let address = listener.local_addr().expect("an address");
             (
                 address,
-                tokio::task::spawn_local(serve(listener, driver, ServerOptions::own(phases, 64))),
+                tokio::task::spawn_local(serve(
+                    listener,
+                    driver,
+                    ServerOptions::for_unshared_listener(phases, 64),
+                )),
             )
         });
         Self {
--- a/tests/node.rs
+++ b/tests/node.rs
@@ -590,7 +590,7 @@
             .expect("a port");
         let address = listener.local_addr().expect("an address");
         let (phase, phases) = watch::channel(Phase::Serving);
-        let options = ServerOptions::own(phases, max_connections);
+        let options = ServerOptions::for_unshared_listener(phases, max_connections);
         Self {
             address,
             phase,
