--- a/crates/lease/src/acceptor.rs
+++ b/crates/lease/src/acceptor.rs
@@ -1,34 +1,35 @@
-//! The state of one acceptor: which process holds its grant of each shard, and the highest token.
+//! The state of one acceptor: the current grant and the highest token of each shard.
 //!
-//! An acceptor grants a shard to one process at a time, and only under a token above all that it
-//! has granted. Its memory ends with its process, so a restarted one is *quarantined* until all
-//! that it may have granted before has expired.
+//! An acceptor grants a shard to one process at a time, and only under a token above the highest
+//! one that it has granted for the shard. It keeps its grants in memory only, so a restarted
+//! acceptor is *quarantined* until every grant of its previous process has expired.
 
 use crate::identity::{FencingToken, Requester, Shard};
 use crate::message::{LeaseRequest, ShardStatus};
 use crate::settings::{InjectedFault, Settings};
 
-/// The low bits of a table version count changes, the others identify the process. After a million
-/// changes they reach into another process's versions; a polling node is then sent the whole table.
+/// Number of low bits of a table version that count changes; the others identify the process. After
+/// a million changes the count carries into the process bits; a polling node is then sent the whole
+/// table.
 const CHANGE_COUNT_BITS: u32 = 20;
 
-/// Tokens that are reserved on disk ahead, so that a grant hardly ever waits for the disk: a
-/// million, and the next are reserved when half of them are left.
+/// Number of tokens that are reserved on disk in advance, so that a grant hardly ever waits for the
+/// disk: a million. The next ones are reserved when less than half of them are left.
 const RESERVED_TOKENS: u64 = 1 << 20;
 
-/// The expiry of a grant whose end has been put into the table already.
-const EXPIRY_PUBLISHED: f64 = f64::NEG_INFINITY;
+/// Value of [`Grant::expires_ms`] once the expiry has been recorded as a table change.
+const EXPIRY_RECORDED: f64 = f64::NEG_INFINITY;
 
 #[derive(Clone, Copy, Debug)]
 struct Grant {
-    to: Requester,
+    holder: Requester,
     token: FencingToken,
     expires_ms: f64,
 }
 
 impl Grant {
     fn is_held_by(&self, requester: Requester, token: FencingToken) -> bool {
-        self.to == requester && self.token == token
+        self.holder == requester && self.token == token
     }
 }
 
@@ -36,11 +37,11 @@
 struct AcceptorShard {
     highest_token: FencingToken,
     grant: Option<Grant>,
-    /// The table version in which it changed last.
+    /// The table version of the last change to this shard.
     changed_version: u64,
 }
 
-/// The entries of an acceptor's table that changed, and the version that they lead to.
+/// Changed entries of an acceptor's table, and the version of the table that includes them.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct TableChanges {
     pub version: u64,
@@ -51,18 +52,20 @@
 #[derive(Clone, Debug)]
 pub struct Acceptor {
     shards: Vec<AcceptorShard>,
-    /// Until then it grants nothing: an earlier process may have.
+    /// End of the quarantine. Until then nothing is granted, as grants of an earlier process may
+    /// still be valid.
     quarantined_until_ms: f64,
     version: u64,
-    /// Up to which token it may grant, where that is stored on disk.
+    /// Highest token that may be granted, as reserved on disk. `None`: no tokens are reserved, and
+    /// any token may be granted.
     reserved_token: Option<FencingToken>,
-    /// Up to which token a reservation was requested.
+    /// Highest token whose reservation has been requested.
     requested_reservation: FencingToken,
     injected_fault: InjectedFault,
 }
 
 impl Acceptor {
-    /// An acceptor whose process has just started.
+    /// Creates the acceptor of a process that has just started.
     pub fn new(now_ms: f64, settings: &Settings) -> Self {
         let injected_fault = settings.injected_fault;
         let floor = if injected_fault == InjectedFault::NoTokenFloor {
@@ -75,9 +78,9 @@
         } else {
             settings.max_grant_ms()
         };
-        // So that a version of another process is never taken for one of this.
+        // Tells the versions of this process from those of any other.
         let version = settings.process_id << CHANGE_COUNT_BITS;
-        // What was reserved may have been granted.
+        // Every token up to the reserved one may have been granted by an earlier process.
         let highest_token = settings
             .reserved_token
             .map_or(floor, |reserved| reserved.max(floor));
@@ -96,7 +99,7 @@
         }
     }
 
-    /// Up to which token to reserve on disk, where that is due and was not requested yet.
+    /// The token up to which to reserve on disk, if a reservation is due and not yet requested.
     pub fn take_due_reservation(&mut self) -> Option<FencingToken> {
         let highest = self.highest_token();
         let reserved = self.reserved_token?;
@@ -108,12 +111,12 @@
         Some(self.requested_reservation)
     }
 
-    /// A reservation is on disk.
+    /// Records that a reservation has been written to disk.
     pub fn confirm_reservation(&mut self, token: FencingToken) {
         self.reserved_token = self.reserved_token.map(|reserved| reserved.max(token));
     }
 
-    /// Whether an earlier process's grants may still be valid.
+    /// Whether grants of an earlier process may still be valid.
     pub fn is_quarantined(&self, now_ms: f64) -> bool {
         now_ms < self.quarantined_until_ms
     }
@@ -127,15 +130,17 @@
             .unwrap_or_default()
     }
 
-    /// Another node knows of this token: nothing up to it is granted anew.
+    /// Records a token that another node reported: no token up to it is granted any more, except to
+    /// renew a lease.
     pub fn observe_token(&mut self, token: FencingToken) {
         for shard in &mut self.shards {
             shard.highest_token = shard.highest_token.max(token);
         }
     }
 
-    /// Grants or renews a lease, if no other process holds one and the token is the highest.
-    /// Returns whether it did.
+    /// Grants or renews a lease. A new lease requires that no other process holds the shard, unless
+    /// it has transferred it, and that the token is reserved and above the highest. Returns whether
+    /// the lease was granted.
     pub fn request(
         &mut self,
         now_ms: f64,
@@ -152,19 +157,19 @@
         let is_renewal = shard
             .grant
             .is_some_and(|grant| grant.is_held_by(requester, request.token));
-        // What this process was granted once stays granted, even if it requests less now.
+        // A request for a shorter lease does not shorten an earlier grant to the same process.
         let earlier_expiry_ms = shard
             .grant
-            .filter(|grant| grant.to == requester)
+            .filter(|grant| grant.holder == requester)
             .map_or(0.0, |grant| grant.expires_ms);
-        // A grant whose expiry was published is published again.
+        // A renewal is a change only if the grant has expired, as the table may show its expiry.
         if !is_renewal || earlier_expiry_ms <= now_ms {
             self.version += 1;
             shard.changed_version = self.version;
         }
         shard.highest_token = shard.highest_token.max(request.token);
         shard.grant = Some(Grant {
-            to: requester,
+            holder: requester,
             token: request.token,
             expires_ms: earlier_expiry_ms.max(now_ms + ttl_ms),
         });
@@ -184,11 +189,11 @@
         if is_renewal || is_stale_renewal {
             return true;
         }
-        // The owner before has given up its grant for ever; an owner after that one has not.
+        // A transfer gives up the grant under the preceding token for good, but no later grant.
         let is_transferred =
             |grant: &Grant| request.is_transfer && grant.token.next() == request.token;
         let is_held_by_another = shard.grant.is_some_and(|grant| {
-            grant.expires_ms > now_ms && grant.to != requester && !is_transferred(&grant)
+            grant.expires_ms > now_ms && grant.holder != requester && !is_transferred(&grant)
         });
         let is_reserved = self
             .reserved_token
@@ -205,7 +210,7 @@
         }
     }
 
-    /// A process has given up a grant, or never used it.
+    /// Removes a grant that its holder has given up, or never used.
     pub fn release(&mut self, requester: Requester, shard: Shard, token: FencingToken) {
         let Some(shard) = self.shards.get_mut(usize::from(shard)) else {
             return;
@@ -220,7 +225,7 @@
         }
     }
 
-    /// The grant of a shard.
+    /// The current grant and the highest token of a shard.
     pub fn status(&self, now_ms: f64, shard: Shard) -> ShardStatus {
         let state = self.shards.get(usize::from(shard));
         let grant = state
@@ -229,18 +234,18 @@
         ShardStatus {
             shard,
             highest_token: state.map(|state| state.highest_token).unwrap_or_default(),
-            owner: grant.map(|grant| grant.to.node),
-            // At most the longest lease, 10 s.
+            owner: grant.map(|grant| grant.holder.node),
+            // Fits 16 bits: the longest lease is 10 s.
             remaining_ms: grant.map_or(0.0, |grant| (grant.expires_ms - now_ms).ceil()) as u16,
         }
     }
 
-    /// At most so many entries of the table that have changed since a version. An expired grant is
-    /// a change.
+    /// The table entries that have changed since a version, the least recent changes first and at
+    /// most `max_entries` of them. The expiry of a grant is a change.
     pub fn changes_since(&mut self, now_ms: f64, version: u64, max_entries: usize) -> TableChanges {
-        self.publish_expiries(now_ms);
-        let is_of_this_process = version >> CHANGE_COUNT_BITS == self.version >> CHANGE_COUNT_BITS;
-        let since = if is_of_this_process { version } else { 0 };
+        self.record_expiries(now_ms);
+        let is_same_process = version >> CHANGE_COUNT_BITS == self.version >> CHANGE_COUNT_BITS;
+        let since = if is_same_process { version } else { 0 };
         let mut changed: Vec<_> = self
             .shards
             .iter()
@@ -264,15 +269,15 @@
         TableChanges { version, shards }
     }
 
-    /// Counts each expired grant as a change, once. The grant itself stays, so that its owner can
-    /// renew it as long as no other process requests the shard.
-    fn publish_expiries(&mut self, now_ms: f64) {
+    /// Records the expiry of each grant as a table change, once. The grant itself is kept, so that
+    /// its holder can renew it as long as no other process is granted the shard.
+    fn record_expiries(&mut self, now_ms: f64) {
         for shard in &mut self.shards {
             let Some(grant) = &mut shard.grant else {
                 continue;
             };
-            if grant.expires_ms <= now_ms && grant.expires_ms != EXPIRY_PUBLISHED {
-                grant.expires_ms = EXPIRY_PUBLISHED;
+            if grant.expires_ms <= now_ms && grant.expires_ms != EXPIRY_RECORDED {
+                grant.expires_ms = EXPIRY_RECORDED;
                 self.version += 1;
                 shard.changed_version = self.version;
             }
--- a/crates/lease/src/acceptor/tests.rs
+++ b/crates/lease/src/acceptor/tests.rs
@@ -28,7 +28,7 @@
     }
 }
 
-/// The owners in a table.
+/// The owner in each entry of a table.
 fn owners(shards: &[ShardStatus]) -> Vec<Option<NodeId>> {
     shards.iter().map(|status| status.owner).collect()
 }
@@ -38,11 +38,11 @@
 }
 
 #[test]
-fn grant_is_exclusive_rising_and_renewed_by_its_owner_only() {
+fn request_for_held_shard_or_used_token_is_rejected() {
     let mut acceptor = acceptor();
     assert!(
         !acceptor.request(99.0, A, request(11), 50.0),
-        "an earlier process may have granted it"
+        "a request during the quarantine must be rejected"
     );
     assert!(
         !acceptor.request(100.0, A, request(10), 50.0)
@@ -50,7 +50,7 @@
     );
     assert!(
         !acceptor.request(149.0, B, request(12), 50.0),
-        "it is granted"
+        "a shard held by another process must not be granted"
     );
     assert!(
         acceptor.request(149.0, A, request(11), 50.0)
@@ -58,7 +58,7 @@
     );
     assert!(
         !acceptor.request(199.0, B, request(11), 50.0),
-        "no token twice"
+        "a token must not be granted to a second process"
     );
     assert!(
         acceptor.request(199.0, B, request(12), 50.0)
@@ -74,11 +74,12 @@
             },
             50.0
         ),
-        "there is no such shard"
+        "a request for an unknown shard must be rejected"
     );
 }
 
-/// What was granted for long stays granted, though its owner asks for less now.
+/// Guards against a grant to another process while the owner still relies on an earlier, longer
+/// lease.
 #[test]
 fn request_with_shorter_ttl_does_not_shorten_the_grant() {
     let mut acceptor = acceptor();
@@ -92,9 +93,9 @@
     );
 }
 
-/// A transfer gives up the ownership under the token before, and no later one.
+/// A transfer gives up the ownership under the preceding token, and no later one.
 #[test]
-fn transfer_replaces_the_grant_of_the_token_before_only() {
+fn transfer_replaces_only_the_grant_of_the_preceding_token() {
     let mut acceptor = acceptor();
     assert!(acceptor.request(100.0, A, request(12), 100.0));
     let transfer = |token| LeaseRequest {
@@ -108,9 +109,10 @@
     assert!(acceptor.request(110.0, B, transfer(13), 50.0));
 }
 
-/// Guards against nodes that go on to claim a shard as free whose owner renewed a moment late.
+/// Guards against nodes that continue to claim a shard as free after its owner has renewed the
+/// lease slightly late.
 #[test]
-fn renewal_of_a_published_expiry_is_published_again() {
+fn renewal_after_a_recorded_expiry_is_a_table_change() {
     let mut acceptor = acceptor();
     assert!(acceptor.request(100.0, A, request(11), 50.0));
     let TableChanges { version, .. } = acceptor.changes_since(100.0, 0, 9);
@@ -126,9 +128,9 @@
     assert_eq!(acceptor.changes_since(171.0, version, 9), unchanged);
 }
 
-/// Nothing is granted that could be granted again after a crash.
+/// Guards against a token that is granted again after a crash.
 #[test]
-fn token_that_is_not_reserved_is_not_granted() {
+fn token_that_is_not_reserved_is_rejected() {
     let mut acceptor = Acceptor::new(
         0.0,
         &Settings {
@@ -138,30 +140,32 @@
     );
     assert!(
         !acceptor.request(100.0, A, request(50), 50.0),
-        "it may have been granted before the crash"
+        "a token that may have been granted before a crash must be rejected"
     );
-    let first = acceptor.take_due_reservation().expect("it is due");
+    let reservation = acceptor
+        .take_due_reservation()
+        .expect("a reservation is due, as no token above 50 is reserved");
     assert!(
-        first > FencingToken(1_000_000) && acceptor.take_due_reservation().is_none(),
-        "requested once"
+        reservation > FencingToken(1_000_000) && acceptor.take_due_reservation().is_none(),
+        "a reservation of a million tokens must be requested once"
     );
     assert!(
         !acceptor.request(100.0, A, request(51), 50.0),
-        "not reserved yet"
+        "a token must be rejected until its reservation is confirmed"
     );
-    acceptor.confirm_reservation(first);
+    acceptor.confirm_reservation(reservation);
     assert!(
         acceptor.request(100.0, A, request(51), 50.0) && acceptor.take_due_reservation().is_none()
     );
-    acceptor.observe_token(FencingToken(first.0 - 10));
+    acceptor.observe_token(FencingToken(reservation.0 - 10));
     assert!(
         acceptor
             .take_due_reservation()
-            .is_some_and(|next| next > first),
-        "the next are due"
+            .is_some_and(|next| next > reservation),
+        "a reservation must be due when less than half of the tokens are left"
     );
     assert!(
-        !acceptor.request(200.0, B, request(first.0 + 1), 50.0)
-            && acceptor.request(200.0, B, request(first.0), 50.0)
+        !acceptor.request(200.0, B, request(reservation.0 + 1), 50.0)
+            && acceptor.request(200.0, B, request(reservation.0), 50.0)
     );
 }
