--- a/crates/lease/src/claim.rs
+++ b/crates/lease/src/claim.rs
@@ -1,20 +1,21 @@
-//! One process's claim to a shard: which acceptors granted it, and until when that makes it the
-//! owner.
+//! A process's claim to a shard: the acceptors' grants, and the time until which they make the
+//! process its owner.
 
 use crate::identity::FencingToken;
 
-/// Acceptors of the largest configuration.
+/// Maximum number of acceptors in a configuration.
 const MAX_ACCEPTORS_PER_CONFIGURATION: usize = 7;
-/// Acceptors of two configurations that decide together while one replaces the other.
+/// Maximum number of acceptors while two configurations decide jointly, as one replaces the other.
 pub const MAX_ACCEPTORS: usize = 2 * MAX_ACCEPTORS_PER_CONFIGURATION;
 
-/// A set of acceptors: bit `i` stands for the acceptor with index `i` among all known acceptors.
+/// A set of acceptors: bit `i` stands for the acceptor with index `i` in the sorted list of the
+/// acceptors of both configurations.
 pub type AcceptorMask = u16;
 
-/// Whose grants it takes to own a shard.
+/// The grants that are required to own a shard.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Quorum {
-    /// No grants suffice: an earlier configuration may still decide.
+    /// Not known, so no grants suffice: an earlier configuration may still decide.
     Unknown,
     /// A majority of this configuration.
     Majority(AcceptorMask),
@@ -26,30 +27,30 @@
     mask & (1 << acceptor) != 0
 }
 
-/// How many acceptors of a configuration are a majority.
+/// The number of acceptors that form a majority of a configuration.
 pub fn majority_of(mask: AcceptorMask) -> usize {
     mask.count_ones() as usize / 2 + 1
 }
 
-/// A shard that a process has requested under a token, and the answers of the acceptors.
+/// A process's request for a shard under a token, and the answers of the acceptors.
 #[derive(Clone, Debug)]
 pub struct Claim {
     pub token: FencingToken,
-    /// Whether the owner before transferred the shard to this node.
+    /// Whether the previous owner transferred the shard to this node.
     pub is_transfer: bool,
     pub started_ms: f64,
-    /// When it was requested or renewed last.
+    /// Time of the last request or renewal.
     pub requested_ms: f64,
-    /// When an acceptor other than this node granted it last.
+    /// Time of the last grant from an acceptor other than this node, or of the acquisition.
     pub confirmed_ms: f64,
-    /// When each acceptor's grant expires, by this node's clock.
+    /// Expiry of each acceptor's grant, by this node's clock.
     expires_ms: [f64; MAX_ACCEPTORS],
-    /// Which acceptors rejected it.
+    /// Whether each acceptor has rejected the claim since its last grant.
     rejected: [bool; MAX_ACCEPTORS],
 }
 
 impl Claim {
-    /// A claim that has not been requested yet.
+    /// Creates a claim that has not been requested from any acceptor yet.
     pub fn new(now_ms: f64, token: FencingToken, is_transfer: bool) -> Self {
         Self {
             token,
@@ -62,32 +63,32 @@
         }
     }
 
-    /// An acceptor grants the claim until a time. A delayed grant never shortens a later one.
+    /// Records an acceptor's grant. A delayed grant never shortens a later one.
     pub fn record_grant(&mut self, acceptor: usize, expires_ms: f64) {
         self.expires_ms[acceptor] = self.expires_ms[acceptor].max(expires_ms);
         self.rejected[acceptor] = false;
     }
 
-    /// An acceptor rejects the claim. Returns whether the remaining acceptors are too few to win.
+    /// Records an acceptor's rejection. Returns whether the others are too few for a quorum.
     pub fn record_rejection(&mut self, acceptor: usize, quorum: Quorum) -> bool {
         self.rejected[acceptor] = true;
         match quorum {
             Quorum::Unknown => true,
-            Quorum::Majority(mask) => self.is_majority_lost(mask),
+            Quorum::Majority(mask) => self.is_majority_impossible(mask),
             Quorum::Joint(current, previous) => {
-                self.is_majority_lost(current) || self.is_majority_lost(previous)
+                self.is_majority_impossible(current) || self.is_majority_impossible(previous)
             }
         }
     }
 
-    fn is_majority_lost(&self, mask: AcceptorMask) -> bool {
+    fn is_majority_impossible(&self, mask: AcceptorMask) -> bool {
         let rejections = (0..MAX_ACCEPTORS)
             .filter(|acceptor| contains(mask, *acceptor) && self.rejected[*acceptor])
             .count();
         mask.count_ones() as usize - rejections < majority_of(mask)
     }
 
-    /// When the quorum's grants expire; in the past where the quorum has not granted the claim.
+    /// When the grants stop being a quorum; a time in the past if they never were one.
     pub fn expires_ms(&self, quorum: Quorum) -> f64 {
         match quorum {
             Quorum::Unknown => f64::NEG_INFINITY,
@@ -98,7 +99,7 @@
         }
     }
 
-    /// When the first grant expires that leaves less than a majority.
+    /// When the first grant expires whose expiry leaves less than a majority.
     fn majority_expires_ms(&self, mask: AcceptorMask) -> f64 {
         let mut expires_ms = [f64::NEG_INFINITY; MAX_ACCEPTORS];
         for acceptor in (0..MAX_ACCEPTORS).filter(|acceptor| contains(mask, *acceptor)) {
@@ -108,10 +109,11 @@
         expires_ms[majority_of(mask) - 1]
     }
 
-    /// The same claim after a reconfiguration: `previous_index` has the old index of each new one.
+    /// The same claim after a reconfiguration. `previous_index` holds, for each new index of an
+    /// acceptor, its previous one.
     ///
-    /// The claim counts as not requested, so that all acceptors are asked at once: a new one has
-    /// granted nothing yet.
+    /// The claim counts as not requested, so that it is requested from all acceptors immediately:
+    /// an added acceptor has granted nothing yet.
     pub fn remapped(&self, previous_index: &[Option<usize>]) -> Self {
         let mut remapped = Self::new(self.started_ms, self.token, self.is_transfer);
         remapped.confirmed_ms = self.confirmed_ms;
--- a/crates/lease/src/joint_quorum.rs
+++ b/crates/lease/src/joint_quorum.rs
@@ -1,21 +1,21 @@
-//! Which acceptors decide: those of the current configuration, and with them the previous ones
-//! until nobody can act by these alone.
+//! The acceptors that decide: those of the current configuration, jointly with the previous ones
+//! until no process can act under the previous configuration alone.
 //!
-//! Majorities of two configurations need not intersect: of `a b c` and `a b d` those are `a c` and
-//! `b d`. So a node with a new configuration needs a majority of **both** at first. An acceptor
-//! with the new configuration grants nothing any more to nodes with only the previous one: it has
-//! *sealed* that. Once a majority of the previous acceptors have sealed it for longer than any
-//! lease, nobody can act by it, and the new configuration decides alone. That stays true for ever,
-//! so a node may accept it from any other that knows it. A node assumes nothing that it does not
-//! know: one that starts during a reconfiguration owns nothing until it has been told how far it
-//! has come.
+//! Majorities of two configurations need not intersect: `a c` is a majority of `a b c`, and `b d`
+//! is one of `a b d`. So a node with a new configuration needs a majority of **both** at first. An
+//! acceptor with the new configuration no longer grants leases to nodes that have only the previous
+//! one: it has *sealed* the previous configuration. Once a majority of the previous acceptors have
+//! sealed it for longer than any lease, no process can act under it alone, and the new
+//! configuration is *settled*: it decides alone. A settled configuration stays settled, so a node
+//! may rely on any other node that reports it. A node makes no assumptions about the phase: one
+//! that starts during a reconfiguration owns nothing until other nodes have reported it.
 
 use crate::claim::{majority_of, AcceptorMask, Quorum};
 use crate::identity::{FencingToken, NodeId};
 use crate::message::{ConfigurationIds, ConfigurationStatus};
 use crate::settings::{InjectedFault, Settings};
 
-/// How far a reconfiguration is, as far as a node knows.
+/// The phase of a reconfiguration, as far as it is proven to a node.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Phase {
     /// Configurations before the previous one may still decide.
@@ -26,7 +26,7 @@
     Settled,
 }
 
-/// The acceptors that a node sends requests to, and whose grants make a quorum.
+/// The acceptors that a node sends requests to, and the quorum that has to grant them.
 #[derive(Clone, Debug)]
 pub struct JointQuorum {
     /// The acceptors of both configurations, sorted. Claims refer to them by index.
@@ -35,26 +35,26 @@
     current: AcceptorMask,
     previous: AcceptorMask,
     phase: Phase,
-    /// Since when this process has had the configuration, in milliseconds.
-    since_ms: f64,
+    /// When this process adopted the configuration, in milliseconds.
+    adopted_ms: f64,
     /// The previous acceptors that are known to have sealed their configuration.
-    sealed: AcceptorMask,
+    sealed_by: AcceptorMask,
 }
 
-fn mask_of(all: &[NodeId], acceptors: &[NodeId]) -> AcceptorMask {
+fn mask_of(all_acceptors: &[NodeId], acceptors: &[NodeId]) -> AcceptorMask {
     acceptors
         .iter()
-        .filter_map(|acceptor| all.iter().position(|other| other == acceptor))
+        .filter_map(|acceptor| all_acceptors.iter().position(|other| other == acceptor))
         .fold(0, |mask, index| mask | 1 << index)
 }
 
 impl JointQuorum {
-    /// The quorum of a process that starts, and knows no more than its settings.
+    /// The quorum of a process that has just started and has received no status of other nodes.
     pub fn at_start(now_ms: f64, settings: &Settings) -> Self {
         Self::new(now_ms, settings, Phase::Unknown)
     }
 
-    /// The quorum of a process whose previous configuration decided alone until now.
+    /// The quorum of a running process whose previous configuration decided alone until now.
     pub fn after_reconfiguration(now_ms: f64, settings: &Settings) -> Self {
         Self::new(now_ms, settings, Phase::Joint)
     }
@@ -78,8 +78,8 @@
             } else {
                 phase_with_previous
             },
-            since_ms: now_ms,
-            sealed: 0,
+            adopted_ms: now_ms,
+            sealed_by: 0,
         }
     }
 
@@ -93,7 +93,7 @@
         self.acceptors.iter().position(|acceptor| *acceptor == node)
     }
 
-    /// Whose grants it takes to own a shard.
+    /// The grants that are required to own a shard.
     pub fn quorum(&self) -> Quorum {
         match self.phase {
             Phase::Unknown => Quorum::Unknown,
@@ -107,12 +107,12 @@
         self.phase == Phase::Settled
     }
 
-    /// Whether this node may request leases.
+    /// Whether the quorum is known, so that this node may request leases.
     pub fn is_known(&self) -> bool {
         self.phase != Phase::Unknown
     }
 
-    /// The configurations that requests are made under.
+    /// The configurations that this node's requests are made under.
     pub fn ids(&self) -> ConfigurationIds {
         ConfigurationIds {
             previous: self.ids.previous.filter(|_| !self.is_settled()),
@@ -120,13 +120,14 @@
         }
     }
 
-    /// Whether an acceptor with this configuration grants requests made under those: under its own,
-    /// or under the next one together with it.
+    /// Whether an acceptor with this configuration answers a request made under the given ones: its
+    /// own configuration, or the next one jointly with its own.
     pub fn accepts(&self, requested: ConfigurationIds) -> bool {
         requested.current == self.ids.current || requested.previous == Some(self.ids.current)
     }
 
-    /// What this node can tell a node with those configurations; `None` where nothing helps it.
+    /// The status that this node reports to a node with the given configurations; `None` if it can
+    /// confirm none of the phases of their reconfiguration.
     pub fn status_for(
         &self,
         now_ms: f64,
@@ -139,7 +140,7 @@
         let is_sealed = is_same
             && requested.previous == self.ids.previous
             && is_previous_acceptor
-            && now_ms >= self.since_ms + settings.max_grant_ms();
+            && now_ms >= self.adopted_ms + settings.max_grant_ms();
         let is_settled = is_same && self.is_settled();
         let is_previous_settled = (is_same && self.is_known())
             || (requested.previous == Some(self.ids.current) && self.is_settled());
@@ -152,19 +153,19 @@
         })
     }
 
-    /// Accepts what another node knows. Returns whether the configuration decides alone from now
-    /// on.
+    /// Records the status that another node reported. Returns whether the configuration decides
+    /// alone from now on.
     pub fn receive_status(&mut self, from: NodeId, status: ConfigurationStatus) -> bool {
         if status.configuration_id != self.ids.current || self.is_settled() {
             return false;
         }
         if status.is_sealed {
-            self.sealed |= mask_of(&self.acceptors, &[from]) & self.previous;
+            self.sealed_by |= mask_of(&self.acceptors, &[from]) & self.previous;
         }
         if status.is_previous_settled && self.phase == Phase::Unknown {
             self.phase = Phase::Joint;
         }
-        let is_majority_sealed = self.sealed.count_ones() as usize >= majority_of(self.previous);
+        let is_majority_sealed = self.sealed_by.count_ones() as usize >= majority_of(self.previous);
         if status.is_settled || (is_majority_sealed && self.phase == Phase::Joint) {
             self.phase = Phase::Settled;
         }
--- a/crates/lease/src/joint_quorum/tests.rs
+++ b/crates/lease/src/joint_quorum/tests.rs
@@ -3,7 +3,7 @@
 const MAX_GRANT_MS: f64 = 100.0;
 
 fn settings(configuration: u32, acceptors: &[u64], previous: &[u64]) -> Settings {
-    let ids = |of: &[u64]| of.iter().copied().map(NodeId).collect::<Vec<_>>();
+    let ids = |numbers: &[u64]| numbers.iter().copied().map(NodeId).collect::<Vec<_>>();
     Settings {
         configuration,
         previous_acceptors: ids(previous),
@@ -13,9 +13,9 @@
     }
 }
 
-/// What a node with the first quorum tells one with the second.
+/// The status that a node with the quorum `reporter` reports to one with the quorum `requester`.
 fn status(
-    of: &JointQuorum,
+    reporter: &JointQuorum,
     now_ms: f64,
     node: u64,
     requester: &JointQuorum,
@@ -24,7 +24,7 @@
         node: NodeId(node),
         ..settings(1, &[1, 2, 3], &[])
     };
-    of.status_for(now_ms, &settings, requester.ids(), FencingToken(9))
+    reporter.status_for(now_ms, &settings, requester.ids(), FencingToken(9))
 }
 
 #[test]
@@ -34,26 +34,26 @@
     let mut new = JointQuorum::after_reconfiguration(50.0, &next);
     assert!(
         old.accepts(new.ids()) && !new.accepts(old.ids()),
-        "the old configuration is sealed, the next one is accepted"
+        "requests under the new configuration must be accepted, under the old one rejected"
     );
     assert_eq!(new.quorum(), Quorum::Joint(0b1011, 0b0111));
     assert_eq!(
         status(&new, 149.0, 2, &new).map(|status| status.is_sealed),
         Some(false),
-        "a lease may still be valid"
+        "a configuration must not be sealed while a lease may still be valid"
     );
     assert_eq!(
         status(&new, 150.0, 4, &new).map(|status| status.is_sealed),
         Some(false),
-        "not a previous acceptor"
+        "only a previous acceptor may seal the previous configuration"
     );
-    // A node with other previous acceptors is not told that those are sealed.
+    // The seal concerns only the previous acceptors that the reporting node has configured.
     let other = JointQuorum::after_reconfiguration(0.0, &settings(2, &[1, 2, 4], &[1, 2, 5]));
     assert_eq!(
         status(&new, 150.0, 2, &other).map(|status| status.is_sealed),
         Some(false)
     );
-    let sealed = status(&new, 150.0, 2, &new).expect("it knows");
+    let sealed = status(&new, 150.0, 2, &new).expect("a previous acceptor reports its seal");
     assert!(
         !new.receive_status(NodeId(2), sealed)
             && !new.receive_status(NodeId(2), sealed)
@@ -62,44 +62,46 @@
     assert!(new.receive_status(NodeId(3), sealed) && new.quorum() == Quorum::Majority(0b1011));
 }
 
-/// Guards against a node that starts between two reconfigurations and takes the first for settled.
+/// Guards against a node that starts during a second reconfiguration and assumes that the first one
+/// is settled.
 #[test]
-fn node_started_during_reconfiguration_has_no_quorum_until_told() {
+fn quorum_is_unknown_until_previous_configuration_is_settled() {
     let first = JointQuorum::at_start(0.0, &settings(1, &[1, 2, 3], &[]));
-    let unsure = JointQuorum::at_start(0.0, &settings(2, &[1, 2, 4], &[1, 2, 3]));
-    let mut second = JointQuorum::at_start(0.0, &settings(3, &[1, 4, 5], &[1, 2, 4]));
-    assert_eq!(second.quorum(), Quorum::Unknown);
+    let second_unsettled = JointQuorum::at_start(0.0, &settings(2, &[1, 2, 4], &[1, 2, 3]));
+    let mut third = JointQuorum::at_start(0.0, &settings(3, &[1, 4, 5], &[1, 2, 4]));
+    assert_eq!(third.quorum(), Quorum::Unknown);
     assert_eq!(
-        status(&unsure, 10.0, 1, &second),
+        status(&second_unsettled, 10.0, 1, &third),
         None,
-        "it does not know either"
+        "a node that does not know the phase itself must report no status"
     );
     assert_eq!(
-        status(&first, 10.0, 1, &second),
+        status(&first, 10.0, 1, &third),
         None,
-        "that is not the previous configuration"
+        "the first configuration is not the previous one of the third"
     );
-    // Acceptors that have sealed the previous configuration say nothing of earlier ones.
+    // The seal of the previous configuration does not concern earlier configurations.
     let sealed = ConfigurationStatus {
         is_previous_settled: false,
-        ..status(&second, 200.0, 1, &second).expect("sealed")
+        ..status(&third, 200.0, 1, &third).expect("a previous acceptor reports its seal")
     };
     for from in [1, 2, 4] {
-        assert!(!second.receive_status(NodeId(from), sealed));
+        assert!(!third.receive_status(NodeId(from), sealed));
     }
-    assert_eq!(second.quorum(), Quorum::Unknown);
-    let mut sure = unsure.clone();
-    assert!(sure.receive_status(
+    assert_eq!(third.quorum(), Quorum::Unknown);
+    let mut second_settled = second_unsettled.clone();
+    assert!(second_settled.receive_status(
         NodeId(7),
         ConfigurationStatus {
-            configuration_id: sure.ids().current,
+            configuration_id: second_settled.ids().current,
             is_settled: true,
             ..sealed
         }
     ));
-    let next = status(&sure, 300.0, 1, &second).expect("it knows");
+    let second_status = status(&second_settled, 300.0, 1, &third)
+        .expect("a node with a settled configuration reports it");
     assert!(
-        second.receive_status(NodeId(1), next),
-        "all have sealed the previous configuration"
+        third.receive_status(NodeId(1), second_status),
+        "the third configuration must settle, as all previous acceptors have sealed the second"
     );
 }
