--- a/crates/lease/src/fence_file.rs
+++ b/crates/lease/src/fence_file.rs
@@ -1,40 +1,42 @@
-//! The format of an acceptor's fence file: up to which fencing token it may have granted.
+//! The format of an acceptor's fence file, which stores the highest fencing token that the acceptor
+//! may have granted.
 //!
 //! The file has three lines: the format, its version and the node's name; the reserved token; and a
-//! BLAKE3 hash of these two lines as 64 hexadecimal digits. So a file that is truncated, changed or
-//! from another node is told from a valid one.
+//! BLAKE3 hash of these two lines as 64 hexadecimal digits. The hash and the name reveal a file
+//! that is truncated, modified or from another node.
 
 use std::fmt;
 
 use crate::identity::FencingToken;
 
-/// The format and its version. A later version has another header and is rejected by this program.
+/// The format and its version. Files of a later version have another header and are rejected.
 const HEADER: &str = "silverthread fences 1";
 
-/// The longest file that is valid, in bytes: three lines, with a node name of 64 bytes.
+/// Upper bound of the length of a valid file, in bytes: three lines with a node name of up to 64
+/// bytes.
 pub const MAX_FENCE_FILE_BYTES: usize = 256;
 
-/// Why a fence file is rejected.
+/// The reason why a fence file is rejected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum FenceFileError {
-    /// It is truncated or changed, or its format is not known.
+    /// The file is truncated or modified, or its format is unknown.
     Corrupt,
-    /// It was written by another node.
+    /// The file was written by another node.
     WrongNode,
 }
 
 impl fmt::Display for FenceFileError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Self::Corrupt => write!(f, "it is truncated, changed, or of another format"),
-            Self::WrongNode => write!(f, "another node wrote it"),
+            Self::Corrupt => write!(f, "the file is truncated, modified or in an unknown format"),
+            Self::WrongNode => write!(f, "the file was written by another node"),
         }
     }
 }
 
 impl std::error::Error for FenceFileError {}
 
-/// The text of a node's fence file.
+/// Encodes a node's fence file.
 #[must_use]
 pub fn encode_fence_file(node: &str, reserved: FencingToken) -> String {
     let content = format!("{HEADER} {node}\nreserved {reserved}\n");
@@ -42,7 +44,7 @@
     format!("{content}{}\n", hash.to_hex())
 }
 
-/// The highest token that a node may have granted, by its fence file.
+/// Decodes a node's fence file to the highest token that the node may have granted.
 ///
 /// # Errors
 ///
@@ -50,7 +52,7 @@
 pub fn decode_fence_file(node: &str, text: &str) -> Result<FencingToken, FenceFileError> {
     let content = verified_content(text).ok_or(FenceFileError::Corrupt)?;
     let (header, reserved) = content.split_once('\n').ok_or(FenceFileError::Corrupt)?;
-    let author = header
+    let writer = header
         .strip_prefix(HEADER)
         .and_then(|rest| rest.strip_prefix(' '))
         .ok_or(FenceFileError::Corrupt)?;
@@ -58,13 +60,13 @@
         .strip_prefix("reserved ")
         .and_then(|number| number.parse().ok())
         .ok_or(FenceFileError::Corrupt)?;
-    if author != node {
+    if writer != node {
         return Err(FenceFileError::WrongNode);
     }
     Ok(FencingToken(reserved))
 }
 
-/// The two lines before the hash, without the last line feed, if the hash is right.
+/// The two lines before the hash, without the last line feed, if the hash matches.
 fn verified_content(text: &str) -> Option<&str> {
     let lines = text.strip_suffix('\n')?;
     let (content, hash) = lines.rsplit_once('\n')?;
--- a/crates/lease/src/fence_file/golden_tests.rs
+++ b/crates/lease/src/fence_file/golden_tests.rs
@@ -1,5 +1,5 @@
-//! A fence file as version 45ea4e8 writes it: a node has to read the one that the version before
-//! left behind.
+//! A fence file as version 45ea4e8 writes it: after an upgrade a node has to read the file that the
+//! previous version wrote.
 
 use super::*;
 
--- a/crates/lease/src/fence_file/tests.rs
+++ b/crates/lease/src/fence_file/tests.rs
@@ -1,24 +1,25 @@
 use super::*;
 
 #[test]
-fn fence_file_that_is_truncated_or_changed_anywhere_is_rejected() {
+fn fence_file_truncated_or_modified_anywhere_is_rejected() {
     let text = encode_fence_file("n0", FencingToken(u64::MAX));
     assert_eq!(decode_fence_file("n0", &text), Ok(FencingToken(u64::MAX)));
     assert_eq!(
         decode_fence_file("n1", &text),
         Err(FenceFileError::WrongNode)
     );
-    for at in 0..text.len() {
+    for offset in 0..text.len() {
         assert!(
-            decode_fence_file("n0", &text[..at]).is_err(),
-            "truncated at {at}"
+            decode_fence_file("n0", &text[..offset]).is_err(),
+            "a file truncated to {offset} bytes must be rejected"
         );
-        let mut changed = text.clone().into_bytes();
-        changed[at] ^= 1;
-        let changed = String::from_utf8(changed).expect("ASCII");
+        let mut modified = text.clone().into_bytes();
+        modified[offset] ^= 1;
+        let modified = String::from_utf8(modified)
+            .expect("ASCII text with its lowest bit flipped stays ASCII");
         assert!(
-            decode_fence_file("n0", &changed).is_err(),
-            "changed at {at}"
+            decode_fence_file("n0", &modified).is_err(),
+            "a file modified at byte {offset} must be rejected"
         );
     }
     assert!(
--- a/crates/lease/src/manager/reconfiguration.rs
+++ b/crates/lease/src/manager/reconfiguration.rs
@@ -1,7 +1,7 @@
-//! Replacing the acceptors of a running fleet, one configuration after the other.
+//! The replacement of the acceptors of a running cluster, one configuration after the other.
 //!
-//! [`JointQuorum`] decides whose grants count meanwhile; here is which steps an operator may take,
-//! and how a node learns how far the others are.
+//! [`JointQuorum`] decides which grants count meanwhile. This module checks which steps an operator
+//! may take, and exchanges the status of the reconfiguration with other nodes.
 
 use std::fmt;
 
@@ -14,53 +14,53 @@
 use crate::message::{ConfigurationIds, ConfigurationStatus, Message};
 use crate::settings::{sorted, Settings, SettingsError};
 
-/// The configuration of acceptors that a node should have.
+/// The configuration of acceptors that an operator requests for a node.
 #[derive(Clone, Copy, Debug)]
 pub struct ConfigurationRequest<'a> {
-    /// Its number.
+    /// The number of the configuration.
     pub number: u32,
-    /// Its acceptors.
+    /// The acceptors of the configuration.
     pub acceptors: &'a [NodeId],
-    /// The acceptors of the configuration before.
+    /// The acceptors of the previous configuration.
     pub previous_acceptors: &'a [NodeId],
 }
 
 /// The configuration of acceptors that a node has.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ConfigurationState {
-    /// Its number.
+    /// The number of the configuration.
     pub number: u32,
-    /// Whether it decides without the configuration before. Until then acceptors cannot be replaced
-    /// again.
+    /// Whether the configuration decides without the previous one. Until then acceptors cannot be
+    /// replaced again.
     pub is_settled: bool,
 }
 
-/// What became of a [`ConfigurationRequest`].
+/// The outcome of a [`ConfigurationRequest`] that was not rejected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ReconfigurationOutcome {
     /// The node has this configuration already.
     Unchanged,
-    /// The node has this configuration from now on, at first together with the one before.
+    /// The node has this configuration from now on, at first jointly with the previous one.
     Started,
 }
 
-/// Why a node keeps the acceptors that it has.
+/// The reason why a reconfiguration is rejected. The node keeps its acceptors.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ReconfigurationError {
-    /// Other acceptors under the number of the present configuration.
+    /// The current configuration, which has this number, has other acceptors.
     NumberInUse(u32),
-    /// Not the number after the present one.
-    NotNext {
-        /// The number of the present configuration.
+    /// The requested number does not follow the current one.
+    NotConsecutive {
+        /// The number of the current configuration.
         current: u32,
         /// The number that was requested.
         requested: u32,
     },
-    /// The configuration of this number does not decide alone yet: the one before it may.
+    /// The configuration with this number is not settled: the previous one may still decide.
     NotSettled(u32),
-    /// The previous acceptors are not those of the present configuration.
+    /// The previous acceptors of the request are not those of the current configuration.
     PreviousMismatch,
-    /// The request is out of bounds.
+    /// The requested settings are out of bounds.
     Settings(SettingsError),
 }
 
@@ -69,20 +69,20 @@
         match self {
             Self::NumberInUse(number) => write!(
                 f,
-                "set {number} has other keepers: other keepers need the next number"
+                "set {number} is in use with other keepers: new keepers need the next set number"
             ),
-            Self::NotNext { current, requested } => {
+            Self::NotConsecutive { current, requested } => {
                 write!(
                     f,
-                    "set {requested} does not follow {current}: keepers change one set after the other"
+                    "set {requested} does not follow set {current}: set numbers increase by one"
                 )
             }
             Self::NotSettled(number) => write!(
                 f,
-                "set {number} does not decide alone yet, the previous one may"
+                "set {number} does not decide alone yet: the previous set may still be in use"
             ),
             Self::PreviousMismatch => {
-                write!(f, "`before` has to name the present keepers of this node")
+                write!(f, "`before` must name the current keepers of this node")
             }
             Self::Settings(error) => error.fmt(f),
         }
@@ -112,7 +112,7 @@
     ///
     /// # Errors
     ///
-    /// The step is not safe here and now. The node keeps the configuration that it has.
+    /// The step is not safe in the node's current state. The node keeps its configuration.
     pub fn reconfigure(
         &mut self,
         now_ms: f64,
@@ -127,7 +127,7 @@
             return Err(ReconfigurationError::NumberInUse(current));
         }
         if current.checked_add(1) != Some(request.number) {
-            return Err(ReconfigurationError::NotNext {
+            return Err(ReconfigurationError::NotConsecutive {
                 current,
                 requested: request.number,
             });
@@ -152,8 +152,8 @@
         Ok(ReconfigurationOutcome::Started)
     }
 
-    /// The present configuration, requested again: its previous acceptors may differ only once they
-    /// do not matter any more.
+    /// Checks a request for the current configuration. Its previous acceptors may differ only once
+    /// the configuration is settled, as they have no influence then.
     fn check_unchanged(
         &self,
         request: ConfigurationRequest<'_>,
@@ -168,7 +168,7 @@
         }
     }
 
-    /// Goes on with these settings, and keeps what the acceptors so far have granted.
+    /// Adopts the settings, and keeps the grants of the previous acceptors.
     fn start_reconfiguration(&mut self, settings: Settings) {
         let quorum = JointQuorum::after_reconfiguration(self.now_ms, &settings);
         let previous_index: Vec<_> = quorum
@@ -204,7 +204,7 @@
         )
     }
 
-    /// Queries the acceptors, and another candidate each time, how far the reconfiguration is.
+    /// Requests the status of the reconfiguration from the acceptors and a random candidate.
     pub(super) fn request_configuration_status(&mut self) {
         if self.quorum.is_settled() {
             return;
@@ -231,7 +231,7 @@
     }
 
     pub(super) fn on_configuration_status(&mut self, from: NodeId, status: ConfigurationStatus) {
-        // What was owned under an earlier configuration alone had no token above this.
+        // Claims under this configuration need tokens above those granted under earlier ones.
         for shard in &mut self.shards {
             shard.observe_token(status.highest_token);
         }
--- a/crates/lease/src/settings.rs
+++ b/crates/lease/src/settings.rs
@@ -6,70 +6,70 @@
 
 use crate::identity::{FencingToken, NodeId, Shard};
 
-/// A fault in the algorithm that tests inject, to show that the checkers find it. Without the
+/// A fault that tests inject into the algorithm, to verify that the checkers detect it. Without the
 /// feature `injected-fault` it has no effect.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum InjectedFault {
     /// No fault.
     #[default]
     None,
-    /// An acceptor grants right after its restart.
+    /// An acceptor grants leases immediately after its restart.
     NoQuarantine,
-    /// A lease counts from the response in place of the request.
+    /// A lease is counted from the response instead of the request.
     LeaseFromResponse,
     /// An acceptor grants a token that equals the highest.
     EqualToken,
     /// An acceptor forgets the highest token once a grant has expired.
     ForgottenToken,
-    /// A restarted acceptor begins at token 0.
+    /// A restarted acceptor starts at token 0.
     NoTokenFloor,
-    /// An acceptor renews a lease that it has granted to another process since.
+    /// An acceptor renews a lease although it has since granted the shard to another process.
     StaleRenewal,
-    /// A new configuration decides alone at once.
+    /// A new configuration decides alone immediately.
     NoJointQuorum,
 }
 
-/// What a node has to know from the start.
+/// The settings of a node's leases.
 #[derive(Clone, Debug)]
 pub struct Settings {
     /// This node.
     pub node: NodeId,
-    /// This process of the node: a number that no other process has.
+    /// The id of this process, which no other process of any node has.
     pub process_id: u64,
-    /// The acceptors, in no order: 3, 5 or 7.
+    /// The acceptors, in any order: 3, 5 or 7.
     pub acceptors: Vec<NodeId>,
-    /// The number of this configuration of acceptors: another one has another number.
+    /// The number of this configuration of acceptors. Each configuration has a different number.
     pub configuration: u32,
-    /// The acceptors of configuration `configuration - 1`, while a running fleet moves from them to
-    /// these; else empty.
+    /// The acceptors of configuration `configuration - 1`, while a running cluster replaces them by
+    /// `acceptors`; otherwise empty.
     pub previous_acceptors: Vec<NodeId>,
-    /// How many shards there are.
+    /// The number of shards.
     pub shards: Shard,
-    /// How long a lease lasts, in milliseconds. The same at all nodes.
+    /// The length of a lease, in milliseconds. It has to be the same at all nodes.
     pub lease_ms: f64,
-    /// By which fraction the rates of two clocks may differ.
+    /// The maximum clock drift: the fraction by which the rates of two nodes' clocks may differ.
     pub drift: f64,
-    /// The lowest token that this acceptor grants, see [`FencingToken::floor`].
+    /// The token above which this acceptor grants leases, see [`FencingToken::floor`].
     pub token_floor: FencingToken,
-    /// Up to which token this acceptor may have granted, as its fence file says. `None`: there is
-    /// no fence file, and any token may be granted.
+    /// The highest token that this acceptor may have granted, according to its fence file. `None`:
+    /// there is no fence file, and any token may be granted.
     pub reserved_token: Option<FencingToken>,
-    /// The seed of all random draws.
+    /// The seed of the random number generator.
     pub seed: u64,
-    /// For tests only.
+    /// The fault to inject, for tests only.
     pub injected_fault: InjectedFault,
 }
 
-/// Why settings are rejected.
+/// The reason why settings are rejected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SettingsError {
-    /// Neither 3 nor 5 nor 7 acceptors, or one of them twice: how many names there are.
+    /// The number of acceptors, given here, is not 3, 5 or 7, or an acceptor is listed twice.
     Acceptors(usize),
-    /// The first configuration has no previous acceptors.
-    PreviousOfFirst,
-    /// No shard, or more than [`Settings::MAX_SHARDS`].
+    /// Previous acceptors are given for the first configuration, which cannot have any.
+    PreviousAcceptorsOfFirst,
+    /// The number of shards is 0 or more than [`Settings::MAX_SHARDS`].
     Shards(Shard),
-    /// A lease time or a clock drift out of bounds.
+    /// The length of a lease or the clock drift is out of bounds.
     LeaseTimes,
 }
 
@@ -78,22 +78,22 @@
         match self {
             Self::Acceptors(count) => write!(
                 f,
-                "{count} keepers: there have to be 3, 5 or 7, each named once"
+                "{count} keepers configured: expected 3, 5 or 7, each named once"
             ),
-            Self::PreviousOfFirst => write!(
+            Self::PreviousAcceptorsOfFirst => write!(
                 f,
-                "`before` names the keepers of the previous set: `set` is 2 or more"
+                "`before` names the keepers of the previous set, so `set` must be 2 or more"
             ),
             Self::Shards(count) => {
                 let max = Settings::MAX_SHARDS;
-                write!(f, "{count} shards: there have to be 1 to {max}")
+                write!(f, "{count} shards configured: expected 1 to {max}")
             }
             Self::LeaseTimes => {
                 let (min, max) = (Settings::MIN_LEASE_MS, Settings::MAX_LEASE_MS);
                 let drift = Settings::MAX_DRIFT;
                 write!(
                     f,
-                    "a lease lasts {min} to {max} ms, and a drift is 0 to {drift}"
+                    "`lease_ms` must be {min} to {max} ms and `drift` must be 0 to {drift}"
                 )
             }
         }
@@ -103,13 +103,14 @@
 impl std::error::Error for SettingsError {}
 
 impl Settings {
-    /// The renewal of so many shards fits a few datagrams.
+    /// The maximum number of shards: their renewals fit into a few datagrams.
     pub const MAX_SHARDS: Shard = 128;
-    /// The shortest lease, in milliseconds: several round trips and ticks fit a third of it.
+    /// The shortest lease, in milliseconds: a third of it allows for several round trips and ticks.
     pub const MIN_LEASE_MS: f64 = 300.0;
-    /// The longest lease, in milliseconds: a shard is unowned for so long after its owner has died.
+    /// The longest lease, in milliseconds: a shard can stay unowned for this long after its owner
+    /// has failed.
     pub const MAX_LEASE_MS: f64 = 10_000.0;
-    /// The largest drift: clocks that differ by more are broken.
+    /// The largest clock drift: a clock that differs by more is faulty.
     pub const MAX_DRIFT: f64 = 0.1;
 
     /// Settings with the default times and 64 shards.
@@ -135,44 +136,44 @@
     ///
     /// # Errors
     ///
-    /// The first setting that is not.
+    /// The first setting that is out of bounds.
     pub fn validate(&self) -> Result<(), SettingsError> {
         validate_acceptors(&self.acceptors)?;
         if !self.previous_acceptors.is_empty() {
             validate_acceptors(&self.previous_acceptors)?;
             if self.configuration < 2 {
-                return Err(SettingsError::PreviousOfFirst);
+                return Err(SettingsError::PreviousAcceptorsOfFirst);
             }
         }
         if !(1..=Self::MAX_SHARDS).contains(&self.shards) {
             return Err(SettingsError::Shards(self.shards));
         }
-        let is_lease = (Self::MIN_LEASE_MS..=Self::MAX_LEASE_MS).contains(&self.lease_ms);
-        let is_drift = (0.0..=Self::MAX_DRIFT).contains(&self.drift);
-        if !is_lease || !is_drift {
+        let is_lease_in_bounds = (Self::MIN_LEASE_MS..=Self::MAX_LEASE_MS).contains(&self.lease_ms);
+        let is_drift_in_bounds = (0.0..=Self::MAX_DRIFT).contains(&self.drift);
+        if !is_lease_in_bounds || !is_drift_in_bounds {
             return Err(SettingsError::LeaseTimes);
         }
         Ok(())
     }
 
-    /// A hash of this configuration's number and acceptors, the shards and the times, by which
-    /// nodes tell it from any other. Never 0.
+    /// A hash of this configuration's number and acceptors, the number of shards, the length of a
+    /// lease and the drift, by which nodes distinguish configurations. Never 0.
     #[must_use]
     pub fn configuration_id(&self) -> u64 {
-        self.id_of(self.configuration, &self.acceptors)
+        self.hash_configuration(self.configuration, &self.acceptors)
     }
 
-    /// The same for the previous configuration, where there is one.
+    /// The same hash for the previous configuration, if there is one.
     #[must_use]
     pub fn previous_configuration_id(&self) -> Option<u64> {
         if self.previous_acceptors.is_empty() {
             return None;
         }
         let number = self.configuration.saturating_sub(1);
-        Some(self.id_of(number, &self.previous_acceptors))
+        Some(self.hash_configuration(number, &self.previous_acceptors))
     }
 
-    fn id_of(&self, configuration: u32, acceptors: &[NodeId]) -> u64 {
+    fn hash_configuration(&self, configuration: u32, acceptors: &[NodeId]) -> u64 {
         let acceptors = sorted(acceptors);
         let numbers = acceptors.iter().map(|acceptor| acceptor.0);
         let rest = [
@@ -181,15 +182,15 @@
             self.lease_ms.to_bits(),
             self.drift.to_bits(),
         ];
-        // On the wire 0 stands for no configuration.
+        // On the wire 0 means that there is no configuration.
         numbers
             .chain(rest)
             .fold(0, |hash, number| mix(hash ^ number))
             .max(1)
     }
 
-    /// How long a grant may last by the acceptor's own clock, which may be the faster one, in
-    /// milliseconds.
+    /// The longest time for which a grant may be valid, in milliseconds of any node's clock, which
+    /// may run faster than the acceptor's.
     #[must_use]
     pub fn max_grant_ms(&self) -> f64 {
         self.lease_ms * (1.0 + self.drift)
@@ -207,7 +208,7 @@
     }
 }
 
-/// In the order that all nodes agree on.
+/// The acceptors in ascending order, so that all nodes have them in the same order.
 pub(crate) fn sorted(acceptors: &[NodeId]) -> Vec<NodeId> {
     let mut acceptors = acceptors.to_vec();
     acceptors.sort_unstable();
--- a/crates/lease/src/settings/golden_tests.rs
+++ b/crates/lease/src/settings/golden_tests.rs
@@ -1,18 +1,19 @@
-//! Numbers that nodes compute from their settings and compare on the wire, as version ea14206
-//! computes them: a node that computed others would be granted nothing in a fleet of that version.
+//! Values that nodes derive from their settings and compare on the wire, as version ea14206 derives
+//! them: a node that derived different values would be granted no leases in a cluster of that
+//! version.
 
 use super::*;
 
-fn ids(of: &[u64]) -> Vec<NodeId> {
-    of.iter().copied().map(NodeId).collect()
+fn node_ids(numbers: &[u64]) -> Vec<NodeId> {
+    numbers.iter().copied().map(NodeId).collect()
 }
 
 #[test]
-fn configuration_ids_keep_their_recorded_values() {
+fn configuration_ids_equal_their_recorded_values() {
     let settings = Settings {
         configuration: 2,
-        previous_acceptors: ids(&[0x33, 0x11, 0x22]),
-        ..Settings::new(NodeId(1), 1, ids(&[0x44, 0x11, 0x22]))
+        previous_acceptors: node_ids(&[0x33, 0x11, 0x22]),
+        ..Settings::new(NodeId(1), 1, node_ids(&[0x44, 0x11, 0x22]))
     };
     assert_eq!(settings.configuration_id(), 0x8b94_0908_0f53_eb41);
     assert_eq!(
@@ -22,7 +23,7 @@
 }
 
 #[test]
-fn token_floors_keep_their_recorded_values() {
+fn token_floors_equal_their_recorded_values() {
     assert_eq!(
         FencingToken::floor(1_700_000_000_000),
         FencingToken(1_740_800_000_000_000)
--- a/crates/lease/tests/lease_simulation/reconfiguration.rs
+++ b/crates/lease/tests/lease_simulation/reconfiguration.rs
@@ -1,4 +1,4 @@
-//! Replacing the acceptors of a running fleet.
+//! Replacement of the acceptors of a running cluster.
 
 use lease::{ConfigurationState, InjectedFault, ReconfigurationError, ReconfigurationOutcome};
 use simulation::Fault;
@@ -6,23 +6,22 @@
     AcceptorFile, OwnershipError, SimulatedFleet, LEASE_MS, RECOVERY_MS, SHARDS,
 };
 
-/// Five nodes; the acceptors change from `0 1 2` to `0 1 3` by files that are reloaded in every
-/// order.
+/// Five nodes replace the acceptors `0 1 2` by `0 1 3`: they reload their files in every order.
 #[test]
 fn reconfiguration_in_every_reload_order_settles() {
     let mut orders = vec![vec![]];
     for _ in 0..5 {
-        let longer = |order: &Vec<usize>| {
+        let extended = |order: &Vec<usize>| {
             (0..5)
                 .filter(|node| !order.contains(node))
                 .map(|node| [&order[..], &[node]].concat())
                 .collect::<Vec<_>>()
         };
-        orders = orders.iter().flat_map(longer).collect();
+        orders = orders.iter().flat_map(extended).collect();
     }
     assert_eq!(orders.len(), 120);
-    for (at, order) in orders.iter().enumerate() {
-        let mut fleet = SimulatedFleet::started(at as u64, 5, 3, InjectedFault::None);
+    for (index, order) in orders.iter().enumerate() {
+        let mut fleet = SimulatedFleet::started(index as u64, 5, 3, InjectedFault::None);
         let next = fleet.files[0].next(&[0, 1, 3]);
         let before = fleet.highest_token();
         fleet.unowned_ms = 0.0;
@@ -30,51 +29,59 @@
             fleet.files[*node] = next.clone();
             assert_eq!(fleet.reload(*node), Ok(ReconfigurationOutcome::Started));
             fleet.run(700.0);
-            // A node that crashes meanwhile starts with what its file says by then.
-            if step == at % 5 {
-                let crashed = order[at / 5 % 5];
+            // A node that crashes meanwhile restarts with the current content of its file.
+            if step == index % 5 {
+                let crashed = order[index / 5 % 5];
                 fleet.kill(crashed);
                 fleet.run(300.0);
                 fleet.start(crashed);
             }
         }
         fleet.run(3.0 * LEASE_MS);
-        fleet.wait_until_owned(0.0).expect("all is owned");
+        fleet
+            .wait_until_owned(0.0)
+            .expect("every shard has an owner");
         assert!(
             (0..5).all(|node| fleet.configuration(node)
                 == Some(ConfigurationState {
                     number: 2,
                     is_settled: true
                 })),
-            "order {order:?}"
+            "order {order:?}: every node must have settled configuration 2"
         );
         assert!(fleet.highest_token() > before);
-        let part = fleet.unowned_ms / (fleet.simulation.now_ms() - 7_500.0) / f64::from(SHARDS);
-        assert!(part < 0.4, "order {order:?}: {part} of the time unowned");
-        // The node that is no acceptor any more is not needed.
+        let unowned_fraction =
+            fleet.unowned_ms / (fleet.simulation.now_ms() - 7_500.0) / f64::from(SHARDS);
+        assert!(
+            unowned_fraction < 0.4,
+            "order {order:?}: unowned fraction of the time: {unowned_fraction}"
+        );
+        // Two of the new acceptors are a majority: node 2 is no longer an acceptor.
         fleet.kill(2);
         fleet.kill(0);
         fleet.run(LEASE_MS + RECOVERY_MS);
-        fleet.wait_until_owned(0.0).expect("all is owned");
-        fleet.check().expect("one owner at a time");
+        fleet
+            .wait_until_owned(0.0)
+            .expect("every shard has an owner");
+        fleet.check().expect("each shard has one owner at a time");
     }
 }
 
-/// The old majority `0 2` and the new one `1 3` are disjoint: neither side of a partition may own
-/// what the other owns.
+/// The old majority `0 2` and the new majority `1 3` are disjoint: the two sides of a partition
+/// must not own the same shard.
 fn reconfigure_one_side_of_a_partition(
     injected_fault: InjectedFault,
 ) -> Result<(), OwnershipError> {
     for seed in 0..10 {
         let mut fleet = SimulatedFleet::started(seed, 7, 3, injected_fault);
-        let side = |node: usize| [0, 2, 4].contains(&node);
+        let is_old_side = |node: usize| [0, 2, 4].contains(&node);
         for (from, to) in (0..7).flat_map(|from| (0..7).map(move |to| (from, to))) {
-            if side(from) != side(to) {
+            if is_old_side(from) != is_old_side(to) {
                 fleet.apply(&Fault::Cut { from, to });
             }
         }
         let next = fleet.files[0].next(&[0, 1, 3]);
-        for node in (0..7).filter(|node| !side(*node)) {
+        for node in (0..7).filter(|node| !is_old_side(*node)) {
             fleet.files[node] = next.clone();
             assert_eq!(fleet.reload(node), Ok(ReconfigurationOutcome::Started));
         }
@@ -82,20 +89,22 @@
         fleet.check()?;
         let owners: Vec<_> = fleet.owner.iter().flatten().copied().collect();
         assert!(
-            owners.len() == 4 && owners.iter().all(|owner| side(*owner)),
-            "the old configuration decides: {owners:?}"
+            owners.len() == 4 && owners.iter().all(|owner| is_old_side(*owner)),
+            "the side with the old majority must own all shards, but the owners are {owners:?}"
         );
-        // A node that starts there does not know how far the reconfiguration is, and learns it from
-        // the others.
+        // A node that starts on the new side does not know the phase of the reconfiguration, until
+        // other nodes report it.
         fleet.kill(5);
         fleet.start(5);
         fleet.apply(&Fault::HealAll);
-        (0..7).filter(|node| side(*node)).for_each(|node| {
+        (0..7).filter(|node| is_old_side(*node)).for_each(|node| {
             fleet.files[node] = next.clone();
             assert_eq!(fleet.reload(node), Ok(ReconfigurationOutcome::Started));
         });
         fleet.run(LEASE_MS + RECOVERY_MS);
-        fleet.wait_until_owned(0.0).expect("all is owned");
+        fleet
+            .wait_until_owned(0.0)
+            .expect("every shard has an owner");
         assert!((0..7).all(|node| fleet.configuration(node)
             == Some(ConfigurationState {
                 number: 2,
@@ -108,7 +117,8 @@
 
 #[test]
 fn disjoint_majorities_of_two_configurations_never_own_twice() {
-    reconfigure_one_side_of_a_partition(InjectedFault::None).expect("no fault");
+    reconfigure_one_side_of_a_partition(InjectedFault::None)
+        .expect("no violation without the fault");
     reconfigure_one_side_of_a_partition(InjectedFault::NoJointQuorum)
         .expect_err("the fault is detected");
 }
@@ -118,32 +128,32 @@
     let mut fleet = SimulatedFleet::started(1, 5, 3, InjectedFault::None);
     let next = fleet.files[0].next(&[0, 1, 3]);
     let after = next.next(&[0, 3, 4]);
-    let mut refused = |file: &AcceptorFile, why: ReconfigurationError| {
+    let mut assert_rejected = |file: &AcceptorFile, error: ReconfigurationError| {
         fleet.files[0] = file.clone();
-        assert_eq!(fleet.reload(0), Err(why));
+        assert_eq!(fleet.reload(0), Err(error));
     };
-    refused(
+    assert_rejected(
         &after,
-        ReconfigurationError::NotNext {
+        ReconfigurationError::NotConsecutive {
             current: 1,
             requested: 3,
         },
     );
-    refused(
+    assert_rejected(
         &AcceptorFile {
             previous_acceptors: vec![],
             ..next.clone()
         },
         ReconfigurationError::PreviousMismatch,
     );
-    refused(
+    assert_rejected(
         &AcceptorFile {
             previous_acceptors: vec![0, 1, 4],
             ..next.clone()
         },
         ReconfigurationError::PreviousMismatch,
     );
-    refused(
+    assert_rejected(
         &AcceptorFile {
             number: 1,
             ..next.clone()
@@ -163,7 +173,7 @@
     assert_eq!(
         fleet.reload(0),
         Err(ReconfigurationError::NotSettled(2)),
-        "the first configuration may still decide"
+        "a reconfiguration must be rejected while the first configuration may still decide"
     );
     for node in 1..5 {
         fleet.files[node] = next.clone();
@@ -173,15 +183,15 @@
     assert_eq!(
         fleet.reload(0),
         Ok(ReconfigurationOutcome::Started),
-        "now the next one may follow"
+        "the next reconfiguration must be accepted once the second configuration is settled"
     );
-    fleet.check().expect("one owner at a time");
+    fleet.check().expect("each shard has one owner at a time");
 }
 
-/// During a reconfiguration all nodes end at once and start with the new file: no node knows how
-/// far it was, so nothing is owned.
+/// During a reconfiguration all nodes end at once and restart with the new file: no node knows the
+/// phase of the reconfiguration, so no shard is owned.
 #[test]
-fn reconfiguration_forgotten_by_all_leaves_nothing_owned() {
+fn restart_of_all_nodes_in_reconfiguration_owns_nothing() {
     let mut fleet = SimulatedFleet::started(3, 5, 3, InjectedFault::None);
     let next = fleet.files[0].next(&[0, 1, 3]);
     for node in 0..5 {
@@ -198,7 +208,7 @@
             number: 2,
             is_settled: false
         })));
-    // The operators state that no earlier configuration is in use.
+    // Without previous acceptors the files state that no earlier configuration is in use.
     for node in 0..5 {
         fleet.kill(node);
     }
@@ -210,6 +220,6 @@
     fleet.run(LEASE_MS);
     fleet
         .wait_until_owned(RECOVERY_MS)
-        .expect("all is owned again");
-    fleet.check().expect("one owner at a time");
+        .expect("every shard has an owner again");
+    fleet.check().expect("each shard has one owner at a time");
 }
--- a/tests/lease_processes.rs
+++ b/tests/lease_processes.rs
@@ -310,7 +310,7 @@
     let wrong = text(&fleet, "");
     fleet.node(4).reload_operators(&wrong);
     fleet.wait_for("it refuses", PATIENCE, |fleet| {
-        logged(fleet, 4, "reconfiguration rejected: `before` has")
+        logged(fleet, 4, "reconfiguration rejected: `before` must")
     });
     for node in [3, 0, 4, 2, 1] {
         fleet.set_operators(node, &next);
@@ -393,8 +393,8 @@
     fleet.kill(0);
     let text = lease::encode_fence_file("n1", far);
     for (wrong, why) in [
-        (&text[..], "another node wrote it"),
-        (&text[..40], "it is truncated"),
+        (&text[..], "the file was written by another node"),
+        (&text[..40], "the file is truncated"),
     ] {
         std::fs::write(&file, wrong).expect("written");
         let (config, operators) = (write_config(&fleet.config(0)), write_config(&with_file));
@@ -662,7 +662,7 @@
         (format!("[leases]\n{three}"), "leases need [instances]"),
         (
             format!("{instances}[leases]\nkeepers = [\"a\", \"b\"]\n"),
-            "there have to be 3, 5 or 7",
+            "expected 3, 5 or 7",
         ),
         (
             format!("{instances}[leases]\nkeepers = [\"a\", \"b\", \"a\"]\n"),
@@ -678,11 +678,11 @@
         ),
         (
             format!("{instances}[leases]\n{three}before = [\"a\", \"b\", \"d\"]\n"),
-            "`set` is 2 or more",
+            "`set` must be 2 or more",
         ),
         (
             format!("{instances}[leases]\n{three}set = 2\nbefore = [\"a\"]\n"),
-            "there have to be 3, 5 or 7",
+            "expected 3, 5 or 7",
         ),
         (
             format!("{instances}[leases]\n{three}lease_ms = 5\n"),
@@ -690,7 +690,7 @@
         ),
         (
             format!("{instances}[leases]\n{three}drift = nan\n"),
-            "drift is 0 to 0.1",
+            "`drift` must be 0 to 0.1",
         ),
         (
             format!("{instances}[leases]\nset = 1\n"),
