--- a/crates/lease/src/manager.rs
+++ b/crates/lease/src/manager.rs
@@ -1,13 +1,13 @@
-//! A node's leases: which shards this process owns and requests, and its part as an acceptor.
+//! The leases of a node: the shards that this process owns or claims, and its acceptor role.
 //!
 //! [`LeaseManager`] owns all state and dispatches events and messages. Its other methods are in
-//! modules by concern: `acceptor_role` answers requests, `table_polling` learns which shards are
-//! free, `claiming` acquires them, `renewal` keeps them, `transfer` moves them between nodes,
-//! `placement` decides which node should own what, `effects` publishes what owners did,
-//! `reconfiguration` replaces the acceptors.
+//! modules by concern: `acceptor_role` answers requests, `table_polling` discovers free shards,
+//! `claiming` acquires them, `renewal` renews their leases, `transfer` moves them between nodes,
+//! `placement` selects the preferred owner of each shard, `effects` publishes the effects of
+//! owners, `reconfiguration` replaces the acceptors.
 //!
-//! Invariant: a shard is owned only until the leases of a quorum expire, counted from when each was
-//! requested; [`LeaseManager::permit`] checks that against the current time.
+//! Invariant: a shard is owned only until the grants of a quorum expire, each counted from when it
+//! was requested; [`LeaseManager::permit`] checks that against the current time.
 
 mod acceptor_role;
 mod claiming;
@@ -40,24 +40,24 @@
 use shard_state::ShardState;
 use table_polling::{TablePolling, POLL_INTERVAL_MS};
 
-/// How often due work is looked for, in milliseconds.
+/// Interval between two checks for due work, in milliseconds.
 const TICK_MS: f64 = 50.0;
-/// How often a configuration mismatch is logged at most.
+/// Minimum interval between two log events about a configuration mismatch, in milliseconds.
 const MISMATCH_LOG_INTERVAL_MS: f64 = 60_000.0;
 
-/// Phases of a lease, as fractions of its length.
+/// Durations as fractions of the length of a lease.
 mod lease_fraction {
-    /// A first grant is short, so that nodes whose claims share the grants of a shard do not block
-    /// it for long.
+    /// Length of a first grant. It is short, so that nodes with competing claims, each with grants
+    /// from some acceptors, do not block the shard for long.
     pub const FIRST_GRANT: f64 = 1.0 / 4.0;
-    /// When a lease is renewed.
+    /// Time between the last request of a lease and its renewal.
     pub const RENEWAL: f64 = 1.0 / 3.0;
-    /// When an unanswered request is sent again.
+    /// Time after which an unanswered request is sent again.
     pub const RETRY: f64 = 1.0 / 10.0;
-    /// A lease with less left than this is requested again after `RETRY`. Without a grant from
-    /// another acceptor for so long only short leases are requested: this node may be heard and
-    /// hear nothing, and the next owner has to wait for what was granted.
-    pub const LOW: f64 = 1.0 / 2.0;
+    /// A lease with less remaining time than this is requested again after `RETRY`. Without a grant
+    /// from another acceptor for this long, a node requests only short leases: its messages may
+    /// arrive while it receives none, and the next owner has to wait until its grants expire.
+    pub const LOW_REMAINING: f64 = 1.0 / 2.0;
 }
 
 /// The leases of one process: see the crate's documentation.
@@ -77,18 +77,18 @@
     next_token_query_ms: f64,
     next_transfer_ms: f64,
     mismatch_logged_ms: f64,
-    /// When a message of an acceptor was received last.
+    /// Time of the last message received from an acceptor.
     last_acceptor_message_ms: f64,
     is_leaving: bool,
     health: NodeHealth,
     candidates: Vec<NodeId>,
     metrics: Metrics,
-    /// The actions of the event that is being handled.
+    /// The actions that result from the event being handled.
     actions: Vec<Action>,
 }
 
 impl LeaseManager {
-    /// A process that owns nothing and knows of no owner.
+    /// Creates the leases of a process that owns no shard and does not know the owners.
     ///
     /// # Errors
     ///
@@ -103,7 +103,7 @@
         let acceptor = quorum
             .index_of(settings.node)
             .map(|_| Acceptor::new(now_ms, &settings));
-        // The order of the draws is part of every recorded simulation.
+        // Recorded simulations depend on the order of these random draws.
         let last_polled = rng.usize(..quorum.acceptors().len());
         let pending_requests = PendingRequests::new(rng.u32(..));
         let next_poll_ms = now_ms + rng.f64() * POLL_INTERVAL_MS;
@@ -135,8 +135,8 @@
         })
     }
 
-    /// Handles an event at a time, in milliseconds, and appends what the caller has to do. A time
-    /// before an earlier one counts as that.
+    /// Handles an event at a time, in milliseconds, and appends the actions that the caller has to
+    /// carry out. If an earlier event had a later time, that time is used.
     pub fn handle(&mut self, now_ms: f64, event: Event<'_>, actions: &mut Vec<Action>) {
         self.now_ms = self.now_ms.max(now_ms);
         self.expire_leases();
@@ -181,7 +181,7 @@
     fn on_tick(&mut self) {
         self.tick_acceptor();
         self.pending_requests
-            .forget_before(self.now_ms - self.settings.lease_ms);
+            .discard_before(self.now_ms - self.settings.lease_ms);
         self.repeat_transfers();
         if self.is_leaving {
             return;
@@ -239,7 +239,7 @@
         }
     }
 
-    /// A message that counts only from an acceptor of this node's configuration.
+    /// Handles a message that is accepted only from an acceptor that this node has configured.
     fn on_acceptor_message(&mut self, acceptor: usize, message: Message) {
         match message {
             Message::Granted {
@@ -279,16 +279,16 @@
         self.actions.push(Action::Send { to, bytes });
     }
 
-    /// Sends a message to all of these nodes but this one.
-    fn broadcast(&mut self, to: &[NodeId], message: &Message) {
-        for node in to {
+    /// Sends a message to each of the given nodes except this one.
+    fn broadcast(&mut self, recipients: &[NodeId], message: &Message) {
+        for node in recipients {
             if *node != self.settings.node {
                 self.send(*node, message);
             }
         }
     }
 
-    /// This process, as the acceptors know it.
+    /// The identity under which acceptors grant leases to this process.
     fn requester(&self) -> Requester {
         Requester {
             node: self.settings.node,
@@ -300,7 +300,7 @@
         self.settings.lease_ms * fraction
     }
 
-    /// A permit to act on a shard at this time, if this process owns it.
+    /// A permit to act on a shard at `now_ms`, if this process owns it.
     #[must_use]
     pub fn permit(&self, now_ms: f64, shard: Shard) -> Option<Permit<'_>> {
         let lease = self.shards.get(usize::from(shard))?.lease.as_ref()?;
@@ -309,7 +309,7 @@
         is_valid.then_some(Permit::new(shard, lease.token, expires_ms))
     }
 
-    /// The owner of each shard, as far as this node knows.
+    /// The owner of each shard according to this node.
     pub fn owners(&self, now_ms: f64) -> impl Iterator<Item = ShardOwner> + '_ {
         self.shards.iter().enumerate().map(move |(shard, state)| {
             let shard = shard as Shard;
@@ -324,13 +324,13 @@
         })
     }
 
-    /// The counters since the start.
+    /// The counters since the start of this process.
     #[must_use]
     pub fn metrics(&self) -> Metrics {
         self.metrics
     }
 
-    /// The acceptors, those of the previous configuration included while both decide.
+    /// The acceptors of the current configuration and of the previous one, if that is configured.
     #[must_use]
     pub fn acceptors(&self) -> &[NodeId] {
         self.quorum.acceptors()
@@ -344,7 +344,7 @@
             .is_some_and(|acceptor| !acceptor.is_quarantined(self.now_ms))
     }
 
-    /// The highest token that this node has granted or received.
+    /// The highest token that this node has granted, claimed or received.
     #[must_use]
     pub fn highest_token(&self) -> FencingToken {
         let known = self
@@ -358,10 +358,10 @@
             .map_or(known, |acceptor| acceptor.highest_token().max(known))
     }
 
-    /// Hashes all state that decides what happens next, except the random generator: for a model
-    /// checker.
+    /// Hashes the state that determines what happens next, except the random number generator. For
+    /// a model checker.
     #[cfg(feature = "injected-fault")]
-    pub fn hash_state(&self, to: &mut impl std::hash::Hasher) {
+    pub fn hash_state(&self, hasher: &mut impl std::hash::Hasher) {
         use std::hash::Hash;
         let parts = (
             &self.quorum,
@@ -371,10 +371,10 @@
             self.is_leaving,
             self.last_acceptor_message_ms,
         );
-        format!("{parts:?}").hash(to);
+        format!("{parts:?}").hash(hasher);
     }
 
-    /// The message that requests an acceptor's whole table: for a model checker.
+    /// Encodes the message that requests an acceptor's entire table. For a model checker.
     #[cfg(feature = "injected-fault")]
     #[must_use]
     pub fn encode_table_request(&self) -> Vec<u8> {
--- a/crates/lease/src/manager/acceptor_role.rs
+++ b/crates/lease/src/manager/acceptor_role.rs
@@ -1,12 +1,12 @@
-//! What a node does as an acceptor: it answers requests, and queries the highest token after a
-//! restart.
+//! A node's role as an acceptor: it answers requests, has tokens reserved on disk, and queries the
+//! highest token after a restart.
 
 use crate::action::{Action, LogEvent};
 use crate::identity::{FencingToken, NodeId, Requester, ShardToken};
 use crate::manager::LeaseManager;
 use crate::message::{ConfigurationIds, LeaseRequest, Message, MAX_SHARD_STATUSES};
 
-/// How often an acceptor in quarantine queries the others for the highest token.
+/// Interval at which an acceptor in quarantine queries the other acceptors for the highest token.
 const TOKEN_QUERY_INTERVAL_MS: f64 = 200.0;
 
 impl LeaseManager {
@@ -67,8 +67,8 @@
         self.send(requester, &message);
     }
 
-    /// Whether this node is an acceptor that answers requests under these configurations. If the
-    /// configurations do not match, the requester is told.
+    /// Whether this node is an acceptor, is not in quarantine, and accepts requests under these
+    /// configurations. If they do not match its own, it notifies the requester.
     fn accepts_request(&mut self, requester: NodeId, configurations: ConfigurationIds) -> bool {
         let Some(acceptor) = &self.acceptor else {
             return false;
@@ -91,7 +91,7 @@
         }
     }
 
-    /// Answers whatever the requester's configuration is: a token that is too high does no harm.
+    /// Answers regardless of the requester's configuration: a token that is too high does no harm.
     pub(super) fn on_highest_token_request(&mut self, requester: NodeId) {
         let Some(acceptor) = &self.acceptor else {
             return;
@@ -111,7 +111,8 @@
         }
     }
 
-    /// Reserves tokens on disk, ends the quarantine, or queries the highest token during it.
+    /// Has tokens reserved on disk if that is due. Logs the end of the quarantine, or queries the
+    /// highest token during it.
     pub(super) fn tick_acceptor(&mut self) {
         let Some(acceptor) = &mut self.acceptor else {
             return;
--- a/crates/lease/src/manager/claiming.rs
+++ b/crates/lease/src/manager/claiming.rs
@@ -1,5 +1,5 @@
-//! Acquiring shards: when a free shard is claimed, how acceptors are requested to grant it, and
-//! what their answers mean.
+//! The acquisition of shards: when a free shard is claimed, how its lease is requested from the
+//! acceptors, and how their answers are handled.
 
 use crate::action::{Action, OwnershipChange};
 use crate::claim::Claim;
@@ -11,18 +11,18 @@
 use crate::message::{LeaseRequest, Message, ShardStatus, MAX_LEASE_REQUESTS};
 use crate::settings::InjectedFault;
 
-/// A node that has received nothing from the other acceptors for this long claims no shards. Its
-/// requests may still arrive (one-way partition) and would block nodes that could own the shard.
+/// Time without a message from another acceptor after which a node claims no shards. Its requests
+/// may still arrive (one-way partition) and would block nodes that could own the shard.
 const RECEIVE_TIMEOUT_MS: f64 = 4.0 * POLL_INTERVAL_MS;
-/// How much later each next candidate claims a free shard than the one before it in the shard's
-/// order.
+/// Delay between the claims to a free shard by two consecutive candidates, in the shard's order of
+/// preference.
 const RANK_DELAY_MS: f64 = 200.0;
-/// How many candidates claim a shard at all.
+/// Number of candidates, the most preferred ones, that claim a free shard.
 const MAX_CLAIMING_RANKS: usize = 5;
-/// How much later a node claims whose health is degraded.
+/// Additional delay of the claims of a node whose health is degraded.
 const DEGRADED_DELAY_MS: f64 = 1_000.0;
 
-/// A lease that an acceptor granted.
+/// An acceptor's grant of a lease.
 struct GrantedLease {
     acceptor: usize,
     ownership: ShardToken,
@@ -31,10 +31,12 @@
 }
 
 impl ShardState {
-    /// Ends a claim that was not granted in the time of a first grant, and returns its token.
+    /// Ends a claim that no quorum has granted within the length of a first grant, and returns its
+    /// token.
     ///
-    /// An owner's claim under a new token stays: acceptors that granted it do not renew the old one.
-    fn take_late_claim(&mut self, now_ms: f64, first_grant_ms: f64) -> Option<FencingToken> {
+    /// An owner's claim under a new token is kept: acceptors that have granted it do not renew the
+    /// lease under the old token.
+    fn take_timed_out_claim(&mut self, now_ms: f64, first_grant_ms: f64) -> Option<FencingToken> {
         if self.lease.is_some() {
             return None;
         }
@@ -43,7 +45,7 @@
             .map(|claim| claim.token)
     }
 
-    /// Whether the shard is free and it is this node's turn to claim it.
+    /// Whether the shard is free, unclaimed by this process, and due to be claimed by this node.
     fn is_claimable(&self, now_ms: f64, health_delay_ms: f64) -> bool {
         let Some(free_ms) = self.free_since_ms else {
             return false;
@@ -51,14 +53,15 @@
         let Some(rank) = self.rank.filter(|rank| *rank < MAX_CLAIMING_RANKS) else {
             return false;
         };
-        let turn_ms = free_ms + health_delay_ms + rank as f64 * RANK_DELAY_MS;
+        let claim_due_ms = free_ms + health_delay_ms + rank as f64 * RANK_DELAY_MS;
         let is_idle = self.lease.is_none() && self.claim.is_none();
-        is_idle && now_ms >= turn_ms && now_ms >= self.claim_after_ms
+        is_idle && now_ms >= claim_due_ms && now_ms >= self.claim_after_ms
     }
 }
 
 impl LeaseManager {
-    /// Begins to claim shards that are free and this node's turn, and abandons claims that failed.
+    /// Begins claims to free shards that are due to be claimed by this node, and abandons claims
+    /// that timed out.
     pub(super) fn update_claims(&mut self) {
         let now_ms = self.now_ms;
         let first_grant_ms = self.lease_fraction_ms(lease_fraction::FIRST_GRANT);
@@ -69,7 +72,7 @@
         };
         let mut abandoned = Vec::new();
         for (shard, state) in self.shards.iter_mut().enumerate() {
-            if let Some(token) = state.take_late_claim(now_ms, first_grant_ms) {
+            if let Some(token) = state.take_timed_out_claim(now_ms, first_grant_ms) {
                 let shard = shard as Shard;
                 abandoned.push(ShardToken { shard, token });
                 state.claim_after_ms = now_ms + self.rng.f64() * first_grant_ms;
@@ -87,13 +90,14 @@
         is_receiving && self.health != NodeHealth::Isolated && self.quorum.is_known()
     }
 
-    /// Requests claims that were not requested yet, or not for a while. A shard that is owned and
-    /// confirmed is requested for a whole lease, as that blocks no other node.
+    /// Requests the claims that were not requested yet, or not within the retry interval. A claim
+    /// to an owned shard whose lease was confirmed recently is requested for the full length of a
+    /// lease, as that blocks no other node.
     pub(super) fn request_claims(&mut self) {
         let now_ms = self.now_ms;
         let retry_ms = self.lease_fraction_ms(lease_fraction::RETRY);
-        let low_ms = self.lease_fraction_ms(lease_fraction::LOW);
-        let (mut short, mut whole) = (Vec::new(), Vec::new());
+        let low_remaining_ms = self.lease_fraction_ms(lease_fraction::LOW_REMAINING);
+        let (mut short_requests, mut full_requests) = (Vec::new(), Vec::new());
         for (shard, state) in self.shards.iter_mut().enumerate() {
             let is_due = |claim: &&mut Claim| now_ms - claim.requested_ms >= retry_ms;
             let Some(claim) = state.claim.as_mut().filter(is_due) else {
@@ -103,33 +107,40 @@
             let is_confirmed = state
                 .lease
                 .as_ref()
-                .is_some_and(|lease| now_ms - lease.confirmed_ms < low_ms);
-            let requests = if is_confirmed { &mut whole } else { &mut short };
+                .is_some_and(|lease| now_ms - lease.confirmed_ms < low_remaining_ms);
+            let requests = if is_confirmed {
+                &mut full_requests
+            } else {
+                &mut short_requests
+            };
             requests.push(LeaseRequest {
                 shard: shard as Shard,
                 token: claim.token,
                 is_transfer: claim.is_transfer,
             });
         }
-        self.send_requests(self.lease_fraction_ms(lease_fraction::FIRST_GRANT), &short);
-        self.send_requests(self.settings.lease_ms, &whole);
+        self.send_requests(
+            self.lease_fraction_ms(lease_fraction::FIRST_GRANT),
+            &short_requests,
+        );
+        self.send_requests(self.settings.lease_ms, &full_requests);
     }
 
-    /// Requests shards of all acceptors, this node included if it is one.
+    /// Requests leases from all acceptors, including this node if it is one.
     pub(super) fn send_requests(&mut self, ttl_ms: f64, requests: &[LeaseRequest]) {
         if requests.is_empty() {
             return;
         }
         for acceptor in 0..self.quorum.acceptors().len() {
             if self.quorum.acceptors()[acceptor] == self.settings.node {
-                self.request_of_self(acceptor, ttl_ms, requests);
+                self.request_from_self(acceptor, ttl_ms, requests);
             } else {
-                self.request_of_peer(acceptor, ttl_ms, requests);
+                self.request_from_peer(acceptor, ttl_ms, requests);
             }
         }
     }
 
-    fn request_of_self(&mut self, index: usize, ttl_ms: f64, requests: &[LeaseRequest]) {
+    fn request_from_self(&mut self, index: usize, ttl_ms: f64, requests: &[LeaseRequest]) {
         let requester = self.requester();
         for request in requests {
             let now_ms = self.now_ms;
@@ -158,13 +169,13 @@
         }
     }
 
-    fn request_of_peer(&mut self, index: usize, ttl_ms: f64, requests: &[LeaseRequest]) {
+    fn request_from_peer(&mut self, index: usize, ttl_ms: f64, requests: &[LeaseRequest]) {
         let to = self.quorum.acceptors()[index];
         for requests in requests.chunks(MAX_LEASE_REQUESTS) {
             let message = Message::LeaseRequest {
                 configurations: self.quorum.ids(),
                 request_id: self.pending_requests.insert(index, self.now_ms, ttl_ms),
-                // At most the longest lease, 10 s.
+                // Fits 16 bits: the longest lease is 10 s.
                 ttl_ms: ttl_ms as u16,
                 requests: requests.to_vec(),
             };
@@ -181,14 +192,14 @@
                 acceptor,
                 ownership: *ownership,
                 requested_ms: request.sent_ms,
-                // The message had whole milliseconds.
+                // The request was encoded in integral milliseconds.
                 ttl_ms: request.ttl_ms.trunc(),
             });
         }
     }
 
-    /// Extends the lease that the grant is for, or counts it for the claim, which may become a
-    /// lease.
+    /// Extends the lease if the grant renews it, or records the grant for the claim, which becomes
+    /// a lease once a quorum has granted it.
     fn accept_grant(&mut self, grant: &GrantedLease) {
         let now_ms = self.now_ms;
         let from_ms = if self.settings.injected_fault == InjectedFault::LeaseFromResponse {
@@ -196,7 +207,8 @@
         } else {
             grant.requested_ms
         };
-        // This node's clock may be the slower one: by it the time is shorter.
+        // This node's clock may be slower than the acceptor's, and count fewer milliseconds until
+        // the grant expires.
         let expires_ms = from_ms + grant.ttl_ms / (1.0 + self.settings.drift);
         let ShardToken { shard, token } = grant.ownership;
         let Some(state) = self.shards.get_mut(usize::from(shard)) else {
@@ -220,7 +232,7 @@
         }
     }
 
-    /// A quorum has granted the claim: this process owns the shard.
+    /// Turns the claim into a lease, as a quorum has granted it: this process owns the shard.
     fn acquire(&mut self, shard: Shard, token: FencingToken) {
         let now_ms = self.now_ms;
         let state = &mut self.shards[usize::from(shard)];
@@ -248,27 +260,27 @@
         if state.claim.is_some() {
             self.on_claim_rejected(acceptor, status);
         } else {
-            self.replace_forgotten_lease(status);
+            self.replace_lost_lease(status);
         }
     }
 
-    /// Counts the rejection, and abandons the claim if it cannot win any more.
+    /// Records the rejection, and abandons the claim if no quorum can grant it any more.
     fn on_claim_rejected(&mut self, acceptor: usize, status: ShardStatus) {
         let node = self.settings.node;
         let state = &mut self.shards[usize::from(status.shard)];
         let Some(claim) = &mut state.claim else {
             return;
         };
-        // An acceptor that granted the claim rejects renewals of the lease under the token before:
-        // that is no rejection of the claim.
+        // An acceptor that has granted the claim rejects renewals of the lease under the old token.
+        // Such a rejection does not concern the claim.
         let is_granted = status.highest_token == claim.token && status.owner == Some(node);
         if is_granted || !claim.record_rejection(acceptor, self.quorum.quorum()) {
             return;
         }
         let token = claim.token;
         state.claim = None;
-        // Nodes whose claims share the grants retry at different times; one that finds an owner
-        // waits until that lease ends.
+        // Nodes with competing claims, each with grants from some acceptors, retry at different
+        // times. If the shard has an owner, the backoff ends no later than its lease.
         let backoff_ms = self.rng.f64() * self.settings.lease_ms * lease_fraction::FIRST_GRANT;
         let other_owner = status.owner.filter(|owner| *owner != node);
         let wait_ms = match other_owner {
@@ -288,9 +300,9 @@
         });
     }
 
-    /// Claims an owned shard under a new token if an acceptor has forgotten the lease: it does not
-    /// grant the present token again.
-    fn replace_forgotten_lease(&mut self, status: ShardStatus) {
+    /// Claims an owned shard under a new token if an acceptor has lost the lease, for example in a
+    /// restart: that acceptor does not grant the current token again.
+    fn replace_lost_lease(&mut self, status: ShardStatus) {
         let now_ms = self.now_ms;
         let node = self.settings.node;
         let state = &mut self.shards[usize::from(status.shard)];
@@ -305,7 +317,7 @@
         }
     }
 
-    /// Tells all acceptors that this process gives up an ownership or a claim.
+    /// Notifies all acceptors that this process gives up an ownership or a claim.
     pub(super) fn release(&mut self, ownership: ShardToken) {
         let requester = self.requester();
         for index in 0..self.quorum.acceptors().len() {
--- a/crates/lease/src/manager/effects.rs
+++ b/crates/lease/src/manager/effects.rs
@@ -1,5 +1,5 @@
-//! What owners did for the whole fleet, published with their fencing tokens: a receiver drops the
-//! effects of an owner that a later one has followed.
+//! Effects that owners publish to all nodes with their fencing tokens. A receiver drops an effect
+//! if it has accepted one of a later owner of the shard.
 
 use crate::action::Action;
 use crate::identity::{NodeId, Shard, ShardToken};
@@ -7,7 +7,8 @@
 use crate::message::{Message, MAX_EFFECT_BYTES};
 
 impl LeaseManager {
-    /// Sends an effect to all candidates, if this process owns the shard and the payload fits.
+    /// Sends an effect to all candidates, if this process owns the shard and the payload fits into
+    /// a message.
     pub(super) fn publish_effect(&mut self, shard: Shard, payload: &[u8]) {
         let token = self.permit(self.now_ms, shard).map(|permit| permit.token());
         let Some(token) = token.filter(|_| payload.len() <= MAX_EFFECT_BYTES) else {
--- a/crates/lease/src/manager/pending_requests.rs
+++ b/crates/lease/src/manager/pending_requests.rs
@@ -1,9 +1,9 @@
-//! The lease requests whose answers are awaited, so that a grant counts from when it was requested.
+//! The lease requests whose answers are awaited, with the times from which their grants count.
 
 use std::collections::VecDeque;
 
-/// Requests whose answers are awaited: one per tick and acceptor, for the longest lease. Beyond
-/// that the oldest is forgotten, and a grant of it counts for nothing.
+/// Maximum number of requests whose answers are awaited: one per tick and acceptor, for the longest
+/// lease. Beyond that the oldest is discarded, and a grant in answer to it is ignored.
 const MAX_PENDING_REQUESTS: usize = 2_048;
 
 /// A request that was sent to an acceptor.
@@ -15,7 +15,7 @@
     pub ttl_ms: f64,
 }
 
-/// The requests that were sent, oldest first.
+/// The requests that were sent and not discarded, oldest first.
 #[derive(Clone, Debug)]
 pub struct PendingRequests {
     queue: VecDeque<PendingRequest>,
@@ -23,7 +23,7 @@
 }
 
 impl PendingRequests {
-    /// No requests. The first one has the id after this one.
+    /// Creates an empty queue. Its first request has the id after `last_id`.
     pub fn new(last_id: u32) -> Self {
         Self {
             queue: VecDeque::new(),
@@ -31,7 +31,7 @@
         }
     }
 
-    /// Remembers a request that is sent now, and returns its id.
+    /// Adds a request that is being sent, and returns its id.
     pub fn insert(&mut self, acceptor: usize, sent_ms: f64, ttl_ms: f64) -> u32 {
         self.last_id = self.last_id.wrapping_add(1);
         if self.queue.len() >= MAX_PENDING_REQUESTS {
@@ -46,7 +46,8 @@
         self.last_id
     }
 
-    /// The request that an acceptor answers. It stays, as an answer may come in several messages.
+    /// Finds the request that an acceptor answers. It is kept, as the answer may consist of several
+    /// messages.
     pub fn find(&self, acceptor: usize, id: u32) -> Option<PendingRequest> {
         self.queue
             .iter()
@@ -54,8 +55,8 @@
             .copied()
     }
 
-    /// Forgets the requests that were sent before a time.
-    pub fn forget_before(&mut self, oldest_ms: f64) {
+    /// Discards the requests that were sent before a time.
+    pub fn discard_before(&mut self, oldest_ms: f64) {
         while self
             .queue
             .front()
@@ -65,7 +66,7 @@
         }
     }
 
-    /// Forgets all requests.
+    /// Discards all requests.
     pub fn clear(&mut self) {
         self.queue.clear();
     }
--- a/crates/lease/src/manager/permit.rs
+++ b/crates/lease/src/manager/permit.rs
@@ -1,20 +1,21 @@
-//! The permission to act on a shard, checked at the moment of acting.
+//! The permission to act on a shard, checked when the process acts.
 
 use std::marker::PhantomData;
 
 use crate::identity::{FencingToken, Shard};
 use crate::manager::LeaseManager;
 
-/// The permission to act on a shard now. It is requested again before each step with an effect.
+/// The permission to act on a shard now. The caller requests a new one before each step that has an
+/// effect.
 ///
-/// It cannot be made outside of this crate and lives no longer than the borrow of the manager that
-/// gave it, so no event can be handled while a permit exists.
+/// It cannot be constructed outside of this crate, and it borrows the manager that issued it, so no
+/// event can be handled while a permit exists.
 ///
 /// ```compile_fail,E0502
 /// fn act(leases: &mut lease::LeaseManager) {
 ///     let permit = leases.permit(0.0, 0);
 ///     leases.handle(1.0, lease::Event::TimerExpired, &mut Vec::new());
-///     drop(permit); // It would outlive what may have ended it.
+///     drop(permit); // The event may have ended the ownership.
 /// }
 /// ```
 ///
@@ -56,14 +57,14 @@
         self.token
     }
 
-    /// When the effect has to be complete, by this node's clock in milliseconds.
+    /// The time by which the effect has to be complete, in milliseconds of this node's clock.
     #[must_use]
     pub fn expires_ms(&self) -> f64 {
         self.expires_ms
     }
 
-    /// Whether the lease is still valid at this time, by this node's clock in milliseconds: checked
-    /// right before what cannot be undone.
+    /// Whether the lease is still valid at a time, in milliseconds of this node's clock. To be
+    /// checked immediately before a step that cannot be undone.
     #[must_use]
     pub fn is_valid_at(&self, now_ms: f64) -> bool {
         now_ms < self.expires_ms
--- a/crates/lease/src/manager/placement.rs
+++ b/crates/lease/src/manager/placement.rs
@@ -1,5 +1,5 @@
-//! Which node should own which shard: rendezvous hashing over the nodes that are believed to be
-//! alive. It decides who claims first and where shards move, and nothing that safety rests on.
+//! The placement of shards: rendezvous hashing over the nodes that are considered alive. It decides
+//! which node claims a shard first and where shards are moved. Safety does not depend on it.
 
 use stable_hash::mix;
 
@@ -7,13 +7,13 @@
 use crate::identity::{NodeId, Shard};
 use crate::manager::LeaseManager;
 
-/// How long another node has to be preferred before it is offered the shard, so that nodes that
-/// come and go move nothing.
+/// Time for which another node has to be preferred before it is offered the shard, so that nodes
+/// that join and leave within a short time move no shards.
 const STABLE_PREFERENCE_MS: f64 = 10_000.0;
-/// How often one shard is offered to its preferred node.
+/// Minimum interval between two offers of misplaced shards.
 const TRANSFER_INTERVAL_MS: f64 = 500.0;
 
-/// The rendezvous hash: of all nodes the one with the highest hash should own the shard.
+/// The rendezvous hash: the node with the highest hash should own the shard.
 fn rendezvous_hash(shard: Shard, node: NodeId) -> u64 {
     mix(node.0 ^ mix(u64::from(shard) + 1))
 }
@@ -30,10 +30,10 @@
         for (shard, state) in self.shards.iter_mut().enumerate() {
             let shard = shard as Shard;
             let priority = |node: NodeId| (rendezvous_hash(shard, node), node);
-            let own = priority(self.settings.node);
+            let own_priority = priority(self.settings.node);
             let rank = candidates
                 .iter()
-                .filter(|node| priority(**node) > own)
+                .filter(|node| priority(**node) > own_priority)
                 .count();
             state.rank = Some(rank);
             let preferred = preferred_owner(shard, candidates.iter().copied());
@@ -44,8 +44,8 @@
         }
     }
 
-    /// Offers one owned shard to the node that should own it, if that has been preferred for long
-    /// enough.
+    /// Offers one owned shard to its preferred owner, if that has been the same other node for
+    /// [`STABLE_PREFERENCE_MS`].
     pub(super) fn transfer_misplaced_shard(&mut self) {
         if self.now_ms < self.next_transfer_ms {
             return;
--- a/crates/lease/src/manager/renewal.rs
+++ b/crates/lease/src/manager/renewal.rs
@@ -1,4 +1,4 @@
-//! Keeping owned shards: renewing their leases in time, and giving up those that expired.
+//! The renewal of leases in time, and the loss of shards whose lease has expired.
 
 use crate::action::{Action, OwnershipChange};
 use crate::identity::Shard;
@@ -6,35 +6,43 @@
 use crate::message::LeaseRequest;
 
 impl LeaseManager {
-    /// Renews the leases that are due: whole leases where other acceptors answer, else short ones.
+    /// Renews the leases that are due: for the full length where other acceptors answer, else for
+    /// that of a first grant.
     pub(super) fn renew_leases(&mut self) {
         let now_ms = self.now_ms;
         let quorum = self.quorum.quorum();
         let renewal_ms = self.lease_fraction_ms(lease_fraction::RENEWAL);
         let retry_ms = self.lease_fraction_ms(lease_fraction::RETRY);
-        let low_ms = self.lease_fraction_ms(lease_fraction::LOW);
-        let (mut whole, mut short) = (Vec::new(), Vec::new());
+        let low_remaining_ms = self.lease_fraction_ms(lease_fraction::LOW_REMAINING);
+        let (mut full_requests, mut short_requests) = (Vec::new(), Vec::new());
         for (shard, state) in self.shards.iter_mut().enumerate() {
             let Some(lease) = &mut state.lease else {
                 continue;
             };
             let remaining_ms = lease.expires_ms(quorum) - now_ms;
             let elapsed_ms = now_ms - lease.requested_ms;
-            let is_retry_due = remaining_ms < low_ms && elapsed_ms >= retry_ms;
+            let is_retry_due = remaining_ms < low_remaining_ms && elapsed_ms >= retry_ms;
             if elapsed_ms < renewal_ms && !is_retry_due {
                 continue;
             }
             lease.requested_ms = now_ms;
-            let is_confirmed = now_ms - lease.confirmed_ms < low_ms;
-            let requests = if is_confirmed { &mut whole } else { &mut short };
+            let is_confirmed = now_ms - lease.confirmed_ms < low_remaining_ms;
+            let requests = if is_confirmed {
+                &mut full_requests
+            } else {
+                &mut short_requests
+            };
             requests.push(LeaseRequest {
                 shard: shard as Shard,
                 token: lease.token,
                 is_transfer: false,
             });
         }
-        self.send_requests(self.settings.lease_ms, &whole);
-        self.send_requests(self.lease_fraction_ms(lease_fraction::FIRST_GRANT), &short);
+        self.send_requests(self.settings.lease_ms, &full_requests);
+        self.send_requests(
+            self.lease_fraction_ms(lease_fraction::FIRST_GRANT),
+            &short_requests,
+        );
     }
 
     /// Gives up the shards whose lease was not renewed in time.
--- a/crates/lease/src/manager/table_polling.rs
+++ b/crates/lease/src/manager/table_polling.rs
@@ -1,14 +1,14 @@
-//! How a node learns which shards are free: it polls one acceptor after another for the changes of
-//! its table.
+//! The discovery of free shards: a node polls the acceptors one after another for the changes of
+//! their tables.
 
 use crate::claim::MAX_ACCEPTORS;
 use crate::manager::LeaseManager;
 use crate::message::{Message, ShardStatus, MAX_SHARD_STATUSES};
 
-/// How often one acceptor, in turn, is polled.
+/// Interval between two polls. Each poll goes to the next acceptor.
 pub(super) const POLL_INTERVAL_MS: f64 = 500.0;
 
-/// How far each acceptor's table is known, and which acceptor is polled next.
+/// The known version of each acceptor's table, and the acceptor and time of the next poll.
 #[derive(Clone, Debug)]
 pub(super) struct TablePolling {
     pub known_versions: [u64; MAX_ACCEPTORS],
@@ -52,7 +52,7 @@
             self.observe_status(*status);
         }
         if shards.len() >= MAX_SHARD_STATUSES {
-            // The table has more changes than fit a message.
+            // The message is full: the table may have further changes.
             self.request_table(acceptor, version);
         }
     }
--- a/crates/lease/src/manager/tests.rs
+++ b/crates/lease/src/manager/tests.rs
@@ -4,21 +4,21 @@
 
 const NODE: NodeId = NodeId(9);
 
-fn ids(of: &[u64]) -> Vec<NodeId> {
-    of.iter().copied().map(NodeId).collect()
+fn node_ids(numbers: &[u64]) -> Vec<NodeId> {
+    numbers.iter().copied().map(NodeId).collect()
 }
 
 fn manager(configuration: u32, acceptors: &[u64], previous_acceptors: &[u64]) -> LeaseManager {
     let settings = Settings {
         configuration,
-        previous_acceptors: ids(previous_acceptors),
+        previous_acceptors: node_ids(previous_acceptors),
         shards: 1,
-        ..Settings::new(NODE, 1, ids(acceptors))
+        ..Settings::new(NODE, 1, node_ids(acceptors))
     };
     LeaseManager::new(0.0, settings).expect("valid settings")
 }
 
-/// Handles an event, and returns what was sent.
+/// Handles an event, and returns the messages that were sent.
 fn handle(manager: &mut LeaseManager, now_ms: f64, event: Event<'_>) -> Vec<(NodeId, Message)> {
     let mut actions = Vec::new();
     manager.handle(now_ms, event, &mut actions);
@@ -29,7 +29,7 @@
     actions.into_iter().filter_map(sent).collect()
 }
 
-/// Receives a message, and returns what was sent.
+/// Receives a message, and returns the messages that were sent.
 fn receive(
     manager: &mut LeaseManager,
     now_ms: f64,
@@ -61,14 +61,14 @@
     }
 }
 
-/// The response of an acceptor that grants all that was requested of it.
-fn granted(sent: &[(NodeId, Message)], by: u64) -> Option<Message> {
+/// The response of an acceptor that grants every lease requested from it.
+fn grant_response(sent: &[(NodeId, Message)], acceptor: u64) -> Option<Message> {
     sent.iter().find_map(|(to, message)| match message {
         Message::LeaseRequest {
             request_id,
             requests,
             ..
-        } if *to == NodeId(by) => {
+        } if *to == NodeId(acceptor) => {
             let ownership = |request: &LeaseRequest| ShardToken {
                 shard: request.shard,
                 token: request.token,
@@ -82,14 +82,15 @@
     })
 }
 
-/// Claims the shard, with the grants of these acceptors. Returns whether it is owned.
+/// Claims the shard and receives the grants of these acceptors. Returns whether it is owned then.
 fn acquire(manager: &mut LeaseManager, acceptors: &[u64]) -> bool {
     let candidates = Event::Candidates(&[NODE], NodeHealth::Healthy);
     let mut sent = handle(manager, 1.0, candidates);
     sent.extend(receive(manager, 100.0, acceptors[0], &free_shard_table(5)));
     sent.extend(handle(manager, 200.0, Event::TimerExpired));
     for acceptor in acceptors {
-        let message = granted(&sent, *acceptor).expect("it was requested");
+        let message =
+            grant_response(&sent, *acceptor).expect("the shard is requested from each acceptor");
         receive(manager, 210.0, *acceptor, &message);
     }
     manager.permit(210.0, 0).is_some()
@@ -102,13 +103,13 @@
 ) -> Result<ReconfigurationOutcome, ReconfigurationError> {
     let request = ConfigurationRequest {
         number: 2,
-        acceptors: &ids(acceptors),
-        previous_acceptors: &ids(&[1, 2, 3]),
+        acceptors: &node_ids(acceptors),
+        previous_acceptors: &node_ids(&[1, 2, 3]),
     };
     manager.reconfigure(now_ms, request)
 }
 
-/// Grants stay those of the acceptors that gave them, whatever their indices are now.
+/// Guards against grants that count for other acceptors once a reconfiguration changes the indices.
 #[test]
 fn grants_after_reconfiguration_count_for_their_acceptors() {
     let mut kept = manager(1, &[1, 2, 3], &[]);
@@ -119,7 +120,7 @@
     );
     assert!(
         kept.permit(220.0, 0).is_some(),
-        "1 and 2 are a majority of both configurations"
+        "the shard must stay owned: 1 and 2 are a majority of both configurations"
     );
     let mut lost = manager(1, &[1, 2, 3], &[]);
     assert!(acquire(&mut lost, &[1, 2]));
@@ -129,19 +130,23 @@
     );
     assert!(
         lost.permit(220.0, 0).is_none(),
-        "of the new acceptors only 1 has granted it"
+        "the shard must not stay owned: of the new acceptors only 1 has granted it"
     );
 }
 
-/// A process that was stopped, has no permit when it resumes, even before it handles an event.
+/// Guards against a permit for a process that resumes after its lease has expired and has not
+/// handled an event yet.
 #[test]
-fn permit_after_the_lease_expired_is_refused_without_an_event() {
+fn permit_after_lease_expiry_is_refused_without_an_event() {
     let mut manager = manager(1, &[1, 2, 3], &[]);
     assert!(acquire(&mut manager, &[1, 2]));
-    let expires_ms = manager.permit(210.0, 0).expect("it owns it").expires_ms();
+    let expires_ms = manager
+        .permit(210.0, 0)
+        .expect("the process owns the shard")
+        .expires_ms();
     assert!(
         expires_ms < 200.0 + 625.0,
-        "from when it was requested: {expires_ms}"
+        "the lease must count from its request at 200 ms, but expires at {expires_ms} ms"
     );
     let is_permitted = |now_ms| {
         manager
@@ -157,7 +162,7 @@
     );
 }
 
-/// Guards against tokens that go back where new acceptors do not know the grants of the old ones.
+/// Guards against tokens that go back as new acceptors do not know the grants of the old ones.
 #[test]
 fn settled_configuration_continues_above_previous_tokens() {
     let mut manager = manager(1, &[1, 2, 3], &[]);
@@ -186,12 +191,12 @@
     assert_eq!(
         manager.shards[0].highest_token,
         FencingToken(900),
-        "it claims above that"
+        "the node must claim above the tokens of the previous configuration"
     );
     assert_eq!(
         manager.acceptor.as_ref().map(Acceptor::highest_token),
         Some(FencingToken(900)),
-        "and grants above that"
+        "the acceptor must grant above the tokens of the previous configuration"
     );
 }
 
@@ -200,10 +205,10 @@
         .any(|(_, message)| matches!(message, Message::LeaseRequest { .. }))
 }
 
-/// A node that does not know how far a reconfiguration is requests nothing, whatever is offered:
-/// its claims would block others.
+/// Guards against claims, even to transferred shards, by a node that does not know the phase of a
+/// reconfiguration: they would block other nodes.
 #[test]
-fn node_with_unknown_configuration_requests_nothing() {
+fn node_with_unknown_quorum_requests_no_lease() {
     for previous in [&[][..], &[1, 2, 4]] {
         let may_request = previous.is_empty();
         let mut manager = manager(2, &[1, 2, 3], previous);
@@ -221,26 +226,27 @@
     }
 }
 
-/// An owner that claims its shard under a new token, as an acceptor knows a higher one than its
-/// own. Also returns what it sent with the claim.
+/// An owner that claims its shard under a new token, as an acceptor reported a higher one than its
+/// own. Also returns the messages that it sent since that report.
 fn owner_with_new_token() -> (LeaseManager, Vec<(NodeId, Message)>) {
     let mut manager = manager(1, &[1, 2, 3], &[]);
     assert!(acquire(&mut manager, &[1, 2]));
     let mut sent = handle(&mut manager, 1_000.0 / 3.0, Event::TimerExpired);
     sent.extend(handle(&mut manager, 600.0, Event::TimerExpired));
     for acceptor in [1, 2] {
-        let message = granted(&sent, acceptor).expect("renewed");
+        let message =
+            grant_response(&sent, acceptor).expect("the renewal is requested from each acceptor");
         receive(&mut manager, 610.0, acceptor, &message);
     }
-    let ahead = Message::Rejected {
+    let higher_token = Message::Rejected {
         shards: vec![status(40, None, 0)],
     };
-    let mut sent = receive(&mut manager, 700.0, 3, &ahead);
+    let mut sent = receive(&mut manager, 700.0, 3, &higher_token);
     sent.extend(handle(&mut manager, 760.0, Event::TimerExpired));
     (manager, sent)
 }
 
-/// For how long the shard was requested under a token, by message.
+/// The lengths of the leases that were requested under a token, one for each message.
 fn requested_ttls(sent: &[(NodeId, Message)], token: u64) -> Vec<u16> {
     let ttl = |(_, message): &(NodeId, Message)| match message {
         Message::LeaseRequest {
@@ -251,15 +257,15 @@
     sent.iter().filter_map(ttl).collect()
 }
 
-/// An acceptor that has granted the new token rejects renewals of the old one, which is no
-/// rejection of the new one.
+/// Guards against a claim that is abandoned because an acceptor that has granted the new token
+/// rejects renewals under the old one.
 #[test]
 fn rejection_of_old_token_does_not_end_claim_of_new_one() {
     let (mut manager, sent) = owner_with_new_token();
     assert_eq!(
         requested_ttls(&sent, 41),
         [2_500; 3],
-        "for a whole lease: it blocks nobody"
+        "the claim must request leases of the full length, as they block no other node"
     );
     for acceptor in [1, 2] {
         let rejected = Message::Rejected {
@@ -270,12 +276,12 @@
     let sent = handle(&mut manager, 1_100.0, Event::TimerExpired);
     assert!(
         !requested_ttls(&sent, 41).is_empty(),
-        "it goes on to request"
+        "the claim must be requested again"
     );
 }
 
-/// A node whose messages arrive and that receives nothing would block a shard for a whole lease after its own lease
-/// has expired.
+/// Guards against a node whose messages arrive while it receives none: it would block a shard for a
+/// full lease after its own lease has expired.
 #[test]
 fn owner_without_answers_requests_short_leases_only() {
     let (mut manager, _) = owner_with_new_token();
@@ -283,6 +289,6 @@
     let ttls = requested_ttls(&sent, 41);
     assert!(
         !ttls.is_empty() && ttls.iter().all(|ttl| *ttl == 625),
-        "{ttls:?}"
+        "only leases of 625 ms must be requested, but got {ttls:?}"
     );
 }
--- a/crates/lease/src/manager/transfer.rs
+++ b/crates/lease/src/manager/transfer.rs
@@ -1,8 +1,8 @@
-//! Moving a shard to another node without waiting for its lease to end.
+//! The transfer of a shard to another node without waiting for its lease to expire.
 //!
-//! The owner offers the shard; a healthy node accepts; the owner ends its lease, tells the next
-//! owner the token, and releases its grants; the next owner claims the shard under the following
-//! token, for which acceptors give up the old grant. A node that leaves skips the offer.
+//! The owner offers the shard, and a healthy node accepts. The owner then ends its lease, sends the
+//! next owner the token, and releases its grants. The next owner claims the shard under the
+//! following token, for which acceptors replace the old grant. A node that leaves skips the offer.
 
 use crate::action::{Action, OwnershipChange};
 use crate::event::NodeHealth;
@@ -12,17 +12,18 @@
 use crate::manager::{lease_fraction, LeaseManager};
 use crate::message::Message;
 
-/// How long an offer can be accepted.
+/// Time for which an offer can be accepted.
 const OFFER_TIMEOUT_MS: f64 = 2_000.0;
 
 impl LeaseManager {
-    /// The state of a shard that can be transferred to this node.
+    /// The state of a shard, if it exists and the given node is not this one.
     fn transferable(&mut self, shard: Shard, to: NodeId) -> Option<&mut ShardState> {
         let is_other = to != self.settings.node;
         self.shards.get_mut(usize::from(shard)).filter(|_| is_other)
     }
 
-    /// Offers a shard to a node, which has to accept it: one that receives nothing would leave it unowned.
+    /// Offers a shard to a node, which has to accept it before the transfer: a node that receives
+    /// no messages would leave the shard unowned.
     pub(super) fn offer_transfer(&mut self, shard: Shard, to: NodeId) {
         let now_ms = self.now_ms;
         let Some(state) = self.transferable(shard, to) else {
@@ -63,7 +64,7 @@
         }
     }
 
-    /// Transfers a shard: from here on this process does not act on it.
+    /// Ends this process's lease of a shard, and transfers the shard to another node.
     fn transfer(&mut self, shard: Shard, to: NodeId) {
         let now_ms = self.now_ms;
         let Some(state) = self.transferable(shard, to) else {
@@ -96,18 +97,19 @@
         self.release(ownership);
     }
 
-    /// Repeats the messages of each transfer until a node owns the shard, for half a lease.
+    /// Repeats the messages of each transfer until a higher token of the shard is known, but for at
+    /// most half a lease.
     pub(super) fn repeat_transfers(&mut self) {
         let now_ms = self.now_ms;
         let retry_ms = self.lease_fraction_ms(lease_fraction::RETRY);
-        let timeout_ms = self.lease_fraction_ms(lease_fraction::LOW);
+        let timeout_ms = self.lease_fraction_ms(lease_fraction::LOW_REMAINING);
         let mut due = Vec::new();
         for (shard, state) in self.shards.iter_mut().enumerate() {
             let Some(transfer) = state.transfer.as_mut() else {
                 continue;
             };
-            let is_owned = state.highest_token > transfer.token;
-            if is_owned || now_ms - transfer.started_ms >= timeout_ms {
+            let is_claimed = state.highest_token > transfer.token;
+            if is_claimed || now_ms - transfer.started_ms >= timeout_ms {
                 state.transfer = None;
             } else if now_ms - transfer.sent_ms >= retry_ms {
                 transfer.sent_ms = now_ms;
@@ -119,7 +121,7 @@
         }
     }
 
-    /// The owner transfers a shard to this node, which claims it.
+    /// Claims a shard that its owner has transferred to this node.
     pub(super) fn on_transfer(&mut self, ownership: ShardToken) {
         let now_ms = self.now_ms;
         let may_claim = !self.is_leaving && self.quorum.is_known();
@@ -134,7 +136,8 @@
         self.request_claims();
     }
 
-    /// Transfers every owned shard to the next candidate, or releases it where there is none.
+    /// Transfers every owned shard to its preferred owner among the other candidates, or releases
+    /// it if there are none.
     pub(super) fn leave(&mut self) {
         self.is_leaving = true;
         let node = self.settings.node;
--- a/crates/lease/src/message.rs
+++ b/crates/lease/src/message.rs
@@ -1,7 +1,7 @@
 //! The messages that nodes exchange about leases, and their encoding.
 //!
 //! A message is one byte for its kind and the fields of that kind. Numbers are little-endian. The
-//! encoding is the same as in version 45ea4e8, whose nodes may run in the same fleet:
+//! encoding is the same as in version 45ea4e8, whose nodes may run in the same cluster:
 //! `golden_tests` has the bytes of each kind.
 
 use std::fmt;
@@ -10,17 +10,18 @@
 
 use crate::identity::{FencingToken, NodeId, Shard, ShardToken};
 
-/// The longest message, in bytes: with the seal, the head and a name round it a datagram has 256.
+/// Maximum length of a message, in bytes. With the datagram's header, a node name and the seal
+/// (authentication tag) a datagram has at most 256 bytes.
 pub const MAX_MESSAGE_BYTES: usize = 170;
-/// The longest payload of an effect, in bytes.
+/// Maximum length of an effect's payload, in bytes.
 pub const MAX_EFFECT_BYTES: usize = MAX_MESSAGE_BYTES - 10;
-/// Lease requests that fit a message.
+/// Number of lease requests that fit into a message.
 pub const MAX_LEASE_REQUESTS: usize = (MAX_MESSAGE_BYTES - 23) / 10;
-/// Shard statuses that fit a message.
+/// Number of shard statuses that fit into a message.
 pub const MAX_SHARD_STATUSES: usize = (MAX_MESSAGE_BYTES - 9) / 19;
 
-/// The first byte of a message. Kinds with the previous configuration are seen only while acceptors
-/// are replaced.
+/// The first byte of a message. Kinds that carry the previous configuration are sent only while
+/// acceptors are replaced.
 mod kind {
     pub const LEASE_REQUEST: u8 = 1;
     pub const GRANTED: u8 = 2;
@@ -41,24 +42,24 @@
     pub const EFFECT: u8 = 17;
 }
 
-/// The bits of a [`ConfigurationStatus`].
+/// The bits of an encoded [`ConfigurationStatus`].
 mod status_flag {
     pub const SEALED: u8 = 1;
     pub const SETTLED: u8 = 2;
     pub const PREVIOUS_SETTLED: u8 = 4;
 }
 
-/// A request for one shard.
+/// A request for the lease of one shard.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct LeaseRequest {
     pub shard: Shard,
     pub token: FencingToken,
-    /// The owner before has given up the shard, under the token before this one, whatever grant the
-    /// acceptor still has for it.
+    /// Whether the owner under the preceding token has transferred the shard to the requester. Then
+    /// the acceptor may replace that owner's grant before it expires.
     pub is_transfer: bool,
 }
 
-/// What an acceptor has granted of a shard.
+/// An acceptor's current grant of a shard, and its highest token.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ShardStatus {
     pub shard: Shard,
@@ -68,91 +69,92 @@
     pub remaining_ms: u16,
 }
 
-/// The ids of the configuration that a node has, and of the previous one while both decide.
+/// The ids of a node's configuration, and of the previous one while both decide.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ConfigurationIds {
     pub current: u64,
     pub previous: Option<u64>,
 }
 
-/// What a node knows of a configuration.
+/// The status of a configuration as reported by one node.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ConfigurationStatus {
     pub configuration_id: u64,
     /// The sender is an acceptor of the previous configuration, has granted nothing under it alone
-    /// for longer than any lease, and never will.
+    /// for longer than any lease lasts, and never will again.
     pub is_sealed: bool,
     /// The configuration decides alone: no process can act under an earlier one.
     pub is_settled: bool,
     /// No process can act under a configuration before the previous one.
     pub is_previous_settled: bool,
-    /// The highest token that the sender knows.
+    /// The highest token known to the sender.
     pub highest_token: FencingToken,
 }
 
+/// A message between the lease managers of two nodes.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Message {
-    /// Requests leases for so long, counted from when the request was sent.
+    /// Requests leases of `ttl_ms`, counted from when the request was sent.
     LeaseRequest {
         configurations: ConfigurationIds,
         request_id: u32,
         ttl_ms: u16,
         requests: Vec<LeaseRequest>,
     },
-    /// An acceptor grants these.
+    /// An acceptor grants leases that were requested.
     Granted {
         request_id: u32,
         granted: Vec<ShardToken>,
     },
-    /// An acceptor rejects the requests for these.
+    /// An acceptor rejects requests, and reports the status of their shards.
     Rejected {
         shards: Vec<ShardStatus>,
     },
-    /// The sender owns these no more.
+    /// The sender has given up ownerships or claims.
     Release {
         released: Vec<ShardToken>,
     },
-    /// The sender has given up this ownership, and the receiver may request the next one.
+    /// The sender has given up this ownership, and the receiver may claim the next one.
     Transfer(ShardToken),
-    /// The sender would like to transfer this to the receiver.
+    /// The sender offers to transfer this ownership to the receiver.
     TransferOffer(ShardToken),
-    /// The sender is ready to own what it was offered.
+    /// The sender accepts the transfer that it was offered.
     TransferAccepted(ShardToken),
-    /// Requests what has changed since a version of the acceptor's table.
+    /// Requests the changes of the acceptor's table since a version.
     TableRequest {
         configurations: ConfigurationIds,
         since_version: u64,
     },
-    /// What has changed, up to this version.
+    /// The changes of the acceptor's table up to a version.
     Table {
         version: u64,
         shards: Vec<ShardStatus>,
     },
-    /// Requests the highest token that the receiver knows.
+    /// Requests the highest token known to the receiver.
     HighestTokenRequest {
         configuration_id: u64,
     },
     HighestToken(FencingToken),
-    /// Requests how far a reconfiguration is.
+    /// Requests the status of a reconfiguration.
     ConfigurationStatusRequest {
         configurations: ConfigurationIds,
     },
     ConfigurationStatus(ConfigurationStatus),
-    /// What the sender did as the owner of a shard.
+    /// An effect that the sender publishes as the owner of a shard.
     Effect {
         ownership: ShardToken,
         payload: Vec<u8>,
     },
-    /// The receiver has another configuration than the sender, which has this number.
+    /// The receiver's configuration does not match the sender's, which has this number.
     ConfigurationMismatch(u32),
 }
 
-/// Why bytes are no message.
+/// The reason why bytes cannot be decoded as a message.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DecodeError {
-    /// Longer than [`MAX_MESSAGE_BYTES`]: how many bytes.
+    /// The message is longer than [`MAX_MESSAGE_BYTES`]; its length in bytes.
     TooLong(usize),
-    /// A kind that this version does not know.
+    /// The kind is unknown to this version.
     UnknownKind(u8),
     /// The message ends within a field.
     Truncated,
@@ -161,9 +163,9 @@
 impl fmt::Display for DecodeError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Self::TooLong(length) => write!(f, "a lease message of {length} bytes is too long"),
-            Self::UnknownKind(kind) => write!(f, "lease messages of kind {kind} are unknown"),
-            Self::Truncated => write!(f, "the lease message is truncated"),
+            Self::TooLong(length) => write!(f, "lease message of {length} bytes is too long"),
+            Self::UnknownKind(kind) => write!(f, "lease message of unknown kind {kind}"),
+            Self::Truncated => write!(f, "lease message is truncated"),
         }
     }
 }
@@ -171,7 +173,7 @@
 impl std::error::Error for DecodeError {}
 
 impl Message {
-    /// The message as bytes, at most [`MAX_MESSAGE_BYTES`] if the lists are within their bounds.
+    /// Encodes the message, to at most [`MAX_MESSAGE_BYTES`] if its lists are within their bounds.
     pub fn encode(&self) -> Vec<u8> {
         let mut out = Vec::with_capacity(MAX_MESSAGE_BYTES);
         out.push(self.kind());
@@ -256,11 +258,11 @@
         }
     }
 
-    /// The message that bytes stand for.
+    /// Decodes a message.
     ///
     /// # Errors
     ///
-    /// The bytes are no message of this version.
+    /// The bytes are not a message of this version.
     pub fn decode(bytes: &[u8]) -> Result<Self, DecodeError> {
         if bytes.len() > MAX_MESSAGE_BYTES {
             return Err(DecodeError::TooLong(bytes.len()));
@@ -321,7 +323,8 @@
     }
 }
 
-/// One id, or two where the previous configuration decides too: the kind says which.
+/// Encodes one id, or two while the previous configuration decides too. The message's kind says
+/// which.
 fn encode_configurations(out: &mut Vec<u8>, configurations: ConfigurationIds) {
     out.put_u64_le(configurations.current);
     if let Some(previous) = configurations.previous {
@@ -364,7 +367,7 @@
     out.put_u64_le(status.highest_token.0);
 }
 
-/// The rest of a message. Each function takes one field from its front.
+/// The bytes of a message that are not decoded yet. Each method removes one field from the front.
 struct Decoder<'a>(&'a [u8]);
 
 impl Decoder<'_> {
@@ -453,14 +456,14 @@
         })
     }
 
-    /// One entry after another until nothing is left.
+    /// Decodes entries until no bytes are left.
     fn until_end<T>(
         &mut self,
-        mut entry: impl FnMut(&mut Self) -> Result<T, DecodeError>,
+        mut decode_entry: impl FnMut(&mut Self) -> Result<T, DecodeError>,
     ) -> Result<Vec<T>, DecodeError> {
         let mut entries = Vec::new();
         while !self.0.is_empty() {
-            entries.push(entry(self)?);
+            entries.push(decode_entry(self)?);
         }
         Ok(entries)
     }
--- a/crates/lease/src/message/golden_tests.rs
+++ b/crates/lease/src/message/golden_tests.rs
@@ -1,5 +1,5 @@
-//! The exact bytes of one message of every kind, as version 45ea4e8 encodes
-//! them. Nodes of that version may run in the same fleet, so these bytes never change.
+//! The exact bytes of one message of every kind, as version 45ea4e8 encodes them. Nodes of that
+//! version may run in the same cluster, so these bytes never change.
 
 use super::*;
 
@@ -10,14 +10,14 @@
     token: TOKEN,
 };
 
-fn one_configuration() -> ConfigurationIds {
+fn settled_configuration() -> ConfigurationIds {
     ConfigurationIds {
         current: 0x1112_1314_1516_1718,
         previous: None,
     }
 }
 
-fn two_configurations() -> ConfigurationIds {
+fn joint_configurations() -> ConfigurationIds {
     ConfigurationIds {
         current: 0x1112_1314_1516_1718,
         previous: Some(0x2122_2324_2526_2728),
@@ -103,13 +103,13 @@
 fn messages() -> [Message; 20] {
     [
         Message::LeaseRequest {
-            configurations: one_configuration(),
+            configurations: settled_configuration(),
             request_id: 0x5152_5354,
             ttl_ms: 0x6162,
             requests: lease_requests(),
         },
         Message::LeaseRequest {
-            configurations: two_configurations(),
+            configurations: joint_configurations(),
             request_id: 0x5152_5354,
             ttl_ms: 0x6162,
             requests: lease_requests(),
@@ -128,11 +128,11 @@
         Message::TransferOffer(OWNERSHIP),
         Message::TransferAccepted(OWNERSHIP),
         Message::TableRequest {
-            configurations: one_configuration(),
+            configurations: settled_configuration(),
             since_version: 0x7172,
         },
         Message::TableRequest {
-            configurations: two_configurations(),
+            configurations: joint_configurations(),
             since_version: 0x7172,
         },
         Message::Table {
@@ -145,10 +145,10 @@
         Message::HighestToken(TOKEN),
         Message::ConfigurationMismatch(0x5152_5354),
         Message::ConfigurationStatusRequest {
-            configurations: one_configuration(),
+            configurations: settled_configuration(),
         },
         Message::ConfigurationStatusRequest {
-            configurations: two_configurations(),
+            configurations: joint_configurations(),
         },
         status(true, false, false),
         status(false, true, false),
@@ -163,7 +163,7 @@
 fn from_hex(text: &str) -> Vec<u8> {
     (0..text.len())
         .step_by(2)
-        .map(|at| u8::from_str_radix(&text[at..at + 2], 16).expect("hexadecimal digits"))
+        .map(|start| u8::from_str_radix(&text[start..start + 2], 16).expect("hexadecimal digits"))
         .collect()
 }
 
