--- a/crates/lease/src/action.rs
+++ b/crates/lease/src/action.rs
@@ -1,10 +1,10 @@
-//! What comes out of a [`LeaseManager`](crate::LeaseManager).
+//! Outputs of a [`LeaseManager`](crate::LeaseManager): actions, shard owners and counters.
 
 use std::fmt;
 
 use crate::identity::{FencingToken, NodeId, Shard};
 
-/// What the caller has to do.
+/// An action that the caller has to carry out.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
     /// Send a message. It may be lost, delayed, duplicated or reordered.
@@ -14,7 +14,8 @@
         /// The encoded message, at most [`MAX_MESSAGE_BYTES`](crate::MAX_MESSAGE_BYTES).
         bytes: Vec<u8>,
     },
-    /// Call again at this time at the latest, in milliseconds. A later action replaces an earlier.
+    /// Deliver [`Event::TimerExpired`](crate::Event::TimerExpired) at this time at the latest, in
+    /// milliseconds, unless another event comes before. Replaces the previous `WakeAt`.
     WakeAt(f64),
     /// This process has acquired or lost a shard.
     OwnershipChanged {
@@ -25,9 +26,10 @@
         /// What happened.
         change: OwnershipChange,
     },
-    /// Tell the operators.
+    /// Log an event for the operators.
     Log(LogEvent),
-    /// The owner of a shard has published an effect, and no later owner has published one here.
+    /// An effect published by the owner of a shard was accepted: no effect of a later owner has
+    /// been received before.
     Effect {
         /// The owner.
         from: NodeId,
@@ -35,10 +37,10 @@
         shard: Shard,
         /// The token of its ownership.
         token: FencingToken,
-        /// What it published.
+        /// The published payload.
         payload: Vec<u8>,
     },
-    /// Store durably that this acceptor may grant tokens up to this one, then send
+    /// Store durably that this acceptor may grant tokens up to this one, then deliver
     /// [`Event::TokensReserved`](crate::Event::TokensReserved).
     ReserveTokens(FencingToken),
 }
@@ -52,7 +54,7 @@
     Expired,
     /// The shard was transferred to another node.
     Transferred(NodeId),
-    /// The lease was released, with no next owner.
+    /// The lease was released without a designated next owner.
     Released,
 }
 
@@ -62,7 +64,7 @@
             Self::Acquired => write!(f, "acquired: granted by a majority of acceptors"),
             Self::Expired => write!(
                 f,
-                "lost: the lease expired, a majority of acceptors did not renew it in time"
+                "lost: the lease expired before a majority of acceptors renewed it"
             ),
             Self::Transferred(_) => write!(f, "lost: transferred to another node"),
             Self::Released => write!(f, "lost: the lease was released"),
@@ -70,51 +72,52 @@
     }
 }
 
-/// What operators have to know.
+/// An event for the operators' log.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LogEvent {
-    /// An acceptor has other acceptors, shards or lease times configured than this node.
+    /// An acceptor's configuration (acceptors, shards or lease times) differs from this node's.
     ConfigurationMismatch {
         /// The acceptor.
         acceptor: NodeId,
-        /// The number of its configuration.
+        /// The number of the acceptor's configuration.
         configuration: u32,
     },
     /// This acceptor's quarantine is over: it grants leases from now on.
     AcceptorReady,
-    /// The configuration of this number decides without the one before it from now on.
+    /// The configuration with this number decides without the previous one from now on.
     ConfigurationSettled(u32),
 }
 
-/// The owner of a shard, as far as a node knows.
+/// The owner of a shard according to one node.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ShardOwner {
     /// The shard.
     pub shard: Shard,
-    /// Its owner, where one is known.
+    /// The owner; `None` if none is known.
     pub node: Option<NodeId>,
-    /// The token of the ownership, or the highest that is known.
+    /// The token of this process's own lease; for other owners the highest known token.
     pub token: FencingToken,
-    /// How long this node itself may act on the shard, in milliseconds; 0 where it may not.
+    /// Remaining time for which this process may act on the shard, in milliseconds; 0 if it is not
+    /// the owner.
     pub remaining_ms: f64,
-    /// When this owner, or its absence, was first known.
+    /// When this owner, or the absence of an owner, was first observed, in milliseconds.
     pub since_ms: f64,
 }
 
 /// Counters since the start of the process.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Metrics {
-    /// Shards that this process acquired.
+    /// Shard acquisitions by this process.
     pub acquired: u64,
-    /// Shards whose lease expired here.
+    /// Leases of this process that expired.
     pub expired: u64,
-    /// Shards that were transferred or released.
+    /// Leases of this process that were transferred or released.
     pub relinquished: u64,
     /// Grants as an acceptor, renewals included.
     pub grants: u64,
-    /// Rejected requests as an acceptor.
+    /// Requests of other nodes that were rejected as an acceptor.
     pub rejections: u64,
-    /// Effects that were dropped because a later owner had published one.
+    /// Effects that were dropped because one of a later owner had been accepted.
     pub stale_effects: u64,
     /// Effects that were accepted.
     pub effects: u64,
@@ -122,6 +125,6 @@
     pub malformed_messages: u64,
     /// Messages sent.
     pub sent_messages: u64,
-    /// Bytes of those messages.
+    /// Total size of the sent messages, in bytes.
     pub sent_bytes: u64,
 }
--- a/crates/lease/src/event.rs
+++ b/crates/lease/src/event.rs
@@ -1,41 +1,42 @@
-//! What goes into a [`LeaseManager`](crate::LeaseManager).
+//! Inputs of a [`LeaseManager`](crate::LeaseManager).
 
 use crate::identity::{FencingToken, NodeId, Shard};
 
-/// What happens to a node.
+/// An event for a node's leases to handle.
 #[derive(Clone, Copy, Debug)]
 pub enum Event<'a> {
-    /// A message of another node arrived, authenticated and not replayed.
+    /// A message of another node arrived. The caller has authenticated it and excluded a replay.
     Message {
         /// The sender.
         from: NodeId,
-        /// The process of the sender.
+        /// The sender's process id.
         process_id: u64,
         /// The encoded message.
         bytes: &'a [u8],
     },
-    /// The time of the last [`Action::WakeAt`](crate::Action::WakeAt) has come.
+    /// The time of the last [`Action::WakeAt`](crate::Action::WakeAt) has been reached.
     TimerExpired,
-    /// The nodes that are believed to be alive, in no order and this node among them, and how well
-    /// this node receives the others.
+    /// The nodes that are considered alive, in any order, and this node's health. The caller lists
+    /// this node as well, at least while it is healthy.
     Candidates(&'a [NodeId], NodeHealth),
-    /// An operator asks to transfer a shard to a node.
+    /// An operator requested the transfer of a shard to a node.
     TransferShard {
         /// The shard, owned by this process.
         shard: Shard,
         /// The next owner.
         to: NodeId,
     },
-    /// The owner of a shard has done something that all other nodes have to learn.
+    /// This process, as the owner of a shard, has an effect to publish to all other nodes.
     PublishEffect {
         /// The shard, owned by this process.
         shard: Shard,
-        /// At most [`MAX_EFFECT_BYTES`](crate::MAX_EFFECT_BYTES); a longer one is not published.
+        /// At most [`MAX_EFFECT_BYTES`](crate::MAX_EFFECT_BYTES) long; a longer payload is not
+        /// published.
         payload: &'a [u8],
     },
     /// The reservation of [`Action::ReserveTokens`](crate::Action::ReserveTokens) is on disk.
     TokensReserved(FencingToken),
-    /// This process is about to end: it hands over all that it owns.
+    /// This process is about to end: it transfers or releases all shards that it owns.
     Leave,
 }
 
@@ -44,9 +45,9 @@
 pub enum NodeHealth {
     /// It exchanges messages with the other nodes.
     Healthy,
-    /// Messages are often lost. It requests only what no other node has requested for a while, as
-    /// all nodes may be degraded.
+    /// Messages are often lost. The node claims a free shard only if no other node has claimed it
+    /// for a while; it does not stop claiming, as all nodes may be degraded.
     Degraded,
-    /// It receives nothing, and requests nothing.
+    /// It receives no messages, and claims no free shards.
     Isolated,
 }
--- a/crates/lease/src/lib.rs
+++ b/crates/lease/src/lib.rs
@@ -1,19 +1,19 @@
 //! Leases with fencing tokens, granted by a majority of acceptors.
 //!
-//! The work that all nodes of a fleet have in common is cut into shards. A process owns a shard
-//! while it holds grants for it from a majority of a fixed set of acceptors, each for a limited
-//! time. Two majorities have an acceptor in common, and an acceptor grants a shard to one process
-//! at a time, so a shard never has two owners. Each ownership carries a [`FencingToken`] that only
-//! rises, by which a resource rejects the effects of an earlier owner.
+//! The work that all nodes of a cluster share is divided into shards. A process owns a shard while
+//! it holds grants for it from a majority of a fixed set of acceptors, each for a limited time. Two
+//! majorities have an acceptor in common, and an acceptor grants a shard to one process at a time,
+//! so a shard never has two owners. Each ownership has a higher [`FencingToken`] than the ones
+//! before it, so that a resource can reject the effects of an earlier owner.
 //!
-//! An owner counts its lease from when it **sent** the request and shortens it by the clock drift
-//! that two nodes may have. An acceptor that has restarted has lost its grants and grants nothing
-//! until all that it may have granted has expired. Safety never rests on which nodes are believed
-//! to be alive: that only decides which node requests a shard first.
+//! An owner counts its lease from when it **sent** the request, and shortens it by the maximum
+//! clock drift between two nodes. A restarted acceptor has lost its grants, so it grants nothing
+//! until every lease that it may have granted has expired. Safety does not depend on failure
+//! detection, which only decides which node requests a shard first.
 //!
-//! The crate has no I/O and no clock: [`Event`]s and the time go into [`LeaseManager::handle`],
-//! [`Action`]s come out. Times are milliseconds of the node's own clock since boot, suspend
-//! included. See `docs/lease/design.md`.
+//! The crate performs no I/O and reads no clock: the caller passes [`Event`]s and the time to
+//! [`LeaseManager::handle`] and carries out the [`Action`]s that it appends. Times are milliseconds
+//! since boot by the node's own clock, including suspend time. See `docs/lease/design.md`.
 
 mod acceptor;
 mod action;
