--- a/crates/lease/tests/lease_simulation/faults.rs
+++ b/crates/lease/tests/lease_simulation/faults.rs
@@ -8,7 +8,7 @@
 
 #[test]
 fn paused_owner_is_replaced_and_never_overlaps_its_successor() {
-    for (seed, ms) in [
+    for (seed, pause_ms) in [
         LEASE_MS - 10.0,
         LEASE_MS,
         2.0 * LEASE_MS,
@@ -18,35 +18,35 @@
     .into_iter()
     .enumerate()
     {
-        // At many phases of its lease.
-        for part in 0..20 {
+        // The pause begins at 20 phases of the lease.
+        for phase in 0..20 {
             let mut fleet = SimulatedFleet::started(seed as u64, 7, 3, InjectedFault::None);
-            fleet.run(f64::from(part) * 43.0);
-            let owner = fleet.owner[0].expect("owned");
-            fleet.simulation.pause(owner, ms);
-            fleet.run(ms.min(RECOVERY_MS));
-            if ms > RECOVERY_MS {
+            fleet.run(f64::from(phase) * 43.0);
+            let owner = fleet.owner[0].expect("shard 0 has an owner");
+            fleet.simulation.pause(owner, pause_ms);
+            fleet.run(pause_ms.min(RECOVERY_MS));
+            if pause_ms > RECOVERY_MS {
                 assert!(
-                    fleet.owner[0].is_some_and(|now| now != owner),
-                    "seed {seed}: replaced"
+                    fleet.owner[0].is_some_and(|current| current != owner),
+                    "seed {seed}: the paused owner must be replaced"
                 );
-                fleet.run(ms - RECOVERY_MS);
+                fleet.run(pause_ms - RECOVERY_MS);
             }
             fleet.run(LEASE_MS);
             fleet
                 .wait_until_owned(RECOVERY_MS)
-                .expect("all is owned again");
-            fleet.check().expect("one owner at a time");
+                .expect("every shard has an owner again");
+            fleet.check().expect("each shard has one owner at a time");
         }
     }
 }
 
 #[test]
 fn owner_behind_one_way_partition_is_replaced_in_time() {
-    for is_receiving_cut in [true, false] {
+    for is_incoming_cut in [true, false] {
         let (mut fleet, owner, shard) = owned_by_non_acceptor(3, InjectedFault::None);
         for other in (0..7).filter(|other| *other != owner) {
-            let (from, to) = if is_receiving_cut {
+            let (from, to) = if is_incoming_cut {
                 (other, owner)
             } else {
                 (owner, other)
@@ -55,25 +55,29 @@
         }
         fleet.run(RECOVERY_MS);
         assert!(
-            fleet.owner[usize::from(shard)].is_some_and(|now| now != owner),
-            "receiving cut: {is_receiving_cut}"
+            fleet.owner[usize::from(shard)].is_some_and(|current| current != owner),
+            "the owner must be replaced; incoming links cut: {is_incoming_cut}"
         );
-        fleet.check().expect("one owner at a time");
+        fleet.check().expect("each shard has one owner at a time");
     }
 }
 
 #[test]
 fn owner_keeps_shard_with_majority_and_loses_it_with_minority() {
-    for reached in [1, 2] {
+    for reachable in [1, 2] {
         let (mut fleet, owner, shard) = owned_by_non_acceptor(5, InjectedFault::None);
-        for acceptor in reached..3 {
+        for acceptor in reachable..3 {
             partition(&mut fleet, owner, acceptor);
         }
         fleet.run(3.0 * RECOVERY_MS);
-        let stays = fleet.owner[usize::from(shard)] == Some(owner);
-        assert_eq!(stays, reached == 2, "{reached} of 3 reached");
+        let is_kept = fleet.owner[usize::from(shard)] == Some(owner);
+        assert_eq!(
+            is_kept,
+            reachable == 2,
+            "the owner must keep the shard only with a majority; it reaches {reachable} of 3"
+        );
         assert!(fleet.owner[usize::from(shard)].is_some());
-        fleet.check().expect("one owner at a time");
+        fleet.check().expect("each shard has one owner at a time");
     }
 }
 
@@ -83,18 +87,18 @@
     for seed in 0..5 {
         let (mut fleet, owner, _) = owned_by_non_acceptor(seed, InjectedFault::None);
         for other in 3..7 {
-            let unheard = if other == owner { 2 } else { 0 };
-            partition(&mut fleet, other, unheard);
+            let unreachable_acceptor = if other == owner { 2 } else { 0 };
+            partition(&mut fleet, other, unreachable_acceptor);
         }
         fleet.run(20_000.0);
         fleet.simulation.pause(1, 4_000.0);
         fleet.run(20_000.0);
-        fleet.check().expect("one owner at a time");
+        fleet.check().expect("each shard has one owner at a time");
     }
 }
 
 #[test]
-fn delayed_duplicated_or_lost_messages_make_no_two_owners() {
+fn delayed_duplicated_or_lost_messages_cause_no_two_owners() {
     for seed in 0..6 {
         let mut fleet = SimulatedFleet::started(seed, 7, 5, InjectedFault::None);
         let link = Link {
@@ -106,7 +110,7 @@
         };
         fleet.apply(&Fault::AllLinks { link });
         fleet.run(60_000.0);
-        // Messages in flight arrive a minute later.
+        // Messages that are sent during the next 5 s arrive a minute later.
         fleet.apply(&Fault::AllLinks {
             link: Link {
                 delay_ms: 60_000.0,
@@ -118,13 +122,13 @@
         fleet.run(70_000.0);
         fleet
             .wait_until_owned(RECOVERY_MS)
-            .expect("all is owned again");
-        fleet.check().expect("one owner at a time");
+            .expect("every shard has an owner again");
+        fleet.check().expect("each shard has one owner at a time");
     }
 }
 
 #[test]
-fn thirty_percent_loss_for_ten_minutes_makes_no_two_owners() {
+fn thirty_percent_loss_for_ten_minutes_causes_no_two_owners() {
     let mut fleet = SimulatedFleet::started(1, 7, 5, InjectedFault::None);
     fleet.apply(&Fault::AllLinks {
         link: Link {
@@ -135,14 +139,17 @@
     fleet.run(600_000.0);
     fleet
         .wait_until_owned(RECOVERY_MS)
-        .expect("all is owned again");
-    fleet.check().expect("one owner at a time");
-    let part = fleet.unowned_ms / 600_000.0 / f64::from(SHARDS);
-    assert!(part < 0.01, "{part} of the time unowned");
+        .expect("every shard has an owner again");
+    fleet.check().expect("each shard has one owner at a time");
+    let unowned_fraction = fleet.unowned_ms / 600_000.0 / f64::from(SHARDS);
+    assert!(
+        unowned_fraction < 0.01,
+        "unowned fraction of the time: {unowned_fraction}, expected less than 0.01"
+    );
 }
 
 #[test]
-fn restarting_acceptors_make_no_two_owners() {
+fn restarting_acceptors_cause_no_two_owners() {
     let mut fleet = SimulatedFleet::started(2, 7, 3, InjectedFault::None);
     for _ in 0..30 {
         fleet.kill(1);
@@ -152,57 +159,59 @@
     }
     fleet
         .wait_until_owned(0.0)
-        .expect("two of three are enough");
+        .expect("two of three acceptors are a majority");
     (0..2).for_each(|acceptor| fleet.simulation.pause(acceptor, 20_000.0));
     fleet.run(LEASE_MS + 100.0);
     assert_eq!(
         fleet.owner.iter().flatten().count(),
         0,
-        "without a majority there is no owner"
+        "without a majority of acceptors no shard must have an owner"
     );
     fleet.run(20_000.0 - LEASE_MS);
     fleet
         .wait_until_owned(RECOVERY_MS)
-        .expect("all is owned again");
-    fleet.check().expect("one owner at a time");
+        .expect("every shard has an owner again");
+    fleet.check().expect("each shard has one owner at a time");
 }
 
 /// All machines but one are suspended for five minutes; their clocks include that time.
 #[test]
-fn suspended_machines_own_nothing_when_they_wake() {
+fn suspended_machines_own_nothing_when_they_resume() {
     let mut fleet = SimulatedFleet::started(4, 7, 3, InjectedFault::None);
     (1..7).for_each(|node| fleet.simulation.pause(node, 300_000.0));
     fleet.run(300_000.0 - 10.0);
     assert_eq!(
         fleet.owner.iter().flatten().count(),
         0,
-        "a node that wakes owns nothing"
+        "a machine must own nothing right before it resumes"
     );
     fleet.run(LEASE_MS);
     fleet
         .wait_until_owned(RECOVERY_MS)
-        .expect("all is owned again");
-    fleet.check().expect("one owner at a time");
+        .expect("every shard has an owner again");
+    fleet.check().expect("each shard has one owner at a time");
 }
 
 #[test]
-fn three_hundred_simultaneous_claimants_agree_on_one_owner() {
+fn shards_claimed_by_three_hundred_nodes_have_one_owner() {
     let mut fleet = SimulatedFleet::new(1, 300, 5, InjectedFault::None);
     for acceptor in 0..5 {
         fleet.start(acceptor);
     }
-    // They grant from now on, but no node knows yet that any shard is free.
+    // The acceptors grant leases from now on, but no node has discovered a free shard yet.
     fleet.run(LEASE_MS * 1.02);
     for node in 5..300 {
         fleet.start(node);
     }
-    fleet.wait_until_owned(3_000.0).expect("all is owned");
+    fleet
+        .wait_until_owned(3_000.0)
+        .expect("every shard has an owner");
     fleet.run(1_000.0);
-    fleet.check().expect("one owner at a time");
+    fleet.check().expect("each shard has one owner at a time");
 }
 
-/// All nodes restart with their wall clocks set back by an hour: with fence files tokens go on,
-/// without them they go back, as the design page says.
+/// All nodes restart with their wall clocks set back by an hour: with fence files tokens continue
+/// to rise, without them they go back, as the design page says.
 #[test]
 fn reserved_tokens_rise_despite_wall_clock_set_back() {
     for has_fence_files in [true, false] {
@@ -213,8 +222,10 @@
             fleet.start(node);
         }
         fleet.run(LEASE_MS + RECOVERY_MS);
-        fleet.wait_until_owned(0.0).expect("all is owned");
-        let before = fleet.highest_token();
+        fleet
+            .wait_until_owned(0.0)
+            .expect("every shard has an owner");
+        let highest_before = fleet.highest_token();
         for node in 0..5 {
             fleet.kill(node);
         }
@@ -223,18 +234,24 @@
             fleet.start(node);
         }
         fleet.run(LEASE_MS + RECOVERY_MS);
-        fleet.wait_until_owned(0.0).expect("all is owned");
-        assert_eq!(fleet.check().is_ok(), has_fence_files, "{before:?} before");
+        fleet
+            .wait_until_owned(0.0)
+            .expect("every shard has an owner");
+        assert_eq!(
+            fleet.check().is_ok(),
+            has_fence_files,
+            "tokens must continue to rise above {highest_before:?} only with fence files"
+        );
     }
 }
 
-/// An effect of an owner that arrives after one of its successor is dropped.
+/// An effect of a former owner that arrives after one of its successor is dropped.
 #[test]
-fn effect_of_a_former_owner_is_dropped_after_a_later_one() {
-    let mut stale = 0;
+fn late_effect_of_a_former_owner_is_dropped() {
+    let mut stale_effects = 0;
     for seed in 0..20 {
         let (mut fleet, owner, _) = owned_by_non_acceptor(seed, InjectedFault::None);
-        let slow = Link {
+        let slow_link = Link {
             delay_ms: 8_000.0,
             ..Link::default()
         };
@@ -242,28 +259,31 @@
             fleet.apply(&Fault::Link {
                 from: owner,
                 to: other,
-                link: slow.clone(),
+                link: slow_link.clone(),
             });
         }
         fleet.run(2.0 * LEASE_MS);
         fleet.simulation.pause(owner, 10_000.0);
         fleet.run(20_000.0);
-        fleet.check().expect("one owner at a time");
+        fleet.check().expect("each shard has one owner at a time");
         assert!(fleet.accepted_effects() > 100);
-        stale += fleet.stale_effects();
+        stale_effects += fleet.stale_effects();
     }
-    assert!(stale > 10, "{stale} dropped");
+    assert!(
+        stale_effects > 10,
+        "more than 10 effects must be dropped, but got {stale_effects}"
+    );
 }
 
-/// Why the clock includes suspend time: by one that does not an owner would wake with its lease
-/// valid.
+/// The reason why the clock includes suspend time: by a clock that omits it, an owner would resume
+/// with a valid lease.
 #[test]
-fn clock_that_omits_suspend_time_makes_two_owners() {
-    for stands_still in [false, true] {
+fn clock_that_omits_suspend_time_causes_two_owners() {
+    for omits_suspend_time in [false, true] {
         let (mut fleet, owner, _) = owned_by_non_acceptor(9, InjectedFault::None);
         fleet.simulation.pause(owner, 300_000.0);
         fleet.run(300_000.0 - 1.0);
-        if stands_still {
+        if omits_suspend_time {
             let clock = fleet.clocks[owner];
             fleet.simulation.set_clock(
                 owner,
@@ -273,8 +293,9 @@
                 },
             );
         }
-        // Right before it resumes: events that it handles then would expire the lease.
+        // Checked right before the owner resumes, as events that it handles then expire the
+        // lease.
         fleet.run(0.5);
-        assert_eq!(fleet.check().is_err(), stands_still);
+        assert_eq!(fleet.check().is_err(), omits_suspend_time);
     }
 }
--- a/crates/lease/tests/lease_simulation/injected_faults.rs
+++ b/crates/lease/tests/lease_simulation/injected_faults.rs
@@ -1,4 +1,4 @@
-//! Each injected fault has to be detected, and the same course without it has to pass.
+//! Each injected fault has to be detected, and the same scenario without it has to pass.
 
 use lease::InjectedFault;
 use simulation::{Fault, Link};
@@ -30,7 +30,7 @@
 ) -> Result<(), OwnershipError> {
     for seed in 0..10 {
         let (mut fleet, owner, _) = owned_by_non_acceptor(seed, injected_fault);
-        let slow = Link {
+        let slow_link = Link {
             delay_ms: 580.0,
             ..Link::default()
         };
@@ -38,7 +38,7 @@
             fleet.apply(&Fault::Link {
                 from: other,
                 to: owner,
-                link: slow.clone(),
+                link: slow_link.clone(),
             });
         }
         fleet.run(10_000.0);
@@ -69,25 +69,29 @@
 
 fn assert_detected(injected_fault: InjectedFault) {
     let found = (0..300).find_map(|seed| run_trial(seed, injected_fault).err());
-    assert!(found.is_some(), "{injected_fault:?}");
+    assert!(
+        found.is_some(),
+        "{injected_fault:?} must be detected within 300 seeds"
+    );
 }
 
 #[test]
 fn missing_quarantine_is_detected() {
-    restart_all_acceptors(InjectedFault::None).expect("no fault");
+    restart_all_acceptors(InjectedFault::None).expect("no violation without the fault");
     restart_all_acceptors(InjectedFault::NoQuarantine).expect_err("the fault is detected");
 }
 
 #[test]
 fn lease_counted_from_the_response_is_detected() {
-    partition_owner_with_slow_responses(InjectedFault::None).expect("no fault");
+    partition_owner_with_slow_responses(InjectedFault::None)
+        .expect("no violation without the fault");
     partition_owner_with_slow_responses(InjectedFault::LeaseFromResponse)
         .expect_err("the fault is detected");
 }
 
 #[test]
 fn missing_token_floor_is_detected() {
-    restart_all_nodes(InjectedFault::None).expect("no fault");
+    restart_all_nodes(InjectedFault::None).expect("no violation without the fault");
     restart_all_nodes(InjectedFault::NoTokenFloor).expect_err("the fault is detected");
 }
 
--- a/crates/lease/tests/lease_simulation/main.rs
+++ b/crates/lease/tests/lease_simulation/main.rs
@@ -1,5 +1,5 @@
-//! Leases in virtual time: random faults here, each hard case and each injected fault in its
-//! module.
+//! Simulation of leases in virtual time: random faults in this file, specific and injected faults
+//! in its modules.
 
 mod faults;
 mod injected_faults;
@@ -11,7 +11,7 @@
 use testkit::lease_simulation::{run_trial, SimulatedFleet, SHARDS};
 
 #[test]
-fn random_faults_never_make_two_owners_and_all_recovers() {
+fn random_faults_never_cause_two_owners_and_shards_recover() {
     let (mut acquired, mut rejected) = (0, 0);
     for seed in 0..300 {
         let outcome =
@@ -21,10 +21,11 @@
     }
     assert!(
         acquired > 4_000 && rejected > 100,
-        "the faults have effects: {acquired} acquired, {rejected} rejected"
+        "expected over 4000 acquisitions and 100 rejected effects, got {acquired} and {rejected}"
     );
 }
 
+/// Cuts the links between two nodes, in both directions.
 fn partition(fleet: &mut SimulatedFleet, one: usize, other: usize) {
     fleet.apply(&Fault::Cut {
         from: one,
@@ -43,8 +44,8 @@
         .for_each(|other| partition(fleet, node, other));
 }
 
-/// A fleet of seven with three acceptors in which a node that is no acceptor owns a shard; that
-/// node and the shard.
+/// A fleet of seven nodes with three acceptors, the owner of one of its shards, which is not an
+/// acceptor, and that shard.
 fn owned_by_non_acceptor(
     seed: u64,
     injected_fault: InjectedFault,
@@ -56,5 +57,5 @@
             return (fleet, owner, shard);
         }
     }
-    unreachable!("some seed places a shard so")
+    unreachable!("some seed has a shard whose owner is not an acceptor")
 }
--- a/crates/lease/tests/lease_simulation/transfer.rs
+++ b/crates/lease/tests/lease_simulation/transfer.rs
@@ -1,4 +1,4 @@
-//! Shards that move: when nodes leave and join, and when an owner is told to transfer.
+//! Transfers of shards when nodes leave and join, and at an operator's request.
 
 use lease::{Event, InjectedFault, NodeHealth, NodeId, Shard};
 use simulation::Fault;
@@ -21,17 +21,23 @@
         fleet.start(node);
         fleet.run(4_500.0);
     }
-    let part = fleet.unowned_ms / (fleet.simulation.now_ms() - start) / f64::from(SHARDS);
-    assert!(part < 0.01, "{part} of the time unowned");
-    fleet.check().expect("one owner at a time");
+    let unowned_fraction =
+        fleet.unowned_ms / (fleet.simulation.now_ms() - start) / f64::from(SHARDS);
+    assert!(
+        unowned_fraction < 0.01,
+        "unowned fraction of the time: {unowned_fraction}, expected less than 0.01"
+    );
+    fleet.check().expect("each shard has one owner at a time");
 }
 
-/// All messages of a transfer are lost: they are repeated, so that no node has to wait until the
-/// lease expires.
+/// Guards against a next owner that has to wait until the lease expires if all messages of a
+/// transfer are lost: they are repeated.
 #[test]
-fn transfer_whose_messages_are_lost_is_repeated() {
+fn transfer_with_lost_messages_is_repeated() {
     let (mut fleet, owner, shard) = owned_by_non_acceptor(8, InjectedFault::None);
-    let to = (3..7).find(|node| *node != owner).expect("another");
+    let to = (3..7)
+        .find(|node| *node != owner)
+        .expect("another node that is not an acceptor");
     fleet.simulation.with(owner, |node, now, out| {
         node.handle(
             now,
@@ -55,7 +61,7 @@
     assert_eq!(
         fleet.owner[usize::from(shard)],
         None,
-        "the owner has given it up, and no other node knows"
+        "the owner must have given up the shard, and no other node must own it yet"
     );
     for other in &others {
         fleet.apply(&Fault::Restore {
@@ -65,13 +71,15 @@
     }
     fleet.run(400.0);
     assert_eq!(fleet.owner[usize::from(shard)], Some(to));
-    fleet.check().expect("one owner at a time");
+    fleet.check().expect("each shard has one owner at a time");
 }
 
 #[test]
 fn planned_transfer_takes_two_round_trips() {
     let (mut fleet, owner, shard) = owned_by_non_acceptor(8, InjectedFault::None);
-    let to = (3..7).find(|node| *node != owner).expect("another");
+    let to = (3..7)
+        .find(|node| *node != owner)
+        .expect("another node that is not an acceptor");
     fleet.unowned_ms = 0.0;
     fleet.simulation.with(owner, |node, now, out| {
         node.handle(
@@ -85,16 +93,22 @@
     });
     fleet.run(200.0);
     assert_eq!(fleet.owner[usize::from(shard)], Some(to));
-    assert!(fleet.unowned_ms < 50.0, "{} ms unowned", fleet.unowned_ms);
-    fleet.check().expect("one owner at a time");
+    assert!(
+        fleet.unowned_ms < 50.0,
+        "the shard was unowned for {} ms, expected less than 50 ms",
+        fleet.unowned_ms
+    );
+    fleet.check().expect("each shard has one owner at a time");
 }
 
 /// The recipient of a transfer receives the owner's messages but reaches no acceptor: it owns
 /// nothing.
 #[test]
-fn node_that_reaches_no_acceptor_cannot_accept_a_transfer() {
+fn node_that_reaches_no_acceptor_cannot_own_by_transfer() {
     let (mut fleet, owner, shard) = owned_by_non_acceptor(6, InjectedFault::None);
-    let next = (3..7).find(|node| *node != owner).expect("another");
+    let next = (3..7)
+        .find(|node| *node != owner)
+        .expect("another node that is not an acceptor");
     (0..3).for_each(|acceptor| partition(&mut fleet, next, acceptor));
     fleet.simulation.with(owner, |node, now, out| {
         node.handle(
@@ -112,20 +126,23 @@
         assert_ne!(fleet.owner[usize::from(shard)], Some(next));
     }
     fleet.run(RECOVERY_MS);
-    fleet.wait_until_owned(0.0).expect("all is owned");
-    fleet.check().expect("one owner at a time");
+    fleet
+        .wait_until_owned(0.0)
+        .expect("every shard has an owner");
+    fleet.check().expect("each shard has one owner at a time");
 }
 
-/// A joining node is transferred the shards that prefer it and no others, one after another.
+/// A joining node is transferred only the shards whose preferred owner it is, one after another.
 #[test]
 fn joining_node_receives_only_its_share_of_shards() {
-    const MANY: Shard = 128;
+    const MANY_SHARDS: Shard = 128;
     let (mut moved, mut rounds) = (0, 0);
     for seed in 0..4 {
-        let mut fleet = SimulatedFleet::new(seed, 8, 3, InjectedFault::None).with_shards(MANY);
+        let mut fleet =
+            SimulatedFleet::new(seed, 8, 3, InjectedFault::None).with_shards(MANY_SHARDS);
         fleet.stop_effects();
-        let seven: Vec<_> = (0..7).map(node_id).collect();
-        let eight: Vec<_> = (0..8).map(node_id).collect();
+        let seven_nodes: Vec<_> = (0..7).map(node_id).collect();
+        let eight_nodes: Vec<_> = (0..8).map(node_id).collect();
         let set_candidates = |fleet: &mut SimulatedFleet, candidates: &[NodeId]| {
             for node in 0..8 {
                 let event = Event::Candidates(candidates, NodeHealth::Healthy);
@@ -134,29 +151,29 @@
                     .with(node, |node, now, out| node.handle(now, event, out));
             }
         };
-        // Another node joins each time.
-        let new = 3 + seed as usize;
-        let others: Vec<_> = eight
+        // For each seed a different node joins.
+        let joining_node = 3 + seed as usize;
+        let initial_nodes: Vec<_> = eight_nodes
             .iter()
             .copied()
-            .filter(|node| *node != node_id(new))
+            .filter(|node| *node != node_id(joining_node))
             .collect();
-        assert_eq!(others.len(), seven.len());
+        assert_eq!(initial_nodes.len(), seven_nodes.len());
         (0..8)
-            .filter(|node| *node != new)
+            .filter(|node| *node != joining_node)
             .for_each(|node| fleet.start(node));
         fleet.run(100.0);
-        set_candidates(&mut fleet, &others);
+        set_candidates(&mut fleet, &initial_nodes);
         fleet.run(LEASE_MS + RECOVERY_MS + 60_000.0);
         let before = fleet.owner.clone();
         assert!(before.iter().all(Option::is_some));
-        fleet.start(new);
+        fleet.start(joining_node);
         fleet.run(100.0);
-        set_candidates(&mut fleet, &eight);
+        set_candidates(&mut fleet, &eight_nodes);
         fleet.run(9_000.0);
         assert_eq!(
             fleet.owner, before,
-            "nothing moves before the node has been preferred for 10 s"
+            "no shard must move before the joining node has been preferred for 10 s"
         );
         fleet.run(30_000.0);
         let changed = || {
@@ -166,13 +183,16 @@
                 .filter(|(before, after)| before != after)
         };
         assert!(
-            changed().all(|(_, after)| *after == Some(new)),
-            "shards move only to the joining node"
+            changed().all(|(_, after)| *after == Some(joining_node)),
+            "shards must move only to the joining node"
         );
         moved += changed().count();
         rounds += 1;
-        fleet.check().expect("one owner at a time");
+        fleet.check().expect("each shard has one owner at a time");
     }
-    let part = moved as f64 / f64::from(rounds) / f64::from(MANY);
-    assert!(part > 0.5 / 8.0 && part <= 1.2 / 8.0, "{part} moved");
+    let moved_fraction = moved as f64 / f64::from(rounds) / f64::from(MANY_SHARDS);
+    assert!(
+        moved_fraction > 0.5 / 8.0 && moved_fraction <= 1.2 / 8.0,
+        "about an eighth of the shards must move to the joining node, but got {moved_fraction}"
+    );
 }
