--- a/crates/gossip/src/anti_entropy.rs
+++ b/crates/gossip/src/anti_entropy.rs
@@ -1,5 +1,5 @@
-//! Anti-entropy: nodes whose member tables differ exchange what differs, and the two sides of a healed partition notify
-//! each other of the deaths that they declared.
+//! Anti-entropy: nodes whose member tables differ exchange the differing records, and the two sides of a healed partition
+//! exchange the deaths that they declared.
 
 use crate::event::PeerId;
 use crate::member::State;
@@ -8,17 +8,18 @@
 use crate::rate_limit::RateLimit;
 use crate::wire::{Record, DIGEST_BUCKETS};
 
-/// How many datagrams of an exchange may follow each other, and how many a second are allowed after that.
+/// Rate limit of anti-entropy datagrams: the burst in datagrams, and the sustained rate in datagrams per second.
 const SYNC_BURST: f64 = 8.0;
 const SYNCS_PER_S: f64 = 3.0;
-/// How often a sender that is dead here is notified of that, in milliseconds. Two nodes that consider each other dead
-/// would otherwise answer each other without end.
+/// Minimum interval between two death notices to one sender that is dead in this node's table, in milliseconds. Without
+/// the limit, two nodes that have each other as dead would answer each other endlessly.
 const DEATH_NOTICE_INTERVAL_MS: f64 = 200.0;
-/// How often all deaths are sent to such a sender, in milliseconds, and in how many datagrams.
+/// Minimum interval between two transmissions of all death notices to a dead sender, whichever it is, in milliseconds, and
+/// the maximum number of datagrams in each.
 const HEAL_INTERVAL_MS: f64 = 1_000.0;
 const MAX_HEAL_DATAGRAMS: usize = 6;
 
-/// Limits of anti-entropy.
+/// Rate limits of anti-entropy.
 #[derive(Debug)]
 pub(crate) struct AntiEntropy {
     sync_limit: RateLimit,
@@ -35,32 +36,36 @@
 }
 
 impl Gossip {
-    /// Starts an exchange with a node whose table differs.
-    pub(crate) fn receive_digest(&mut self, from: PeerId, theirs: u64) {
-        let differs = theirs != self.table.digest();
+    /// Starts an exchange if the sender's table differs from this node's.
+    pub(crate) fn receive_digest(&mut self, from: PeerId, remote_digest: u64) {
+        let differs = remote_digest != self.table.digest();
         if differs && self.anti_entropy.sync_limit.try_acquire(self.now_ms) {
             let digests = Record::BucketDigests(self.table.bucket_digests());
             self.send(from, &[digests]);
         }
     }
 
-    /// Continues an exchange: sends what is in the buckets that differ. The other node does the same, until nothing
-    /// differs or the limits of both are reached.
-    pub(crate) fn receive_bucket_digests(&mut self, from: PeerId, theirs: &[u16; DIGEST_BUCKETS]) {
+    /// Continues an exchange: sends records of the buckets that differ. The other node does the same, until the tables are
+    /// equal or the rate limits are reached.
+    pub(crate) fn receive_bucket_digests(
+        &mut self,
+        from: PeerId,
+        remote_digests: &[u16; DIGEST_BUCKETS],
+    ) {
         let own = self.table.bucket_digests();
-        if own == *theirs || !self.anti_entropy.sync_limit.try_acquire(self.now_ms) {
+        if own == *remote_digests || !self.anti_entropy.sync_limit.try_acquire(self.now_ms) {
             return;
         }
         let mut records = vec![Record::BucketDigests(own)];
         records.extend(
             self.table
-                .differing_records(theirs, self.now_ms, &mut self.rng),
+                .differing_records(remote_digests, self.now_ms, &mut self.rng),
         );
         self.send(from, &records);
     }
 
-    /// A node that is dead here has sent a datagram: it is notified, so that it can refute its death, and learns of all
-    /// nodes that were declared dead when the two sides were partitioned.
+    /// Answers a datagram of a node that is dead in this node's table. Notifies the sender, so that it can refute its death,
+    /// and sends it all death notices: after a partition, other nodes on the sender's side are likely to be dead here, too.
     pub(crate) fn notify_dead_sender(&mut self, from: PeerId) {
         let now_ms = self.now_ms;
         let Some(peer) = self.peers.get_mut(&from) else {
@@ -73,7 +78,7 @@
             return;
         }
         peer.last_death_notice_ms = Some(now_ms);
-        self.send(from, &[]); // Every datagram to a dead node carries its death notice.
+        self.send(from, &[]); // `write_datagram` adds the death notice of a dead receiver.
         if now_ms - self.anti_entropy.last_heal_ms < HEAL_INTERVAL_MS {
             return;
         }
@@ -89,7 +94,7 @@
         }
     }
 
-    /// All deaths, the latest first.
+    /// Death notices of all dead nodes, the most recent death first.
     fn death_records(&self) -> Vec<Record> {
         let mut dead: Vec<_> = self
             .table
--- a/crates/gossip/src/dissemination.rs
+++ b/crates/gossip/src/dissemination.rs
@@ -1,48 +1,48 @@
-//! Spreading and applying updates about other nodes: alive, dead and left.
+//! Dissemination of updates about other nodes (alive, dead, left), and how received updates are applied.
 //!
-//! A death report takes effect only after a delay, so that the node can refute it first; it is forwarded at once.
+//! A death notice is forwarded at once, but takes effect here only after a delay, so that the node can refute it first.
 
 use crate::event::{Action, Change, ChangeCause};
 use crate::join::NameSource;
 use crate::member::State;
 use crate::member_id::MemberId;
-use crate::member_table::{MemberEntry, PendingRemoval};
+use crate::member_table::{MemberEntry, PendingDeath};
 use crate::node::Gossip;
 use crate::rate_limit::RateLimit;
 use crate::settings::InjectedFault;
 use crate::transport::Sender;
 use crate::wire::{DeathNotice, Record, DEATH_AGE_UNIT_MS};
 
-/// How many floods of updates may follow each other, and how many a second are allowed after that. With 12 neighbours
-/// that is about a hundred datagrams a second.
+/// Rate limit of floods: the burst, and the sustained rate per second. A flood sends one datagram to each neighbour; with
+/// 12 neighbours the sustained rate is about a hundred datagrams per second.
 const FLOOD_BURST: f64 = 8.0;
 const FLOODS_PER_S: f64 = 8.0;
 
-/// Limits of dissemination, and deaths that have not taken effect yet.
+/// The rate limit of floods, and the deaths that have not taken effect yet.
 #[derive(Debug)]
 pub(crate) struct Dissemination {
     pub flood_limit: RateLimit,
-    /// Nodes with a [`PendingRemoval`].
-    pub pending_removals: Vec<MemberId>,
+    /// Nodes with a [`PendingDeath`].
+    pub pending_deaths: Vec<MemberId>,
 }
 
 impl Dissemination {
     pub fn new(now_ms: f64) -> Self {
         Self {
-            flood_limit: Self::flood_limit(now_ms),
-            pending_removals: Vec::new(),
+            flood_limit: Self::full_flood_limit(now_ms),
+            pending_deaths: Vec::new(),
         }
     }
 
-    /// The limit of floods, unused.
-    pub fn flood_limit(now_ms: f64) -> RateLimit {
+    /// The rate limit of floods with its whole burst available.
+    pub fn full_flood_limit(now_ms: f64) -> RateLimit {
         RateLimit::new(now_ms, FLOOD_BURST, FLOODS_PER_S)
     }
 }
 
 impl Gossip {
-    /// Sends updates that were never transmitted to all neighbours, within the flood limit. Beyond it they go with the
-    /// next datagrams.
+    /// Sends a datagram to each neighbour if some update was never transmitted and the rate limit allows it. Otherwise
+    /// updates are piggybacked on the next datagrams.
     pub(crate) fn flood_updates(&mut self) {
         let is_allowed = self.table.has_unsent_update()
             && self.dissemination.flood_limit.try_acquire(self.now_ms);
@@ -53,7 +53,7 @@
         }
     }
 
-    /// Another node reports that one is alive.
+    /// Handles a report that a node, which may be this one, is alive.
     pub(crate) fn receive_alive(
         &mut self,
         sender: &Sender,
@@ -65,15 +65,15 @@
         if member == self.id {
             self.receive_own_name(incarnation, process_id, NameSource::Gossip);
         } else if self.table.get(member).is_some() {
-            self.mark_alive(member, incarnation, process_id, &sender.reported());
+            self.mark_alive(member, incarnation, process_id, &sender.report_cause());
         } else {
             let entry = MemberEntry::new(name, incarnation, process_id, self.now_ms);
-            // A full table was counted and logged.
-            let _ = self.add_member(member, entry, sender.reported());
+            // `add_member` counts and logs a full table.
+            let _ = self.add_member(member, entry, sender.report_cause());
         }
     }
 
-    /// Applies that a known node is alive, if its incarnation is later than the known one.
+    /// Marks a known node as alive if `incarnation` is higher than its known incarnation.
     pub(crate) fn mark_alive(
         &mut self,
         member: MemberId,
@@ -101,12 +101,12 @@
             self.reset_process(member, process_id);
         }
         if state_before != State::Alive || !is_same_process {
-            self.detector.is_stale |= state_before != State::Alive;
+            self.detector.are_rings_stale |= state_before != State::Alive;
             self.report_change(member, Some(state_before), cause.clone());
         }
     }
 
-    /// A node is another process now: what was received from it came from the one before.
+    /// Replaces the process of a node, and clears the timestamps of datagrams that its previous process sent.
     fn reset_process(&mut self, member: MemberId, process_id: u64) {
         let now_ms = self.now_ms;
         if let Some(entry) = self.table.get_mut(member) {
@@ -119,7 +119,7 @@
         }
     }
 
-    /// Pushes a change of a node's state from `from` to its present one.
+    /// Emits the change of a node's state from `from` to its current state.
     pub(crate) fn report_change(
         &mut self,
         member: MemberId,
@@ -139,7 +139,7 @@
         self.actions.push(Action::Changed(change));
     }
 
-    /// Another node reports that one, not this one, is dead.
+    /// Handles a report that another node than this one is dead.
     pub(crate) fn receive_death_notice(&mut self, sender: &Sender, notice: DeathNotice) {
         let DeathNotice {
             member,
@@ -162,25 +162,25 @@
             }
             return;
         }
-        if entry.pending_removal.is_some() {
+        if entry.pending_death.is_some() {
             return;
         }
         let declared_ms = now_ms - f64::from(age_quarter_seconds) * DEATH_AGE_UNIT_MS;
         let is_received = entry.was_received_within(now_ms, self.settings.suspicion_timeout_ms);
         let peer = entry.peer.filter(|_| is_received);
-        let pending = PendingRemoval {
-            due_ms: now_ms + self.removal_delay_ms(declared_ms, is_received),
+        let pending = PendingDeath {
+            due_ms: now_ms + self.death_delay_ms(declared_ms, is_received),
             incarnation,
             reported_by: sender.name.clone(),
             declared_ms,
         };
         if let Some(entry) = self.table.get_mut(member) {
-            entry.pending_removal = Some(Box::new(pending));
+            entry.pending_death = Some(Box::new(pending));
         }
-        self.dissemination.pending_removals.push(member);
+        self.dissemination.pending_deaths.push(member);
         self.table.enqueue_update(member);
         if let Some(peer) = peer {
-            // It can refute the report at once.
+            // Forwards the notice to the node itself, so that it can refute it at once.
             let probe = Record::Probe {
                 ack_requested: true,
                 to_observer: false,
@@ -189,16 +189,18 @@
         }
     }
 
-    /// How long a reported death waits for a refutation.
+    /// Delay before a reported death takes effect, in milliseconds, so that a refutation can arrive first.
     ///
-    /// A notice that is old when it arrives is the verdict of the other side of a partition, to which many nodes have a
-    /// refutation, over links that may be slow. A node that this one receives datagrams from will refute by itself if
-    /// enough others do, too. And a node that was just paused reads old notices, whose refutation may be next in line.
-    fn removal_delay_ms(&self, declared_ms: f64, is_received: bool) -> f64 {
+    /// - A notice that is old on arrival was decided on the other side of a partition. Many nodes may refute such notices at
+    ///   once, over links that may be slow.
+    /// - A node from which this node receives datagrams refutes its death itself if enough of its observers acknowledge
+    ///   its probes.
+    /// - After a pause this process reads old notices, and their refutations may be queued behind them.
+    fn death_delay_ms(&self, declared_ms: f64, is_received: bool) -> f64 {
         let suspicion_timeout_ms = self.settings.suspicion_timeout_ms;
         let probe_interval_ms = self.settings.probe_interval_ms;
         let is_old = self.now_ms - declared_ms > suspicion_timeout_ms;
-        let was_paused = self.now_ms - self.detector.listening_since_ms < suspicion_timeout_ms;
+        let was_paused = self.now_ms - self.detector.running_since_ms < suspicion_timeout_ms;
         if is_old {
             2.0 * suspicion_timeout_ms
         } else if is_received {
@@ -210,23 +212,23 @@
         }
     }
 
-    /// Applies reported deaths whose delay has passed without a refutation.
-    pub(crate) fn apply_due_removals(&mut self) {
-        for member in std::mem::take(&mut self.dissemination.pending_removals) {
+    /// Applies reported deaths that were not refuted within their delay.
+    pub(crate) fn apply_due_deaths(&mut self) {
+        for member in std::mem::take(&mut self.dissemination.pending_deaths) {
             let Some(entry) = self.table.get(member) else {
                 continue;
             };
-            let Some(pending) = entry.pending_removal.clone() else {
+            let Some(pending) = entry.pending_death.clone() else {
                 continue;
             };
-            let PendingRemoval {
+            let PendingDeath {
                 due_ms,
                 incarnation,
                 reported_by,
                 declared_ms,
             } = *pending;
             if self.now_ms < due_ms {
-                self.dissemination.pending_removals.push(member);
+                self.dissemination.pending_deaths.push(member);
             } else if entry.is_alive() && entry.incarnation <= incarnation {
                 let cause = ChangeCause::Reported { by: reported_by };
                 self.mark_dead(member, incarnation, declared_ms, cause);
@@ -250,11 +252,11 @@
         if let Some(entry) = self.table.get_mut(member) {
             entry.declared_dead_ms = declared_ms;
         }
-        self.detector.is_stale = true;
+        self.detector.are_rings_stale = true;
         self.report_change(member, state_before, cause);
     }
 
-    /// Another node reports that one, not this one, has left.
+    /// Handles a report that another node than this one has left.
     pub(crate) fn receive_left(&mut self, sender: &Sender, member: MemberId, incarnation: u64) {
         let Some(entry) = self.table.get(member) else {
             return;
@@ -265,7 +267,7 @@
         }
         self.table
             .update_from_notice(member, self.now_ms, State::Left, incarnation);
-        self.detector.is_stale = true;
-        self.report_change(member, Some(state_before), sender.reported());
+        self.detector.are_rings_stale = true;
+        self.report_change(member, Some(state_before), sender.report_cause());
     }
 }
--- a/crates/gossip/src/failure_detector.rs
+++ b/crates/gossip/src/failure_detector.rs
@@ -21,13 +21,13 @@
 pub(crate) struct FailureDetector {
     rings: ObserverRings,
     /// Whether the set of live nodes has changed since the rings were built.
-    pub is_stale: bool,
+    pub are_rings_stale: bool,
     /// The nodes that observe this one, sorted.
     pub observers: Vec<MemberId>,
     /// The nodes that this one observes, sorted.
     pub subjects: Vec<MemberId>,
     /// Since when this process has been receiving without a pause.
-    pub listening_since_ms: f64,
+    pub running_since_ms: f64,
     pub delegated_probes: DelegatedProbes,
 }
 
@@ -35,17 +35,17 @@
     pub fn new(now_ms: f64) -> Self {
         Self {
             rings: ObserverRings::default(),
-            is_stale: true,
+            are_rings_stale: true,
             observers: Vec::new(),
             subjects: Vec::new(),
-            listening_since_ms: now_ms,
+            running_since_ms: now_ms,
             delegated_probes: DelegatedProbes::new(),
         }
     }
 
     /// After a pause of the process: silence counts from now.
-    pub fn restart_listening(&mut self, now_ms: f64) {
-        self.listening_since_ms = now_ms;
+    pub fn reset_after_pause(&mut self, now_ms: f64) {
+        self.running_since_ms = now_ms;
         self.delegated_probes.clear();
     }
 }
@@ -62,7 +62,7 @@
 impl Gossip {
     /// Recomputes observers and subjects if the set of live nodes has changed.
     pub(crate) fn rebuild_rings_if_stale(&mut self) {
-        if !std::mem::take(&mut self.detector.is_stale) {
+        if !std::mem::take(&mut self.detector.are_rings_stale) {
             return;
         }
         let alive: Vec<_> = self
@@ -115,7 +115,7 @@
         }
     }
 
-    pub(crate) fn note_observer_probe(&mut self, from: MemberId) {
+    pub(crate) fn record_observer_probe(&mut self, from: MemberId) {
         if let Some(entry) = self.table.get_mut(from) {
             entry.last_observer_probe_ms = Some(self.now_ms);
         }
@@ -125,11 +125,11 @@
         let Some(peer) = self.peers.get_mut(&sender.peer) else {
             return;
         };
-        let knew_this_node = std::mem::replace(&mut peer.knows_this_node, !hello_requested);
+        let was_hello_accepted = std::mem::replace(&mut peer.is_hello_accepted, !hello_requested);
         if let Some(entry) = self.table.get_mut(sender.member) {
             entry.last_ack_ms = Some(self.now_ms);
         }
-        if hello_requested || !knew_this_node {
+        if hello_requested || !was_hello_accepted {
             // Both know each other at once, and not only after the next probe interval.
             self.send(sender.peer, &[plain_probe(hello_requested)]);
         }
@@ -143,23 +143,23 @@
     pub(crate) fn silence_ms(&self, entry: &MemberEntry) -> Option<f64> {
         let observed_since_ms = entry.observed_since_ms?;
         // A new subject may not know yet that this node observes it.
-        let is_acquainted = entry
+        let is_known_as_observer = entry
             .last_observer_probe_ms
             .is_some_and(|probed| probed >= observed_since_ms);
-        let expected_since_ms = if is_acquainted {
+        let expected_since_ms = if is_known_as_observer {
             observed_since_ms
         } else {
             observed_since_ms + self.settings.suspicion_timeout_ms
         };
-        let listening_since_ms = if self.has_fault(InjectedFault::PauseNotDetected) {
+        let running_since_ms = if self.has_fault(InjectedFault::PauseNotDetected) {
             f64::NEG_INFINITY
         } else {
-            self.detector.listening_since_ms
+            self.detector.running_since_ms
         };
         let last_received_ms = entry.last_received_ms.unwrap_or(f64::NEG_INFINITY);
         let silent_since_ms = last_received_ms
             .max(expected_since_ms)
-            .max(listening_since_ms);
+            .max(running_since_ms);
         Some(self.now_ms - silent_since_ms)
     }
 
@@ -168,12 +168,12 @@
         if self.has_fault(InjectedFault::QuorumBypassed) {
             return true;
         }
-        let listening_since_ms = self.detector.listening_since_ms;
+        let running_since_ms = self.detector.running_since_ms;
         let window_ms = self.settings.suspicion_timeout_ms;
         self.table.iter().any(|(id, entry)| {
             let is_since_pause = entry
                 .last_received_ms
-                .is_some_and(|received| received >= listening_since_ms);
+                .is_some_and(|received| received >= running_since_ms);
             id != self.id
                 && entry.is_alive()
                 && is_since_pause
@@ -207,15 +207,15 @@
                 continue;
             }
             if entry.suspicion.is_none() {
-                self.suspect(subject, silence_ms);
+                self.start_suspicion(subject, silence_ms);
             }
             if may_vote {
-                self.pursue_suspicion(subject, silence_ms);
+                self.evaluate_suspicion(subject, silence_ms);
             }
         }
     }
 
-    fn suspect(&mut self, subject: MemberId, silence_ms: f64) {
+    fn start_suspicion(&mut self, subject: MemberId, silence_ms: f64) {
         let suspicion = Suspicion::new(self.now_ms, self.settings.probe_interval_ms);
         if let Some(entry) = self.table.get_mut(subject) {
             entry.suspicion = Some(Box::new(suspicion));
--- a/crates/gossip/src/indirect_probe.rs
+++ b/crates/gossip/src/indirect_probe.rs
@@ -7,19 +7,19 @@
 use crate::failure_detector::plain_probe;
 use crate::member_id::MemberId;
 use crate::node::Gossip;
-use crate::quorum::VOTER_PATIENCE_PROBES;
+use crate::quorum::VOTER_TIMEOUT_IN_PROBES;
 use crate::wire::Record;
 
 /// Nodes that are probed on behalf of others at a time; further indirect probes are not answered.
 const MAX_DELEGATED_PROBES: usize = 64;
 /// Nodes that are answered about one of them as soon as something is received from it.
-const MAX_WAITING_ASKERS: usize = 8;
+const MAX_WAITING_REQUESTERS: usize = 8;
 /// How often a node is probed on behalf of others, and for how long an indirect probe that is not repeated is remembered,
 /// in milliseconds.
 const DELEGATED_PROBE_INTERVAL_MS: f64 = 100.0;
 const DELEGATED_PROBE_EXPIRY_MS: f64 = 4_000.0;
 /// For how many probe intervals a node that does not observe the suspect probes it before it votes that it is unreachable.
-const DELEGATED_PROBES: f64 = 1.5;
+const DELEGATED_PROBE_TIMEOUT_IN_PROBES: f64 = 1.5;
 
 /// The probes of this node on behalf of others.
 pub(crate) type DelegatedProbes = BTreeMap<MemberId, DelegatedProbe>;
@@ -29,19 +29,19 @@
 pub(crate) struct DelegatedProbe {
     since_ms: f64,
     last_probe_ms: f64,
-    askers: Vec<PeerId>,
+    requesters: Vec<PeerId>,
 }
 
 impl Gossip {
     /// Another node receives nothing from one and asks for this node's vote.
     pub(crate) fn receive_indirect_probe(
         &mut self,
-        asker: PeerId,
+        requester: PeerId,
         suspect: MemberId,
         incarnation: u64,
     ) {
         if suspect == self.id {
-            self.send(asker, &[plain_probe(false)]);
+            self.send(requester, &[plain_probe(false)]);
             return;
         }
         let (now_ms, suspicion_timeout_ms) = (self.now_ms, self.settings.suspicion_timeout_ms);
@@ -49,31 +49,31 @@
             return;
         };
         if entry.incarnation > incarnation || !entry.is_alive() {
-            // The asker has missed an update.
+            // The requester has missed an update.
             if let Some(record) = self.table.record(suspect, now_ms) {
-                self.send(asker, &[record]);
+                self.send(requester, &[record]);
             }
             return;
         }
         let is_reachable = entry.was_received_within(now_ms, suspicion_timeout_ms)
-            && entry.pending_removal.is_none();
+            && entry.pending_death.is_none();
         let is_silent_subject = self
             .silence_ms(entry)
             .is_some_and(|silence_ms| silence_ms >= suspicion_timeout_ms);
-        let suspected_until_ms = now_ms + self.probe_intervals_ms(VOTER_PATIENCE_PROBES);
+        let suspected_until_ms = now_ms + self.probe_intervals_ms(VOTER_TIMEOUT_IN_PROBES);
         if let Some(entry) = self.table.get_mut(suspect) {
             entry.suspected_until_ms = suspected_until_ms;
         }
         if is_reachable {
-            self.send_vote(asker, suspect, incarnation, true);
+            self.send_vote(requester, suspect, incarnation, true);
             return;
         }
-        let was_paused = now_ms - self.detector.listening_since_ms < suspicion_timeout_ms;
+        let was_paused = now_ms - self.detector.running_since_ms < suspicion_timeout_ms;
         if was_paused || !self.receives_from_any() {
             return; // Its own silence says nothing about the suspect.
         }
-        if is_silent_subject || self.has_probed_in_vain(asker, suspect) {
-            self.send_vote(asker, suspect, incarnation, false);
+        if is_silent_subject || self.is_delegated_probe_unanswered(requester, suspect) {
+            self.send_vote(requester, suspect, incarnation, false);
         }
     }
 
@@ -86,9 +86,9 @@
         self.send(to, &[vote]);
     }
 
-    /// Probes a node that this one does not observe, on behalf of `asker`. Returns whether it has been probed for long
+    /// Probes a node that this one does not observe, on behalf of `requester`. Returns whether it has been probed for long
     /// enough without an answer.
-    fn has_probed_in_vain(&mut self, asker: PeerId, suspect: MemberId) -> bool {
+    fn is_delegated_probe_unanswered(&mut self, requester: PeerId, suspect: MemberId) -> bool {
         let Some(peer) = self.table.peer_of(suspect) else {
             return false;
         };
@@ -101,33 +101,34 @@
         let probe = probes.entry(suspect).or_insert_with(|| DelegatedProbe {
             since_ms: now_ms,
             last_probe_ms: f64::NEG_INFINITY,
-            askers: Vec::new(),
+            requesters: Vec::new(),
         });
-        if probe.askers.len() < MAX_WAITING_ASKERS && !probe.askers.contains(&asker) {
-            probe.askers.push(asker);
+        if probe.requesters.len() < MAX_WAITING_REQUESTERS && !probe.requesters.contains(&requester)
+        {
+            probe.requesters.push(requester);
         }
         let since_ms = probe.since_ms;
         if now_ms - probe.last_probe_ms >= DELEGATED_PROBE_INTERVAL_MS {
             probe.last_probe_ms = now_ms;
             self.send(peer, &[plain_probe(true)]);
         }
-        now_ms - since_ms >= self.probe_intervals_ms(DELEGATED_PROBES)
+        now_ms - since_ms >= self.probe_intervals_ms(DELEGATED_PROBE_TIMEOUT_IN_PROBES)
     }
 
     /// Votes for a node from which something was just received, at those that asked about it.
-    pub(crate) fn answer_waiting_askers(&mut self, member: MemberId) {
+    pub(crate) fn answer_waiting_requesters(&mut self, member: MemberId) {
         let Some(probe) = self.detector.delegated_probes.remove(&member) else {
             return;
         };
         let Some(entry) = self.table.get(member) else {
             return;
         };
-        if !entry.is_alive() || entry.pending_removal.is_some() {
+        if !entry.is_alive() || entry.pending_death.is_some() {
             return;
         }
         let incarnation = entry.incarnation;
-        for asker in probe.askers {
-            self.send_vote(asker, member, incarnation, true);
+        for requester in probe.requesters {
+            self.send_vote(requester, member, incarnation, true);
         }
     }
 
--- a/crates/gossip/src/join.rs
+++ b/crates/gossip/src/join.rs
@@ -24,36 +24,36 @@
 /// Addresses without a live node that are contacted in each probe interval.
 const DEAD_CONTACTS_PER_PROBE: usize = 2;
 /// An address with a live node is contacted, in turn, every so many probe intervals.
-const LIVE_CONTACT_PROBES: u64 = 4;
+const KNOWN_CONTACT_PERIOD_IN_PROBES: u64 = 4;
 /// For how many ticks after a start or a pause a live address is contacted in each.
-const HURRIED_TICKS: u32 = 8;
+const CATCH_UP_TICKS: u32 = 8;
 
 /// Which addresses are contacted next.
 #[derive(Debug)]
-pub(crate) struct Discovery {
+pub(crate) struct PeerDiscovery {
     known_cursor: ScanCursor,
     dead_cursor: ScanCursor,
     /// Whether there may be addresses with fewer than [`INITIAL_CONTACTS`].
     has_new_addresses: bool,
     /// Ticks in which a live address is contacted out of turn.
-    hurried_ticks: u32,
+    catch_up_ticks: u32,
     has_logged_full_table: bool,
 }
 
-impl Discovery {
+impl PeerDiscovery {
     pub fn new() -> Self {
         Self {
             known_cursor: ScanCursor::default(),
             dead_cursor: ScanCursor::default(),
             has_new_addresses: true,
-            hurried_ticks: HURRIED_TICKS,
+            catch_up_ticks: CATCH_UP_TICKS,
             has_logged_full_table: false,
         }
     }
 
     /// Has live addresses contacted out of turn for a while, to catch up.
-    pub fn hurry(&mut self) {
-        self.hurried_ticks = HURRIED_TICKS;
+    pub fn start_catch_up(&mut self) {
+        self.catch_up_ticks = CATCH_UP_TICKS;
     }
 }
 
@@ -195,7 +195,7 @@
                 return Err(error);
             }
         }
-        self.detector.is_stale = true;
+        self.detector.are_rings_stale = true;
         self.actions.push(Action::Changed(change));
         Ok(())
     }
@@ -238,7 +238,7 @@
     /// links are found.
     pub(crate) fn contact_peers(&mut self) {
         let mut addresses = self.new_addresses();
-        if self.is_every(1) {
+        if self.is_every_nth_probe(1) {
             for _ in 0..DEAD_CONTACTS_PER_PROBE {
                 let table = &self.table;
                 let is_not_alive =
@@ -246,8 +246,10 @@
                 addresses.extend(self.discovery.dead_cursor.next(&self.peers, is_not_alive));
             }
         }
-        if self.discovery.hurried_ticks > 0 || self.is_every(LIVE_CONTACT_PROBES) {
-            self.discovery.hurried_ticks = self.discovery.hurried_ticks.saturating_sub(1);
+        if self.discovery.catch_up_ticks > 0
+            || self.is_every_nth_probe(KNOWN_CONTACT_PERIOD_IN_PROBES)
+        {
+            self.discovery.catch_up_ticks = self.discovery.catch_up_ticks.saturating_sub(1);
             let is_known = |peer: &Peer| peer.process_id != 0;
             addresses.extend(self.discovery.known_cursor.next(&self.peers, is_known));
         }
@@ -306,7 +308,7 @@
         let incarnation = self.incarnation();
         self.table
             .update(self.id, self.now_ms, State::Left, incarnation);
-        self.dissemination.flood_limit = Dissemination::flood_limit(self.now_ms);
+        self.dissemination.flood_limit = Dissemination::full_flood_limit(self.now_ms);
         let mut to = self.neighbours();
         let known: Vec<_> = self
             .peers
--- a/crates/gossip/src/local_health.rs
+++ b/crates/gossip/src/local_health.rs
@@ -8,9 +8,9 @@
 use crate::own_status::OwnStatus;
 
 /// Within this many probe intervals a datagram must have been received from a subject for it to count as received.
-const RECEIVED_PROBES: f64 = 5.0;
+const RECEIVED_WINDOW_IN_PROBES: f64 = 5.0;
 /// The same for acks of observers, which are requested from every second probe only.
-const ACKED_PROBES: f64 = 8.0;
+const ACK_WINDOW_IN_PROBES: f64 = 8.0;
 /// A node is well if more than this fraction of its subjects and observers count.
 const WELL_FRACTION: f64 = 0.75;
 /// For how long the health must have been better before the improvement is reported, in milliseconds.
@@ -73,14 +73,14 @@
 
     /// The fraction of subjects from which a datagram was received lately.
     fn received_fraction(&self) -> f64 {
-        let window_ms = self.probe_intervals_ms(RECEIVED_PROBES);
+        let window_ms = self.probe_intervals_ms(RECEIVED_WINDOW_IN_PROBES);
         let is_received = |entry: &MemberEntry| entry.was_received_within(self.now_ms, window_ms);
         self.fraction_of(&self.detector.subjects, is_received)
     }
 
     /// The fraction of observers that acknowledged a probe lately.
     fn acked_fraction(&self) -> f64 {
-        let window_ms = self.probe_intervals_ms(ACKED_PROBES);
+        let window_ms = self.probe_intervals_ms(ACK_WINDOW_IN_PROBES);
         let has_acked = |entry: &MemberEntry| {
             entry
                 .last_ack_ms
--- a/crates/gossip/src/member_table.rs
+++ b/crates/gossip/src/member_table.rs
@@ -32,7 +32,7 @@
 
 /// A reported death that takes effect later, so that the node can refute it.
 #[derive(Clone, Debug)]
-pub struct PendingRemoval {
+pub struct PendingDeath {
     /// When it takes effect.
     pub due_ms: f64,
     pub incarnation: u64,
@@ -62,7 +62,7 @@
     pub suspicion: Option<Box<Suspicion>>,
     /// Until when it counts as suspected by another node.
     pub suspected_until_ms: f64,
-    pub pending_removal: Option<Box<PendingRemoval>>,
+    pub pending_death: Option<Box<PendingDeath>>,
     /// When it was declared dead, by any node.
     pub declared_dead_ms: f64,
     /// How often its latest update was transmitted; `None` once that was often enough.
@@ -85,7 +85,7 @@
             observed_since_ms: None,
             suspicion: None,
             suspected_until_ms: f64::NEG_INFINITY,
-            pending_removal: None,
+            pending_death: None,
             declared_dead_ms: now_ms,
             transmissions: None,
         }
@@ -105,11 +105,11 @@
     pub fn clear_suspicion(&mut self) {
         self.suspicion = None;
         self.suspected_until_ms = f64::NEG_INFINITY;
-        self.pending_removal = None;
+        self.pending_death = None;
     }
 
     fn death_notice(&self, member: MemberId, now_ms: f64) -> DeathNotice {
-        let (incarnation, declared_ms) = match &self.pending_removal {
+        let (incarnation, declared_ms) = match &self.pending_death {
             Some(pending) if self.is_alive() => (pending.incarnation, pending.declared_ms),
             _ => (self.incarnation, self.declared_dead_ms),
         };
@@ -301,7 +301,7 @@
     pub fn record(&self, id: MemberId, now_ms: f64) -> Option<Record> {
         let entry = self.entries.get(&id)?;
         // A pending death is forwarded before it takes effect here.
-        let is_dead = entry.state == State::Dead || entry.pending_removal.is_some();
+        let is_dead = entry.state == State::Dead || entry.pending_death.is_some();
         Some(match entry.state {
             State::Left => Record::Left {
                 member: id,
@@ -341,17 +341,17 @@
         }
     }
 
-    /// Records of nodes in buckets whose digest differs from `theirs`, in random order.
+    /// Records of nodes in buckets whose digest differs from `remote_digests`, in random order.
     pub fn differing_records(
         &self,
-        theirs: &[u16; DIGEST_BUCKETS],
+        remote_digests: &[u16; DIGEST_BUCKETS],
         now_ms: f64,
         rng: &mut fastrand::Rng,
     ) -> Vec<Record> {
         let own = self.bucket_digests();
         let differs = |id: &&MemberId| {
             let bucket = bucket_of(**id);
-            own[bucket] != theirs[bucket]
+            own[bucket] != remote_digests[bucket]
         };
         let mut ids: Vec<_> = self.entries.keys().filter(differs).copied().collect();
         rng.shuffle(&mut ids);
--- a/crates/gossip/src/node.rs
+++ b/crates/gossip/src/node.rs
@@ -8,7 +8,7 @@
 use crate::dissemination::Dissemination;
 use crate::event::{Action, Event, LogEvent, PeerId};
 use crate::failure_detector::FailureDetector;
-use crate::join::Discovery;
+use crate::join::PeerDiscovery;
 use crate::local_health::LocalHealth;
 use crate::member::{Health, Member, State};
 use crate::member_id::MemberId;
@@ -25,7 +25,7 @@
 /// How often expired nodes are removed from the member table, in ticks.
 const EXPIRY_TICKS: u64 = 256;
 /// An observer has to answer every second probe: no probe alone decides anything.
-const ACK_EVERY_PROBES: u64 = 2;
+const ACK_PERIOD_IN_PROBES: u64 = 2;
 /// The highest first incarnation, whatever the wall clock says, so that there is room for any number of refutations.
 const MAX_FIRST_INCARNATION: u64 = 1 << 61;
 
@@ -40,7 +40,7 @@
     next_tick_ms: f64,
     pub(crate) table: MemberTable,
     pub(crate) peers: BTreeMap<PeerId, Peer>,
-    pub(crate) discovery: Discovery,
+    pub(crate) discovery: PeerDiscovery,
     pub(crate) detector: FailureDetector,
     pub(crate) dissemination: Dissemination,
     pub(crate) anti_entropy: AntiEntropy,
@@ -76,7 +76,7 @@
             next_tick_ms: now_ms + tick_ms * phase,
             table,
             peers: BTreeMap::new(),
-            discovery: Discovery::new(),
+            discovery: PeerDiscovery::new(),
             detector: FailureDetector::new(now_ms),
             dissemination: Dissemination::new(now_ms),
             anti_entropy: AntiEntropy::new(now_ms),
@@ -180,7 +180,7 @@
     }
 
     /// Whether this is every `probes`-th probe interval's first tick.
-    pub(crate) fn is_every(&self, probes: u64) -> bool {
+    pub(crate) fn is_every_nth_probe(&self, probes: u64) -> bool {
         self.tick % (probes * TICKS_PER_PROBE) == 0
     }
 
@@ -205,10 +205,10 @@
         if !is_pause || self.has_fault(InjectedFault::PauseNotDetected) {
             return;
         }
-        self.detector.restart_listening(self.now_ms);
+        self.detector.reset_after_pause(self.now_ms);
         self.own.acked_since_ms = None;
-        self.dissemination.pending_removals.clear();
-        self.discovery.hurry();
+        self.dissemination.pending_deaths.clear();
+        self.discovery.start_catch_up();
         for (_, entry) in self.table.iter_mut() {
             entry.clear_suspicion();
         }
@@ -220,12 +220,12 @@
         self.tick += 1;
         self.rebuild_rings_if_stale();
         if self.own.is_member() {
-            if self.is_every(1) {
+            if self.is_every_nth_probe(1) {
                 self.probe_observers(self.needs_acks());
             }
             self.check_subjects();
         }
-        self.apply_due_removals();
+        self.apply_due_deaths();
         if self.own.status != OwnStatus::Leaving {
             self.contact_peers();
         }
@@ -240,7 +240,7 @@
     }
 
     fn needs_acks(&self) -> bool {
-        self.is_every(ACK_EVERY_PROBES)
+        self.is_every_nth_probe(ACK_PERIOD_IN_PROBES)
             || self.own.status != OwnStatus::Alive
             || self.local_health.current != Health::Well
     }
--- a/crates/gossip/src/own_status.rs
+++ b/crates/gossip/src/own_status.rs
@@ -11,7 +11,7 @@
 /// How often it may.
 const MAX_TAKEOVERS: u32 = 4;
 /// Within this many probe intervals an observer must have acknowledged a probe for this node to refute its death.
-const REFUTE_ACK_PROBES: f64 = 4.0;
+const REFUTE_ACK_WINDOW_IN_PROBES: f64 = 4.0;
 /// Refutations within this window count towards the backoff. Also the interval at which name conflicts are logged.
 const REFUTATION_WINDOW_MS: f64 = 60_000.0;
 /// Refutations within the window that are not delayed.
@@ -138,11 +138,11 @@
             .retain(|refuted| now_ms - refuted < REFUTATION_WINDOW_MS);
         // A node whose probes were acknowledged for longer than any verdict takes was never unreachable: it hears the
         // verdict of the other side of a healed partition, and need not wait.
-        let verdict_ms = 2.0 * self.settings.suspicion_timeout_ms;
+        let max_decision_ms = 2.0 * self.settings.suspicion_timeout_ms;
         let was_unreachable = self
             .own
             .acked_since_ms
-            .is_none_or(|acked| since_ms - acked < verdict_ms);
+            .is_none_or(|acked| since_ms - acked < max_decision_ms);
         let backoff_ms = if was_unreachable {
             self.own.refutation_backoff_ms()
         } else {
@@ -164,11 +164,11 @@
 
     /// Whether at least half of the observers have acknowledged a probe lately.
     fn is_acked_by_observers(&self) -> bool {
-        let window_ms = self.probe_intervals_ms(REFUTE_ACK_PROBES);
+        let window_ms = self.probe_intervals_ms(REFUTE_ACK_WINDOW_IN_PROBES);
         let has_acked = |id: &&MemberId| {
             let last_ack = self.table.get(**id).and_then(|entry| entry.last_ack_ms);
             last_ack.is_some_and(|acked| {
-                self.now_ms - acked < window_ms && acked >= self.detector.listening_since_ms
+                self.now_ms - acked < window_ms && acked >= self.detector.running_since_ms
             })
         };
         let observers = &self.detector.observers;
@@ -190,10 +190,10 @@
     }
 
     /// Takes an incarnation above the one of another process with this node's name.
-    pub(crate) fn take_over(&mut self, their_incarnation: u64) {
+    pub(crate) fn take_over(&mut self, other_incarnation: u64) {
         self.own.takeovers += 1;
         self.table
-            .update(self.id, self.now_ms, State::Alive, their_incarnation + 1);
+            .update(self.id, self.now_ms, State::Alive, other_incarnation + 1);
     }
 
     pub(crate) fn log_name_conflict(&mut self, other_incarnation: u64, is_superseded: bool) {
--- a/crates/gossip/src/peers.rs
+++ b/crates/gossip/src/peers.rs
@@ -24,7 +24,7 @@
     /// Sequence number of the last datagram that was sent to this process.
     pub sequence: u32,
     /// Whether that process knows this one by name.
-    pub knows_this_node: bool,
+    pub is_hello_accepted: bool,
     /// Whether this is the node's own address.
     pub is_self: bool,
     pub last_contact_ms: Option<f64>,
@@ -54,7 +54,7 @@
         self.process_id = process_id;
         self.replay_window = ReplayWindow::default();
         self.sequence = 0;
-        self.knows_this_node = false;
+        self.is_hello_accepted = false;
     }
 
     pub fn next_sequence(&mut self) -> u32 {
--- a/crates/gossip/src/quorum.rs
+++ b/crates/gossip/src/quorum.rs
@@ -10,7 +10,7 @@
 
 /// Random witnesses that are asked beside the quorum. The quorum is the same few nodes each time, and all of them may be
 /// partitioned from the suspect. Witnesses count only if they reach it.
-const RANDOM_WITNESSES: usize = 6;
+const RANDOM_EXTRA_VOTERS: usize = 6;
 /// Random candidates for each place in the quorum, beside the suspect's observers.
 const CANDIDATES_PER_VOTER: usize = 2;
 /// How many nodes must reach a suspect for the interval between questions to grow.
@@ -19,16 +19,16 @@
 // The following are in probe intervals, so that they scale with the interval that operators configure.
 
 /// For how long a vote counts: two of three may be lost.
-const VOTE_PROBES: f64 = 3.0;
+const VOTE_MAX_AGE_IN_PROBES: f64 = 3.0;
 /// For how long a voter may take to answer. Longer than a delegated probe takes, as the voter is asked once in a probe
 /// interval and answers when it is asked again.
-pub(crate) const VOTER_PATIENCE_PROBES: f64 = 2.5;
+pub(crate) const VOTER_TIMEOUT_IN_PROBES: f64 = 2.5;
 /// The longest interval between two questions about a node that others reach.
-const MAX_QUESTION_INTERVAL_PROBES: f64 = 8.0;
+const MAX_POLL_INTERVAL_IN_PROBES: f64 = 8.0;
 
 impl Gossip {
     /// Declares a suspect dead if the votes confirm it; else asks the quorum when that is due.
-    pub(crate) fn pursue_suspicion(&mut self, subject: MemberId, silence_ms: f64) {
+    pub(crate) fn evaluate_suspicion(&mut self, subject: MemberId, silence_ms: f64) {
         let Some(entry) = self.table.get_mut(subject) else {
             return;
         };
@@ -38,10 +38,10 @@
         };
         let voters = self.refresh_quorum(subject, &mut suspicion);
         let votes = self.count_recent_votes(&mut suspicion);
-        let is_dead = self.is_verdict_reached(&suspicion, votes, voters, silence_ms);
-        if !is_dead && self.now_ms >= suspicion.next_question_ms {
-            self.schedule_next_question(&mut suspicion, votes);
-            self.ask_quorum(subject, incarnation, &suspicion);
+        let is_dead = self.is_death_decided(&suspicion, votes, voters, silence_ms);
+        if !is_dead && self.now_ms >= suspicion.next_poll_ms {
+            self.schedule_next_poll(&mut suspicion, votes);
+            self.poll_quorum(subject, incarnation, &suspicion);
         }
         // Also with a verdict: the state that the change is reported from is `Suspect`.
         if let Some(entry) = self.table.get_mut(subject) {
@@ -59,15 +59,15 @@
     }
 
     fn count_recent_votes(&self, suspicion: &mut Suspicion) -> VoteCount {
-        let between_questions_ms = suspicion.question_interval_ms + self.settings.probe_interval_ms;
+        let poll_period_ms = suspicion.poll_interval_ms + self.settings.probe_interval_ms;
         let max_age_ms = self
-            .probe_intervals_ms(VOTE_PROBES)
-            .max(between_questions_ms);
-        suspicion.expire_witnesses(self.now_ms, max_age_ms);
+            .probe_intervals_ms(VOTE_MAX_AGE_IN_PROBES)
+            .max(poll_period_ms);
+        suspicion.expire_extra_votes(self.now_ms, max_age_ms);
         suspicion.count_votes(self.now_ms, max_age_ms)
     }
 
-    fn is_verdict_reached(
+    fn is_death_decided(
         &self,
         suspicion: &Suspicion,
         votes: VoteCount,
@@ -85,22 +85,22 @@
     }
 
     /// If others reach the suspect, this node alone is partitioned from it, and asks less and less often.
-    fn schedule_next_question(&self, suspicion: &mut Suspicion, votes: VoteCount) {
-        let max_interval_ms = self.probe_intervals_ms(MAX_QUESTION_INTERVAL_PROBES);
-        suspicion.question_interval_ms = if votes.reachable >= REACHABLE_VOTES_TO_BACK_OFF {
-            (suspicion.question_interval_ms * 2.0).min(max_interval_ms)
+    fn schedule_next_poll(&self, suspicion: &mut Suspicion, votes: VoteCount) {
+        let max_interval_ms = self.probe_intervals_ms(MAX_POLL_INTERVAL_IN_PROBES);
+        suspicion.poll_interval_ms = if votes.reachable >= REACHABLE_VOTES_TO_BACK_OFF {
+            (suspicion.poll_interval_ms * 2.0).min(max_interval_ms)
         } else {
             self.settings.probe_interval_ms
         };
-        suspicion.next_question_ms = self.now_ms + suspicion.question_interval_ms;
+        suspicion.next_poll_ms = self.now_ms + suspicion.poll_interval_ms;
     }
 
     /// Sends an indirect probe to the quorum and to random witnesses, and a probe to the suspect itself.
-    fn ask_quorum(&mut self, suspect: MemberId, incarnation: u64, suspicion: &Suspicion) {
+    fn poll_quorum(&mut self, suspect: MemberId, incarnation: u64, suspicion: &Suspicion) {
         let quorum: Vec<_> = suspicion.quorum.iter().map(|voter| voter.member).collect();
         let mut asked = self.peers_of(&quorum);
         let candidates = self.recently_received_except(suspect);
-        let witnesses = self.random_choice(&candidates, RANDOM_WITNESSES);
+        let witnesses = self.random_choice(&candidates, RANDOM_EXTRA_VOTERS);
         asked.extend(self.peers_of(&witnesses));
         asked.sort_unstable();
         asked.dedup();
@@ -128,14 +128,14 @@
         candidates.extend(self.random_choice(&recent, CANDIDATES_PER_VOTER * size));
         candidates.retain(|id| *id != self.id && *id != suspect);
 
-        let patience_ms = self.probe_intervals_ms(VOTER_PATIENCE_PROBES);
+        let voter_timeout_ms = self.probe_intervals_ms(VOTER_TIMEOUT_IN_PROBES);
         let table = &self.table;
         let is_available = |id: MemberId| {
             table
                 .get(id)
                 .is_some_and(|entry| entry.is_alive() && entry.peer.is_some())
         };
-        suspicion.drop_silent_voters(self.now_ms, patience_ms, is_available);
+        suspicion.drop_unresponsive_voters(self.now_ms, voter_timeout_ms, is_available);
         if candidates
             .iter()
             .all(|id| suspicion.unresponsive.contains(id))
--- a/crates/gossip/src/suspicion.rs
+++ b/crates/gossip/src/suspicion.rs
@@ -8,7 +8,7 @@
 mod tests;
 
 /// How many witnesses outside the quorum are remembered. One would do; two lengthen the interval between questions.
-const MAX_WITNESSES: usize = 16;
+const MAX_EXTRA_VOTES: usize = 16;
 
 /// A node whose vote is requested.
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -36,9 +36,9 @@
     witnesses: BTreeMap<MemberId, f64>,
     /// When any node last reported that it reaches the suspect.
     pub last_reachable_ms: f64,
-    pub next_question_ms: f64,
+    pub next_poll_ms: f64,
     /// Interval between two questions to the quorum. Grows while others reach the suspect.
-    pub question_interval_ms: f64,
+    pub poll_interval_ms: f64,
 }
 
 /// Votes for and against a death, this node's own among the first.
@@ -49,15 +49,15 @@
 }
 
 impl Suspicion {
-    pub fn new(now_ms: f64, question_interval_ms: f64) -> Self {
+    pub fn new(now_ms: f64, poll_interval_ms: f64) -> Self {
         Self {
             quorum: Vec::new(),
             votes: BTreeMap::new(),
             unresponsive: Vec::new(),
             witnesses: BTreeMap::new(),
             last_reachable_ms: f64::NEG_INFINITY,
-            next_question_ms: now_ms,
-            question_interval_ms,
+            next_poll_ms: now_ms,
+            poll_interval_ms,
         }
     }
 
@@ -96,27 +96,28 @@
             self.votes.insert(by, vote);
             return;
         }
-        let has_room = self.witnesses.len() < MAX_WITNESSES || self.witnesses.contains_key(&by);
+        let has_room = self.witnesses.len() < MAX_EXTRA_VOTES || self.witnesses.contains_key(&by);
         if is_reachable && has_room {
             self.witnesses.insert(by, now_ms);
         }
     }
 
     /// Forgets witnesses whose report is older than `max_age_ms`.
-    pub fn expire_witnesses(&mut self, now_ms: f64, max_age_ms: f64) {
+    pub fn expire_extra_votes(&mut self, now_ms: f64, max_age_ms: f64) {
         self.witnesses
             .retain(|_, received| now_ms - *received <= max_age_ms);
     }
 
-    /// Removes voters that did not answer within `patience_ms`, or that `is_available` rejects.
-    pub fn drop_silent_voters(
+    /// Removes voters that did not answer within `voter_timeout_ms`, or that `is_available` rejects.
+    pub fn drop_unresponsive_voters(
         &mut self,
         now_ms: f64,
-        patience_ms: f64,
+        voter_timeout_ms: f64,
         is_available: impl Fn(MemberId) -> bool,
     ) {
         let timed_out = self.quorum.iter().filter(|voter| {
-            now_ms - voter.asked_since_ms >= patience_ms && !self.votes.contains_key(&voter.member)
+            now_ms - voter.asked_since_ms >= voter_timeout_ms
+                && !self.votes.contains_key(&voter.member)
         });
         self.unresponsive
             .extend(timed_out.map(|voter| voter.member));
--- a/crates/gossip/src/transport.rs
+++ b/crates/gossip/src/transport.rs
@@ -21,7 +21,7 @@
 }
 
 impl Sender {
-    pub fn reported(&self) -> ChangeCause {
+    pub fn report_cause(&self) -> ChangeCause {
         ChangeCause::Reported {
             by: self.name.clone(),
         }
@@ -114,14 +114,14 @@
             return;
         };
         // A sequence number shows that the sender knows this process by name. An ack may still say otherwise.
-        peer.knows_this_node |= header.sequence > 0;
+        peer.is_hello_accepted |= header.sequence > 0;
         let Some(member) = peer.member else { return };
         let was_alive = self.table.is_alive(member);
         if let Some(entry) = self.table.get_mut(member) {
             entry.last_received_ms = Some(self.now_ms);
         }
         self.dismiss_suspicion(member);
-        self.answer_waiting_askers(member);
+        self.answer_waiting_requesters(member);
         let name = self.table.get(member).map(|entry| entry.name.clone());
         let sender = Sender {
             peer: from,
@@ -148,7 +148,7 @@
                 to_observer,
             } => {
                 if to_observer {
-                    self.note_observer_probe(sender.member);
+                    self.record_observer_probe(sender.member);
                 }
                 if ack_requested {
                     let ack = Record::Ack {
@@ -190,7 +190,7 @@
                 is_reachable,
             } => self.receive_vote(sender.member, member, incarnation, is_reachable),
             Record::Digest(digest) => self.receive_digest(sender.peer, digest),
-            Record::BucketDigests(theirs) => self.receive_bucket_digests(sender.peer, &theirs),
+            Record::BucketDigests(digests) => self.receive_bucket_digests(sender.peer, &digests),
             Record::Payload(bytes) => self.actions.push(Action::Payload {
                 from: sender.member,
                 process_id: header.from_process,
@@ -212,7 +212,7 @@
         let Some(peer) = self.sendable_peer(to) else {
             return 0;
         };
-        let is_introduction = peer.process_id == 0 || !peer.knows_this_node;
+        let is_introduction = peer.process_id == 0 || !peer.is_hello_accepted;
         let header = Header {
             from_process,
             to_process: peer.process_id,
--- a/crates/gossip/src/wire.rs
+++ b/crates/gossip/src/wire.rs
@@ -122,7 +122,7 @@
     let (content, seal) = bytes
         .split_last_chunk::<SEAL_BYTES>()
         .ok_or(RejectReason::Malformed)?;
-    if !key.is_sealed(content, seal) {
+    if !key.verify_seal(content, seal) {
         return Err(RejectReason::BadSeal);
     }
     let mut rest = &content[1 + CLUSTER_TAG_BYTES..];
