--- a/crates/gossip/src/anti_entropy.rs
+++ b/crates/gossip/src/anti_entropy.rs
@@ -1,5 +1,5 @@
-//! Anti-entropy: nodes whose member tables differ exchange the differing records, and the two sides of a healed partition
-//! exchange the deaths that they declared.
+//! Anti-entropy: nodes whose member tables differ exchange the differing records, and the two sides
+//! of a healed partition exchange the deaths that they declared.
 
 use crate::event::PeerId;
 use crate::member::State;
@@ -8,14 +8,16 @@
 use crate::rate_limit::RateLimit;
 use crate::wire::{Record, DIGEST_BUCKETS};
 
-/// Rate limit of anti-entropy datagrams: the burst in datagrams, and the sustained rate in datagrams per second.
+/// Rate limit of anti-entropy datagrams: the burst in datagrams, and the sustained rate in
+/// datagrams per second.
 const SYNC_BURST: f64 = 8.0;
 const SYNCS_PER_S: f64 = 3.0;
-/// Minimum interval between two death notices to one sender that is dead in this node's table, in milliseconds. Without
-/// the limit, two nodes that have each other as dead would answer each other endlessly.
+/// Minimum interval between two death notices to one sender that is dead in this node's table, in
+/// milliseconds. Without the limit, two nodes that have each other as dead would answer each other
+/// endlessly.
 const DEATH_NOTICE_INTERVAL_MS: f64 = 200.0;
-/// Minimum interval between two transmissions of all death notices to a dead sender, whichever it is, in milliseconds, and
-/// the maximum number of datagrams in each.
+/// Minimum interval between two transmissions of all death notices to a dead sender, whichever it
+/// is, in milliseconds, and the maximum number of datagrams in each.
 const HEAL_INTERVAL_MS: f64 = 1_000.0;
 const MAX_HEAL_DATAGRAMS: usize = 6;
 
@@ -45,8 +47,8 @@
         }
     }
 
-    /// Continues an exchange: sends records of the buckets that differ. The other node does the same, until the tables are
-    /// equal or the rate limits are reached.
+    /// Continues an exchange: sends records of the buckets that differ. The other node does the
+    /// same, until the tables are equal or the rate limits are reached.
     pub(crate) fn receive_bucket_digests(
         &mut self,
         from: PeerId,
@@ -64,8 +66,9 @@
         self.send(from, &records);
     }
 
-    /// Answers a datagram of a node that is dead in this node's table. Notifies the sender, so that it can refute its death,
-    /// and sends it all death notices: after a partition, other nodes on the sender's side are likely to be dead here, too.
+    /// Answers a datagram of a node that is dead in this node's table. Notifies the sender, so that
+    /// it can refute its death, and sends it all death notices: after a partition, other nodes on
+    /// the sender's side are likely to be dead here, too.
     pub(crate) fn notify_dead_sender(&mut self, from: PeerId) {
         let now_ms = self.now_ms;
         let Some(peer) = self.peers.get_mut(&from) else {
--- a/crates/gossip/src/cluster_key.rs
+++ b/crates/gossip/src/cluster_key.rs
@@ -31,12 +31,12 @@
 }
 
 impl ClusterKey {
-    /// Derives the key of the cluster named `cluster` from `key`, the secret that its nodes share.
+    /// Derives the key of the cluster named `cluster` from the secret that its nodes share.
     #[must_use]
-    pub fn new(cluster: &str, key: &[u8]) -> Self {
+    pub fn new(cluster: &str, secret: &[u8]) -> Self {
         let mut material = (cluster.len() as u64).to_le_bytes().to_vec();
         material.extend_from_slice(cluster.as_bytes());
-        material.extend_from_slice(key);
+        material.extend_from_slice(secret);
         let MemberId(hash) = MemberId::of(cluster);
         Self {
             cluster: hash as u32,
@@ -44,12 +44,14 @@
         }
     }
 
-    /// Identifies the cluster in the header of a datagram. It does not authenticate the sender; the seal does.
+    /// Identifies the cluster in the header of a datagram. It does not authenticate the sender; the
+    /// seal does.
     pub(crate) fn cluster_tag(&self) -> [u8; 4] {
         self.cluster.to_le_bytes()
     }
 
-    /// Whether `seal` is the seal of `bytes`. Compares in constant time, so that a seal cannot be guessed byte by byte.
+    /// Whether `seal` is the seal of `bytes`. Compares in constant time, so that a seal cannot be
+    /// guessed byte by byte.
     pub(crate) fn verify_seal(&self, bytes: &[u8], seal: &[u8; SEAL_BYTES]) -> bool {
         constant_time_eq_16(&self.seal(bytes), seal)
     }
--- a/crates/gossip/src/dissemination.rs
+++ b/crates/gossip/src/dissemination.rs
@@ -1,6 +1,8 @@
-//! Dissemination of updates about other nodes (alive, dead, left), and how received updates are applied.
+//! Dissemination of updates about other nodes (alive, dead, left), and how received updates are
+//! applied.
 //!
-//! A death notice is forwarded at once, but takes effect here only after a delay, so that the node can refute it first.
+//! A death notice is forwarded at once, but takes effect here only after a delay, so that the node
+//! can refute it first.
 
 use crate::event::{Action, Change, ChangeCause};
 use crate::join::NameSource;
@@ -13,8 +15,9 @@
 use crate::transport::Sender;
 use crate::wire::{DeathNotice, Record, DEATH_AGE_UNIT_MS};
 
-/// Rate limit of floods: the burst, and the sustained rate per second. A flood sends one datagram to each neighbour; with
-/// 12 neighbours the sustained rate is about a hundred datagrams per second.
+/// Rate limit of floods: the burst, and the sustained rate per second. A flood sends one datagram
+/// to each neighbour; with 12 neighbours the sustained rate is about a hundred datagrams per
+/// second.
 const FLOOD_BURST: f64 = 8.0;
 const FLOODS_PER_S: f64 = 8.0;
 
@@ -41,8 +44,8 @@
 }
 
 impl Gossip {
-    /// Sends a datagram to each neighbour if some update was never transmitted and the rate limit allows it. Otherwise
-    /// updates are piggybacked on the next datagrams.
+    /// Sends a datagram to each neighbour if some update was never transmitted and the rate limit
+    /// allows it. Otherwise updates are piggybacked on the next datagrams.
     pub(crate) fn flood_updates(&mut self) {
         let is_allowed = self.table.has_unsent_update()
             && self.dissemination.flood_limit.try_acquire(self.now_ms);
@@ -106,7 +109,8 @@
         }
     }
 
-    /// Replaces the process of a node, and clears the timestamps of datagrams that its previous process sent.
+    /// Replaces the process of a node, and clears the timestamps of datagrams that its previous
+    /// process sent.
     fn reset_process(&mut self, member: MemberId, process_id: u64) {
         let now_ms = self.now_ms;
         if let Some(entry) = self.table.get_mut(member) {
@@ -189,13 +193,15 @@
         }
     }
 
-    /// Delay before a reported death takes effect, in milliseconds, so that a refutation can arrive first.
+    /// Delay before a reported death takes effect, in milliseconds, so that a refutation can arrive
+    /// first.
     ///
-    /// - A notice that is old on arrival was decided on the other side of a partition. Many nodes may refute such notices at
-    ///   once, over links that may be slow.
-    /// - A node from which this node receives datagrams refutes its death itself if enough of its observers acknowledge
-    ///   its probes.
-    /// - After a pause this process reads old notices, and their refutations may be queued behind them.
+    /// - A notice that is old on arrival was decided on the other side of a partition. Many nodes
+    ///   may refute such notices at once, over links that may be slow.
+    /// - A node from which this node receives datagrams refutes its death itself if enough of its
+    ///   observers acknowledge its probes.
+    /// - After a pause this process reads old notices, and their refutations may be queued behind
+    ///   them.
     fn death_delay_ms(&self, declared_ms: f64, is_received: bool) -> f64 {
         let suspicion_timeout_ms = self.settings.suspicion_timeout_ms;
         let probe_interval_ms = self.settings.probe_interval_ms;
--- a/crates/gossip/src/event.rs
+++ b/crates/gossip/src/event.rs
@@ -1,46 +1,50 @@
-//! The inputs and outputs of the state machine: events, actions, membership changes and log events.
+//! Inputs and outputs of the state machine: events, actions, membership changes and log events.
 
 use std::fmt;
 
 use crate::member::{Health, State};
 use crate::member_id::MemberId;
 
-/// A peer address, as the driver numbers them. A number never stands for another address.
+/// The number that the driver assigned to a peer address. A number is never reused for another
+/// address.
 pub type PeerId = usize;
 
-/// An input.
+/// An input of the state machine.
 #[derive(Clone, Debug)]
 pub enum Event<'a> {
     /// A datagram was received from a peer's address.
     Datagram {
-        /// The address.
+        /// The address that the datagram was sent from.
         from: PeerId,
         /// The datagram.
         bytes: &'a [u8],
     },
-    /// The time of the last [`Action::WakeAt`] has come. An early or late event does no harm.
+    /// The time of the last [`Action::WakeAt`] was reached. It is harmless if this event is early
+    /// or late.
     Timer,
-    /// The peers' addresses from now on. The node's own address may be among them.
+    /// Replaces the peers' addresses. The node's own address may be among them.
     SetPeers(Vec<PeerId>),
-    /// The timings from now on, in milliseconds.
+    /// Replaces the timings, in milliseconds.
     SetTimings {
         /// See [`Settings::probe_interval_ms`](crate::Settings::probe_interval_ms).
         probe_interval_ms: f64,
         /// See [`Settings::suspicion_timeout_ms`](crate::Settings::suspicion_timeout_ms).
         suspicion_timeout_ms: f64,
     },
-    /// The process is about to end: the others are notified that the node leaves.
+    /// The process is about to exit: other nodes are notified that this node leaves.
     Leave,
-    /// Another subsystem sends bytes to a node. They are sealed and numbered like any record, and as easily lost.
+    /// Sends bytes of another subsystem to a node. They are sealed and protected against replay
+    /// like any record, and may be lost like any record.
     SendPayload {
         /// The receiver.
         to: MemberId,
-        /// At most [`MAX_PAYLOAD_BYTES`](crate::MAX_PAYLOAD_BYTES).
+        /// The payload; bytes beyond [`MAX_PAYLOAD_BYTES`](crate::MAX_PAYLOAD_BYTES) are cut off.
         bytes: &'a [u8],
     },
 }
 
-/// An output, to be carried out by the driver in order.
+/// An output of the state machine. The driver executes actions in the order in which they are
+/// emitted.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
     /// Send a datagram.
@@ -50,22 +54,23 @@
         /// The datagram.
         bytes: Vec<u8>,
     },
-    /// Deliver [`Event::Timer`] at this time, in milliseconds since boot. Replaces any earlier request.
+    /// Deliver [`Event::Timer`] at this time, in milliseconds since boot. Replaces the previous
+    /// wake-up time.
     WakeAt(f64),
     /// The state of another node has changed.
     Changed(Change),
     /// The local health has changed.
     Health(Health),
-    /// Something worth a line in the log.
+    /// Write a log line.
     Log(LogEvent),
-    /// Bytes from another node for another subsystem. Both processes were running when they were sent, and they are
-    /// delivered at most once.
+    /// Deliver bytes that another node sent with [`Event::SendPayload`]. Both the sender's process
+    /// and this one were running when they were sent, and they are delivered at most once.
     Payload {
         /// The sender.
         from: MemberId,
-        /// The sender's process id.
+        /// The process id of the sender.
         process_id: u64,
-        /// The bytes.
+        /// The payload.
         bytes: Vec<u8>,
     },
 }
@@ -73,25 +78,25 @@
 /// Why a node's state has changed.
 #[derive(Clone, Debug, PartialEq)]
 pub enum ChangeCause {
-    /// This node received a datagram from it.
+    /// This node received a datagram from the node.
     Received,
-    /// Another node reported it.
+    /// Another node reported the change.
     Reported {
-        /// The name of that node.
+        /// Name of the reporting node.
         by: String,
     },
-    /// This node has received nothing from it for too long.
+    /// This node has received nothing from the node for the suspicion timeout.
     Silent {
-        /// For how long, in milliseconds.
+        /// Time since the last datagram from the node, in milliseconds.
         silence_ms: f64,
     },
-    /// A quorum of its observers has received nothing from it.
+    /// A quorum of votes confirmed that the node is dead.
     Confirmed {
-        /// For how long this node has received nothing, in milliseconds.
+        /// Time since this node received the last datagram from the node, in milliseconds.
         silence_ms: f64,
-        /// Nodes that receive nothing from it, this one among them.
+        /// Number of votes that the node is unreachable, this node's own among them.
         unreachable_votes: usize,
-        /// Nodes that do.
+        /// Number of votes that the node is reachable.
         reachable_votes: usize,
     },
 }
@@ -108,8 +113,8 @@
                 reachable_votes,
             } => write!(
                 f,
-                "confirmed by quorum, {unreachable_votes} unreachable and {reachable_votes} reachable votes, after \
-                 {silence_ms:.0} ms of silence here"
+                "confirmed by quorum with {unreachable_votes} unreachable and {reachable_votes} \
+                 reachable votes; this node received nothing for {silence_ms:.0} ms"
             ),
         }
     }
@@ -120,13 +125,13 @@
 pub struct Change {
     /// Name of the node.
     pub name: String,
-    /// The state before; `None` if the node was unknown.
+    /// The previous state; `None` if the node was unknown.
     pub from: Option<State>,
-    /// The state now.
+    /// The new state.
     pub to: State,
-    /// Its incarnation now.
+    /// The current incarnation of the node.
     pub incarnation: u64,
-    /// Why it changed.
+    /// The cause of the change.
     pub cause: ChangeCause,
 }
 
@@ -147,22 +152,22 @@
     }
 }
 
-/// A log line about this node itself.
+/// A log entry about this node itself.
 #[derive(Clone, Debug, PartialEq)]
 pub enum LogEvent {
-    /// This process did not run for a while.
+    /// This process was paused.
     ResumedAfterPause {
-        /// For how long, in milliseconds.
+        /// Length of the pause, in milliseconds.
         pause_ms: f64,
     },
-    /// The others have declared this node dead.
+    /// Other nodes declared this node dead, or report that it has left.
     DeclaredDead {
         /// Name of the node that reported it.
         by: String,
     },
     /// This node has refuted its death.
     Refuted {
-        /// Its new incarnation.
+        /// The new incarnation of this node.
         incarnation: u64,
     },
     /// Another process uses this node's name.
@@ -174,7 +179,7 @@
         /// Whether this process stops using the name.
         is_superseded: bool,
     },
-    /// The member table is full.
+    /// The member table is full of live nodes.
     TableFull,
 }
 
@@ -183,13 +188,17 @@
         match self {
             Self::ResumedAfterPause { pause_ms } => write!(
                 f,
-                "this process was paused for {pause_ms:.0} ms; silence during the pause is not counted"
+                "this process was paused for {pause_ms:.0} ms; silence during the pause is not \
+                 counted"
             ),
             Self::DeclaredDead { by } => {
                 write!(f, "this node was declared dead, reported by {by}")
             }
             Self::Refuted { incarnation } => {
-                write!(f, "this node refutes its death as incarnation {incarnation}")
+                write!(
+                    f,
+                    "this node refutes its death as incarnation {incarnation}"
+                )
             }
             Self::NameConflict {
                 other_incarnation,
@@ -197,13 +206,14 @@
                 is_superseded,
             } => {
                 let outcome = if *is_superseded {
-                    "this process gives way"
+                    "this process stops using it"
                 } else {
-                    "this process stays"
+                    "this process keeps it"
                 };
                 write!(
                     f,
-                    "two processes have this node's name: incarnation {other_incarnation} beside {own_incarnation}; {outcome}"
+                    "two processes have this node's name: incarnation {other_incarnation} of the \
+                     other process, {own_incarnation} of this one; {outcome}"
                 )
             }
             Self::TableFull => write!(
--- a/crates/gossip/src/join.rs
+++ b/crates/gossip/src/join.rs
@@ -1,7 +1,9 @@
-//! How nodes find each other: contacting addresses, introductions, name conflicts, and leaving.
+//! Joining and leaving the cluster: contacting the peers' addresses, introductions, and name
+//! conflicts.
 //!
-//! Addresses are not gossiped, as a node may have a different address at each of its peers. Instead every configured
-//! address is contacted, which also finds restarted nodes and repaired links.
+//! Addresses are not gossiped, because each peer may reach a node at a different address. Instead
+//! each node contacts every configured address, which also detects restarted nodes and repaired
+//! links.
 
 use crate::dissemination::Dissemination;
 use crate::event::{Action, Change, ChangeCause, LogEvent, PeerId};
@@ -14,28 +16,31 @@
 use crate::reject_reason::RejectReason;
 use crate::wire::{Datagram, Header, Record};
 
-/// Unknown addresses that are contacted in one tick. A cluster of 300 is covered in some seconds with at most a few
-/// hundred datagrams a second. Also the number of random nodes that are notified of a leave.
+/// Maximum number of new addresses that are contacted in one tick. 300 nodes are contacted within
+/// some seconds, with at most a few hundred datagrams per second. Also the number of random nodes
+/// that are notified when this node leaves.
 const MAX_CONTACTS_PER_TICK: usize = 16;
-/// How often an address is contacted in a row at first, and at which interval. Later it has its turn among the addresses
-/// at which no node is known to be alive.
+/// Number of first contacts of a new address, and the interval between them in milliseconds. After
+/// them the address is contacted in rotation with all addresses without a live node.
 const INITIAL_CONTACTS: u32 = 4;
 const INITIAL_CONTACT_INTERVAL_MS: f64 = 1_000.0;
-/// Addresses without a live node that are contacted in each probe interval.
+/// Number of addresses without a live node that are contacted in each probe interval.
 const DEAD_CONTACTS_PER_PROBE: usize = 2;
-/// An address with a live node is contacted, in turn, every so many probe intervals.
+/// Interval between contacts of addresses at which a process is known, in probe intervals. One
+/// address is contacted at a time, in rotation.
 const KNOWN_CONTACT_PERIOD_IN_PROBES: u64 = 4;
-/// For how many ticks after a start or a pause a live address is contacted in each.
+/// Number of ticks after a start or a pause in each of which an address with a known process is
+/// contacted.
 const CATCH_UP_TICKS: u32 = 8;
 
-/// Which addresses are contacted next.
+/// Selects the addresses to contact next.
 #[derive(Debug)]
 pub(crate) struct PeerDiscovery {
     known_cursor: ScanCursor,
     dead_cursor: ScanCursor,
     /// Whether there may be addresses with fewer than [`INITIAL_CONTACTS`].
     has_new_addresses: bool,
-    /// Ticks in which a live address is contacted out of turn.
+    /// Number of remaining ticks in each of which an address with a known process is contacted.
     catch_up_ticks: u32,
     has_logged_full_table: bool,
 }
@@ -51,14 +56,15 @@
         }
     }
 
-    /// Has live addresses contacted out of turn for a while, to catch up.
+    /// Contacts addresses with a known process in each of the next [`CATCH_UP_TICKS`] ticks, to
+    /// catch up with missed updates.
     pub fn start_catch_up(&mut self) {
         self.catch_up_ticks = CATCH_UP_TICKS;
     }
 }
 
 impl Gossip {
-    /// Replaces the peers' addresses. What is known of the nodes stays.
+    /// Replaces the peers' addresses. Nodes at removed addresses stay in the member table.
     pub(crate) fn set_peers(&mut self, addresses: &[PeerId]) {
         let removed: Vec<_> = self
             .peers
@@ -78,16 +84,20 @@
         self.discovery.has_new_addresses = true;
     }
 
-    /// Forgets an address of a node, if it is the current one.
+    /// Clears the address of a node if it is `address`.
     fn clear_address(&mut self, member: MemberId, address: PeerId) {
         if let Some(entry) = self.table.get_mut(member) {
             entry.peer = entry.peer.filter(|current| *current != address);
         }
     }
 
-    /// Handles the first datagram of a process that is new at an address and knows this process, so that its content
-    /// cannot be older than this process. Returns `false`, and does not bind the address, if the datagram does not
-    /// introduce the sender or comes from an earlier process of a node.
+    /// Handles a datagram of a process that is not bound to its source address yet, or whose member
+    /// entry has expired. The datagram is addressed to this process, so it cannot be older than
+    /// this process.
+    ///
+    /// Binds the address to the sender. Returns `false`, and binds nothing, if the datagram has no
+    /// [`Record::Hello`], if its sender is an earlier process of a node or has this node's name, or
+    /// if the member table is full.
     pub(crate) fn accept_hello(&mut self, from: PeerId, datagram: &Datagram) -> bool {
         let header = datagram.header;
         let hello = datagram.records.iter().find_map(|record| match record {
@@ -104,7 +114,7 @@
             return false;
         }
         if self.is_superseded(member, incarnation, header.from_process) {
-            // The sender learns of the process that supersedes it.
+            // Notifies the sender of the process that supersedes it.
             if let Some(record) = self.table.record(member, self.now_ms) {
                 self.send_to_process(from, header.from_process, &[record]);
             }
@@ -133,7 +143,8 @@
         self.send_to_process(from, header.from_process, &[ack]);
     }
 
-    /// Whether a later incarnation of a node is known, or another process in the same one.
+    /// Whether a higher incarnation of a node is known, or the same incarnation with another
+    /// process.
     fn is_superseded(&self, member: MemberId, incarnation: u64, process_id: u64) -> bool {
         self.table.get(member).is_some_and(|known| {
             let is_other_process = known.process_id != process_id && known.process_id != 0;
@@ -156,8 +167,9 @@
         }
     }
 
-    /// Unbinds a node that was removed from the table from its address, so that it is accepted as a new one. The address
-    /// keeps its process and sequence numbers, so that no old datagram is accepted again.
+    /// Unbinds a node that was removed from the table from its address, so that the node is
+    /// accepted as a new one. The address keeps its process and its replay window, so that no old
+    /// datagram is accepted again.
     pub(crate) fn unbind_member(&mut self, member: MemberId) {
         for peer in self.peers.values_mut() {
             if peer.member == Some(member) {
@@ -166,11 +178,12 @@
         }
     }
 
-    /// Adds a node that was unknown.
+    /// Adds an unknown node.
     ///
     /// # Errors
     ///
-    /// The member table is full of live nodes. This is counted, and logged once.
+    /// The member table is full of live nodes. Each such rejection is counted, and the first one is
+    /// logged.
     pub(crate) fn add_member(
         &mut self,
         member: MemberId,
@@ -200,7 +213,7 @@
         Ok(())
     }
 
-    /// Another process uses this node's name, as it says itself or as others report.
+    /// Handles a report that another process uses this node's name.
     pub(crate) fn receive_own_name(
         &mut self,
         incarnation: u64,
@@ -209,7 +222,7 @@
     ) {
         let own_incarnation = self.incarnation();
         if process_id == self.settings.process_id {
-            // This node's own update came back.
+            // This process's own update, gossiped back to it.
             return;
         }
         if incarnation < own_incarnation {
@@ -220,7 +233,8 @@
             return;
         }
         if self.may_take_over() && self.own.status != OwnStatus::Leaving {
-            // Either an earlier process whose clock was ahead, or one that is still running and now gives way.
+            // The other process is either an earlier one whose clock was ahead, or one that still
+            // runs and is superseded by the higher incarnation of this one.
             self.take_over(incarnation);
             if source == NameSource::Hello {
                 self.log_name_conflict(incarnation, false);
@@ -229,13 +243,16 @@
             self.own.status = OwnStatus::Superseded { incarnation };
             self.log_name_conflict(incarnation, true);
             self.set_health(Health::Isolated);
-        } else if let OwnStatus::Superseded { incarnation: known } = &mut self.own.status {
-            *known = incarnation.max(*known);
+        } else if let OwnStatus::Superseded {
+            incarnation: known_incarnation,
+        } = &mut self.own.status
+        {
+            *known_incarnation = incarnation.max(*known_incarnation);
         }
     }
 
-    /// Contacts addresses at which no node is known yet, and now and then others, so that restarted nodes and repaired
-    /// links are found.
+    /// Contacts new addresses, and periodically the others, so that restarted nodes and repaired
+    /// links are detected.
     pub(crate) fn contact_peers(&mut self) {
         let mut addresses = self.new_addresses();
         if self.is_every_nth_probe(1) {
@@ -269,7 +286,8 @@
         }
     }
 
-    /// Addresses that are due for one of their initial contacts; a random choice if there are many.
+    /// Addresses that are due for one of their initial contacts; if there are more than
+    /// [`MAX_CONTACTS_PER_TICK`], that many random draws from them.
     fn new_addresses(&mut self) -> Vec<PeerId> {
         if !self.discovery.has_new_addresses {
             return Vec::new();
@@ -295,45 +313,46 @@
         }
     }
 
-    /// Draws `count` times from `from`, with repetition; fewer if `from` is shorter.
+    /// Draws `count` elements of `from` with replacement, or as many as `from` has if that is
+    /// fewer.
     pub(crate) fn random_choice<T: Copy>(&mut self, from: &[T], count: usize) -> Vec<T> {
         (0..from.len().min(count))
             .map(|_| from[self.rng.usize(..from.len())])
             .collect()
     }
 
-    /// Notifies the neighbours, and some random nodes, that this node leaves.
+    /// Notifies the neighbours and some random nodes that this node leaves.
     pub(crate) fn leave(&mut self) {
         self.own.status = OwnStatus::Leaving;
         let incarnation = self.incarnation();
         self.table
             .update(self.id, self.now_ms, State::Left, incarnation);
         self.dissemination.flood_limit = Dissemination::full_flood_limit(self.now_ms);
-        let mut to = self.neighbours();
+        let mut receivers = self.neighbours();
         let known: Vec<_> = self
             .peers
             .iter()
             .filter(|(_, peer)| peer.process_id != 0)
             .map(|(address, _)| *address)
             .collect();
-        to.extend(self.random_choice(&known, MAX_CONTACTS_PER_TICK));
-        to.sort_unstable();
-        to.dedup();
+        receivers.extend(self.random_choice(&known, MAX_CONTACTS_PER_TICK));
+        receivers.sort_unstable();
+        receivers.dedup();
         let left = Record::Left {
             member: self.id,
             incarnation,
         };
-        for address in to {
+        for address in receivers {
             self.send(address, std::slice::from_ref(&left));
         }
     }
 }
 
-/// How this node learned that another process uses its name.
+/// The source of a report that another process uses this node's name.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum NameSource {
     /// The process introduced itself.
     Hello,
-    /// Another node reported it.
+    /// Another node gossiped an update about the process.
     Gossip,
 }
