--- a/crates/gossip/src/failure_detector.rs
+++ b/crates/gossip/src/failure_detector.rs
@@ -1,8 +1,8 @@
-//! Failure detection: probing observers, and suspecting silent subjects.
+//! Failure detection: probing observers, and suspecting subjects that are silent.
 //!
-//! Each node is observed by a few others (see [`ObserverRings`]), which it probes. An observer that receives nothing from
-//! a subject for the suspicion timeout suspects it; `quorum` then asks the other observers, which answer in
-//! `indirect_probe`.
+//! Each node probes its observers, a few other nodes (see [`ObserverRings`]). An observer that
+//! receives nothing from a subject for the suspicion timeout suspects it. `quorum` then asks the
+//! other observers for their votes, and `indirect_probe` answers such requests.
 
 use crate::event::ChangeCause;
 use crate::indirect_probe::DelegatedProbes;
@@ -16,7 +16,7 @@
 use crate::transport::Sender;
 use crate::wire::Record;
 
-/// Who observes whom, and what is being examined.
+/// The observers and subjects of this node, and the state of its failure detection.
 #[derive(Debug)]
 pub(crate) struct FailureDetector {
     rings: ObserverRings,
@@ -26,7 +26,7 @@
     pub observers: Vec<MemberId>,
     /// The nodes that this one observes, sorted.
     pub subjects: Vec<MemberId>,
-    /// Since when this process has been receiving without a pause.
+    /// Time since which this process has run without a pause, in milliseconds since boot.
     pub running_since_ms: f64,
     pub delegated_probes: DelegatedProbes,
 }
@@ -43,14 +43,14 @@
         }
     }
 
-    /// After a pause of the process: silence counts from now.
+    /// Makes the silence of subjects count from now, after a pause of this process.
     pub fn reset_after_pause(&mut self, now_ms: f64) {
         self.running_since_ms = now_ms;
         self.delegated_probes.clear();
     }
 }
 
-/// A probe that only shows that the sender is alive, or asks the receiver to show it.
+/// A probe that is not addressed to the receiver as an observer of the sender.
 pub(crate) fn plain_probe(ack_requested: bool) -> Record {
     Record::Probe {
         ack_requested,
@@ -89,7 +89,7 @@
         }
     }
 
-    /// Whether the cluster is so small that every node observes all others.
+    /// Whether the cluster is so small that every node observes all other nodes.
     fn is_fully_observed(&self) -> bool {
         self.table.alive_count() <= self.settings.observer_count + 1
     }
@@ -130,7 +130,7 @@
             entry.last_ack_ms = Some(self.now_ms);
         }
         if hello_requested || !was_hello_accepted {
-            // Both know each other at once, and not only after the next probe interval.
+            // Completes the introduction in both directions at once, not only with the next probe.
             self.send(sender.peer, &[plain_probe(hello_requested)]);
         }
         self.try_refute();
@@ -139,10 +139,13 @@
 
 // Silence and suspicion.
 impl Gossip {
-    /// For how long this node has received nothing from one that it observes; `None` if it does not observe it.
+    /// Time for which a subject has been silent towards this node, in milliseconds; `None` if this
+    /// node does not observe it. It counts from the last datagram, the start of the observation or
+    /// the end of this process's last pause, whichever is latest.
     pub(crate) fn silence_ms(&self, entry: &MemberEntry) -> Option<f64> {
         let observed_since_ms = entry.observed_since_ms?;
-        // A new subject may not know yet that this node observes it.
+        // A new subject may not count this node among its observers yet. Until it has probed this
+        // node as one, it gets the suspicion timeout in addition.
         let is_known_as_observer = entry
             .last_observer_probe_ms
             .is_some_and(|probed| probed >= observed_since_ms);
@@ -163,7 +166,9 @@
         Some(self.now_ms - silent_since_ms)
     }
 
-    /// Whether this node receives datagrams from any node: one that does not cannot vote on others.
+    /// Whether this node has received a datagram from any live node within the suspicion timeout
+    /// and since its last pause. If not, the failure may be its own, and it must not vote on other
+    /// nodes.
     pub(crate) fn receives_from_any(&self) -> bool {
         if self.has_fault(InjectedFault::QuorumBypassed) {
             return true;
@@ -171,17 +176,17 @@
         let running_since_ms = self.detector.running_since_ms;
         let window_ms = self.settings.suspicion_timeout_ms;
         self.table.iter().any(|(id, entry)| {
-            let is_since_pause = entry
+            let is_after_pause = entry
                 .last_received_ms
                 .is_some_and(|received| received >= running_since_ms);
             id != self.id
                 && entry.is_alive()
-                && is_since_pause
+                && is_after_pause
                 && entry.was_received_within(self.now_ms, window_ms)
         })
     }
 
-    /// Drops this node's suspicion against one from which something was received.
+    /// Drops this node's suspicion against a node that is no longer silent.
     pub(crate) fn dismiss_suspicion(&mut self, member: MemberId) {
         let suspicion = self
             .table
@@ -192,7 +197,8 @@
         }
     }
 
-    /// Suspects subjects that have been silent for too long, and pursues open suspicions.
+    /// Suspects subjects that have been silent for the suspicion timeout, and evaluates open
+    /// suspicions.
     pub(crate) fn check_subjects(&mut self) {
         let may_vote = self.receives_from_any();
         for subject in self.detector.subjects.clone() {
--- a/crates/gossip/src/indirect_probe.rs
+++ b/crates/gossip/src/indirect_probe.rs
@@ -1,5 +1,5 @@
-//! Answering indirect probes: voting on a node that another one suspects, after probing it if this node does not observe
-//! it.
+//! Answers to indirect probes: a vote on a node that the requester suspects. If this node does not
+//! observe the suspect, it probes it first.
 
 use std::collections::BTreeMap;
 
@@ -10,21 +10,24 @@
 use crate::quorum::VOTER_TIMEOUT_IN_PROBES;
 use crate::wire::Record;
 
-/// Nodes that are probed on behalf of others at a time; further indirect probes are not answered.
+/// Maximum number of nodes that are probed on behalf of other nodes at a time. An indirect probe
+/// that would need one more is not answered.
 const MAX_DELEGATED_PROBES: usize = 64;
-/// Nodes that are answered about one of them as soon as something is received from it.
+/// Maximum number of requesters per probed node that receive a vote as soon as a datagram arrives
+/// from that node.
 const MAX_WAITING_REQUESTERS: usize = 8;
-/// How often a node is probed on behalf of others, and for how long an indirect probe that is not repeated is remembered,
-/// in milliseconds.
+/// Minimum interval between two probes of one node on behalf of other nodes, and time after which a
+/// delegated probe that no requester repeats is discarded, in milliseconds.
 const DELEGATED_PROBE_INTERVAL_MS: f64 = 100.0;
 const DELEGATED_PROBE_EXPIRY_MS: f64 = 4_000.0;
-/// For how many probe intervals a node that does not observe the suspect probes it before it votes that it is unreachable.
+/// Time, in probe intervals, for which a node that does not observe the suspect probes it before it
+/// votes that the suspect is unreachable.
 const DELEGATED_PROBE_TIMEOUT_IN_PROBES: f64 = 1.5;
 
-/// The probes of this node on behalf of others.
+/// Probes on behalf of other nodes, by the probed node.
 pub(crate) type DelegatedProbes = BTreeMap<MemberId, DelegatedProbe>;
 
-/// A node that is probed on behalf of others, which this node does not observe.
+/// A series of probes of one node, which this node does not observe, on behalf of other nodes.
 #[derive(Debug)]
 pub(crate) struct DelegatedProbe {
     since_ms: f64,
@@ -33,7 +36,7 @@
 }
 
 impl Gossip {
-    /// Another node receives nothing from one and asks for this node's vote.
+    /// Handles a request for this node's vote on a node from which the requester receives nothing.
     pub(crate) fn receive_indirect_probe(
         &mut self,
         requester: PeerId,
@@ -49,7 +52,7 @@
             return;
         };
         if entry.incarnation > incarnation || !entry.is_alive() {
-            // The requester has missed an update.
+            // The requester has missed an update about the suspect.
             if let Some(record) = self.table.record(suspect, now_ms) {
                 self.send(requester, &[record]);
             }
@@ -70,7 +73,7 @@
         }
         let was_paused = now_ms - self.detector.running_since_ms < suspicion_timeout_ms;
         if was_paused || !self.receives_from_any() {
-            return; // Its own silence says nothing about the suspect.
+            return; // That this node receives nothing from the suspect may be its own failure.
         }
         if is_silent_subject || self.is_delegated_probe_unanswered(requester, suspect) {
             self.send_vote(requester, suspect, incarnation, false);
@@ -86,8 +89,8 @@
         self.send(to, &[vote]);
     }
 
-    /// Probes a node that this one does not observe, on behalf of `requester`. Returns whether it has been probed for long
-    /// enough without an answer.
+    /// Probes a node that this one does not observe, on behalf of `requester`. Returns whether the
+    /// node has left the probes unanswered for [`DELEGATED_PROBE_TIMEOUT_IN_PROBES`].
     fn is_delegated_probe_unanswered(&mut self, requester: PeerId, suspect: MemberId) -> bool {
         let Some(peer) = self.table.peer_of(suspect) else {
             return false;
@@ -115,7 +118,8 @@
         now_ms - since_ms >= self.probe_intervals_ms(DELEGATED_PROBE_TIMEOUT_IN_PROBES)
     }
 
-    /// Votes for a node from which something was just received, at those that asked about it.
+    /// Sends a vote that `member` is reachable, after a datagram from it, to the requesters that
+    /// wait for one.
     pub(crate) fn answer_waiting_requesters(&mut self, member: MemberId) {
         let Some(probe) = self.detector.delegated_probes.remove(&member) else {
             return;
--- a/crates/gossip/src/local_health.rs
+++ b/crates/gossip/src/local_health.rs
@@ -1,4 +1,5 @@
-//! Local health, as in Lifeguard: whether this node itself communicates well enough for its view to be trusted.
+//! Local health, as in Lifeguard: whether this node's own communication works well enough for its
+//! view to be reliable.
 
 use crate::event::Action;
 use crate::member::Health;
@@ -7,20 +8,24 @@
 use crate::node::Gossip;
 use crate::own_status::OwnStatus;
 
-/// Within this many probe intervals a datagram must have been received from a subject for it to count as received.
+/// Maximum age, in probe intervals, of the last datagram from a subject that counts as received
+/// from.
 const RECEIVED_WINDOW_IN_PROBES: f64 = 5.0;
-/// The same for acks of observers, which are requested from every second probe only.
+/// Maximum age, in probe intervals, of the last ack of an observer that counts as acknowledging. It
+/// is longer because only every second probe requests an ack.
 const ACK_WINDOW_IN_PROBES: f64 = 8.0;
-/// A node is well if more than this fraction of its subjects and observers count.
+/// A node is well if it receives from more than this fraction of its subjects, and is acknowledged
+/// by more than this fraction of its observers.
 const WELL_FRACTION: f64 = 0.75;
-/// For how long the health must have been better before the improvement is reported, in milliseconds.
+/// Time for which the measured health must stay above the reported one before it is reported, in
+/// milliseconds.
 const IMPROVEMENT_DELAY_MS: f64 = 1_000.0;
 
-/// The reported health.
+/// The reported health, and the state of a pending improvement.
 #[derive(Debug)]
 pub(crate) struct LocalHealth {
     pub current: Health,
-    /// Since when the health has been better than the reported one.
+    /// Time since which the measured health has been above the reported one.
     improving_since_ms: Option<f64>,
 }
 
@@ -33,17 +38,19 @@
     }
 }
 
-/// The fraction of nodes that count. One missing node is most likely its own fault, however few nodes there are.
-fn healthy_fraction(count: usize, of: usize) -> f64 {
-    match count {
+/// The fraction of healthy nodes. A single unhealthy node is most likely at fault itself, and is
+/// disregarded however few nodes there are.
+fn healthy_fraction(healthy: usize, total: usize) -> f64 {
+    match healthy {
         0 => 0.0,
-        _ if of - count <= 1 => 1.0,
-        _ => count as f64 / of as f64,
+        _ if total - healthy <= 1 => 1.0,
+        _ => healthy as f64 / total as f64,
     }
 }
 
 impl Gossip {
-    /// Measures the local health and reports changes: a decline at once, an improvement once it has lasted.
+    /// Measures the local health and reports a change: a decline at once, an improvement after
+    /// [`IMPROVEMENT_DELAY_MS`].
     pub(crate) fn update_local_health(&mut self) {
         let measured = self.measure_local_health();
         if measured <= self.local_health.current {
@@ -71,14 +78,15 @@
         }
     }
 
-    /// The fraction of subjects from which a datagram was received lately.
+    /// The fraction of subjects from which a datagram was received within
+    /// [`RECEIVED_WINDOW_IN_PROBES`].
     fn received_fraction(&self) -> f64 {
         let window_ms = self.probe_intervals_ms(RECEIVED_WINDOW_IN_PROBES);
         let is_received = |entry: &MemberEntry| entry.was_received_within(self.now_ms, window_ms);
-        self.fraction_of(&self.detector.subjects, is_received)
+        self.healthy_fraction_of(&self.detector.subjects, is_received)
     }
 
-    /// The fraction of observers that acknowledged a probe lately.
+    /// The fraction of observers that acknowledged a probe within [`ACK_WINDOW_IN_PROBES`].
     fn acked_fraction(&self) -> f64 {
         let window_ms = self.probe_intervals_ms(ACK_WINDOW_IN_PROBES);
         let has_acked = |entry: &MemberEntry| {
@@ -86,18 +94,22 @@
                 .last_ack_ms
                 .is_some_and(|acked| self.now_ms - acked < window_ms)
         };
-        self.fraction_of(&self.detector.observers, has_acked)
+        self.healthy_fraction_of(&self.detector.observers, has_acked)
     }
 
-    fn fraction_of(&self, members: &[MemberId], counts: impl Fn(&MemberEntry) -> bool) -> f64 {
-        let count = members
+    fn healthy_fraction_of(
+        &self,
+        members: &[MemberId],
+        is_healthy: impl Fn(&MemberEntry) -> bool,
+    ) -> f64 {
+        let healthy = members
             .iter()
-            .filter(|id| self.table.get(**id).is_some_and(&counts))
+            .filter(|id| self.table.get(**id).is_some_and(&is_healthy))
             .count();
-        healthy_fraction(count, members.len())
+        healthy_fraction(healthy, members.len())
     }
 
-    /// Sets the health and reports it if it has changed.
+    /// Sets the reported health, and emits an action if it changes.
     pub(crate) fn set_health(&mut self, health: Health) {
         if std::mem::replace(&mut self.local_health.current, health) != health {
             self.actions.push(Action::Health(health));
--- a/crates/gossip/src/observer_rings.rs
+++ b/crates/gossip/src/observer_rings.rs
@@ -1,6 +1,6 @@
-//! Who observes whom: each node is observed by its successor on each of several rings, on which the nodes stand in
-//! different pseudo-random orders, so that the same few nodes do not observe only each other (the expander graph of K
-//! rings from Rapid).
+//! Assignment of observers: each node is observed by its successor on each of several rings. Each
+//! ring has the nodes in a different pseudo-random order, so that no small group of nodes observes
+//! only itself (the expander graph of K rings from Rapid).
 
 use stable_hash::mix;
 
@@ -9,21 +9,22 @@
 #[cfg(test)]
 mod tests;
 
-/// Up to this many nodes, each has as many distinct observers as there are rings. In a small cluster the same node is
-/// often the successor on several rings, and three observers where six are configured are soon too few for a quorum. In a
-/// larger one that hardly happens, and detecting it would take time quadratic in the number of nodes.
+/// Size of the largest cluster, in nodes, in which each node has as many distinct observers as there
+/// are rings. In a small cluster one node is often the successor on several rings, and three
+/// observers where six are configured are easily too few for a quorum. In a larger cluster this is
+/// rare, and determining the subjects of all nodes would take time quadratic in their number.
 const MAX_NODES_WITH_DISTINCT_OBSERVERS: usize = 512;
 
-/// A node's position on a ring.
+/// The position of a node on a ring.
 fn position(MemberId(id): MemberId, ring: usize) -> u64 {
     mix(id ^ mix(ring as u64))
 }
 
-/// The rings over the nodes that one node believes to be alive.
+/// Rings over the nodes that are alive in one node's member table.
 #[derive(Clone, Debug, Default)]
 pub struct ObserverRings {
-    /// The nodes of each ring, by position. Positions are recomputed on each lookup: lookups are few, and storing them
-    /// would double the memory.
+    /// The nodes of each ring, ordered by position. Positions are recomputed on each lookup:
+    /// lookups are rare, and storing the positions would double the memory.
     rings: Vec<Vec<MemberId>>,
     has_distinct_observers: bool,
 }
@@ -43,18 +44,20 @@
         }
     }
 
-    /// The observers of a node, sorted: its successor on each ring. The node itself need not be on the rings.
+    /// The observers of `subject`, sorted: its successor on each ring, or in clusters of up to
+    /// [`MAX_NODES_WITH_DISTINCT_OBSERVERS`] the first one that is not an observer yet. The subject
+    /// itself need not be on the rings.
     #[must_use]
-    pub fn observers(&self, of: MemberId) -> Vec<MemberId> {
+    pub fn observers(&self, subject: MemberId) -> Vec<MemberId> {
         let mut observers = Vec::with_capacity(self.rings.len());
         for (ring, members) in self.rings.iter().enumerate() {
-            let at = insertion_index(members, ring, of);
+            let index = insertion_index(members, ring, subject);
             let is_eligible = |id: &MemberId| {
-                *id != of && !(self.has_distinct_observers && observers.contains(id))
+                *id != subject && !(self.has_distinct_observers && observers.contains(id))
             };
-            let successor = members[at..]
+            let successor = members[index..]
                 .iter()
-                .chain(&members[..at])
+                .chain(&members[..index])
                 .copied()
                 .find(is_eligible);
             observers.extend(successor);
@@ -62,22 +65,24 @@
         sorted_and_distinct(observers)
     }
 
-    /// The nodes that a node observes, sorted: the inverse of [`observers`](Self::observers).
+    /// The nodes that `observer` observes, sorted: the inverse of [`observers`](Self::observers).
     #[must_use]
-    pub fn subjects(&self, of: MemberId) -> Vec<MemberId> {
+    pub fn subjects(&self, observer: MemberId) -> Vec<MemberId> {
         let mut subjects = Vec::with_capacity(self.rings.len());
         if self.has_distinct_observers {
             let members = self.rings.first().into_iter().flatten().copied();
-            subjects.extend(members.filter(|id| *id != of && self.observers(*id).contains(&of)));
+            subjects.extend(
+                members.filter(|id| *id != observer && self.observers(*id).contains(&observer)),
+            );
         } else {
             for (ring, members) in self.rings.iter().enumerate() {
-                let at = insertion_index(members, ring, of);
-                let predecessor = members[..at]
+                let index = insertion_index(members, ring, observer);
+                let predecessor = members[..index]
                     .iter()
                     .rev()
-                    .chain(members[at..].iter().rev())
+                    .chain(members[index..].iter().rev())
                     .copied()
-                    .find(|id| *id != of);
+                    .find(|id| *id != observer);
                 subjects.extend(predecessor);
             }
         }
@@ -85,9 +90,9 @@
     }
 }
 
-/// The index on a ring at which a node stands or would stand.
-fn insertion_index(members: &[MemberId], ring: usize, of: MemberId) -> usize {
-    let target = (position(of, ring), of);
+/// The index of a node on a ring, or the index at which it would be inserted.
+fn insertion_index(members: &[MemberId], ring: usize, member: MemberId) -> usize {
+    let target = (position(member, ring), member);
     members.partition_point(|id| (position(*id, ring), *id) < target)
 }
 
--- a/crates/gossip/src/observer_rings/tests.rs
+++ b/crates/gossip/src/observer_rings/tests.rs
@@ -1,9 +1,9 @@
-//! Observers and subjects agree.
+//! The relation between observers and subjects.
 
 use super::*;
 
 #[test]
-fn observers_and_subjects_are_inverse_and_numerous_enough() {
+fn observers_are_inverse_of_subjects_and_enough_for_quorum() {
     let members: Vec<_> = (0..600).map(|n| MemberId::of(&format!("n{n}"))).collect();
     for (count, min_observers) in [(9, 6), (50, 6), (600, 5)] {
         let rings = ObserverRings::new(&members[..count], 6);
@@ -11,7 +11,7 @@
             let observers = rings.observers(*id);
             assert!(
                 !observers.contains(id) && observers.len() >= min_observers,
-                "{observers:?}"
+                "{id:?} of {count} nodes has observers {observers:?}"
             );
             assert!(observers
                 .iter()
--- a/crates/gossip/src/own_status.rs
+++ b/crates/gossip/src/own_status.rs
@@ -1,54 +1,59 @@
-//! What the others believe of this node, and how it refutes a wrong belief: with a higher incarnation, once enough of its
-//! observers acknowledge its probes.
+//! The status of this node in the cluster, and how it refutes a wrong report of its death: with a
+//! higher incarnation, once enough of its observers acknowledge its probes.
 
 use crate::event::LogEvent;
 use crate::member::{Health, State};
 use crate::member_id::MemberId;
 use crate::node::Gossip;
 
-/// For how long after its start a process may take over its name from another one. Later it is the older of the two.
+/// Time after its start within which a process may take over its name from another process, in
+/// milliseconds. After that it is presumed to be the older of the two.
 const TAKEOVER_WINDOW_MS: f64 = 10_000.0;
-/// How often it may.
+/// Maximum number of takeovers by one process.
 const MAX_TAKEOVERS: u32 = 4;
-/// Within this many probe intervals an observer must have acknowledged a probe for this node to refute its death.
+/// Maximum age, in probe intervals, of an observer's last ack that counts towards refuting this
+/// node's death.
 const REFUTE_ACK_WINDOW_IN_PROBES: f64 = 4.0;
-/// Refutations within this window count towards the backoff. Also the interval at which name conflicts are logged.
+/// Window of refutations that count towards the backoff, in milliseconds. Also the minimum interval
+/// between two log entries of a name conflict that does not end this process's membership.
 const REFUTATION_WINDOW_MS: f64 = 60_000.0;
-/// Refutations within the window that are not delayed.
+/// Number of refutations in the window that are not delayed.
 const IMMEDIATE_REFUTATIONS: usize = 2;
-/// Delay of the next refutation, doubled with each one after it up to the maximum, so that a node does not flap forever.
+/// Delay of the first delayed refutation, which doubles with each further one up to the maximum, in
+/// milliseconds. It keeps an unreachable node from flapping forever.
 const MIN_REFUTATION_BACKOFF_MS: f64 = 2_000.0;
 const MAX_REFUTATION_BACKOFF_MS: f64 = 30_000.0;
 
-/// This node's standing among the others.
+/// The status of this node in the cluster.
 #[derive(Clone, Debug, PartialEq)]
 pub(crate) enum OwnStatus {
     Alive,
-    /// The others have declared it dead.
+    /// Other nodes report that this node is dead or has left.
     DeclaredDead {
-        /// The highest incarnation in which they have.
+        /// The highest reported incarnation.
         incarnation: u64,
-        /// Since when this node knows.
+        /// Time of the first report.
         since_ms: f64,
     },
-    /// A later process has its name; this one gives way.
+    /// Another process has taken over this node's name; this process no longer takes part in
+    /// failure detection.
     Superseded {
-        /// The incarnation of that process.
+        /// The highest known incarnation of the other process.
         incarnation: u64,
     },
     Leaving,
 }
 
-/// This node's standing and what decides when it may change.
+/// The status of this node, and the history that limits takeovers, refutations and log entries.
 #[derive(Debug)]
 pub(crate) struct OwnState {
     pub status: OwnStatus,
     started_ms: f64,
     takeovers: u32,
     last_conflict_log_ms: f64,
-    /// Times of recent refutations that count towards the backoff.
+    /// Times of the refutations that count towards the backoff.
     recent_refutations: Vec<f64>,
-    /// Since when enough observers have acknowledged probes without a break.
+    /// Time since which enough observers have acknowledged probes without interruption.
     pub acked_since_ms: Option<f64>,
 }
 
@@ -64,7 +69,8 @@
         }
     }
 
-    /// Whether this process takes part in failure detection: it does also while it is declared dead.
+    /// Whether this process takes part in failure detection, as it also does while it is declared
+    /// dead.
     pub fn is_member(&self) -> bool {
         matches!(
             self.status,
@@ -72,7 +78,7 @@
         )
     }
 
-    /// How long a refutation is delayed.
+    /// The delay of the next refutation.
     fn refutation_backoff_ms(&self) -> f64 {
         let recent = self.recent_refutations.len();
         match recent.checked_sub(IMMEDIATE_REFUTATIONS) {
@@ -84,7 +90,7 @@
 }
 
 impl Gossip {
-    /// Another node reports that this one is dead or has left.
+    /// Handles a report that this node is dead or has left.
     pub(crate) fn receive_own_death(&mut self, incarnation: u64, reported_by: &str) {
         let own_incarnation = self.incarnation();
         let may_take_over = self.may_take_over();
@@ -94,19 +100,22 @@
         };
         match &mut self.own.status {
             OwnStatus::Leaving => {}
-            OwnStatus::Superseded { incarnation: known } => {
-                if incarnation >= *known {
+            OwnStatus::Superseded {
+                incarnation: known_incarnation,
+            } => {
+                if incarnation >= *known_incarnation {
                     self.own.status = declared_dead;
                 }
             }
             OwnStatus::DeclaredDead {
-                incarnation: known, ..
-            } => *known = incarnation.max(*known),
+                incarnation: known_incarnation,
+                ..
+            } => *known_incarnation = incarnation.max(*known_incarnation),
             OwnStatus::Alive if incarnation < own_incarnation => {
                 self.table.enqueue_update(self.id);
             }
             OwnStatus::Alive if incarnation > own_incarnation && may_take_over => {
-                // It is an earlier process, whose clock was ahead, that is dead.
+                // The dead process is an earlier one of this node, whose clock was ahead.
                 self.take_over(incarnation);
             }
             OwnStatus::Alive => {
@@ -115,15 +124,16 @@
                     by: reported_by.to_owned(),
                 });
                 self.set_health(Health::Isolated);
-                // The sooner the observers answer, the fewer nodes act on the report before it is refuted.
+                // The sooner the observers acknowledge, the fewer nodes apply the report before it
+                // is refuted.
                 self.probe_observers(true);
             }
         }
         self.try_refute();
     }
 
-    /// Refutes this node's death once half of its observers acknowledge its probes: one that only a few can reach would
-    /// flap forever.
+    /// Refutes this node's death if at least half of its observers acknowledge its probes. A node
+    /// that only a few can reach would flap forever if it refuted.
     pub(crate) fn try_refute(&mut self) {
         let OwnStatus::DeclaredDead {
             incarnation,
@@ -136,8 +146,9 @@
         self.own
             .recent_refutations
             .retain(|refuted| now_ms - refuted < REFUTATION_WINDOW_MS);
-        // A node whose probes were acknowledged for longer than any verdict takes was never unreachable: it hears the
-        // verdict of the other side of a healed partition, and need not wait.
+        // If probes were acknowledged for longer than the quorum's decision can take, this node was
+        // not unreachable: the report is from the other side of a healed partition, and its
+        // refutation needs no delay.
         let max_decision_ms = 2.0 * self.settings.suspicion_timeout_ms;
         let was_unreachable = self
             .own
@@ -162,7 +173,8 @@
         self.log(LogEvent::Refuted { incarnation });
     }
 
-    /// Whether at least half of the observers have acknowledged a probe lately.
+    /// Whether at least half of the observers have acknowledged a probe within
+    /// [`REFUTE_ACK_WINDOW_IN_PROBES`] and since the last pause of this process.
     fn is_acked_by_observers(&self) -> bool {
         let window_ms = self.probe_intervals_ms(REFUTE_ACK_WINDOW_IN_PROBES);
         let has_acked = |id: &&MemberId| {
@@ -184,12 +196,13 @@
         };
     }
 
-    /// Whether this process is young enough to take over its name from another one.
+    /// Whether this process may take over its name from another process.
     pub(crate) fn may_take_over(&self) -> bool {
         self.now_ms - self.own.started_ms < TAKEOVER_WINDOW_MS && self.own.takeovers < MAX_TAKEOVERS
     }
 
-    /// Takes an incarnation above the one of another process with this node's name.
+    /// Takes over this node's name from another process, with an incarnation above that of the
+    /// other.
     pub(crate) fn take_over(&mut self, other_incarnation: u64) {
         self.own.takeovers += 1;
         self.table
--- a/crates/gossip/src/quorum.rs
+++ b/crates/gossip/src/quorum.rs
@@ -1,4 +1,5 @@
-//! Pursuing a suspicion: a quorum of the suspect's observers votes on it, and random witnesses may speak for it.
+//! Evaluation of a suspicion: a quorum, normally the suspect's other observers, votes on the
+//! suspect, and further random nodes are asked whether they can reach it.
 
 use crate::event::ChangeCause;
 use crate::failure_detector::plain_probe;
@@ -8,26 +9,32 @@
 use crate::suspicion::{is_death_confirmed, Suspicion, VoteCount};
 use crate::wire::Record;
 
-/// Random witnesses that are asked beside the quorum. The quorum is the same few nodes each time, and all of them may be
-/// partitioned from the suspect. Witnesses count only if they reach it.
+/// Number of random nodes that are asked in addition to the quorum. The quorum is the same few
+/// nodes each time, and all of them may be partitioned from the suspect. A vote of an extra voter
+/// counts only if it can reach the suspect.
 const RANDOM_EXTRA_VOTERS: usize = 6;
-/// Random candidates for each place in the quorum, beside the suspect's observers.
+/// Number of random candidates for each place in the quorum, in addition to the suspect's
+/// observers.
 const CANDIDATES_PER_VOTER: usize = 2;
-/// How many nodes must reach a suspect for the interval between questions to grow.
+/// Number of reachable votes at which the interval between polls starts to grow.
 const REACHABLE_VOTES_TO_BACK_OFF: usize = 2;
 
-// The following are in probe intervals, so that they scale with the interval that operators configure.
+// The following constants are in probe intervals, so that they scale with the interval that
+// operators configure.
 
-/// For how long a vote counts: two of three may be lost.
+/// Time for which a vote counts, in probe intervals. Three intervals allow two of three votes to be
+/// lost.
 const VOTE_MAX_AGE_IN_PROBES: f64 = 3.0;
-/// For how long a voter may take to answer. Longer than a delegated probe takes, as the voter is asked once in a probe
-/// interval and answers when it is asked again.
+/// Time after which a voter without a vote is replaced, in probe intervals. It exceeds the timeout
+/// of a delegated probe, because a voter is asked once in a probe interval, and votes only when it
+/// is asked again after that timeout.
 pub(crate) const VOTER_TIMEOUT_IN_PROBES: f64 = 2.5;
-/// The longest interval between two questions about a node that others reach.
+/// Maximum interval between two polls about a node that other nodes can reach, in probe intervals.
 const MAX_POLL_INTERVAL_IN_PROBES: f64 = 8.0;
 
 impl Gossip {
-    /// Declares a suspect dead if the votes confirm it; else asks the quorum when that is due.
+    /// Declares a suspect dead if the votes confirm it; otherwise polls the quorum when the next
+    /// poll is due.
     pub(crate) fn evaluate_suspicion(&mut self, subject: MemberId, silence_ms: f64) {
         let Some(entry) = self.table.get_mut(subject) else {
             return;
@@ -36,14 +43,15 @@
         let Some(mut suspicion) = entry.suspicion.take() else {
             return;
         };
-        let voters = self.refresh_quorum(subject, &mut suspicion);
+        let quorum_size = self.refresh_quorum(subject, &mut suspicion);
         let votes = self.count_recent_votes(&mut suspicion);
-        let is_dead = self.is_death_decided(&suspicion, votes, voters, silence_ms);
+        let is_dead = self.is_death_decided(&suspicion, votes, quorum_size, silence_ms);
         if !is_dead && self.now_ms >= suspicion.next_poll_ms {
             self.schedule_next_poll(&mut suspicion, votes);
             self.poll_quorum(subject, incarnation, &suspicion);
         }
-        // Also with a verdict: the state that the change is reported from is `Suspect`.
+        // Restored even if the suspect is dead: the reported change must have `Suspect` as the
+        // previous state.
         if let Some(entry) = self.table.get_mut(subject) {
             entry.suspicion = Some(suspicion);
         }
@@ -71,20 +79,23 @@
         &self,
         suspicion: &Suspicion,
         votes: VoteCount,
-        voters: usize,
+        quorum_size: usize,
         silence_ms: f64,
     ) -> bool {
         if self.has_fault(InjectedFault::QuorumBypassed) {
             return true;
         }
         let suspicion_timeout_ms = self.settings.suspicion_timeout_ms;
-        // Where few are left to vote, silence counts from the last time that any node reached the suspect.
+        // For the rule of few survivors, silence counts from the last time at which any node could
+        // reach the suspect.
         let silence_to_all_ms = silence_ms.min(self.now_ms - suspicion.last_reachable_ms);
         let has_waited = silence_ms >= suspicion_timeout_ms + self.settings.probe_interval_ms;
-        has_waited && is_death_confirmed(votes, voters, silence_to_all_ms, suspicion_timeout_ms)
+        has_waited
+            && is_death_confirmed(votes, quorum_size, silence_to_all_ms, suspicion_timeout_ms)
     }
 
-    /// If others reach the suspect, this node alone is partitioned from it, and asks less and less often.
+    /// Doubles the interval between polls while several nodes can reach the suspect: the failure is
+    /// then between the suspect and this node.
     fn schedule_next_poll(&self, suspicion: &mut Suspicion, votes: VoteCount) {
         let max_interval_ms = self.probe_intervals_ms(MAX_POLL_INTERVAL_IN_PROBES);
         suspicion.poll_interval_ms = if votes.reachable >= REACHABLE_VOTES_TO_BACK_OFF {
@@ -95,29 +106,31 @@
         suspicion.next_poll_ms = self.now_ms + suspicion.poll_interval_ms;
     }
 
-    /// Sends an indirect probe to the quorum and to random witnesses, and a probe to the suspect itself.
+    /// Sends indirect probes to the quorum and to random extra voters, and a probe to the suspect
+    /// itself.
     fn poll_quorum(&mut self, suspect: MemberId, incarnation: u64, suspicion: &Suspicion) {
         let quorum: Vec<_> = suspicion.quorum.iter().map(|voter| voter.member).collect();
-        let mut asked = self.peers_of(&quorum);
+        let mut receivers = self.peers_of(&quorum);
         let candidates = self.recently_received_except(suspect);
-        let witnesses = self.random_choice(&candidates, RANDOM_EXTRA_VOTERS);
-        asked.extend(self.peers_of(&witnesses));
-        asked.sort_unstable();
-        asked.dedup();
-        let question = Record::IndirectProbe {
+        let extra_voters = self.random_choice(&candidates, RANDOM_EXTRA_VOTERS);
+        receivers.extend(self.peers_of(&extra_voters));
+        receivers.sort_unstable();
+        receivers.dedup();
+        let indirect_probe = Record::IndirectProbe {
             member: suspect,
             incarnation,
         };
-        for peer in asked {
-            self.send(peer, std::slice::from_ref(&question));
+        for peer in receivers {
+            self.send(peer, std::slice::from_ref(&indirect_probe));
         }
         if let Some(peer) = self.table.peer_of(suspect) {
             self.send(peer, &[plain_probe(true)]);
         }
     }
 
-    /// Replaces voters that do not answer: the quorum consists of the suspect's other observers, and of random nodes in
-    /// place of those that do not answer. Returns the size of the full quorum with this node.
+    /// Replaces voters that did not answer in time. The quorum consists of the suspect's other
+    /// observers, and of random nodes in place of those that did not answer. Returns the size of a
+    /// full quorum, including this node.
     fn refresh_quorum(&mut self, suspect: MemberId, suspicion: &mut Suspicion) -> usize {
         let size = {
             let others = self.table.alive_count().saturating_sub(2);
@@ -140,7 +153,7 @@
             .iter()
             .all(|id| suspicion.unresponsive.contains(id))
         {
-            // All nodes have been asked: those that did not answer once may now.
+            // No candidate is left to ask: gives those that did not answer another chance.
             suspicion.unresponsive.clear();
         }
         let available = candidates.into_iter().filter(|id| is_available(*id));
--- a/crates/gossip/src/suspicion.rs
+++ b/crates/gossip/src/suspicion.rs
@@ -1,4 +1,4 @@
-//! A suspicion against one node, and the quorum rule that turns it into a death.
+//! The state of a suspicion against one node, and the quorum rule that confirms its death.
 
 use std::collections::BTreeMap;
 
@@ -7,41 +7,46 @@
 #[cfg(test)]
 mod tests;
 
-/// How many witnesses outside the quorum are remembered. One would do; two lengthen the interval between questions.
+/// Maximum number of nodes outside the quorum whose votes are stored. Few are needed: in a quorum
+/// of seven, two reachable votes keep the death from being confirmed, and lengthen the interval
+/// between polls.
 const MAX_EXTRA_VOTES: usize = 16;
 
-/// A node whose vote is requested.
+/// A node in the quorum.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Voter {
     pub member: MemberId,
+    /// Time at which the node was added to the quorum.
     pub asked_since_ms: f64,
 }
 
-/// A vote and when it was received.
+/// The latest vote of a node in the quorum.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Vote {
     pub received_ms: f64,
     pub is_reachable: bool,
 }
 
-/// An open suspicion: this node receives nothing from another and asks a quorum.
+/// An open suspicion: this node receives nothing from the suspect, and asks a quorum for votes.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Suspicion {
-    /// The nodes whose votes count, besides this node's.
+    /// The quorum, without this node.
     pub quorum: Vec<Voter>,
+    /// Votes of nodes in the quorum.
     pub votes: BTreeMap<MemberId, Vote>,
-    /// Nodes that were in the quorum and did not answer in time.
+    /// Nodes that were removed from the quorum because they did not answer in time.
     pub unresponsive: Vec<MemberId>,
-    /// Nodes outside the quorum that reported when that they reach the suspect.
-    witnesses: BTreeMap<MemberId, f64>,
-    /// When any node last reported that it reaches the suspect.
+    /// Nodes outside the quorum that can reach the suspect, with the time of each one's latest
+    /// vote.
+    extra_reachable_votes: BTreeMap<MemberId, f64>,
+    /// Time of the latest vote of any node that it can reach the suspect.
     pub last_reachable_ms: f64,
     pub next_poll_ms: f64,
-    /// Interval between two questions to the quorum. Grows while others reach the suspect.
+    /// Interval between two polls of the quorum. It grows while other nodes can reach the suspect.
     pub poll_interval_ms: f64,
 }
 
-/// Votes for and against a death, this node's own among the first.
+/// Number of votes for and against a death; the unreachable votes include this node's own.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct VoteCount {
     pub unreachable: usize,
@@ -54,7 +59,7 @@
             quorum: Vec::new(),
             votes: BTreeMap::new(),
             unresponsive: Vec::new(),
-            witnesses: BTreeMap::new(),
+            extra_reachable_votes: BTreeMap::new(),
             last_reachable_ms: f64::NEG_INFINITY,
             next_poll_ms: now_ms,
             poll_interval_ms,
@@ -65,25 +70,26 @@
         self.quorum.iter().any(|voter| voter.member == member)
     }
 
-    /// Counts the votes that are no older than `max_age_ms`.
+    /// Counts the votes that are at most `max_age_ms` old.
     pub fn count_votes(&self, now_ms: f64, max_age_ms: f64) -> VoteCount {
         let recent = self
             .votes
             .values()
             .filter(|vote| now_ms - vote.received_ms <= max_age_ms);
         let reachable = recent.clone().filter(|vote| vote.is_reachable).count();
-        let witnesses = self
-            .witnesses
+        let extra_reachable = self
+            .extra_reachable_votes
             .values()
             .filter(|received| now_ms - **received <= max_age_ms)
             .count();
         VoteCount {
             unreachable: 1 + recent.count() - reachable,
-            reachable: reachable + witnesses,
+            reachable: reachable + extra_reachable,
         }
     }
 
-    /// Records a vote. A node outside the quorum counts only if it reaches the suspect.
+    /// Records a vote. The vote of a node outside the quorum counts only if it can reach the
+    /// suspect.
     pub fn record_vote(&mut self, now_ms: f64, by: MemberId, is_reachable: bool) {
         if is_reachable {
             self.last_reachable_ms = now_ms;
@@ -96,19 +102,21 @@
             self.votes.insert(by, vote);
             return;
         }
-        let has_room = self.witnesses.len() < MAX_EXTRA_VOTES || self.witnesses.contains_key(&by);
+        let has_room = self.extra_reachable_votes.len() < MAX_EXTRA_VOTES
+            || self.extra_reachable_votes.contains_key(&by);
         if is_reachable && has_room {
-            self.witnesses.insert(by, now_ms);
+            self.extra_reachable_votes.insert(by, now_ms);
         }
     }
 
-    /// Forgets witnesses whose report is older than `max_age_ms`.
+    /// Drops votes of nodes outside the quorum that are older than `max_age_ms`.
     pub fn expire_extra_votes(&mut self, now_ms: f64, max_age_ms: f64) {
-        self.witnesses
+        self.extra_reachable_votes
             .retain(|_, received| now_ms - *received <= max_age_ms);
     }
 
-    /// Removes voters that did not answer within `voter_timeout_ms`, or that `is_available` rejects.
+    /// Removes voters that have not voted within `voter_timeout_ms`, and voters that `is_available`
+    /// rejects.
     pub fn drop_unresponsive_voters(
         &mut self,
         now_ms: f64,
@@ -126,8 +134,8 @@
             .retain(|voter| is_available(voter.member) && !unresponsive.contains(&voter.member));
     }
 
-    /// Fills the quorum up to `size` with the first suitable candidates, and drops votes of nodes that are no longer in
-    /// it.
+    /// Fills the quorum up to `size` with the first candidates that are neither in it nor
+    /// unresponsive, and drops votes of nodes that are no longer in the quorum.
     pub fn fill_quorum(
         &mut self,
         now_ms: f64,
@@ -149,20 +157,23 @@
     }
 }
 
-/// Whether the votes confirm that a node is dead. `voters` is the size of the quorum with this node; `silence_ms` is for
-/// how long nobody is known to have received anything from it.
+/// Whether the votes confirm that a node is dead. `quorum_size` is the size of a full quorum,
+/// including this node; `silence_ms` is the time since any node is known to have received a
+/// datagram from the suspect.
 ///
-/// Two thirds must not reach it and at most one seventh may: a node that is partitioned from a few is not dead. If many
-/// voters do not answer at all, as when most of a cluster dies at once, two unanimous votes are enough after twice the
-/// suspicion timeout. One vote alone never is: the node cannot tell its own partition from the other's death.
+/// At least two thirds of the quorum must vote that the node is unreachable, and at most one
+/// seventh that it is reachable: a node that is partitioned from only a few others is not dead. If
+/// many voters do not answer at all, as when most of a cluster dies at once, two unanimous votes
+/// are enough after twice the suspicion timeout. A single vote is never enough: a node cannot tell
+/// its own partition from the death of the other.
 pub fn is_death_confirmed(
     votes: VoteCount,
-    voters: usize,
+    quorum_size: usize,
     silence_ms: f64,
     suspicion_timeout_ms: f64,
 ) -> bool {
-    let two_thirds = (2 * voters).div_ceil(3).max(2);
-    let by_quorum = votes.unreachable >= two_thirds && votes.reachable <= voters / 7;
+    let two_thirds = (2 * quorum_size).div_ceil(3).max(2);
+    let by_quorum = votes.unreachable >= two_thirds && votes.reachable <= quorum_size / 7;
     let by_few_survivors =
         votes.unreachable >= 2 && votes.reachable == 0 && silence_ms >= 2.0 * suspicion_timeout_ms;
     by_quorum || by_few_survivors
