--- a/crates/gossip/src/member.rs
+++ b/crates/gossip/src/member.rs
@@ -1,19 +1,20 @@
-//! A node as others see it.
+//! A node as this node reports it, and this node's own health.
 
 use std::fmt;
 
 use crate::event::PeerId;
 
-/// The state of a node. Its [`Display`](fmt::Display) is the word that the admin protocol uses.
+/// The state of a node. [`Display`](fmt::Display) gives its name in the admin protocol.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum State {
-    /// It is running and reachable.
+    /// The node is running and reachable.
     Alive,
-    /// An observer receives nothing from it; a quorum is being asked.
+    /// An observer receives nothing from the node, and asks a quorum for votes.
     Suspect,
-    /// It was declared dead, until it is seen in a later incarnation. Shown as `gone`.
+    /// The node was declared dead. The state lasts until the node is alive in a higher incarnation.
+    /// Displayed as `gone`.
     Dead,
-    /// It has left on its own.
+    /// The node announced that it leaves.
     Left,
 }
 
@@ -28,14 +29,17 @@
     }
 }
 
-/// How well this node itself communicates. As a number it is the metric `fleet_health`.
+/// Health of this node's own communication. Its discriminant is the value of the metric
+/// `fleet_health`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Health {
-    /// It receives nothing, or no probe of its is acknowledged, or it was declared dead: its view of the others is stale.
+    /// This node receives from none of its subjects, or none of its observers acknowledges its
+    /// probes, or it is not a live member of the cluster: its view of the other nodes is stale.
     Isolated,
-    /// It misses more than a quarter of the probes or of the acks that it should receive.
+    /// At least a quarter of its subjects are silent, or at least a quarter of its observers do not
+    /// acknowledge its probes. A single such node is disregarded.
     Degraded,
-    /// Neither.
+    /// Neither isolated nor degraded.
     Well,
 }
 
@@ -49,21 +53,23 @@
     }
 }
 
-/// What this node knows of one node: a hint with an age.
+/// A node according to this node's latest information, which may be out of date.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Member {
-    /// Its name.
+    /// Name of the node.
     pub name: String,
     /// Whether it is this node.
     pub is_self: bool,
-    /// Its state.
+    /// State of the node.
     pub state: State,
-    /// Its incarnation.
+    /// Incarnation of the node.
     pub incarnation: u64,
-    /// Since when it has this state, by this node's clock.
+    /// Time since which the node has had this state and its current process in this node's member
+    /// table, in milliseconds since boot.
     pub since_ms: f64,
-    /// When this node last received a datagram from it, if ever.
+    /// Time of the last datagram that this node received from it, in milliseconds since boot;
+    /// `None` if there was none.
     pub last_received_ms: Option<f64>,
-    /// Its address, if known.
+    /// Address of the node, if known.
     pub address: Option<PeerId>,
 }
--- a/crates/gossip/src/member_table.rs
+++ b/crates/gossip/src/member_table.rs
@@ -1,8 +1,10 @@
-//! The member table: every known node, this one among them, and the queue of updates that are still to be gossiped.
+//! The member table: every known node, including this one, and the queue of updates that are still
+//! to be gossiped.
 //!
-//! Invariants: `alive_count` and `bucket_digests` always match the entries, so state and incarnation are changed only by
-//! [`MemberTable::update`] and [`MemberTable::update_from_notice`]; an entry is in the queue exactly if its
-//! `transmissions` is `Some`.
+//! Invariants: `alive_count` and `bucket_digests` always match the entries, so the state and
+//! incarnation of an entry are changed only by [`MemberTable::update`] and
+//! [`MemberTable::update_from_notice`]. An entry is in the queue if and only if its `transmissions`
+//! is `Some`.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -15,30 +17,34 @@
 use crate::wire::{DeathNotice, Record, DEATH_AGE_UNIT_MS, DIGEST_BUCKETS};
 use crate::MAX_MEMBERS;
 
-/// How long a dead node is remembered, so that old updates cannot resurrect it, in milliseconds. Updates travel for
-/// seconds; this is many times a partition that operators would wait out.
+/// Time for which a node that is dead or has left stays in the table, so that old updates cannot
+/// resurrect it, in milliseconds. Updates circulate for seconds; an hour is many times longer than
+/// a partition that operators would leave unrepaired.
 const TOMBSTONE_MS: f64 = 3_600_000.0;
 
-/// How often an update is transmitted: gossip needs a small multiple of the logarithm of the cluster's size to reach all
-/// nodes, and some datagrams are lost.
+/// Number of transmissions of an update: a constant, and an amount for each doubling of the
+/// cluster's size. To reach all nodes, gossip needs a small multiple of the logarithm of the
+/// cluster's size, and some datagrams are lost.
 const BASE_TRANSMISSIONS: u32 = 4;
 const TRANSMISSIONS_PER_DOUBLING: u32 = 3;
-/// How often a new node is announced. Each node contacts every address itself, so only nodes that cannot need the
-/// announcement; when a whole cluster starts, announcements would otherwise be nearly all traffic.
+/// Number of transmissions of the announcement of a new node. Each node contacts every address
+/// itself, so the announcement matters only to nodes that cannot reach the new one. With more
+/// transmissions, announcements would be nearly all traffic when a whole cluster starts.
 const NEW_MEMBER_TRANSMISSIONS: u32 = 4;
 
-/// Records that are offered for one anti-entropy datagram. More never fit.
+/// Maximum number of records that are offered for one anti-entropy datagram. More never fit.
 const MAX_SYNC_RECORDS: usize = 12;
 
-/// A reported death that takes effect later, so that the node can refute it.
+/// A reported death that takes effect after a delay, so that the node can refute it first.
 #[derive(Clone, Debug)]
 pub struct PendingDeath {
-    /// When it takes effect.
+    /// Time at which the death takes effect.
     pub due_ms: f64,
+    /// Incarnation of the node that was declared dead.
     pub incarnation: u64,
-    /// Name of the node that reported it.
+    /// Name of the node that reported the death.
     pub reported_by: String,
-    /// When the quorum decided.
+    /// Time at which the quorum decided.
     pub declared_ms: f64,
 }
 
@@ -48,29 +54,35 @@
     pub name: String,
     pub state: State,
     pub incarnation: u64,
-    /// 0 if unknown.
+    /// Process id of the node; 0 if unknown.
     pub process_id: u64,
+    /// Time since which the node has been in its state, or has had its current process if that is
+    /// later.
     pub since_ms: f64,
+    /// Time of the last datagram from the node's current process.
     pub last_received_ms: Option<f64>,
+    /// Time of the last ack from the node's current process.
     pub last_ack_ms: Option<f64>,
-    /// When it last probed this node as one of its observers.
+    /// Time at which the node last probed this node as one of its observers.
     pub last_observer_probe_ms: Option<f64>,
+    /// Current address of the node, if known.
     pub peer: Option<PeerId>,
-    /// Since when this node is one of its observers.
+    /// Time since which this node has been an observer of the node; `None` if it is not.
     pub observed_since_ms: Option<f64>,
-    /// The open suspicion of this node against it.
+    /// This node's open suspicion against the node.
     pub suspicion: Option<Box<Suspicion>>,
-    /// Until when it counts as suspected by another node.
+    /// Time until which the node counts as suspected by another node.
     pub suspected_until_ms: f64,
+    /// Reported death that has not taken effect yet.
     pub pending_death: Option<Box<PendingDeath>>,
-    /// When it was declared dead, by any node.
+    /// Time at which the node was last declared dead, by this node or another one.
     pub declared_dead_ms: f64,
-    /// How often its latest update was transmitted; `None` once that was often enough.
+    /// Transmissions of the node's latest update so far; `None` if no more are due.
     transmissions: Option<u32>,
 }
 
 impl MemberEntry {
-    /// A node that is alive.
+    /// An entry for a live node.
     pub fn new(name: String, incarnation: u64, process_id: u64, now_ms: f64) -> Self {
         Self {
             name,
@@ -91,7 +103,7 @@
         }
     }
 
-    /// Whether it is neither dead nor left. A suspected node is alive.
+    /// Whether the node is neither dead nor has left. A suspected node is alive.
     pub fn is_alive(&self) -> bool {
         self.state == State::Alive
     }
@@ -101,7 +113,7 @@
             .is_some_and(|received| now_ms - received < window_ms)
     }
 
-    /// Drops whatever speaks against the node.
+    /// Drops all suspicions against the node, and its pending death.
     pub fn clear_suspicion(&mut self) {
         self.suspicion = None;
         self.suspected_until_ms = f64::NEG_INFINITY;
@@ -122,15 +134,15 @@
     }
 }
 
-/// The table has no room: all nodes in it are alive.
+/// The table is at its capacity, and all nodes in it are alive.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct TableFull;
 
-/// All known nodes.
+/// All known nodes, and the queue of updates.
 #[derive(Debug, Default)]
 pub struct MemberTable {
     entries: BTreeMap<MemberId, MemberEntry>,
-    /// Updates to be gossiped, by transmissions so far.
+    /// Nodes whose latest update is still to be gossiped, ordered by its transmissions so far.
     queue: BTreeSet<(u32, MemberId)>,
     alive_count: usize,
     bucket_digests: [u64; DIGEST_BUCKETS],
@@ -149,7 +161,7 @@
         self.entries.get(&id)
     }
 
-    /// For changes of anything but state and incarnation.
+    /// For changes of any field except state and incarnation.
     pub fn get_mut(&mut self, id: MemberId) -> Option<&mut MemberEntry> {
         self.entries.get_mut(&id)
     }
@@ -158,12 +170,12 @@
         self.entries.iter().map(|(id, entry)| (*id, entry))
     }
 
-    /// For changes of anything but state and incarnation.
+    /// For changes of any field except state and incarnation.
     pub fn iter_mut(&mut self) -> impl Iterator<Item = (MemberId, &mut MemberEntry)> {
         self.entries.iter_mut().map(|(id, entry)| (*id, entry))
     }
 
-    /// How many nodes are alive, this one among them.
+    /// Number of live nodes, including this one.
     pub fn alive_count(&self) -> usize {
         self.alive_count
     }
@@ -176,20 +188,21 @@
         self.get(id)?.peer
     }
 
-    /// Digest of the whole table; equal at nodes that know the same.
+    /// Digest of the whole table. It is equal on two nodes whose tables have the same states and
+    /// incarnations.
     pub fn digest(&self) -> u64 {
         self.bucket_digests
             .iter()
             .fold(0, |digest, bucket| mix(digest ^ bucket))
     }
 
-    /// Truncated digests of the buckets.
+    /// Digests of the buckets, truncated to 16 bits.
     pub fn bucket_digests(&self) -> [u16; DIGEST_BUCKETS] {
         self.bucket_digests.map(|bucket| mix(bucket) as u16)
     }
 
-    /// Adds an unknown node. If the table is full, the node that has been dead or has left for longest is removed and
-    /// returned.
+    /// Adds an unknown node. If the table is full, removes and returns the node that has been dead
+    /// or has left for longest.
     ///
     /// # Errors
     ///
@@ -201,7 +214,7 @@
     ) -> Result<Option<MemberId>, TableFull> {
         let mut removed = None;
         if self.entries.len() >= MAX_MEMBERS {
-            let oldest = self.longest_dead().ok_or(TableFull)?;
+            let oldest = self.oldest_dead_or_left().ok_or(TableFull)?;
             self.remove(oldest);
             removed = Some(oldest);
         }
@@ -216,7 +229,7 @@
         Ok(removed)
     }
 
-    fn longest_dead(&self) -> Option<MemberId> {
+    fn oldest_dead_or_left(&self) -> Option<MemberId> {
         self.entries
             .iter()
             .filter(|(_, entry)| !entry.is_alive())
@@ -235,7 +248,8 @@
         }
     }
 
-    /// Sets state and incarnation of a node, clears suspicions against it and has the update gossiped.
+    /// Sets the state and incarnation of a node, clears suspicions against it and enqueues the
+    /// update.
     pub fn update(&mut self, id: MemberId, now_ms: f64, state: State, incarnation: u64) {
         let Some(entry) = self.entries.get_mut(&id) else {
             return;
@@ -253,8 +267,9 @@
         self.enqueue_update(id);
     }
 
-    /// Like [`update`](Self::update), for a notice of death or leave. These do not carry a process id, and a later
-    /// incarnation need not be the known process.
+    /// Like [`update`](Self::update), for a notice that a node is dead or has left. Such a notice
+    /// has no process id, and a higher incarnation may belong to another process than the known
+    /// one.
     pub fn update_from_notice(
         &mut self,
         id: MemberId,
@@ -270,7 +285,7 @@
         self.update(id, now_ms, state, incarnation);
     }
 
-    /// Has the current state of a node gossiped again.
+    /// Enqueues the current state of a node for the full number of transmissions.
     pub fn enqueue_update(&mut self, id: MemberId) {
         self.enqueue_with_transmissions(id, 0);
     }
@@ -290,17 +305,17 @@
         BASE_TRANSMISSIONS + TRANSMISSIONS_PER_DOUBLING * doublings
     }
 
-    /// Whether there is an update that was never transmitted.
+    /// Whether the queue has an update that was never transmitted.
     pub fn has_unsent_update(&self) -> bool {
         self.queue
             .first()
             .is_some_and(|(transmissions, _)| *transmissions == 0)
     }
 
-    /// What a datagram says about a node.
+    /// The record that describes the current state of a node.
     pub fn record(&self, id: MemberId, now_ms: f64) -> Option<Record> {
         let entry = self.entries.get(&id)?;
-        // A pending death is forwarded before it takes effect here.
+        // A reported death is forwarded before it takes effect in this table.
         let is_dead = entry.state == State::Dead || entry.pending_death.is_some();
         Some(match entry.state {
             State::Left => Record::Left {
@@ -316,7 +331,8 @@
         })
     }
 
-    /// Adds the least often transmitted updates to a datagram, until `push` returns `false`: there is no more room.
+    /// Adds queued updates to a datagram, the least often transmitted first, until `push` returns
+    /// `false` because the next one does not fit.
     pub fn fill_datagram(&mut self, now_ms: f64, mut push: impl FnMut(&Record) -> bool) {
         let max_transmissions = self.max_transmissions();
         let mut pushed = Vec::new();
@@ -341,7 +357,8 @@
         }
     }
 
-    /// Records of nodes in buckets whose digest differs from `remote_digests`, in random order.
+    /// Records of nodes in the buckets whose digests differ from `remote_digests`, in random order;
+    /// at most [`MAX_SYNC_RECORDS`].
     pub fn differing_records(
         &self,
         remote_digests: &[u16; DIGEST_BUCKETS],
@@ -361,7 +378,8 @@
             .collect()
     }
 
-    /// Removes and returns nodes that have been dead, or have left, for longer than the tombstone time.
+    /// Removes and returns the nodes that have been dead or have left for longer than
+    /// [`TOMBSTONE_MS`].
     pub fn remove_expired(&mut self, now_ms: f64) -> Vec<MemberId> {
         let expired: Vec<_> = self
             .entries
--- a/crates/gossip/src/metrics.rs
+++ b/crates/gossip/src/metrics.rs
@@ -1,13 +1,13 @@
-//! Counters of one node.
+//! Counters of this node's gossip.
 
 use crate::reject_reason::RejectReason;
 
-/// Datagrams and their bytes.
+/// Datagrams in one direction, and their total size.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Traffic {
     /// Number of datagrams.
     pub datagrams: u64,
-    /// Their bytes.
+    /// Total size of the datagrams, in bytes.
     pub bytes: u64,
 }
 
@@ -25,11 +25,11 @@
     pub received: Traffic,
     /// Sent datagrams.
     pub sent: Traffic,
-    /// Nodes that this one declared dead by a quorum of votes.
+    /// Deaths that this node declared on a quorum of votes.
     pub verdicts: u64,
-    /// Times that this node refuted its own death.
+    /// Refutations of this node's own death.
     pub refutations: u64,
-    /// Rejected datagrams and nodes, in the order of [`RejectReason::ALL`].
+    /// Rejected datagrams and nodes by reason, in the order of [`RejectReason::ALL`].
     pub rejected: [u64; RejectReason::ALL.len()],
 }
 
@@ -39,7 +39,7 @@
         self.rejected[reason as usize] += 1;
     }
 
-    /// How often something was rejected for this reason.
+    /// Number of datagrams and nodes that were rejected for `reason`.
     #[must_use]
     pub fn rejected_for(&self, reason: RejectReason) -> u64 {
         self.rejected[reason as usize]
--- a/crates/gossip/src/node.rs
+++ b/crates/gossip/src/node.rs
@@ -1,4 +1,5 @@
-//! The state machine of one node: it owns all state and dispatches events to the modules that hold the protocol's parts.
+//! The state machine of one node. It owns all state, and dispatches events to the modules of the
+//! protocol.
 
 use std::collections::BTreeMap;
 
@@ -20,13 +21,16 @@
 use crate::settings::{InjectedFault, Settings};
 use crate::wire::Record;
 
-/// Ticks in a probe interval: silence is examined more often than probes are sent.
+/// Number of ticks in a probe interval. Subjects are checked for silence in each tick, which is
+/// more often than probes are sent.
 pub(crate) const TICKS_PER_PROBE: u64 = 2;
-/// How often expired nodes are removed from the member table, in ticks.
+/// Interval at which expired nodes are removed from the member table, in ticks.
 const EXPIRY_TICKS: u64 = 256;
-/// An observer has to answer every second probe: no probe alone decides anything.
+/// Interval at which probes request an ack, in probe intervals. Every second probe is enough,
+/// because no decision depends on a single probe.
 const ACK_PERIOD_IN_PROBES: u64 = 2;
-/// The highest first incarnation, whatever the wall clock says, so that there is room for any number of refutations.
+/// Upper limit of the first incarnation, so that even after a wrong wall clock any number of
+/// refutations can increment it.
 const MAX_FIRST_INCARNATION: u64 = 1 << 61;
 
 /// One node of the cluster. See the [crate's documentation](crate).
@@ -51,7 +55,8 @@
 }
 
 impl Gossip {
-    /// A node that knows no other. `now_ms` is the time since boot; see [`handle`](Self::handle).
+    /// A node whose member table has only itself. `now_ms` is the time since boot; see
+    /// [`handle`](Self::handle).
     #[must_use]
     pub fn new(now_ms: f64, settings: Settings) -> Self {
         let id = MemberId::of(&settings.name);
@@ -64,8 +69,9 @@
             settings.process_id,
             now_ms,
         );
-        let _ = table.insert(id, own_entry); // An empty table has room.
-                                             // A random phase, so that nodes that start together do not probe at the same moments.
+        // Never fails: the table is empty.
+        let _ = table.insert(id, own_entry);
+        // A random phase, so that nodes that start together do not probe at the same moments.
         let phase = rng.f64();
         let tick_ms = settings.probe_interval_ms / TICKS_PER_PROBE as f64;
         Self {
@@ -88,10 +94,10 @@
         }
     }
 
-    /// Handles an event and appends what is to be done to `actions`.
+    /// Handles an event and appends the resulting actions to `actions`.
     ///
-    /// `now_ms` is the time since boot in milliseconds, suspends included. It must not go back; an earlier time counts as
-    /// the latest one seen.
+    /// `now_ms` is the time since boot in milliseconds, including suspends. It must not decrease; a
+    /// time before the latest one counts as the latest one.
     pub fn handle(&mut self, now_ms: f64, event: Event<'_>, actions: &mut Vec<Action>) {
         self.now_ms = self.now_ms.max(now_ms);
         self.detect_pause();
@@ -114,7 +120,7 @@
             }
         }
         if self.now_ms >= self.next_tick_ms {
-            // One tick, however many were missed: what was due meanwhile is not made up for.
+            // Runs a single tick even if several were missed: missed ticks are not made up for.
             self.run_tick();
             self.next_tick_ms = self.now_ms + self.tick_ms();
         }
@@ -123,7 +129,7 @@
         actions.push(Action::WakeAt(self.next_tick_ms));
     }
 
-    /// All known nodes, this one among them, in no particular order.
+    /// All known nodes, including this one, in no particular order.
     pub fn members(&self) -> impl Iterator<Item = Member> + '_ {
         self.table.iter().map(|(id, entry)| Member {
             name: entry.name.clone(),
@@ -136,24 +142,24 @@
         })
     }
 
-    /// How well this node communicates.
+    /// The health of this node's own communication.
     #[must_use]
     pub fn health(&self) -> Health {
         self.local_health.current
     }
 
-    /// Its counters.
+    /// The counters of this node.
     #[must_use]
     pub fn metrics(&self) -> Metrics {
         self.metrics
     }
 
-    /// Counts a datagram that the driver rejected before it became an event.
+    /// Counts a datagram that the driver rejected without passing it to [`handle`](Self::handle).
     pub fn count_rejection(&mut self, reason: RejectReason) {
         self.metrics.count_rejection(reason);
     }
 
-    /// The state of a node as this one reports it, suspicions included.
+    /// The state of a node as this node reports it, including suspicions.
     pub(crate) fn state_of(&self, id: MemberId, entry: &MemberEntry) -> State {
         if id == self.id {
             return match self.own.status {
@@ -174,14 +180,14 @@
         self.settings.probe_interval_ms / TICKS_PER_PROBE as f64
     }
 
-    /// A number of probe intervals in milliseconds.
+    /// The length of `count` probe intervals, in milliseconds.
     pub(crate) fn probe_intervals_ms(&self, count: f64) -> f64 {
         count * self.settings.probe_interval_ms
     }
 
-    /// Whether this is every `probes`-th probe interval's first tick.
-    pub(crate) fn is_every_nth_probe(&self, probes: u64) -> bool {
-        self.tick % (probes * TICKS_PER_PROBE) == 0
+    /// Whether this tick is the first one of every `n`-th probe interval.
+    pub(crate) fn is_every_nth_probe(&self, n: u64) -> bool {
+        self.tick % (n * TICKS_PER_PROBE) == 0
     }
 
     pub(crate) fn has_fault(&self, fault: InjectedFault) -> bool {
@@ -197,8 +203,9 @@
         self.actions.push(Action::Log(event));
     }
 
-    /// Detects that the process did not run for more than a probe interval. Silence then counts from now, and open
-    /// suspicions, questions and pending deaths are dropped: whatever still holds will be reported again.
+    /// Detects that the process did not run for more than a probe interval. After such a pause,
+    /// silence counts from now, and suspicions, delegated probes and pending deaths are dropped:
+    /// those that still apply will be detected or reported again.
     fn detect_pause(&mut self) {
         let pause_ms = self.now_ms - self.next_tick_ms;
         let is_pause = pause_ms > self.settings.probe_interval_ms;
@@ -215,7 +222,7 @@
         self.log(LogEvent::ResumedAfterPause { pause_ms });
     }
 
-    /// Everything that happens periodically.
+    /// Runs all periodic work.
     fn run_tick(&mut self) {
         self.tick += 1;
         self.rebuild_rings_if_stale();
--- a/crates/gossip/src/peers.rs
+++ b/crates/gossip/src/peers.rs
@@ -1,4 +1,4 @@
-//! Peer addresses, and the process that was found at each.
+//! Peer addresses, and the process that is bound to each.
 
 use std::collections::BTreeMap;
 
@@ -6,32 +6,35 @@
 use crate::member_id::MemberId;
 use crate::replay_window::ReplayWindow;
 
-/// Earlier processes of an address that are remembered, so that none of their datagrams is accepted again.
+/// Maximum number of earlier processes of an address that are remembered, so that none of their
+/// datagrams is accepted again.
 const MAX_FORMER_PROCESSES: usize = 8;
-/// Addresses that are examined to find one to contact. If all of them are known to be alive, a cluster of thousands would
-/// be scanned for nothing several times a second. The next scan continues from there, so 4,096 are covered in four probe
-/// intervals.
+/// Maximum number of addresses that one scan examines to find one to contact. Without the limit,
+/// thousands of addresses would be scanned several times a second without a result while all nodes
+/// are alive. The next scan continues where this one stopped, so that 4,096 addresses are covered
+/// in four probe intervals.
 const MAX_SCANNED: usize = 512;
 
-/// An address and the process at it.
+/// The state of one peer address and of the process bound to it.
 #[derive(Debug, Default)]
 pub struct Peer {
-    /// 0 if unknown.
+    /// Id of the bound process; 0 if none is known.
     pub process_id: u64,
     former_processes: Vec<u64>,
     pub member: Option<MemberId>,
     pub replay_window: ReplayWindow,
-    /// Sequence number of the last datagram that was sent to this process.
+    /// Sequence number of the last datagram that was sent to the bound process.
     pub sequence: u32,
-    /// Whether that process knows this one by name.
+    /// Whether the bound process has accepted this process's hello.
     pub is_hello_accepted: bool,
     /// Whether this is the node's own address.
     pub is_self: bool,
     pub last_contact_ms: Option<f64>,
+    /// Number of contacts so far.
     pub contacts: u32,
-    /// When a datagram for another process was last answered.
+    /// Time of the last answer to a datagram that was addressed to another process.
     pub last_redirect_ms: Option<f64>,
-    /// When the node there was last notified that it is dead here.
+    /// Time at which the bound node was last notified that it is dead in this node's table.
     pub last_death_notice_ms: Option<f64>,
 }
 
@@ -40,7 +43,8 @@
         self.former_processes.contains(&process_id)
     }
 
-    /// Binds the address to a process: a new one starts with fresh sequence numbers.
+    /// Binds the address to a process. A new process starts with a new replay window and sequence
+    /// number 0.
     pub fn bind_process(&mut self, process_id: u64) {
         if self.process_id == process_id {
             return;
@@ -68,7 +72,8 @@
 pub struct ScanCursor(PeerId);
 
 impl ScanCursor {
-    /// The next address after the last one examined that is not this node's and satisfies `is_eligible`.
+    /// The next address after the last examined one that is not this node's own and satisfies
+    /// `is_eligible`; `None` if there is none among the next [`MAX_SCANNED`].
     pub fn next(
         &mut self,
         peers: &BTreeMap<PeerId, Peer>,
--- a/crates/gossip/src/rate_limit.rs
+++ b/crates/gossip/src/rate_limit.rs
@@ -1,6 +1,6 @@
-//! A token bucket.
+//! Rate limiting.
 
-/// Allows a burst, and a sustained rate after it.
+/// A token bucket, which allows a burst and a sustained rate after it.
 #[derive(Debug)]
 pub struct RateLimit {
     tokens: f64,
@@ -10,7 +10,7 @@
 }
 
 impl RateLimit {
-    /// A full bucket of `burst` tokens, refilled with `per_s` tokens a second.
+    /// A full bucket of `burst` tokens, refilled at `per_s` tokens per second.
     pub fn new(now_ms: f64, burst: f64, per_s: f64) -> Self {
         Self {
             tokens: burst,
@@ -20,7 +20,7 @@
         }
     }
 
-    /// Takes a token. Returns `false` if there is none.
+    /// Takes a token. Returns `false` if less than one token is available.
     pub fn try_acquire(&mut self, now_ms: f64) -> bool {
         let refill = (now_ms - self.updated_ms) / 1e3 * self.per_s;
         self.tokens = (self.tokens + refill).min(self.burst);
--- a/crates/gossip/src/reject_reason.rs
+++ b/crates/gossip/src/reject_reason.rs
@@ -1,30 +1,33 @@
-//! Why datagrams and nodes are rejected, and the metrics that count it.
+//! Reasons for which datagrams and nodes are rejected, and the metrics that count them.
 
-/// Why a datagram, or a node, was rejected.
+/// The reason for which a datagram or a node was rejected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum RejectReason {
-    /// It does not have the layout of a datagram.
+    /// The bytes do not have the layout of a datagram.
     Malformed,
-    /// Its version is unknown.
+    /// The datagram has an unknown version.
     UnsupportedVersion,
-    /// It belongs to another cluster.
+    /// The datagram is from another cluster.
     WrongCluster,
-    /// Its seal does not match: another key, or a byte changed in transit.
+    /// The seal does not match: the sender has another key, or a byte was changed in transit.
     BadSeal,
-    /// Its sequence number was received before, or is too old to tell.
+    /// The sequence number was received before, or is too old to tell.
     Replayed,
-    /// It is for or from an earlier process of a node, or for an earlier incarnation.
+    /// The datagram is not addressed to this process, or is not from the current process and
+    /// incarnation of its sender. Also counts datagrams of this node itself, and first datagrams
+    /// that do not introduce their sender.
     StaleIncarnation,
-    /// Its source address is not among the peers'.
+    /// The source address is not a peer's address.
     UnknownSender,
     /// The receive rate limit was reached and reading paused. Counted once for each pause.
     RateLimited,
-    /// The member table is full.
+    /// The member table is full of live nodes, so that a new node was rejected.
     TableFull,
 }
 
 impl RejectReason {
-    /// All reasons, in the order of [`Metrics::rejected`](crate::Metrics::rejected).
+    /// All reasons, in the order of the counters in
+    /// [`Metrics::rejected`](crate::Metrics::rejected).
     pub const ALL: [Self; 9] = [
         Self::Malformed,
         Self::UnsupportedVersion,
@@ -37,7 +40,8 @@
         Self::TableFull,
     ];
 
-    /// The last part of its metric's name, which is external and does not follow the name of the variant.
+    /// The last part of the metric's name. It is external, and does not follow the name of the
+    /// variant.
     #[must_use]
     pub fn metric_name(self) -> &'static str {
         match self {
--- a/crates/gossip/src/replay_window.rs
+++ b/crates/gossip/src/replay_window.rs
@@ -1,23 +1,23 @@
-//! Protection against replayed datagrams of one process.
+//! Protection against replayed and duplicated datagrams.
 
 #[cfg(test)]
 mod tests;
 
-/// How far behind the highest sequence number a datagram may arrive.
+/// Size of the window in sequence numbers, the highest received one included.
 const WINDOW_BITS: u32 = 64;
 
-/// The sequence numbers that one process has used. Numbers that are [`WINDOW_BITS`] or more behind the highest count as
-/// used.
+/// The sequence numbers that were received from one process. Numbers that are [`WINDOW_BITS`] or
+/// more below the highest one count as received.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct ReplayWindow {
     highest: u32,
-    /// Bit `n` is set if `highest - n` was received.
+    /// Bit `n` is set if sequence number `highest - n` was received.
     received: u64,
 }
 
 impl ReplayWindow {
-    /// Accepts a sequence number that was not received before. Returns `false` if it was, or may have been. The first is
-    /// always accepted.
+    /// Records a sequence number. Returns `false` if it was received before, or is too old to tell.
+    /// The first one is always accepted.
     pub fn accept(&mut self, sequence: u32) -> bool {
         let is_first = self.received == 0;
         if is_first || sequence > self.highest {
--- a/crates/gossip/src/replay_window/tests.rs
+++ b/crates/gossip/src/replay_window/tests.rs
@@ -1,4 +1,4 @@
-//! Sequence numbers in any order of arrival.
+//! Replay protection for sequence numbers that arrive in any order.
 
 use std::collections::BTreeSet;
 
--- a/crates/gossip/src/settings.rs
+++ b/crates/gossip/src/settings.rs
@@ -1,29 +1,30 @@
-//! What a node is configured with at its start.
+//! The configuration of a node at its start.
 
 use crate::cluster_key::ClusterKey;
 
-/// Configuration of one node.
+/// Configuration of a node.
 #[derive(Clone, Debug)]
 pub struct Settings {
-    /// The node's name; see [`is_valid_node_name`](crate::is_valid_node_name).
+    /// Name of the node; see [`is_valid_node_name`](crate::is_valid_node_name).
     pub name: String,
-    /// A random number that identifies this process, not 0.
+    /// Random nonzero number that identifies this process.
     pub process_id: u64,
-    /// The first incarnation: preferably the Unix time in milliseconds, so that the incarnations of a process are higher
-    /// than those of the process before it. A wrong clock only costs one more exchange.
+    /// First incarnation: preferably the Unix time in milliseconds, so that the incarnations of a
+    /// process are higher than those of earlier processes of the node. A wrong clock only costs one
+    /// more exchange.
     pub incarnation: u64,
-    /// Authenticates the cluster's datagrams.
+    /// Key that authenticates the cluster's datagrams.
     pub key: ClusterKey,
     /// Seed of the random choices.
     pub seed: u64,
-    /// How often the node probes its observers, in milliseconds.
+    /// Interval at which the node probes its observers, in milliseconds.
     pub probe_interval_ms: f64,
-    /// For how long nothing must have been received from a node before it is suspected, in milliseconds. Shorter pauses
-    /// are tolerated.
+    /// Time without a datagram from a node after which its observers suspect it, in milliseconds.
+    /// Shorter pauses of a node are tolerated.
     pub suspicion_timeout_ms: f64,
-    /// How many observers a node has.
+    /// Number of observers of each node.
     pub observer_count: usize,
-    /// A fault for the tests to find.
+    /// Protocol fault that a test injects.
     #[doc(hidden)]
     pub injected_fault: InjectedFault,
 }
@@ -46,8 +47,9 @@
     }
 }
 
-/// A protocol fault that is injected to show that the tests detect it. Without the feature `injected-fault`, which no
-/// product enables, every value behaves like [`InjectedFault::None`].
+/// A protocol fault that a test injects to verify that the checker detects it. Without the feature
+/// `injected-fault`, which is enabled only for tests, every value behaves like
+/// [`InjectedFault::None`].
 #[doc(hidden)]
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum InjectedFault {
@@ -59,6 +61,7 @@
     EqualIncarnationAccepted,
     /// A pause of this process is not detected, so that it counts as silence of the other nodes.
     PauseNotDetected,
-    /// Every suspicion is confirmed without a quorum, and a node that receives nothing may still vote.
+    /// Every suspicion is confirmed without a quorum, and a node that receives nothing may still
+    /// vote.
     QuorumBypassed,
 }
--- a/crates/gossip/src/transport.rs
+++ b/crates/gossip/src/transport.rs
@@ -1,5 +1,5 @@
-//! Receiving and sending datagrams: which process a datagram is from, whether it is accepted, and what goes along with
-//! each one sent.
+//! Receiving and sending datagrams: which process sent a datagram, whether it is accepted, and
+//! which updates are piggybacked on the datagrams of this node.
 
 use crate::event::{Action, ChangeCause, PeerId};
 use crate::member_id::MemberId;
@@ -9,11 +9,12 @@
 use crate::reject_reason::RejectReason;
 use crate::wire::{open_datagram, Datagram, DatagramWriter, Header, Record};
 
-/// How often datagrams for another process are answered for one address, in milliseconds. An answer is no longer than the
-/// question, so replayed datagrams are not amplified.
+/// Minimum interval between two answers to datagrams from one address that are addressed to another
+/// process, in milliseconds. An answer is not longer than the datagram that it answers, so replayed
+/// datagrams are not amplified.
 const REDIRECT_INTERVAL_MS: f64 = 50.0;
 
-/// A node from which a datagram was accepted.
+/// The sender of an accepted datagram.
 pub(crate) struct Sender {
     pub peer: PeerId,
     pub member: MemberId,
@@ -43,7 +44,9 @@
         }
     }
 
-    /// Checks that a datagram is for this process, from a current process of its sender, and not replayed.
+    /// Checks that a datagram is addressed to this process, from the current process of its sender,
+    /// and not replayed. A datagram without a receiver's process id is accepted, too, but its
+    /// records are not processed.
     fn accept_datagram(&mut self, from: PeerId, datagram: &Datagram) -> Result<(), RejectReason> {
         let header = datagram.header;
         let own_process = self.settings.process_id;
@@ -55,8 +58,9 @@
             return Err(RejectReason::StaleIncarnation);
         }
         if header.to_process != own_process {
-            // The sender does not know this process, or takes it for the one before. It is notified, but its records are
-            // not processed: anybody may have recorded them earlier.
+            // The sender has no process id for this address, or that of an earlier process. It is
+            // sent the current one, but its records are not processed: the datagram may have been
+            // recorded earlier and replayed by anyone.
             self.redirect_sender(from, header);
             return if header.to_process == 0 {
                 Ok(())
@@ -71,7 +75,7 @@
         if is_bound && !peer.replay_window.accept(header.sequence) {
             return Err(RejectReason::Replayed);
         }
-        // A bound process whose member entry has expired has to introduce itself again, too.
+        // A bound process whose member entry has expired must introduce itself again, too.
         let needs_hello = !is_bound || peer.member.is_none();
         if needs_hello && !self.accept_hello(from, datagram) {
             return Err(RejectReason::StaleIncarnation);
@@ -84,7 +88,7 @@
         Ok(())
     }
 
-    /// Notifies the sender of a datagram for another process which process is at this address.
+    /// Answers a datagram that is addressed to another process by introducing this process.
     fn redirect_sender(&mut self, from: PeerId, header: Header) {
         let now_ms = self.now_ms;
         let Some(peer) = self.peers.get_mut(&from) else {
@@ -108,12 +112,13 @@
     fn process_datagram(&mut self, from: PeerId, datagram: Datagram) {
         let header = datagram.header;
         if header.to_process != self.settings.process_id {
-            return; // It was answered; its records are processed once it knows this process.
+            return; // `redirect_sender` has answered it; its records are not processed.
         }
         let Some(peer) = self.peers.get_mut(&from) else {
             return;
         };
-        // A sequence number shows that the sender knows this process by name. An ack may still say otherwise.
+        // A sequence number above 0 shows that the sender has bound this process to its address,
+        // and so has accepted its hello. An ack may still revoke this.
         peer.is_hello_accepted |= header.sequence > 0;
         let Some(member) = peer.member else { return };
         let was_alive = self.table.is_alive(member);
@@ -206,7 +211,8 @@
         }
     }
 
-    /// Sends records to the process that is known at an address; see [`write_datagram`](Self::write_datagram).
+    /// Sends records to the process that is bound to an address; see
+    /// [`write_datagram`](Self::write_datagram).
     pub(crate) fn send(&mut self, to: PeerId, records: &[Record]) -> usize {
         let from_process = self.settings.process_id;
         let Some(peer) = self.sendable_peer(to) else {
@@ -221,8 +227,8 @@
         self.write_datagram(to, header, is_introduction, records)
     }
 
-    /// Sends records to a process that may not be the one that is known at an address. Such a datagram only has to show
-    /// that it is meant for that process, and has sequence number 0, which nothing else has.
+    /// Sends records to a process that need not be the one that is bound to an address. If it is
+    /// not, the datagram has sequence number 0, which no other datagram has.
     pub(crate) fn send_to_process(&mut self, to: PeerId, process_id: u64, records: &[Record]) {
         let Some(peer) = self.sendable_peer(to) else {
             return;
@@ -244,8 +250,9 @@
         self.peers.get_mut(&to).filter(|peer| !peer.is_self)
     }
 
-    /// Sends as many of `records` as fit, and gossip in the room that is left. An introduction carries this node's hello,
-    /// and a node that is dead here is always notified of that. Returns how many of `records` were sent.
+    /// Sends as many of `records` as fit, and fills the remaining space with queued updates. An
+    /// introduction includes this node's hello, and a datagram to a node that is dead or has left
+    /// in this node's table includes the record of that. Returns how many of `records` were sent.
     fn write_datagram(
         &mut self,
         to: PeerId,
@@ -261,7 +268,7 @@
             writer.push(&hello);
         }
         let member = self.peers.get(&to).and_then(|peer| peer.member);
-        let dead = member.filter(|id| is_known_process && self.is_known_dead(*id));
+        let dead = member.filter(|id| is_known_process && self.is_dead_or_left(*id));
         if let Some(record) = dead.and_then(|id| self.table.record(id, self.now_ms)) {
             writer.push(&record);
         }
@@ -279,11 +286,11 @@
         sent
     }
 
-    fn is_known_dead(&self, id: MemberId) -> bool {
+    fn is_dead_or_left(&self, id: MemberId) -> bool {
         self.table.get(id).is_some_and(|entry| !entry.is_alive())
     }
 
-    /// Addresses of these nodes, as far as they are known.
+    /// The known addresses of `members`.
     pub(crate) fn peers_of(&self, members: &[MemberId]) -> Vec<PeerId> {
         members
             .iter()
@@ -291,7 +298,7 @@
             .collect()
     }
 
-    /// Addresses of the observers and subjects of this node.
+    /// The known addresses of the observers and subjects of this node.
     pub(crate) fn neighbours(&self) -> Vec<PeerId> {
         let mut neighbours = self.peers_of(&self.detector.observers);
         neighbours.extend(self.peers_of(&self.detector.subjects));
@@ -300,7 +307,8 @@
         neighbours
     }
 
-    /// Nodes other than `excluded` that are alive and from which a datagram was received within the suspicion timeout.
+    /// Nodes other than `excluded` that are alive and from which a datagram was received within the
+    /// suspicion timeout.
     pub(crate) fn recently_received_except(&self, excluded: MemberId) -> Vec<MemberId> {
         let window_ms = self.settings.suspicion_timeout_ms;
         let is_recent = |(id, entry): &(MemberId, &MemberEntry)| {
--- a/crates/gossip/src/wire.rs
+++ b/crates/gossip/src/wire.rs
@@ -1,19 +1,20 @@
-//! The datagram format: header, records and seal, and how untrusted bytes are decoded.
+//! The datagram format: header, records and seal, and the decoding of untrusted bytes.
 //!
 //! All numbers are little-endian.
 //!
 //! | bytes | field |
 //! | --- | --- |
 //! | 1 | version, 1 |
-//! | 4 | cluster: the first bytes of the hash of its name |
+//! | 4 | cluster: the first four bytes of the hash of its name |
 //! | 8 | process id of the sender |
-//! | 8 | process id of the receiver; 0 if the sender does not know it |
+//! | 8 | process id of the receiver; 0 if unknown to the sender |
 //! | 4 | sequence number, incremented with each datagram from this process to this receiver |
-//! | ... | records: one byte of kind, one byte of length, then so many bytes |
+//! | ... | records: one byte for the kind, one byte for the length of the body, and the body |
 //! | 16 | seal: keyed hash (BLAKE3) of everything before it, truncated |
 //!
-//! A reader skips records of an unknown kind and bytes beyond the known fields of a known record, so that nodes of
-//! different versions can share a cluster. A datagram never exceeds [`MAX_DATAGRAM_BYTES`].
+//! A reader skips records of an unknown kind and bytes beyond the known fields of a known record,
+//! so that nodes of different versions can share a cluster. A datagram never exceeds
+//! [`MAX_DATAGRAM_BYTES`].
 
 use bytes::Buf;
 
@@ -28,31 +29,34 @@
 
 pub use self::record::{DeathNotice, Record};
 
-/// The longest datagram. The platform voids a run in which a longer one is sent.
+/// Maximum length of a datagram, in bytes. The platform voids a run in which a longer one is sent.
 pub const MAX_DATAGRAM_BYTES: usize = 256;
-/// The longest application payload: it fits beside the header, the seal and the records that must accompany it.
+/// Maximum length of a payload of another subsystem, in bytes. It fits in a datagram along with the
+/// header, the seal and the mandatory records.
 pub const MAX_PAYLOAD_BYTES: usize = 180;
-/// Buckets into which the member table is divided for anti-entropy. With 300 nodes each has about twenty.
+/// Number of buckets into which the member table is divided for anti-entropy. With 300 nodes, each
+/// bucket has about twenty.
 pub const DIGEST_BUCKETS: usize = 16;
 /// Unit of [`DeathNotice::age_quarter_seconds`], in milliseconds.
 pub const DEATH_AGE_UNIT_MS: f64 = 250.0;
 
-/// The highest incarnation that is decoded, so that there is always room to increment. Unix time in milliseconds, from
-/// which incarnations start, is a millionth of it.
+/// The highest incarnation that is decoded, so that any incarnation can be incremented.
+/// Incarnations start at the Unix time in milliseconds, which is about a millionth of it.
 const MAX_INCARNATION: u64 = 1 << 62;
 
 const VERSION: u8 = 1;
 const CLUSTER_TAG_BYTES: usize = 4;
 const HEADER_BYTES: usize = 1 + CLUSTER_TAG_BYTES + 8 + 8 + 4;
 
-/// The processes between which a datagram travels.
+/// The header of a datagram, without version and cluster.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Header {
     /// Process id of the sender.
     pub from_process: u64,
-    /// Process id of the receiver as the sender knows it; 0 if it does not.
+    /// Process id of the receiver; 0 if unknown to the sender.
     pub to_process: u64,
-    /// Sequence number from this sender to this receiver.
+    /// Sequence number of the datagram from this sender to this receiver; 0 if the receiver is not
+    /// the process that the sender has bound to the address.
     pub sequence: u32,
 }
 
@@ -74,7 +78,7 @@
         Self { bytes }
     }
 
-    /// Appends a record. Returns `false`, and leaves it out, if there is no room for it.
+    /// Appends a record. Returns `false`, and leaves the record out, if it does not fit.
     pub fn push(&mut self, record: &Record) -> bool {
         let before = self.bytes.len();
         record.encode(&mut self.bytes);
@@ -94,16 +98,16 @@
     }
 }
 
-/// A datagram whose seal was checked.
+/// A decoded datagram whose seal was verified.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Datagram {
-    /// Its header.
+    /// The header.
     pub header: Header,
-    /// Its records, without those that this version does not know.
+    /// The records, without those that this version cannot decode.
     pub records: Vec<Record>,
 }
 
-/// Checks the seal of a datagram and decodes it.
+/// Verifies the seal of a datagram and decodes it.
 ///
 /// # Errors
 ///
--- a/crates/gossip/src/wire/record.rs
+++ b/crates/gossip/src/wire/record.rs
@@ -5,17 +5,18 @@
 use super::{DIGEST_BUCKETS, MAX_INCARNATION, MAX_PAYLOAD_BYTES};
 use crate::member_id::{is_valid_node_name, MemberId};
 
-/// Kind and length.
+/// Length of the kind and length of a record, in bytes.
 const RECORD_HEADER_BYTES: usize = 2;
 
-/// That a node was declared dead.
+/// A report that a node was declared dead.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct DeathNotice {
-    /// Which node.
+    /// The dead node.
     pub member: MemberId,
-    /// In which incarnation.
+    /// The incarnation that was declared dead.
     pub incarnation: u64,
-    /// How long ago, in quarters of a second; the highest value means that or longer. 0 if the sender does not say.
+    /// Time since the node was declared dead, in quarters of a second. The highest value means at
+    /// least that long; 0 stands in for a missing value.
     pub age_quarter_seconds: u8,
 }
 
@@ -24,62 +25,63 @@
 pub enum Record {
     /// Introduces the sender.
     Hello {
-        /// Its incarnation.
+        /// Incarnation of the sender.
         incarnation: u64,
-        /// Its name.
+        /// Name of the sender.
         name: String,
     },
-    /// The sender is alive.
+    /// Shows that the sender is alive.
     Probe {
-        /// Whether the receiver is to answer with [`Record::Ack`].
+        /// Whether the receiver should answer with [`Record::Ack`].
         ack_requested: bool,
-        /// Whether the sender counts the receiver among its observers.
+        /// Whether the receiver is one of the sender's observers, according to the sender.
         to_observer: bool,
     },
-    /// A datagram was received.
+    /// Acknowledges a datagram of the receiver.
     Ack {
-        /// Its sequence number.
+        /// Sequence number of the acknowledged datagram.
         sequence: u32,
-        /// Whether the receiver of that datagram does not know its sender by name and asks for [`Record::Hello`].
+        /// Whether the sender has not accepted a [`Record::Hello`] of the receiver's process, and
+        /// requests one.
         hello_requested: bool,
     },
-    /// A node is alive.
+    /// Reports that a node is alive.
     Alive {
-        /// Its incarnation.
+        /// Incarnation of the node.
         incarnation: u64,
-        /// Its process id.
+        /// Process id of the node.
         process_id: u64,
-        /// Its name.
+        /// Name of the node.
         name: String,
     },
-    /// A node is dead.
+    /// Reports that a node is dead.
     Dead(DeathNotice),
-    /// A node has left on its own.
+    /// Reports that a node has left on its own.
     Left {
-        /// Which node.
+        /// The node that has left.
         member: MemberId,
-        /// In which incarnation.
+        /// Its incarnation when it left.
         incarnation: u64,
     },
-    /// The sender does not receive anything from a node and asks whether the receiver does.
+    /// Asks for the receiver's vote on a node from which the sender receives nothing.
     IndirectProbe {
-        /// Which node.
+        /// The suspect.
         member: MemberId,
-        /// In which incarnation.
+        /// The incarnation of the suspect that the sender suspects.
         incarnation: u64,
     },
-    /// The answer to [`Record::IndirectProbe`].
+    /// Answers [`Record::IndirectProbe`].
     Vote {
-        /// Which node.
+        /// The suspect.
         member: MemberId,
-        /// In which incarnation.
+        /// The incarnation of the suspect that the vote is about.
         incarnation: u64,
-        /// Whether the sender receives datagrams from it.
+        /// Whether the sender receives datagrams from the suspect.
         is_reachable: bool,
     },
     /// Digest of the sender's whole member table.
     Digest(u64),
-    /// Digests of the buckets of the sender's member table.
+    /// Truncated digests of the buckets of the sender's member table.
     BucketDigests([u16; DIGEST_BUCKETS]),
     /// Opaque bytes of another subsystem.
     Payload(Vec<u8>),
@@ -126,12 +128,12 @@
         }
     }
 
-    /// Appends kind, length and body.
+    /// Appends the kind, length and body.
     pub(super) fn encode(&self, to: &mut Vec<u8>) {
         let start = to.len();
         to.extend_from_slice(&[self.kind(), 0]);
         self.encode_body(to);
-        // Names and payloads are bounded, so the length of every body fits one byte.
+        // Names and payloads are bounded, so the length of every body fits in one byte.
         to[start + 1] = (to.len() - start - RECORD_HEADER_BYTES) as u8;
     }
 
@@ -197,8 +199,8 @@
         }
     }
 
-    /// Returns `None` for an unknown kind and for a body that is too short or holds an invalid value: the record is
-    /// skipped.
+    /// Returns `None` for an unknown kind, and for a body that is too short or has an invalid
+    /// value. Such records are skipped.
     pub(super) fn decode(kind: u8, body: &[u8]) -> Option<Self> {
         let mut body = Body(body);
         Some(match kind {
@@ -248,7 +250,7 @@
     }
 }
 
-/// The bytes of a record that are not decoded yet.
+/// The remaining undecoded bytes of a record's body.
 struct Body<'a>(&'a [u8]);
 
 impl Body<'_> {
@@ -285,7 +287,7 @@
         Some(digests)
     }
 
-    /// All that is left, as a name.
+    /// Decodes all remaining bytes as a node name.
     fn name(&mut self) -> Option<String> {
         std::str::from_utf8(self.0)
             .ok()
