--- a/crates/gossip/src/tests.rs
+++ b/crates/gossip/src/tests.rs
@@ -1,4 +1,4 @@
-//! One node among scripted peers: its bounds, and datagrams that no correct node would send.
+//! One node among scripted peers: its limits, and datagrams that no correct node sends.
 
 use crate::wire::{DatagramWriter, DeathNotice, Header, Record};
 use crate::{
@@ -20,7 +20,7 @@
 }
 
 impl Node {
-    /// A node with `peers` peers, whose process ids start at 1000.
+    /// A node with `peers` peers. The process id of peer `n` is `1_000 + n`.
     fn new(peers: usize) -> Self {
         let settings = Settings::new("me", OWN_PROCESS, OWN_INCARNATION, key());
         let mut node = Self {
@@ -51,7 +51,7 @@
         }
     }
 
-    /// Receives a datagram of a peer with the peer's next sequence number.
+    /// Delivers a datagram from a peer with the peer's next sequence number.
     fn receive(&mut self, peer: usize, records: &[Record]) {
         self.sequences[peer] += 1;
         self.receive_with_sequence(peer, self.sequences[peer], records);
@@ -90,15 +90,15 @@
             .members()
             .find(|member| member.is_self)
             .map(|own| own.incarnation)
-            .expect("a node knows itself")
+            .expect("the member table has the node itself")
     }
 
     fn rejected(&self, reason: RejectReason) -> u64 {
-        let at = RejectReason::ALL
+        let index = RejectReason::ALL
             .iter()
-            .position(|one| *one == reason)
-            .expect("a listed reason");
-        self.gossip.metrics().rejected[at]
+            .position(|listed| *listed == reason)
+            .expect("RejectReason::ALL has every reason");
+        self.gossip.metrics().rejected[index]
     }
 }
 
@@ -136,7 +136,8 @@
     }
 }
 
-/// Guards against a node that grows with the names it receives, and against one that rejects new nodes forever.
+/// Guards against a member table that grows with every reported name, and against a full table that
+/// rejects new nodes forever.
 #[test]
 fn full_member_table_rejects_new_nodes_until_one_leaves() {
     let mut node = Node::new(2);
@@ -148,28 +149,33 @@
     assert_eq!(
         node.rejected(RejectReason::TableFull),
         502,
-        "with this node and the peer"
+        "500 reports and two more are rejected, as this node and the peer take two entries"
     );
     let logged = node
         .log
         .iter()
         .filter(|event| **event == LogEvent::TableFull);
-    assert_eq!(logged.count(), 1, "it is logged once");
+    assert_eq!(logged.count(), 1, "the full table is logged once");
     node.introduce(1);
-    assert_eq!(node.state("p1"), None, "a new node is rejected");
+    assert_eq!(
+        node.state("p1"),
+        None,
+        "a node that introduces itself to a full table is rejected"
+    );
     node.receive(0, &[left("n3", 1)]);
     node.receive(1, &[hello(1, PEER_INCARNATION)]);
     assert_eq!(
         (node.state("p1"), node.state("n3")),
         (Some(State::Alive), None),
-        "a node that has left makes room"
+        "a new node replaces the one that has left"
     );
     assert_eq!(node.gossip.members().count(), MAX_MEMBERS);
 }
 
-/// Guards against a node that is lost forever to others that have forgotten it but not its address.
+/// Guards against a node that can never rejoin at nodes whose member entry of it has expired while
+/// its process is still bound to its address.
 #[test]
-fn expired_member_is_accepted_anew_and_its_old_datagrams_are_rejected() {
+fn expired_member_rejoins_and_its_old_datagrams_are_rejected() {
     let mut node = Node::new(2);
     node.introduce(0);
     node.introduce(1);
@@ -185,22 +191,23 @@
     assert_eq!(
         node.state("p1"),
         Some(State::Left),
-        "the same incarnation does not return"
+        "a datagram of the incarnation that has left does not make it alive"
     );
     node.run(HOUR_MS + 120_000.0);
-    assert_eq!(node.state("p1"), None, "it has expired");
+    assert_eq!(node.state("p1"), None, "the member entry has expired");
     node.receive_with_sequence(1, 1, &[hello(1, PEER_INCARNATION)]);
     assert_eq!(
         node.rejected(RejectReason::Replayed),
         1,
-        "an old datagram is not accepted again"
+        "a datagram from before the expiry is rejected as replayed"
     );
     assert_eq!(node.state("p1"), None);
     node.receive(1, &[hello(1, PEER_INCARNATION + 1)]);
     assert_eq!(node.state("p1"), Some(State::Alive));
 }
 
-/// Guards against an incarnation that cannot be incremented: the node would panic, or start again at 0.
+/// Guards against an incarnation that cannot be incremented: the node would panic, or wrap around
+/// to 0.
 #[test]
 fn highest_incarnations_are_rejected_or_refuted() {
     let mut node = Node::new(2);
@@ -213,7 +220,7 @@
     assert_eq!(
         (node.state("other"), node.state("p0")),
         (None, Some(State::Alive)),
-        "the records are skipped"
+        "records with too high incarnations are skipped"
     );
     assert_eq!(node.own_incarnation(), OWN_INCARNATION);
     for _ in 0..20 {
@@ -224,7 +231,8 @@
     assert!(node.own_incarnation() > OWN_INCARNATION);
 }
 
-/// Guards against a suspicion that nobody is left to be asked about, as all were asked and none answered in time.
+/// Guards against a suspicion without candidates for the quorum, after all nodes were asked and
+/// none answered in time.
 #[test]
 fn unresponsive_voters_are_asked_again_and_confirm_the_death() {
     let mut node = Node::new(4);
@@ -232,7 +240,8 @@
         node.introduce(peer);
     }
     node.run(1_000.0);
-    // The last peer falls silent. The others are alive, and answer no indirect probe for a long time.
+    // The last peer stops sending. The other peers are alive, but answer no indirect probe for a
+    // long time.
     let suspect = MemberId::of("p3");
     let probe = Record::Probe {
         ack_requested: false,
@@ -244,7 +253,11 @@
         }
         node.run(TIMER_STEP_MS);
     }
-    assert_eq!(node.state("p3"), Some(State::Suspect), "nobody confirms it");
+    assert_eq!(
+        node.state("p3"),
+        Some(State::Suspect),
+        "without votes the death is not confirmed"
+    );
     let vote = Record::Vote {
         member: suspect,
         incarnation: PEER_INCARNATION,
--- a/crates/gossip/src/wire/golden_tests.rs
+++ b/crates/gossip/src/wire/golden_tests.rs
@@ -1,4 +1,5 @@
-//! Recorded bytes of every kind of record: nodes of different versions share a cluster, so the layout must not change.
+//! Recorded bytes of every kind of record, and recorded external names. Nodes of different versions
+//! share a cluster, so the layout of datagrams must not change.
 
 use std::fmt::Write;
 
@@ -18,7 +19,7 @@
     }
     let mut hex = String::new();
     for byte in writer.seal(&key) {
-        write!(hex, "{byte:02x}").expect("a string grows");
+        write!(hex, "{byte:02x}").expect("write to a string");
     }
     hex
 }
@@ -104,15 +105,15 @@
         assert_eq!(datagram(records), hex, "{records:?}");
         let bytes: Vec<u8> = (0..hex.len())
             .step_by(2)
-            .map(|at| u8::from_str_radix(&hex[at..at + 2], 16).expect("recorded in hex"))
+            .map(|at| u8::from_str_radix(&hex[at..at + 2], 16).expect("parse recorded hex"))
             .collect();
         let key = ClusterKey::new("holds", b"0123456789abcdef");
-        let datagram = open_datagram(&key, &bytes).expect("recorded datagrams are well-formed");
+        let datagram = open_datagram(&key, &bytes).expect("open a recorded datagram");
         assert_eq!(datagram.records, records);
     }
 }
 
-/// These words end the names of the metrics `edge_router.fleet_refused.*`.
+/// These names are the last parts of the metrics `edge_router.fleet_refused.*`.
 #[test]
 fn rejection_metric_names_are_the_recorded_ones() {
     let positions: Vec<_> = RejectReason::ALL
@@ -122,7 +123,7 @@
     assert_eq!(
         positions,
         [0, 1, 2, 3, 4, 5, 6, 7, 8],
-        "they index the counters"
+        "the order of RejectReason::ALL is that of its discriminants, which index the counters"
     );
     assert_eq!(
         RejectReason::ALL.map(RejectReason::metric_name),
@@ -140,7 +141,7 @@
     );
 }
 
-/// `MEMBERS` and `members --json` show these words, and `edge_router.fleet_health` these numbers.
+/// `MEMBERS` and `members --json` show these names, and `edge_router.fleet_health` these numbers.
 #[test]
 fn state_and_health_names_are_the_recorded_ones() {
     use crate::member::{Health, State};
--- a/crates/gossip/src/wire/tests.rs
+++ b/crates/gossip/src/wire/tests.rs
@@ -78,7 +78,7 @@
     }
 
     #[test]
-    fn datagram_with_any_changed_byte_is_rejected(at in 0..60_usize, by in 1..=255_u8) {
+    fn datagram_with_any_changed_byte_is_rejected(position in 0..60_usize, mask in 1..=255_u8) {
         let mut writer = DatagramWriter::new(&key(), HEADER);
         writer.push(&Record::Dead(DeathNotice {
             member: MemberId(7),
@@ -86,8 +86,8 @@
             age_quarter_seconds: 9,
         }));
         let mut bytes = writer.seal(&key());
-        let at = at % bytes.len();
-        bytes[at] ^= by;
+        let index = position % bytes.len();
+        bytes[index] ^= mask;
         prop_assert!(open_datagram(&key(), &bytes).is_err());
     }
 
@@ -97,7 +97,7 @@
     }
 }
 
-/// Guards against a cluster that stops communicating while half of its nodes run a later version.
+/// Guards against a cluster whose nodes cannot communicate while some of them run a later version.
 #[test]
 fn unknown_records_and_trailing_fields_are_skipped() {
     let probe = Record::Probe {
@@ -109,7 +109,8 @@
     writer
         .bytes
         .extend_from_slice(&[200, 3, 1, 2, 3, kind::PROBE, 4, 1, 9, 9, 9]);
-    let datagram = open_datagram(&key(), &writer.seal(&key())).expect("well-formed");
+    let datagram = open_datagram(&key(), &writer.seal(&key()))
+        .expect("open a datagram with unknown records and fields");
     assert_eq!(datagram.records, [probe.clone(), probe]);
 }
 
--- a/crates/gossip/tests/drawn_faults.rs
+++ b/crates/gossip/tests/drawn_faults.rs
@@ -1,15 +1,16 @@
-//! Faults drawn from seeds, and protocol faults injected into the nodes, which the checker detects.
+//! Random fault schedules, generated from seeds, and protocol faults that are injected into the
+//! nodes to verify that the checker detects them.
 
 use gossip::InjectedFault;
 use simulation::FaultSchedule;
 use testkit::nodes::checker::{schedule_limits, trial};
 use testkit::nodes::VirtualCluster;
 
-/// As many as run within a minute; `measure -- members` runs more.
+/// Number of seeds, which run within a minute. `measure -- members` runs more.
 const SEEDS: u64 = 300;
 
 #[test]
-fn drawn_faults_kill_no_healthy_node_and_all_agree_after_them() {
+fn random_faults_kill_no_healthy_node_and_views_converge() {
     let mut declared_dead = 0;
     for seed in 0..SEEDS {
         match trial(seed, schedule_limits(seed, 16), InjectedFault::None) {
@@ -19,13 +20,17 @@
     }
     assert!(
         declared_dead > 1_000,
-        "the faults have an effect: {declared_dead}"
+        "expected more than 1000 deaths from the faults, got {declared_dead}"
     );
 }
 
 fn assert_detected(fault: InjectedFault) {
-    let found = (0..SEEDS).find(|seed| trial(*seed, schedule_limits(*seed, 16), fault).is_err());
-    assert!(found.is_some(), "{fault:?}");
+    let detecting_seed =
+        (0..SEEDS).find(|seed| trial(*seed, schedule_limits(*seed, 16), fault).is_err());
+    assert!(
+        detecting_seed.is_some(),
+        "none of {SEEDS} seeds detects {fault:?}"
+    );
 }
 
 #[test]
@@ -34,18 +39,19 @@
 }
 
 #[test]
-fn equal_incarnation_counted_as_later_is_detected() {
+fn equal_incarnation_accepted_as_later_is_detected() {
     assert_detected(InjectedFault::EqualIncarnationAccepted);
 }
 
-/// Six of nine nodes pause for ten seconds, receive nothing of what is sent meanwhile and resume at the same moment on lossy
-/// links, as the nodes of one suspended machine do. Counts how often one of the three others is declared dead then.
+/// Six of nine nodes are paused for ten seconds, lose all datagrams that are sent meanwhile, and
+/// resume at the same time on lossy links, like the nodes of one suspended machine. Returns how
+/// often one of the other three nodes is declared dead.
 fn deaths_after_most_resume(seed: u64, fault: InjectedFault) -> usize {
     let mut cluster = VirtualCluster::new(seed, 9);
     cluster.injected_fault = fault;
     cluster.start_all(1_000.0);
     cluster.run(10_000.0);
-    let before = cluster.simulation.now_ms();
+    let since_ms = cluster.simulation.now_ms();
     (0..6).for_each(|node| cluster.simulation.pause(node, 10_000.0));
     cluster.partition(|node| if node < 6 { node } else { 6 });
     cluster.run(9_990.0);
@@ -54,14 +60,14 @@
         ..simulation::Link::default()
     });
     cluster.run(30_000.0);
-    let deaths = cluster.deaths_since(before).into_iter();
+    let deaths = cluster.deaths_since(since_ms).into_iter();
     deaths
         .filter(|(_, _, name)| ["n6", "n7", "n8"].contains(&name.as_str()))
         .count()
 }
 
 #[test]
-fn pause_taken_at_face_value_is_detected() {
+fn pause_counted_as_silence_is_detected() {
     let deaths = |fault| {
         (0..20)
             .map(|seed| deaths_after_most_resume(seed, fault))
@@ -72,11 +78,12 @@
 }
 
 #[test]
-fn vote_of_node_that_receives_nothing_is_detected() {
+fn bypassed_quorum_is_detected() {
     assert_detected(InjectedFault::QuorumBypassed);
 }
 
-/// Guards the precondition of every reproduction of a failure.
+/// Guards against a simulation that is not deterministic: a failure could not be reproduced from
+/// its seed.
 #[test]
 fn same_seed_gives_same_run() {
     let run = |seed| {
--- a/crates/gossip/tests/recorded_stream.rs
+++ b/crates/gossip/tests/recorded_stream.rs
@@ -1,4 +1,5 @@
-//! A seeded cluster sends, byte for byte, the datagrams that were recorded from the version that nodes in service run.
+//! A seeded cluster sends the same datagrams, byte for byte, as were recorded from the version in
+//! production.
 
 use gossip::{Action, ClusterKey, Event, Gossip, Settings, State};
 use stable_hash::mix;
@@ -18,7 +19,7 @@
     bytes: Vec<u8>,
 }
 
-/// Folds every datagram, its receiver and each wake-up time into one number.
+/// A hash of every datagram with its sender and receiver, and of every wake-up time.
 struct StreamHash(u64);
 
 impl StreamHash {
@@ -30,22 +31,23 @@
     }
 }
 
-fn is_running(node: usize, now: f64) -> bool {
+fn is_running(node: usize, now_ms: f64) -> bool {
     match node {
-        PAUSED => !(20_000.0..30_000.0).contains(&now),
-        KILLED => now < 40_000.0,
+        PAUSED => !(20_000.0..30_000.0).contains(&now_ms),
+        KILLED => now_ms < 40_000.0,
         _ => true,
     }
 }
 
-/// One datagram in ten is lost, and node 0 is cut off from all others for a while.
-fn is_lost(datagram: &Datagram, now: f64, sent: u64) -> bool {
+/// Whether a datagram is lost: one in ten is, and all between node 0 and the other nodes during a
+/// partition.
+fn is_lost(datagram: &Datagram, now_ms: f64, sent: u64) -> bool {
     let is_partitioned =
-        (60_000.0..66_000.0).contains(&now) && (datagram.from == 0 || datagram.to == 0);
+        (60_000.0..66_000.0).contains(&now_ms) && (datagram.from == 0 || datagram.to == 0);
     is_partitioned || mix(sent) % 10 == 0
 }
 
-/// Nodes whose datagrams arrive one step after they were sent.
+/// A cluster whose datagrams arrive one step after they were sent.
 struct RecordedCluster {
     nodes: Vec<Gossip>,
     now_ms: f64,
@@ -115,7 +117,7 @@
                 self.hash.add(&bytes);
                 self.in_transit.push(Datagram { from, to, bytes });
             }
-            Action::WakeAt(at) => self.hash.add(&at.to_bits().to_le_bytes()),
+            Action::WakeAt(at_ms) => self.hash.add(&at_ms.to_bits().to_le_bytes()),
             Action::Payload { .. } => self.payloads += 1,
             _ => {}
         }
@@ -148,7 +150,7 @@
     }
     let nodes = &cluster.nodes;
     let states: Vec<State> = nodes[1].members().map(|member| member.state).collect();
-    let count = |state| states.iter().filter(|held| **held == state).count();
+    let count = |state| states.iter().filter(|recorded| **recorded == state).count();
     assert_eq!(
         [State::Alive, State::Dead, State::Left].map(count),
         [7, 1, 1]
@@ -158,5 +160,8 @@
     assert_eq!((verdicts, refutations), (15, 2));
     assert_eq!((cluster.sent, cluster.payloads), (16_582, 1));
     let hash = cluster.hash.0;
-    assert_eq!(hash, 0xfa6a_09bd_432c_6467, "{hash:#018x}");
+    assert_eq!(
+        hash, 0xfa6a_09bd_432c_6467,
+        "hash of the datagrams: {hash:#018x}"
+    );
 }
--- a/crates/gossip/tests/scenarios/hostile_input.rs
+++ b/crates/gossip/tests/scenarios/hostile_input.rs
@@ -1,4 +1,5 @@
-//! Datagrams that a correct node of this cluster would not send now, and the length of those that it does.
+//! Datagrams that no correct node of this cluster would send at the time, and the maximum length of
+//! datagrams.
 
 use gossip::{ClusterKey, Event, RejectReason, State};
 use simulation::{Fault, Link};
@@ -27,54 +28,58 @@
     assert!(
         [0, 1, 3, 4]
             .iter()
-            .all(|of| cluster.state(*of, 2) == Some(State::Dead)),
-        "it stays dead"
+            .all(|viewer| cluster.state(*viewer, 2) == Some(State::Dead)),
+        "replayed datagrams do not make the killed node alive"
     );
-    let rejected = |of: usize| {
+    let rejected = |viewer: usize| {
         cluster
-            .metrics(of)
+            .metrics(viewer)
             .rejected_for(RejectReason::StaleIncarnation)
     };
     assert!(
-        [0, 1, 3, 4].iter().map(|of| rejected(*of)).sum::<u64>() > 20,
-        "datagrams were replayed"
+        [0, 1, 3, 4]
+            .iter()
+            .map(|viewer| rejected(*viewer))
+            .sum::<u64>()
+            > 20,
+        "more than 20 replayed datagrams are rejected"
     );
 }
 
 #[test]
-fn wrong_keys_other_clusters_and_garbage_are_rejected_and_counted() {
+fn wrong_key_other_cluster_and_garbage_are_rejected() {
     let mut cluster = VirtualCluster::new(8, 6);
     cluster.keys[4] = ClusterKey::new("holds", b"another key of its own");
     cluster.keys[5] = ClusterKey::new("other", KEY);
     cluster.start_all(1_000.0);
     cluster.run(10_000.0);
-    for of in 0..4 {
-        let view = cluster.view(of);
-        assert_eq!(view.len(), 4, "{view:?}");
-        let rejected = |reason| cluster.metrics(of).rejected_for(reason);
+    for viewer in 0..4 {
+        let view = cluster.view(viewer);
+        assert_eq!(view.len(), 4, "view of n{viewer}: {view:?}");
+        let rejected = |reason| cluster.metrics(viewer).rejected_for(reason);
         assert!(rejected(RejectReason::BadSeal) > 0 && rejected(RejectReason::WrongCluster) > 0);
     }
     let mut rng = fastrand::Rng::with_seed(9);
     for _ in 0..20_000 {
         let bytes: Vec<u8> = (0..rng.usize(..400)).map(|_| rng.u8(..)).collect();
-        cluster.simulation.with(0, |node, now, out| {
+        cluster.simulation.with(0, |node, now_ms, outbox| {
             node.handle(
-                now,
+                now_ms,
                 Event::Datagram {
                     from: 1,
                     bytes: &bytes,
                 },
-                out,
+                outbox,
             );
         });
-        cluster.simulation.with(0, |node, now, out| {
+        cluster.simulation.with(0, |node, now_ms, outbox| {
             node.handle(
-                now,
+                now_ms,
                 Event::Datagram {
                     from: 99,
                     bytes: &bytes,
                 },
-                out,
+                outbox,
             );
         });
     }
@@ -82,7 +87,8 @@
     assert_none_declared_dead(&cluster, 0.0);
 }
 
-/// Guards the limit of the platform, whatever the names.
+/// Guards against datagrams that exceed the platform's limit when node names have the maximum
+/// length.
 #[test]
 fn datagrams_with_longest_names_stay_within_limit() {
     let mut cluster = VirtualCluster::new(9, 12);
@@ -97,6 +103,6 @@
     let longest = cluster.simulation.totals().max_datagram_bytes;
     assert!(
         longest <= gossip::MAX_DATAGRAM_BYTES && longest > 200,
-        "{longest}"
+        "longest datagram: {longest} bytes"
     );
 }
--- a/crates/gossip/tests/scenarios/links.rs
+++ b/crates/gossip/tests/scenarios/links.rs
@@ -1,4 +1,4 @@
-//! Lossy, slow and corrupting links, and clocks that differ.
+//! Lossy, slow and corrupting links, and clocks that differ between nodes.
 
 use gossip::{Health, RejectReason};
 use simulation::{Burst, Clock, Fault, Link};
@@ -17,9 +17,9 @@
             });
             cluster.start_all(1_000.0);
             cluster.run(20_000.0);
-            let before = cluster.simulation.now_ms();
+            let since_ms = cluster.simulation.now_ms();
             cluster.run(if loss < 0.4 { 600_000.0 } else { 60_000.0 });
-            assert_none_declared_dead(&cluster, before);
+            assert_none_declared_dead(&cluster, since_ms);
             cluster.kill(1);
             run_until_dead_to_all(
                 &mut cluster,
@@ -36,102 +36,107 @@
 
 #[test]
 fn bursts_delays_duplicates_and_corruption_are_tolerated() {
-    let link = Link::default;
+    let default_link = Link::default;
     let cases = [
         Link {
             burst: Burst {
                 probability: 0.002,
                 duration_ms: 2_000.0,
             },
-            ..link()
+            ..default_link()
         },
         Link {
             delay_ms: 1_200.0,
-            ..link()
+            ..default_link()
         },
         Link {
             jitter_ms: 3_000.0,
-            ..link()
+            ..default_link()
         },
         Link {
             duplication: 0.5,
-            ..link()
+            ..default_link()
         },
         Link {
             corruption: 0.1,
-            ..link()
+            ..default_link()
         },
         Link {
             replay: 0.5,
             jitter_ms: 500.0,
-            ..link()
+            ..default_link()
         },
     ];
-    for (seed, held) in (1..).zip(cases) {
+    for (seed, faulty_link) in (1..).zip(cases) {
         let mut cluster = VirtualCluster::started(seed, 7);
-        let before = cluster.simulation.now_ms();
-        cluster.all_links(held.clone());
+        let since_ms = cluster.simulation.now_ms();
+        cluster.all_links(faulty_link.clone());
         cluster.run(120_000.0);
-        let deaths = cluster.deaths_since(before);
-        assert!(deaths.is_empty(), "{held:?}: {deaths:?}");
+        let deaths = cluster.deaths_since(since_ms);
+        assert!(
+            deaths.is_empty(),
+            "unexpected deaths with {faulty_link:?}: {deaths:?}"
+        );
         let faults = cluster.simulation.totals().faults;
         assert_eq!(
-            held.burst.probability > 0.0,
+            faulty_link.burst.probability > 0.0,
             faults.lost > 100,
-            "{held:?}: {faults:?}"
+            "{faulty_link:?}: {faults:?}"
         );
         assert_eq!(
-            held.duplication > 0.0,
+            faulty_link.duplication > 0.0,
             faults.duplicated > 100,
-            "{held:?}: {faults:?}"
+            "{faulty_link:?}: {faults:?}"
         );
         assert_eq!(
-            held.corruption > 0.0,
+            faulty_link.corruption > 0.0,
             faults.corrupted > 100,
-            "{held:?}: {faults:?}"
+            "{faulty_link:?}: {faults:?}"
         );
         assert_eq!(
-            held.replay > 0.0,
+            faulty_link.replay > 0.0,
             faults.replayed > 100,
-            "{held:?}: {faults:?}"
+            "{faulty_link:?}: {faults:?}"
         );
         let rejected = |reason| cluster.metrics(0).rejected_for(reason);
         assert!(
-            held.corruption == 0.0 || rejected(RejectReason::BadSeal) > 10,
-            "corruption is detected"
+            faulty_link.corruption == 0.0 || rejected(RejectReason::BadSeal) > 10,
+            "more than 10 corrupted datagrams are rejected"
         );
         assert!(
-            held.duplication == 0.0 || rejected(RejectReason::Replayed) > 100,
-            "duplicates are detected"
+            faulty_link.duplication == 0.0 || rejected(RejectReason::Replayed) > 100,
+            "more than 100 duplicates are rejected"
         );
         cluster.heal();
         cluster.agree_within(CONVERGENCE_MS);
     }
 }
 
-/// Every datagram is corrupted, so that no node receives anything: none may vote, and none is declared dead.
+/// Every datagram is corrupted, so that no node receives anything: no node may vote, and none is
+/// declared dead.
 #[test]
-fn total_corruption_isolates_all_and_kills_nobody() {
+fn total_corruption_isolates_all_nodes_and_kills_none() {
     let mut cluster = VirtualCluster::started(1, 7);
-    let before = cluster.simulation.now_ms();
+    let since_ms = cluster.simulation.now_ms();
     cluster.all_links(Link {
         corruption: 1.0,
         ..Link::default()
     });
     cluster.run(60_000.0);
-    assert_none_declared_dead(&cluster, before);
+    assert_none_declared_dead(&cluster, since_ms);
     assert!((0..7).all(|node| cluster.health(node) == Health::Isolated));
     cluster.heal();
     cluster.agree_within(CONVERGENCE_MS);
 }
 
-/// The links of one node lose nearly everything, both ways: it refutes its death less and less often.
+/// The links of one node lose most datagrams in both directions. Guards against endless flapping:
+/// the backoff limits the refutations of its death.
 #[test]
 fn node_with_lossy_links_does_not_flap() {
     let mut max_refutations = 0;
     for (seed, loss) in [(1, 0.6), (2, 0.75), (3, 0.85), (4, 0.9), (5, 0.95)] {
         let mut cluster = VirtualCluster::started(seed, 9);
-        let before = cluster.simulation.now_ms();
+        let since_ms = cluster.simulation.now_ms();
         let link = Link {
             loss,
             ..Link::default()
@@ -149,20 +154,21 @@
             });
         }
         cluster.run(600_000.0);
-        let deaths = cluster.deaths_since(before);
+        let deaths = cluster.deaths_since(since_ms);
         assert!(
             deaths.iter().all(|(_, _, name)| name == "n0"),
-            "loss {loss}: {deaths:?}"
+            "unexpected deaths with loss {loss}: {deaths:?}"
         );
         let refutations = cluster.metrics(0).refutations;
         max_refutations = max_refutations.max(refutations);
-        // Two at once, then with a backoff that doubles: 0, 0, 2, 4, 8, 16 and 30 s.
+        // Two refutations without delay, then a backoff that doubles up to the maximum: 0, 0, 2, 4,
+        // 8, 16 and 30 s.
         assert!(
             refutations <= 20,
-            "loss {loss}: {refutations} times in ten minutes"
+            "expected at most 20 refutations in ten minutes with loss {loss}, got {refutations}"
         );
     }
-    assert!(max_refutations > 0, "refutations occur");
+    assert!(max_refutations > 0, "no refutation occurred with any loss");
 }
 
 #[test]
@@ -177,9 +183,9 @@
     }
     cluster.start_all(1_000.0);
     cluster.agree_within(3_000.0);
-    let before = cluster.simulation.now_ms();
+    let since_ms = cluster.simulation.now_ms();
     cluster.run(600_000.0);
-    assert_none_declared_dead(&cluster, before);
+    assert_none_declared_dead(&cluster, since_ms);
     cluster.kill(0);
     run_until_dead_to_all(&mut cluster, 0, DETECTION_MS);
 }
--- a/crates/gossip/tests/scenarios/main.rs
+++ b/crates/gossip/tests/scenarios/main.rs
@@ -1,4 +1,4 @@
-//! Failure scenarios, each by itself, in virtual time.
+//! Failure scenarios in virtual time, one kind of fault in each.
 
 mod hostile_input;
 mod links;
@@ -9,38 +9,46 @@
 use gossip::State;
 use testkit::nodes::VirtualCluster;
 
-/// Within this time all nodes detect a kill.
+/// Maximum time in which all nodes detect a kill.
 const DETECTION_MS: f64 = 5_000.0;
-/// Within this time all nodes agree after a partition has healed.
+/// Maximum time in which all nodes agree after a partition has healed.
 const CONVERGENCE_MS: f64 = 5_000.0;
-/// Within this time a resumed node has refuted its death.
+/// Maximum time in which all nodes agree after a node has resumed or restarted.
 const REFUTATION_MS: f64 = 3_000.0;
-/// The default of the settings.
+/// The default of [`gossip::Settings::suspicion_timeout_ms`].
 const SUSPICION_TIMEOUT_MS: f64 = 2_500.0;
 
 fn assert_none_declared_dead(cluster: &VirtualCluster, since_ms: f64) {
     let deaths = cluster.deaths_since(since_ms);
-    assert!(deaths.is_empty(), "seed {}: {deaths:?}", cluster.seed);
+    assert!(
+        deaths.is_empty(),
+        "unexpected deaths with seed {}: {deaths:?}",
+        cluster.seed
+    );
 }
 
-/// Runs until all other nodes have declared a node dead, and returns how long it took.
+/// Runs until a node is dead in the views of all other running nodes, and returns the elapsed time
+/// in milliseconds.
 fn run_until_dead_to_all(cluster: &mut VirtualCluster, node: usize, within_ms: f64) -> f64 {
-    let start = cluster.simulation.now_ms();
+    let start_ms = cluster.simulation.now_ms();
     let others: Vec<_> = (0..cluster.names.len())
-        .filter(|of| *of != node && cluster.simulation.is_up(*of))
+        .filter(|viewer| *viewer != node && cluster.simulation.is_up(*viewer))
         .collect();
     while !others
         .iter()
-        .all(|of| cluster.state(*of, node) == Some(State::Dead))
+        .all(|viewer| cluster.state(*viewer, node) == Some(State::Dead))
     {
         cluster.run(50.0);
-        let passed = cluster.simulation.now_ms() - start;
-        let holds: Vec<_> = others.iter().map(|of| cluster.state(*of, node)).collect();
+        let elapsed_ms = cluster.simulation.now_ms() - start_ms;
+        let states: Vec<_> = others
+            .iter()
+            .map(|viewer| cluster.state(*viewer, node))
+            .collect();
         assert!(
-            passed < within_ms,
-            "seed {}: n{node} is {holds:?} after {passed} ms",
+            elapsed_ms < within_ms,
+            "seed {}: n{node} is {states:?} in the other views after {elapsed_ms} ms",
             cluster.seed
         );
     }
-    cluster.simulation.now_ms() - start
+    cluster.simulation.now_ms() - start_ms
 }
--- a/crates/gossip/tests/scenarios/partitions.rs
+++ b/crates/gossip/tests/scenarios/partitions.rs
@@ -1,4 +1,4 @@
-//! One-way and two-way partitions, and what follows once they heal.
+//! One-way and two-way partitions, and the recovery from them.
 
 use gossip::{Event, Health, LogEvent, State};
 use testkit::nodes::VirtualCluster;
@@ -20,14 +20,14 @@
 fn node_that_receives_nothing_declares_nobody_dead() {
     for (seed, nodes) in [(1, 4), (2, 7), (3, 20)] {
         let mut cluster = VirtualCluster::started(seed, nodes);
-        let before = cluster.simulation.now_ms();
+        let since_ms = cluster.simulation.now_ms();
         (1..nodes).for_each(|from| cluster.cut(from, 0));
         cluster.run(60_000.0);
-        assert_none_declared_dead(&cluster, before);
+        assert_none_declared_dead(&cluster, since_ms);
         assert_eq!(cluster.health(0), Health::Isolated);
         assert!(
-            (1..nodes).all(|of| cluster.state(of, 0) == Some(State::Alive)),
-            "its probes are received"
+            (1..nodes).all(|viewer| cluster.state(viewer, 0) == Some(State::Alive)),
+            "n0 stays alive in the other views, as its probes are received"
         );
         cluster.heal();
         cluster.agree_within(CONVERGENCE_MS);
@@ -38,7 +38,7 @@
 fn node_that_cannot_send_is_declared_dead_and_notified() {
     for (seed, nodes) in [(1, 4), (2, 7), (3, 20)] {
         let mut cluster = VirtualCluster::started(seed, nodes);
-        let before = cluster.simulation.now_ms();
+        let since_ms = cluster.simulation.now_ms();
         (1..nodes).for_each(|to| cluster.cut(0, to));
         run_until_dead_to_all(&mut cluster, 0, DETECTION_MS);
         cluster.run(10_000.0);
@@ -52,12 +52,12 @@
         );
         cluster.run(60_000.0);
         assert!(cluster
-            .deaths_since(before)
+            .deaths_since(since_ms)
             .iter()
             .all(|(_, _, name)| name == "n0"));
         assert!(
-            (1..nodes).all(|of| cluster.state(of, 0) == Some(State::Dead)),
-            "it stays dead"
+            (1..nodes).all(|viewer| cluster.state(viewer, 0) == Some(State::Dead)),
+            "n0 stays dead while it cannot send"
         );
         cluster.heal();
         cluster.agree_within(CONVERGENCE_MS);
@@ -65,44 +65,48 @@
 }
 
 #[test]
-fn partial_partitions_kill_nobody() {
+fn partial_partitions_kill_no_node() {
     type Cuts = fn(&mut VirtualCluster);
     let cases: [(&str, Cuts); 4] = [
-        ("two receive nothing from each other", |cluster| {
+        ("two nodes receive nothing from each other", |cluster| {
             cluster.cut(0, 1);
             cluster.cut(1, 0);
         }),
         (
-            "one receives from the other but not the reverse",
+            "one node receives nothing from another, but not the reverse",
             |cluster| {
                 cluster.cut(0, 1);
             },
         ),
-        ("each is partitioned from the next, one way", |cluster| {
+        ("each node can send nothing to the next one", |cluster| {
             (0..9).for_each(|node| cluster.cut(node, (node + 1) % 9));
         }),
-        ("a ring of one-way links is all that is left", |cluster| {
-            let is_left = |from: usize, to: usize| to == (from + 1) % 9;
+        ("only a ring of one-way links remains", |cluster| {
+            let remains = |from: usize, to: usize| to == (from + 1) % 9;
             let all = (0..9).flat_map(|from| (0..9).map(move |to| (from, to)));
-            all.filter(|(from, to)| from != to && !is_left(*from, *to))
+            all.filter(|(from, to)| from != to && !remains(*from, *to))
                 .for_each(|(from, to)| cluster.cut(from, to));
         }),
     ];
-    for (what, cuts) in cases {
+    for (case, cuts) in cases {
         for seed in 0..5 {
             let mut cluster = VirtualCluster::started(seed, 9);
-            let before = cluster.simulation.now_ms();
+            let since_ms = cluster.simulation.now_ms();
             cuts(&mut cluster);
             cluster.run(120_000.0);
-            let deaths = cluster.deaths_since(before);
-            assert!(deaths.is_empty(), "{what}: {deaths:?}");
+            let deaths = cluster.deaths_since(since_ms);
+            assert!(
+                deaths.is_empty(),
+                "unexpected deaths where {case}: {deaths:?}"
+            );
             cluster.heal();
             cluster.agree_within(CONVERGENCE_MS);
         }
     }
 }
 
-/// Half of the cluster receives nothing from the other half: whatever the outcome, it does not keep changing.
+/// Half of the cluster receives nothing from the other half. Either half may be declared dead, but
+/// the views must not keep changing.
 #[test]
 fn one_way_partition_of_halves_settles() {
     for seed in 0..5 {
@@ -111,9 +115,9 @@
             (0..5).for_each(|to| cluster.cut(from, to));
         }
         cluster.run(60_000.0);
-        let before = cluster.simulation.now_ms();
+        let since_ms = cluster.simulation.now_ms();
         cluster.run(120_000.0);
-        assert_none_declared_dead(&cluster, before);
+        assert_none_declared_dead(&cluster, since_ms);
         assert!(cluster.simulation.totals().faults.cut > 1_000);
         cluster.heal();
         cluster.run(30_000.0);
@@ -134,13 +138,14 @@
             let mut cluster = VirtualCluster::started(seed, nodes);
             cluster.partition(side);
             cluster.run(20_000.0);
-            for of in 1..nodes {
-                let is_right = |node: usize| {
-                    (cluster.state(of, node) == Some(State::Alive)) == (side(of) == side(node))
+            for viewer in 1..nodes {
+                let is_view_correct = |node: usize| {
+                    (cluster.state(viewer, node) == Some(State::Alive))
+                        == (side(viewer) == side(node))
                 };
                 assert!(
-                    (0..nodes).all(is_right),
-                    "seed {seed}: each side considers exactly its own nodes alive: {of}"
+                    (0..nodes).all(is_view_correct),
+                    "seed {seed}: in the view of n{viewer}, exactly its own side must be alive"
                 );
             }
             cluster.heal();
@@ -157,7 +162,8 @@
             cluster.partition(|node| (node + shift) / 3 % 2);
             cluster.run(1_500.0 * (1 + shift) as f64);
         }
-        // A node that is dead to one side restarts on the other, and another leaves and notifies its own side only.
+        // A node that is dead in the views of one side restarts on the other, and another node
+        // leaves and can notify only its own side.
         cluster.run(6_000.0);
         cluster.start(4);
         cluster
@@ -167,8 +173,8 @@
         cluster.run(4_000.0);
         cluster.heal();
         cluster.agree_within(CONVERGENCE_MS);
-        let before = cluster.simulation.now_ms();
+        let since_ms = cluster.simulation.now_ms();
         cluster.run(20_000.0);
-        assert_none_declared_dead(&cluster, before);
+        assert_none_declared_dead(&cluster, since_ms);
     }
 }
