--- a/crates/gossip/src/anti_entropy.rs
+++ b/crates/gossip/src/anti_entropy.rs
@@ -13,26 +13,26 @@
 const SYNC_BURST: f64 = 8.0;
 const SYNCS_PER_S: f64 = 3.0;
 /// Minimum interval between two death notices to one sender that is dead in this node's table, in
-/// milliseconds. Without the limit, two nodes that have each other as dead would answer each other
-/// endlessly.
+/// milliseconds. Without the limit, two nodes whose tables list each other as dead would answer
+/// each other endlessly.
 const DEATH_NOTICE_INTERVAL_MS: f64 = 200.0;
 /// Minimum interval between two transmissions of all death notices to a dead sender, whichever it
 /// is, in milliseconds, and the maximum number of datagrams in each.
-const HEAL_INTERVAL_MS: f64 = 1_000.0;
-const MAX_HEAL_DATAGRAMS: usize = 6;
+const DEATH_SYNC_INTERVAL_MS: f64 = 1_000.0;
+const MAX_DEATH_SYNC_DATAGRAMS: usize = 6;
 
 /// Rate limits of anti-entropy.
 #[derive(Debug)]
 pub(crate) struct AntiEntropy {
     sync_limit: RateLimit,
-    last_heal_ms: f64,
+    last_death_sync_ms: f64,
 }
 
 impl AntiEntropy {
     pub fn new(now_ms: f64) -> Self {
         Self {
             sync_limit: RateLimit::new(now_ms, SYNC_BURST, SYNCS_PER_S),
-            last_heal_ms: f64::NEG_INFINITY,
+            last_death_sync_ms: f64::NEG_INFINITY,
         }
     }
 }
@@ -68,7 +68,7 @@
 
     /// Answers a datagram of a node that is dead in this node's table. Notifies the sender, so that
     /// it can refute its death, and sends it all death notices: after a partition, other nodes on
-    /// the sender's side are likely to be dead here, too.
+    /// the sender's side are likely to be listed as dead, too.
     pub(crate) fn notify_dead_sender(&mut self, from: PeerId) {
         let now_ms = self.now_ms;
         let Some(peer) = self.peers.get_mut(&from) else {
@@ -82,13 +82,13 @@
         }
         peer.last_death_notice_ms = Some(now_ms);
         self.send(from, &[]); // `write_datagram` adds the death notice of a dead receiver.
-        if now_ms - self.anti_entropy.last_heal_ms < HEAL_INTERVAL_MS {
+        if now_ms - self.anti_entropy.last_death_sync_ms < DEATH_SYNC_INTERVAL_MS {
             return;
         }
-        self.anti_entropy.last_heal_ms = now_ms;
+        self.anti_entropy.last_death_sync_ms = now_ms;
         let records = self.death_records();
         let mut remaining = records.as_slice();
-        for _ in 0..MAX_HEAL_DATAGRAMS {
+        for _ in 0..MAX_DEATH_SYNC_DATAGRAMS {
             if remaining.is_empty() {
                 break;
             }
--- a/crates/gossip/src/dissemination.rs
+++ b/crates/gossip/src/dissemination.rs
@@ -1,8 +1,8 @@
 //! Dissemination of updates about other nodes (alive, dead, left), and how received updates are
 //! applied.
 //!
-//! A death notice is forwarded at once, but takes effect here only after a delay, so that the node
-//! can refute it first.
+//! A death notice is forwarded at once, but changes the receiver's member table only after a delay,
+//! so that the node can refute it first.
 
 use crate::event::{Action, Change, ChangeCause};
 use crate::join::NameSource;
@@ -143,7 +143,7 @@
         self.actions.push(Action::Changed(change));
     }
 
-    /// Handles a report that another node than this one is dead.
+    /// Handles a report that a node other than this one is dead.
     pub(crate) fn receive_death_notice(&mut self, sender: &Sender, notice: DeathNotice) {
         let DeathNotice {
             member,
@@ -262,7 +262,7 @@
         self.report_change(member, state_before, cause);
     }
 
-    /// Handles a report that another node than this one has left.
+    /// Handles a report that a node other than this one has left.
     pub(crate) fn receive_left(&mut self, sender: &Sender, member: MemberId, incarnation: u64) {
         let Some(entry) = self.table.get(member) else {
             return;
--- a/crates/gossip/src/failure_detector.rs
+++ b/crates/gossip/src/failure_detector.rs
@@ -139,8 +139,8 @@
 
 // Silence and suspicion.
 impl Gossip {
-    /// Time for which a subject has been silent towards this node, in milliseconds; `None` if this
-    /// node does not observe it. It counts from the last datagram, the start of the observation or
+    /// Time for which this node has received nothing from a subject, in milliseconds; `None` if it
+    /// does not observe the node. It counts from the last datagram, the start of the observation or
     /// the end of this process's last pause, whichever is latest.
     pub(crate) fn silence_ms(&self, entry: &MemberEntry) -> Option<f64> {
         let observed_since_ms = entry.observed_since_ms?;
--- a/crates/gossip/src/join.rs
+++ b/crates/gossip/src/join.rs
@@ -20,8 +20,8 @@
 /// some seconds, with at most a few hundred datagrams per second. Also the number of random nodes
 /// that are notified when this node leaves.
 const MAX_CONTACTS_PER_TICK: usize = 16;
-/// Number of first contacts of a new address, and the interval between them in milliseconds. After
-/// them the address is contacted in rotation with all addresses without a live node.
+/// Number of initial contacts of a new address, and the interval between them in milliseconds.
+/// After them the address is contacted in rotation with all addresses without a live node.
 const INITIAL_CONTACTS: u32 = 4;
 const INITIAL_CONTACT_INTERVAL_MS: f64 = 1_000.0;
 /// Number of addresses without a live node that are contacted in each probe interval.
@@ -157,10 +157,10 @@
         let Some(peer) = self.peers.get_mut(&address) else {
             return;
         };
-        let before = peer.member.replace(member);
+        let previous = peer.member.replace(member);
         peer.bind_process(process_id);
-        if let Some(before) = before.filter(|before| *before != member) {
-            self.clear_address(before, address);
+        if let Some(previous) = previous.filter(|previous| *previous != member) {
+            self.clear_address(previous, address);
         }
         if let Some(entry) = self.table.get_mut(member) {
             entry.peer = Some(address);
--- a/crates/gossip/src/member.rs
+++ b/crates/gossip/src/member.rs
@@ -1,4 +1,4 @@
-//! A node as this node reports it, and this node's own health.
+//! The reported state of a node, and the health of this node.
 
 use std::fmt;
 
--- a/crates/gossip/src/member_table.rs
+++ b/crates/gossip/src/member_table.rs
@@ -268,7 +268,7 @@
     }
 
     /// Like [`update`](Self::update), for a notice that a node is dead or has left. Such a notice
-    /// has no process id, and a higher incarnation may belong to another process than the known
+    /// has no process id, and a higher incarnation may belong to a process other than the known
     /// one.
     pub fn update_from_notice(
         &mut self,
--- a/crates/gossip/src/node.rs
+++ b/crates/gossip/src/node.rs
@@ -55,7 +55,7 @@
 }
 
 impl Gossip {
-    /// A node whose member table has only itself. `now_ms` is the time since boot; see
+    /// Creates a node whose member table contains only itself. `now_ms` is the time since boot; see
     /// [`handle`](Self::handle).
     #[must_use]
     pub fn new(now_ms: f64, settings: Settings) -> Self {
--- a/crates/gossip/src/quorum.rs
+++ b/crates/gossip/src/quorum.rs
@@ -88,10 +88,10 @@
         let suspicion_timeout_ms = self.settings.suspicion_timeout_ms;
         // For the rule of few survivors, silence counts from the last time at which any node could
         // reach the suspect.
-        let silence_to_all_ms = silence_ms.min(self.now_ms - suspicion.last_reachable_ms);
+        let cluster_silence_ms = silence_ms.min(self.now_ms - suspicion.last_reachable_ms);
         let has_waited = silence_ms >= suspicion_timeout_ms + self.settings.probe_interval_ms;
         has_waited
-            && is_death_confirmed(votes, quorum_size, silence_to_all_ms, suspicion_timeout_ms)
+            && is_death_confirmed(votes, quorum_size, cluster_silence_ms, suspicion_timeout_ms)
     }
 
     /// Doubles the interval between polls while several nodes can reach the suspect: the failure is
@@ -153,7 +153,7 @@
             .iter()
             .all(|id| suspicion.unresponsive.contains(id))
         {
-            // No candidate is left to ask: gives those that did not answer another chance.
+            // No other candidate is left: nodes that did not answer in time are eligible again.
             suspicion.unresponsive.clear();
         }
         let available = candidates.into_iter().filter(|id| is_available(*id));
--- a/crates/gossip/tests/drawn_faults.rs
+++ b/crates/gossip/tests/drawn_faults.rs
@@ -6,7 +6,7 @@
 use testkit::nodes::checker::{schedule_limits, trial};
 use testkit::nodes::VirtualCluster;
 
-/// Number of seeds, which run within a minute. `measure -- members` runs more.
+/// Number of seeds; they run within a minute. `measure -- members` runs more.
 const SEEDS: u64 = 300;
 
 #[test]
--- a/crates/gossip/tests/recorded_stream.rs
+++ b/crates/gossip/tests/recorded_stream.rs
@@ -7,9 +7,9 @@
 const NODES: usize = 9;
 const STEP_MS: f64 = 10.0;
 const STEPS: u32 = 9_000;
-const PAUSED: usize = 3;
-const KILLED: usize = 5;
-const LEAVING: usize = 6;
+const PAUSED_NODE: usize = 3;
+const KILLED_NODE: usize = 5;
+const LEAVING_NODE: usize = 6;
 const LEAVE_MS: f64 = 50_000.0;
 const PAYLOAD_MS: f64 = 55_000.0;
 
@@ -33,8 +33,8 @@
 
 fn is_running(node: usize, now_ms: f64) -> bool {
     match node {
-        PAUSED => !(20_000.0..30_000.0).contains(&now_ms),
-        KILLED => now_ms < 40_000.0,
+        PAUSED_NODE => !(20_000.0..30_000.0).contains(&now_ms),
+        KILLED_NODE => now_ms < 40_000.0,
         _ => true,
     }
 }
@@ -129,7 +129,7 @@
     if now_ms == 0.0 {
         events.push(Event::SetPeers((0..NODES).collect()));
     }
-    if now_ms == LEAVE_MS && node == LEAVING {
+    if now_ms == LEAVE_MS && node == LEAVING_NODE {
         events.push(Event::Leave);
     }
     if now_ms == PAYLOAD_MS && node == 1 {
