--- a/crates/gossip/src/failure_detector.rs
+++ b/crates/gossip/src/failure_detector.rs
@@ -1,8 +1,8 @@
-//! Failure detection: probing observers, and suspecting silent subjects.
+//! Failure detection: probing observers, and suspecting subjects that are silent.
 //!
-//! Each node is observed by a few others (see [`ObserverRings`]), which it probes. An observer that receives nothing from
-//! a subject for the suspicion timeout suspects it; `quorum` then asks the other observers, which answer in
-//! `indirect_probe`.
+//! Each node probes its observers, a few other nodes (see [`ObserverRings`]). An observer that
+//! receives nothing from a subject for the suspicion timeout suspects it. `quorum` then asks the
+//! other observers for their votes, and `indirect_probe` answers such requests.
 
 use crate::event::ChangeCause;
 use crate::indirect_probe::DelegatedProbes;
@@ -16,18 +16,18 @@
 use crate::transport::Sender;
 use crate::wire::Record;
 
-/// Who observes whom, and what is being examined.
+/// The observers and subjects of this node, and the state of its failure detection.
 #[derive(Debug)]
 pub(crate) struct FailureDetector {
     rings: ObserverRings,
     /// Whether the set of live nodes has changed since the rings were built.
-    pub is_stale: bool,
+    pub are_rings_stale: bool,
     /// The nodes that observe this one, sorted.
     pub observers: Vec<MemberId>,
     /// The nodes that this one observes, sorted.
     pub subjects: Vec<MemberId>,
-    /// Since when this process has been receiving without a pause.
-    pub listening_since_ms: f64,
+    /// Time since which this process has run without a pause, in milliseconds since boot.
+    pub running_since_ms: f64,
     pub delegated_probes: DelegatedProbes,
 }
 
@@ -35,22 +35,22 @@
     pub fn new(now_ms: f64) -> Self {
         Self {
             rings: ObserverRings::default(),
-            is_stale: true,
+            are_rings_stale: true,
             observers: Vec::new(),
             subjects: Vec::new(),
-            listening_since_ms: now_ms,
+            running_since_ms: now_ms,
             delegated_probes: DelegatedProbes::new(),
         }
     }
 
-    /// After a pause of the process: silence counts from now.
-    pub fn restart_listening(&mut self, now_ms: f64) {
-        self.listening_since_ms = now_ms;
+    /// Makes the silence of subjects count from now, after a pause of this process.
+    pub fn reset_after_pause(&mut self, now_ms: f64) {
+        self.running_since_ms = now_ms;
         self.delegated_probes.clear();
     }
 }
 
-/// A probe that only shows that the sender is alive, or asks the receiver to show it.
+/// A probe that is not addressed to the receiver as an observer of the sender.
 pub(crate) fn plain_probe(ack_requested: bool) -> Record {
     Record::Probe {
         ack_requested,
@@ -62,7 +62,7 @@
 impl Gossip {
     /// Recomputes observers and subjects if the set of live nodes has changed.
     pub(crate) fn rebuild_rings_if_stale(&mut self) {
-        if !std::mem::take(&mut self.detector.is_stale) {
+        if !std::mem::take(&mut self.detector.are_rings_stale) {
             return;
         }
         let alive: Vec<_> = self
@@ -89,7 +89,7 @@
         }
     }
 
-    /// Whether the cluster is so small that every node observes all others.
+    /// Whether the cluster is so small that every node observes all other nodes.
     fn is_fully_observed(&self) -> bool {
         self.table.alive_count() <= self.settings.observer_count + 1
     }
@@ -115,7 +115,7 @@
         }
     }
 
-    pub(crate) fn note_observer_probe(&mut self, from: MemberId) {
+    pub(crate) fn record_observer_probe(&mut self, from: MemberId) {
         if let Some(entry) = self.table.get_mut(from) {
             entry.last_observer_probe_ms = Some(self.now_ms);
         }
@@ -125,12 +125,12 @@
         let Some(peer) = self.peers.get_mut(&sender.peer) else {
             return;
         };
-        let knew_this_node = std::mem::replace(&mut peer.knows_this_node, !hello_requested);
+        let was_hello_accepted = std::mem::replace(&mut peer.is_hello_accepted, !hello_requested);
         if let Some(entry) = self.table.get_mut(sender.member) {
             entry.last_ack_ms = Some(self.now_ms);
         }
-        if hello_requested || !knew_this_node {
-            // Both know each other at once, and not only after the next probe interval.
+        if hello_requested || !was_hello_accepted {
+            // Completes the introduction in both directions at once, not only with the next probe.
             self.send(sender.peer, &[plain_probe(hello_requested)]);
         }
         self.try_refute();
@@ -139,49 +139,54 @@
 
 // Silence and suspicion.
 impl Gossip {
-    /// For how long this node has received nothing from one that it observes; `None` if it does not observe it.
+    /// Time for which this node has received nothing from a subject, in milliseconds; `None` if it
+    /// does not observe the node. It counts from the last datagram, the start of the observation or
+    /// the end of this process's last pause, whichever is latest.
     pub(crate) fn silence_ms(&self, entry: &MemberEntry) -> Option<f64> {
         let observed_since_ms = entry.observed_since_ms?;
-        // A new subject may not know yet that this node observes it.
-        let is_acquainted = entry
+        // A new subject may not count this node among its observers yet. Until it has probed this
+        // node as one, it gets the suspicion timeout in addition.
+        let is_known_as_observer = entry
             .last_observer_probe_ms
             .is_some_and(|probed| probed >= observed_since_ms);
-        let expected_since_ms = if is_acquainted {
+        let expected_since_ms = if is_known_as_observer {
             observed_since_ms
         } else {
             observed_since_ms + self.settings.suspicion_timeout_ms
         };
-        let listening_since_ms = if self.has_fault(InjectedFault::PauseNotDetected) {
+        let running_since_ms = if self.has_fault(InjectedFault::PauseNotDetected) {
             f64::NEG_INFINITY
         } else {
-            self.detector.listening_since_ms
+            self.detector.running_since_ms
         };
         let last_received_ms = entry.last_received_ms.unwrap_or(f64::NEG_INFINITY);
         let silent_since_ms = last_received_ms
             .max(expected_since_ms)
-            .max(listening_since_ms);
+            .max(running_since_ms);
         Some(self.now_ms - silent_since_ms)
     }
 
-    /// Whether this node receives datagrams from any node: one that does not cannot vote on others.
+    /// Whether this node has received a datagram from any live node within the suspicion timeout
+    /// and since its last pause. If not, the failure may be its own, and it must not vote on other
+    /// nodes.
     pub(crate) fn receives_from_any(&self) -> bool {
         if self.has_fault(InjectedFault::QuorumBypassed) {
             return true;
         }
-        let listening_since_ms = self.detector.listening_since_ms;
+        let running_since_ms = self.detector.running_since_ms;
         let window_ms = self.settings.suspicion_timeout_ms;
         self.table.iter().any(|(id, entry)| {
-            let is_since_pause = entry
+            let is_after_pause = entry
                 .last_received_ms
-                .is_some_and(|received| received >= listening_since_ms);
+                .is_some_and(|received| received >= running_since_ms);
             id != self.id
                 && entry.is_alive()
-                && is_since_pause
+                && is_after_pause
                 && entry.was_received_within(self.now_ms, window_ms)
         })
     }
 
-    /// Drops this node's suspicion against one from which something was received.
+    /// Drops this node's suspicion against a node that is no longer silent.
     pub(crate) fn dismiss_suspicion(&mut self, member: MemberId) {
         let suspicion = self
             .table
@@ -192,7 +197,8 @@
         }
     }
 
-    /// Suspects subjects that have been silent for too long, and pursues open suspicions.
+    /// Suspects subjects that have been silent for the suspicion timeout, and evaluates open
+    /// suspicions.
     pub(crate) fn check_subjects(&mut self) {
         let may_vote = self.receives_from_any();
         for subject in self.detector.subjects.clone() {
@@ -207,15 +213,15 @@
                 continue;
             }
             if entry.suspicion.is_none() {
-                self.suspect(subject, silence_ms);
+                self.start_suspicion(subject, silence_ms);
             }
             if may_vote {
-                self.pursue_suspicion(subject, silence_ms);
+                self.evaluate_suspicion(subject, silence_ms);
             }
         }
     }
 
-    fn suspect(&mut self, subject: MemberId, silence_ms: f64) {
+    fn start_suspicion(&mut self, subject: MemberId, silence_ms: f64) {
         let suspicion = Suspicion::new(self.now_ms, self.settings.probe_interval_ms);
         if let Some(entry) = self.table.get_mut(subject) {
             entry.suspicion = Some(Box::new(suspicion));
