--- a/crates/flow-control/src/lib.rs
+++ b/crates/flow-control/src/lib.rs
@@ -1,20 +1,20 @@
-//! Limits for messages that pass through a node without being held in memory as a whole.
+//! Limits for message bodies that a node buffers or streams.
 //!
-//! A [`MemoryBudget`] is the memory that all buffered messages share: each buffer holds a
+//! A [`MemoryBudget`] is the memory that all buffered bodies share: each buffer holds a
 //! [`Reservation`], which returns its bytes when it is dropped. A [`TransferDeadline`] is the time by
-//! which a peer must have transferred more data, so that a slow peer is waited for and a stalled one is
-//! not.
+//! which a peer must have transferred more data. It distinguishes a slow peer, which may continue, from
+//! a stalled one, which is abandoned.
 //!
-//! The crate has no socket and no clock. Times are milliseconds of any monotonic clock.
+//! The crate uses no sockets and reads no clock. Times are milliseconds of any monotonic clock.
 //!
 //! ```
 //! use flow_control::{MemoryBudget, TransferDeadline};
 //!
 //! let budget = MemoryBudget::new(1024);
-//! let reservation = budget.try_reserve(1000).expect("the budget is unused");
-//! assert!(budget.try_reserve(100).is_none(), "a longer message has to be streamed");
+//! let reservation = budget.try_reserve(1000).expect("reserve 1000 of 1024 unused bytes");
+//! assert!(budget.try_reserve(100).is_none(), "only 24 bytes are available");
 //! drop(reservation);
-//! assert!(budget.try_reserve(100).is_some());
+//! assert!(budget.try_reserve(100).is_some(), "the drop returned 1000 bytes");
 //!
 //! // At least 64 bytes per millisecond, after a grace period of half a second.
 //! let mut deadline = TransferDeadline::new(0.0, 500.0, 64.0);
--- a/crates/flow-control/src/memory_budget.rs
+++ b/crates/flow-control/src/memory_budget.rs
@@ -1,21 +1,21 @@
-//! Memory that buffered messages share.
+//! A memory budget that all buffered bodies share.
 //!
-//! Owns the count of bytes that may still be reserved. Invariant: the bytes of all live reservations and
-//! the available bytes add up to the size of the budget.
+//! Owns the number of bytes that can still be reserved. Invariant: the bytes of all live reservations
+//! and the available bytes add up to the size of the budget.
 
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::sync::Arc;
 
 use bytes::Bytes;
 
-/// A budget of bytes from which buffers are reserved. Clones share one budget.
+/// A budget of bytes from which memory for buffers is reserved. Clones share one budget.
 ///
-/// It bounds memory where the number of messages is ordinary but each of them is long.
+/// It bounds memory even when an ordinary number of messages arrives but each of them is long.
 #[derive(Clone, Debug)]
 pub struct MemoryBudget(Arc<AtomicUsize>);
 
 impl MemoryBudget {
-    /// Creates a budget of `bytes`.
+    /// Creates a budget of `bytes`, all of them available.
     #[must_use]
     pub fn new(bytes: usize) -> Self {
         Self(Arc::new(AtomicUsize::new(bytes)))
@@ -55,8 +55,8 @@
         self.bytes
     }
 
-    /// Reserves `additional` bytes more. Returns `false` and leaves the reservation as it is if fewer are
-    /// available.
+    /// Reserves `additional` more bytes. Returns `false` and leaves the reservation unchanged if fewer
+    /// are available.
     #[must_use]
     pub fn try_grow(&mut self, additional: usize) -> bool {
         let Some(mut growth) = self.budget.try_reserve(additional) else {
@@ -66,7 +66,8 @@
         true
     }
 
-    /// Ties the reservation to `body`: it is released once the last slice of the returned bytes is dropped.
+    /// Attaches the reservation to `body`: it is released when the last slice of the returned bytes is
+    /// dropped.
     #[must_use]
     pub fn attach_to(self, body: Bytes) -> Bytes {
         Bytes::from_owner(ReservedBody {
@@ -82,6 +83,7 @@
     }
 }
 
+/// A body that owns the reservation of its memory.
 struct ReservedBody {
     body: Bytes,
     _reservation: Reservation,
--- a/crates/flow-control/src/memory_budget/tests.rs
+++ b/crates/flow-control/src/memory_budget/tests.rs
@@ -7,19 +7,22 @@
 #[test]
 fn reservation_is_released_with_the_last_slice_of_its_body() {
     let budget = MemoryBudget::new(100);
-    let reservation = budget.try_reserve(60).expect("available");
-    assert!(budget.try_reserve(60).is_none());
+    let reservation = budget.try_reserve(60).expect("reserve 60 of 100 bytes");
+    assert!(budget.try_reserve(60).is_none(), "40 bytes are available");
     let body = reservation.attach_to(Bytes::from_static(b"yes"));
     let slice = body.slice(1..);
     drop(body);
-    assert!(budget.try_reserve(60).is_none(), "a slice is still held");
+    assert!(
+        budget.try_reserve(60).is_none(),
+        "a slice keeps the reservation alive"
+    );
     assert_eq!(slice, "es");
     drop(slice);
-    assert!(budget.try_reserve(100).is_some());
+    assert!(budget.try_reserve(100).is_some(), "all bytes are available");
 }
 
 proptest! {
-    /// Reserved and available bytes add up to the budget after every step, in every order.
+    /// Reserved and available bytes add up to the budget after every step, whatever the order of steps.
     #[test]
     fn reserved_and_available_bytes_add_up_in_any_order(
         steps in proptest::collection::vec((0..3_u8, 0..50_usize, any::<usize>()), 0..100),
--- a/crates/flow-control/src/transfer_rate.rs
+++ b/crates/flow-control/src/transfer_rate.rs
@@ -1,31 +1,32 @@
 //! Minimum transfer rates: the time by which a peer must have transferred more data.
 //!
-//! Owns the rate limits of streamed bodies and the stall timeout of responses. Invariant: a peer that
-//! keeps to the minimum rate never reaches its deadline, however its data is split.
+//! Owns the minimum rates of uploads and streamed bodies and the stall timeout of responses. Invariant:
+//! a peer that keeps to the minimum rate never reaches its deadline, however its data is split.
 
-/// Minimum rate of a request body from a client: three quarters of the rate of the slowest clients.
+/// Minimum rate of a request body that a client uploads: three quarters of the rate of the slowest
+/// clients.
 const MIN_UPLOAD_BYTES_PER_MS: f64 = 48.0;
-/// Grace period of an upload, for clients that start late.
+/// Grace period of an upload, for clients that begin to send late.
 const UPLOAD_GRACE_MS: f64 = 1_500.0;
 /// Minimum rate of a streamed body between two peers that may both be slow: an eighth of the rate of the
-/// slowest clients. It bounds the longest message that can be streamed to two hours.
+/// slowest clients. At this rate the longest body that can be streamed takes less than two hours.
 const MIN_STREAMING_BYTES_PER_MS: f64 = 8.0;
-/// Grace period of a streamed body: a peer may pause for several seconds.
+/// Grace period of a streamed body, for peers that pause for several seconds.
 const STREAMING_GRACE_MS: f64 = 5_000.0;
 /// Lower bound of the stall timeout of a response: several round trips between data centers.
 pub const MIN_RESPONSE_STALL_MS: f64 = 250.0;
-/// Upper bound of the stall timeout: a server that has sent nothing for this long has stalled, whatever
-/// time the request has left.
+/// Upper bound of the stall timeout of a response: a server that has sent nothing for this long has
+/// stalled, however much time the request has left.
 pub const MAX_RESPONSE_STALL_MS: f64 = 1_500.0;
 /// Fraction of a request's remaining time that may be spent on a stalled response. The rest is left for
 /// a retry.
 const RESPONSE_STALL_FRACTION: f64 = 1.0 / 3.0;
 
-/// Returns how long a response may stall before its attempt is given up, while nothing of it has been
+/// Returns how long a response may stall before its attempt is abandoned, while none of it has been
 /// forwarded and the request has `remaining_ms` left.
 ///
-/// A response that never ends would leave no time for a retry; a fixed short timeout would give up
-/// servers that are merely slow.
+/// Without this timeout, a response that never ends would leave no time for a retry. A short timeout for
+/// all requests would abandon servers that are merely slow.
 #[must_use]
 pub fn response_stall_timeout_ms(remaining_ms: f64) -> f64 {
     (remaining_ms * RESPONSE_STALL_FRACTION).clamp(MIN_RESPONSE_STALL_MS, MAX_RESPONSE_STALL_MS)
@@ -41,14 +42,18 @@
 }
 
 impl TransferDeadline {
-    /// Starts the deadline of a body at `now_ms`, with `grace_ms` ahead of the minimum rate.
+    /// Starts the deadline of a body whose transfer begins at `now_ms`. The peer may be up to `grace_ms`
+    /// behind the minimum rate.
     ///
     /// # Panics
     ///
     /// `min_bytes_per_ms` is not positive.
     #[must_use]
     pub fn new(now_ms: f64, grace_ms: f64, min_bytes_per_ms: f64) -> Self {
-        assert!(min_bytes_per_ms > 0.0, "a minimum rate is positive");
+        assert!(
+            min_bytes_per_ms > 0.0,
+            "minimum transfer rate must be positive, got {min_bytes_per_ms} bytes/ms"
+        );
         Self {
             due_ms: now_ms + grace_ms,
             min_bytes_per_ms,
@@ -72,7 +77,7 @@
         self.due_ms += bytes as f64 / self.min_bytes_per_ms;
     }
 
-    /// Excludes `paused_ms` during which the transfer waited for something other than this peer.
+    /// Excludes a pause of `paused_ms` in which the transfer waited for something other than this peer.
     pub fn exclude_pause(&mut self, paused_ms: f64) {
         self.due_ms += paused_ms.max(0.0);
     }
--- a/crates/flow-control/src/transfer_rate/tests.rs
+++ b/crates/flow-control/src/transfer_rate/tests.rs
@@ -5,7 +5,7 @@
 use super::*;
 
 #[test]
-fn stalled_response_leaves_time_for_a_retry() {
+fn response_stall_timeout_leaves_time_for_a_retry() {
     assert_eq!(response_stall_timeout_ms(300.0), MIN_RESPONSE_STALL_MS);
     assert_eq!(response_stall_timeout_ms(1_500.0), 500.0);
     assert_eq!(response_stall_timeout_ms(6_000.0), MAX_RESPONSE_STALL_MS);
@@ -16,9 +16,9 @@
 }
 
 proptest! {
-    /// A peer at the minimum rate never reaches its deadline, however its data is split; a slower one does.
+    /// A peer at the minimum rate never reaches its deadline, however its data is split; a slower peer does.
     #[test]
-    fn peer_at_the_minimum_rate_is_never_due(
+    fn peer_at_minimum_rate_never_reaches_its_deadline(
         chunks in proptest::collection::vec(1..100_000_usize, 1..100),
         slowdown in 0.1..1.0_f64,
     ) {
@@ -30,7 +30,8 @@
             deadline.record_bytes(*bytes);
             prop_assert!(
                 (deadline.due_ms() - now_ms - grace_ms).abs() < 1e-3,
-                "the grace period is not used up"
+                "the grace period must stay unused: deadline {} ms at {now_ms} ms",
+                deadline.due_ms()
             );
         }
         let mut slow_deadline = TransferDeadline::new(0.0, grace_ms, min_rate);
@@ -40,6 +41,7 @@
             slow_deadline.record_bytes((100.0 * min_rate * slowdown * 0.9) as usize);
             steps += 1;
         }
-        prop_assert!(steps < 1_000_000, "a slower peer is due in the end");
+        prop_assert!(steps < 1_000_000, "a slower peer must reach its deadline, due at {} ms",
+            slow_deadline.due_ms());
     }
 }
