--- a/src/node/downstream/body_stream.rs
+++ b/src/node/downstream/body_stream.rs
@@ -1,8 +1,9 @@
-//! Bodies that are streamed from one peer to the other: a [`BodySender`] takes chunks from the peer that writes, a
-//! [`BodyReceiver`] gives them to the peer that reads. One chunk is buffered between them, so neither side gets ahead.
+//! Bodies that are streamed from one peer to another: a [`BodySender`] accepts the chunks that one peer sends, and a
+//! [`BodyReceiver`] returns them for the other peer. One chunk is buffered between them, so that the sender cannot get
+//! ahead of the receiver.
 //!
-//! A sender that is dropped without [`BodySender::finish`] truncates the body, and the receiver reports an error: a truncated
-//! body is never taken for a complete one.
+//! Dropping a sender without [`BodySender::finish`] truncates the body, and the receiver reports an error: a truncated body
+//! is never mistaken for a complete one.
 
 use std::cell::RefCell;
 use std::pin::Pin;
@@ -17,22 +18,22 @@
 use tokio::sync::mpsc;
 use tokio::time::Instant;
 
-/// Chunks buffered between sender and receiver: one is being written while the next is read.
+/// Number of chunks buffered between sender and receiver: one is written while the next is read.
 const CHANNEL_CAPACITY: usize = 1;
 
-/// How long the end of a body may wait for the receiver.
+/// Maximum time that the end of a body waits for the receiver.
 const FINISH_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// Why a body that was being read did not complete.
+/// Why a body could not be streamed to its end.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum StreamError {
-    /// The connection that it was read from failed.
+    /// The connection that the body is read from failed.
     Connection(ConnectionError),
-    /// The receiver that it was streamed to was dropped, or reads below the minimum transfer rate.
+    /// The receiver was dropped, or reads more slowly than the minimum transfer rate.
     ReceiverGone,
 }
 
-/// A body ended before it was complete. The peer that it is written to must be able to tell.
+/// Error for a body that ended before it was complete. The peer that receives the body must be able to detect this.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Truncated;
 
@@ -46,7 +47,7 @@
 
 enum Chunk {
     Data(Bytes),
-    /// Explicit, as a sender that is dropped may have been abandoned midway.
+    /// The end of the body. It is sent explicitly because a sender may also be dropped before the body is complete.
     End,
 }
 
@@ -57,30 +58,31 @@
 pub struct BodySender {
     chunks: mpsc::Sender<Chunk>,
     started: Instant,
-    /// When the receiver must have taken the next chunk.
+    /// Deadline for the receiver to make room for the next chunk, in milliseconds since `started`.
     deadline: TransferDeadline,
-    /// When the last chunk was taken, in milliseconds since `started`.
-    last_taken_ms: f64,
+    /// When the last send ended, in milliseconds since `started`.
+    last_send_ended_ms: f64,
 }
 
 /// The reading half of a streamed body.
 #[derive(Debug)]
 pub struct BodyReceiver {
     chunks: mpsc::Receiver<Chunk>,
-    /// How many bytes are still to be received, where the length was announced.
+    /// Number of bytes still to be received; `None` if the length was not announced.
     remaining_bytes: Option<u64>,
 }
 
-/// A request's body that is streamed, with a buffered prefix. Until an attempt has requested more than the prefix, another
-/// attempt can send the body from its beginning.
+/// A streamed request body with a buffered prefix. Until an attempt takes more than the prefix, another attempt can send the
+/// body from its beginning.
 #[derive(Debug)]
 pub struct Upload {
     prefix: Bytes,
+    /// What follows the prefix; `None` once an attempt has taken it.
     rest: RefCell<Option<BodyReceiver>>,
 }
 
 impl Upload {
-    /// A body that begins with `prefix`.
+    /// Creates a body that begins with `prefix`; `rest` receives what follows it.
     #[must_use]
     pub fn new(prefix: Bytes, rest: BodyReceiver) -> Self {
         Self {
@@ -89,33 +91,33 @@
         }
     }
 
-    /// Whether an attempt has taken more than the prefix, so that no other can send the body.
+    /// Returns whether an attempt has taken more than the prefix, so that no other attempt can send the body.
     #[must_use]
     pub fn is_consumed(&self) -> bool {
         self.rest.borrow().is_none()
     }
 
-    /// The length in bytes, where it was announced and the rest has not been taken.
+    /// Returns the length in bytes; `None` if it was not announced or the rest has been taken.
     #[must_use]
     pub fn total_bytes(&self) -> Option<u64> {
         let remaining = self.rest.borrow().as_ref()?.remaining_bytes()?;
         Some(remaining + self.prefix.len() as u64)
     }
 
-    /// The buffered beginning.
+    /// Returns the buffered beginning of the body.
     #[must_use]
     pub fn prefix(&self) -> Bytes {
         self.prefix.clone()
     }
 
-    /// Takes what follows the prefix; `None` if an attempt has taken it.
+    /// Takes what follows the prefix; `None` if an attempt has already taken it.
     #[must_use]
     pub fn take_rest(&self) -> Option<BodyReceiver> {
         self.rest.borrow_mut().take()
     }
 }
 
-/// Both halves of a body, with its length in bytes where that was announced.
+/// Creates both halves of a streamed body. `total_bytes` is its length if that was announced.
 #[must_use]
 pub fn body_stream(total_bytes: Option<u64>) -> (BodySender, BodyReceiver) {
     let (sender, chunks) = mpsc::channel(CHANNEL_CAPACITY);
@@ -123,7 +125,7 @@
         chunks: sender,
         started: Instant::now(),
         deadline: TransferDeadline::for_streaming(0.0),
-        last_taken_ms: 0.0,
+        last_send_ended_ms: 0.0,
     };
     let receiver = BodyReceiver {
         chunks,
@@ -133,27 +135,29 @@
 }
 
 impl BodySender {
-    /// Sends a chunk, once the receiver has taken the one before. Empty chunks are skipped.
+    /// Sends a chunk, after the receiver has taken the previous one. Empty chunks are skipped.
     ///
-    /// Not cancel safe: a chunk may be lost with the future.
+    /// Not cancel safe: if the future is dropped, the chunk may be lost.
     ///
     /// # Errors
     ///
-    /// [`StreamError::ReceiverGone`] if the receiver was dropped, or reads below the minimum transfer rate: a peer that reads a byte now
-    /// and then would hold the other's connection for as long as it likes.
+    /// [`StreamError::ReceiverGone`] if the receiver was dropped, or reads more slowly than the minimum transfer rate: a peer
+    /// that reads a few bytes at a time could otherwise occupy the other peer's connection indefinitely.
     pub async fn send(&mut self, chunk: Bytes) -> Result<(), StreamError> {
         if chunk.is_empty() {
             return Ok(());
         }
         let now_ms = self.now_ms();
-        // Time spent waiting for the peer that writes does not count against the one that reads.
-        self.deadline.exclude_pause(now_ms - self.last_taken_ms);
+        // Time spent waiting for the peer that sends the body does not count against the peer that receives it.
+        self.deadline
+            .exclude_pause(now_ms - self.last_send_ended_ms);
         let bytes = chunk.len();
         let timeout = Duration::from_secs_f64((self.deadline.due_ms() - now_ms).max(0.0) / 1e3);
-        let sent = tokio::time::timeout(timeout, self.chunks.send(Chunk::Data(chunk))).await;
-        self.last_taken_ms = self.now_ms();
+        let result = tokio::time::timeout(timeout, self.chunks.send(Chunk::Data(chunk))).await;
+        self.last_send_ended_ms = self.now_ms();
         self.deadline.record_bytes(bytes);
-        sent.ok()
+        result
+            .ok()
             .and_then(Result::ok)
             .ok_or(StreamError::ReceiverGone)
     }
@@ -166,7 +170,7 @@
     ///
     /// # Errors
     ///
-    /// None at present: a receiver that knows the length needs no end, and may be gone.
+    /// Currently none: a receiver that knows the length does not need the end marker, and may already be dropped.
     pub async fn finish(self) -> Result<(), StreamError> {
         let _ = tokio::time::timeout(FINISH_TIMEOUT, self.chunks.send(Chunk::End)).await;
         Ok(())
@@ -174,19 +178,19 @@
 }
 
 impl BodyReceiver {
-    /// How many bytes are still to be received, where the length was announced.
+    /// Returns the number of bytes still to be received; `None` if the length was not announced.
     #[must_use]
     pub fn remaining_bytes(&self) -> Option<u64> {
         self.remaining_bytes
     }
 
-    /// Whether all bytes of an announced length have been received.
+    /// Returns whether all bytes of an announced length have been received.
     fn has_received_all(&self) -> bool {
         self.remaining_bytes == Some(0)
     }
 
-    /// Polls for the next frame. Yields [`Truncated`] if the sender was dropped, or the body is longer or shorter than
-    /// announced.
+    /// Polls for the next frame. Yields [`Truncated`] if the sender was dropped before the end of the body, or if the body is
+    /// longer or shorter than announced.
     pub fn poll(&mut self, cx: &mut Context<'_>) -> Poll<NextFrame> {
         let chunk = std::task::ready!(self.chunks.poll_recv(cx));
         Poll::Ready(match chunk {
@@ -207,36 +211,36 @@
 /// How a streamed response body ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum StreamEnd {
-    /// All of it has been handed to the client's connection.
+    /// The whole body has been handed to the client's connection.
     Complete,
-    /// The server's part ended before the body was complete.
+    /// The server's response ended before the body was complete.
     Truncated,
-    /// The client left.
-    ClientLeft,
+    /// The client disconnected, or its connection was closed, before the body was complete.
+    ClientDisconnected,
 }
 
 /// The body of a response to a client.
 pub enum ResponseStream {
     /// The complete body.
     Buffered(Full<Bytes>),
-    /// A body that is streamed, and a callback for its end.
+    /// A streamed body, and a callback that is called once when it ends.
     Streamed(BodyReceiver, Option<Box<dyn FnOnce(StreamEnd)>>),
 }
 
 impl ResponseStream {
-    /// A complete body.
+    /// Creates a body that is complete.
     #[must_use]
     pub fn buffered(body: Bytes) -> Self {
         Self::Buffered(Full::new(body))
     }
 
-    /// A streamed body. `on_end` is called once, at its end or when the body is dropped.
+    /// Creates a streamed body. `on_end` is called once, when the body ends or is dropped.
     #[must_use]
     pub fn streamed(body: BodyReceiver, on_end: impl FnOnce(StreamEnd) + 'static) -> Self {
         Self::Streamed(body, Some(Box::new(on_end)))
     }
 
-    /// A body of static text.
+    /// Creates a body from a static text.
     #[must_use]
     pub fn text(text: &'static str) -> Self {
         Self::buffered(Bytes::from_static(text.as_bytes()))
@@ -252,13 +256,14 @@
 }
 
 impl Drop for ResponseStream {
-    /// hyper does not poll for the end of a body once all bytes of its announced length have been read.
+    /// Reports the end if that has not happened yet: hyper does not poll for the end of a body once it has read all bytes of
+    /// the announced length.
     fn drop(&mut self) {
         if let Self::Streamed(receiver, _) = self {
             let end = if receiver.has_received_all() {
                 StreamEnd::Complete
             } else {
-                StreamEnd::ClientLeft
+                StreamEnd::ClientDisconnected
             };
             self.report_end(end);
         }
--- a/src/node/downstream/body_stream/tests.rs
+++ b/src/node/downstream/body_stream/tests.rs
@@ -17,7 +17,7 @@
     )
 }
 
-/// A client must not take a part of a response for all of it.
+/// Guards against a client that mistakes a truncated response for a complete one.
 #[tokio::test]
 async fn truncated_response_yields_error_to_client() {
     for total_bytes in [None, Some(4), Some(2)] {
@@ -25,45 +25,66 @@
         sender
             .send(Bytes::from_static(b"ab"))
             .await
-            .expect("it is read");
-        assert!(response.frame().await.expect("a piece").is_ok());
+            .expect("the receiver is open");
+        assert!(response
+            .frame()
+            .await
+            .expect("the body has a first frame")
+            .is_ok());
         drop(sender);
         assert_eq!(
-            response.frame().await.expect("an error").err(),
+            response
+                .frame()
+                .await
+                .expect("truncation yields a frame")
+                .err(),
             Some(Truncated),
-            "{total_bytes:?}"
+            "second frame with announced length {total_bytes:?}"
         );
         assert_eq!(stream_end.get(), Some(StreamEnd::Truncated));
     }
     // A body that is longer or shorter than announced is truncated, too.
-    for pieces in [&b"abc"[..], b"a"] {
+    for body in [&b"abc"[..], b"a"] {
         let (mut sender, mut response, stream_end) = response_stream(Some(2));
         sender
-            .send(Bytes::from_static(pieces))
+            .send(Bytes::from_static(body))
             .await
-            .expect("it is read");
-        let fed = tokio::spawn(sender.finish());
+            .expect("the receiver is open");
+        let finish_task = tokio::spawn(sender.finish());
         let collected = (&mut response).collect().await;
-        assert!(collected.is_err());
+        assert!(
+            collected.is_err(),
+            "a body of {} bytes must fail: 2 were announced",
+            body.len()
+        );
         assert_eq!(stream_end.get(), Some(StreamEnd::Truncated));
-        fed.await.expect("it ends").expect("in order");
+        finish_task
+            .await
+            .expect("the finish task ends without a panic")
+            .expect("finish reports no error");
     }
 }
 
 #[tokio::test]
-async fn complete_response_is_reported_with_and_without_polling_its_end() {
+async fn complete_response_is_reported_with_or_without_polled_end() {
     let (mut sender, response, stream_end) = response_stream(None);
-    let feeding = async {
+    let sending = async {
         sender
             .send(Bytes::from_static(b"ab"))
             .await
-            .expect("it is read");
-        sender.send(Bytes::new()).await.expect("it is read");
-        sender.finish().await.expect("it is read");
+            .expect("the receiver is open");
+        sender
+            .send(Bytes::new())
+            .await
+            .expect("an empty chunk is skipped");
+        sender.finish().await.expect("finish reports no error");
     };
-    let (body, ()) = tokio::join!(response.collect(), feeding);
+    let (body, ()) = tokio::join!(response.collect(), sending);
     assert_eq!(
-        (body.expect("whole").to_bytes().as_ref(), stream_end.get()),
+        (
+            body.expect("the response is complete").to_bytes().as_ref(),
+            stream_end.get()
+        ),
         (&b"ab"[..], Some(StreamEnd::Complete))
     );
     // hyper does not poll for the end once all announced bytes have been read.
@@ -71,45 +92,57 @@
     sender
         .send(Bytes::from_static(b"ab"))
         .await
-        .expect("it is read");
-    assert!(response.frame().await.expect("a piece").is_ok());
+        .expect("the receiver is open");
+    assert!(response
+        .frame()
+        .await
+        .expect("the body has a first frame")
+        .is_ok());
     drop(response);
     assert_eq!(stream_end.get(), Some(StreamEnd::Complete));
-    assert!(sender.finish().await.is_ok());
+    assert!(
+        sender.finish().await.is_ok(),
+        "finish succeeds after the receiver is dropped"
+    );
 }
 
-/// Neither may a server be read for a client that has left, nor a slow client grow the memory.
+/// Guards against reading a server's response for a client that has disconnected, and against buffering without bound for a
+/// slow client.
 #[tokio::test(start_paused = true)]
-async fn chunk_waits_for_client_and_fails_once_client_left() {
+async fn chunk_waits_for_client_and_fails_once_it_disconnects() {
     let (mut sender, response, stream_end) = response_stream(Some(9));
     sender
         .send(Bytes::from_static(b"ab"))
         .await
-        .expect("there is room for one");
+        .expect("one chunk is buffered");
     let second = sender.send(Bytes::from_static(b"cd"));
-    let waits = tokio::time::timeout(Duration::from_secs(4), second).await;
-    assert!(waits.is_err(), "and for no more");
+    let result = tokio::time::timeout(Duration::from_secs(4), second).await;
+    assert!(result.is_err(), "the second chunk waits for the client");
     drop(response);
-    assert_eq!(stream_end.get(), Some(StreamEnd::ClientLeft));
+    assert_eq!(stream_end.get(), Some(StreamEnd::ClientDisconnected));
     assert_eq!(
         sender.send(Bytes::from_static(b"ef")).await,
         Err(StreamError::ReceiverGone)
     );
 }
 
-/// A peer may not read a little now and then for as long as it likes; time in which there was nothing to read does not count.
+/// Guards against a peer that occupies a connection indefinitely by reading a few bytes at a time. Time in which there is
+/// nothing to read does not count against the receiver.
 #[tokio::test(start_paused = true)]
-async fn slow_receiver_is_abandoned_and_waiting_receiver_is_not() {
+async fn slow_receiver_is_abandoned_but_waiting_receiver_is_not() {
     let (mut sender, mut receiver) = body_stream(None);
     for _ in 0..100 {
         tokio::time::sleep(Duration::from_secs(60)).await;
         sender
             .send(Bytes::from_static(b"x"))
             .await
-            .expect("it is taken at once");
-        assert!(std::future::poll_fn(|cx| receiver.poll(cx)).await.is_some());
+            .expect("a chunk after a pause is accepted at once");
+        assert!(
+            std::future::poll_fn(|cx| receiver.poll(cx)).await.is_some(),
+            "the receiver yields the chunk"
+        );
     }
-    let drips = async {
+    let slow_reading = async {
         while std::future::poll_fn(|cx| receiver.poll(cx))
             .await
             .is_some_and(|next| next.is_ok())
@@ -117,13 +150,13 @@
             tokio::time::sleep(Duration::from_secs(4)).await;
         }
     };
-    let feeding = async move {
-        let mut fed = 0;
-        while sender.send(Bytes::from_static(b"xx")).await.is_ok() && fed < 1_000 {
-            fed += 1;
+    let sending = async move {
+        let mut sent = 0;
+        while sender.send(Bytes::from_static(b"xx")).await.is_ok() && sent < 1_000 {
+            sent += 1;
         }
-        fed
+        sent
     };
-    let ((), fed) = tokio::join!(drips, feeding);
-    assert!(fed < 10, "{fed} pieces in 4 s each");
+    let ((), sent) = tokio::join!(slow_reading, sending);
+    assert!(sent < 10, "{sent} chunks were sent at one per 4 s");
 }
--- a/src/node/downstream/mod.rs
+++ b/src/node/downstream/mod.rs
@@ -1,5 +1,5 @@
 //! The client side of the node: accepts connections, parses requests, and sends the final responses. [`server`] owns the
-//! state that connections share; the connection table bounds their number and lifetime.
+//! state that connections share; the connection table bounds their number and how long they stay open.
 
 pub(in crate::node) mod body_stream;
 mod connection;
--- a/src/node/downstream/response.rs
+++ b/src/node/downstream/response.rs
@@ -82,7 +82,7 @@
                 match end {
                     StreamEnd::Complete => in_flight.finish(outcome),
                     StreamEnd::Truncated => in_flight.finish(RequestOutcome::Failed),
-                    StreamEnd::ClientLeft => drop(in_flight),
+                    StreamEnd::ClientDisconnected => drop(in_flight),
                 }
             })
         }
