--- a/src/node/downstream/connection.rs
+++ b/src/node/downstream/connection.rs
@@ -1,5 +1,5 @@
-//! One client connection: runs hyper's HTTP/1 state machine over the socket, and closes it when the client leaves, the
-//! connection table requests it, or the node shuts down.
+//! One client connection: runs hyper's HTTP/1 state machine over the socket, and closes it when the client disconnects, the
+//! connection table requests a close, or the node shuts down.
 
 use std::cell::Cell;
 use std::convert::Infallible;
@@ -24,22 +24,24 @@
 use crate::node::downstream::shutdown::{linger, CloseMode, Phase};
 use crate::node::downstream::socket::Socket;
 
-/// Size of hyper's buffer: the limit on a request's head, and the most that is read of a body at a time.
+/// Size of hyper's buffer: limits the head of a request, and how much of a body is read at a time.
 const MAX_BUFFER_BYTES: usize = 32 * 1024;
 
-/// How hyper's part of a connection ended.
+/// How the serving of requests on a connection ended.
 #[derive(PartialEq)]
 enum ConnectionEnd {
-    /// The client closed it, a response was its last, or it was closed while idle.
+    /// The client closed the connection, the last response has been written, or the connection was closed while idle.
     Graceful,
-    /// Nobody is left to read what remains to be written.
+    /// The client disconnected, or the connection must be dropped without waiting for the client.
     Aborted,
 }
 
 /// Serves one connection until it is closed.
 pub(super) async fn run(stream: TcpStream, state: Rc<ServerState>, guard: ConnectionGuard) {
     if let Err(error) = stream.set_nodelay(true) {
-        return log::line(format_args!("cannot set up a connection: {error}"));
+        return log::line(format_args!(
+            "cannot set TCP_NODELAY on a client connection: {error}"
+        ));
     }
     let socket = Socket::new(stream, guard);
     if serve_requests(&socket, &state).await == ConnectionEnd::Graceful {
@@ -60,23 +62,23 @@
     let mut connection = pin!(connection);
     let mut phases = state.options.phases.clone();
     let mut shutdown = pin!(phases.wait_for(Phase::is_shutting_down));
-    let mut client_left = pin!(socket.client_left());
+    let mut client_disconnected = pin!(socket.client_disconnected());
     let mut is_shutting_down = false;
     loop {
         tokio::select! {
             biased;
             result = connection.as_mut() => {
                 if let Some(error) = result.err().filter(hyper::Error::is_parse) {
-                    log::line(format_args!("a client's message is malformed: {error}"));
+                    log::line(format_args!("malformed request from a client: {error}"));
                 }
                 return ConnectionEnd::Graceful;
             }
-            () = client_left.as_mut() => return ConnectionEnd::Aborted,
-            // An idle connection is closed, and later bytes on it are discarded. A request in progress is answered; one of
-            // which a part has arrived is served once it is complete, and its response is the last.
+            () = client_disconnected.as_mut() => return ConnectionEnd::Aborted,
+            // An idle connection is closed, and bytes that arrive later are discarded. A request in progress is answered. A
+            // request that has arrived only in part is served once it is complete. Its response is the last in either case.
             _ = &mut shutdown, if !is_shutting_down => {
                 is_shutting_down = true;
-                if matches!(tracked.stage(), Stage::Request | Stage::Response) || socket.is_idle() {
+                if matches!(tracked.stage(), Stage::ServingRequest | Stage::SendingResponse) || socket.is_idle() {
                     connection.as_mut().graceful_shutdown();
                 }
             }
@@ -94,7 +96,7 @@
     }
 }
 
-/// Produces the response to the request with this number on the connection, counted from one.
+/// Produces the response to a request. `number` is the request's position on the connection, counted from one.
 async fn serve_request(
     request: Request<Incoming>,
     number: u64,
@@ -112,7 +114,7 @@
     } else {
         handle_request(request, state, tracked).await
     };
-    tracked.enter(Stage::Response);
+    tracked.enter(Stage::SendingResponse);
     tracked.set_streaming(matches!(response.body(), ResponseStream::Streamed(..)));
     let must_close = state.connection_policy() > ConnectionPolicy::KeepAlive
         || socket.framing.borrow().must_be_last(number);
--- a/src/node/downstream/connection_table.rs
+++ b/src/node/downstream/connection_table.rs
@@ -1,6 +1,6 @@
-//! The table of clients' connections. It owns the state of every open connection, bounds their number, and decides which one
-//! is asked to close: because it exceeds a timeout, because too few slots are free, or to make room for a new connection. A
-//! connection with a request in progress is never asked to.
+//! The table of client connections. It owns the state of every open connection, bounds their number, and decides which
+//! connection to close: because it exceeds a timeout, because too few slots are free, or to make room for a new connection.
+//! A connection with a request in progress is never closed for these reasons.
 
 mod eviction;
 mod idle_queue;
@@ -20,32 +20,33 @@
 use self::reuse_estimate::ReuseEstimate;
 pub use self::tracked_connection::{Stage, TrackedConnection};
 
-/// How often timeouts and free slots are checked.
+/// Interval at which timeouts and free slots are checked.
 const CHECK_INTERVAL: Duration = Duration::from_millis(100);
-/// How long a new connection waits for an evicted one to close before the next one is evicted.
+/// How long a new connection waits for a free slot before another connection is evicted.
 const EVICTION_RETRY_INTERVAL: Duration = Duration::from_millis(5);
 
-/// Clients hold at most this fraction of a node's descriptors for requests, as numerator and denominator of the table's
-/// size; the table has half of the descriptors.
+/// Fraction of the table's size, as numerator and denominator, that clients can occupy with connections for requests. The
+/// table's size is half of the node's descriptors.
 const CLIENT_SHARE: (usize, usize) = (2, 3);
-/// One in this many of the connections that clients may hold is kept free for the next request: several times what is in
-/// transit in either direction at a time. During a graceful shutdown clients get no further connections; at all times they
-/// get no more than their share of the descriptors.
-const FREE_FRACTION: usize = 6;
-/// The same while connections with a single request are idle: most of these are never used again, and they limit how many
-/// clients can send a request at a time.
-const FREE_FRACTION_OF_SINGLE_USE: usize = 2;
+/// One in this many of the connections that clients can occupy is kept free for the next request. This is several times the
+/// number of requests and responses in transit at a time. Free connections are needed because clients get no further
+/// connections during a graceful shutdown, and at no time more than their share of the descriptors.
+const FREE_CONNECTION_DIVISOR: usize = 6;
+/// The divisor while connections with a single request are idle. It keeps more connections free: most of the idle ones are
+/// never used again, and they limit how many clients can send a request at a time.
+const FREE_CONNECTION_DIVISOR_SINGLE_USE: usize = 2;
 
-/// How many used connections may be open before idle ones are closed.
+/// Numbers of used connections above which idle connections are closed.
 struct IdleLimits {
-    /// Before connections with a single request are closed.
+    /// Limit above which idle connections with a single request are closed.
     single_use: usize,
-    /// Before reused connections are closed, too.
+    /// Limit above which idle connections with several requests are closed, too.
     reused: usize,
 }
 
-/// All connections of clients.
+/// All connections from clients.
 pub struct ConnectionTable {
+    /// Size of the table: the limit on open connections.
     max_connections: usize,
     next_id: Cell<u64>,
     connections: RefCell<HashMap<u64, Rc<TrackedConnection>>>,
@@ -53,19 +54,19 @@
     idle_single_use: RefCell<IdleQueue>,
     /// Connections that became idle after a later request.
     idle_reused: RefCell<IdleQueue>,
-    /// Whether connections are kept because a client could not replace one that is closed.
+    /// Whether idle connections are kept because clients could not replace closed ones.
     is_retaining: Cell<bool>,
-    /// Connections on which a request has been received.
+    /// Number of open connections on which a request has been received.
     used_connections: Cell<usize>,
     reuse: ReuseEstimate,
-    /// Whether a new connection waits for a slot.
+    /// Whether a new connection is waiting for a slot.
     is_slot_awaited: Cell<bool>,
     /// Notified when a connection leaves the table.
     slot_freed: Notify,
 }
 
 impl ConnectionTable {
-    /// An empty table for at most `max_connections`.
+    /// Creates an empty table for at most `max_connections`.
     #[must_use]
     pub fn new(max_connections: usize) -> Rc<Self> {
         Rc::new(Self {
@@ -83,7 +84,7 @@
     }
 
     /// Waits for a slot and reserves it for a new connection. While the table is full, the first connection in the order of
-    /// eviction is asked to close, or the next response closes its connection. This bounds the node's descriptors.
+    /// eviction is asked to close, or the next response closes its connection. This bounds the node's open descriptors.
     ///
     /// Cancel safe: a slot is reserved only when the future completes.
     pub async fn reserve_slot(self: &Rc<Self>) -> ConnectionGuard {
@@ -105,8 +106,8 @@
         }
     }
 
-    /// From now on keeps idle connections that are within their timeouts: clients get no further connections to this node,
-    /// and need the ones they have.
+    /// Stops closing idle connections that are within their timeouts: clients get no further connections to this node, and
+    /// need those that are open.
     pub fn retain_connections(&self) {
         self.is_retaining.set(true);
     }
@@ -131,28 +132,28 @@
     fn idle_limits(&self) -> IdleLimits {
         let share = self.max_connections * CLIENT_SHARE.0 / CLIENT_SHARE.1;
         IdleLimits {
-            single_use: share - share / FREE_FRACTION_OF_SINGLE_USE,
-            reused: share - share / FREE_FRACTION,
+            single_use: share - share / FREE_CONNECTION_DIVISOR_SINGLE_USE,
+            reused: share - share / FREE_CONNECTION_DIVISOR,
         }
     }
 
-    /// Whether the response that is about to be sent should be the last on its connection. Announced in a response, the
-    /// close loses no request.
+    /// Returns whether the response that is about to be sent should be the last on its connection. A close that is announced
+    /// in a response loses no request.
     ///
-    /// Clients that send one request and keep their connection would together hold all that clients may, and the next ones
-    /// would find none. Where a new connection waits for a slot, the first caller closes its connection for it, and the next
-    /// ones only while it still waits.
+    /// Clients that send one request and keep their connection open would together occupy all connections that clients can
+    /// have, and leave none for other clients. If a new connection is waiting for a slot, the first caller closes its
+    /// connection; later callers do so only if the new connection is still waiting at its next attempt.
     #[must_use]
     pub fn should_close_after_response(&self, connection: &TrackedConnection) -> bool {
         if self.is_retaining.get() {
             return false;
         }
         let is_crowded = self.used_connections.get() > self.idle_limits().single_use
-            && self.reuse.does_closing_free_slots();
+            && self.reuse.closing_frees_slots();
         self.is_slot_awaited.take() || (is_crowded && connection.request_count() <= 1)
     }
 
-    /// Counts connections that were not reused within [`eviction::MIN_IDLE_BEFORE_CLOSE`] in the reuse estimate.
+    /// Records connections in the reuse estimate that were not used again within [`eviction::MIN_IDLE_BEFORE_CLOSE`].
     fn record_unused_connections(&self, now: Instant) {
         for connection in self.connections.borrow().values() {
             let is_single_use =
@@ -166,8 +167,8 @@
         }
     }
 
-    /// Asks connections that have been idle for long to close, the longest first, while too few slots are free. Those that
-    /// have been reused are likelier to be used again, and go last.
+    /// While too few slots are free, asks idle connections to close, those that have been idle for longest first. Connections
+    /// with several requests are more likely to be used again, and are closed last.
     fn close_idle_above_limits(&self, now: Instant) {
         if self.is_retaining.get() {
             return;
@@ -179,17 +180,17 @@
             (&self.idle_reused, limits.reused),
         ] {
             while used_connections > limit {
-                let Some(longest) = queue.borrow_mut().pop_longest(now) else {
+                let Some(connection) = queue.borrow_mut().pop_longest_idle(now) else {
                     break;
                 };
-                longest.request_close();
+                connection.request_close();
                 used_connections -= 1;
             }
         }
     }
 
-    /// Asks the first connection in the order of eviction to close. If that one has been idle only for a short time, none is
-    /// asked: it goes later, or a response closes its connection.
+    /// Asks the first connection in the order of eviction to close. If that connection has been idle only for a short time,
+    /// none is asked: a later call evicts it, or the next response closes its connection.
     fn evict_one(&self) {
         let (connections, now) = (self.connections.borrow(), Instant::now());
         let first = connections
@@ -204,26 +205,27 @@
         }
     }
 
-    /// Whether so many of the used connections have a request in progress that the next client may find none free.
+    /// Returns whether so many of the used connections have a request in progress that the next request of a client may find
+    /// no free connection.
     ///
-    /// A draining node rejects requests then. Clients get no further connections to it: a client that finds none free takes
-    /// the node for failed, and abandons all of its open requests. This holds for clients whose connections cannot grow in
-    /// number: behind a load balancer that drains, or at a limit of their own. Where each client has one connection and
-    /// never needs another, a few are rejected that could have been served.
+    /// A draining node rejects requests in this state. Clients get no further connections to the node. A client that finds no
+    /// free connection considers the node failed, and abandons all of its open requests. This applies to clients whose number
+    /// of connections cannot grow: behind a load balancer that drains, or at a limit of their own. Where each client has one
+    /// connection and never needs another, a few requests are rejected that could have been served.
     #[must_use]
-    pub fn are_few_free(&self) -> bool {
+    pub fn has_few_free_connections(&self) -> bool {
         let (mut busy, mut free) = (0, 0);
         for connection in self.connections.borrow().values() {
             match connection.stage() {
-                Stage::Request | Stage::Response => busy += 1,
+                Stage::ServingRequest | Stage::SendingResponse => busy += 1,
                 Stage::Idle => free += 1,
-                Stage::Silent | Stage::Head | Stage::Lingering => {}
+                Stage::New | Stage::ReceivingHead | Stage::Lingering => {}
             }
         }
-        free < (busy + free) / FREE_FRACTION
+        free < (busy + free) / FREE_CONNECTION_DIVISOR
     }
 
-    /// Enforces timeouts and keeps slots free, for as long as it is polled; never returns. `policy` is evaluated at each check.
+    /// Enforces timeouts and keeps slots free while it is polled; never returns. `policy` is evaluated at each check.
     pub async fn enforce_limits(&self, policy: impl Fn() -> ConnectionPolicy) {
         let mut ticks = tokio::time::interval(CHECK_INTERVAL);
         ticks.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
@@ -252,26 +254,26 @@
 pub struct ConnectionGuard {
     table: Rc<ConnectionTable>,
     id: u64,
-    /// The state of the connection.
+    /// The state of the connection that occupies the slot.
     pub connection: Rc<TrackedConnection>,
 }
 
 impl ConnectionGuard {
     /// Records that the head of a request is complete.
     pub fn begin_request(&self) {
-        self.connection.enter(Stage::Request);
+        self.connection.enter(Stage::ServingRequest);
         self.table.record_request(&self.connection);
     }
 
-    /// Records that everything written so far has been flushed; returns whether that was the end of a response. The
-    /// connection is idle then.
+    /// Records that everything written so far has been flushed. Returns whether this completed a response; the connection is
+    /// then idle.
     pub fn record_flushed(&self) -> bool {
-        let is_end = self.connection.is_response_complete();
-        if is_end {
+        let is_complete = self.connection.is_response_complete();
+        if is_complete {
             self.connection.enter(Stage::Idle);
             self.table.record_idle(&self.connection);
         }
-        is_end
+        is_complete
     }
 }
 
--- a/src/node/downstream/connection_table/idle_queue.rs
+++ b/src/node/downstream/connection_table/idle_queue.rs
@@ -7,14 +7,14 @@
 use crate::node::downstream::connection_table::eviction::MIN_IDLE_BEFORE_CLOSE;
 use crate::node::downstream::connection_table::tracked_connection::TrackedConnection;
 
-/// A connection and the instant at which it became idle.
+/// A connection and the time at which it became idle.
 struct IdleEntry {
     connection: Rc<TrackedConnection>,
     since: Instant,
 }
 
-/// Connections that became idle, the longest first. An entry whose connection has received a request since is stale, and is
-/// skipped when it is reached.
+/// Connections that became idle, the one that has been idle for longest first. An entry is stale if its connection has been
+/// active since; stale entries are skipped when they are reached.
 #[derive(Default)]
 pub(super) struct IdleQueue(VecDeque<IdleEntry>);
 
@@ -31,16 +31,17 @@
         });
     }
 
-    /// Removes and returns the connection that has been idle for longest, if that is at least [`MIN_IDLE_BEFORE_CLOSE`] and
-    /// it has not been asked to close.
-    pub(super) fn pop_longest(&mut self, now: Instant) -> Option<Rc<TrackedConnection>> {
+    /// Removes and returns the connection that has been idle for longest, among those that have not been asked to close. `None`
+    /// if it has been idle for less than [`MIN_IDLE_BEFORE_CLOSE`].
+    pub(super) fn pop_longest_idle(&mut self, now: Instant) -> Option<Rc<TrackedConnection>> {
         while let Some(IdleEntry { connection, since }) = self.0.front() {
-            let is_current = connection.has_idled_since(*since) && !connection.is_close_requested();
-            if is_current && now.saturating_duration_since(*since) < MIN_IDLE_BEFORE_CLOSE {
+            let is_candidate =
+                connection.has_idled_since(*since) && !connection.is_close_requested();
+            if is_candidate && now.saturating_duration_since(*since) < MIN_IDLE_BEFORE_CLOSE {
                 return None;
             }
             let entry = self.0.pop_front()?;
-            if is_current {
+            if is_candidate {
                 return Some(entry.connection);
             }
         }
--- a/src/node/downstream/connection_table/tracked_connection.rs
+++ b/src/node/downstream/connection_table/tracked_connection.rs
@@ -1,4 +1,4 @@
-//! One connection in the table: its stage, how long it may remain in it, and the request to close it.
+//! One connection in the table: its stage, the stage's timeout, and the request to close the connection.
 
 use std::cell::Cell;
 use std::time::{Duration, Instant};
@@ -6,32 +6,32 @@
 use admin::ConnectionPolicy;
 use tokio::sync::Notify;
 
-/// How long a client may take over a request's head, from the first byte to the last; over the first head on a connection,
-/// from connecting. Slow clients take 2 s; one that takes longer holds a slot for nothing.
+/// Maximum time from the first byte of a request's head to the last; for the first head on a connection, from the accept. Slow
+/// clients take 2 s; a client that takes longer occupies a slot to no purpose.
 const HEAD_TIMEOUT: Duration = Duration::from_millis(2_400);
-/// How long a client may stop reading its response. Slow clients take seconds over one.
+/// Maximum time without progress in writing a response. Slow clients take several seconds to read a response.
 const RESPONSE_STALL_TIMEOUT: Duration = Duration::from_secs(5);
-/// How long a connection may stay idle between requests. Many clients never send another.
+/// Maximum idle time between requests. Many clients never send a second request.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(10);
-/// How long an idle connection stays open under [`ConnectionPolicy::CloseIdle`]: a request that was already on its way
-/// arrives within this time.
+/// Time within which a request that is in transit arrives. A new or idle connection stays open for this long under
+/// [`ConnectionPolicy::CloseIdle`], and a new connection without received bytes has stalled after it.
 pub(super) const REQUEST_ARRIVAL_TIME: Duration = Duration::from_millis(100);
 
-/// What a connection is doing.
+/// What happens on a connection at present.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Stage {
-    /// Nothing has been received.
-    Silent,
+    /// The connection has been accepted and no bytes have been received.
+    New,
     /// A part of a request's head has been received.
-    Head,
-    /// A request is in progress: its body is being read, or it is being served. It has a deadline of its own, and the
+    ReceivingHead,
+    /// A request is in progress: its body is being read, or it is being served. The request has its own deadline, and the
     /// connection is never evicted.
-    Request,
+    ServingRequest,
     /// A response is being written.
-    Response,
-    /// Between two requests.
+    SendingResponse,
+    /// The connection is between two requests.
     Idle,
-    /// The last response has been written; what the client still sends is discarded.
+    /// The last response has been written; bytes that the client still sends are discarded.
     Lingering,
 }
 
@@ -39,24 +39,25 @@
 #[derive(Debug)]
 pub struct TrackedConnection {
     stage: Cell<Stage>,
-    /// When the stage began, or a response last made progress.
+    /// When the stage began, or when a response last made progress.
     stage_since: Cell<Instant>,
     /// When bytes of a head were last received.
     last_received: Cell<Instant>,
-    /// Whether more of the response is to come than has been written.
+    /// Whether the response's body is still being streamed.
     is_streaming: Cell<bool>,
+    /// Number of requests that have been received on the connection.
     request_count: Cell<u64>,
-    /// Whether the connection has been counted in the reuse estimate.
+    /// Whether the connection has been recorded in the reuse estimate.
     is_reuse_recorded: Cell<bool>,
     is_close_requested: Cell<bool>,
     close_request: Notify,
 }
 
 impl TrackedConnection {
-    /// A connection that has just been accepted.
+    /// Creates the state of a connection that has just been accepted.
     pub(super) fn new() -> Self {
         Self {
-            stage: Cell::new(Stage::Silent),
+            stage: Cell::new(Stage::New),
             stage_since: Cell::new(Instant::now()),
             last_received: Cell::new(Instant::now()),
             is_streaming: Cell::new(false),
@@ -67,32 +68,32 @@
         }
     }
 
-    /// The current stage.
+    /// Returns the current stage.
     #[must_use]
     pub fn stage(&self) -> Stage {
         self.stage.get()
     }
 
-    /// When the stage began, or a response last made progress.
+    /// Returns when the stage began, or when a response last made progress.
     pub(super) fn stage_since(&self) -> Instant {
         self.stage_since.get()
     }
 
-    /// When bytes of a head were last received.
+    /// Returns when bytes of a head were last received.
     pub(super) fn last_received(&self) -> Instant {
         self.last_received.get()
     }
 
-    /// Requests that have been received on the connection.
+    /// Returns the number of requests that have been received on the connection.
     pub(super) fn request_count(&self) -> u64 {
         self.request_count.get()
     }
 
-    /// Enters a stage. This withdraws a request to close the connection, as it has made progress since.
+    /// Enters a stage. This withdraws a request to close the connection, which has made progress since that request.
     pub fn enter(&self, stage: Stage) {
         let now = Instant::now();
-        // The first head's timeout counts from connecting: silence before it does not extend it.
-        if (self.stage.replace(stage), stage) != (Stage::Silent, Stage::Head) {
+        // The timeout of the first head counts from the accept: a late first byte does not extend it.
+        if (self.stage.replace(stage), stage) != (Stage::New, Stage::ReceivingHead) {
             self.stage_since.set(now);
         }
         self.last_received.set(now);
@@ -102,54 +103,55 @@
     /// Records that bytes have been received from the client.
     pub fn record_received(&self) {
         match self.stage.get() {
-            Stage::Silent | Stage::Idle => self.enter(Stage::Head),
-            Stage::Head => self.last_received.set(Instant::now()),
-            Stage::Request | Stage::Response | Stage::Lingering => {}
+            Stage::New | Stage::Idle => self.enter(Stage::ReceivingHead),
+            Stage::ReceivingHead => self.last_received.set(Instant::now()),
+            Stage::ServingRequest | Stage::SendingResponse | Stage::Lingering => {}
         }
     }
 
-    /// Records that the client has taken bytes of its response.
+    /// Records that bytes of the response have been written to the socket.
     pub fn record_written(&self) {
-        if self.stage.get() == Stage::Response {
+        if self.stage.get() == Stage::SendingResponse {
             self.stage_since.set(Instant::now());
         }
     }
 
-    /// Sets whether more of the response is to come than has been written.
+    /// Sets whether the response's body is still being streamed.
     pub fn set_streaming(&self, is_streaming: bool) {
         self.is_streaming.set(is_streaming);
     }
 
-    /// Whether all that has been written is all of the response.
+    /// Returns whether the bytes written so far are the complete response.
     pub(super) fn is_response_complete(&self) -> bool {
-        self.stage.get() == Stage::Response && !self.is_streaming.get()
+        self.stage.get() == Stage::SendingResponse && !self.is_streaming.get()
     }
 
-    /// Counts a request; returns how many there have been.
+    /// Counts a request. Returns the number of requests so far, including this one.
     pub(super) fn count_request(&self) -> u64 {
         self.request_count.set(self.request_count.get() + 1);
         self.request_count.get()
     }
 
-    /// Marks the connection as counted in the reuse estimate; `false` if it already was.
+    /// Marks the connection as recorded in the reuse estimate. Returns `false` if it was marked already.
     pub(super) fn mark_reuse_recorded(&self) -> bool {
         !self.is_reuse_recorded.replace(true)
     }
 
-    /// Whether it has been idle since this instant, without a request in between.
+    /// Returns whether the connection became idle at `since` and has been idle without interruption.
     pub(super) fn has_idled_since(&self, since: Instant) -> bool {
         self.stage.get() == Stage::Idle && self.stage_since.get() == since
     }
 
-    /// Whether the connection should close. Progress since the request withdraws it.
+    /// Returns whether the connection should close. Entering a stage withdraws the request.
     #[must_use]
     pub fn is_close_requested(&self) -> bool {
         self.is_close_requested.get()
     }
 
-    /// Waits for a request to close the connection. It may have been withdrawn since: check [`Self::is_close_requested`].
+    /// Waits for a request to close the connection. The request may have been withdrawn since: check
+    /// [`Self::is_close_requested`].
     ///
-    /// Cancel safe: a request that arrives while nobody waits completes the next call.
+    /// Cancel safe: a request that is made while no caller waits completes the next call.
     pub async fn close_requested(&self) {
         self.close_request.notified().await;
     }
@@ -160,20 +162,20 @@
         self.close_request.notify_one();
     }
 
-    /// Whether the connection has remained in its stage, without progress, for longer than `policy` permits.
+    /// Returns whether the connection has been in its stage without progress for longer than `policy` permits.
     pub(super) fn has_timed_out(&self, now: Instant, policy: ConnectionPolicy) -> bool {
         now.saturating_duration_since(self.stage_since.get()) > self.stage_timeout(policy)
     }
 
     fn stage_timeout(&self, policy: ConnectionPolicy) -> Duration {
         match self.stage.get() {
-            Stage::Silent | Stage::Idle if policy == ConnectionPolicy::CloseIdle => {
+            Stage::New | Stage::Idle if policy == ConnectionPolicy::CloseIdle => {
                 REQUEST_ARRIVAL_TIME
             }
-            Stage::Silent | Stage::Head => HEAD_TIMEOUT,
-            Stage::Response => RESPONSE_STALL_TIMEOUT,
+            Stage::New | Stage::ReceivingHead => HEAD_TIMEOUT,
+            Stage::SendingResponse => RESPONSE_STALL_TIMEOUT,
             Stage::Idle => IDLE_TIMEOUT,
-            Stage::Request | Stage::Lingering => Duration::MAX,
+            Stage::ServingRequest | Stage::Lingering => Duration::MAX,
         }
     }
 }
--- a/src/node/downstream/request_handler.rs
+++ b/src/node/downstream/request_handler.rs
@@ -169,7 +169,7 @@
 /// never does: clients connect to the other process.
 fn must_keep_connections_free(state: &ServerState) -> bool {
     let is_draining = matches!(state.phase(), Phase::Draining(_));
-    is_draining && !state.options.is_listener_shared && state.table.are_few_free()
+    is_draining && !state.options.is_listener_shared && state.table.has_few_free_connections()
 }
 
 fn upstream_message(head: Parts, body: RequestBody, sent_attempts: Counter) -> UpstreamRequest {
--- a/src/node/downstream/shutdown.rs
+++ b/src/node/downstream/shutdown.rs
@@ -76,11 +76,13 @@
         has_unread_bytes: impl Fn() -> bool,
     ) -> Self {
         match stage {
-            Stage::Request => Self::KeepOpen,
+            Stage::ServingRequest => Self::KeepOpen,
             Stage::Idle if is_idle() => Self::Graceful,
             Stage::Idle => Self::KeepOpen,
-            Stage::Silent | Stage::Head if has_unread_bytes() => Self::KeepOpen,
-            Stage::Silent | Stage::Head | Stage::Response | Stage::Lingering => Self::Abort,
+            Stage::New | Stage::ReceivingHead if has_unread_bytes() => Self::KeepOpen,
+            Stage::New | Stage::ReceivingHead | Stage::SendingResponse | Stage::Lingering => {
+                Self::Abort
+            }
         }
     }
 }
--- a/src/node/downstream/shutdown/tests.rs
+++ b/src/node/downstream/shutdown/tests.rs
@@ -11,11 +11,11 @@
     for is_idle in [false, true] {
         for has_unread_bytes in [false, true] {
             let mode = |stage| choose(stage, is_idle, has_unread_bytes);
-            assert_eq!(mode(Stage::Request), KeepOpen);
-            assert_eq!(mode(Stage::Response), Abort);
+            assert_eq!(mode(Stage::ServingRequest), KeepOpen);
+            assert_eq!(mode(Stage::SendingResponse), Abort);
             assert_eq!(mode(Stage::Lingering), Abort);
             assert_eq!(mode(Stage::Idle), if is_idle { Graceful } else { KeepOpen });
-            for stage in [Stage::Silent, Stage::Head] {
+            for stage in [Stage::New, Stage::ReceivingHead] {
                 assert_eq!(
                     mode(stage),
                     if has_unread_bytes { KeepOpen } else { Abort },
--- a/src/node/downstream/socket.rs
+++ b/src/node/downstream/socket.rs
@@ -1,5 +1,5 @@
-//! A client's socket. It reports received and written bytes to the connection's framing and its entry in the table, and
-//! detects that the client has left while a request is being served.
+//! A client's socket. It reports received bytes to the connection's framing, reports received and written bytes to the
+//! connection's entry in the table, and detects that the client has disconnected while a request is being served.
 
 use std::cell::RefCell;
 use std::future::{poll_fn, Future};
@@ -18,13 +18,14 @@
 use crate::node::downstream::connection_table::{ConnectionGuard, Stage, TrackedConnection};
 use crate::node::downstream::framing::Framing;
 
-/// Bytes that are read ahead of hyper, which does not notice that a client has left while it holds bytes of the next
-/// request. Clients send one request at a time; one that sends more than this is polled without being read.
+/// Limit on the bytes that are read ahead of hyper, which does not notice that a client has disconnected while it holds bytes
+/// of the next request. Clients normally send one request at a time. For a client that sends more than this limit, the
+/// socket's state is polled instead of reading from it.
 const MAX_READ_AHEAD_BYTES: usize = 16 * 1024;
-/// How often such a client is polled: no attempt may begin for a client that left 100 ms ago.
+/// Interval at which the socket of such a client is polled: no attempt may begin for a client that disconnected 100 ms ago.
 const CLOSE_POLL_INTERVAL: Duration = Duration::from_millis(40);
 
-/// A client's socket. hyper and the connection's task each hold a clone, so that it outlives hyper's use of it.
+/// A client's socket. hyper and the connection's task each hold a clone, so that the socket outlives hyper's use of it.
 #[derive(Clone)]
 pub struct Socket {
     stream: Rc<RefCell<TcpStream>>,
@@ -34,12 +35,12 @@
     pub framing: Rc<RefCell<Framing>>,
     /// The connection's entry in the table.
     pub connection: Rc<TrackedConnection>,
-    /// Keeps the slot in the table.
+    /// Holds the connection's slot in the table.
     pub guard: Rc<ConnectionGuard>,
 }
 
 impl Socket {
-    /// The socket of a connection that has just been accepted.
+    /// Creates the socket of a connection that has just been accepted.
     #[must_use]
     pub fn new(stream: TcpStream, guard: ConnectionGuard) -> Self {
         Self {
@@ -51,8 +52,9 @@
         }
     }
 
-    /// Whether no part of a request has been received since the last one ended. Asks the kernel, too: the event loop may not
-    /// have reported a request that arrived in the turn in which its connection is to be closed.
+    /// Returns whether no part of a request has been received since the previous request ended. Also checks the kernel's
+    /// receive buffer: the event loop may not have reported a request yet that arrived in the iteration in which its
+    /// connection is to be closed.
     #[must_use]
     pub fn is_idle(&self) -> bool {
         let has_partial_request =
@@ -60,7 +62,7 @@
         !has_partial_request && !self.has_unread_bytes()
     }
 
-    /// Whether the kernel holds received bytes that have not been read.
+    /// Returns whether the kernel holds received bytes that have not been read.
     #[must_use]
     pub fn has_unread_bytes(&self) -> bool {
         let mut byte = [std::mem::MaybeUninit::uninit()];
@@ -68,21 +70,21 @@
         matches!(peeked, Ok(bytes) if bytes > 0)
     }
 
-    /// Waits until the client has left while its request is being served; at other times hyper detects it. A client that
-    /// shuts down its sending half has left, whatever it would still read.
+    /// Waits until the client disconnects while its request is being served; at other times hyper detects this. A client that
+    /// shuts down its sending half counts as disconnected, even if it would still read.
     ///
-    /// Must be polled in the same task as hyper. Without it, attempts could begin for a client that sent more than one
-    /// request, or a flood, and left.
-    pub async fn client_left(&self) {
+    /// Must be polled in the same task as hyper. Without this check, attempts could begin for a client that sent more than one
+    /// request, or a flood of bytes, and then disconnected.
+    pub async fn client_disconnected(&self) {
         let mut next_poll: Option<Pin<Box<Sleep>>> = None;
         poll_fn(|cx| match self.connection.stage() {
-            Stage::Request => self.poll_client_left(cx, &mut next_poll),
+            Stage::ServingRequest => self.poll_client_disconnected(cx, &mut next_poll),
             _ => Poll::Pending,
         })
         .await;
     }
 
-    fn poll_client_left(
+    fn poll_client_disconnected(
         &self,
         cx: &mut Context<'_>,
         next_poll: &mut Option<Pin<Box<Sleep>>>,
@@ -99,7 +101,7 @@
             }
         }
         loop {
-            // The event loop reports a closed sending half even while bytes are unread.
+            // The event loop reports that the client closed its sending half even while received bytes are unread.
             let ready = pin!(stream.ready(Interest::READABLE)).poll(cx);
             if matches!(ready, Poll::Ready(Ok(ready)) if ready.is_read_closed()) {
                 return Poll::Ready(());
@@ -117,7 +119,7 @@
         }
     }
 
-    /// Reads what has been read ahead, then from the stream.
+    /// Returns bytes that have been read ahead or, if there are none, reads from the stream.
     fn poll_read_buffered(
         &self,
         cx: &mut Context<'_>,
@@ -176,10 +178,10 @@
         self.stream.borrow().is_write_vectored()
     }
 
-    /// hyper flushes once it has written all that it holds: the response is complete then.
+    /// hyper flushes once it has written everything it has buffered, so the end of a response is recorded here.
     fn poll_flush(self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<io::Result<()>> {
         if self.guard.record_flushed() && !self.read_ahead.borrow().is_empty() {
-            // hyper waits for the stream to become readable, which it will not for bytes that have been read ahead.
+            // hyper waits for the stream to become readable, which does not happen for bytes that have been read ahead.
             cx.waker().wake_by_ref();
         }
         Pin::new(&mut *self.stream.borrow_mut()).poll_flush(cx)
