--- a/src/node/downstream/framing.rs
+++ b/src/node/downstream/framing.rs
@@ -1,30 +1,30 @@
-//! Tracks where clients' messages begin and end as their bytes are received, beside hyper, which hides a part of it: hyper
-//! drops a `Content-Length` beside `Transfer-Encoding`, and the second of two equal ones. Where two parsers could see
-//! different ends of a message, one may take another's body for a request (request smuggling).
+//! Tracks where clients' messages begin and end as their bytes are received. hyper alone is not enough: it drops a
+//! `Content-Length` beside a `Transfer-Encoding`, and the second of two equal `Content-Length` headers. Where two parsers
+//! could disagree on the end of a message, one of them may parse a part of its body as a request (request smuggling).
 
-/// Bytes kept of a line: enough for the name and value of a header that concerns framing.
+/// Number of bytes kept of each line in a head: enough for the name and value of a header that determines the framing.
 const MAX_KEPT_LINE_BYTES: usize = 64;
 
-/// Follows the messages on a connection from head to head.
+/// Framing of the messages that have been received on a connection.
 #[derive(Debug, Default)]
 pub struct Framing {
     position: Position,
-    /// Heads that are complete.
-    heads: u64,
-    /// Whether the length of the latest message is ambiguous.
+    /// Number of complete heads that have been received.
+    head_count: u64,
+    /// Whether the length of the latest message is ambiguous. Never reset: no message follows such a message.
     is_ambiguous: bool,
-    /// Whether the latest message has a transfer encoding, so that only hyper knows its end.
+    /// Whether the latest message has a transfer encoding, so that only hyper can determine its end. Never reset.
     is_encoded: bool,
 }
 
-/// What the next byte belongs to.
+/// The part of a message to which the next byte belongs.
 #[derive(Debug)]
 enum Position {
     Head(Head),
     Body {
         remaining_bytes: u64,
     },
-    /// Only hyper knows: the message must be the last on its connection.
+    /// Only hyper can determine the end of the message, which must be the last on its connection.
     Unknown,
 }
 
@@ -34,14 +34,16 @@
     }
 }
 
-/// What has been received of a head.
+/// State of a head that has been received in part.
 #[derive(Debug)]
 struct Head {
+    /// The beginning of the current line.
     line: [u8; MAX_KEPT_LINE_BYTES],
+    /// Number of bytes in `line`.
     kept_bytes: usize,
     has_request_line: bool,
     content_length_count: usize,
-    /// The value of the last `Content-Length`, if it is valid.
+    /// The value of the last `Content-Length`, in bytes; `None` if it is invalid.
     content_length: Option<u64>,
     has_transfer_encoding: bool,
 }
@@ -60,7 +62,7 @@
 }
 
 impl Head {
-    /// Whether parsers could disagree on the length of the body.
+    /// Returns whether parsers could disagree on the length of the body.
     fn is_ambiguous(&self) -> bool {
         match (self.content_length_count, self.content_length) {
             (0, _) => false,
@@ -98,7 +100,7 @@
     }
 
     fn end_head(&mut self, head: &Head) {
-        self.heads += 1;
+        self.head_count += 1;
         self.is_ambiguous |= head.is_ambiguous();
         self.is_encoded |= head.has_transfer_encoding;
         self.position = match head.content_length.unwrap_or(0) {
@@ -108,38 +110,39 @@
         };
     }
 
-    /// Whether nothing of a message has been received since the last one ended.
+    /// Returns whether no byte of a message has been received since the previous message ended.
     #[must_use]
     pub fn is_between_messages(&self) -> bool {
         matches!(&self.position, Position::Head(head) if head.kept_bytes == 0 && !head.has_request_line)
     }
 
-    /// Whether parsers could disagree on the end of message `number`, counted from one.
+    /// Returns whether parsers could disagree on the end of message `number`, counted from one.
     #[must_use]
     pub fn is_ambiguous(&self, number: u64) -> bool {
-        self.is_ambiguous && number >= self.heads
+        self.is_ambiguous && number >= self.head_count
     }
 
-    /// Whether nothing after message `number` may be taken for a request.
+    /// Returns whether message `number` must be the last on its connection, because bytes after it must not be parsed as a
+    /// request.
     #[must_use]
     pub fn must_be_last(&self, number: u64) -> bool {
-        (self.is_ambiguous || self.is_encoded) && number >= self.heads
+        (self.is_ambiguous || self.is_encoded) && number >= self.head_count
     }
 }
 
-/// Progress of a head after some bytes.
+/// Result of passing received bytes to a head.
 struct LineProgress {
     consumed_bytes: usize,
     ends_head: bool,
 }
 
 impl Head {
-    /// Consumes bytes up to the end of a line.
+    /// Consumes bytes up to the end of a line, or all of them if no line ends.
     fn push(&mut self, bytes: &[u8]) -> LineProgress {
         let newline = bytes.iter().position(|byte| *byte == b'\n');
-        let piece = &bytes[..newline.unwrap_or(bytes.len())];
-        let kept = piece.len().min(MAX_KEPT_LINE_BYTES - self.kept_bytes);
-        self.line[self.kept_bytes..self.kept_bytes + kept].copy_from_slice(&piece[..kept]);
+        let chunk = &bytes[..newline.unwrap_or(bytes.len())];
+        let kept = chunk.len().min(MAX_KEPT_LINE_BYTES - self.kept_bytes);
+        self.line[self.kept_bytes..self.kept_bytes + kept].copy_from_slice(&chunk[..kept]);
         self.kept_bytes += kept;
         match newline {
             None => LineProgress {
@@ -153,7 +156,7 @@
         }
     }
 
-    /// Parses the line that is complete; returns whether the head ends with it.
+    /// Parses the complete line. Returns whether it ends the head.
     fn end_line(&mut self) -> bool {
         let kept = self.line;
         let line = kept[..std::mem::take(&mut self.kept_bytes)].trim_ascii_end();
@@ -175,7 +178,7 @@
             self.has_transfer_encoding = true;
         } else if name.eq_ignore_ascii_case(b"content-length") {
             self.content_length_count += 1;
-            // Digits only: the parser of integers accepts a sign.
+            // Only digits are valid; the integer parser would also accept a sign.
             let digits = Some(value).filter(|value| value.iter().all(u8::is_ascii_digit));
             self.content_length = digits
                 .and_then(|digits| std::str::from_utf8(digits).ok())
--- a/src/node/downstream/framing/tests.rs
+++ b/src/node/downstream/framing/tests.rs
@@ -1,46 +1,53 @@
 use super::*;
 
-const BOTH: &str = "POST / HTTP/1.1\r\nTransfer-Encoding: chunked\r\ncontent-length: 4\r\n\r\n";
+/// A head with both headers that determine the length.
+const HEAD_WITH_BOTH_LENGTHS: &str =
+    "POST / HTTP/1.1\r\nTransfer-Encoding: chunked\r\ncontent-length: 4\r\n\r\n";
 
-fn framing_of(text: &str, piece: usize) -> Framing {
+fn framing_of(text: &str, chunk_bytes: usize) -> Framing {
     let mut framing = Framing::default();
     text.as_bytes()
-        .chunks(piece)
+        .chunks(chunk_bytes)
         .for_each(|bytes| framing.push(bytes));
     framing
 }
 
-/// A second length must be detected wherever the message is split.
+/// Guards against a second length that is missed because of where the received bytes are split.
 #[test]
-fn framing_of_message_split_anywhere_is_the_same() {
+fn framing_does_not_depend_on_where_messages_are_split() {
     let unambiguous =
         "POST / HTTP/1.1\r\nContent-Length: 5\r\n\r\na\n\r\nb\r\nGET / HTTP/1.1\r\n\r\n";
-    let twice = "POST / HTTP/1.1\r\nContent-Length: 1\r\nContent-Length: 1\r\n\r\na";
-    for piece in 1..=unambiguous.len() {
-        let framing = framing_of(unambiguous, piece);
+    let two_lengths = "POST / HTTP/1.1\r\nContent-Length: 1\r\nContent-Length: 1\r\n\r\na";
+    for chunk_bytes in 1..=unambiguous.len() {
+        let framing = framing_of(unambiguous, chunk_bytes);
         assert_eq!(
             (
-                framing.heads,
+                framing.head_count,
                 framing.is_ambiguous(2),
                 framing.must_be_last(2)
             ),
-            (2, false, false)
+            (2, false, false),
+            "two requests in chunks of {chunk_bytes} bytes"
+        );
+        let framing = framing_of(
+            &format!("{unambiguous}{HEAD_WITH_BOTH_LENGTHS}"),
+            chunk_bytes,
         );
-        let framing = framing_of(&format!("{unambiguous}{BOTH}"), piece);
         assert_eq!(
             (framing.is_ambiguous(2), framing.is_ambiguous(3)),
-            (false, true)
+            (false, true),
+            "an ambiguous third request in chunks of {chunk_bytes} bytes"
         );
-        assert!(framing_of(twice, piece).is_ambiguous(1));
+        assert!(framing_of(two_lengths, chunk_bytes).is_ambiguous(1));
     }
 }
 
-/// A header must be detected after a line that is too long to be kept.
+/// Guards against a header that is missed after a line, or in a line, that is too long to be kept.
 #[test]
-fn framing_header_after_overlong_line_is_detected() {
+fn framing_header_with_overlong_lines_is_detected() {
     let long = "x".repeat(10 * MAX_KEPT_LINE_BYTES);
     assert!(framing_of(
-        &BOTH.replacen("\r\n", &format!("\r\nCookie: {long}\r\n"), 1),
+        &HEAD_WITH_BOTH_LENGTHS.replacen("\r\n", &format!("\r\nCookie: {long}\r\n"), 1),
         7
     )
     .is_ambiguous(1));
@@ -50,7 +57,7 @@
     );
     assert!(
         framing_of(&padded, 7).is_ambiguous(1),
-        "its length is not known"
+        "the length is beyond the kept bytes"
     );
 }
 
