--- a/src/node/downstream/request_body.rs
+++ b/src/node/downstream/request_body.rs
@@ -1,4 +1,4 @@
-//! Uploads: reads a request's body from its client, buffers as much as the limits permit, and streams the rest.
+//! Uploads: reads a request's body from the client, buffers as much as the limits permit, and streams the rest.
 
 use std::time::Duration;
 
@@ -14,13 +14,13 @@
     MAX_BUFFERED_REQUEST_BYTES, MAX_STREAMED_BODY_BYTES, MAX_UNRESERVED_BODY_BYTES,
 };
 
-/// A request's body on its way from the client, with the deadline that its minimum transfer rate sets.
+/// A request's body that is being received from the client, and the deadline that follows from the minimum transfer rate.
 pub(super) struct IncomingUpload {
     body: Incoming,
     deadline: TransferDeadline,
 }
 
-/// What has been buffered of a body.
+/// The part of a body that has been buffered.
 pub(super) enum BufferedBody {
     /// The complete body.
     Complete(Bytes),
@@ -28,14 +28,16 @@
     Prefix(Bytes),
 }
 
-/// The beginning of a body while it is buffered. What exceeds an ordinary body is reserved from the shared memory budget.
+/// Buffer for a body or its beginning. Memory for bytes beyond [`MAX_UNRESERVED_BODY_BYTES`] is reserved from the shared
+/// budget.
 struct UploadBuffer {
     bytes: BytesMut,
     reservation: Option<Reservation>,
 }
 
 impl UploadBuffer {
-    /// Reserves memory for what is buffered beyond [`MAX_UNRESERVED_BODY_BYTES`]; `false` if the budget is exhausted.
+    /// Reserves memory for the bytes buffered beyond [`MAX_UNRESERVED_BODY_BYTES`]. Returns `false` if the budget is
+    /// exhausted.
     fn try_reserve_excess(&mut self, budget: &MemoryBudget) -> bool {
         let excess = self.bytes.len().saturating_sub(MAX_UNRESERVED_BODY_BYTES);
         if excess == 0 {
@@ -48,7 +50,7 @@
         self.reservation.is_some()
     }
 
-    /// The buffered bytes; the reservation is released with the last reference to them.
+    /// Returns the buffered bytes. The reservation is released with the last reference to them.
     fn freeze(self) -> Bytes {
         let bytes = self.bytes.freeze();
         match self.reservation {
@@ -59,7 +61,7 @@
 }
 
 impl IncomingUpload {
-    /// An upload that begins at `now_ms` on the driver's clock.
+    /// Creates an upload that begins at `now_ms` on the dispatcher's clock.
     pub(super) fn new(body: Incoming, now_ms: f64) -> Self {
         Self {
             body,
@@ -67,19 +69,19 @@
         }
     }
 
-    /// How many bytes are still to be read, where the client has announced the length.
+    /// Returns the number of bytes still to be read; `None` if the client has not announced the length.
     pub(super) fn remaining_bytes(&self) -> Option<u64> {
         self.body.size_hint().exact()
     }
 
-    /// The next data frame; `None` at the end of the body.
+    /// Reads the next data frame; `None` at the end of the body.
     ///
     /// # Errors
     ///
-    /// The body is malformed, or the deadline has passed: a client that stalls must not keep a connection.
+    /// The body is malformed, or the deadline has passed: a client that stalls must not occupy a connection.
     async fn next_chunk(&mut self, state: &ServerState) -> Result<Option<Bytes>, InvalidRequest> {
         loop {
-            let remaining_ms = (self.deadline.due_ms() - state.driver.now_ms()).max(0.0);
+            let remaining_ms = (self.deadline.due_ms() - state.dispatcher.now_ms()).max(0.0);
             let timeout = Duration::from_secs_f64(remaining_ms / 1e3);
             let frame = tokio::time::timeout(timeout, self.body.frame())
                 .await
@@ -94,8 +96,9 @@
         }
     }
 
-    /// Reads the body as far as it may be buffered: up to [`MAX_BUFFERED_REQUEST_BYTES`], and beyond [`MAX_UNRESERVED_BODY_BYTES`] only while the shared
-    /// memory budget permits. A body whose announced length exceeds [`MAX_BUFFERED_REQUEST_BYTES`] is not read further than its first chunk.
+    /// Reads as much of the body as may be buffered: up to [`MAX_BUFFERED_REQUEST_BYTES`], and beyond
+    /// [`MAX_UNRESERVED_BODY_BYTES`] only while the shared memory budget permits. If the announced length exceeds
+    /// [`MAX_BUFFERED_REQUEST_BYTES`], only the first chunk is read.
     ///
     /// # Errors
     ///
@@ -131,11 +134,11 @@
         Ok(BufferedBody::Prefix(buffer.freeze()))
     }
 
-    /// Streams the rest of the body to the attempt that sends it; `false` if that attempt accepts no more.
+    /// Streams the rest of the body to the attempt that sends it. Returns `false` if that attempt accepts no more of it.
     ///
     /// # Errors
     ///
-    /// As [`Self::next_chunk`]; or the body exceeds [`MAX_STREAMED_BODY_BYTES`].
+    /// As [`Self::next_chunk`], or the streamed part exceeds [`MAX_STREAMED_BODY_BYTES`].
     pub(super) async fn stream_to(
         &mut self,
         mut sender: BodySender,
@@ -147,13 +150,13 @@
             if streamed_bytes > MAX_STREAMED_BODY_BYTES {
                 return Err(InvalidRequest::BODY_TOO_LARGE);
             }
-            let send_started_ms = state.driver.now_ms();
+            let send_started_ms = state.dispatcher.now_ms();
             if sender.send(chunk).await.is_err() {
                 return Ok(false);
             }
             // Time spent waiting for the server does not count against the client.
             self.deadline
-                .exclude_pause(state.driver.now_ms() - send_started_ms);
+                .exclude_pause(state.dispatcher.now_ms() - send_started_ms);
         }
         Ok(sender.finish().await.is_ok())
     }
--- a/src/node/downstream/request_handler.rs
+++ b/src/node/downstream/request_handler.rs
@@ -1,4 +1,4 @@
-//! Routes a request by its path, and takes a request for the API through the driver to its final response.
+//! Routes requests by their path. Passes API requests to the dispatcher and waits for their final responses.
 
 use std::cell::{Cell, RefCell};
 use std::collections::HashSet;
@@ -26,8 +26,8 @@
 use crate::node::upstream::response::MAX_STREAMED_BODY_BYTES;
 use crate::node::upstream::{RequestBody, UpstreamRequest};
 
-/// `Retry-After` for a client that is rejected because too few connections are free: some responses are complete by then,
-/// and their connections idle.
+/// `Retry-After` for a request that is rejected because too few connections are free. By then some responses are complete,
+/// and their connections are idle.
 const FREE_CONNECTION_RETRY_MS: f64 = 50.0;
 
 /// Handles one request. Dropping the future abandons the request and its attempts.
@@ -55,15 +55,15 @@
     text_response(StatusCode::OK, "")
 }
 
-/// Keeps the id of a request reserved for as long as the request is in progress.
+/// Reserves the id of a request while the request is in progress.
 struct OpenRequestId<'a> {
     ids: &'a RefCell<HashSet<HeaderValue>>,
     id: HeaderValue,
 }
 
 impl<'a> OpenRequestId<'a> {
-    /// Reserves the id; `None` if a request with it is in progress. A server would take a second request with the same id
-    /// for a retry of the first.
+    /// Reserves the id; `None` if a request with the same id is in progress. A server would consider the second request a
+    /// retry of the first.
     fn reserve(ids: &'a RefCell<HashSet<HeaderValue>>, id: HeaderValue) -> Option<Self> {
         let is_new = ids.borrow_mut().insert(id.clone());
         is_new.then(|| Self { ids, id })
@@ -82,8 +82,8 @@
     tracked: &Rc<TrackedConnection>,
 ) -> Result<Response<ResponseStream>, InvalidRequest> {
     let (head, body) = request.into_parts();
-    let metadata = RequestMetadata::parse(&head.method, &head.headers, &state.driver.names)?;
-    let in_flight = state.driver.metrics.begin_request(metadata.class);
+    let metadata = RequestMetadata::parse(&head.method, &head.headers, &state.dispatcher.names)?;
+    let in_flight = state.dispatcher.metrics.begin_request(metadata.class);
     let response = match dispatch(metadata, head, body, state).await {
         Ok(FinalResponse::Served(served)) => {
             return Ok(forwarded_response(served, in_flight, tracked))
@@ -100,8 +100,8 @@
     response
 }
 
-/// Reads the body as far as it may be buffered, hands the request to the driver, and waits for the answer while the rest of
-/// the body streams through.
+/// Buffers as much of the body as the limits permit, passes the request to the dispatcher, and waits for the final response
+/// while the rest of the body is streamed.
 async fn dispatch(
     metadata: RequestMetadata,
     head: Parts,
@@ -111,7 +111,7 @@
     if body.size_hint().lower() > MAX_STREAMED_BODY_BYTES as u64 {
         return Err(InvalidRequest::BODY_TOO_LARGE);
     }
-    let driver = &state.driver;
+    let dispatcher = &state.dispatcher;
     let RequestMetadata {
         id,
         class,
@@ -121,9 +121,9 @@
     let _open_id =
         OpenRequestId::reserve(&state.open_request_ids, id).ok_or(InvalidRequest::DUPLICATE_ID)?;
     let key = head.uri.query().and_then(sticky_key);
-    let mut upload = IncomingUpload::new(body, driver.now_ms());
+    let mut upload = IncomingUpload::new(body, dispatcher.now_ms());
     let buffered = upload.buffer(state).await?;
-    // The deadline counts from the request's last byte.
+    // The deadline counts from the last byte of the request; for a streamed body, `upload_completed` restarts it.
     let arrived = Instant::now();
     if must_keep_connections_free(state) {
         return Ok(FinalResponse::Rejected {
@@ -138,7 +138,7 @@
             (body, Some(sender))
         }
     };
-    let message = upstream_message(head, body, driver.metrics.attempts(class).clone());
+    let message = upstream_request(head, body, dispatcher.metrics.attempts(class).clone());
     let new_request = NewRequest {
         class,
         tenant,
@@ -147,7 +147,7 @@
         received_at: arrived,
         timeout: deadline,
     };
-    let Some(mut request) = driver.accept_request(new_request) else {
+    let Some(mut request) = dispatcher.accept_request(new_request) else {
         return Ok(FinalResponse::Rejected {
             retry_after_ms: None,
         });
@@ -165,16 +165,16 @@
     Ok(request.response().await)
 }
 
-/// Whether a draining node rejects a request so that clients find free connections. A node that shares its listening socket
-/// never does: clients connect to the other process.
+/// Returns whether a draining node must reject a request so that clients find free connections. A node that shares its
+/// listening socket never rejects for this reason: clients connect to the other process.
 fn must_keep_connections_free(state: &ServerState) -> bool {
     let is_draining = matches!(state.phase(), Phase::Draining(_));
     is_draining && !state.options.is_listener_shared && state.table.has_few_free_connections()
 }
 
-fn upstream_message(head: Parts, body: RequestBody, sent_attempts: Counter) -> UpstreamRequest {
+fn upstream_request(head: Parts, body: RequestBody, sent_attempts: Counter) -> UpstreamRequest {
     let headers = remove_hop_by_hop_headers(head.headers);
-    // A client may send the absolute form, with the host in the request line; a server gets path and query.
+    // A client may send the absolute form, with the host in the request line; the server gets only the path and query.
     let uri = head
         .uri
         .path_and_query()
--- a/src/node/downstream/request_metadata.rs
+++ b/src/node/downstream/request_metadata.rs
@@ -1,5 +1,5 @@
-//! What a request's headers and query say about it: its id, class, tenant, deadline and sticky key. Also removes the headers
-//! that concern only the client's connection before the request is forwarded.
+//! Metadata of a request from its headers and query: id, class, tenant, deadline and sticky key. Also removes the hop-by-hop
+//! headers before a request is forwarded.
 
 use std::time::Duration;
 
@@ -10,7 +10,7 @@
 use crate::node::dispatcher::SettingNames;
 use crate::node::downstream::response::InvalidRequest;
 
-/// The longest deadline that a client can mean; a longer one is invalid.
+/// Longest valid deadline. A longer one is considered a mistake and rejected.
 const MAX_DEADLINE: Duration = Duration::from_secs(60 * 60);
 
 const REQ_ID: HeaderName = HeaderName::from_static("req-id");
@@ -19,7 +19,7 @@
 const REQ_DEADLINE: HeaderName = HeaderName::from_static("req-deadline");
 const IDEMPOTENCY_KEY: HeaderName = HeaderName::from_static("idempotency-key");
 
-/// Headers that describe a request. A request with two values for one of them is ambiguous, and invalid.
+/// Headers that describe a request. A request in which one of them occurs twice is ambiguous and therefore invalid.
 const SINGLE_VALUE_HEADERS: [HeaderName; 8] = [
     REQ_ID,
     REQ_KIND,
@@ -31,7 +31,7 @@
     HeaderName::from_static("req-extra"),
 ];
 
-/// Headers that concern one connection only, or that are generated anew for the next one.
+/// Headers that apply to one connection only, or that are generated again for the connection to the server.
 const HOP_BY_HOP_HEADERS: [HeaderName; 9] = [
     header::CONNECTION,
     header::CONTENT_LENGTH,
@@ -44,16 +44,16 @@
     HeaderName::from_static("proxy-connection"),
 ];
 
-/// What a request's headers say about it.
+/// Metadata of a request from its headers.
 #[derive(Debug)]
 pub(super) struct RequestMetadata {
-    /// `Req-Id`.
+    /// The value of `Req-Id`.
     pub(super) id: HeaderValue,
     /// Index of the class that `Req-Kind` names.
     pub(super) class: usize,
     /// Index of the tenant that `Req-Owner` names; 0 without tenants or without the header.
     pub(super) tenant: usize,
-    /// `Req-Deadline`, limited to the longest of the class. It counts from the request's last byte.
+    /// The value of `Req-Deadline`, limited to the longest timeout of the class. It counts from the request's last byte.
     pub(super) deadline: Duration,
 }
 
@@ -62,8 +62,8 @@
     ///
     /// # Errors
     ///
-    /// A header is missing, malformed, repeated or unknown to the settings, or the method or `Idempotency-Key` contradicts
-    /// the class.
+    /// A header is missing, malformed or repeated, its value is not in the settings, or the method or `Idempotency-Key`
+    /// contradicts the class.
     pub(super) fn parse(
         method: &Method,
         headers: &HeaderMap,
@@ -71,13 +71,13 @@
     ) -> Result<Self, InvalidRequest> {
         reject_repeated_headers(headers)?;
         let id = parse_id(headers)?;
-        let class = text_of(headers, REQ_KIND)
+        let class = header_text(headers, REQ_KIND)
             .and_then(|kind| names.classes.get(kind))
             .ok_or(InvalidRequest::bad_request(
                 "Req-Kind is missing or unknown\n",
             ))?;
         let tenant = parse_tenant(headers, names)?;
-        let deadline = text_of(headers, REQ_DEADLINE)
+        let deadline = header_text(headers, REQ_DEADLINE)
             .and_then(parse_deadline)
             .ok_or(InvalidRequest::bad_request(
                 "Req-Deadline is missing or bad\n",
@@ -93,8 +93,8 @@
     }
 }
 
-/// The header's value; empty where it is not visible ASCII.
-fn text_of(headers: &HeaderMap, name: HeaderName) -> Option<&str> {
+/// Returns the header's value: `None` if it is absent, and empty if it is not visible ASCII.
+fn header_text(headers: &HeaderMap, name: HeaderName) -> Option<&str> {
     headers
         .get(name)
         .map(|value| value.to_str().unwrap_or_default())
@@ -119,7 +119,7 @@
 }
 
 fn parse_tenant(headers: &HeaderMap, names: &SettingNames) -> Result<usize, InvalidRequest> {
-    match text_of(headers, REQ_OWNER) {
+    match header_text(headers, REQ_OWNER) {
         Some(owner) if !names.tenants.is_empty() => names
             .tenants
             .get(owner)
@@ -128,13 +128,13 @@
     }
 }
 
-/// Checks that the method and the presence of `Idempotency-Key` are those of the class.
+/// Checks that the method and the presence of `Idempotency-Key` match the class.
 fn check_idempotency(
     method: &Method,
     headers: &HeaderMap,
     idempotency: Idempotency,
 ) -> Result<(), InvalidRequest> {
-    let key = text_of(headers, IDEMPOTENCY_KEY);
+    let key = header_text(headers, IDEMPOTENCY_KEY);
     if key.is_some_and(str::is_empty) {
         return Err(InvalidRequest::bad_request(
             "Idempotency-Key is empty or bad\n",
@@ -153,8 +153,8 @@
     Ok(())
 }
 
-/// Parses `Req-Deadline`: `480m` is in milliseconds, `480000u` in microseconds. `None` for whatever else the parser of floats
-/// accepts (a sign, an exponent, infinity), and for deadlines above [`MAX_DEADLINE`].
+/// Parses `Req-Deadline`: `480m` is in milliseconds, `480000u` in microseconds. Returns `None` for other forms that the float
+/// parser accepts (a sign, an exponent, infinity), and for deadlines that are zero or above [`MAX_DEADLINE`].
 fn parse_deadline(text: &str) -> Option<Duration> {
     let number = text.strip_suffix(['m', 'u'])?;
     let is_decimal = number
@@ -170,7 +170,7 @@
         .filter(|deadline| *deadline <= MAX_DEADLINE)
 }
 
-/// The query parameter `key`, by which requests are sticky to a server.
+/// Returns the query parameter `key`: requests with the same key are sticky to a server.
 pub(super) fn sticky_key(query: &str) -> Option<Box<str>> {
     query
         .split('&')
@@ -178,10 +178,10 @@
         .map(Into::into)
 }
 
-/// The headers without the hop-by-hop ones, including those that `Connection` names. `Req-Id` and `Idempotency-Key` stay even
-/// if it names them: without these a retry could execute twice.
+/// Returns the headers without the hop-by-hop headers and those that `Connection` names. `Req-Id` and `Idempotency-Key` are
+/// kept even if `Connection` names them: without them a retry could be executed twice.
 pub(super) fn remove_hop_by_hop_headers(mut headers: HeaderMap) -> HeaderMap {
-    let named: Vec<HeaderName> = headers
+    let connection_headers: Vec<HeaderName> = headers
         .get_all(header::CONNECTION)
         .iter()
         .filter_map(|value| value.to_str().ok())
@@ -189,7 +189,7 @@
         .filter_map(|name| name.trim().parse().ok())
         .filter(|name| *name != REQ_ID && *name != IDEMPOTENCY_KEY)
         .collect();
-    for name in HOP_BY_HOP_HEADERS.iter().chain(&named) {
+    for name in HOP_BY_HOP_HEADERS.iter().chain(&connection_headers) {
         headers.remove(name);
     }
     headers
--- a/src/node/downstream/response.rs
+++ b/src/node/downstream/response.rs
@@ -1,5 +1,5 @@
-//! Final responses to clients: those the node produces itself, and those it forwards from a server. Also maps a status to the
-//! outcome that the metrics count.
+//! Final responses to clients: those that the node produces itself, and those that it forwards from a server. Also maps a
+//! status to the outcome that the metrics count.
 
 use std::rc::Rc;
 
@@ -11,7 +11,7 @@
 use crate::node::downstream::connection_table::TrackedConnection;
 use crate::node::upstream::{ResponseBody, UpstreamResponse};
 
-/// Why the node rejects a request as invalid, as the client sees it.
+/// Error for a request that the node rejects as invalid, with the response that the client gets.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) struct InvalidRequest {
     /// The response's status.
@@ -26,7 +26,7 @@
         status: StatusCode::CONFLICT,
         reason: "a request with this Req-Id is open\n",
     };
-    /// The body exceeds the limit.
+    /// The body exceeds the limit on its length.
     pub(super) const BODY_TOO_LARGE: Self = Self {
         status: StatusCode::PAYLOAD_TOO_LARGE,
         reason: "the body is too large\n",
@@ -37,7 +37,7 @@
         reason: "the body did not come in time\n",
     };
 
-    /// A request that is malformed or contradicts itself.
+    /// Creates the error for a request that is malformed or contradicts itself.
     pub(super) const fn bad_request(reason: &'static str) -> Self {
         Self {
             status: StatusCode::BAD_REQUEST,
@@ -46,14 +46,14 @@
     }
 }
 
-/// A response with a text of the node's own.
+/// Creates a response whose text comes from the node itself.
 pub(super) fn text_response(status: StatusCode, text: &'static str) -> Response<ResponseStream> {
     let mut response = Response::new(ResponseStream::text(text));
     *response.status_mut() = status;
     response
 }
 
-/// The response to a request that is shed, with `Retry-After` in seconds where the client should come back.
+/// Creates the response to a request that is shed, with `Retry-After` in seconds if the client should retry.
 pub(super) fn rejection_response(retry_after_ms: Option<f64>) -> Response<ResponseStream> {
     let mut response = text_response(StatusCode::SERVICE_UNAVAILABLE, "");
     let seconds = retry_after_ms.map(|ms| format!("{:.3}", ms / 1e3));
@@ -97,7 +97,7 @@
     response
 }
 
-/// The outcome that the metrics count for a response with this status.
+/// Returns the outcome that the metrics count for a response with this status.
 pub(super) fn outcome_of(status: StatusCode) -> RequestOutcome {
     match status {
         StatusCode::OK => RequestOutcome::Served,
--- a/src/node/downstream/server.rs
+++ b/src/node/downstream/server.rs
@@ -1,5 +1,6 @@
-//! The server for clients: accepts connections, spawns a task for each, and ends once all of them are closed. Owns the state
-//! that the connections share: the connection table, the memory budget of uploads and the ids of the requests in progress.
+//! The server for clients: accepts connections, spawns a task for each, and returns once all of them are closed. Owns the
+//! state that the connections share: the connection table, the memory budget of uploads and the ids of the requests in
+//! progress.
 
 use std::cell::{Cell, RefCell};
 use std::collections::HashSet;
@@ -23,8 +24,8 @@
 pub use crate::node::downstream::shutdown::Phase;
 use crate::node::downstream::shutdown::{FINAL_WRITE_TIMEOUT, SHARED_ACCEPT_PERIOD};
 
-/// Connections that are accepted from the kernel's backlog at shutdown: as many as it holds. The bound keeps clients that
-/// connect continuously from delaying the shutdown.
+/// Maximum number of connections that are accepted from the kernel's backlog at shutdown: as many as it holds. The bound
+/// prevents clients that connect continuously from delaying the shutdown.
 const MAX_BACKLOG: usize = 1_024;
 /// Pause after a connection could not be accepted, for example because the process has no free descriptors.
 pub const ACCEPT_RETRY_INTERVAL: Duration = Duration::from_millis(10);
@@ -34,18 +35,18 @@
 pub struct ServerOptions {
     /// The phase of the node's shutdown.
     pub phases: watch::Receiver<Phase>,
-    /// The drain that operators control.
+    /// State of the drain that operators begin and cancel.
     pub drain: Rc<Cell<Drain>>,
-    /// Whether the platform owns the listening socket, and another process of this node may listen on it, too.
+    /// Whether the platform owns the listening socket, so that another process of this node may listen on it, too.
     pub is_listener_shared: bool,
     /// Limit on open connections.
     pub max_connections: usize,
-    /// Limit on the bytes of long request bodies that are buffered at a time, over all connections.
+    /// Limit on the bytes reserved for long request bodies that are buffered at a time, over all connections.
     pub max_buffered_upload_bytes: usize,
 }
 
 impl ServerOptions {
-    /// Options for a listening socket that only this process uses, without a drain.
+    /// Creates options for a listening socket that only this process uses, without a drain.
     #[must_use]
     pub fn for_unshared_listener(phases: watch::Receiver<Phase>, max_connections: usize) -> Self {
         let max_buffered_upload_bytes = Limits::default().buffered_upload_bytes();
@@ -61,22 +62,22 @@
 
 /// State that all connections of clients share.
 pub(super) struct ServerState {
-    pub(super) driver: Rc<Dispatcher>,
+    pub(super) dispatcher: Rc<Dispatcher>,
     pub(super) options: ServerOptions,
     pub(super) table: Rc<ConnectionTable>,
     pub(super) upload_memory: MemoryBudget,
-    /// The ids of the requests that are being read or served.
+    /// Ids of the requests that are being read or served.
     pub(super) open_request_ids: RefCell<HashSet<HeaderValue>>,
 }
 
-/// Serves clients until the phase is [`Phase::ShuttingDown`] and every accepted request is answered.
+/// Serves clients until the node stops accepting connections and every accepted request is answered.
 ///
-/// Returns at the latest [`FINAL_WRITE_TIMEOUT`] after the deadline of that phase, so that a client that does not read its
-/// response cannot delay the shutdown. Must run inside a [`tokio::task::LocalSet`]. Dropping the future stops accepting;
+/// Returns no later than [`FINAL_WRITE_TIMEOUT`] after the shutdown deadline, so that a client that does not read its response
+/// cannot delay the shutdown. Must run inside a [`tokio::task::LocalSet`]. Dropping the future stops accepting;
 /// the tasks of open connections continue.
-pub async fn serve(listener: TcpListener, driver: Rc<Dispatcher>, options: ServerOptions) {
+pub async fn serve(listener: TcpListener, dispatcher: Rc<Dispatcher>, options: ServerOptions) {
     let state = Rc::new(ServerState {
-        driver,
+        dispatcher,
         upload_memory: MemoryBudget::new(options.max_buffered_upload_bytes),
         table: ConnectionTable::new(options.max_connections),
         options,
@@ -90,23 +91,23 @@
 }
 
 impl ServerState {
-    /// Whether load balancers in front should send new clients to this node.
+    /// Returns whether load balancers in front of the node should send new clients to it.
     pub(super) fn accepts_new_clients(&self) -> bool {
         self.options.drain.get().accepts_new_clients()
     }
 
-    /// The current phase of the shutdown.
+    /// Returns the current phase of the shutdown.
     pub(super) fn phase(&self) -> Phase {
         *self.options.phases.borrow()
     }
 
-    /// How long connections of clients may stay open: the stricter of what the drain and the shutdown require.
+    /// Returns the policy for client connections: the stricter of those that the drain and the shutdown require.
     pub(super) fn connection_policy(&self) -> ConnectionPolicy {
         let drain_policy = self
             .options
             .drain
             .get()
-            .connection_policy(self.driver.now_ms());
+            .connection_policy(self.dispatcher.now_ms());
         let shutdown_policy = match self.phase() {
             Phase::ShuttingDown(_) => ConnectionPolicy::CloseIdle,
             Phase::Draining(_) if self.options.is_listener_shared => {
@@ -140,12 +141,13 @@
         .await
         .is_err()
     {
-        log::line("a client did not read its response in time");
-        state.driver.report_unanswered();
+        log::line("client connections are still open after the shutdown deadline");
+        state.dispatcher.report_unanswered();
     }
 }
 
-/// Passes the shutdown deadline to the driver once draining begins. Never returns.
+/// Once draining begins, passes the shutdown deadline to the dispatcher and, unless the listening socket is shared, retains
+/// idle connections. Never returns.
 async fn prepare_for_shutdown(state: &ServerState) {
     let mut phases = state.options.phases.clone();
     let deadline = phases
@@ -154,7 +156,7 @@
         .ok()
         .and_then(|phase| phase.answer_by());
     if let Some(deadline) = deadline {
-        state.driver.limit_deadlines(deadline);
+        state.dispatcher.limit_deadlines(deadline);
     }
     if !state.options.is_listener_shared {
         state.table.retain_connections();
@@ -163,13 +165,13 @@
 }
 
 async fn accept_connections(listener: &TcpListener, state: &Rc<ServerState>) {
-    let mut stop = pin!(state.stop_accepting());
+    let mut stop_accepting = pin!(state.stop_accepting());
     loop {
         // Biased: a connection that the kernel has already given to this process would be reset if it were not accepted.
         let accepted = tokio::select! {
             biased;
             accepted = listener.accept() => accepted,
-            () = &mut stop => return,
+            () = &mut stop_accepting => return,
         };
         match accepted {
             Ok((stream, _)) => spawn_connection(stream, state).await,
@@ -181,7 +183,7 @@
     }
 }
 
-/// Accepts what is left in the kernel's backlog: the event loop may not have reported connections of this turn yet.
+/// Accepts the connections that remain in the kernel's backlog: the event loop may not have reported the latest ones yet.
 async fn accept_backlog(listener: &TcpListener, state: &Rc<ServerState>) {
     for _ in 0..MAX_BACKLOG {
         let Ok(stream) = accept_without_event_loop(listener) else {
@@ -191,6 +193,7 @@
     }
 }
 
+/// Accepts a connection from the kernel's backlog without waiting. Fails if the backlog is empty.
 fn accept_without_event_loop(listener: &TcpListener) -> io::Result<TcpStream> {
     let (socket, _) = SockRef::from(listener).accept()?;
     let stream = std::net::TcpStream::from(socket);
