--- a/src/node/downstream/shutdown.rs
+++ b/src/node/downstream/shutdown.rs
@@ -1,5 +1,6 @@
-//! Graceful shutdown of the client side: the phases of a node that stops, and how a connection is closed without losing a
-//! response. Owns no state; [`crate::node::downstream::server`] publishes the phase, and each connection reads it.
+//! Graceful shutdown of the client side: the phases of a node's shutdown, and how a connection is closed without losing a
+//! response. Owns no state: each connection reads the phase from
+//! [`crate::node::downstream::server::ServerOptions::phases`].
 
 use std::io;
 use std::rc::Rc;
@@ -11,38 +12,39 @@
 use crate::node::downstream::socket::Socket;
 use crate::node::upstream::response::MAX_UNRESERVED_BODY_BYTES;
 
-/// Time after the shutdown deadline in which responses that were produced at the last instant may still be written.
+/// Time after the shutdown deadline in which responses that were produced just before it may still be written.
 pub const FINAL_WRITE_TIMEOUT: Duration = Duration::from_millis(50);
 
-/// How long a draining node still accepts from a listening socket that it shares with its successor. The kernel distributes
-/// connections to both processes until this one closes its copy; each connection accepted here must have time to send a
-/// request.
+/// How long a draining node accepts from a listening socket that it shares with its successor. The kernel distributes
+/// connections to both processes until this process closes its copy of the socket. After that, the connections that were
+/// accepted last must still have time to send a request.
 pub(super) const SHARED_ACCEPT_PERIOD: Duration = Duration::from_millis(300);
 
-/// Bytes that are read and discarded after the last response on a connection.
+/// Maximum number of bytes that are read and discarded after the last response on a connection.
 const MAX_LINGER_BYTES: usize = 64 * MAX_UNRESERVED_BODY_BYTES;
-/// How long a connection is read after its last response.
+/// Maximum time for which a connection is read after its last response.
 const LINGER_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// Progress of a node's shutdown. From [`Phase::Draining`] on, every request must be answered by a deadline.
+/// Phase of a node's shutdown. From [`Phase::Draining`] on, every request must be answered by the deadline that the phase
+/// carries.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Phase {
     /// Normal operation.
     Serving,
-    /// The node has been told to stop and still serves: it accepts connections, and clients keep the ones they have.
+    /// The node has received a stop signal and still serves: it accepts connections, and clients keep their open connections.
     Draining(Instant),
     /// No connection is accepted, idle ones are closed, and each response is the last on its connection.
     ShuttingDown(Instant),
 }
 
 impl Phase {
-    /// Whether no new connections are accepted.
+    /// Returns whether the node has stopped accepting and closes its connections.
     #[must_use]
     pub fn is_shutting_down(&self) -> bool {
         matches!(self, Self::ShuttingDown(_))
     }
 
-    /// The instant by which every request must be answered; `None` while serving normally.
+    /// Returns the instant by which every request must be answered; `None` during normal operation.
     #[must_use]
     pub fn answer_by(&self) -> Option<Instant> {
         match self {
@@ -57,19 +59,19 @@
 pub(super) enum CloseMode {
     /// Keeps the connection open: a request is in progress or has just arrived.
     KeepOpen,
-    /// Shuts down gracefully and discards what the client still sends.
+    /// Closes the connection gracefully and discards bytes that the client still sends.
     Graceful,
     /// Drops the connection.
     Abort,
 }
 
 impl CloseMode {
-    /// Chooses the mode for a connection in `stage`. `is_idle` and `has_unread_bytes` are evaluated only where they matter:
-    /// each costs a system call.
+    /// Chooses the mode for a connection in `stage`. `is_idle` and `has_unread_bytes` are evaluated only where the result
+    /// depends on them, as each can cost a system call.
     ///
-    /// A client whose bytes arrived in the same turn as the close request keeps its connection: closing over unread bytes
-    /// resets the connection, and the client could not tell whether its request was executed. A client that trickles bytes
-    /// is still bounded by the limit on the size of a head.
+    /// A client whose bytes arrived in the same event loop iteration as the close request keeps its connection: closing a
+    /// connection with unread bytes resets it, and the client could not determine whether its request was executed. A client
+    /// that sends a few bytes at a time is still bounded by the limit on the size of a head.
     pub(super) fn choose(
         stage: Stage,
         is_idle: impl Fn() -> bool,
@@ -87,9 +89,9 @@
     }
 }
 
-/// Reads and discards what the client sends after the last response, up to [`MAX_LINGER_BYTES`] and [`LINGER_TIMEOUT`].
+/// Reads and discards the bytes that the client sends after the last response, up to [`MAX_LINGER_BYTES`] and [`LINGER_TIMEOUT`].
 ///
-/// Closing a connection with unread bytes resets it, and the client may lose the response with it.
+/// Closing a connection with unread bytes resets it, and the client may lose the response.
 pub(super) async fn linger(socket: &Socket) {
     socket.connection.enter(Stage::Lingering);
     let tracked = Rc::clone(&socket.connection);
--- a/src/node/downstream/shutdown/tests.rs
+++ b/src/node/downstream/shutdown/tests.rs
@@ -1,9 +1,9 @@
 use super::*;
 
-/// A client whose bytes arrived in the same turn as the close request, in either order, keeps its connection if a close would
-/// reset it or a request is being served. Idle connections close gracefully; those that make no progress are aborted.
+/// Guards against losing a request that arrives while its connection is asked to close. A connection with arrived bytes or a
+/// request in progress stays open. Idle connections close gracefully, and connections without progress are aborted.
 #[test]
-fn close_request_keeps_arrived_bytes_and_aborts_stalled_connections() {
+fn close_mode_keeps_arrived_bytes_and_aborts_stalled_connections() {
     use CloseMode::{Abort, Graceful, KeepOpen};
     let choose = |stage, is_idle: bool, has_unread_bytes: bool| {
         CloseMode::choose(stage, || is_idle, || has_unread_bytes)
--- a/src/node/shutdown.rs
+++ b/src/node/shutdown.rs
@@ -1,8 +1,8 @@
-//! Graceful shutdown: the phases of a node from SIGTERM to its end.
+//! Graceful shutdown: the phases of a node from the stop signal to the end of the process.
 //!
-//! A node that is told to stop first drains: it serves as before, so that clients do not find nobody. A node that was
-//! restarted before this one gets traffic only a while after it is ready, and until then the clients that have a
-//! connection here are served here. Then it accepts nothing new, and responds to all it has accepted.
+//! A node that receives a stop signal first drains: it serves as before, so that clients always find a node. In a rolling
+//! restart, a node that was restarted earlier gets traffic only some time after it is ready; until then this node serves the
+//! clients that are connected to it. After that it accepts no new connections, and responds to all requests it has accepted.
 
 use std::rc::Rc;
 use std::time::{Duration, Instant};
@@ -13,25 +13,26 @@
 use super::cluster::Cluster;
 use super::downstream::server::Phase;
 
-/// All requests are responded to this long after the longest timeout of a class. The platform kills a node 700 ms after
-/// it: what is left is for writing the last responses, all at once at the worst, on its share of a core.
+/// Time beyond the longest timeout of a class within which, counted from the stop signal, all requests must have a response.
+/// The platform kills a node 700 ms beyond that timeout. The difference is for writing the last responses, in the worst case
+/// all at once, on the node's share of a core.
 const COMPLETION_TIME: Duration = Duration::from_millis(600);
-/// The longest timeout of a class that the platform waits for before it kills a node.
+/// Longest timeout of a class for which the platform waits before it kills a node.
 const MAX_REQUEST_TIME: Duration = Duration::from_secs(3);
-/// The fraction of the longest timeout that is left for responses once nothing new is accepted.
+/// Fraction of the longest timeout that remains for responses once no new connections are accepted.
 const RESPONSE_FRACTION: f64 = 0.5;
 
 /// When the phases of a shutdown begin, counted from the signal.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct ShutdownSchedule {
-    /// When the node stops accepting requests.
+    /// When the node stops accepting connections.
     stop_accepting_after: Duration,
-    /// By when it has responded to all requests.
+    /// When the node must have responded to all requests.
     complete_after: Duration,
 }
 
 impl ShutdownSchedule {
-    /// The schedule of a node whose classes have timeouts up to `max_timeout`.
+    /// Creates the schedule of a node whose classes have timeouts up to `max_timeout`.
     pub(super) fn new(max_timeout: Duration) -> Self {
         let max_timeout = max_timeout.min(MAX_REQUEST_TIME);
         let complete_after = COMPLETION_TIME + max_timeout;
@@ -57,8 +58,8 @@
     }
 }
 
-/// Waits for a signal, then leaves the cluster and takes the node through the phases of its shutdown. Never returns: the
-/// node has ended when its last client is served.
+/// Waits for a signal, then leaves the cluster and publishes the phases of the shutdown one after the other. Never returns:
+/// the server ends once its last client is served.
 pub(super) async fn run_phases(
     mut signals: StopSignals,
     schedule: ShutdownSchedule,
@@ -73,7 +74,7 @@
     phase.send_replace(Phase::Draining(complete_by));
     tokio::time::sleep(schedule.stop_accepting_after).await;
     phase.send_replace(Phase::ShuttingDown(complete_by));
-    // The sender must live until all requests are responded to: dropping it would look like one more change.
+    // The sender must not be dropped before all requests have a response: dropping it ends every wait for a phase.
     std::future::pending::<()>().await;
 }
 
