--- a/src/node/downstream/body_stream.rs
+++ b/src/node/downstream/body_stream.rs
@@ -21,7 +21,7 @@
 /// Number of chunks buffered between sender and receiver: one is written while the next is read.
 const CHANNEL_CAPACITY: usize = 1;
 
-/// Maximum time that the end of a body waits for the receiver.
+/// Maximum time to wait until the receiver has room for the end of a body.
 const FINISH_TIMEOUT: Duration = Duration::from_secs(5);
 
 /// Why a body could not be streamed to its end.
@@ -45,6 +45,7 @@
 
 impl std::error::Error for Truncated {}
 
+/// An item on the channel between sender and receiver.
 enum Chunk {
     Data(Bytes),
     /// The end of the body. It is sent explicitly because a sender may also be dropped before the body is complete.
@@ -141,8 +142,8 @@
     ///
     /// # Errors
     ///
-    /// [`StreamError::ReceiverGone`] if the receiver was dropped, or reads more slowly than the minimum transfer rate: a peer
-    /// that reads a few bytes at a time could otherwise occupy the other peer's connection indefinitely.
+    /// [`StreamError::ReceiverGone`] if the receiver was dropped, or reads more slowly than the minimum transfer rate: a
+    /// peer that reads a few bytes at a time could otherwise occupy the other peer's connection indefinitely.
     pub async fn send(&mut self, chunk: Bytes) -> Result<(), StreamError> {
         if chunk.is_empty() {
             return Ok(());
@@ -189,8 +190,8 @@
         self.remaining_bytes == Some(0)
     }
 
-    /// Polls for the next frame. Yields [`Truncated`] if the sender was dropped before the end of the body, or if the body is
-    /// longer or shorter than announced.
+    /// Polls for the next frame. Yields [`Truncated`] if the sender was dropped before the end of the body, or if the body
+    /// is longer or shorter than announced.
     pub fn poll(&mut self, cx: &mut Context<'_>) -> Poll<NextFrame> {
         let chunk = std::task::ready!(self.chunks.poll_recv(cx));
         Poll::Ready(match chunk {
--- a/src/node/downstream/connection.rs
+++ b/src/node/downstream/connection.rs
@@ -30,7 +30,8 @@
 /// How the serving of requests on a connection ended.
 #[derive(PartialEq)]
 enum ConnectionEnd {
-    /// The client closed the connection, the last response has been written, or the connection was closed while idle.
+    /// hyper ended the connection: for example, the client closed it, its last response has been written, or it was closed
+    /// while idle.
     Graceful,
     /// The client disconnected, or the connection must be dropped without waiting for the client.
     Aborted,
@@ -75,7 +76,7 @@
             }
             () = client_disconnected.as_mut() => return ConnectionEnd::Aborted,
             // An idle connection is closed, and bytes that arrive later are discarded. A request in progress is answered. A
-            // request that has arrived only in part is served once it is complete. Its response is the last in either case.
+            // request that has arrived only in part is served once it is complete. Either response is the connection's last.
             _ = &mut shutdown, if !is_shutting_down => {
                 is_shutting_down = true;
                 if matches!(tracked.stage(), Stage::ServingRequest | Stage::SendingResponse) || socket.is_idle() {
--- a/src/node/downstream/connection_table.rs
+++ b/src/node/downstream/connection_table.rs
@@ -167,8 +167,8 @@
         }
     }
 
-    /// While too few slots are free, asks idle connections to close, those that have been idle for longest first. Connections
-    /// with several requests are more likely to be used again, and are closed last.
+    /// While too few slots are free, asks idle connections to close, those that have been idle for longest first.
+    /// Connections with several requests are more likely to be used again, and are closed last.
     fn close_idle_above_limits(&self, now: Instant) {
         if self.is_retaining.get() {
             return;
@@ -208,10 +208,10 @@
     /// Returns whether so many of the used connections have a request in progress that the next request of a client may find
     /// no free connection.
     ///
-    /// A draining node rejects requests in this state. Clients get no further connections to the node. A client that finds no
-    /// free connection considers the node failed, and abandons all of its open requests. This applies to clients whose number
-    /// of connections cannot grow: behind a load balancer that drains, or at a limit of their own. Where each client has one
-    /// connection and never needs another, a few requests are rejected that could have been served.
+    /// A draining node rejects requests in this state. Clients get no further connections to the node. A client that finds
+    /// no free connection considers the node failed, and abandons all of its open requests. This applies to clients whose
+    /// number of connections cannot grow: behind a load balancer that drains, or at a limit of their own. Where each client
+    /// has one connection and never needs another, a few requests are rejected that could have been served.
     #[must_use]
     pub fn has_few_free_connections(&self) -> bool {
         let (mut busy, mut free) = (0, 0);
--- a/src/node/downstream/connection_table/eviction.rs
+++ b/src/node/downstream/connection_table/eviction.rs
@@ -9,8 +9,8 @@
 /// Time without received bytes after which a request's head has stalled. A client that writes a head slowly sends its chunks
 /// at shorter intervals.
 const HEAD_STALL_TIME: Duration = Duration::from_millis(500);
-/// Minimum time that a connection must have been idle before it is closed without notice. Earlier, its client may be about to
-/// send another request, which would cross the close; the close is announced in a response instead.
+/// Minimum time that a connection must have been idle before it is closed without notice. Earlier, its client may be about
+/// to send another request, which would cross the close; the close is announced in a response instead.
 pub(super) const MIN_IDLE_BEFORE_CLOSE: Duration = Duration::from_secs(1);
 
 /// Order of eviction: connections of the first variant are evicted first, and those that a client is more likely to need
--- a/src/node/downstream/connection_table/idle_queue.rs
+++ b/src/node/downstream/connection_table/idle_queue.rs
@@ -13,8 +13,8 @@
     since: Instant,
 }
 
-/// Connections that became idle, the one that has been idle for longest first. An entry is stale if its connection has been
-/// active since; stale entries are skipped when they are reached.
+/// Connections in the order in which they became idle. An entry is stale if its connection has been active since; stale
+/// entries are skipped when they are reached.
 #[derive(Default)]
 pub(super) struct IdleQueue(VecDeque<IdleEntry>);
 
@@ -31,8 +31,8 @@
         });
     }
 
-    /// Removes and returns the connection that has been idle for longest, among those that have not been asked to close. `None`
-    /// if it has been idle for less than [`MIN_IDLE_BEFORE_CLOSE`].
+    /// Removes and returns the connection that has been idle for longest, among those that have not been asked to close.
+    /// Returns `None` if there is none, or if it has been idle for less than [`MIN_IDLE_BEFORE_CLOSE`].
     pub(super) fn pop_longest_idle(&mut self, now: Instant) -> Option<Rc<TrackedConnection>> {
         while let Some(IdleEntry { connection, since }) = self.0.front() {
             let is_candidate =
--- a/src/node/downstream/connection_table/tracked_connection.rs
+++ b/src/node/downstream/connection_table/tracked_connection.rs
@@ -6,8 +6,8 @@
 use admin::ConnectionPolicy;
 use tokio::sync::Notify;
 
-/// Maximum time from the first byte of a request's head to the last; for the first head on a connection, from the accept. Slow
-/// clients take 2 s; a client that takes longer occupies a slot to no purpose.
+/// Maximum time from the first byte of a request's head to the last; for the first head on a connection, from the accept.
+/// Slow clients take 2 s; a client that takes longer occupies a slot to no purpose.
 const HEAD_TIMEOUT: Duration = Duration::from_millis(2_400);
 /// Maximum time without progress in writing a response. Slow clients take several seconds to read a response.
 const RESPONSE_STALL_TIMEOUT: Duration = Duration::from_secs(5);
--- a/src/node/downstream/framing.rs
+++ b/src/node/downstream/framing.rs
@@ -1,6 +1,6 @@
 //! Tracks where clients' messages begin and end as their bytes are received. hyper alone is not enough: it drops a
 //! `Content-Length` beside a `Transfer-Encoding`, and the second of two equal `Content-Length` headers. Where two parsers
-//! could disagree on the end of a message, one of them may parse a part of its body as a request (request smuggling).
+//! could disagree on the end of a message, one of them may parse a part of the body as a request (request smuggling).
 
 /// Number of bytes kept of each line in a head: enough for the name and value of a header that determines the framing.
 const MAX_KEPT_LINE_BYTES: usize = 64;
@@ -24,7 +24,7 @@
     Body {
         remaining_bytes: u64,
     },
-    /// Only hyper can determine the end of the message, which must be the last on its connection.
+    /// The end of the message is ambiguous, or only hyper can determine it: the message must be the last on its connection.
     Unknown,
 }
 
@@ -43,7 +43,7 @@
     kept_bytes: usize,
     has_request_line: bool,
     content_length_count: usize,
-    /// The value of the last `Content-Length`, in bytes; `None` if it is invalid.
+    /// The value of the last `Content-Length`, in bytes; `None` if it is absent or invalid.
     content_length: Option<u64>,
     has_transfer_encoding: bool,
 }
--- a/src/node/downstream/framing/tests.rs
+++ b/src/node/downstream/framing/tests.rs
@@ -38,7 +38,10 @@
             (false, true),
             "an ambiguous third request in chunks of {chunk_bytes} bytes"
         );
-        assert!(framing_of(two_lengths, chunk_bytes).is_ambiguous(1));
+        assert!(
+            framing_of(two_lengths, chunk_bytes).is_ambiguous(1),
+            "a repeated Content-Length in chunks of {chunk_bytes} bytes"
+        );
     }
 }
 
--- a/src/node/downstream/inherited.rs
+++ b/src/node/downstream/inherited.rs
@@ -14,8 +14,8 @@
 const FIRST_DESCRIPTOR_VARIABLE: &str = "LISTEN_FDS_FIRST_FD";
 const PROCESS_ID_VARIABLE: &str = "LISTEN_PID";
 
-/// Takes the listening socket; `None` if the platform passes none. Must be called once, before any thread is started, because
-/// it sets environment variables.
+/// Takes the listening socket; `None` if the platform passes none. Must be called once, before any thread is started,
+/// because it sets environment variables.
 ///
 /// # Errors
 ///
--- a/src/node/downstream/request_body.rs
+++ b/src/node/downstream/request_body.rs
@@ -24,7 +24,7 @@
 pub(super) enum BufferedBody {
     /// The complete body.
     Complete(Bytes),
-    /// The beginning of a body that is too long to be buffered.
+    /// The beginning of a body that may not be buffered completely.
     Prefix(Bytes),
 }
 
--- a/src/node/downstream/request_metadata.rs
+++ b/src/node/downstream/request_metadata.rs
@@ -153,8 +153,8 @@
     Ok(())
 }
 
-/// Parses `Req-Deadline`: `480m` is in milliseconds, `480000u` in microseconds. Returns `None` for other forms that the float
-/// parser accepts (a sign, an exponent, infinity), and for deadlines that are zero or above [`MAX_DEADLINE`].
+/// Parses `Req-Deadline`: `480m` is in milliseconds, `480000u` in microseconds. Returns `None` for other forms that the
+/// float parser accepts (a sign, an exponent, infinity), and for deadlines that are zero or above [`MAX_DEADLINE`].
 fn parse_deadline(text: &str) -> Option<Duration> {
     let number = text.strip_suffix(['m', 'u'])?;
     let is_decimal = number
--- a/src/node/downstream/server.rs
+++ b/src/node/downstream/server.rs
@@ -33,7 +33,7 @@
 /// Options of the server for clients.
 #[derive(Clone)]
 pub struct ServerOptions {
-    /// The phase of the node's shutdown.
+    /// Receiver of the phase of the node's shutdown.
     pub phases: watch::Receiver<Phase>,
     /// State of the drain that operators begin and cancel.
     pub drain: Rc<Cell<Drain>>,
@@ -72,8 +72,8 @@
 
 /// Serves clients until the node stops accepting connections and every accepted request is answered.
 ///
-/// Returns no later than [`FINAL_WRITE_TIMEOUT`] after the shutdown deadline, so that a client that does not read its response
-/// cannot delay the shutdown. Must run inside a [`tokio::task::LocalSet`]. Dropping the future stops accepting;
+/// Returns no later than [`FINAL_WRITE_TIMEOUT`] after the shutdown deadline, so that a client that does not read its
+/// response cannot delay the shutdown. Must run inside a [`tokio::task::LocalSet`]. Dropping the future stops accepting;
 /// the tasks of open connections continue.
 pub async fn serve(listener: TcpListener, dispatcher: Rc<Dispatcher>, options: ServerOptions) {
     let state = Rc::new(ServerState {
--- a/src/node/downstream/shutdown.rs
+++ b/src/node/downstream/shutdown.rs
@@ -31,9 +31,10 @@
 pub enum Phase {
     /// Normal operation.
     Serving,
-    /// The node has received a stop signal and still serves: it accepts connections, and clients keep their open connections.
+    /// The node has received a stop signal and still serves: it accepts connections, and clients keep their open
+    /// connections.
     Draining(Instant),
-    /// No connection is accepted, idle ones are closed, and each response is the last on its connection.
+    /// No connections are accepted, idle connections are closed, and each response is the last on its connection.
     ShuttingDown(Instant),
 }
 
@@ -89,7 +90,8 @@
     }
 }
 
-/// Reads and discards the bytes that the client sends after the last response, up to [`MAX_LINGER_BYTES`] and [`LINGER_TIMEOUT`].
+/// Reads and discards the bytes that the client sends after the last response, up to [`MAX_LINGER_BYTES`] and
+/// [`LINGER_TIMEOUT`].
 ///
 /// Closing a connection with unread bytes resets it, and the client may lose the response.
 pub(super) async fn linger(socket: &Socket) {
--- a/src/node/downstream/socket.rs
+++ b/src/node/downstream/socket.rs
@@ -18,11 +18,12 @@
 use crate::node::downstream::connection_table::{ConnectionGuard, Stage, TrackedConnection};
 use crate::node::downstream::framing::Framing;
 
-/// Limit on the bytes that are read ahead of hyper, which does not notice that a client has disconnected while it holds bytes
-/// of the next request. Clients normally send one request at a time. For a client that sends more than this limit, the
-/// socket's state is polled instead of reading from it.
+/// Limit on the bytes that are read ahead of hyper, which does not notice that a client has disconnected while it holds
+/// bytes of the next request. Clients normally send one request at a time. For a client that sends more than this limit,
+/// the socket's state is polled instead of reading from it.
 const MAX_READ_AHEAD_BYTES: usize = 16 * 1024;
-/// Interval at which the socket of such a client is polled: no attempt may begin for a client that disconnected 100 ms ago.
+/// Interval at which the socket of a client that has sent more than [`MAX_READ_AHEAD_BYTES`] is polled: no attempt may begin
+/// for a client that disconnected 100 ms ago.
 const CLOSE_POLL_INTERVAL: Duration = Duration::from_millis(40);
 
 /// A client's socket. hyper and the connection's task each hold a clone, so that the socket outlives hyper's use of it.
@@ -70,11 +71,11 @@
         matches!(peeked, Ok(bytes) if bytes > 0)
     }
 
-    /// Waits until the client disconnects while its request is being served; at other times hyper detects this. A client that
-    /// shuts down its sending half counts as disconnected, even if it would still read.
+    /// Waits until the client disconnects while its request is being served; at other times hyper detects this. A client
+    /// that shuts down its sending half counts as disconnected, even if it would still read.
     ///
-    /// Must be polled in the same task as hyper. Without this check, attempts could begin for a client that sent more than one
-    /// request, or a flood of bytes, and then disconnected.
+    /// Must be polled in the same task as hyper. Without this check, attempts could begin for a client that sent more than
+    /// one request, or a flood of bytes, and then disconnected.
     pub async fn client_disconnected(&self) {
         let mut next_poll: Option<Pin<Box<Sleep>>> = None;
         poll_fn(|cx| match self.connection.stage() {
--- a/src/node/shutdown.rs
+++ b/src/node/shutdown.rs
@@ -1,8 +1,9 @@
 //! Graceful shutdown: the phases of a node from the stop signal to the end of the process.
 //!
 //! A node that receives a stop signal first drains: it serves as before, so that clients always find a node. In a rolling
-//! restart, a node that was restarted earlier gets traffic only some time after it is ready; until then this node serves the
-//! clients that are connected to it. After that it accepts no new connections, and responds to all requests it has accepted.
+//! restart, a node that was restarted earlier gets traffic only some time after it is ready; until then, this node serves
+//! the clients that are connected to it. After the drain, the node accepts no new connections, and responds to all requests
+//! that it has accepted.
 
 use std::rc::Rc;
 use std::time::{Duration, Instant};
@@ -13,9 +14,9 @@
 use super::cluster::Cluster;
 use super::downstream::server::Phase;
 
-/// Time beyond the longest timeout of a class within which, counted from the stop signal, all requests must have a response.
-/// The platform kills a node 700 ms beyond that timeout. The difference is for writing the last responses, in the worst case
-/// all at once, on the node's share of a core.
+/// Time beyond the longest timeout of a class within which, counted from the stop signal, all requests must have a
+/// response. The platform kills a node 700 ms beyond that timeout. The remaining time is for writing the last responses, in
+/// the worst case all at once, on the node's share of a core.
 const COMPLETION_TIME: Duration = Duration::from_millis(600);
 /// Longest timeout of a class for which the platform waits before it kills a node.
 const MAX_REQUEST_TIME: Duration = Duration::from_secs(3);
