--- a/src/node/clock.rs
+++ b/src/node/clock.rs
@@ -11,8 +11,9 @@
 /// A monotonic clock in Unix time: the Unix time when the clock was created plus the time elapsed since then. Later steps
 /// of the system clock do not affect it. The start times of servers are on the same scale.
 ///
-/// It must not count from zero: the balancer treats a server without any load report as having last reported at time
-/// zero. With a clock near zero, all servers would appear to have just reported, and idle ones would not be tried.
+/// It must not count from zero: the balancer treats a server without a latency measurement as last measured at time
+/// zero. With a clock near zero, all servers would appear to have just been measured, and idle ones would not be
+/// tried.
 #[derive(Clone, Copy, Debug)]
 pub struct Clock {
     start: Instant,
--- a/src/node/mod.rs
+++ b/src/node/mod.rs
@@ -1,10 +1,10 @@
 //! The node: one process, one thread, real sockets around the balancer.
 //!
-//! The modules follow a request's way: [`downstream`] accepts it, [`upstream`] sends attempts to servers, and
-//! [`discovery`] says who the servers are. All they observe reaches the [`dispatcher`] as an event, and it executes what
-//! the balancer decides. Nothing here decides anything about a request: no health, no retries, no choice of a server.
-//! [`admin`] is the operators' side. [`cluster`] connects to other nodes; it runs only where the operators configured
-//! it.
+//! [`downstream`] accepts requests, [`upstream`] sends attempts to servers, and [`discovery`] maintains the list of
+//! servers. The [`dispatcher`] passes what they observe to the balancer as events, and executes the actions that the
+//! balancer returns. Decisions about requests are made by the balancer alone: this module does not judge the health
+//! of servers, select servers or decide on retries. [`admin`] is the operators' interface. [`cluster`] communicates
+//! with other nodes, if the operators configured any.
 
 pub mod admin;
 mod clock;
@@ -48,11 +48,11 @@
     Config(ConfigError),
     /// The operators configured a cluster that cannot start.
     Cluster(ClusterError),
-    /// A call of the operating system failed.
+    /// A system call failed.
     System {
-        /// What the node tried to do.
+        /// The operation that failed, worded to follow "cannot".
         operation: &'static str,
-        /// The system's error.
+        /// The operating system's error.
         source: io::Error,
     },
 }
@@ -70,7 +70,7 @@
 impl Error for NodeError {
     fn source(&self) -> Option<&(dyn Error + 'static)> {
         match self {
-            // Their messages are this error's own.
+            // `Display` prints the message of the inner error, so the source chain continues after it.
             Self::Config(error) => error.source(),
             Self::Cluster(error) => error.source(),
             Self::System { source, .. } => Some(source),
@@ -88,20 +88,20 @@
     move |source| NodeError::System { operation, source }
 }
 
-/// What the operators add to the platform's configuration. The default adds nothing.
+/// The operators' configuration, which supplements the platform's. The default is empty.
 #[derive(Clone, Debug, Default)]
 pub struct NodeOptions {
     /// The content of the operators' configuration file.
     pub operator_config: OperatorConfig,
-    /// The path of that file, so that SIGHUP can reload it; `None` if there is none.
+    /// The path of the operators' configuration file, which is reloaded on SIGHUP; `None` without such a file.
     pub config_path: Option<PathBuf>,
 }
 
-/// Runs a node until SIGTERM or SIGINT and the graceful shutdown after it. Blocks the calling thread.
+/// Runs a node until its graceful shutdown, started by SIGTERM or SIGINT, has finished. Blocks the calling thread.
 ///
 /// # Errors
 ///
-/// The configuration is invalid, or the node cannot listen.
+/// The configuration is invalid, the cluster cannot start, or a system call such as `listen` fails.
 pub fn run(config: Config, options: NodeOptions) -> Result<(), NodeError> {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
@@ -115,12 +115,12 @@
         operator_config,
         config_path,
     } = options;
-    let signals = Signals::listen()?;
+    let signals = Signals::install_handlers()?;
     let ClientListener {
         listener,
         is_shared,
     } = ClientListener::open(config.listen).await?;
-    let address = local_address(&listener, LISTEN_FOR_CLIENTS)?;
+    let address = local_address(&listener, LISTEN_FOR_CLIENT_CONNECTIONS)?;
     let dispatcher = Dispatcher::start_with(
         &config,
         operator_config.addresses.clone(),
@@ -139,8 +139,8 @@
         watched_file,
         cluster.clone(),
     ));
-    let (phase, phases) = watch::channel(Phase::Serving);
-    let front_options = ServerOptions {
+    let (phase_sender, phases) = watch::channel(Phase::Serving);
+    let server_options = ServerOptions {
         is_shared,
         max_buffered_upload_bytes: config.limits.buffered_upload_bytes(),
         ..ServerOptions::own(phases, config.limits.client_connections())
@@ -148,34 +148,32 @@
     if let Some(address) = config.control {
         let server = AdminServer::new(
             Rc::clone(&dispatcher),
-            front_options.clone(),
+            server_options.clone(),
             cluster.clone(),
         );
         start_admin_server(address, server).await?;
     }
     let schedule = ShutdownSchedule::new(dispatcher.names.max_timeout());
     tokio::select! {
-        () = server::serve(listener, Rc::clone(&dispatcher), front_options) => {}
-        () = shutdown::run_phases(signals.stop, schedule, phase, cluster) => {}
+        () = server::serve(listener, Rc::clone(&dispatcher), server_options) => {}
+        () = shutdown::run_phases(signals.stop, schedule, phase_sender, cluster) => {}
     }
     dispatcher.report_lateness();
     Ok(())
 }
 
-/// The signals that a node handles. SIGHUP ends a process that does not listen for it, so all are listened for before the
-/// node reports that it is ready.
+/// The signals that a node handles. SIGHUP terminates a process without a handler, so all handlers are installed
+/// before the node reports that it serves.
 struct Signals {
     stop: StopSignals,
     reload: Signal,
 }
 
 impl Signals {
-    fn listen() -> Result<Self, NodeError> {
-        let terminate =
-            signal(SignalKind::terminate()).map_err(system_error("listen for SIGTERM"))?;
-        let reload = signal(SignalKind::hangup()).map_err(system_error("listen for SIGHUP"))?;
-        let interrupt =
-            signal(SignalKind::interrupt()).map_err(system_error("listen for SIGINT"))?;
+    fn install_handlers() -> Result<Self, NodeError> {
+        let terminate = signal(SignalKind::terminate()).map_err(system_error("handle SIGTERM"))?;
+        let reload = signal(SignalKind::hangup()).map_err(system_error("handle SIGHUP"))?;
+        let interrupt = signal(SignalKind::interrupt()).map_err(system_error("handle SIGINT"))?;
         Ok(Self {
             stop: StopSignals {
                 terminate,
@@ -186,39 +184,39 @@
     }
 }
 
-const LISTEN_FOR_CLIENTS: &str = "listen for clients";
-const LISTEN_FOR_OPERATORS: &str = "listen for operators";
+const LISTEN_FOR_CLIENT_CONNECTIONS: &str = "listen for client connections";
+const LISTEN_FOR_ADMIN_CONNECTIONS: &str = "listen for admin connections";
 
 fn local_address(listener: &TcpListener, operation: &'static str) -> Result<SocketAddr, NodeError> {
     listener.local_addr().map_err(system_error(operation))
 }
 
-/// The socket on which clients connect.
+/// The listening socket for client connections.
 struct ClientListener {
     listener: TcpListener,
-    /// Whether the platform handed it over, and other processes listen on it, too.
+    /// Whether it was inherited from the platform, so that other processes may accept connections from it, too.
     is_shared: bool,
 }
 
 impl ClientListener {
-    /// The socket that the platform handed over or, if it did not, one of the node's own.
+    /// Uses the socket inherited from the platform; without one, binds to `address`.
     async fn open(address: SocketAddr) -> Result<Self, NodeError> {
-        let inherited = inherited::listener()
-            .map_err(system_error("use the listening socket that it is handed"))?;
+        let inherited =
+            inherited::listener().map_err(system_error("use the inherited listening socket"))?;
         let is_shared = inherited.is_some();
         let listener = match inherited {
             Some(inherited) => TcpListener::from_std(inherited),
             None => TcpListener::bind(address).await,
         };
         Ok(Self {
-            listener: listener.map_err(system_error(LISTEN_FOR_CLIENTS))?,
+            listener: listener.map_err(system_error(LISTEN_FOR_CLIENT_CONNECTIONS))?,
             is_shared,
         })
     }
 }
 
-/// Starts to follow the platform's endpoint list and the Consul services that the operators configured. Returns where to
-/// send a changed address of the platform's discovery, and the followers of Consul.
+/// Starts to watch the platform's endpoint list and the Consul services that the operators configured. Returns the
+/// sender for changes of the platform's discovery address, and the followers of Consul services.
 fn follow_endpoints(
     dispatcher: &Rc<Dispatcher>,
     config: &Config,
@@ -235,12 +233,12 @@
     } else {
         Delivery::Subscribed
     };
-    let follower = endpoint_list::follow(updates, addresses, delivery, cached_generation);
-    tokio::task::spawn_local(follower);
+    let watch_task = endpoint_list::follow(updates, addresses, delivery, cached_generation);
+    tokio::task::spawn_local(watch_task);
     (discovery_address, consul_followers)
 }
 
-/// The path of endpoint updates to the dispatcher, with the Consul services that the operators configured.
+/// Creates the path of endpoint updates to the dispatcher, and starts to follow the configured Consul services.
 fn endpoint_updates(
     dispatcher: &Rc<Dispatcher>,
     config: &Config,
@@ -256,7 +254,7 @@
     (updates, Some(consul_followers))
 }
 
-/// Starts what runs among several nodes, if the operators configured it.
+/// Starts the features that involve other nodes (membership, leases, outlier detection), as far as they are configured.
 async fn start_cluster(
     config: &Config,
     operator_config: &OperatorConfig,
@@ -276,8 +274,8 @@
 async fn start_admin_server(address: SocketAddr, server: AdminServer) -> Result<(), NodeError> {
     let listener = TcpListener::bind(address)
         .await
-        .map_err(system_error(LISTEN_FOR_OPERATORS))?;
-    let address = local_address(&listener, LISTEN_FOR_OPERATORS)?;
+        .map_err(system_error(LISTEN_FOR_ADMIN_CONNECTIONS))?;
+    let address = local_address(&listener, LISTEN_FOR_ADMIN_CONNECTIONS)?;
     log::line(format_args!("admin server listens on {address}"));
     tokio::task::spawn_local(admin_server::serve(listener, server));
     Ok(())
