--- a/src/node/dispatcher/attempts.rs
+++ b/src/node/dispatcher/attempts.rs
@@ -1,7 +1,7 @@
-//! Attempts: how they are sent, cancelled and reported to the balancer.
+//! Sends and cancels attempts, and reports their outcomes to the balancer.
 //!
-//! At most one attempt of a request is in flight. Every attempt that the balancer asks for ends in one outcome, also one
-//! that is not sent.
+//! At most one attempt of a request is in flight. Each attempt that the balancer starts for a request in flight has
+//! exactly one outcome, even if it is not sent.
 
 use std::rc::Rc;
 use std::time::{Duration, Instant};
@@ -12,22 +12,23 @@
 use crate::node::upstream::{AttemptOutcome, UpstreamResponse};
 use balancer::{AttemptResult, Event, LoadReport, Outcome, RequestId, ServerId};
 
-/// Receives the key by which other nodes know a server, and how an attempt there outcome.
+/// A callback that receives the cluster-wide key of a server and the result of an attempt sent to it.
 pub(super) type AttemptObserver = Rc<dyn Fn(u64, AttemptResult)>;
 
-/// Whether an attempt's response is the final one of its request.
+/// Whether the response of an attempt with this result is the final response to its request.
 fn is_final(result: AttemptResult) -> bool {
     matches!(result, AttemptResult::Served | AttemptResult::ClientError)
 }
 
 impl Dispatcher {
-    /// Reports the result of every attempt from here on to `observer`, in place of the one before.
+    /// Calls `observer` with the result of each later attempt that ends by itself or times out; cancelled attempts
+    /// are not reported. Replaces an earlier observer.
     pub fn observe_attempts(&self, observer: impl Fn(u64, AttemptResult) + 'static) {
-        self.observer.replace(Some(Rc::new(observer)));
+        self.attempt_observer.replace(Some(Rc::new(observer)));
     }
 
     pub(super) fn notify_observer(&self, server: ServerId, result: AttemptResult) {
-        let Some(observer) = self.observer.borrow().clone() else {
+        let Some(observer) = self.attempt_observer.borrow().clone() else {
             return;
         };
         let key = self.server_ids.borrow().key(server);
@@ -36,8 +37,9 @@
         }
     }
 
-    /// Whether an attempt may be sent. Enforces the guarantees independently of the balancer: nothing is sent for a
-    /// request that is finished or of which a part is gone, nothing beyond the attempts allowed, and never two at once.
+    /// Whether an attempt may be sent. Enforces the dispatcher's guarantees independently of the balancer: nothing is
+    /// sent for a request that needs no response any more, has expired or cannot be sent again from its beginning,
+    /// nor beyond the maximum number of attempts or while another attempt is in flight.
     fn may_send(&self, request: &InFlightRequest, attempt: usize, now: Instant) -> bool {
         request.responder.is_some()
             && now < request.deadline
@@ -60,33 +62,40 @@
             return self.report_outcome(number, attempt, Duration::ZERO, result, None);
         }
         let message = Rc::clone(&request.message);
-        // A retry whose connection comes up late must not be sent either: what counts is when it is sent.
-        message.send_deadline.set(request.retries_until);
+        // Checked again once a connection is available: a retry must not be sent late because its dial took long.
+        message.send_deadline.set(request.retry_deadline);
         let deadline = request
             .timeout_after_upload
             .map_or(request.deadline, |timeout| now + timeout);
         let dispatcher = Rc::clone(self);
-        let on_stream = move |served| dispatcher.stream_started(number, attempt, served);
-        let exchange = Rc::clone(&self.servers).attempt(server, message, deadline, on_stream);
-        let exchange = Rc::new(RunningAttempt::new(exchange));
-        let (dispatcher, running) = (Rc::clone(self), Rc::clone(&exchange));
+        let on_streamed_response =
+            move |response| dispatcher.handle_stream_start(number, attempt, response);
+        let attempt_future =
+            Rc::clone(&self.servers).attempt(server, message, deadline, on_streamed_response);
+        let running = Rc::new(RunningAttempt::new(attempt_future));
+        let (dispatcher, awaited) = (Rc::clone(self), Rc::clone(&running));
         let task = tokio::task::spawn_local(async move {
-            let outcome = running.outcome().await;
+            let outcome = awaited.outcome().await;
             dispatcher.notify_observer(server, outcome.result);
-            dispatcher.attempt_ended(number, attempt, outcome);
+            dispatcher.handle_outcome(number, attempt, outcome);
         });
         request.attempt = Some(InFlightAttempt {
             number: attempt,
             server,
             sent_at: now,
-            exchange,
+            running,
             task: task.abort_handle(),
             streaming_after: None,
         });
     }
 
-    /// A response begins that is streamed to the client.
-    fn stream_started(self: &Rc<Self>, number: u64, attempt: usize, served: UpstreamResponse) {
+    /// Handles the start of a response that is streamed to the client.
+    fn handle_stream_start(
+        self: &Rc<Self>,
+        number: u64,
+        attempt: usize,
+        response: UpstreamResponse,
+    ) {
         {
             let mut in_flight = self.in_flight.borrow_mut();
             let Some(request) = in_flight.get_mut(&number) else {
@@ -98,7 +107,7 @@
             };
             current.streaming_after = Some(current.sent_at.elapsed());
             if let Some(responder) = request.responder.take() {
-                let _ = responder.send(FinalResponse::Served(served)); // A client that has gone receives nothing.
+                let _ = responder.send(FinalResponse::Served(response)); // Fails if the client has disconnected.
             }
         }
         self.handle_event(Event::StreamStarted {
@@ -107,8 +116,8 @@
         });
     }
 
-    /// An attempt has outcome without being cancelled.
-    fn attempt_ended(self: &Rc<Self>, number: u64, attempt: usize, mut outcome: AttemptOutcome) {
+    /// Handles the outcome of an attempt that was not cancelled.
+    fn handle_outcome(self: &Rc<Self>, number: u64, attempt: usize, mut outcome: AttemptOutcome) {
         let elapsed = {
             let mut in_flight = self.in_flight.borrow_mut();
             let Some(request) = in_flight.get_mut(&number) else {
@@ -118,12 +127,12 @@
             let Some(current) = current.take_if(|current| current.number == attempt) else {
                 return;
             };
-            let served = outcome.response.take();
-            if let (Some(served), Some(responder)) = (
-                served,
+            let response = outcome.response.take();
+            if let (Some(response), Some(responder)) = (
+                response,
                 request.responder.take_if(|_| is_final(outcome.result)),
             ) {
-                let _ = responder.send(FinalResponse::Served(served)); // A client that has gone is an event of its own.
+                let _ = responder.send(FinalResponse::Served(response)); // A disconnect is handled separately.
             }
             current
                 .streaming_after
@@ -132,7 +141,7 @@
         self.report_outcome(number, attempt, elapsed, outcome.result, outcome.report);
     }
 
-    /// Reports to the balancer how an attempt outcome.
+    /// Reports the outcome of an attempt to the balancer.
     pub(super) fn report_outcome(
         self: &Rc<Self>,
         number: u64,
@@ -162,8 +171,8 @@
         }));
     }
 
-    /// Aborts the attempt in flight, or only the one with this number; its connection is closed when this returns. An
-    /// attempt whose response is being streamed stays.
+    /// Aborts and returns a request's attempt in flight; with `attempt`, only if it has that number. Its connection
+    /// is closed when this returns. An attempt whose response is being streamed is not aborted.
     pub(super) fn abort_attempt(
         &self,
         number: u64,
@@ -173,10 +182,10 @@
         let current = &mut in_flight.get_mut(&number)?.attempt;
         let aborted = current.take_if(|current| {
             current.streaming_after.is_none()
-                && attempt.is_none_or(|wanted| current.number == wanted)
+                && attempt.is_none_or(|expected| current.number == expected)
         })?;
         aborted.task.abort();
-        aborted.exchange.abort();
+        aborted.running.abort();
         Some(aborted)
     }
 
--- a/src/node/dispatcher/in_flight.rs
+++ b/src/node/dispatcher/in_flight.rs
@@ -1,7 +1,8 @@
-//! Requests in flight: their admission to the table, their deadlines and their final responses.
+//! Requests in flight: the table of requests, their deadlines and their final responses.
 //!
-//! A request is in the table as long as its client is owed a response or an attempt is in flight. Whoever takes the
-//! `responder` out of its entry gives the only final response; this is what keeps a client from getting two.
+//! A request stays in the table while its client waits for a response or an attempt is in flight. A final response is
+//! sent through the `responder` of the entry, which can be taken only once, so a client never gets two final
+//! responses.
 
 use std::collections::hash_map::Entry;
 use std::rc::Rc;
@@ -17,12 +18,13 @@
 use crate::node::upstream::{RequestBody, UpstreamRequest, UpstreamResponse};
 use balancer::{AttemptResult, Event, Idempotency, Request, RequestId, ServerId};
 
-/// A response must reach the client within its timeout: the node stops waiting this long before its end.
+/// Time before the end of a client's timeout at which the node stops waiting, so that its response still reaches the
+/// client in time.
 const RESPONSE_MARGIN: Duration = Duration::from_millis(10);
-/// The longest time that the upload of a request may take that is accepted before its last byte. An upload at the
-/// minimum transfer rate takes no longer.
+/// Maximum duration of the upload of a request that is accepted before its last byte has arrived. The longest upload
+/// at the minimum transfer rate takes less.
 const MAX_UPLOAD_TIME: Duration = Duration::from_secs(20 * 60);
-/// The fraction of an idempotency window in which a retry may begin to be sent: it must also arrive in the window.
+/// Fraction of a deduplication window during which a retry may start, as it must also arrive within the window.
 const RETRY_WINDOW_FRACTION: f64 = 0.9;
 
 /// The final response to a request.
@@ -30,29 +32,29 @@
 pub enum FinalResponse {
     /// A server's response.
     Served(UpstreamResponse),
-    /// Rejected without having run: a retry is harmless.
+    /// Rejected: the request has not run, or repeating it is harmless.
     Rejected {
-        /// When the client should retry, where the balancer names a time.
+        /// Milliseconds after which the client should retry, if the balancer gives a time.
         retry_after_ms: Option<f64>,
     },
-    /// Failed; it may have run.
+    /// Failed; the request may have run.
     Failed,
 }
 
-/// A request as the downstream side hands it over.
+/// A request that the downstream side passes to the dispatcher.
 #[derive(Debug)]
 pub struct NewRequest {
     /// The index of its class in the settings.
     pub class: usize,
     /// The index of its tenant in the settings.
     pub tenant: usize,
-    /// The key by which servers are chosen, if it has one.
+    /// The key that the balancer selects servers by, if the request has one.
     pub key: Option<Box<str>>,
-    /// What is sent to servers.
+    /// The request as it is forwarded to servers.
     pub message: UpstreamRequest,
-    /// When its last byte arrived; for an upload that is still in progress, when it was accepted.
+    /// Arrival time of its last byte or, while its upload is in progress, the time at which it was accepted.
     pub received_at: Instant,
-    /// How long its client waits, counted from its last byte.
+    /// The client's timeout, which starts with the last byte of the request.
     pub timeout: Duration,
 }
 
@@ -60,33 +62,34 @@
 pub(super) struct InFlightAttempt {
     pub(super) number: usize,
     pub(super) server: ServerId,
-    /// When it was sent. For an upload that has completed since, when that was.
+    /// The time at which it was sent or, if the upload was completed later, the time of that completion.
     pub(super) sent_at: Instant,
-    pub(super) exchange: Rc<RunningAttempt>,
+    pub(super) running: Rc<RunningAttempt>,
     pub(super) task: AbortHandle,
-    /// When its response began to be streamed to the client, counted from `sent_at`. From then on it cannot be cancelled.
+    /// Time from `sent_at` to the start of the response stream to the client; `None` before it. A streamed attempt
+    /// cannot be cancelled.
     pub(super) streaming_after: Option<Duration>,
 }
 
-/// A request that is owed a response or has an attempt in flight.
+/// A request whose client waits for a response or that has an attempt in flight.
 pub(super) struct InFlightRequest {
-    /// Takes the final response; `None` once that has been given or the client has gone.
+    /// The sender of the final response; `None` once that has been sent or the client has disconnected.
     pub(super) responder: Option<oneshot::Sender<FinalResponse>>,
     pub(super) message: Rc<UpstreamRequest>,
     pub(super) deadline: Instant,
-    /// Its timeout, counted from its last byte, while its upload is in progress.
+    /// While the upload is in progress, the timeout that starts with its last byte.
     pub(super) timeout_after_upload: Option<Duration>,
-    /// How many attempts were made.
+    /// Number of attempts that the balancer requested, including those that were not sent.
     pub(super) attempts: usize,
     pub(super) attempt: Option<InFlightAttempt>,
-    /// From when on it must not be sent again, counted from the first attempt that may have run.
-    pub(super) retries_until: Option<Instant>,
-    /// How long servers recognize its idempotency key, if it has one.
+    /// The time from which on it must not be sent again; set by the first attempt that may have run.
+    pub(super) retry_deadline: Option<Instant>,
+    /// Time after the first attempt that may have run during which a retry may start; `None` without a limit.
     pub(super) retry_window: Option<Duration>,
 }
 
 impl InFlightRequest {
-    /// A request without any attempt, and where its final response arrives.
+    /// Creates a request without attempts, and the receiver of its final response.
     fn new(
         message: UpstreamRequest,
         deadline: Instant,
@@ -101,18 +104,19 @@
             timeout_after_upload,
             attempts: 0,
             attempt: None,
-            retries_until: None,
+            retry_deadline: None,
             retry_window,
         };
         (request, response)
     }
 
-    /// Starts the window for retries with the first attempt that may have run.
+    /// Starts the retry window when an attempt that may have run was sent, `elapsed` ago. Only the first call has an
+    /// effect.
     pub(super) fn start_retry_window(&mut self, elapsed: Duration) {
-        let until = self
+        let deadline = self
             .retry_window
             .and_then(|window| (Instant::now() - elapsed).checked_add(window));
-        self.retries_until = self.retries_until.or(until);
+        self.retry_deadline = self.retry_deadline.or(deadline);
     }
 }
 
@@ -126,7 +130,7 @@
 }
 
 impl Dispatcher {
-    /// Accepts a request and passes it to the balancer. `None` if as many requests are in flight as the settings allow.
+    /// Accepts a request and passes it to the balancer. `None` if the maximum number of requests is in flight.
     ///
     /// # Panics
     ///
@@ -148,7 +152,7 @@
         let timeout_after_upload = Some(timeout).filter(|_| is_uploading);
         let time_left = timeout_after_upload.map_or(timeout, |_| MAX_UPLOAD_TIME);
         let deadline =
-            self.before_shutdown(received_at + time_left.saturating_sub(RESPONSE_MARGIN));
+            self.limit_to_shutdown(received_at + time_left.saturating_sub(RESPONSE_MARGIN));
         let retry_window = retry_window(self.names.rules[class].idempotency);
         let (accepted, response) =
             InFlightRequest::new(message, deadline, timeout_after_upload, retry_window);
@@ -176,8 +180,8 @@
         number
     }
 
-    /// Ends every request by then, also those accepted before, so that a node that shuts down leaves none unanswered:
-    /// their clients may wait for longer than the shutdown takes.
+    /// Limits the deadlines of all current and later requests to `by`. Clients may wait for longer than the shutdown
+    /// takes, and a node that shuts down must not leave their requests unanswered.
     pub fn limit_deadlines(&self, by: Instant) {
         self.shutdown_deadline.set(Some(by));
         for (number, request) in self.in_flight.borrow_mut().iter_mut() {
@@ -185,19 +189,19 @@
         }
     }
 
-    fn before_shutdown(&self, at: Instant) -> Instant {
+    fn limit_to_shutdown(&self, at: Instant) -> Instant {
         self.shutdown_deadline.get().map_or(at, |by| at.min(by))
     }
 
     fn set_deadline(&self, number: u64, request: &mut InFlightRequest, at: Instant) {
-        let at = self.before_shutdown(at);
+        let at = self.limit_to_shutdown(at);
         let timer = TimerKind::Deadline(number);
         self.timers.remove(request.deadline, timer);
         request.deadline = at;
         self.timers.set(at, timer);
     }
 
-    /// The upload of a request has completed: its timeout counts from here.
+    /// Handles the completion of an upload, with which the timeout of the request starts.
     fn upload_completed(&self, number: u64, at: Instant) {
         let mut in_flight = self.in_flight.borrow_mut();
         let Some(request) = in_flight.get_mut(&number) else {
@@ -206,7 +210,7 @@
         let Some(timeout) = request.timeout_after_upload.take() else {
             return;
         };
-        // The server's time counts from here, too: until now it waited for the client.
+        // The response time of the server starts here, too: until now it has waited for the client.
         if let Some(attempt) = &mut request.attempt {
             attempt.sent_at = at;
         }
@@ -217,7 +221,7 @@
         );
     }
 
-    /// Gives the final response, unless it has been given.
+    /// Sends the final response, unless one has been sent or the client has disconnected.
     pub(super) fn respond(&self, number: u64, response: FinalResponse) {
         let responder = self
             .in_flight
@@ -225,13 +229,13 @@
             .get_mut(&number)
             .and_then(|request| request.responder.take());
         if let Some(responder) = responder {
-            let _ = responder.send(response); // A client that has gone is an event of its own.
+            let _ = responder.send(response); // A disconnect is handled separately.
         }
         self.remove_if_finished(number);
     }
 
-    /// The deadline of a request has expired: its attempt has timed out, and a request that the balancer has not
-    /// responded to by then has failed.
+    /// Handles the expiry of a request's deadline: its attempt in flight times out, and the request fails unless the
+    /// balancer responds to that outcome.
     pub(super) fn expire_request(self: &Rc<Self>, number: u64) {
         if let Some(attempt) = self.abort_attempt(number, None) {
             self.notify_observer(attempt.server, AttemptResult::TimedOut);
@@ -249,13 +253,13 @@
             .get(&number)
             .is_some_and(|request| request.responder.is_some());
         if is_unanswered {
-            log::line("a request was still unanswered at its deadline");
+            log::line("a request failed: the balancer gave no response by its deadline");
             self.respond(number, FinalResponse::Failed);
             self.handle_event(Event::ClientGone(RequestId(number)));
         }
     }
 
-    /// Removes a request that is owed no response and has no attempt in flight.
+    /// Removes a request whose client waits for no response and that has no attempt in flight.
     pub(super) fn remove_if_finished(&self, number: u64) {
         let mut in_flight = self.in_flight.borrow_mut();
         if let Entry::Occupied(entry) = in_flight.entry(number) {
@@ -267,13 +271,13 @@
         }
     }
 
-    fn client_gone(self: &Rc<Self>, number: u64) {
+    fn handle_disconnect(self: &Rc<Self>, number: u64) {
         let responder = self
             .in_flight
             .borrow_mut()
             .get_mut(&number)
             .and_then(|request| {
-                // Its attempt may still wait for a connection, where settings allow none to be cancelled.
+                // Where the settings forbid cancellation, its attempt may still be waiting for a connection.
                 request.message.send_deadline.set(Some(Instant::now()));
                 request.responder.take()
             });
@@ -284,7 +288,8 @@
     }
 }
 
-/// A request that the dispatcher has accepted. Dropping it means that its client has gone.
+/// A request that the dispatcher has accepted. Dropping the handle before the final response reports that the client
+/// has disconnected.
 pub struct RequestHandle {
     dispatcher: Rc<Dispatcher>,
     number: u64,
@@ -292,12 +297,13 @@
 }
 
 impl RequestHandle {
-    /// The last byte of a request has arrived that was accepted while its upload was in progress.
+    /// Reports that the request's upload, which was in progress when the request was accepted, was completed at `at`.
     pub fn upload_completed(&self, at: Instant) {
         self.dispatcher.upload_completed(self.number, at);
     }
 
-    /// Waits for the final response, which comes once. Cancel safe: dropping the future loses nothing.
+    /// Waits for the final response. Must not be called again once it has returned. Cancel safe: a dropped future
+    /// does not lose the response.
     pub async fn response(&mut self) -> FinalResponse {
         (&mut self.response).await.unwrap_or(FinalResponse::Failed)
     }
@@ -305,6 +311,6 @@
 
 impl Drop for RequestHandle {
     fn drop(&mut self) {
-        self.dispatcher.client_gone(self.number);
+        self.dispatcher.handle_disconnect(self.number);
     }
 }
--- a/src/node/dispatcher/mod.rs
+++ b/src/node/dispatcher/mod.rs
@@ -1,9 +1,10 @@
 //! The dispatcher: connects the events and actions of the balancer to sockets and timers.
 //!
-//! [`Dispatcher`] owns the balancer, the queue of its events and the table of requests in flight. It passes each event to
-//! the balancer with the time and executes the actions that result, in order. It decides nothing about a request, but
-//! enforces the guarantees whatever the balancer decides: no attempt after the deadline or beyond the number allowed,
-//! never two at once, and one final response.
+//! [`Dispatcher`] owns the balancer, the queue of its events and the table of requests in flight. It passes each
+//! event and the current time to the balancer, and executes the returned actions in order. Decisions about requests
+//! are left to the balancer, but the dispatcher enforces these guarantees independently of it: no attempt starts
+//! after the deadline of its request or beyond the maximum number of attempts, a request has at most one attempt in
+//! flight, and a client gets exactly one final response.
 
 mod attempts;
 mod in_flight;
@@ -36,13 +37,13 @@
 use crate::settings::SettingsFormatError;
 use balancer::{Action, AttemptResult, Balancer, Event, ServerId};
 
-/// Owns the balancer and carries out what it decides. See the [module](self).
+/// Owns the balancer and executes its actions. See the [module](self).
 pub struct Dispatcher {
     balancer: RefCell<Balancer>,
     clock: Clock,
-    /// Counts what became of requests.
+    /// Counters of requests and their results.
     pub metrics: Metrics,
-    /// The names of the settings.
+    /// The names that the settings define, and the rules of the request classes.
     pub names: SettingNames,
     servers: Rc<Servers>,
     server_ids: RefCell<ServerIds>,
@@ -50,19 +51,19 @@
     max_in_flight: usize,
     next_request: Cell<u64>,
     in_flight: RefCell<HashMap<u64, InFlightRequest>>,
-    /// Events that wait for the one that is being handled.
+    /// Events to be handled after the current one.
     events: RefCell<VecDeque<Event>>,
-    is_handling: Cell<bool>,
+    is_handling_event: Cell<bool>,
     timers: TimerQueue,
-    /// Notified when the balancer requests the changes of the endpoint list.
+    /// Notified when the balancer requests a subscription to changes of the endpoint list.
     pub subscribe_requested: Notify,
-    observer: RefCell<Option<AttemptObserver>>,
-    /// When a node that shuts down must have responded to all requests.
+    attempt_observer: RefCell<Option<AttemptObserver>>,
+    /// The time by which all requests must have a final response; set when the node shuts down.
     shutdown_deadline: Cell<Option<Instant>>,
 }
 
 impl Dispatcher {
-    /// Starts a dispatcher with the endpoint list that the configuration holds. Must be called in a `LocalSet`.
+    /// Starts a dispatcher with the cached endpoint list of the configuration. Must be called in a `LocalSet`.
     ///
     /// # Errors
     ///
@@ -71,8 +72,7 @@
         Self::start_with(config, ConfiguredAddresses::new(), PoolLimits::default())
     }
 
-    /// As [`start`](Self::start), with the addresses of servers and the limits of connections that the operators
-    /// configured.
+    /// Like [`start`](Self::start), with the server addresses and connection limits that the operators configured.
     ///
     /// # Errors
     ///
@@ -98,10 +98,10 @@
             next_request: Cell::new(0),
             in_flight: RefCell::default(),
             events: RefCell::default(),
-            is_handling: Cell::new(false),
+            is_handling_event: Cell::new(false),
             timers: TimerQueue::default(),
             subscribe_requested: Notify::new(),
-            observer: RefCell::default(),
+            attempt_observer: RefCell::default(),
             shutdown_deadline: Cell::default(),
         });
         dispatcher.use_cached_endpoints(&decode_endpoints(&config.known));
@@ -111,21 +111,21 @@
         Ok(dispatcher)
     }
 
-    /// The time by the dispatcher's clock, in milliseconds of Unix time; it never runs backwards.
+    /// The time of the dispatcher's monotonic clock, in milliseconds of Unix time.
     #[must_use]
     pub fn now_ms(&self) -> f64 {
         self.clock.now_ms()
     }
 
-    /// Passes on the weight that other nodes' reports suggest for a server: see [`Event::Hint`].
+    /// Passes to the balancer the weight that other nodes' reports suggest for a server; see [`Event::Hint`].
     pub fn set_weight_hint(self: &Rc<Self>, server: ServerId, weight: f64) {
         self.handle_event(Event::Hint { server, weight });
     }
 
-    /// Passes an event to the balancer; if another is being handled, after that one.
+    /// Passes an event to the balancer. While another event is being handled, it is queued.
     fn handle_event(self: &Rc<Self>, event: Event) {
         self.events.borrow_mut().push_back(event);
-        if self.is_handling.replace(true) {
+        if self.is_handling_event.replace(true) {
             return;
         }
         let mut actions = Vec::new();
@@ -137,7 +137,7 @@
                 self.execute(&action);
             }
         }
-        self.is_handling.set(false);
+        self.is_handling_event.set(false);
     }
 
     fn next_event(&self) -> Option<Event> {
@@ -161,7 +161,8 @@
         }
     }
 
-    /// Reports a health check as not sent. This node cannot make any and has told the balancer so.
+    /// Reports a health check as not sent. The node does not implement health checks and disables them in the
+    /// balancer's settings.
     fn reject_health_check(&self, server: ServerId) {
         self.events.borrow_mut().push_back(Event::HealthChecked {
             server,
--- a/src/node/dispatcher/server_ids.rs
+++ b/src/node/dispatcher/server_ids.rs
@@ -1,8 +1,8 @@
 //! The ids and keys of servers, and the updates of the endpoint list.
 //!
-//! [`ServerIds`] owns the mapping from endpoint names to the balancer's ids. An id is never used for two servers: an
-//! endpoint that is gone gives its id up and gets another if it returns, so that an attempt still in flight to the first
-//! cannot be counted for the second.
+//! [`ServerIds`] owns the mapping from endpoint names to the balancer's ids. An id is never reused: an endpoint that
+//! is removed and returns gets a new id, so that an attempt still in flight to the old server is not counted for the
+//! new one.
 
 use std::collections::{HashMap, HashSet};
 use std::rc::Rc;
@@ -14,24 +14,25 @@
 use crate::node::upstream::addresses::ConfiguredAddresses;
 use balancer::{Availability, Event, ServerEntry, ServerId, ServerListUpdate};
 
-/// The endpoints of the current list, by name, with their ids and keys.
+/// The ids and keys of the endpoints in the current list.
 #[derive(Default)]
 pub(super) struct ServerIds {
+    /// Ids by endpoint name.
     ids: HashMap<String, ServerId>,
     next_id: usize,
-    /// The key by which other nodes know each server.
+    /// The cluster-wide key of each server, the same on all nodes.
     keys: HashMap<ServerId, u64>,
-    /// Counts the updates of the list.
+    /// Number of updates of the list so far.
     list_version: u64,
 }
 
 impl ServerIds {
-    /// The key by which other nodes know a server of the list.
+    /// The cluster-wide key of a server in the list.
     pub(super) fn key(&self, server: ServerId) -> Option<u64> {
         self.keys.get(&server).copied()
     }
 
-    /// The id of an endpoint; a new one if it has none.
+    /// Returns the id of an endpoint, and assigns a new one if it has none.
     fn assign(&mut self, endpoint: &Endpoint) -> ServerId {
         let next_id = &mut self.next_id;
         *self.ids.entry(endpoint.id.clone()).or_insert_with(|| {
@@ -41,14 +42,14 @@
         })
     }
 
-    /// Removes an endpoint by its name and returns the id that it had.
+    /// Removes an endpoint by its name and returns its former id.
     fn remove(&mut self, name: &str) -> Option<ServerId> {
         let id = self.ids.remove(name)?;
         self.keys.remove(&id);
         Some(id)
     }
 
-    /// Removes the endpoints that have one of these ids.
+    /// Removes the endpoints with these ids.
     fn remove_ids(&mut self, removed: &[ServerId]) {
         self.ids.retain(|_, id| !removed.contains(id));
         for id in removed {
@@ -56,7 +57,7 @@
         }
     }
 
-    /// Removes the endpoints that a full list does not name, and returns the ids that they had.
+    /// Removes the endpoints that are missing from a full list, and returns their former ids.
     fn remove_unlisted(&mut self, listed: &HashSet<&str>) -> Vec<ServerId> {
         let mut removed = Vec::new();
         self.ids.retain(|name, id| {
@@ -73,7 +74,7 @@
     }
 }
 
-/// The key by which all nodes know this incarnation of a server; one that is replaced under its name gets another.
+/// The cluster-wide key of this incarnation of a server. A server that restarts under the same name gets another key.
 fn incarnation_key(endpoint: &Endpoint) -> u64 {
     stable_hash::hash_name(&endpoint.id) ^ stable_hash::mix(endpoint.started_at_ms.to_bits())
 }
@@ -100,7 +101,7 @@
         self.handle_event(Event::ServerList(ServerListUpdate::Changes(entries)));
     }
 
-    /// Starts with the endpoint list that the configuration holds from an earlier run.
+    /// Applies the endpoint list that the configuration holds from an earlier run.
     pub(super) fn use_cached_endpoints(self: &Rc<Self>, endpoints: &[Endpoint]) {
         self.remove_unlisted(endpoints);
         let entries = self.apply_endpoints(endpoints);
@@ -126,7 +127,7 @@
         self.server_ids.borrow().list_version
     }
 
-    /// All servers of the list, with the keys by which other nodes know them.
+    /// All servers in the list with their cluster-wide keys.
     #[must_use]
     pub fn server_keys(&self) -> Vec<(ServerId, u64)> {
         let server_ids = self.server_ids.borrow();
@@ -137,7 +138,7 @@
             .collect()
     }
 
-    /// The name of a server of the list.
+    /// The name of a server in the list.
     #[must_use]
     pub fn server_name(&self, server: ServerId) -> Option<String> {
         let server_ids = self.server_ids.borrow();
@@ -148,7 +149,7 @@
             .map(|(name, _)| name.clone())
     }
 
-    /// How many servers there are, and how many of them are excluded.
+    /// The number of servers in the list, and how many of them the balancer excludes.
     #[must_use]
     pub fn server_gauges(&self) -> ServerGauges {
         ServerGauges {
@@ -157,24 +158,24 @@
         }
     }
 
-    /// Removes the servers that a full list does not name.
+    /// Removes the servers that are missing from a full list.
     fn remove_unlisted(&self, endpoints: &[Endpoint]) {
         let listed = endpoints.iter().map(|endpoint| endpoint.id.as_str());
         let removed = self
             .server_ids
             .borrow_mut()
             .remove_unlisted(&listed.collect());
-        self.forget_servers(&removed);
+        self.remove_servers(&removed);
     }
 
-    fn forget_servers(&self, removed: &[ServerId]) {
+    fn remove_servers(&self, removed: &[ServerId]) {
         for id in removed {
             self.servers.remove(*id);
         }
     }
 
-    /// Applies endpoints to the ids and the connection pool, and returns the entries for the balancer: first the servers
-    /// that are gone or replaced, then those that are there.
+    /// Applies endpoints to the ids and the connection pool, and returns the entries for the balancer: first the
+    /// servers that are gone or displaced from their addresses, then the others.
     fn apply_endpoints(&self, endpoints: &[Endpoint]) -> Vec<ServerEntry> {
         let mut server_ids = self.server_ids.borrow_mut();
         let (gone, present): (Vec<_>, Vec<_>) = endpoints
@@ -184,16 +185,16 @@
             .into_iter()
             .filter_map(|endpoint| server_ids.remove(&endpoint.id))
             .collect();
-        self.forget_servers(&removed);
+        self.remove_servers(&removed);
         let mut present: Vec<(ServerId, &Endpoint)> = present
             .into_iter()
             .map(|endpoint| (server_ids.assign(endpoint), endpoint))
             .collect();
-        let replaced = self.servers.update(&present);
-        server_ids.remove_ids(&replaced);
-        self.forget_servers(&replaced);
-        present.retain(|(id, _)| !replaced.contains(id));
-        removed.extend(replaced);
+        let displaced = self.servers.update(&present);
+        server_ids.remove_ids(&displaced);
+        self.remove_servers(&displaced);
+        present.retain(|(id, _)| !displaced.contains(id));
+        removed.extend(displaced);
         for (id, endpoint) in &present {
             server_ids.keys.insert(*id, incarnation_key(endpoint));
         }
--- a/src/node/dispatcher/settings_names.rs
+++ b/src/node/dispatcher/settings_names.rs
@@ -1,24 +1,24 @@
-//! The names that requests and endpoint lists use for what the settings number.
+//! Maps the names in requests and endpoint lists to the indices that the settings use.
 
 use std::time::Duration;
 
 use crate::node::config::{Config, Names};
 use balancer::{Class, Idempotency};
 
-/// The longest timeout of a class in milliseconds, so that it stays a valid `Duration`.
+/// Maximum timeout of a class in milliseconds, so that the conversion to `Duration` cannot overflow.
 const MAX_CLASS_TIMEOUT_MS: f64 = 1e9;
 
-/// The names of classes, tenants, zones and machine kinds. Each stands for an index of the settings.
+/// The names of classes, tenants, zones and machine kinds, each with its index in the settings.
 pub struct SettingNames {
-    /// Classes of requests.
+    /// Names of request classes.
     pub classes: Names,
-    /// The rule of each class, by the class's index.
+    /// The rules of each class, by the index of the class.
     pub rules: Vec<ClassRule>,
-    /// Tenants.
+    /// Names of tenants.
     pub tenants: Names,
-    /// Zones.
+    /// Names of zones.
     pub zones: Names,
-    /// Machine kinds.
+    /// Names of machine kinds.
     pub machine_kinds: Names,
 }
 
@@ -34,7 +34,7 @@
         }
     }
 
-    /// The longest timeout that a request of any class may have.
+    /// The maximum timeout of a request of any class.
     #[must_use]
     pub fn max_timeout(&self) -> Duration {
         self.rules
@@ -45,11 +45,11 @@
     }
 }
 
-/// What holds for the requests of a class.
+/// The rules for the requests of a class.
 pub struct ClassRule {
-    /// Whether a request may be repeated.
+    /// Whether and for how long a request may be repeated.
     pub idempotency: Idempotency,
-    /// The longest timeout of a request.
+    /// The maximum timeout of a request.
     pub max_timeout: Duration,
 }
 
--- a/src/node/dispatcher/timers.rs
+++ b/src/node/dispatcher/timers.rs
@@ -1,7 +1,7 @@
-//! Timers: when the balancer's timers fire and when the deadlines of requests expire.
+//! The balancer's timers, the deadlines of requests and periodic maintenance.
 //!
-//! [`TimerQueue`] owns one ordered set of both and the greatest lateness of a wake-up. The deadline of a finished
-//! request is removed, so the set holds at most one deadline for each request in flight.
+//! [`TimerQueue`] owns one ordered set of timers and deadlines, and the maximum lateness of a wake-up. The deadline
+//! of a finished request is removed, so the set holds at most one deadline for each request in flight.
 
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeSet;
@@ -14,19 +14,19 @@
 use crate::node::admin::log;
 use balancer::Event;
 
-/// The longest time that a timer of the balancer is set for.
+/// Maximum duration of a balancer timer; longer ones are shortened to it.
 const MAX_TIMER: Duration = Duration::from_secs(71 * 60);
-/// A wake-up that is this late is logged at once, because responses are late by as much.
+/// Lateness from which on wake-ups are logged at the next maintenance, because responses are delayed by as much.
 const REPORTED_LATENESS: Duration = Duration::from_millis(20);
 /// Interval at which expired idle connections are closed and the lateness of wake-ups is checked.
 const MAINTENANCE_INTERVAL: Duration = Duration::from_secs(1);
 
-/// What happens at an instant. The order of the variants is the order at equal instants.
+/// The kinds of timers. Timers set for the same instant fire in the order of the variants.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) enum TimerKind {
-    /// A timer that the balancer set, by the balancer's number.
+    /// A timer of the balancer, with the balancer's number for it.
     Balancer(u64),
-    /// The deadline of a request, by the request's number.
+    /// The deadline of the request with this number.
     Deadline(u64),
 }
 
@@ -34,9 +34,9 @@
 #[derive(Default)]
 pub(super) struct TimerQueue {
     pending: RefCell<BTreeSet<(Instant, TimerKind)>>,
-    /// Notified when a timer is set that fires before all others.
+    /// Notified when a new timer becomes the earliest.
     earliest_changed: Notify,
-    /// The greatest lateness since the last report.
+    /// The maximum lateness of a wake-up since the last report.
     max_lateness: Cell<Duration>,
 }
 
@@ -50,7 +50,7 @@
         pending.insert((at, kind));
     }
 
-    /// Removes a timer; one that has fired is no longer there.
+    /// Removes a timer; does nothing if it has fired.
     pub(super) fn remove(&self, at: Instant, kind: TimerKind) {
         self.pending.borrow_mut().remove(&(at, kind));
     }
@@ -68,7 +68,7 @@
         }
     }
 
-    /// Takes the earliest timer if it is due, and records how late that is.
+    /// Removes and returns the earliest timer if it is due, and records its lateness.
     fn pop_due(&self) -> Option<TimerKind> {
         let (at, kind) = {
             let mut pending = self.pending.borrow_mut();
@@ -89,7 +89,7 @@
         self.timers.set(at, TimerKind::Balancer(timer));
     }
 
-    /// Handles every timer when it is due, without end.
+    /// Handles each timer when it is due. Never completes.
     pub(super) async fn run_timers(self: Rc<Self>) {
         loop {
             self.timers.wait().await;
@@ -102,7 +102,7 @@
         }
     }
 
-    /// Closes expired idle connections and reports late wake-ups, without end.
+    /// Closes expired idle connections and reports late wake-ups at regular intervals. Never completes.
     pub(super) async fn run_maintenance(self: Rc<Self>) {
         let mut ticks = tokio::time::interval(MAINTENANCE_INTERVAL);
         ticks.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
@@ -115,11 +115,11 @@
         }
     }
 
-    /// Logs the greatest lateness of a wake-up since the last report, and starts anew.
+    /// Logs the maximum lateness of a wake-up since the last report, and resets it.
     pub fn report_lateness(&self) {
         let lateness = self.timers.max_lateness.take();
         log::line(format_args!(
-            "the latest wake-up was {:.1} ms late",
+            "timers were up to {:.1} ms late",
             lateness.as_secs_f64() * 1e3
         ));
     }
--- a/src/node/dispatcher/unanswered.rs
+++ b/src/node/dispatcher/unanswered.rs
@@ -1,4 +1,4 @@
-//! The report of the requests that a node leaves unanswered when it shuts down.
+//! Logs the requests that have no response when a node shuts down.
 
 use std::time::Instant;
 
@@ -6,13 +6,13 @@
 use super::Dispatcher;
 use crate::node::admin::log;
 
-/// At most this many unanswered requests are logged one by one; beyond that, their number is.
+/// Maximum number of unanswered requests that are logged individually. If there are more, their number is logged, too.
 const MAX_LOGGED_REQUESTS: usize = 20;
-/// The header in which a client sends its id of a request.
+/// The header with the client's id of a request.
 const REQUEST_ID_HEADER: &str = "req-id";
 
 impl Dispatcher {
-    /// Logs the requests that have no response yet, oldest first, by the ids that clients gave them.
+    /// Logs the requests without a response, oldest first, with the ids that the clients assigned.
     pub fn report_unanswered(&self) {
         let (in_flight, now) = (self.in_flight.borrow(), Instant::now());
         let mut unanswered: Vec<_> = in_flight
@@ -25,7 +25,7 @@
         }
         if unanswered.len() > MAX_LOGGED_REQUESTS {
             log::line(format_args!(
-                "{} requests are not answered",
+                "{} requests have no response",
                 unanswered.len()
             ));
         }
@@ -39,13 +39,13 @@
         .get(REQUEST_ID_HEADER)
         .and_then(|id| id.to_str().ok())
         .unwrap_or("-");
-    let left_ms = request.deadline.saturating_duration_since(now).as_millis();
+    let remaining_ms = request.deadline.saturating_duration_since(now).as_millis();
     let attempt = request
         .attempt
         .as_ref()
         .map_or_else(|| "none in flight".to_owned(), describe_attempt);
     log::line(format_args!(
-        "request {id} is not answered: {left_ms} ms left, {} attempts, {attempt}",
+        "request {id} has no response: {remaining_ms} ms to its deadline, {} attempts, {attempt}",
         request.attempts
     ));
 }
