--- a/src/node/upstream/http1/connection.rs
+++ b/src/node/upstream/http1/connection.rs
@@ -1,4 +1,4 @@
-//! One connection and the exchanges on it.
+//! An HTTP/1.1 connection to a server and the exchanges on it.
 
 use std::future::{poll_fn, Future};
 use std::io::{self, Write};
@@ -23,26 +23,26 @@
 use crate::node::upstream::stream::Stream;
 use crate::node::upstream::{AttemptOutcome, Exchange, ExchangeError, UpstreamRequest};
 
-/// Bound on a message's head, and on what is read of a body at a time.
+/// Maximum size of a message head, and of the part of a body that is read at a time.
 const MAX_READ_BUFFER_BYTES: usize = 32 * 1024;
-/// The decimal digits of a `u64`, its unit and some slack.
+/// Buffer size for the value of `Req-Deadline`: the decimal digits of a `u64`, the unit and three spare bytes.
 const MAX_DEADLINE_TEXT_BYTES: usize = 24;
 const REQ_DEADLINE: HeaderName = HeaderName::from_static("req-deadline");
 const DEFAULT_HOST: HeaderValue = HeaderValue::from_static("service.internal");
 
-/// hyper's half of a connection, which owns the socket and makes progress only while it is polled.
+/// The hyper future that drives a connection. It owns the socket and makes progress only while it is polled.
 type HyperConnection = Pin<Box<Connection<TokioIo<MeteredStream>, AttemptBody>>>;
 
-/// A connection that speaks HTTP/1.1.
+/// An HTTP/1.1 connection to a server.
 pub struct Http1Connection {
     sender: SendRequest<AttemptBody>,
-    /// `None` once it has ended or failed: the socket is closed then.
+    /// `None` once it has ended or failed, which closes the socket.
     connection: Option<HyperConnection>,
     pub(super) progress: Rc<ExchangeProgress>,
 }
 
 impl Http1Connection {
-    /// Makes a connected stream an HTTP/1.1 connection.
+    /// Starts HTTP/1.1 on a connected stream.
     ///
     /// # Errors
     ///
@@ -62,9 +62,9 @@
         })
     }
 
-    /// Implements [`ServerConnection::close_reason`](crate::node::upstream::ServerConnection::close_reason). It finds a
-    /// connection that was closed since its last exchange, on which a request would end as a reset, and one that
-    /// holds bytes beyond its last response.
+    /// Implements [`ServerConnection::close_reason`](crate::node::upstream::ServerConnection::close_reason). Detects
+    /// a connection that was closed since its last exchange, on which a request would fail with a reset, and one that
+    /// received bytes beyond its last response.
     pub fn close_reason(&mut self) -> Option<CloseReason> {
         let mut context = Context::from_waker(Waker::noop());
         poll_connection(&mut self.connection, &self.progress, &mut context);
@@ -134,7 +134,7 @@
                 })
             }
             error = self.progress.wait_for_stall(stall_timeout, send_stall_timeout) => {
-                log::line("a server's response, or the request to it, stalled");
+                log::line("an exchange with a server stalled before a complete response head arrived");
                 Err(error)
             }
         }
@@ -145,7 +145,7 @@
         self.connection = None;
     }
 
-    /// Awaits a future of this connection while driving the connection itself.
+    /// Awaits a future that depends on this connection while driving the connection.
     pub(super) async fn drive<F: Future>(&mut self, future: F) -> F::Output {
         drive(&mut self.connection, &self.progress, future).await
     }
@@ -168,14 +168,15 @@
     }
 }
 
-/// Whether the received bytes caused an error, as opposed to an I/O error or a close.
+/// Whether an error was caused by received bytes rather than by an I/O error or a close.
 fn is_caused_by_input(error: &hyper::Error) -> bool {
     let is_io_error = std::error::Error::source(error)
         .is_some_and(<dyn std::error::Error + 'static>::is::<io::Error>);
     !is_io_error && !error.is_incomplete_message() && !error.is_canceled() && !error.is_closed()
 }
 
-/// Drives a connection and a future that waits for it in the same task, so that dropping the future stops both.
+/// Drives a connection and awaits a future that depends on it in the same task, so that dropping the returned future
+/// stops both.
 async fn drive<F: Future>(
     connection: &mut Option<HyperConnection>,
     progress: &ExchangeProgress,
@@ -189,7 +190,7 @@
     .await
 }
 
-/// Writes a duration in microseconds, as `480000u`, into `buffer`. `None`: it does not fit.
+/// Writes a duration in microseconds, as `480000u`, into `buffer`. `None` if it does not fit.
 fn encode_microseconds(duration: Duration, buffer: &mut [u8]) -> Option<&[u8]> {
     let capacity = buffer.len();
     let mut unused = &mut buffer[..];
--- a/src/node/upstream/http1/metered.rs
+++ b/src/node/upstream/http1/metered.rs
@@ -1,4 +1,4 @@
-//! The socket of an HTTP/1.1 connection, which records what passes in [`ExchangeProgress`].
+//! A wrapper of the socket of an HTTP/1.1 connection, which records reads and writes in [`ExchangeProgress`].
 
 use std::fmt;
 use std::io;
@@ -30,7 +30,7 @@
 }
 
 impl MeteredStream {
-    /// Records what passes on `stream` in `progress`.
+    /// Wraps `stream` and records its reads and writes in `progress`.
     pub fn new(stream: Stream, progress: Rc<ExchangeProgress>) -> Self {
         Self { stream, progress }
     }
@@ -44,8 +44,9 @@
         result
     }
 
-    /// Checks, before the first byte of a request, for input that the event loop may not have seen yet. Unsolicited
-    /// bytes would be taken for the response. As nothing is written then, the request has not run.
+    /// Checks, before the first byte of a request, for input that the event loop may not have reported yet:
+    /// unsolicited bytes would be taken for the response. If the check fails, nothing is written, so the request
+    /// cannot have run.
     fn check_input_before_request(&self) -> io::Result<()> {
         if self.progress.has_written() {
             return Ok(());
@@ -100,8 +101,9 @@
         self.stream.is_write_vectored()
     }
 
-    /// hyper flushes the socket once it has written all that it holds. Once it holds the request's last byte, that byte
-    /// is written then (a body of one piece is held together with its head before any of it is written).
+    /// hyper flushes the socket after it has written everything it has buffered. If the last byte of the request was
+    /// handed to hyper before the flush, it has therefore been written. (A body of one chunk is buffered together
+    /// with its head before any of it is written.)
     fn poll_flush(mut self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<io::Result<()>> {
         self.progress.record_flush();
         Pin::new(&mut self.stream).poll_flush(cx)
--- a/src/node/upstream/http1/metered/tests.rs
+++ b/src/node/upstream/http1/metered/tests.rs
@@ -5,20 +5,22 @@
 use admin::Counter;
 use pool::{Address, BytesSent};
 
-/// Bytes that arrive before the request's first byte, and that the event loop has not seen, would be taken for the
-/// response. Nothing is written then, so that the request has not run.
+/// Bytes that arrive before the first byte of a request, and that the event loop has not reported yet, would be taken
+/// for its response. The request must not be written, so that it cannot have run.
 #[tokio::test]
 async fn request_behind_unsolicited_bytes_is_not_written() {
-    let listener = std::net::TcpListener::bind("127.0.0.1:0").expect("a port");
-    let address = Address::Ip(listener.local_addr().expect("an address"));
-    let stream = Stream::connect(&address).await.expect("it listens");
-    let (mut server, _) = listener.accept().expect("a connection");
+    let listener = std::net::TcpListener::bind("127.0.0.1:0").expect("bind a loopback socket");
+    let address = Address::Ip(listener.local_addr().expect("get the listener's address"));
+    let stream = Stream::connect(&address)
+        .await
+        .expect("connect to the listener");
+    let (mut server, _) = listener.accept().expect("accept the connection");
     let mut metered = MeteredStream::new(stream, Rc::default());
     metered.progress.begin(&Counter::default());
     server
         .write_all(b"HTTP/1.1 200 OK\r\n")
-        .expect("an open connection");
-    // The event loop runs on this thread and has not been polled since.
+        .expect("write to the connection");
+    // The event loop runs on this thread and is not polled before the write, so it cannot have reported the bytes.
     testkit::until("the bytes have arrived", || {
         metered.stream.pending_input() == PendingInput::Bytes
     });
@@ -29,7 +31,7 @@
     assert_eq!(
         metered.progress.bytes_sent(),
         BytesSent::None,
-        "it never ran"
+        "nothing of the request may be written"
     );
     assert!(metered.progress.has_unsolicited_bytes());
 }
--- a/src/node/upstream/http1/mod.rs
+++ b/src/node/upstream/http1/mod.rs
@@ -1,7 +1,8 @@
-//! HTTP/1.1 to servers, one protocol of [`ServerConnection`](crate::node::upstream::ServerConnection).
+//! HTTP/1.1 connections to servers, one protocol of [`ServerConnection`](crate::node::upstream::ServerConnection).
 //!
-//! `connection` makes the exchanges and `response_reader` reads their bodies. `metered` is the socket, which records
-//! in `progress` what is sent and received: whether a request may have run depends on it.
+//! `connection` performs the exchanges, `request_body` supplies request bodies and `response_reader` reads response
+//! bodies. `metered` wraps the socket and records in `progress` what is sent and received, which decides whether a
+//! request may have run.
 
 mod connection;
 mod metered;
--- a/src/node/upstream/http1/progress.rs
+++ b/src/node/upstream/http1/progress.rs
@@ -1,5 +1,5 @@
-//! What has been sent and received of the current exchange. It decides whether a request may have run, and whether what
-//! arrives can be its response.
+//! The progress of the current exchange: what has been sent and received. It decides whether a request may have run,
+//! and whether received bytes can belong to its response.
 
 use std::cell::{Cell, RefCell};
 use std::fmt;
@@ -11,21 +11,21 @@
 
 use crate::node::upstream::response::MAX_UNRESERVED_BODY_BYTES;
 
-/// Bound on what arrives with a buffered response: its head, its body and some 1xx responses before it.
+/// Maximum number of bytes received for a buffered response: its head, its body and the 1xx responses before it.
 const MAX_BUFFERED_RESPONSE_WIRE_BYTES: usize = 4 * MAX_UNRESERVED_BODY_BYTES;
-/// The shortest time that a server may accept nothing of a buffered request before it counts as stalled: TCP
-/// retransmits two lost packets within it. A request whose last byte has not been sent has not run, and may be sent by
-/// another address.
+/// Minimum time without progress after which sending a buffered request counts as stalled: TCP can retransmit two
+/// lost packets within it. A request whose last byte has not been sent has not run, and may be sent to another
+/// address.
 pub const MIN_SEND_STALL_TIMEOUT: Duration = Duration::from_millis(600);
 const HEAD_END: [u8; 4] = *b"\r\n\r\n";
 
-/// The bytes received exceed what any response may have.
+/// More bytes were received than a response may have.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ResponseLimitExceeded;
 
 impl fmt::Display for ResponseLimitExceeded {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        f.write_str("more bytes arrived than any response may have")
+        f.write_str("the response exceeds the size limit")
     }
 }
 
@@ -36,26 +36,28 @@
 pub struct ExchangeProgress {
     written_bytes: Cell<u64>,
     read_bytes: Cell<usize>,
-    /// The last bytes received.
+    /// The last four bytes received.
     tail: Cell<[u8; 4]>,
     /// Whether the request's last byte has been handed to hyper.
     is_body_complete: Cell<bool>,
     /// Whether the request's last byte has been written to the socket.
     is_sent: Cell<bool>,
-    /// Whether the last write was refused, as the server's receive window is full.
+    /// Whether the last write could not proceed because the server's receive window is full.
     is_write_blocked: Cell<bool>,
-    /// Counts the requests that have been sent completely.
+    /// Counter of requests that have been sent completely.
     sent_attempts: RefCell<Counter>,
     /// Notified when anything is written, received or blocked.
     changed: Notify,
-    /// How many bytes a chunked or streamed response may have beyond [`MAX_BUFFERED_RESPONSE_WIRE_BYTES`].
+    /// Number of bytes that the current response may have beyond [`MAX_BUFFERED_RESPONSE_WIRE_BYTES`]; 0 unless
+    /// it is chunked or streamed.
     additional_bytes: Cell<usize>,
     exceeds_response_limit: Cell<bool>,
     has_unsolicited_bytes: Cell<bool>,
 }
 
 impl ExchangeProgress {
-    /// Resets the progress for the next request. What a connection has done wrong stays recorded.
+    /// Resets the progress for the next request. Faults of the connection (unsolicited bytes, an exceeded response
+    /// limit) stay recorded.
     pub fn begin(&self, sent_attempts: &Counter) {
         self.sent_attempts.replace(sent_attempts.clone());
         self.written_bytes.set(0);
@@ -86,22 +88,22 @@
         self.written_bytes.get() > 0
     }
 
-    /// Raises the limit of the current response by so many bytes.
+    /// Sets the number of bytes that the current response may have beyond the limit of a buffered one.
     pub fn allow_additional_bytes(&self, bytes: usize) {
         self.additional_bytes.set(bytes);
     }
 
-    /// Whether more bytes arrived than any response may have.
+    /// Whether a response has exceeded its size limit.
     pub fn exceeds_response_limit(&self) -> bool {
         self.exceeds_response_limit.get()
     }
 
-    /// Whether bytes arrived that belong to no request.
+    /// Whether bytes arrived that are not part of a response to a request.
     pub fn has_unsolicited_bytes(&self) -> bool {
         self.has_unsolicited_bytes.get()
     }
 
-    /// Records that bytes arrived that belong to no request.
+    /// Records that bytes arrived that are not part of a response to a request.
     pub fn record_unsolicited_bytes(&self) {
         self.has_unsolicited_bytes.set(true);
     }
@@ -110,7 +112,7 @@
     ///
     /// # Errors
     ///
-    /// The response is longer than any may be.
+    /// The response exceeds its size limit.
     pub fn record_read(&self, bytes: &[u8]) -> Result<(), ResponseLimitExceeded> {
         self.read_bytes.set(self.read_bytes.get() + bytes.len());
         let mut tail = self.tail.get();
@@ -143,7 +145,7 @@
         self.changed.notify_one();
     }
 
-    /// Records that everything hyper holds has been written.
+    /// Records that hyper has written everything it has buffered.
     pub fn record_flush(&self) {
         let is_sent = self.has_written() && self.is_body_complete.get();
         if is_sent && !self.is_sent.replace(true) {
@@ -151,17 +153,18 @@
         }
     }
 
-    /// Whether a response head has begun and not ended. A complete head without a response was a 1xx: the server may
-    /// take its time after it.
+    /// Whether a response head has been received in part. This is false after a complete 1xx head, since the server
+    /// may take any time between it and the final response.
     fn is_in_head(&self) -> bool {
         self.read_bytes.get() > 0 && self.tail.get() != HEAD_END
     }
 
-    /// Waits until the request or the response head stalls, and returns how. Without it, a server that stops reading,
-    /// or a head that never ends, would use up the request's time with none left for another attempt. Time spent
-    /// waiting for the client's upload, or for the server to process the request, does not count.
+    /// Waits until the request or the response head stalls, and returns the corresponding error. Without this
+    /// timeout, a server that stops reading, or a head that never ends, would use up the request's time and leave
+    /// none for another attempt. Time spent waiting for the client's upload, or for the server to process the
+    /// request, does not count.
     ///
-    /// Cancel safe, but each call starts its timeout anew.
+    /// Cancel safe, but each call restarts the timeout.
     pub async fn wait_for_stall(
         &self,
         response_timeout: Duration,
--- a/src/node/upstream/http1/request_body.rs
+++ b/src/node/upstream/http1/request_body.rs
@@ -1,4 +1,4 @@
-//! The body of a request as one attempt sends it.
+//! The request body that one attempt sends.
 
 use std::pin::Pin;
 use std::rc::Rc;
@@ -11,19 +11,20 @@
 use crate::node::downstream::body_stream::{BodyReceiver, NextFrame, Truncated};
 use crate::node::upstream::{RequestBody, UpstreamRequest};
 
-/// The body of one attempt. The rest of a streamed body is taken when hyper first asks for it; from then on no other
-/// attempt can send the request.
+/// The request body that one attempt sends. The unbuffered rest of a streamed body is taken when hyper first polls
+/// for it; after that, no other attempt can send the request.
 pub struct AttemptBody {
     request: Rc<UpstreamRequest>,
     progress: Rc<ExchangeProgress>,
-    /// The buffered part, until hyper has taken it.
+    /// The buffered part; `None` once hyper has taken it.
     buffered: Option<Bytes>,
+    /// The rest of a streamed body, once it has been taken.
     rest: Option<BodyReceiver>,
     content_length: Option<u64>,
 }
 
 impl AttemptBody {
-    /// The body of a request, for an exchange that `progress` records.
+    /// Creates the body of `request` for an exchange that is recorded in `progress`.
     #[must_use]
     pub fn new(request: &Rc<UpstreamRequest>, progress: &Rc<ExchangeProgress>) -> Self {
         let (buffered, content_length) = match &request.body {
--- a/src/node/upstream/http1/response_reader.rs
+++ b/src/node/upstream/http1/response_reader.rs
@@ -20,10 +20,10 @@
 };
 use crate::node::upstream::{AttemptOutcome, ResponseBody, UpstreamResponse};
 
-/// How long a server may send nothing of a response that is being streamed. No other server can supply the rest, so
-/// this is far longer than the timeout of a response that can be retried.
+/// Maximum time without progress of a streamed response or upload. No other server can continue it, so this is far
+/// longer than the timeout of an exchange that can be retried.
 pub(super) const STREAMING_STALL_TIMEOUT: Duration = Duration::from_secs(5);
-/// The wire bytes of a chunk that carries one byte (`1\r\nx\r\n`), the worst ratio of the chunked coding.
+/// Size on the wire of a chunk with one byte of data (`1\r\nx\r\n`), the largest overhead of the chunked coding.
 const WIRE_BYTES_PER_CHUNKED_BYTE: usize = 6;
 
 impl Http1Connection {
@@ -64,8 +64,10 @@
         }
     }
 
-    /// Reads a response body as far as it can be buffered. A longer one is streamed through `on_streamed_body`, if that
-    /// is given, and `None` is returned at its end. A body that stalls, does not end or exceeds the limits is an error.
+    /// Reads and returns a response body that is short enough to be buffered. A longer one is passed to
+    /// `on_streamed_body`, and `None` is returned once it has been streamed. It is an error if the body stalls, is
+    /// truncated, has no defined end or exceeds the limits, or if a longer one cannot be streamed because
+    /// `on_streamed_body` is `None`.
     async fn read_body(
         &mut self,
         head: &Parts,
@@ -77,7 +79,7 @@
         let is_chunked = head.headers.contains_key(TRANSFER_ENCODING);
         let is_too_long = content_length.is_some_and(|len| len > MAX_STREAMED_BODY_BYTES as u64);
         if is_too_long || (content_length.is_none() && !is_chunked && !ends_with_connection(head)) {
-            log::line("a server's response is too large or has no length");
+            log::line("a server's response exceeds the size limit or has no defined length");
             return Err(StreamError::Connection(ConnectionError::InvalidResponse));
         }
         if is_chunked {
@@ -135,7 +137,7 @@
             deadline.record_bytes(chunk.len());
             streamed_bytes += chunk.len();
             if streamed_bytes > MAX_STREAMED_BODY_BYTES {
-                log::line("a server's streamed response is too large");
+                log::line("a server's streamed response exceeds the size limit");
                 return Err(StreamError::Connection(ConnectionError::InvalidResponse));
             }
             sender.send(chunk).await?;
@@ -162,7 +164,7 @@
                     return Err(StreamError::Connection(ConnectionError::Closed));
                 }
                 _ => {
-                    log::line("a server's response is malformed or stalled");
+                    log::line("the body of a server's response is malformed or stalled");
                     return Err(StreamError::Connection(ConnectionError::InvalidResponse));
                 }
             }
@@ -170,7 +172,7 @@
     }
 }
 
-/// Whether the end of the connection is the end of the body: announced with `Connection: close`, or by HTTP/1.0.
+/// Whether the body ends with the connection, as `Connection: close` announces and HTTP/1.0 implies.
 fn ends_with_connection(head: &Parts) -> bool {
     let announces_close = head
         .headers
@@ -179,8 +181,8 @@
     announces_close || head.version == Version::HTTP_10
 }
 
-/// The result of an attempt whose head meant `result` and whose body was read like this, and the buffered body that
-/// the client gets.
+/// Combines the result that the response head indicates with the outcome of reading the body. Returns the result of
+/// the attempt and the buffered body for the client.
 fn result_with_body(
     result: AttemptResult,
     body: Result<Option<Bytes>, StreamError>,
@@ -202,9 +204,10 @@
     }
 }
 
-/// A body as far as it is buffered. One that arrives as a single chunk is not copied.
+/// The buffered part of a body. A body that arrives as a single chunk is not copied.
 #[derive(Default)]
 struct BufferedBody {
+    /// The first chunk, while it is the only one.
     first: Bytes,
     /// All chunks, once there is more than one.
     joined: BytesMut,
