--- a/src/node/upstream/servers.rs
+++ b/src/node/upstream/servers.rs
@@ -1,8 +1,8 @@
-//! The servers that attempts are made on: where each is reached, whether it drains, and the sockets of its connections.
+//! The servers that attempts are sent to: their addresses, whether they drain, and the sockets of their connections.
 //!
-//! [`pool`] decides which connection an attempt gets and when another is dialed; `actions` carries that out.
-//! `idle` and `checked_out` hold the sockets, each of which has exactly one owner. `attempt` is the loop of one
-//! attempt over a server's addresses.
+//! [`pool`] decides which connection an attempt gets and when another is dialed; `actions` executes these decisions.
+//! `idle` and `checked_out` hold the sockets, each of which has exactly one owner. `attempt` performs one attempt
+//! over the addresses of a server.
 
 mod actions;
 mod attempt;
@@ -32,22 +32,22 @@
 /// An entry of the server table.
 struct Server {
     endpoint: Endpoint,
-    /// The last address that discovery named; an update without one leaves it unchanged.
+    /// The latest main address from discovery; an update without an address leaves it unchanged.
     listed_address: Option<SocketAddr>,
-    /// When a draining server stops getting requests.
+    /// The time from which on a draining server gets no requests; `None` if the server is ready.
     drain_deadline: Option<Instant>,
 }
 
-/// Limits on connections to servers in the operators' file; [`Limits`] has the defaults.
+/// Connection limits in the operators' file. [`Limits`] contains the defaults.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct PoolLimits {
-    /// Connections to one server, over all its addresses.
+    /// Maximum number of connections to one server over all its addresses.
     pub max_connections_per_server: Option<usize>,
-    /// Concurrent dial races to one server.
+    /// Maximum number of concurrent dial races to one server.
     pub max_concurrent_dials: Option<usize>,
-    /// Dials per second to a server in slow start.
+    /// Maximum number of dials per second to a server in slow start.
     pub slow_start_dials_per_s: Option<f64>,
-    /// Whether one connection more than needed is dialed under a rising load.
+    /// Whether one connection more than needed is dialed while the load rises.
     pub dial_ahead: bool,
 }
 
@@ -67,7 +67,7 @@
 }
 
 impl Servers {
-    /// A table without servers. [`Servers::run_timer`] must run beside it.
+    /// Creates a table without servers. [`Servers::run_timer`] must run concurrently.
     #[must_use]
     pub fn new(
         config: &Config,
@@ -75,7 +75,7 @@
         pool_limits: PoolLimits,
         clock: Clock,
     ) -> Rc<Self> {
-        let ms = |time: Duration| time.as_secs_f64() * 1e3;
+        let as_ms = |time: Duration| time.as_secs_f64() * 1e3;
         let max_connections = config.limits.server_connections();
         let defaults = Limits::default();
         let limits = Limits {
@@ -91,8 +91,8 @@
                 .slow_start_dials_per_s
                 .unwrap_or(defaults.slow_start_dials_per_s),
             dial_ahead: pool_limits.dial_ahead,
-            dial_timeout_ms: ms(config.dial_timeout),
-            idle_timeout_ms: ms(config.idle_timeout),
+            dial_timeout_ms: as_ms(config.dial_timeout),
+            idle_timeout_ms: as_ms(config.idle_timeout),
         };
         Rc::new(Self {
             pool: RefCell::new(Pool::new(limits)),
@@ -113,9 +113,9 @@
         self.clock.now_ms()
     }
 
-    /// Applies an update of the endpoint list. Idle connections to a server that moved, restarted or drains are closed.
-    /// Returns the servers that are displaced: an address belongs to the server that started last, and requests for its
-    /// predecessor must not reach it.
+    /// Applies an update of the endpoint list. Idle connections to a server that moved, restarted or drains are
+    /// closed. Returns the displaced servers, whose addresses all belong to other servers now (an address belongs to
+    /// the server that started last). Requests for a displaced server must not reach its successor.
     pub fn update(self: &Rc<Self>, endpoints: &[(ServerId, &Endpoint)]) -> Vec<ServerId> {
         let mut changed = BTreeSet::new();
         for (server, endpoint) in endpoints {
@@ -130,7 +130,7 @@
             .collect()
     }
 
-    /// Updates one table entry and claims its addresses. Adds the servers whose addresses that affects to `changed`.
+    /// Updates one table entry and claims its addresses. Adds the servers whose routes may have changed to `changed`.
     fn update_server(
         self: &Rc<Self>,
         server: ServerId,
@@ -174,8 +174,8 @@
             self.close_idle(server);
         }
         if self.slow_start_ms > 0.0 && endpoint.started_at_ms > 0.0 {
-            let warm_at_ms = endpoint.started_at_ms + self.slow_start_ms;
-            self.with_pool(|pool, _, _| pool.set_warming_up(key, warm_at_ms));
+            let warm_up_ends_at_ms = endpoint.started_at_ms + self.slow_start_ms;
+            self.with_pool(|pool, _, _| pool.set_warming_up(key, warm_up_ends_at_ms));
         }
     }
 
@@ -188,8 +188,8 @@
         }
     }
 
-    /// Replaces the configured addresses. If they changed, returns the known endpoints, to be passed to
-    /// [`Servers::update`]: the routes of any of them may differ.
+    /// Replaces the configured addresses. If they differ from the previous ones, returns all known endpoints, whose
+    /// routes may have changed, so that the caller passes them to [`Servers::update`].
     #[must_use]
     pub fn set_configured_addresses(&self, configured: ConfiguredAddresses) -> Vec<Endpoint> {
         if *self.configured_addresses.borrow() == configured {
@@ -212,7 +212,8 @@
         self.update_routes(&changed);
     }
 
-    /// Whether a request to a server may begin now: it is known, and if it drains, its grace period is not over.
+    /// Whether a request to a server may start now: the server is known and, if it drains, its grace period has not
+    /// ended.
     fn accepts_requests(&self, server: ServerId) -> bool {
         self.table.borrow().get(&server).is_some_and(|server| {
             server
@@ -221,7 +222,7 @@
         })
     }
 
-    /// Whether connections to a server are closed after use: it drains or is gone.
+    /// Whether a server drains or is gone, so that connections to it are closed after use.
     fn is_draining(&self, server: ServerId) -> bool {
         self.table
             .borrow()
--- a/src/node/upstream/servers/actions.rs
+++ b/src/node/upstream/servers/actions.rs
@@ -1,4 +1,4 @@
-//! Carries out the pool's actions: dials, grants, closes and log lines.
+//! Executes the actions of the connection pool: dials, grants, closes and log lines.
 
 use std::io;
 use std::rc::Rc;
@@ -11,7 +11,7 @@
 use crate::node::upstream::ServerConnection;
 
 impl Servers {
-    /// Calls the pool, and carries out the actions that it returns.
+    /// Calls the pool and executes the actions that it returns.
     pub(super) fn with_pool<R>(
         self: &Rc<Self>,
         call: impl FnOnce(&mut Pool, f64, &mut Vec<Action>) -> R,
@@ -29,11 +29,11 @@
         loop {
             self.timer.wait(|| self.now_ms()).await;
             self.with_pool(Pool::handle_timer);
-            tokio::task::yield_now().await; // Other tasks run even if the pool's timer is due again.
+            tokio::task::yield_now().await; // Lets other tasks run even if the timer is already due again.
         }
     }
 
-    /// Carries out one action. `dialed` is the connection whose dial led to it, until an action takes it.
+    /// Executes one action. `dialed` is the connection whose dial caused the action, until an action takes it.
     fn execute(self: &Rc<Self>, action: Action, dialed: &mut Option<ServerConnection>) {
         match action {
             Action::Dial {
@@ -50,7 +50,7 @@
                 checkout,
                 connection,
             } => {
-                if let Some(connection) = self.checked_out(connection, dialed) {
+                if let Some(connection) = self.take_granted(connection, dialed) {
                     self.complete_checkout(checkout, Ok(connection));
                 }
             }
@@ -65,24 +65,24 @@
                 drop(closed);
             }
             Action::RouteDown { server, route } => {
-                self.log_route(server, &route, "does not come up");
+                self.log_route(server, &route, "is down");
             }
-            Action::RouteUp { server, route } => self.log_route(server, &route, "comes up again"),
+            Action::RouteUp { server, route } => self.log_route(server, &route, "is up again"),
             Action::WakeAt(at_ms) => self.timer.set(at_ms),
         }
     }
 
-    fn log_route(&self, server: ServerKey, route: &Route, event: &str) {
+    fn log_route(&self, server: ServerKey, route: &Route, status: &str) {
         let table = self.table.borrow();
         let id = table
             .get(&ServerId(server.0))
-            .map_or("a server that is gone", |s| s.endpoint.id.as_str());
+            .map_or("a removed server", |entry| entry.endpoint.id.as_str());
         let label = route
             .label
             .as_deref()
             .map(|label| format!(" ({label})"))
             .unwrap_or_default();
-        log::line(format_args!("{id}: {}{label} {event}", route.address));
+        log::line(format_args!("{id}: {}{label} {status}", route.address));
     }
 
     fn dial(self: &Rc<Self>, dial: DialId, address: Address) {
--- a/src/node/upstream/servers/attempt.rs
+++ b/src/node/upstream/servers/attempt.rs
@@ -1,4 +1,4 @@
-//! One attempt: the loop over a server's connections and addresses until one exchange has ended.
+//! One attempt: exchanges on the connections and addresses of a server until one of them decides the outcome.
 
 use std::cell::RefCell;
 use std::future::{poll_fn, Future};
@@ -14,11 +14,11 @@
 use crate::node::admin::log;
 use crate::node::upstream::{AttemptOutcome, Exchange, UpstreamRequest, UpstreamResponse};
 
-/// Exchanges that one attempt may start. Each that fails discards a stale connection or excludes a broken address, so
-/// only a server that keeps closing what it accepts reaches this bound.
+/// Maximum number of exchanges in one attempt. Each failed exchange discards a stale connection or excludes a broken
+/// address, so only a server that keeps closing the connections it accepts reaches this limit.
 const MAX_EXCHANGES_PER_ATTEMPT: usize = 64;
 
-/// An attempt that can be aborted by someone other than its awaiter.
+/// An attempt that can be aborted from outside the task that awaits it.
 pub struct RunningAttempt(RefCell<Option<Pin<Box<dyn Future<Output = AttemptOutcome>>>>>);
 
 impl RunningAttempt {
@@ -28,14 +28,14 @@
         Self(RefCell::new(Some(Box::pin(attempt))))
     }
 
-    /// Aborts the attempt. Its connection is closed when this returns.
+    /// Aborts the attempt. Its connection has been closed when this returns.
     pub fn abort(&self) {
         let attempt = self.0.borrow_mut().take();
         drop(attempt);
     }
 
     /// Waits for the attempt's outcome; never completes once the attempt is aborted. Cancel safe: the attempt makes
-    /// no progress while nobody awaits it, and continues with the next call.
+    /// no progress while it is not awaited, and continues with the next call.
     pub async fn outcome(&self) -> AttemptOutcome {
         let outcome = poll_fn(|cx| match &mut *self.0.borrow_mut() {
             Some(attempt) => attempt.as_mut().poll(cx),
@@ -48,11 +48,11 @@
 }
 
 impl Servers {
-    /// Makes one attempt and returns its outcome. A response that is too long to be buffered is passed to
-    /// `on_streamed_response` with its first chunk, and the attempt ends with its last byte.
+    /// Performs one attempt and returns its outcome. A response that is too long to be buffered is passed to
+    /// `on_streamed_response` before its end, and the attempt ends with its last byte.
     ///
-    /// To the balancer this is one attempt, however many addresses it takes: at most one of its exchanges has sent
-    /// the request's last byte.
+    /// For the balancer this is a single attempt, regardless of the number of addresses tried: at most one of its
+    /// exchanges sends the last byte of the request.
     ///
     /// Dropping the future aborts the attempt and closes its connection.
     pub async fn attempt(
@@ -63,18 +63,18 @@
         on_streamed_response: impl Fn(UpstreamResponse),
     ) -> AttemptOutcome {
         let mut excluded_routes = Vec::new();
-        let mut result_if_expired = AttemptResult::NotSent;
+        let mut result_if_not_sendable = AttemptResult::NotSent;
         for _ in 0..MAX_EXCHANGES_PER_ATTEMPT {
             let mut connection = match self.check_out(server, &excluded_routes).await {
                 Ok(connection) => connection,
                 Err(CheckoutError::LimitReached) if excluded_routes.is_empty() => {
-                    log::line("all connections to servers are in use");
+                    log::line("an attempt was not sent: the connection limit is reached");
                     return AttemptResult::NotSent.into();
                 }
                 Err(_) => return AttemptResult::Unreachable.into(),
             };
             if !request.may_be_sent() {
-                return result_if_expired.into(); // Its last byte was never sent, and must not be.
+                return result_if_not_sendable.into(); // The last byte has not been sent and must not be.
             }
             // Checked again before the first byte: the endpoint list may have changed during the dial.
             let now = Instant::now();
@@ -95,7 +95,7 @@
                     Recovery::AnyConnection => {}
                     Recovery::OtherAddress => {
                         excluded_routes.extend(route);
-                        result_if_expired = AttemptResult::Unreachable;
+                        result_if_not_sendable = AttemptResult::Unreachable;
                     }
                     Recovery::Reset => return AttemptResult::Reset.into(),
                     Recovery::Malformed => return AttemptResult::Malformed.into(),
--- a/src/node/upstream/servers/checked_out.rs
+++ b/src/node/upstream/servers/checked_out.rs
@@ -1,4 +1,4 @@
-//! Checking connections out of the pool, and connections that are checked out.
+//! Checkouts of connections from the pool, and checked-out connections.
 
 use std::rc::Rc;
 
@@ -17,8 +17,8 @@
 pub(super) type CheckoutResult = Result<CheckedOutConnection, CheckoutError>;
 
 impl Servers {
-    /// Checks out a connection by none of the excluded routes: an idle one, or whichever comes first of one that is
-    /// returned and one that is dialed. Cancel safe: a connection granted to a dropped checkout goes back to the pool.
+    /// Checks out a connection on a route that is not excluded: an idle one or, if there is none, the first one that
+    /// is checked in or dialed. Cancel safe: a connection granted to a dropped checkout is returned to the pool.
     pub(super) async fn check_out(
         self: &Rc<Self>,
         server: ServerId,
@@ -29,7 +29,7 @@
         });
         match checkout {
             Checkout::Ready(connection) => self
-                .checked_out(connection, &mut None)
+                .take_granted(connection, &mut None)
                 .ok_or(CheckoutError::NoRoute),
             Checkout::Pending(checkout) => {
                 let (sender, receiver) = oneshot::channel();
@@ -46,8 +46,8 @@
         }
     }
 
-    /// Takes the socket of a connection that the pool granted: an idle one, or the one that has just been dialed.
-    pub(super) fn checked_out(
+    /// Takes the socket of a connection that the pool has granted: an idle one or the one that has just been dialed.
+    pub(super) fn take_granted(
         self: &Rc<Self>,
         id: ConnectionId,
         dialed: &mut Option<ServerConnection>,
@@ -69,8 +69,8 @@
         })
     }
 
-    /// Sends a checkout's result to the attempt that waits for it. If the attempt is gone, the connection goes back to
-    /// the pool as it is dropped.
+    /// Sends the result of a checkout to the attempt that waits for it. If the attempt no longer exists, the
+    /// connection is dropped, which returns it to the pool.
     pub(super) fn complete_checkout(&self, checkout: CheckoutId, result: CheckoutResult) {
         let sender = self.pending_checkouts.borrow_mut().remove(&checkout);
         if let Some(sender) = sender {
@@ -105,15 +105,15 @@
     }
 }
 
-/// What follows an exchange that yielded no response head.
+/// The consequence of an exchange that failed before a response head arrived.
 pub(super) struct FailedExchange {
     pub(super) recovery: Recovery,
-    /// The route of the failed connection, if the server still has it.
+    /// The route of the failed connection, if the pool still has the connection.
     pub(super) route: Option<RouteId>,
 }
 
-/// A connection that belongs to one attempt. Dropped before its exchange has begun, it goes back to the pool;
-/// afterwards it is closed, since a part of a request or response may be left on it.
+/// A connection that one attempt has checked out. If it is dropped before its exchange has begun, it is returned to
+/// the pool. If it is dropped later, it is closed, since a part of a request or response may be pending on it.
 pub(super) struct CheckedOutConnection {
     servers: Rc<Servers>,
     id: ConnectionId,
@@ -123,7 +123,7 @@
 }
 
 impl CheckedOutConnection {
-    /// Makes one exchange. On failure the connection is closed and reported to the pool.
+    /// Performs one exchange. On failure, closes the connection and reports that to the pool.
     pub(super) async fn exchange(
         &mut self,
         exchange: Exchange<'_>,
@@ -135,9 +135,9 @@
                 route: None,
             });
         };
-        let exchanged = socket.connection.exchange(exchange).await;
+        let result = socket.connection.exchange(exchange).await;
         let age = socket.age;
-        exchanged.map_err(|error| {
+        result.map_err(|error| {
             let recovery = recovery(age, error.bytes_sent, error.error);
             let route = self.servers.pool.borrow().route_of(self.id);
             match recovery {
@@ -150,7 +150,8 @@
         })
     }
 
-    /// Ends the checkout after a response: the connection goes back to the pool if it can be reused.
+    /// Ends the checkout after a response: returns the connection to the pool if it can be reused, and closes it
+    /// otherwise.
     pub(super) fn finish(mut self, server: ServerId) {
         let close_reason = self
             .socket
@@ -163,7 +164,7 @@
         }
     }
 
-    /// Closes a reused connection that turned out to be closed by its peer, and reports for how long it was idle.
+    /// Closes a reused connection that turned out to be closed by its peer, and reports its idle time to the pool.
     fn close_as_stale(&mut self, reason: CloseReason) {
         let Some(socket) = self.socket.take() else {
             return;
--- a/src/node/upstream/servers/idle.rs
+++ b/src/node/upstream/servers/idle.rs
@@ -9,16 +9,16 @@
 use super::Servers;
 use crate::node::upstream::ServerConnection;
 
-/// The socket of a connection, idle or checked out, with what the pool needs to know if it turns out to be stale.
+/// The socket of a connection, idle or checked out, with the data that the pool needs if it turns out to be stale.
 pub(super) struct PooledConnection {
     pub(super) connection: ServerConnection,
-    /// When it last became idle, or was dialed.
+    /// The time at which it last became idle or was established, in milliseconds of the node's clock.
     pub(super) idle_since_ms: f64,
     pub(super) age: ConnectionAge,
 }
 
 impl Servers {
-    /// Keeps the socket of a connection that has become idle.
+    /// Stores the socket of a connection that has become idle.
     pub(super) fn store_idle(&self, id: ConnectionId, connection: ServerConnection) {
         let idle = PooledConnection {
             connection,
@@ -33,7 +33,8 @@
         self.with_pool(|pool, _, actions| pool.close_idle(ServerKey(server.0), actions));
     }
 
-    /// Closes connections that have been idle too long or that their servers have closed.
+    /// Closes idle connections that have been idle for too long or that cannot be reused, for example because their
+    /// servers have closed them.
     pub fn close_expired(self: &Rc<Self>) {
         let mut closed = HashMap::new();
         for (id, idle) in self.idle_connections.borrow_mut().iter_mut() {
--- a/src/node/upstream/servers/tests.rs
+++ b/src/node/upstream/servers/tests.rs
@@ -27,7 +27,7 @@
         &testkit::settings(15_000),
     );
     let servers = Servers::new(
-        &Config::parse(&text).expect("sound"),
+        &Config::parse(&text).expect("parse the node's configuration"),
         ConfiguredAddresses::new(),
         PoolLimits::default(),
         Clock::new(),
@@ -36,10 +36,11 @@
     servers
 }
 
-/// One server that listens and accepts nothing, and a deadline far away.
+/// A server that listens without accepting connections, the table that contains it, its endpoint, and a deadline 60 s
+/// from now.
 fn one_server() -> (std::net::TcpListener, Rc<Servers>, Endpoint, Instant) {
-    let listener = std::net::TcpListener::bind("127.0.0.1:0").expect("a port");
-    let address = listener.local_addr().expect("an address");
+    let listener = std::net::TcpListener::bind("127.0.0.1:0").expect("bind a loopback socket");
+    let address = listener.local_addr().expect("get the listener's address");
     let servers = servers(address);
     let endpoint = Endpoint {
         address: Some(address),
@@ -54,9 +55,9 @@
     )
 }
 
-/// A server that starts to drain between its selection and the first byte gets nothing.
+/// A server that starts to drain between its selection and the first byte of the request must not get the request.
 #[tokio::test]
-async fn attempt_whose_server_starts_to_drain_during_the_dial_is_not_sent() {
+async fn attempt_to_server_that_drains_during_dial_is_not_sent() {
     tokio::task::LocalSet::new()
         .run_until(check_drain_during_dial())
         .await;
@@ -68,7 +69,7 @@
     let polled = attempt
         .as_mut()
         .poll(&mut Context::from_waker(Waker::noop()));
-    assert!(polled.is_pending(), "it waits for the dial");
+    assert!(polled.is_pending(), "the attempt waits for the dial");
     servers.update(&[(
         ServerId(0),
         &Endpoint {
@@ -96,15 +97,17 @@
             .drain()
             .collect::<Vec<_>>(),
     );
-    let (mut connection, _) = listener.accept().expect("a connection");
+    let (mut connection, _) = listener.accept().expect("accept the attempt's connection");
     let mut bytes = Vec::new();
-    io::Read::read_to_end(&mut connection, &mut bytes).expect("an end in order");
-    assert!(bytes.is_empty(), "nothing went out");
+    io::Read::read_to_end(&mut connection, &mut bytes)
+        .expect("read until the connection is closed");
+    assert!(bytes.is_empty(), "no byte of the request is sent");
 }
 
-/// Covers a client that left during the dial, and a retry whose dial outlasts the deduplication window.
+/// The send deadline passes during the dial if the client disconnects, or if the dial of a retry outlasts the
+/// deduplication window.
 #[tokio::test]
-async fn attempt_whose_send_deadline_passes_during_the_dial_is_not_sent() {
+async fn attempt_past_send_deadline_after_dial_is_not_sent() {
     tokio::task::LocalSet::new()
         .run_until(check_send_deadline_during_dial())
         .await;
@@ -118,12 +121,12 @@
     let polled = attempt
         .as_mut()
         .poll(&mut Context::from_waker(Waker::noop()));
-    assert!(polled.is_pending(), "it waits for the dial");
+    assert!(polled.is_pending(), "the attempt waits for the dial");
     request.send_deadline.set(Some(Instant::now()));
     assert_not_sent(attempt, &servers, &listener).await;
 }
 
-/// The pool counts exactly the sockets and dials that exist, wherever an attempt is aborted.
+/// The pool must count exactly the existing sockets and dials after an attempt was aborted at any point.
 #[tokio::test]
 async fn attempt_aborted_at_any_stage_leaks_no_connection() {
     tokio::task::LocalSet::new()
@@ -133,14 +136,14 @@
 
 async fn check_abort_at_each_stage() {
     let (_listener, servers, _, deadline) = one_server();
-    for turns in 0..40 {
+    for polls in 0..40 {
         let attempt = RunningAttempt::new(Rc::clone(&servers).attempt(
             ServerId(0),
             request(),
             deadline,
             |_| (),
         ));
-        for _ in 0..turns {
+        for _ in 0..polls {
             let mut outcome = pin!(attempt.outcome());
             let _ = outcome
                 .as_mut()
@@ -149,18 +152,19 @@
         }
         attempt.abort();
         assert!(servers.pending_checkouts.borrow().is_empty());
-        let held = servers.idle_connections.borrow().len() + servers.dials.borrow().len();
+        let existing = servers.idle_connections.borrow().len() + servers.dials.borrow().len();
         assert_eq!(
             servers.pool.borrow().open_connections(),
-            held,
-            "after {turns} turns"
+            existing,
+            "attempt aborted after {polls} polls"
         );
     }
 }
 
-/// A connection that breaks before the request's last byte is replaced within the attempt, for each address family.
+/// A connection that breaks before the last byte of the request is replaced within the attempt. Covers each address
+/// family.
 #[tokio::test]
-async fn connection_that_breaks_within_a_request_is_retried_by_another_address() {
+async fn connection_broken_during_request_is_retried_at_other_address() {
     tokio::task::LocalSet::new()
         .run_until(check_break_within_request())
         .await;
@@ -171,44 +175,45 @@
         .into_iter()
         .flat_map(|kind| [(kind, true), (kind, false)])
     {
-        // Takes a little of the request; then it resets the connection, or takes nothing more.
-        let (listener, broken) = testkit::Listener::bind(kind);
+        // Reads up to 100 bytes of the request, then resets the connection or stops reading.
+        let (listener, broken_address) = testkit::Listener::bind(kind);
         std::thread::spawn(move || {
-            let mut held = Vec::new();
+            let mut open_streams = Vec::new();
             while let Ok(mut stream) = listener.accept() {
                 let _ = io::Read::read(&mut stream, &mut [0; 100]);
-                held.extend((!closes).then_some(stream));
+                open_streams.extend((!closes).then_some(stream));
             }
         });
-        let (up, other) = testkit::Server::start_on(kind, |_| testkit::Reply::ok("yes"));
+        let (healthy_server, healthy_address) =
+            testkit::Server::start_on(kind, |_| testkit::Reply::ok("yes"));
         let route = |endpoint: &testkit::Endpoint, preference| pool::Route {
             preference,
-            ..pool::Route::new(endpoint.to_string().parse().expect("an address"))
+            ..pool::Route::new(endpoint.to_string().parse().expect("parse the address"))
         };
-        let listed = vec![route(&broken, 1), route(&other, 2)];
+        let configured_routes = vec![route(&broken_address, 1), route(&healthy_address, 2)];
         let servers = servers(SocketAddr::from(([127, 0, 0, 1], 1)));
         let _ = servers.set_configured_addresses(ConfiguredAddresses::from([(
             "s-0".to_owned(),
             crate::node::upstream::addresses::ServerAddresses {
-                routes: listed,
+                routes: configured_routes,
                 exclusive: true,
             },
         )]));
         servers.update(&[(ServerId(0), &Endpoint::new("s-0"))]);
-        // More than the system takes for a connection whose other end reads nothing.
+        // Exceeds the kernel's socket buffers, so that it cannot be sent completely while the server reads nothing.
         let body = RequestBody::Buffered(Bytes::from(vec![b'x'; 32 << 20]));
         let request = Rc::new(UpstreamRequest {
             method: Method::POST,
             body,
-            ..Rc::into_inner(request()).expect("one")
+            ..Rc::into_inner(request()).expect("the request has a single owner")
         });
         let deadline = Instant::now() + Duration::from_secs(60);
         let attempt = Rc::clone(&servers).attempt(ServerId(0), request, deadline, |_| ());
         let outcome = tokio::time::timeout(Duration::from_secs(20), attempt)
             .await
-            .expect("the attempt continues by the other address");
+            .expect("the attempt completes at the other address");
         assert_eq!(
-            (outcome.result, up.count()),
+            (outcome.result, healthy_server.count()),
             (AttemptResult::Served, 1),
             "{kind:?}, closes: {closes}"
         );
--- a/tests/addresses.rs
+++ b/tests/addresses.rs
@@ -112,7 +112,7 @@
     let reported = node
         .log()
         .iter()
-        .filter(|line| line.contains("does not come up"))
+        .filter(|line| line.contains("is down"))
         .count();
     assert_eq!(reported, 3, "each is reported once");
 }
