--- a/src/node/upstream/addresses.rs
+++ b/src/node/upstream/addresses.rs
@@ -1,4 +1,4 @@
-//! The addresses of each server: those that discovery names, and those that the operators' file adds.
+//! Combines the addresses of a server from endpoint discovery with those in the operators' file.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -9,17 +9,17 @@
 /// The addresses of one server in the operators' file.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct ServerAddresses {
-    /// The addresses.
+    /// The addresses with their preferences and labels.
     pub routes: Vec<Route>,
-    /// Whether only these are used, and none that discovery names.
+    /// Whether only these addresses are used and those from discovery are ignored.
     pub exclusive: bool,
 }
 
-/// The addresses in the operators' file, by a server's id.
+/// The addresses in the operators' file by server id.
 pub type ConfiguredAddresses = HashMap<String, ServerAddresses>;
 
-/// The routes to a server whose main address is `listed_address` according to discovery. For an address that both name,
-/// the operators' file takes precedence.
+/// The routes to a server: those in the operators' file, followed by its addresses from discovery, of which
+/// `listed_address` is the main one. For an address in both, the operators' file takes precedence.
 #[must_use]
 pub fn routes(
     configured: &ConfiguredAddresses,
--- a/src/node/upstream/mod.rs
+++ b/src/node/upstream/mod.rs
@@ -1,9 +1,9 @@
-//! Connections to servers: what is sent, what comes back, and whether a request may have run, whatever protocol carries
-//! it.
+//! The protocol-independent interface to servers: requests, responses, connections, and failed exchanges with the
+//! information whether the request may have run.
 //!
-//! Each protocol is a module with a connection type that dials, reports whether it can be reused, and makes one exchange
-//! at a time; [`ServerConnection`] is the enum over them. Dropping an exchange before its end, and with it the
-//! connection, closes the socket.
+//! Each protocol is a module with a connection type that dials, reports whether it can be reused, and performs one
+//! exchange at a time; [`ServerConnection`] is the enum of these types. Dropping an unfinished exchange together with
+//! its connection closes the socket.
 
 pub(in crate::node) mod addresses;
 mod http1;
@@ -27,7 +27,7 @@
 use balancer::{AttemptResult, LoadReport};
 use stream::Stream;
 
-/// A request as it is forwarded, the same in each attempt but for the deadline header.
+/// A request as it is forwarded. All attempts send the same request except for the `Req-Deadline` header.
 #[derive(Debug)]
 pub struct UpstreamRequest {
     /// The client's method.
@@ -38,9 +38,9 @@
     pub headers: HeaderMap,
     /// The client's body.
     pub body: RequestBody,
-    /// Counts the attempts whose last byte has been sent.
+    /// Counter of attempts whose last byte has been sent.
     pub sent_attempts: Counter,
-    /// From this instant on no further attempt may begin to send the request. `None`: no limit.
+    /// The time from which on no attempt may start to send the request; `None` without a limit.
     pub send_deadline: Cell<Option<Instant>>,
 }
 
@@ -49,13 +49,14 @@
 pub enum RequestBody {
     /// Received completely, so that it can be sent again.
     Buffered(Bytes),
-    /// Still being received. It can be sent again only while nothing beyond its buffered beginning has been taken.
+    /// Still being received. It can be sent again only while no attempt has taken more than its buffered prefix.
     Streamed(Upload),
 }
 
 impl UpstreamRequest {
-    /// Whether an attempt may send the request now. It may not once a part of a streamed body is gone, or once the send
-    /// deadline has passed: the client has left, or servers may have forgotten the attempt before.
+    /// Whether an attempt may send the request now: no other attempt has consumed a part of a streamed body, and the
+    /// send deadline has not passed. The send deadline passes when the client disconnects, or when servers may have
+    /// discarded the idempotency key of an earlier attempt.
     #[must_use]
     pub fn may_be_sent(&self) -> bool {
         self.send_deadline
@@ -88,11 +89,11 @@
 /// The outcome of an attempt.
 #[derive(Debug)]
 pub struct AttemptOutcome {
-    /// What the balancer records.
+    /// The result that is reported to the balancer.
     pub result: AttemptResult,
     /// The server's load report, if the response had one.
     pub report: Option<LoadReport>,
-    /// The buffered response of an attempt that was served or is a client error.
+    /// The buffered response for the client, if the attempt was served or is a client error.
     pub response: Option<UpstreamResponse>,
 }
 
@@ -113,7 +114,7 @@
     pub bytes_sent: BytesSent,
     /// How the connection failed.
     pub error: ConnectionError,
-    /// Whether bytes arrived that belong to no request, or that are no response.
+    /// Whether bytes arrived that are not part of a response to a request, or the response is invalid.
     pub has_unsolicited_bytes: bool,
 }
 
@@ -131,15 +132,14 @@
 
 impl std::error::Error for ExchangeError {}
 
-/// One exchange to be made on a connection.
+/// The input of one exchange on a connection.
 #[derive(Clone, Copy)]
 pub struct Exchange<'a> {
     /// The request.
     pub request: &'a Rc<UpstreamRequest>,
     /// The time left for the request, sent to the server as `Req-Deadline`.
     pub remaining: Duration,
-    /// Called with a response that is too long to be buffered. Its body is forwarded for as long as the exchange is
-    /// polled.
+    /// Called with a response that is too long to be buffered. Its body is forwarded only while the exchange is polled.
     pub on_streamed_response: &'a dyn Fn(UpstreamResponse),
 }
 
@@ -162,14 +162,16 @@
             .map(Self::Http1)
     }
 
-    /// Why the connection cannot be used for another exchange, as far as the event loop knows. `None`: it can.
+    /// The reason why the connection cannot be used for another exchange, as far as the event loop has reported one;
+    /// `None` if it can be used.
     pub fn close_reason(&mut self) -> Option<CloseReason> {
         match self {
             Self::Http1(connection) => connection.close_reason(),
         }
     }
 
-    /// Makes an exchange. Not cancel safe: after the future is dropped midway the connection must be closed.
+    /// Performs an exchange. Not cancel safe: if the future is dropped before it completes, the connection must be
+    /// closed.
     ///
     /// # Errors
     ///
--- a/src/node/upstream/response.rs
+++ b/src/node/upstream/response.rs
@@ -1,4 +1,4 @@
-//! What a server's response means, whatever protocol carried it, and the limits on the bodies of messages.
+//! The interpretation of a server's response, independent of the protocol, and the size limits of message bodies.
 
 use hyper::header::HeaderValue;
 use hyper::StatusCode;
@@ -6,15 +6,15 @@
 use crate::node::admin::log;
 use balancer::{AttemptResult, LoadReport};
 
-/// The longest body that is buffered without a reservation from the memory budget; a longer response is streamed.
+/// Maximum size of a body that is buffered without a reservation from the memory budget; a longer response is streamed.
 pub const MAX_UNRESERVED_BODY_BYTES: usize = 64 * 1024;
-/// The longest request body that is buffered, so that it can be sent again. A longer one is streamed.
+/// Maximum size of a request body that is buffered, so that it can be sent again. A longer one is streamed.
 pub const MAX_BUFFERED_REQUEST_BYTES: usize = 256 * 1024;
-/// The longest body that is streamed: half as much again as the longest that clients and servers send. A message that
-/// states a greater length is not forwarded at all.
+/// Maximum size of a streamed body: 1.5 times the longest body that clients and servers send. A message that
+/// announces a longer body is not forwarded at all.
 pub const MAX_STREAMED_BODY_BYTES: usize = 48 * 1024 * 1024;
 
-/// The result of an attempt by its response head, if the body arrives completely or does not matter.
+/// The result of an attempt according to its response head, provided that the body arrives completely or is not used.
 #[must_use]
 pub fn attempt_result(status: StatusCode, is_rejected: bool) -> AttemptResult {
     match status {
@@ -22,14 +22,14 @@
         StatusCode::SERVICE_UNAVAILABLE | StatusCode::GATEWAY_TIMEOUT if is_rejected => {
             AttemptResult::Overloaded
         }
-        status if blames_request(status) => AttemptResult::ClientError,
+        status if is_fault_of_request(status) => AttemptResult::ClientError,
         _ => AttemptResult::Error,
     }
 }
 
-/// Whether the status blames the request itself: every server would respond the same, so it is no fault of this one.
-/// The other 4xx statuses describe the server's state.
-fn blames_request(status: StatusCode) -> bool {
+/// Whether a status reports a fault of the request itself: every server would respond the same, so this server is not
+/// at fault. The other 4xx statuses describe the state of the server.
+fn is_fault_of_request(status: StatusCode) -> bool {
     let server_state_statuses = [
         StatusCode::REQUEST_TIMEOUT,
         StatusCode::TOO_EARLY,
@@ -38,7 +38,8 @@
     status.is_client_error() && !server_state_statuses.contains(&status)
 }
 
-/// Decodes a `Srv-Load` header. Malformed fields, or a malformed header, are logged and ignored.
+/// Decodes a `Srv-Load` header. A malformed header, and a field without `=`, is logged and ignored. A value that is
+/// not a finite non-negative number counts as absent.
 #[must_use]
 pub fn decode_load_report(value: &HeaderValue) -> Option<LoadReport> {
     let text = value
@@ -46,23 +47,23 @@
         .ok()
         .and_then(|text| text.trim().strip_prefix("TEXT "));
     let Some(fields) = text else {
-        log::line("malformed load report");
+        log::line("a server's load report is malformed");
         return None;
     };
     let mut report = LoadReport::default();
     for field in fields.split(',') {
-        let Some((name, figure)) = field.split_once('=') else {
-            log::line("malformed load report");
+        let Some((name, number)) = field.split_once('=') else {
+            log::line("a field of a server's load report is malformed");
             continue;
         };
-        let figure = figure
+        let number = number
             .trim()
             .parse::<f64>()
             .ok()
             .filter(|x| x.is_finite() && *x >= 0.0);
         match name.trim() {
-            "inflight" | "active" => report.in_flight = figure,
-            "queue" | "waiting" => report.queued = figure,
+            "inflight" | "active" => report.in_flight = number,
+            "queue" | "waiting" => report.queued = number,
             _ => {}
         }
     }
--- a/src/node/upstream/stream.rs
+++ b/src/node/upstream/stream.rs
@@ -19,7 +19,7 @@
     Unix(UnixStream),
 }
 
-/// What the kernel has received on a stream and nobody has read yet.
+/// Input that the kernel has received on a stream and that has not been read yet.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum PendingInput {
     /// Nothing.
@@ -31,11 +31,12 @@
 }
 
 impl Stream {
-    /// Connects. Dropping the future aborts the dial.
+    /// Connects to an address. Dropping the future aborts the dial.
     ///
     /// # Errors
     ///
-    /// Nothing listens at the address, the path is no socket or may not be opened, or there are no descriptors left.
+    /// No process listens at the address, the path is not a socket or cannot be opened, or no file descriptors are
+    /// left.
     pub async fn connect(address: &Address) -> io::Result<Self> {
         match address {
             Address::Ip(address) => {
@@ -47,7 +48,8 @@
         }
     }
 
-    /// Peeks at the socket itself, since the event loop may not have been notified yet. Costs one system call.
+    /// Reads the state of the socket itself, since the event loop may not have reported the input yet. Costs one
+    /// system call.
     #[must_use]
     pub fn pending_input(&self) -> PendingInput {
         let mut byte = [MaybeUninit::uninit()];
@@ -63,7 +65,7 @@
     }
 }
 
-/// Calls a method of whichever stream it is.
+/// Calls a method of the stream in either variant.
 macro_rules! forward {
     ($self:ident, $method:ident $(, $argument:expr)*) => {
         match $self.get_mut() {
--- a/src/node/upstream/stream/tests.rs
+++ b/src/node/upstream/stream/tests.rs
@@ -2,35 +2,43 @@
 use std::io::Write;
 use std::os::unix::fs::PermissionsExt;
 
-async fn pairs() -> Vec<(Stream, Box<dyn Write>)> {
+async fn connected_pairs() -> Vec<(Stream, Box<dyn Write>)> {
     let mut pairs: Vec<(Stream, Box<dyn Write>)> = Vec::new();
-    for bound in ["127.0.0.1:0", "[::1]:0"] {
-        let listener = std::net::TcpListener::bind(bound).expect("a port");
-        let address = Address::Ip(listener.local_addr().expect("an address"));
-        let stream = Stream::connect(&address).await.expect("it listens");
-        pairs.push((stream, Box::new(listener.accept().expect("a connection").0)));
+    for bind_address in ["127.0.0.1:0", "[::1]:0"] {
+        let listener = std::net::TcpListener::bind(bind_address).expect("bind a loopback socket");
+        let address = Address::Ip(listener.local_addr().expect("get the listener's address"));
+        let stream = Stream::connect(&address)
+            .await
+            .expect("connect to the listener");
+        pairs.push((
+            stream,
+            Box::new(listener.accept().expect("accept the connection").0),
+        ));
     }
-    let folder = tempfile::tempdir().expect("a folder");
-    let path = folder.path().join("s");
-    let listener = std::os::unix::net::UnixListener::bind(&path).expect("a socket");
+    let directory = tempfile::tempdir().expect("create a temporary directory");
+    let path = directory.path().join("s");
+    let listener = std::os::unix::net::UnixListener::bind(&path).expect("bind a Unix socket");
     let stream = Stream::connect(&Address::Unix(path))
         .await
-        .expect("it listens");
-    pairs.push((stream, Box::new(listener.accept().expect("a connection").0)));
+        .expect("connect to the listener");
+    pairs.push((
+        stream,
+        Box::new(listener.accept().expect("accept the connection").0),
+    ));
     pairs
 }
 
-/// Bytes and closes are seen although the event loop, which runs on this thread, has not been polled.
+/// Bytes and closes must be detected before the event loop, which runs on this thread, is polled again.
 #[tokio::test]
-async fn pending_input_is_seen_on_each_address_family() {
-    for (stream, mut server) in pairs().await {
+async fn pending_input_is_detected_on_each_address_family() {
+    for (stream, mut server) in connected_pairs().await {
         assert_eq!(stream.pending_input(), PendingInput::None, "{stream:?}");
-        server.write_all(b"x").expect("an open connection");
+        server.write_all(b"x").expect("write to the connection");
         testkit::until("the bytes have arrived", || {
             stream.pending_input() == PendingInput::Bytes
         });
     }
-    for (stream, server) in pairs().await {
+    for (stream, server) in connected_pairs().await {
         drop(server);
         testkit::until("the close has arrived", || {
             stream.pending_input() == PendingInput::Closed
@@ -39,28 +47,29 @@
 }
 
 #[tokio::test]
-async fn connecting_to_a_path_that_is_no_open_socket_fails() {
-    let folder = tempfile::tempdir().expect("a folder");
-    let file = folder.path().join("file");
-    std::fs::write(&file, "no socket").expect("a file");
-    let left = folder.path().join("left");
-    drop(std::os::unix::net::UnixListener::bind(&left).expect("a socket"));
-    let closed = folder.path().join("closed");
-    let _listener = std::os::unix::net::UnixListener::bind(&closed).expect("a socket");
-    std::fs::set_permissions(&closed, std::fs::Permissions::from_mode(0o000)).expect("own file");
+async fn connect_to_path_without_usable_socket_fails() {
+    let directory = tempfile::tempdir().expect("create a temporary directory");
+    let file = directory.path().join("file");
+    std::fs::write(&file, "not a socket").expect("write a file");
+    let abandoned = directory.path().join("abandoned");
+    drop(std::os::unix::net::UnixListener::bind(&abandoned).expect("bind a Unix socket"));
+    let forbidden = directory.path().join("forbidden");
+    let _listener = std::os::unix::net::UnixListener::bind(&forbidden).expect("bind a Unix socket");
+    std::fs::set_permissions(&forbidden, std::fs::Permissions::from_mode(0o000))
+        .expect("set the permissions of the socket");
     for path in [
-        folder.path().join("missing"),
+        directory.path().join("missing"),
         file,
-        left,
-        folder.path().to_owned(),
+        abandoned,
+        directory.path().to_owned(),
     ] {
         assert!(
             Stream::connect(&Address::Unix(path.clone())).await.is_err(),
             "{path:?}"
         );
     }
-    // Whoever may open all files opens this one, too.
-    if let Err(error) = Stream::connect(&Address::Unix(closed)).await {
+    // A privileged user may open the socket in spite of its permissions.
+    if let Err(error) = Stream::connect(&Address::Unix(forbidden)).await {
         assert_eq!(error.kind(), io::ErrorKind::PermissionDenied);
     }
 }
