--- a/src/node/dispatcher/attempts.rs
+++ b/src/node/dispatcher/attempts.rs
@@ -49,9 +49,9 @@
     }
 
     /// Sends an attempt to a server.
-    pub(super) fn send(self: &Rc<Self>, number: u64, server: ServerId) {
+    pub(super) fn send(self: &Rc<Self>, request_number: u64, server: ServerId) {
         let mut in_flight = self.in_flight.borrow_mut();
-        let Some(request) = in_flight.get_mut(&number) else {
+        let Some(request) = in_flight.get_mut(&request_number) else {
             return;
         };
         let (attempt, now) = (request.attempts, Instant::now());
@@ -59,7 +59,7 @@
         if !self.may_send(request, attempt, now) {
             drop(in_flight);
             let result = AttemptResult::NotSent;
-            return self.report_outcome(number, attempt, Duration::ZERO, result, None);
+            return self.report_outcome(request_number, attempt, Duration::ZERO, result, None);
         }
         let message = Rc::clone(&request.message);
         // Checked again once a connection is available: a retry must not be sent late because its dial took long.
@@ -69,7 +69,7 @@
             .map_or(request.deadline, |timeout| now + timeout);
         let dispatcher = Rc::clone(self);
         let on_streamed_response =
-            move |response| dispatcher.handle_stream_start(number, attempt, response);
+            move |response| dispatcher.handle_stream_start(request_number, attempt, response);
         let attempt_future =
             Rc::clone(&self.servers).attempt(server, message, deadline, on_streamed_response);
         let running = Rc::new(RunningAttempt::new(attempt_future));
@@ -77,7 +77,7 @@
         let task = tokio::task::spawn_local(async move {
             let outcome = awaited.outcome().await;
             dispatcher.notify_observer(server, outcome.result);
-            dispatcher.handle_outcome(number, attempt, outcome);
+            dispatcher.handle_outcome(request_number, attempt, outcome);
         });
         request.attempt = Some(InFlightAttempt {
             number: attempt,
@@ -92,13 +92,13 @@
     /// Handles the start of a response that is streamed to the client.
     fn handle_stream_start(
         self: &Rc<Self>,
-        number: u64,
+        request_number: u64,
         attempt: usize,
         response: UpstreamResponse,
     ) {
         {
             let mut in_flight = self.in_flight.borrow_mut();
-            let Some(request) = in_flight.get_mut(&number) else {
+            let Some(request) = in_flight.get_mut(&request_number) else {
                 return;
             };
             let current = request.attempt.as_mut();
@@ -111,16 +111,21 @@
             }
         }
         self.handle_event(Event::StreamStarted {
-            request: RequestId(number),
+            request: RequestId(request_number),
             attempt,
         });
     }
 
     /// Handles the outcome of an attempt that was not cancelled.
-    fn handle_outcome(self: &Rc<Self>, number: u64, attempt: usize, mut outcome: AttemptOutcome) {
+    fn handle_outcome(
+        self: &Rc<Self>,
+        request_number: u64,
+        attempt: usize,
+        mut outcome: AttemptOutcome,
+    ) {
         let elapsed = {
             let mut in_flight = self.in_flight.borrow_mut();
-            let Some(request) = in_flight.get_mut(&number) else {
+            let Some(request) = in_flight.get_mut(&request_number) else {
                 return;
             };
             let current = &mut request.attempt;
@@ -138,13 +143,19 @@
                 .streaming_after
                 .unwrap_or_else(|| current.sent_at.elapsed())
         };
-        self.report_outcome(number, attempt, elapsed, outcome.result, outcome.report);
+        self.report_outcome(
+            request_number,
+            attempt,
+            elapsed,
+            outcome.result,
+            outcome.report,
+        );
     }
 
     /// Reports the outcome of an attempt to the balancer.
     pub(super) fn report_outcome(
         self: &Rc<Self>,
-        number: u64,
+        request_number: u64,
         attempt: usize,
         elapsed: Duration,
         result: AttemptResult,
@@ -152,7 +163,7 @@
     ) {
         let complete = {
             let mut in_flight = self.in_flight.borrow_mut();
-            let mut request = in_flight.get_mut(&number);
+            let mut request = in_flight.get_mut(&request_number);
             if let Some(request) = &mut request {
                 if result.may_have_run() {
                     request.start_retry_window(elapsed);
@@ -160,9 +171,9 @@
             }
             request.is_none_or(|request| request.responder.is_none())
         };
-        self.remove_if_finished(number);
+        self.remove_if_finished(request_number);
         self.handle_event(Event::Outcome(Outcome {
-            request: RequestId(number),
+            request: RequestId(request_number),
             attempt,
             elapsed_ms: elapsed.as_secs_f64() * 1e3,
             result,
@@ -175,11 +186,11 @@
     /// is closed when this returns. An attempt whose response is being streamed is not aborted.
     pub(super) fn abort_attempt(
         &self,
-        number: u64,
+        request_number: u64,
         attempt: Option<usize>,
     ) -> Option<InFlightAttempt> {
         let mut in_flight = self.in_flight.borrow_mut();
-        let current = &mut in_flight.get_mut(&number)?.attempt;
+        let current = &mut in_flight.get_mut(&request_number)?.attempt;
         let aborted = current.take_if(|current| {
             current.streaming_after.is_none()
                 && attempt.is_none_or(|expected| current.number == expected)
@@ -190,10 +201,10 @@
     }
 
     /// Cancels an attempt on behalf of the balancer.
-    pub(super) fn cancel(self: &Rc<Self>, number: u64, attempt: usize) {
-        if let Some(cancelled) = self.abort_attempt(number, Some(attempt)) {
+    pub(super) fn cancel(self: &Rc<Self>, request_number: u64, attempt: usize) {
+        if let Some(cancelled) = self.abort_attempt(request_number, Some(attempt)) {
             self.report_outcome(
-                number,
+                request_number,
                 attempt,
                 cancelled.sent_at.elapsed(),
                 AttemptResult::Cancelled,
--- a/src/node/dispatcher/in_flight.rs
+++ b/src/node/dispatcher/in_flight.rs
@@ -139,7 +139,7 @@
         if self.in_flight.borrow().len() >= self.max_in_flight {
             return None;
         }
-        let number = self.next_request_number();
+        let request_number = self.next_request_number();
         let NewRequest {
             class,
             tenant,
@@ -156,12 +156,13 @@
         let retry_window = retry_window(self.names.rules[class].idempotency);
         let (accepted, response) =
             InFlightRequest::new(message, deadline, timeout_after_upload, retry_window);
-        self.in_flight.borrow_mut().insert(number, accepted);
-        self.timers.set(deadline, TimerKind::Deadline(number));
+        self.in_flight.borrow_mut().insert(request_number, accepted);
+        self.timers
+            .set(deadline, TimerKind::Deadline(request_number));
         let timeout = timeout_after_upload
             .unwrap_or_else(|| deadline.saturating_duration_since(Instant::now()));
         self.handle_event(Event::Request(Request {
-            id: RequestId(number),
+            id: RequestId(request_number),
             class,
             tenant,
             key,
@@ -169,23 +170,23 @@
         }));
         Some(RequestHandle {
             dispatcher: Rc::clone(self),
-            number,
+            request_number,
             response,
         })
     }
 
     fn next_request_number(&self) -> u64 {
-        let number = self.next_request.get();
-        self.next_request.set(number + 1);
-        number
+        let request_number = self.next_request.get();
+        self.next_request.set(request_number + 1);
+        request_number
     }
 
     /// Limits the deadlines of all current and later requests to `by`. Clients may wait for longer than the shutdown
     /// takes, and a node that shuts down must not leave their requests unanswered.
     pub fn limit_deadlines(&self, by: Instant) {
         self.shutdown_deadline.set(Some(by));
-        for (number, request) in self.in_flight.borrow_mut().iter_mut() {
-            self.set_deadline(*number, request, request.deadline);
+        for (request_number, request) in self.in_flight.borrow_mut().iter_mut() {
+            self.set_deadline(*request_number, request, request.deadline);
         }
     }
 
@@ -193,18 +194,18 @@
         self.shutdown_deadline.get().map_or(at, |by| at.min(by))
     }
 
-    fn set_deadline(&self, number: u64, request: &mut InFlightRequest, at: Instant) {
+    fn set_deadline(&self, request_number: u64, request: &mut InFlightRequest, at: Instant) {
         let at = self.limit_to_shutdown(at);
-        let timer = TimerKind::Deadline(number);
+        let timer = TimerKind::Deadline(request_number);
         self.timers.remove(request.deadline, timer);
         request.deadline = at;
         self.timers.set(at, timer);
     }
 
     /// Handles the completion of an upload, with which the timeout of the request starts.
-    fn upload_completed(&self, number: u64, at: Instant) {
+    fn upload_completed(&self, request_number: u64, at: Instant) {
         let mut in_flight = self.in_flight.borrow_mut();
-        let Some(request) = in_flight.get_mut(&number) else {
+        let Some(request) = in_flight.get_mut(&request_number) else {
             return;
         };
         let Some(timeout) = request.timeout_after_upload.take() else {
@@ -215,32 +216,32 @@
             attempt.sent_at = at;
         }
         self.set_deadline(
-            number,
+            request_number,
             request,
             at + timeout.saturating_sub(RESPONSE_MARGIN),
         );
     }
 
     /// Sends the final response, unless one has been sent or the client has disconnected.
-    pub(super) fn respond(&self, number: u64, response: FinalResponse) {
+    pub(super) fn respond(&self, request_number: u64, response: FinalResponse) {
         let responder = self
             .in_flight
             .borrow_mut()
-            .get_mut(&number)
+            .get_mut(&request_number)
             .and_then(|request| request.responder.take());
         if let Some(responder) = responder {
             let _ = responder.send(response); // A disconnect is handled separately.
         }
-        self.remove_if_finished(number);
+        self.remove_if_finished(request_number);
     }
 
     /// Handles the expiry of a request's deadline: its attempt in flight times out, and the request fails unless the
     /// balancer responds to that outcome.
-    pub(super) fn expire_request(self: &Rc<Self>, number: u64) {
-        if let Some(attempt) = self.abort_attempt(number, None) {
+    pub(super) fn expire_request(self: &Rc<Self>, request_number: u64) {
+        if let Some(attempt) = self.abort_attempt(request_number, None) {
             self.notify_observer(attempt.server, AttemptResult::TimedOut);
             self.report_outcome(
-                number,
+                request_number,
                 attempt.number,
                 attempt.sent_at.elapsed(),
                 AttemptResult::TimedOut,
@@ -250,40 +251,40 @@
         let is_unanswered = self
             .in_flight
             .borrow()
-            .get(&number)
+            .get(&request_number)
             .is_some_and(|request| request.responder.is_some());
         if is_unanswered {
             log::line("a request failed: the balancer gave no response by its deadline");
-            self.respond(number, FinalResponse::Failed);
-            self.handle_event(Event::ClientGone(RequestId(number)));
+            self.respond(request_number, FinalResponse::Failed);
+            self.handle_event(Event::ClientGone(RequestId(request_number)));
         }
     }
 
     /// Removes a request whose client waits for no response and that has no attempt in flight.
-    pub(super) fn remove_if_finished(&self, number: u64) {
+    pub(super) fn remove_if_finished(&self, request_number: u64) {
         let mut in_flight = self.in_flight.borrow_mut();
-        if let Entry::Occupied(entry) = in_flight.entry(number) {
+        if let Entry::Occupied(entry) = in_flight.entry(request_number) {
             if entry.get().responder.is_none() && entry.get().attempt.is_none() {
                 let finished = entry.remove();
                 self.timers
-                    .remove(finished.deadline, TimerKind::Deadline(number));
+                    .remove(finished.deadline, TimerKind::Deadline(request_number));
             }
         }
     }
 
-    fn handle_disconnect(self: &Rc<Self>, number: u64) {
+    fn handle_disconnect(self: &Rc<Self>, request_number: u64) {
         let responder = self
             .in_flight
             .borrow_mut()
-            .get_mut(&number)
+            .get_mut(&request_number)
             .and_then(|request| {
                 // Where the settings forbid cancellation, its attempt may still be waiting for a connection.
                 request.message.send_deadline.set(Some(Instant::now()));
                 request.responder.take()
             });
         if responder.is_some() {
-            self.remove_if_finished(number);
-            self.handle_event(Event::ClientGone(RequestId(number)));
+            self.remove_if_finished(request_number);
+            self.handle_event(Event::ClientGone(RequestId(request_number)));
         }
     }
 }
@@ -292,14 +293,14 @@
 /// has disconnected.
 pub struct RequestHandle {
     dispatcher: Rc<Dispatcher>,
-    number: u64,
+    request_number: u64,
     response: oneshot::Receiver<FinalResponse>,
 }
 
 impl RequestHandle {
     /// Reports that the request's upload, which was in progress when the request was accepted, was completed at `at`.
     pub fn upload_completed(&self, at: Instant) {
-        self.dispatcher.upload_completed(self.number, at);
+        self.dispatcher.upload_completed(self.request_number, at);
     }
 
     /// Waits for the final response. Must not be called again once it has returned. Cancel safe: a dropped future
@@ -311,6 +312,6 @@
 
 impl Drop for RequestHandle {
     fn drop(&mut self) {
-        self.dispatcher.handle_disconnect(self.number);
+        self.dispatcher.handle_disconnect(self.request_number);
     }
 }
--- a/src/node/dispatcher/timers.rs
+++ b/src/node/dispatcher/timers.rs
@@ -96,7 +96,7 @@
             while let Some(kind) = self.timers.pop_due() {
                 match kind {
                     TimerKind::Balancer(timer) => self.handle_event(Event::Timer(timer)),
-                    TimerKind::Deadline(number) => self.expire_request(number),
+                    TimerKind::Deadline(request_number) => self.expire_request(request_number),
                 }
             }
         }
--- a/src/node/dispatcher/unanswered.rs
+++ b/src/node/dispatcher/unanswered.rs
@@ -19,7 +19,7 @@
             .iter()
             .filter(|(_, request)| request.responder.is_some())
             .collect();
-        unanswered.sort_by_key(|(number, _)| **number);
+        unanswered.sort_by_key(|(request_number, _)| **request_number);
         for (_, request) in unanswered.iter().take(MAX_LOGGED_REQUESTS) {
             log_unanswered(request, now);
         }
