--- a/src/node/upstream/stream.rs
+++ b/src/node/upstream/stream.rs
@@ -48,8 +48,7 @@
         }
     }
 
-    /// Reads the state of the socket itself, since the event loop may not have reported the input yet. Costs one
-    /// system call.
+    /// Peeks at the socket itself, since the event loop may not have reported the input yet. Costs one system call.
     #[must_use]
     pub fn pending_input(&self) -> PendingInput {
         let mut byte = [MaybeUninit::uninit()];
