--- a/crates/gossip/tests/drawn_faults.rs
+++ b/crates/gossip/tests/drawn_faults.rs
@@ -2,7 +2,7 @@
 
 use gossip::InjectedFault;
 use simulation::FaultSchedule;
-use testkit::nodes::checker::{schedule_limits, trial};
+use testkit::nodes::checker::{run_trial, schedule_limits};
 use testkit::nodes::VirtualCluster;
 
 /// As many as run within a minute; `measure -- members` runs more.
@@ -12,7 +12,7 @@
 fn drawn_faults_kill_no_healthy_node_and_all_agree_after_them() {
     let mut declared_dead = 0;
     for seed in 0..SEEDS {
-        match trial(seed, schedule_limits(seed, 16), InjectedFault::None) {
+        match run_trial(seed, schedule_limits(seed, 16), InjectedFault::None) {
             Ok(trial) => declared_dead += trial.deaths,
             Err(error) => panic!("{error}"),
         }
@@ -24,7 +24,8 @@
 }
 
 fn assert_detected(fault: InjectedFault) {
-    let found = (0..SEEDS).find(|seed| trial(*seed, schedule_limits(*seed, 16), fault).is_err());
+    let found =
+        (0..SEEDS).find(|seed| run_trial(*seed, schedule_limits(*seed, 16), fault).is_err());
     assert!(found.is_some(), "{fault:?}");
 }
 
@@ -49,7 +50,7 @@
     (0..6).for_each(|node| cluster.simulation.pause(node, 10_000.0));
     cluster.partition(|node| if node < 6 { node } else { 6 });
     cluster.run(9_990.0);
-    cluster.all_links(simulation::Link {
+    cluster.set_all_links(simulation::Link {
         loss: 0.6,
         ..simulation::Link::default()
     });
@@ -82,7 +83,7 @@
     let run = |seed| {
         let limits = schedule_limits(seed, 16);
         let mut cluster = VirtualCluster::started(seed, limits.nodes);
-        cluster.play(&FaultSchedule::generate(seed, limits));
+        cluster.apply_schedule(&FaultSchedule::generate(seed, limits));
         format!("{:?}{:?}", cluster.outputs(), cluster.simulation.totals())
     };
     assert_eq!(run(5), run(5));
--- a/crates/gossip/tests/scenarios/hostile_input.rs
+++ b/crates/gossip/tests/scenarios/hostile_input.rs
@@ -9,7 +9,7 @@
 #[test]
 fn replayed_datagrams_of_earlier_process_are_rejected() {
     let mut cluster = VirtualCluster::started(1, 5);
-    cluster.all_links(Link {
+    cluster.set_all_links(Link {
         replay: 0.5,
         ..Link::default()
     });
--- a/crates/gossip/tests/scenarios/links.rs
+++ b/crates/gossip/tests/scenarios/links.rs
@@ -11,7 +11,7 @@
     for (seed, loss) in [(1, 0.1), (2, 0.3), (3, 0.5)] {
         for nodes in [5, 9, 30] {
             let mut cluster = VirtualCluster::new(seed, nodes);
-            cluster.all_links(Link {
+            cluster.set_all_links(Link {
                 loss,
                 ..Link::default()
             });
@@ -70,7 +70,7 @@
     for (seed, held) in (1..).zip(cases) {
         let mut cluster = VirtualCluster::started(seed, 7);
         let before = cluster.simulation.now_ms();
-        cluster.all_links(held.clone());
+        cluster.set_all_links(held.clone());
         cluster.run(120_000.0);
         let deaths = cluster.deaths_since(before);
         assert!(deaths.is_empty(), "{held:?}: {deaths:?}");
@@ -114,7 +114,7 @@
 fn total_corruption_isolates_all_and_kills_nobody() {
     let mut cluster = VirtualCluster::started(1, 7);
     let before = cluster.simulation.now_ms();
-    cluster.all_links(Link {
+    cluster.set_all_links(Link {
         corruption: 1.0,
         ..Link::default()
     });
--- a/crates/measure/src/detectors.rs
+++ b/crates/measure/src/detectors.rs
@@ -350,7 +350,7 @@
 
 impl Play for Observers {
     fn links(&mut self, link: Link) {
-        self.0.all_links(link);
+        self.0.set_all_links(link);
     }
     fn cut(&mut self, from: NodeId, to: NodeId) {
         self.0.cut(from, to);
--- a/crates/measure/src/members.rs
+++ b/crates/measure/src/members.rs
@@ -9,7 +9,7 @@
 
 use gossip::{InjectedFault, State};
 use simulation::{Fault, FaultSchedule, Link, ScheduleLimits};
-use testkit::nodes::checker::{schedule_limits, trial, Excuses};
+use testkit::nodes::checker::{run_trial, schedule_limits, ExcusedDeaths};
 use testkit::nodes::{Output, VirtualCluster};
 use testkit::{Fleet, Load};
 
@@ -21,8 +21,8 @@
 
 /// The line of one seed; of a failed one with its fault schedule, if `with_schedule`.
 pub fn trial_of(seed: u64, with_schedule: bool) -> String {
-    match trial(seed, schedule_limits(seed, MAX_NODES), InjectedFault::None) {
-        Ok(trial) => format!("{AGREED} {:.0} {}", trial.agreed_ms, trial.deaths),
+    match run_trial(seed, schedule_limits(seed, MAX_NODES), InjectedFault::None) {
+        Ok(trial) => format!("{AGREED} {:.0} {}", trial.convergence_ms, trial.deaths),
         Err(error) if with_schedule => error.to_string(),
         Err(error) => error
             .to_string()
@@ -91,7 +91,7 @@
     let hours = if is_brief() { 0.01 } else { DAYS_HOURS };
     let mut fleet = VirtualCluster::started(seed, DAYS_NODES);
     let mut rng = fastrand::Rng::with_seed(seed);
-    fleet.all_links(Link {
+    fleet.set_all_links(Link {
         loss: 0.1,
         ..Link::default()
     });
@@ -216,7 +216,7 @@
 
 fn size(nodes: usize, loss: f64, kills: usize) -> String {
     let mut fleet = VirtualCluster::new(nodes as u64, nodes);
-    fleet.all_links(Link {
+    fleet.set_all_links(Link {
         loss,
         ..Link::default()
     });
@@ -299,7 +299,7 @@
         fleet.play(&schedule);
         fleet.wait(Duration::from_secs(if round_ms < 1_000.0 { 0 } else { 8 }));
         agreed.push(fleet.agree_within(Duration::from_secs(30)).as_secs_f64());
-        let excuses = Excuses::new(&schedule, nodes);
+        let excused_deaths = ExcusedDeaths::new(&schedule, nodes);
         let lines = fleet.gone_lines();
         for (by, at, name, why) in lines
             .into_iter()
@@ -311,7 +311,7 @@
                 continue;
             };
             // Processes start and are killed one after the other, so the schedule runs late by some seconds at the most.
-            if excuses.cover(by, node, at, 15_000.0) {
+            if excused_deaths.contains(by, node, at, 15_000.0) {
                 rightly += 1;
             } else {
                 wrong.push(format!("round {rounds}: {name} to n{by} at {at:.0}{why}"));
--- a/crates/testkit/src/link.rs
+++ b/crates/testkit/src/link.rs
@@ -32,7 +32,7 @@
 impl Plan {
     /// All is passed on as it comes.
     #[must_use]
-    pub fn sound() -> Self {
+    pub fn fault_free() -> Self {
         Self::default()
     }
 
--- a/crates/testkit/src/link/tests.rs
+++ b/crates/testkit/src/link/tests.rs
@@ -7,7 +7,7 @@
 fn ten_bytes(plan: Plan) -> (TcpStream, TcpStream) {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
     let link = Link::start(listener.local_addr().expect("an address"), move |_| {
-        (plan.clone(), Plan::sound())
+        (plan.clone(), Plan::fault_free())
     });
     let mut near = TcpStream::connect(link.address).expect("it listens");
     let (far, _) = listener.accept().expect("a connection");
@@ -26,7 +26,7 @@
 
 #[test]
 fn fault_takes_effect_at_its_byte() {
-    assert_eq!(received(Plan::sound()), b"0123456789");
+    assert_eq!(received(Plan::fault_free()), b"0123456789");
     for byte in 0..10 {
         assert_eq!(received(Plan::at(byte, Fault::Cut)), b"0123456789"[..byte]);
     }
--- a/crates/testkit/src/nodes/checker.rs
+++ b/crates/testkit/src/nodes/checker.rs
@@ -43,7 +43,7 @@
 }
 
 /// When which node may be declared dead by which other, by the fault schedule.
-pub struct Excuses {
+pub struct ExcusedDeaths {
     /// By node: when it was down, paused for too long, or partitioned.
     faulty: Vec<Vec<Span>>,
     /// By node: when it was partitioned from a third of the others or more, or from half of them counting those that were
@@ -58,7 +58,7 @@
     slow_links: Vec<Span>,
 }
 
-impl Excuses {
+impl ExcusedDeaths {
     /// The deaths that a fault schedule excuses in a cluster of this many nodes.
     #[must_use]
     pub fn new(schedule: &FaultSchedule, nodes: usize) -> Self {
@@ -82,7 +82,7 @@
 
     /// Whether a node may be declared dead by another at a time, until `after_ms` after the end of a fault.
     #[must_use]
-    pub fn cover(&self, by: NodeId, node: NodeId, at_ms: f64, after_ms: f64) -> bool {
+    pub fn contains(&self, by: NodeId, node: NodeId, at_ms: f64, after_ms: f64) -> bool {
         let within = |spans: &Vec<Span>| {
             spans
                 .iter()
@@ -230,7 +230,7 @@
         outgoing.count().max(incoming.count())
     }
 
-    fn finish(self) -> Excuses {
+    fn finish(self) -> ExcusedDeaths {
         let faulty = (0..self.pauses.len())
             .map(|node| {
                 let down = self.down[node].spans.iter();
@@ -240,7 +240,7 @@
                     .collect()
             })
             .collect();
-        Excuses {
+        ExcusedDeaths {
             faulty,
             partitioned: self
                 .partitioned
@@ -366,9 +366,9 @@
 }
 
 /// The result of a trial in which nothing was wrong.
-pub struct Trial {
+pub struct TrialOutcome {
     /// How long after the last fault all nodes agreed, in milliseconds.
-    pub agreed_ms: f64,
+    pub convergence_ms: f64,
     /// Deaths that were declared, all of them excused.
     pub deaths: usize,
 }
@@ -378,14 +378,18 @@
 /// # Errors
 ///
 /// A guarantee was broken.
-pub fn trial(seed: u64, limits: ScheduleLimits, fault: InjectedFault) -> Result<Trial, TrialError> {
+pub fn run_trial(
+    seed: u64,
+    limits: ScheduleLimits,
+    fault: InjectedFault,
+) -> Result<TrialOutcome, TrialError> {
     let schedule = FaultSchedule::generate(seed, limits);
     let mut cluster = VirtualCluster::new(seed, limits.nodes);
     cluster.injected_fault = fault;
     cluster.start_all(1_000.0);
     cluster.run(12_000.0);
     let start = cluster.simulation.now_ms();
-    cluster.play(&schedule);
+    cluster.apply_schedule(&schedule);
     let fail = |violation| {
         Err(TrialError {
             seed,
@@ -395,7 +399,7 @@
         })
     };
     let schedule_end_ms = cluster.simulation.now_ms();
-    let agreed_ms = loop {
+    let convergence_ms = loop {
         let passed = cluster.simulation.now_ms() - schedule_end_ms;
         match cluster.disagreement() {
             None => break passed,
@@ -406,14 +410,14 @@
         }
     };
     cluster.run(5_000.0);
-    let excuses = Excuses::new(&schedule, limits.nodes);
+    let excused_deaths = ExcusedDeaths::new(&schedule, limits.nodes);
     let deaths = cluster.deaths_since(start);
     for (by, at, name) in &deaths {
         let Some(node) = cluster.names.iter().position(|held| held == name) else {
             continue;
         };
         let at = at - start;
-        if !excuses.cover(*by, node, at, GRACE_MS) {
+        if !excused_deaths.contains(*by, node, at, GRACE_MS) {
             return fail(Violation::UnexcusedDeath {
                 name: name.clone(),
                 by: *by,
@@ -427,8 +431,8 @@
     if cluster.simulation.totals().max_datagram_bytes > gossip::MAX_DATAGRAM_BYTES {
         return fail(Violation::OversizedDatagram);
     }
-    Ok(Trial {
-        agreed_ms,
+    Ok(TrialOutcome {
+        convergence_ms,
         deaths: deaths.len(),
     })
 }
--- a/crates/testkit/src/nodes/mod.rs
+++ b/crates/testkit/src/nodes/mod.rs
@@ -185,7 +185,7 @@
     }
 
     /// Applies a fault schedule, whose times count from now.
-    pub fn play(&mut self, schedule: &FaultSchedule) {
+    pub fn apply_schedule(&mut self, schedule: &FaultSchedule) {
         let start = self.simulation.now_ms();
         for scheduled in &schedule.faults {
             self.simulation.run_until(start + scheduled.at_ms);
@@ -199,7 +199,7 @@
     }
 
     /// Sets the properties of all links.
-    pub fn all_links(&mut self, link: Link) {
+    pub fn set_all_links(&mut self, link: Link) {
         self.simulation.apply(&Fault::AllLinks { link });
     }
 
--- a/tests/addresses.rs
+++ b/tests/addresses.rs
@@ -125,7 +125,7 @@
         let (server, up) = Server::start_on(Kind::V4, ok);
         for byte in [0, 60, 100_000] {
             let fault = if byte == 100_000 {
-                Plan::sound()
+                Plan::fault_free()
             } else {
                 Plan::at(byte, Fault::Stall)
             };
@@ -156,20 +156,20 @@
     let byte = random.usize(..1_500);
     let stage = random.u8(..16);
     if stage > 9 {
-        return (Plan::closed(), Plan::sound());
+        return (Plan::closed(), Plan::fault_free());
     }
     let there = match stage {
         0 | 1 => Plan::at(byte, Fault::Cut),
         2 => Plan::at(byte, Fault::Stall),
         3 => Plan::at(byte, Fault::Delay(Duration::from_millis(random.u64(1..20)))),
-        _ => Plan::sound(),
+        _ => Plan::fault_free(),
     };
     let back = match stage {
         4 | 5 => Plan::at(byte, Fault::Cut),
         6 => Plan::at(byte, Fault::Stall),
         7 => Plan::at(byte, Fault::Delay(Duration::from_millis(random.u64(1..20)))),
         8 => Plan::at(byte, Fault::Repeat(random.usize(1..200))),
-        _ => Plan::sound(),
+        _ => Plan::fault_free(),
     };
     (there, back)
 }
--- a/tests/consul.rs
+++ b/tests/consul.rs
@@ -342,9 +342,9 @@
         let plan = if nth % 2 == 0 {
             Plan::at(60 + nth * 150, fault)
         } else {
-            Plan::sound()
+            Plan::fault_free()
         };
-        (Plan::sound(), plan)
+        (Plan::fault_free(), plan)
     });
     let discovery = Discovery::start();
     let known = list(1, true, &entries(&servers, |_| "ready"));
