--- a/crates/gossip/tests/drawn_faults.rs
+++ b/crates/gossip/tests/drawn_faults.rs
@@ -3,7 +3,7 @@
 
 use gossip::InjectedFault;
 use simulation::FaultSchedule;
-use testkit::nodes::checker::{schedule_limits, trial};
+use testkit::nodes::checker::{run_trial, schedule_limits};
 use testkit::nodes::VirtualCluster;
 
 /// Number of seeds; they run within a minute. `measure -- members` runs more.
@@ -13,7 +13,7 @@
 fn random_faults_kill_no_healthy_node_and_views_converge() {
     let mut declared_dead = 0;
     for seed in 0..SEEDS {
-        match trial(seed, schedule_limits(seed, 16), InjectedFault::None) {
+        match run_trial(seed, schedule_limits(seed, 16), InjectedFault::None) {
             Ok(trial) => declared_dead += trial.deaths,
             Err(error) => panic!("{error}"),
         }
@@ -26,7 +26,7 @@
 
 fn assert_detected(fault: InjectedFault) {
     let detecting_seed =
-        (0..SEEDS).find(|seed| trial(*seed, schedule_limits(*seed, 16), fault).is_err());
+        (0..SEEDS).find(|seed| run_trial(*seed, schedule_limits(*seed, 16), fault).is_err());
     assert!(
         detecting_seed.is_some(),
         "none of {SEEDS} seeds detects {fault:?}"
@@ -55,7 +55,7 @@
     (0..6).for_each(|node| cluster.simulation.pause(node, 10_000.0));
     cluster.partition(|node| if node < 6 { node } else { 6 });
     cluster.run(9_990.0);
-    cluster.all_links(simulation::Link {
+    cluster.set_all_links(simulation::Link {
         loss: 0.6,
         ..simulation::Link::default()
     });
@@ -89,7 +89,7 @@
     let run = |seed| {
         let limits = schedule_limits(seed, 16);
         let mut cluster = VirtualCluster::started(seed, limits.nodes);
-        cluster.play(&FaultSchedule::generate(seed, limits));
+        cluster.apply_schedule(&FaultSchedule::generate(seed, limits));
         format!("{:?}{:?}", cluster.outputs(), cluster.simulation.totals())
     };
     assert_eq!(run(5), run(5));
