--- a/src/node/admin/config_file.rs
+++ b/src/node/admin/config_file.rs
@@ -41,7 +41,7 @@
     /// Limits on connections to servers.
     pub pool: PoolLimits,
     /// How the other nodes of the cluster are found.
-    pub instances: Option<ClusterSettings>,
+    pub cluster: Option<ClusterSettings>,
     /// The acceptors that grant leases to the nodes of the cluster.
     pub leases: Option<LeaseSettings>,
     /// How nodes report outliers among the servers to each other.
@@ -66,10 +66,10 @@
     pub fn read(file: &Path) -> Result<Self, ConfigFileError> {
         let text = read_text(file).map_err(|problem| ConfigFileError::of_file(file, problem))?;
         let config = Self::parse(file, &text)?;
-        if let Some(instances) = &config.instances {
-            instances.read_key().map_err(|error| {
+        if let Some(cluster) = &config.cluster {
+            cluster.read_key().map_err(|error| {
                 let problem = Problem::KeyFile(error.into());
-                ConfigFileError::at_offset(file, &text, instances.key_file_offset, problem)
+                ConfigFileError::at_offset(file, &text, cluster.key_file_offset, problem)
             })?;
         }
         Ok(config)
--- a/src/node/admin/config_file/summary.rs
+++ b/src/node/admin/config_file/summary.rs
@@ -13,7 +13,7 @@
         };
         let mut lines: Vec<_> = sources.consul.iter().map(consul_line).collect();
         lines.extend(self.addresses_line());
-        lines.extend(self.instances.as_ref().map(instances_line));
+        lines.extend(self.cluster.as_ref().map(cluster_line));
         lines.extend(self.leases.as_ref().map(leases_line));
         lines.extend(self.outlier_detection.as_ref().map(outlier_detection_line));
         lines
@@ -41,14 +41,14 @@
     format!("consul {name:?}: service {service:?} through {agents} agents, {role}")
 }
 
-fn instances_line(instances: &ClusterSettings) -> String {
-    let peers = match &instances.peers {
+fn cluster_line(settings: &ClusterSettings) -> String {
+    let peers = match &settings.peers {
         Some(peers) => format!("{} peers", peers.len()),
         None => "the platform's peers".to_owned(),
     };
     format!(
         "cluster {:?}: {peers}, probed every {} ms",
-        instances.cluster, instances.probe_interval_ms
+        settings.cluster, settings.probe_interval_ms
     )
 }
 
--- a/src/node/admin/config_file/validation.rs
+++ b/src/node/admin/config_file/validation.rs
@@ -37,15 +37,15 @@
         let roster = self.membership.roster_policy();
         let consul = validate_sources(self.consul)?;
         let addresses = validate_addresses(self.server)?;
-        let instances = self.instances.map(RawInstances::validate).transpose()?;
-        if let (Some(leases), None) = (&self.leases, &instances) {
+        let cluster = self.instances.map(RawInstances::validate).transpose()?;
+        if let (Some(leases), None) = (&self.leases, &cluster) {
             return Err(InvalidValue::new(leases, Problem::LeasesNeedInstances));
         }
         let leases = self
             .leases
             .map(|leases| leases.into_inner().validate())
             .transpose()?;
-        if let (Some(section), None) = (&self.outlier_detection, &instances) {
+        if let (Some(section), None) = (&self.outlier_detection, &cluster) {
             let problem = Problem::OutlierDetectionNeedsInstances;
             return Err(InvalidValue::new(section, problem));
         }
@@ -57,7 +57,7 @@
             endpoint_sources: Some(EndpointSources { roster, consul }),
             addresses,
             pool: self.pool.into(),
-            instances,
+            cluster,
             leases,
             outlier_detection,
         })
--- a/src/node/admin/reload.rs
+++ b/src/node/admin/reload.rs
@@ -18,7 +18,7 @@
 use crate::node::discovery::ConsulFollowers;
 
 /// An operators' file and the sources that it configures.
-pub struct WatchedFile {
+pub struct ReloadableFile {
     /// Where the file is.
     pub path: PathBuf,
     /// The sources of the endpoint view.
@@ -32,14 +32,14 @@
 pub async fn reload_on_signal(
     mut signals: Signal,
     discovery: watch::Sender<SocketAddr>,
-    file: Option<WatchedFile>,
-    fleet: Option<Rc<Cluster>>,
+    file: Option<ReloadableFile>,
+    cluster: Option<Rc<Cluster>>,
 ) {
     // Signals that arrive during a reload are merged into one: the files are read after the last of them.
     while signals.recv().await.is_some() {
         let config = reload_platform_config(&discovery);
         if let Some(file) = &file {
-            reload_operator_config(file, fleet.as_ref(), config.as_ref());
+            reload_operator_config(file, cluster.as_ref(), config.as_ref());
         }
     }
 }
@@ -64,12 +64,12 @@
 }
 
 fn reload_operator_config(
-    file: &WatchedFile,
-    fleet: Option<&Rc<Cluster>>,
+    file: &ReloadableFile,
+    cluster: Option<&Rc<Cluster>>,
     platform: Option<&Config>,
 ) {
     match OperatorConfig::read(&file.path) {
-        Ok(config) => apply(config, &file.sources, fleet, platform),
+        Ok(config) => apply(config, &file.sources, cluster, platform),
         Err(error) => log::line(format_args!("the operators' file is not used: {error}")),
     }
 }
@@ -77,7 +77,7 @@
 fn apply(
     config: OperatorConfig,
     sources: &ConsulFollowers,
-    fleet: Option<&Rc<Cluster>>,
+    cluster: Option<&Rc<Cluster>>,
     platform: Option<&Config>,
 ) {
     let consul = config
@@ -85,8 +85,10 @@
         .map(|sources| sources.consul)
         .unwrap_or_default();
     sources.follow(&consul);
-    sources.driver().set_configured_addresses(config.addresses);
-    if let (Some(fleet), Some(instances)) = (fleet, &config.instances) {
-        fleet.reconfigure(platform, instances, config.leases.as_ref());
+    sources
+        .dispatcher()
+        .set_configured_addresses(config.addresses);
+    if let (Some(cluster), Some(settings)) = (cluster, &config.cluster) {
+        cluster.reconfigure(platform, settings, config.leases.as_ref());
     }
 }
--- a/src/node/admin/server.rs
+++ b/src/node/admin/server.rs
@@ -31,20 +31,24 @@
 /// Carries out admin commands.
 #[derive(Clone)]
 pub struct AdminServer {
-    driver: Rc<Dispatcher>,
+    dispatcher: Rc<Dispatcher>,
     options: ServerOptions,
-    fleet: Option<Rc<Cluster>>,
+    cluster: Option<Rc<Cluster>>,
 }
 
 impl AdminServer {
-    /// A server for the node of this driver. `options` are those of the node's accept loop, whose drain the server
-    /// starts and cancels; `fleet` is the node's part in the cluster, if it takes part in one.
+    /// A server for the node of this dispatcher. `options` are those of the node's accept loop, whose drain the server
+    /// starts and cancels; `cluster` is the node's part in the cluster, if it takes part in one.
     #[must_use]
-    pub fn new(driver: Rc<Dispatcher>, options: ServerOptions, fleet: Option<Rc<Cluster>>) -> Self {
+    pub fn new(
+        dispatcher: Rc<Dispatcher>,
+        options: ServerOptions,
+        cluster: Option<Rc<Cluster>>,
+    ) -> Self {
         Self {
-            driver,
+            dispatcher,
             options,
-            fleet,
+            cluster,
         }
     }
 
@@ -83,33 +87,36 @@
     }
 
     fn stats(&self) -> String {
-        let mut rows = self.driver.metrics.render(self.driver.server_gauges());
-        if let Some(fleet) = &self.fleet {
-            rows.push_str(&fleet.metrics());
+        let mut rows = self
+            .dispatcher
+            .metrics
+            .render(self.dispatcher.server_gauges());
+        if let Some(cluster) = &self.cluster {
+            rows.push_str(&cluster.metrics());
         }
         end_rows(rows)
     }
 
     fn members(&self) -> Result<String, Rejection> {
-        let fleet = self.fleet.as_ref().ok_or(Rejection::NoCluster)?;
-        Ok(end_rows(fleet.members()))
+        let cluster = self.cluster.as_ref().ok_or(Rejection::NoCluster)?;
+        Ok(end_rows(cluster.members()))
     }
 
     fn owners(&self) -> Result<String, Rejection> {
-        let fleet = self.fleet.as_ref().ok_or(Rejection::NoLeases)?;
-        let rows = fleet.owners().ok_or(Rejection::NoLeases)?;
+        let cluster = self.cluster.as_ref().ok_or(Rejection::NoLeases)?;
+        let rows = cluster.owners().ok_or(Rejection::NoLeases)?;
         Ok(end_rows(rows))
     }
 
     fn hints(&self) -> Result<String, Rejection> {
-        let fleet = self.fleet.as_ref().ok_or(Rejection::NoOutlierDetection)?;
-        let rows = fleet.hints().ok_or(Rejection::NoOutlierDetection)?;
+        let cluster = self.cluster.as_ref().ok_or(Rejection::NoOutlierDetection)?;
+        let rows = cluster.hints().ok_or(Rejection::NoOutlierDetection)?;
         Ok(end_rows(rows))
     }
 
     fn give(&self, shard: u8, receiver: &str) -> Result<String, Rejection> {
-        let fleet = self.fleet.as_ref().ok_or(Rejection::NoLeases)?;
-        fleet
+        let cluster = self.cluster.as_ref().ok_or(Rejection::NoLeases)?;
+        cluster
             .transfer_shard(shard, receiver)
             .map_err(|error| Rejection::Transfer(error.into()))?;
         Ok("200 given\n".to_owned())
@@ -118,7 +125,7 @@
     fn begin_drain(&self) {
         let before = self.options.drain.get();
         let mut drain = before;
-        drain.begin(self.driver.now_ms());
+        drain.begin(self.dispatcher.now_ms());
         if drain != before {
             self.options.drain.set(drain);
             log::line("drain begins: clients are sent to other nodes");
--- a/src/node/config.rs
+++ b/src/node/config.rs
@@ -179,7 +179,7 @@
     /// The address on which clients connect.
     pub listen: SocketAddr,
     /// The address of the admin server, which only operators reach.
-    pub control: Option<SocketAddr>,
+    pub admin_listen: Option<SocketAddr>,
     /// The address of the platform's discovery.
     pub discovery: SocketAddr,
     /// The address on which datagrams of other nodes arrive.
@@ -189,13 +189,13 @@
     /// Whether nodes may send one another datagrams.
     pub peers_allowed: bool,
     /// Whether discovery pushes changes of the endpoint list without being asked.
-    pub push: bool,
+    pub is_discovery_pushed: bool,
     /// The seed of random numbers.
     pub seed: u64,
     /// The resources that the process may use.
     pub limits: Limits,
     /// The endpoint list as cached from an earlier run.
-    pub known: EndpointList,
+    pub cached_endpoints: EndpointList,
     /// The balancer's settings.
     pub settings: Settings,
     /// The names of the classes of requests.
@@ -205,7 +205,7 @@
     /// The names of the zones.
     pub zones: Names,
     /// The names of the machine kinds.
-    pub kinds: Names,
+    pub machine_kinds: Names,
     /// How long establishing a connection may take.
     pub dial_timeout: Duration,
     /// How long a connection may be idle.
@@ -252,21 +252,21 @@
             peers: raw.peers.iter().filter_map(|at| at.parse().ok()).collect(),
             peers_allowed: limits.peers_allowed,
             listen: parse_address("listen", &raw.listen)?,
-            control: raw
-                .control
+            admin_listen: raw
+                .admin_listen
                 .as_deref()
                 .map(|at| parse_address("control", at))
                 .transpose()?,
             discovery: parse_address("discovery", &raw.discovery)?,
-            push: settings.discovery == DiscoveryMode::Push,
+            is_discovery_pushed: settings.discovery == DiscoveryMode::Push,
             seed: parse_seed(raw.seed)?,
             limits: raw.limits,
-            known: raw.known,
+            cached_endpoints: raw.cached_endpoints,
             settings,
             classes: names(sockets.classes),
             tenants: names(sockets.tenants),
             zones: Names::new(sockets.zones),
-            kinds: Names::new(sockets.machine_kinds),
+            machine_kinds: Names::new(sockets.machine_kinds),
             dial_timeout: parse_duration("dial_timeout_ms", limits.dial_timeout_ms)?,
             idle_timeout: parse_duration("conn_idle_ms", limits.idle_timeout_ms)?,
             max_in_flight: limits.max_in_flight,
--- a/src/node/config/raw.rs
+++ b/src/node/config/raw.rs
@@ -17,14 +17,14 @@
     pub(super) peers: Vec<String>,
     pub(super) listen: String,
     pub(super) discovery: String,
-    #[serde(default)]
-    pub(super) control: Option<String>,
+    #[serde(default, rename = "control")]
+    pub(super) admin_listen: Option<String>,
     /// Hexadecimal.
     pub(super) seed: String,
     #[serde(default)]
     pub(super) limits: Limits,
-    #[serde(default)]
-    pub(super) known: EndpointList,
+    #[serde(default, rename = "known")]
+    pub(super) cached_endpoints: EndpointList,
     pub(super) settings: Value,
 }
 
--- a/src/node/discovery/consul/mod.rs
+++ b/src/node/discovery/consul/mod.rs
@@ -50,7 +50,7 @@
     };
     follower.handle(Event::TimerExpired);
     loop {
-        let left_ms = (follower.timer_ms - follower.updates.driver().now_ms()).max(0.0);
+        let left_ms = (follower.timer_ms - follower.updates.dispatcher().now_ms()).max(0.0);
         let left = Duration::try_from_secs_f64(left_ms / 1e3).unwrap_or(Duration::MAX);
         let progress = tokio::select! {
             progress = follower.exchange.next() => Some(progress),
@@ -70,7 +70,7 @@
     agents: Vec<SocketAddr>,
     updates: Rc<EndpointUpdates>,
     source: SourceId,
-    /// The watch's timer, in milliseconds of the driver's clock.
+    /// The watch's timer, in milliseconds of the dispatcher's clock.
     timer_ms: f64,
 }
 
@@ -78,7 +78,7 @@
     /// Passes an event to the watch and carries out its actions.
     fn handle(&mut self, event: Event<'_>) {
         let mut actions = Vec::new();
-        let now_ms = self.updates.driver().now_ms();
+        let now_ms = self.updates.dispatcher().now_ms();
         self.watch.handle(now_ms, event, &mut actions);
         for action in actions {
             self.carry_out(action);
--- a/src/node/discovery/endpoint_list/mod.rs
+++ b/src/node/discovery/endpoint_list/mod.rs
@@ -25,7 +25,7 @@
     /// Discovery pushes them: the client keeps a watch open.
     Pushed {
         /// The platform's drain grace, within which a change must take effect.
-        grace: Duration,
+        drain_grace: Duration,
     },
     /// The balancer subscribes: the client opens one watch each time that it is asked to, and
     /// reports its end.
@@ -41,7 +41,7 @@
     generation: Option<u64>,
 ) {
     let timing = match delivery {
-        Delivery::Pushed { grace } => WatchTiming::pushed(grace),
+        Delivery::Pushed { drain_grace } => WatchTiming::pushed(drain_grace),
         Delivery::Subscribed => WatchTiming::subscribed(),
     };
     let mut follower = Follower {
@@ -108,7 +108,7 @@
     async fn wait_for_subscription(&mut self) {
         if self.delivery == Delivery::Subscribed {
             tokio::select! {
-                () = self.updates.driver().subscribe_requested.notified() => {}
+                () = self.updates.dispatcher().subscribe_requested.notified() => {}
                 Ok(()) = self.addresses.changed() => {}
             }
         }
@@ -121,7 +121,7 @@
         }
         self.updates.mark_list_lost();
         if self.delivery == Delivery::Subscribed {
-            self.updates.driver().endpoint_list_failed();
+            self.updates.dispatcher().endpoint_list_failed();
             return Next::Reopen;
         }
         self.retry_delay = if state.has_received {
--- a/src/node/discovery/mod.rs
+++ b/src/node/discovery/mod.rs
@@ -1,5 +1,5 @@
 //! Endpoint discovery: the platform's endpoint list, the Consul services that the operators' file
-//! names beside it, and the path of their updates to the driver.
+//! names beside it, and the path of their updates to the dispatcher.
 //!
 //! It owns the sockets to discovery and to Consul's agents. Which assertion of which source takes
 //! effect is decided by the `endpoint-discovery` crate.
@@ -45,10 +45,10 @@
         })
     }
 
-    /// The driver that the updates go to.
+    /// The dispatcher that the updates go to.
     #[must_use]
-    pub fn driver(&self) -> &Rc<Dispatcher> {
-        self.updates.driver()
+    pub fn dispatcher(&self) -> &Rc<Dispatcher> {
+        self.updates.dispatcher()
     }
 
     /// Follows these services and no others. One whose settings have not changed is not
--- a/src/node/discovery/updates.rs
+++ b/src/node/discovery/updates.rs
@@ -1,4 +1,4 @@
-//! The path of endpoint updates to the driver: straight from the endpoint list or, where an
+//! The path of endpoint updates to the dispatcher: straight from the endpoint list or, where an
 //! operators' file is named, through a view that merges the list with other sources.
 
 use std::cell::{Cell, RefCell};
@@ -19,9 +19,9 @@
 /// The endpoint list's position among the sources.
 const ENDPOINT_LIST: SourceId = 0;
 
-/// Receives what the sources report and passes changes on to the driver.
+/// Receives what the sources report and passes changes on to the dispatcher.
 pub struct EndpointUpdates {
-    driver: Rc<Dispatcher>,
+    dispatcher: Rc<Dispatcher>,
     merged: Option<MergedView>,
 }
 
@@ -44,23 +44,23 @@
 impl EndpointUpdates {
     /// Passes the endpoint list on as it comes, without a merged view.
     #[must_use]
-    pub fn direct(driver: Rc<Dispatcher>) -> Rc<Self> {
+    pub fn direct(dispatcher: Rc<Dispatcher>) -> Rc<Self> {
         Rc::new(Self {
-            driver,
+            dispatcher,
             merged: None,
         })
     }
 
-    /// Merges several sources, beginning with the endpoint list as last known, which the driver has
+    /// Merges several sources, beginning with the endpoint list as last known, which the dispatcher has
     /// already. Spawns a task for the view's timer.
     #[must_use]
     pub fn merged(
-        driver: Rc<Dispatcher>,
+        dispatcher: Rc<Dispatcher>,
         list_policy: SourcePolicy,
         known_list: &EndpointList,
     ) -> Rc<Self> {
         let updates = Rc::new(Self {
-            driver,
+            dispatcher,
             merged: Some(MergedView {
                 view: RefCell::new(EndpointView::new(vec![list_policy])),
                 timer: Timer::new(),
@@ -74,10 +74,10 @@
         updates
     }
 
-    /// The driver that the updates go to.
+    /// The dispatcher that the updates go to.
     #[must_use]
-    pub fn driver(&self) -> &Rc<Dispatcher> {
-        &self.driver
+    pub fn dispatcher(&self) -> &Rc<Dispatcher> {
+        &self.dispatcher
     }
 
     /// Receives an endpoint list from discovery, or a change of it.
@@ -87,9 +87,9 @@
         }
         let endpoints = decode_endpoints(list);
         if list.reset {
-            self.driver.replace_endpoints(&endpoints);
+            self.dispatcher.replace_endpoints(&endpoints);
         } else {
-            self.driver.update_endpoints(&endpoints);
+            self.dispatcher.update_endpoints(&endpoints);
         }
     }
 
@@ -114,7 +114,7 @@
         merged.view.borrow_mut().add_source(policy)
     }
 
-    /// Passes an event of a source to the merged view, and the view's changes to the driver. Does
+    /// Passes an event of a source to the merged view, and the view's changes to the dispatcher. Does
     /// nothing without a merged view.
     pub fn handle(&self, event: Event) {
         let Some(merged) = &self.merged else { return };
@@ -129,18 +129,18 @@
         merged
             .view
             .borrow_mut()
-            .handle(self.driver.now_ms(), event, &mut actions);
+            .handle(self.dispatcher.now_ms(), event, &mut actions);
         let publishes = actions
             .iter()
             .any(|action| matches!(action, Action::Publish(_)));
         // Even a list that changes nothing is passed on: with subscribed lists the balancer waits
         // for its arrival.
         if is_from_list && !publishes {
-            self.driver.update_endpoints(&[]);
+            self.dispatcher.update_endpoints(&[]);
         }
         for action in actions {
             match action {
-                Action::Publish(endpoints) => self.driver.update_endpoints(&endpoints),
+                Action::Publish(endpoints) => self.dispatcher.update_endpoints(&endpoints),
                 Action::SetTimer(at_ms) => merged.timer.set(at_ms),
                 Action::Log(event) => log::line(event),
             }
@@ -159,7 +159,7 @@
     async fn run_timer(self: Rc<Self>) {
         let Some(merged) = &self.merged else { return };
         loop {
-            merged.timer.wait(|| self.driver.now_ms()).await;
+            merged.timer.wait(|| self.dispatcher.now_ms()).await;
             self.handle(Event::TimerExpired);
         }
     }
--- a/src/node/dispatcher/mod.rs
+++ b/src/node/dispatcher/mod.rs
@@ -104,7 +104,7 @@
             observer: RefCell::default(),
             shutdown_deadline: Cell::default(),
         });
-        dispatcher.use_cached_endpoints(&decode_endpoints(&config.known));
+        dispatcher.use_cached_endpoints(&decode_endpoints(&config.cached_endpoints));
         tokio::task::spawn_local(Rc::clone(&dispatcher).run_timers());
         tokio::task::spawn_local(Rc::clone(&dispatcher).run_maintenance());
         tokio::task::spawn_local(Rc::clone(&dispatcher.servers).run_timer());
--- a/src/node/dispatcher/settings_names.rs
+++ b/src/node/dispatcher/settings_names.rs
@@ -30,7 +30,7 @@
             rules: config.settings.classes.iter().map(ClassRule::new).collect(),
             tenants: config.tenants.clone(),
             zones: config.zones.clone(),
-            machine_kinds: config.kinds.clone(),
+            machine_kinds: config.machine_kinds.clone(),
         }
     }
 
--- a/src/node/mod.rs
+++ b/src/node/mod.rs
@@ -29,7 +29,7 @@
 
 use self::admin::config_file::OperatorConfig;
 use self::admin::log;
-use self::admin::reload::{self, WatchedFile};
+use self::admin::reload::{self, ReloadableFile};
 use self::admin::server::{self as admin_server, AdminServer};
 use self::cluster::{Cluster, ClusterError};
 use self::config::{Config, ConfigError};
@@ -130,13 +130,13 @@
     let (discovery_address, consul_followers) =
         follow_endpoints(&dispatcher, &config, &operator_config);
     let cluster = start_cluster(&config, &operator_config, &dispatcher).await?;
-    let watched_file = config_path
+    let reloadable_file = config_path
         .zip(consul_followers)
-        .map(|(path, sources)| WatchedFile { path, sources });
+        .map(|(path, sources)| ReloadableFile { path, sources });
     tokio::task::spawn_local(reload::reload_on_signal(
         signals.reload,
         discovery_address,
-        watched_file,
+        reloadable_file,
         cluster.clone(),
     ));
     let (phase, phases) = watch::channel(Phase::Serving);
@@ -145,7 +145,7 @@
         max_buffered_upload_bytes: config.limits.buffered_upload_bytes(),
         ..ServerOptions::for_unshared_listener(phases, config.limits.client_connections())
     };
-    if let Some(address) = config.control {
+    if let Some(address) = config.admin_listen {
         let server = AdminServer::new(
             Rc::clone(&dispatcher),
             front_options.clone(),
@@ -224,13 +224,13 @@
     config: &Config,
     operator_config: &OperatorConfig,
 ) -> (watch::Sender<SocketAddr>, Option<Rc<ConsulFollowers>>) {
-    let has_cached_list = !config.known.instances.is_empty();
-    let cached_generation = has_cached_list.then_some(config.known.generation);
+    let has_cached_list = !config.cached_endpoints.instances.is_empty();
+    let cached_generation = has_cached_list.then_some(config.cached_endpoints.generation);
     let (discovery_address, addresses) = watch::channel(config.discovery);
     let (updates, consul_followers) = endpoint_updates(dispatcher, config, operator_config);
-    let delivery = if config.push {
+    let delivery = if config.is_discovery_pushed {
         Delivery::Pushed {
-            grace: config.drain_grace,
+            drain_grace: config.drain_grace,
         }
     } else {
         Delivery::Subscribed
@@ -250,7 +250,11 @@
     let Some(configured) = &operator_config.endpoint_sources else {
         return (EndpointUpdates::direct(dispatcher), None);
     };
-    let updates = EndpointUpdates::merged(dispatcher, configured.roster.clone(), &config.known);
+    let updates = EndpointUpdates::merged(
+        dispatcher,
+        configured.roster.clone(),
+        &config.cached_endpoints,
+    );
     let consul_followers = ConsulFollowers::new(Rc::clone(&updates), config.seed);
     consul_followers.follow(&configured.consul);
     (updates, Some(consul_followers))
@@ -264,7 +268,7 @@
 ) -> Result<Option<Rc<Cluster>>, NodeError> {
     Cluster::start(
         config,
-        operator_config.instances.as_ref(),
+        operator_config.cluster.as_ref(),
         operator_config.leases.as_ref(),
         operator_config.outlier_detection.as_ref(),
         dispatcher,
