--- a/src/node/admin/config_file.rs
+++ b/src/node/admin/config_file.rs
@@ -51,8 +51,8 @@
 /// The sources of the endpoint view.
 #[derive(Clone, Debug, PartialEq)]
 pub struct EndpointSources {
-    /// How far the roster (the platform's discovery) is trusted against the other sources.
-    pub roster: SourcePolicy,
+    /// The policy of the platform's endpoint list, which the operators' file calls the roster.
+    pub endpoint_list: SourcePolicy,
     /// The services that are watched in Consul.
     pub consul: Vec<ConsulSource>,
 }
--- a/src/node/admin/config_file/raw.rs
+++ b/src/node/admin/config_file/raw.rs
@@ -31,7 +31,7 @@
     pub outlier_detection: Option<Spanned<RawOutlierDetection>>,
 }
 
-/// `[membership]`: how far the roster is trusted against other sources.
+/// `[membership]`: the policy of the platform's endpoint list against other sources.
 #[derive(Deserialize, Default)]
 #[serde(deny_unknown_fields)]
 pub struct RawMembership {
--- a/src/node/admin/config_file/validation.rs
+++ b/src/node/admin/config_file/validation.rs
@@ -25,8 +25,8 @@
 pub(super) const MAX_NAME_BYTES: usize = 64;
 /// The most servers whose addresses the file names: the largest service that is measured has 5,000.
 const MAX_SERVERS: usize = 16_384;
-/// The name of the platform's discovery among the sources.
-const ROSTER_NAME: &str = "roster";
+/// The name of the platform's endpoint list among the sources, in the log and in the operators' file.
+const ENDPOINT_LIST_NAME: &str = "roster";
 /// `suspect_ms` without a value, in probe intervals.
 const DEFAULT_SUSPICION_PROBES: f64 = 5.0;
 /// A suspicion has to last for this many probe intervals, so that a single lost datagram raises none.
@@ -34,7 +34,7 @@
 
 impl RawConfig {
     pub fn validate(self) -> Result<OperatorConfig, InvalidValue> {
-        let roster = self.membership.roster_policy();
+        let endpoint_list = self.membership.endpoint_list_policy();
         let consul = validate_sources(self.consul)?;
         let addresses = validate_addresses(self.server)?;
         let cluster = self.instances.map(RawInstances::validate).transpose()?;
@@ -54,7 +54,10 @@
             .map(|section| RawOutlierDetection::validate(&section))
             .transpose()?;
         Ok(OperatorConfig {
-            endpoint_sources: Some(EndpointSources { roster, consul }),
+            endpoint_sources: Some(EndpointSources {
+                endpoint_list,
+                consul,
+            }),
             addresses,
             pool: self.pool.into(),
             cluster,
@@ -65,8 +68,8 @@
 }
 
 impl RawMembership {
-    fn roster_policy(&self) -> SourcePolicy {
-        let mut policy = SourcePolicy::authoritative(ROSTER_NAME);
+    fn endpoint_list_policy(&self) -> SourcePolicy {
+        let mut policy = SourcePolicy::authoritative(ENDPOINT_LIST_NAME);
         override_policy(
             &mut policy,
             self.panic_share,
@@ -93,7 +96,7 @@
     let mut sources: Vec<ConsulSource> = Vec::new();
     for section in sections {
         let name = section.name.get_ref();
-        if name == ROSTER_NAME || sources.iter().any(|source| source.policy.name == *name) {
+        if name == ENDPOINT_LIST_NAME || sources.iter().any(|source| source.policy.name == *name) {
             return Err(InvalidValue::new(&section.name, Problem::DuplicateSource));
         }
         if sources.len() >= MAX_SOURCES {
--- a/src/node/mod.rs
+++ b/src/node/mod.rs
@@ -252,7 +252,7 @@
     };
     let updates = EndpointUpdates::merged(
         dispatcher,
-        configured.roster.clone(),
+        configured.endpoint_list.clone(),
         &config.cached_endpoints,
     );
     let consul_followers = ConsulFollowers::new(Rc::clone(&updates), config.seed);
