--- a/src/node/admin/config_file.rs
+++ b/src/node/admin/config_file.rs
@@ -41,7 +41,7 @@
     /// Limits on connections to servers.
     pub pool: PoolLimits,
     /// How the other nodes of the cluster are found.
-    pub instances: Option<ClusterSettings>,
+    pub cluster: Option<ClusterSettings>,
     /// The acceptors that grant leases to the nodes of the cluster.
     pub leases: Option<LeaseSettings>,
     /// How nodes report outliers among the servers to each other.
@@ -51,8 +51,8 @@
 /// The sources of the endpoint view.
 #[derive(Clone, Debug, PartialEq)]
 pub struct EndpointSources {
-    /// How far the roster (the platform's discovery) is trusted against the other sources.
-    pub roster: SourcePolicy,
+    /// The policy of the platform's endpoint list, which the operators' file calls the roster.
+    pub endpoint_list: SourcePolicy,
     /// The services that are watched in Consul.
     pub consul: Vec<ConsulSource>,
 }
@@ -66,10 +66,10 @@
     pub fn read(file: &Path) -> Result<Self, ConfigFileError> {
         let text = read_text(file).map_err(|problem| ConfigFileError::of_file(file, problem))?;
         let config = Self::parse(file, &text)?;
-        if let Some(instances) = &config.instances {
-            instances.read_key().map_err(|error| {
+        if let Some(cluster) = &config.cluster {
+            cluster.read_key().map_err(|error| {
                 let problem = Problem::KeyFile(error.into());
-                ConfigFileError::at_offset(file, &text, instances.key_file_offset, problem)
+                ConfigFileError::at_offset(file, &text, cluster.key_file_offset, problem)
             })?;
         }
         Ok(config)
