--- a/crates/outlier-detection/src/attempt_stats.rs
+++ b/crates/outlier-detection/src/attempt_stats.rs
@@ -1,12 +1,14 @@
-//! How a node's own recent attempts at one server ended.
+//! Decaying counts of the results of a node's own attempts at one server.
 
 use crate::report::{FailureCounts, FailureKind};
 
-/// The weight that each attempt leaves to those before it. A balancer takes a server out after its first failure, so there
-/// is no second failure to set against many successes: counted by time alone, the first would not show.
-const WEIGHT_OF_EARLIER: f64 = 0.5;
+/// Factor by which each attempt scales the counts of the attempts before it. A balancer stops using a server after the
+/// first failure, so no second failure follows to offset many earlier successes: with decay over time alone, the server
+/// would not be reported as failing.
+const EARLIER_ATTEMPTS_FACTOR: f64 = 0.5;
 
-/// Attempts that succeeded and failed. Each counts for half as much after a half-life, and after each later attempt.
+/// Decaying counts of succeeded and failed attempts. The count of an attempt halves with each half-life and with each
+/// later attempt.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct AttemptStats {
     succeeded: f64,
@@ -15,7 +17,7 @@
     last_success_ms: f64,
 }
 
-/// Weighted counts of attempts at one moment.
+/// Decayed counts of attempts at one point in time.
 #[derive(Clone, Copy, Debug)]
 pub struct AttemptCounts {
     pub succeeded: f64,
@@ -49,10 +51,10 @@
         self.failed.scale(factor);
     }
 
-    /// Counts an attempt that ended now, with its failure if it failed.
+    /// Counts an attempt that ended at `now_ms`; `failure` is `None` if it succeeded.
     pub fn record(&mut self, now_ms: f64, half_life_ms: f64, failure: Option<FailureKind>) {
         self.decay(now_ms, half_life_ms);
-        self.scale(WEIGHT_OF_EARLIER);
+        self.scale(EARLIER_ATTEMPTS_FACTOR);
         if let Some(kind) = failure {
             self.failed.add(kind, 1.0);
         } else {
@@ -61,12 +63,12 @@
         }
     }
 
-    /// When the last attempt succeeded; zero if none has.
+    /// Time of the last successful attempt, in milliseconds; zero if none has succeeded.
     pub fn last_success_ms(&self) -> f64 {
         self.last_success_ms
     }
 
-    /// The counts as of `now_ms`.
+    /// The counts, decayed to `now_ms`.
     pub fn counts(mut self, now_ms: f64, half_life_ms: f64) -> AttemptCounts {
         self.decay(now_ms, half_life_ms);
         AttemptCounts {
--- a/crates/outlier-detection/src/detector.rs
+++ b/crates/outlier-detection/src/detector.rs
@@ -1,7 +1,8 @@
-//! One node's part in outlier detection: what it reports about servers, and what it concludes from the reports of others.
+//! The outlier detector of one node: it reports about servers, and evaluates the reports of other nodes.
 //!
-//! The detector owns the state of each server of the node's endpoint list. Every `interval_ms` it reports and evaluates;
-//! the first failure after a quiet interval and each report of another node are evaluated at once.
+//! The detector owns the state of each server of the node's endpoint list. It reports and evaluates every
+//! `interval_ms`. It does so at once after a failure if it has sent no report for an interval, and it evaluates the
+//! accepted reports of other nodes on arrival.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -11,36 +12,36 @@
 use crate::settings::{Settings, SettingsError};
 use crate::wire::{decode_report, encode_report, MAX_ENTRIES};
 
-/// Servers whose state is kept: the largest endpoint list that the node accepts. Any further servers are not judged.
+/// Maximum number of servers whose state is kept. Further servers of the endpoint list are not evaluated.
 const MAX_SERVERS: usize = 8_192;
-/// The weights of an outlier on all nodes add up to this, so that many nodes notice its recovery. Few do by chance alone. A
-/// fixed weight of 0.05 on each node cost more failures than nodes that judge alone
-/// (`docs/outlier-detection/measured.md`).
-const OUTLIER_WEIGHT_OF_ALL_NODES: f64 = 0.9;
-/// The lowest weight of an outlier on one node.
+/// Sum of an outlier's weights on all nodes, high enough that many nodes notice its recovery; by chance alone few
+/// would. A fixed weight of 0.05 on each node caused more failed requests than nodes that evaluate only their own
+/// attempts (`docs/outlier-detection/measured.md`).
+const TOTAL_OUTLIER_WEIGHT: f64 = 0.9;
+/// Lower bound of an outlier's weight on one node, unless [`Settings::max_outlier_weight`] is lower.
 const MIN_OUTLIER_WEIGHT: f64 = 0.003;
-/// For how many intervals no server is an outlier once too many would be: long enough that no server alternates between
-/// both.
+/// Duration of a panic, in intervals. During a panic no server is treated as an outlier, because too many would be. The
+/// duration keeps servers from alternating between a reduced and the full weight.
 const PANIC_INTERVALS: f64 = 30.0;
-/// One failing server is plausible, whatever fraction of the servers it is.
-const MIN_PLAUSIBLE_OUTLIERS: f64 = 1.0;
-/// Two nodes have to report a server as failing even in the smallest cluster.
+/// Number of failing servers that is plausible whatever fraction of the servers it is.
+const ALWAYS_PLAUSIBLE_FAILING: f64 = 1.0;
+/// Number of nodes that have to report a server as failing even in the smallest cluster.
 const MIN_REPORTERS: usize = 2;
 
-/// A node, by a number that is derived from its name.
+/// Identifies a node by a number that is derived from its name.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct NodeKey(pub u64);
 
-/// What happens to a node.
+/// An input of the detector.
 #[derive(Clone, Copy, Debug)]
 pub enum Event<'a> {
-    /// The endpoint list of this node now has these servers.
+    /// This node's endpoint list has changed to these servers.
     ServersChanged(&'a [ServerKey]),
     /// An attempt of this node ended.
     AttemptEnded {
-        /// The server that was tried.
+        /// The server to which it was sent.
         server: ServerKey,
-        /// How the attempt failed, if it did.
+        /// How the attempt failed; `None` if it succeeded.
         failure: Option<FailureKind>,
     },
     /// A report of another node arrived.
@@ -50,38 +51,38 @@
         /// The encoded report.
         bytes: &'a [u8],
     },
-    /// The number of live nodes in the cluster, with this one.
+    /// The number of live nodes in the cluster, including this one.
     ClusterSize(usize),
-    /// The time of the last [`Action::WakeAt`] has come.
+    /// The time of the last [`Action::WakeAt`] was reached.
     TimerFired,
 }
 
-/// What is to be done.
+/// An output of the detector, to be executed by the caller.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
-    /// Send this report to all other nodes.
+    /// Send this encoded report to all other nodes.
     Broadcast(Vec<u8>),
     /// Change the weight of a server.
     SetWeight {
         /// The server.
         server: ServerKey,
-        /// The fraction of its ordinary share of requests that it should get; 1 for a server that is not an outlier.
+        /// The fraction of its ordinary share of requests that it should get; 1 if the share is not reduced.
         weight: f64,
     },
-    /// Call again at this time, in milliseconds, at the latest.
+    /// Pass [`Event::TimerFired`] at this time, in milliseconds. Replaces any earlier time.
     WakeAt(f64),
 }
 
-/// A server that nodes report as failing, or that recovers.
+/// A server that nodes report as failing, or whose weight is reduced.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ReportedServer {
     /// The server.
     pub server: ServerKey,
     /// The most frequent kind of failure.
     pub failure_kind: FailureKind,
-    /// How many nodes report it as failing now.
+    /// Number of nodes that currently report it as failing, including this one.
     pub reporters: usize,
-    /// For how long it has had this status, in milliseconds.
+    /// Time since it was first reported as failing or last became an outlier, in milliseconds.
     pub age_ms: f64,
     /// The fraction of its ordinary share of requests that it should get.
     pub weight: f64,
@@ -94,17 +95,18 @@
     pub reports_sent: u64,
     /// Reports of other nodes that were accepted.
     pub reports_accepted: u64,
-    /// Reports that could not be decoded, and entries about servers that are not in this node's endpoint list.
+    /// Reports that could not be decoded, and report entries about servers that are not in this node's endpoint list.
     pub unknown: u64,
-    /// Reports that find too many servers failing: those of other nodes, and those of this node, which it did not send.
+    /// Rejected reports of other nodes that found too many servers failing, and reports that this node did not send for
+    /// the same reason.
     pub implausible_reports: u64,
-    /// Servers that became outliers.
+    /// Ejections: how often a server became an outlier.
     pub ejections: u64,
     /// Evaluations in which too many servers would have been outliers.
     pub panics: u64,
 }
 
-/// One node's outlier detector. See the crate's documentation.
+/// The outlier detector of one node. See the crate's documentation.
 #[derive(Clone, Debug)]
 pub struct OutlierDetector {
     settings: Settings,
@@ -112,10 +114,10 @@
     interval_end_ms: f64,
     cluster_size: usize,
     servers: BTreeMap<ServerKey, ServerState>,
-    /// The servers with anything to evaluate: reports, failures, or a reduced weight.
+    /// The servers that need evaluation: those with reports, failures, a reduced weight, or recent ejections.
     watched: BTreeSet<ServerKey>,
-    reported_ms: f64,
-    /// Whether this node's own attempts fail at so many servers that the fault is likely its own.
+    last_report_ms: f64,
+    /// Whether this node's attempts fail at so many servers that the node itself is likely at fault.
     is_own_report_implausible: bool,
     panic_until_ms: f64,
     counters: Counters,
@@ -123,8 +125,8 @@
 }
 
 impl OutlierDetector {
-    /// A detector without servers. `phase`, from 0 to 1, is the part of an interval after which it reports first, so that
-    /// the nodes of a cluster do not all report at the same time.
+    /// Creates a detector without servers. `phase`, from 0 to 1, is the length of its first interval as a fraction of
+    /// the others, so that the nodes of a cluster do not all report at the same time.
     ///
     /// # Errors
     ///
@@ -138,7 +140,7 @@
             cluster_size: 1,
             servers: BTreeMap::new(),
             watched: BTreeSet::new(),
-            reported_ms: f64::NEG_INFINITY,
+            last_report_ms: f64::NEG_INFINITY,
             is_own_report_implausible: false,
             panic_until_ms: f64::NEG_INFINITY,
             counters: Counters::default(),
@@ -146,8 +148,8 @@
         })
     }
 
-    /// Handles an event at a time, and appends what is to be done. A time before that of an earlier event counts as the
-    /// latter.
+    /// Handles an event that occurs at `now_ms`, and appends the resulting actions. A `now_ms` before that of an
+    /// earlier event is replaced by the latter.
     pub fn handle(&mut self, now_ms: f64, event: Event<'_>, actions: &mut Vec<Action>) {
         self.now_ms = self.now_ms.max(now_ms);
         match event {
@@ -161,9 +163,9 @@
             Event::TimerFired => {}
         }
         if self.now_ms >= self.interval_end_ms {
-            // After a pause of the process there is one interval, not one for each that was missed.
+            // After a suspension of the process only one interval ends, not each interval that was missed.
             self.interval_end_ms = self.now_ms + self.settings.interval_ms;
-            self.report();
+            self.send_report();
             self.evaluate(Trigger::IntervalEnd);
         }
         actions.append(&mut self.actions);
@@ -207,36 +209,38 @@
             return;
         };
         server
-            .own
+            .own_attempts
             .record(self.now_ms, self.settings.half_life_ms, failure);
         if failure.is_none() {
             return;
         }
         self.watched.insert(key);
-        // The first failure is reported at once: otherwise each other node would find out by a failure of its own.
-        if self.now_ms - self.reported_ms >= self.settings.interval_ms {
-            self.report();
+        // A first failure is reported at once; otherwise each other node would detect the fault by a failure of its
+        // own.
+        if self.now_ms - self.last_report_ms >= self.settings.interval_ms {
+            self.send_report();
             self.evaluate(Trigger::NewEvidence);
         }
     }
 
-    /// Whether a node that finds this many of the servers that it tried failing is more likely at fault than the servers.
+    /// Whether `failing` out of `tried` servers are too many to be plausible: the node that tried them is then more
+    /// likely at fault than the servers.
     fn is_implausible(&self, failing: usize, tried: usize) -> bool {
         let max_failing = self.settings.max_outlier_fraction * tried as f64;
-        failing as f64 > max_failing.max(MIN_PLAUSIBLE_OUTLIERS)
+        failing as f64 > max_failing.max(ALWAYS_PLAUSIBLE_FAILING)
     }
 
     fn accept_report(&mut self, from: NodeKey, report: &Report) {
         let failing = report.entries.iter().filter(|entry| entry.is_failing());
-        // A node cannot have tried more servers than there are.
-        let tried = usize::from(report.tried).min(self.servers.len());
+        // The reported number is not trusted beyond the number of servers that there are.
+        let tried = usize::from(report.tried_servers).min(self.servers.len());
         if self.is_implausible(failing.count(), tried) {
             self.counters.implausible_reports += 1;
             return;
         }
         self.counters.reports_accepted += 1;
         for entry in &report.entries {
-            // Reports never add a server to those that this node's endpoint list names.
+            // Reports never add a server to this node's endpoint list.
             let Some(server) = self.servers.get_mut(&entry.server) else {
                 self.counters.unknown += 1;
                 continue;
@@ -247,19 +251,19 @@
         self.evaluate(Trigger::NewEvidence);
     }
 
-    /// Broadcasts how this node's own attempts ended, for the servers for which that matters; nothing if there are none, or
-    /// if the report would be implausible.
-    fn report(&mut self) {
-        let own: Vec<_> = self
+    /// Broadcasts the results of this node's attempts at the servers for which [`Self::is_reportable`] holds. Sends
+    /// nothing if there are none, or if the report would be implausible.
+    fn send_report(&mut self) {
+        let own_attempts: Vec<_> = self
             .servers
             .iter()
             .map(|(key, server)| (*key, self.own_counts(server)))
             .collect();
-        let tried = own
+        let tried = own_attempts
             .iter()
             .filter(|(_, counts)| counts.total() >= MIN_ATTEMPTS)
             .count();
-        let failing = own
+        let failing = own_attempts
             .iter()
             .filter(|(_, counts)| {
                 counts.failed >= MIN_ATTEMPTS && counts.failed >= counts.succeeded
@@ -270,33 +274,36 @@
             self.counters.implausible_reports += 1;
             return;
         }
-        let mut worth_reporting: Vec<_> = own
+        let mut reportable: Vec<_> = own_attempts
             .into_iter()
-            .filter(|(key, counts)| self.is_worth_reporting(*key, counts))
+            .filter(|(key, counts)| self.is_reportable(*key, counts))
             .collect();
-        if worth_reporting.is_empty() {
+        if reportable.is_empty() {
             return;
         }
-        worth_reporting.sort_by(|(_, a), (_, b)| b.failed.total_cmp(&a.failed));
-        let entries = worth_reporting
+        reportable.sort_by(|(_, a), (_, b)| b.failed.total_cmp(&a.failed));
+        let entries = reportable
             .into_iter()
             .take(MAX_ENTRIES)
             .map(|(key, counts)| self.report_entry(key, counts));
         let report = Report {
-            tried: tried.min(usize::from(u16::MAX)) as u16,
+            tried_servers: tried.min(usize::from(u16::MAX)) as u16,
             entries: entries.collect(),
         };
         self.counters.reports_sent += 1;
-        self.reported_ms = self.now_ms;
+        self.last_report_ms = self.now_ms;
         self.actions.push(Action::Broadcast(encode_report(&report)));
     }
 
     fn own_counts(&self, server: &ServerState) -> AttemptCounts {
-        server.own.counts(self.now_ms, self.settings.half_life_ms)
+        server
+            .own_attempts
+            .counts(self.now_ms, self.settings.half_life_ms)
     }
 
-    /// Whether there are failures, or successes that are evidence against the failures that others report.
-    fn is_worth_reporting(&self, key: ServerKey, counts: &AttemptCounts) -> bool {
+    /// Whether there are failures to report, or successes that are evidence against the failures that other nodes
+    /// report.
+    fn is_reportable(&self, key: ServerKey, counts: &AttemptCounts) -> bool {
         let needs_successes = || {
             self.servers
                 .get(&key)
@@ -306,10 +313,9 @@
     }
 
     fn report_entry(&self, key: ServerKey, counts: AttemptCounts) -> ReportEntry {
-        let last_success_ms = self
-            .servers
-            .get(&key)
-            .map_or(f64::NEG_INFINITY, |server| server.own.last_success_ms());
+        let last_success_ms = self.servers.get(&key).map_or(f64::NEG_INFINITY, |server| {
+            server.own_attempts.last_success_ms()
+        });
         ReportEntry {
             server: key,
             failed_quarters: to_quarters(counts.failed),
@@ -369,7 +375,7 @@
                 .min_reporters
                 .min(self.cluster_size.div_ceil(2))
                 .max(MIN_REPORTERS),
-            own_attempts_count: !self.is_own_report_implausible,
+            include_own_attempts: !self.is_own_report_implausible,
         };
         let mut outliers = BTreeSet::new();
         for key in &self.watched {
@@ -382,9 +388,9 @@
         outliers
     }
 
-    /// Begins or extends a panic if too many servers would be outliers. Returns whether there is one.
+    /// Starts or extends a panic if too many servers would be outliers. Returns whether a panic is in effect.
     fn update_panic(&mut self, outliers: &BTreeSet<ServerKey>) -> bool {
-        // A server with a low weight may still be failing, though hardly any node is left to report it.
+        // Servers with a low weight count, too: they may still be failing, with hardly any node left to report that.
         let recovering = self
             .watched
             .iter()
@@ -399,9 +405,9 @@
         self.now_ms < self.panic_until_ms
     }
 
-    /// The weight of an outlier on this node: the more nodes there are, the lower.
+    /// An outlier's weight on this node; the more nodes there are, the lower it is.
     fn outlier_weight(&self) -> f64 {
-        (OUTLIER_WEIGHT_OF_ALL_NODES / self.cluster_size as f64)
+        (TOTAL_OUTLIER_WEIGHT / self.cluster_size as f64)
             .max(MIN_OUTLIER_WEIGHT)
             .min(self.settings.max_outlier_weight)
     }
--- a/crates/outlier-detection/src/lib.rs
+++ b/crates/outlier-detection/src/lib.rs
@@ -1,14 +1,17 @@
-//! Cluster-wide outlier detection: the nodes of a cluster report to each other at which servers their attempts fail.
+//! Cluster-wide outlier detection: the nodes of a cluster report to each other the servers at which their attempts
+//! fail.
 //!
-//! A node counts how its own attempts at each server end, and broadcasts a report when some fail. From all reports each
-//! node derives for itself which servers are outliers, and gives those a weight: the fraction of a server's ordinary
-//! share of requests that it should get. A weight reduces or orders; it never adds a server, and it never concerns more
-//! than a fraction of all servers: beyond that the reporter is the likelier fault.
+//! Each node counts the results of its own attempts at each server, and broadcasts a report when some fail. From all
+//! reports each node independently determines which servers are outliers and sets their weights. The weight of a server
+//! is the fraction of its ordinary share of requests that it should get. Weights only reduce or reorder the use of
+//! servers: they never add a server, and no weight is reduced while more than a certain fraction of all servers would
+//! be outliers, because the reporter is then more likely at fault than the servers.
 //!
-//! - [`OutlierDetector`] is one node's part: [`Event`]s and time go in, [`Action`]s come out.
-//! - `server_state` judges one server by the evidence of all reporters, and owns its weight.
+//! - [`OutlierDetector`] is the state machine of one node: its inputs are [`Event`]s with their time, its outputs
+//!   [`Action`]s.
+//! - `server_state` evaluates the evidence of all reporters about one server, and owns its weight.
 //! - `attempt_stats` counts the node's own attempts.
-//! - `report` and `wire` are the reports between nodes and their bytes.
+//! - `report` and `wire` define the reports between nodes and their encoding.
 //!
 //! The crate does no I/O and reads no clock. Times are milliseconds of the node's own clock since boot. See
 //! `docs/outlier-detection/design.md`.
--- a/crates/outlier-detection/src/report.rs
+++ b/crates/outlier-detection/src/report.rs
@@ -1,11 +1,11 @@
-//! What one node reports about servers.
+//! Reports about servers that nodes send to each other.
 
-/// One incarnation of a server: a number that every node derives in the same way from the server's id and start time, so
-/// that reports about one incarnation say nothing about the next.
+/// Identifies one incarnation of a server. Every node derives the number in the same way from the server's id and start
+/// time, so that reports about one incarnation do not apply to the next.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ServerKey(pub u64);
 
-/// How an attempt failed. The discriminant is the number on the wire.
+/// How an attempt failed. The discriminant is the number in the encoded report.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum FailureKind {
     /// The server responded with an error.
@@ -19,7 +19,7 @@
 }
 
 impl FailureKind {
-    /// All kinds, in the order of their numbers.
+    /// All kinds, in the order of their discriminants.
     pub const ALL: [Self; 4] = [
         Self::ErrorResponse,
         Self::Unreachable,
@@ -39,7 +39,7 @@
     }
 }
 
-/// Weighted counts of failures by kind.
+/// Decaying counts of failures by kind.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct FailureCounts([f64; FailureKind::ALL.len()]);
 
@@ -58,7 +58,7 @@
         self.0.iter().sum()
     }
 
-    /// The kind with the highest count; of equal ones the last.
+    /// The kind with the highest count; in a tie, the last of them in [`FailureKind::ALL`].
     pub fn most_frequent(&self) -> FailureKind {
         FailureKind::ALL
             .into_iter()
@@ -67,31 +67,31 @@
     }
 }
 
-/// What a node reports about one server.
+/// The part of a report that concerns one server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ReportEntry {
     pub server: ServerKey,
-    /// Recent attempts that failed, in quarters of an attempt.
+    /// Decayed count of failed attempts, in quarters of an attempt.
     pub failed_quarters: u8,
-    /// Recent attempts that succeeded, in quarters of an attempt.
+    /// Decayed count of succeeded attempts, in quarters of an attempt.
     pub succeeded_quarters: u8,
     pub failure_kind: FailureKind,
-    /// How long ago the last attempt succeeded, in tenths of a second; 255 stands for any longer time.
+    /// Time since the last successful attempt, in tenths of a second; 255 also stands for any longer time.
     pub success_age_tenths: u8,
 }
 
 impl ReportEntry {
-    /// Whether the node finds the server failing: at least as many attempts failed as succeeded.
+    /// Whether the entry reports the server as failing: some attempts failed, and at least as many as succeeded.
     pub fn is_failing(&self) -> bool {
         self.failed_quarters >= self.succeeded_quarters && self.failed_quarters > 0
     }
 }
 
-/// All that a node reports at one time.
+/// A report of one node.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Report {
-    /// The number of servers that the node tried recently. The fraction of them that it finds failing tells whether its
-    /// report is plausible.
-    pub tried: u16,
+    /// Number of servers at which the node recently made attempts. The report is implausible if it reports too large a
+    /// fraction of them as failing.
+    pub tried_servers: u16,
     pub entries: Vec<ReportEntry>,
 }
--- a/crates/outlier-detection/src/server_state.rs
+++ b/crates/outlier-detection/src/server_state.rs
@@ -1,34 +1,39 @@
-//! One server as a node sees it: the evidence of all reporters, and the weight that follows from it.
+//! State of one server on this node: the evidence of all reporters, and the weight that follows from it.
 //!
-//! A server is an outlier while enough nodes report it as failing and enough of all reported attempts failed. Its weight
-//! then falls to a floor at once, and rises again step by step while more attempts succeed than fail.
+//! A server is an outlier while enough nodes report it as failing and a large enough fraction of all reported attempts
+//! failed. Its weight is then reduced at once, and rises again step by step while more attempts succeed than fail.
 
 use crate::attempt_stats::{AttemptCounts, AttemptStats};
 use crate::detector::NodeKey;
 use crate::report::{FailureCounts, FailureKind, ReportEntry};
 use crate::settings::Settings;
 
-/// The fewest attempts, as a weighted count, that say anything about a server.
+/// Minimum decayed count of attempts that is used as evidence about a server.
 pub const MIN_ATTEMPTS: f64 = 0.5;
-/// Reporters of one server that are remembered: many times what it takes, so the oldest may be forgotten.
-const MAX_REPORTERS: usize = 24;
-/// A report that is not repeated for this many intervals counts no more.
+/// Maximum number of reports kept about one server. By default far fewer make it an outlier, so the oldest can be
+/// dropped.
+const MAX_STORED_REPORTS: usize = 24;
+/// Time after which a report expires unless it is repeated, in intervals.
 const REPORT_LIFETIME_INTERVALS: f64 = 3.5;
-/// The most attempts for which one reporter counts: neither a busy node nor one that lies decides alone.
+/// Maximum number of attempts that one reporter contributes to the evidence, so that neither a busy node nor a lying
+/// one decides alone.
 const MAX_ATTEMPTS_PER_REPORTER: f64 = 4.0;
-/// The weight rises by this factor in an interval in which more of all reported attempts succeeded than failed. It does
-/// not rise to one at once, as all nodes receive the same reports at the same time.
+/// Factor by which the weight rises in an interval in which more of all reported attempts succeeded than failed. The
+/// weight does not rise to 1 at once, because all nodes receive the same reports at the same time and
+/// would return to the server together.
 const WEIGHT_GROWTH: f64 = 1.6;
-/// Without any reported attempts the weight rises by the same factor in this many intervals, as few may try the server.
+/// Time in which the weight rises by the same factor while no attempts are reported, in intervals: few nodes may be
+/// trying the server.
 const GROWTH_INTERVALS_WITHOUT_REPORTS: f64 = 10.0;
-/// How many intervals a server stays an outlier at least: the first time, and at most after repeated relapses.
-const MIN_EJECTION_INTERVALS: f64 = 2.0;
+/// Minimum duration of the first ejection, in intervals. It doubles with each recent ejection.
+const BASE_EJECTION_INTERVALS: f64 = 2.0;
+/// Upper bound of the minimum duration of an ejection, in intervals.
 const MAX_EJECTION_INTERVALS: f64 = 32.0;
-/// Relapses that are counted; by then the time has reached its maximum.
-const MAX_RELAPSES: i32 = 8;
-/// After this many intervals without being an outlier the relapses are forgotten.
-const RELAPSE_MEMORY_INTERVALS: f64 = 120.0;
-/// A server with a lower weight gets hardly any attempts, so that few nodes are left to report it.
+/// Upper bound of the count of recent ejections, above which the duration of an ejection would not grow any more.
+const MAX_COUNTED_EJECTIONS: i32 = 8;
+/// Time without being an outlier after which earlier ejections no longer count, in intervals.
+const EJECTION_MEMORY_INTERVALS: f64 = 120.0;
+/// A server with a weight below this gets so few attempts that hardly any node is left to report its failures.
 const LOW_WEIGHT: f64 = 0.5;
 
 /// The last report of another node about the server.
@@ -40,45 +45,46 @@
     last_success_ms: f64,
 }
 
-/// A server and all that is known about it.
+/// Evidence about a server, its weight, and its recent ejections.
 #[derive(Clone, Debug)]
 pub struct ServerState {
-    /// This node's own attempts.
-    pub own: AttemptStats,
+    /// Results of this node's own attempts.
+    pub own_attempts: AttemptStats,
     reports: Vec<PeerReport>,
     /// The fraction of its ordinary share of requests that the server should get.
     pub weight: f64,
     pub failure_kind: FailureKind,
-    /// How many nodes report it as failing.
+    /// Number of nodes that report it as failing, including this one.
     pub failing_reporters: usize,
     /// Whether more of all reported attempts succeeded than failed.
     is_succeeding: bool,
-    /// Whether any attempts are reported.
+    /// Whether the reported attempts reach [`MIN_ATTEMPTS`].
     has_attempts: bool,
     weight_raised_ms: f64,
-    /// When the first node began to report it as failing. A success before then is no evidence against the reports.
+    /// Time at which the first node began to report it as failing. Earlier successes are not evidence against the
+    /// reports.
     first_failing_ms: f64,
-    /// When its status last changed: reported as failing, an outlier, or neither.
+    /// Time of its last change of status between reported as failing, outlier, and neither.
     pub status_since_ms: f64,
-    /// Until when it is an outlier at least.
+    /// Time until which its weight does not rise.
     ejected_until_ms: f64,
-    /// How often it became an outlier recently.
-    relapses: i32,
+    /// Number of recent ejections, at most [`MAX_COUNTED_EJECTIONS`].
+    recent_ejections: i32,
     last_outlier_ms: f64,
 }
 
-/// What is the same for all servers at one evaluation.
+/// Parameters of one evaluation that are the same for all servers.
 #[derive(Clone, Copy, Debug)]
 pub struct Evaluation {
     pub now_ms: f64,
     pub settings: Settings,
-    /// How many nodes have to report a server as failing.
+    /// Number of nodes that have to report a server as failing before it is an outlier.
     pub min_reporters: usize,
-    /// Whether this node's own attempts count.
-    pub own_attempts_count: bool,
+    /// Whether this node's own attempts are part of the evidence.
+    pub include_own_attempts: bool,
 }
 
-/// The evidence of all reporters about one server.
+/// Combined evidence of all reporters about one server.
 #[derive(Default)]
 struct Evidence {
     succeeded: f64,
@@ -88,7 +94,8 @@
 }
 
 impl Evidence {
-    /// Adds the attempts of one reporter. Successes before `first_failing_ms` do not count.
+    /// Adds the attempts of one reporter, scaled down to at most [`MAX_ATTEMPTS_PER_REPORTER`]. Its successes do not
+    /// count if the last of them was before `first_failing_ms`.
     fn add(&mut self, counts: AttemptCounts, last_success_ms: f64, first_failing_ms: f64) {
         if counts.failed >= counts.succeeded && counts.failed >= MIN_ATTEMPTS {
             self.failing_reporters += 1;
@@ -114,7 +121,7 @@
     }
 }
 
-/// What is the same for all servers at one update of the weights.
+/// Parameters of one update of the weights that are the same for all servers.
 #[derive(Clone, Copy, Debug)]
 pub struct WeightContext {
     pub now_ms: f64,
@@ -124,37 +131,37 @@
     pub trigger: Trigger,
 }
 
-/// Why weights are updated.
+/// Reason for an update of the weights.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Trigger {
-    /// An interval ended. Weights may rise only then.
+    /// An interval ended. Only this trigger raises the weights of recovering servers.
     IntervalEnd,
     /// A report or a failure arrived within an interval.
     NewEvidence,
 }
 
-/// What an update of the weight did.
+/// Result of an update of a weight.
 pub struct WeightUpdate {
     pub is_changed: bool,
     /// Whether the server became an outlier.
     pub is_ejection: bool,
 }
 
-/// What decides on a server's weight at one evaluation.
+/// Result of an evaluation for one server, which determines its weight.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Verdict {
     /// The server is an outlier.
     Outlier,
-    /// It is not.
+    /// The server is not an outlier.
     Ordinary,
-    /// Too many servers would be outliers: none is taken for one.
+    /// Too many servers would be outliers, so none is treated as one.
     Panic,
 }
 
 impl ServerState {
     pub fn new(now_ms: f64) -> Self {
         Self {
-            own: AttemptStats::default(),
+            own_attempts: AttemptStats::default(),
             reports: Vec::new(),
             weight: 1.0,
             failure_kind: FailureKind::ErrorResponse,
@@ -165,12 +172,12 @@
             first_failing_ms: f64::NEG_INFINITY,
             status_since_ms: now_ms,
             ejected_until_ms: f64::NEG_INFINITY,
-            relapses: 0,
+            recent_ejections: 0,
             last_outlier_ms: now_ms,
         }
     }
 
-    /// Stores a node's report; it replaces the previous one of the same node.
+    /// Stores a node's report in place of its previous one.
     pub fn accept_report(&mut self, now_ms: f64, from: NodeKey, entry: &ReportEntry) {
         let report = PeerReport {
             from,
@@ -182,17 +189,17 @@
             },
             last_success_ms: now_ms - f64::from(entry.success_age_tenths) * 100.0,
         };
-        if let Some(previous) = self.reports.iter_mut().find(|held| held.from == from) {
+        if let Some(previous) = self.reports.iter_mut().find(|stored| stored.from == from) {
             *previous = report;
             return;
         }
-        if self.reports.len() >= MAX_REPORTERS {
-            self.forget_oldest_report();
+        if self.reports.len() >= MAX_STORED_REPORTS {
+            self.remove_oldest_report();
         }
         self.reports.push(report);
     }
 
-    fn forget_oldest_report(&mut self) {
+    fn remove_oldest_report(&mut self) {
         let oldest = (0..self.reports.len()).min_by(|a, b| {
             let (a, b) = (&self.reports[*a], &self.reports[*b]);
             a.received_ms.total_cmp(&b.received_ms)
@@ -207,7 +214,8 @@
         self.weight < 1.0 || self.failing_reporters > 0
     }
 
-    /// Whether successes at this server are worth a report: they are evidence against other reports.
+    /// Whether successes at this server have to be reported: they are evidence against the failures that other nodes
+    /// report.
     pub fn needs_successes(&self) -> bool {
         let is_failing = |report: &PeerReport| report.counts.failed >= report.counts.succeeded;
         self.weight < 1.0 || self.reports.iter().any(is_failing)
@@ -217,7 +225,8 @@
         self.weight < LOW_WEIGHT
     }
 
-    /// Weighs all reports that still count. Returns whether they make the server an outlier.
+    /// Evaluates this node's own attempts and all reports that have not expired. Returns whether they make the server
+    /// an outlier.
     pub fn evaluate(&mut self, evaluation: &Evaluation) -> bool {
         let Evaluation {
             now_ms, settings, ..
@@ -227,8 +236,8 @@
             .retain(|report| now_ms - report.received_ms < lifetime_ms);
         let was_failing = self.failing_reporters > 0;
         let has_full_weight = self.weight >= 1.0;
-        let is_new = !was_failing && has_full_weight;
-        let first_failing_ms = if is_new {
+        let was_healthy = !was_failing && has_full_weight;
+        let first_failing_ms = if was_healthy {
             now_ms
         } else {
             self.first_failing_ms
@@ -238,7 +247,7 @@
         if is_failing != was_failing && has_full_weight {
             self.status_since_ms = now_ms;
         }
-        if is_new && is_failing {
+        if was_healthy && is_failing {
             self.first_failing_ms = now_ms;
         }
         self.failing_reporters = evidence.failing_reporters;
@@ -251,14 +260,18 @@
 
     fn evidence(&self, evaluation: &Evaluation, first_failing_ms: f64) -> Evidence {
         let mut evidence = Evidence::default();
-        let own = if evaluation.own_attempts_count {
-            self.own
+        let own_attempts = if evaluation.include_own_attempts {
+            self.own_attempts
                 .counts(evaluation.now_ms, evaluation.settings.half_life_ms)
         } else {
             AttemptCounts::NONE
         };
-        if own.total() >= MIN_ATTEMPTS {
-            evidence.add(own, self.own.last_success_ms(), first_failing_ms);
+        if own_attempts.total() >= MIN_ATTEMPTS {
+            evidence.add(
+                own_attempts,
+                self.own_attempts.last_success_ms(),
+                first_failing_ms,
+            );
         }
         for report in &self.reports {
             evidence.add(report.counts, report.last_success_ms, first_failing_ms);
@@ -266,7 +279,7 @@
         evidence
     }
 
-    /// Applies a verdict to the weight.
+    /// Updates the weight according to a verdict.
     pub fn update_weight(&mut self, verdict: Verdict, context: &WeightContext) -> WeightUpdate {
         let WeightContext {
             now_ms,
@@ -293,8 +306,8 @@
                 }
             }
         }
-        if now_ms - self.last_outlier_ms >= RELAPSE_MEMORY_INTERVALS * interval_ms {
-            self.relapses = 0;
+        if now_ms - self.last_outlier_ms >= EJECTION_MEMORY_INTERVALS * interval_ms {
+            self.recent_ejections = 0;
         }
         WeightUpdate {
             is_changed: self.weight != before,
@@ -303,9 +316,9 @@
     }
 
     fn begin_ejection(&mut self, now_ms: f64, interval_ms: f64) {
-        let intervals = MIN_EJECTION_INTERVALS * 2.0_f64.powi(self.relapses);
+        let intervals = BASE_EJECTION_INTERVALS * 2.0_f64.powi(self.recent_ejections);
         self.ejected_until_ms = now_ms + interval_ms * intervals.min(MAX_EJECTION_INTERVALS);
-        self.relapses = (self.relapses + 1).min(MAX_RELAPSES);
+        self.recent_ejections = (self.recent_ejections + 1).min(MAX_COUNTED_EJECTIONS);
         self.status_since_ms = now_ms;
     }
 
@@ -324,12 +337,13 @@
         }
     }
 
-    /// Whether there is nothing left to evaluate: full weight, no relapses, no reports, and no failures of its own.
+    /// Whether the server needs no further evaluation: it has full weight, no recent ejections, no reports, and no
+    /// recent failures of this node's own attempts.
     pub fn is_settled(&self, now_ms: f64, half_life_ms: f64) -> bool {
-        let own = self.own.counts(now_ms, half_life_ms);
+        let own_attempts = self.own_attempts.counts(now_ms, half_life_ms);
         self.weight >= 1.0
-            && self.relapses == 0
+            && self.recent_ejections == 0
             && self.reports.is_empty()
-            && own.failed < MIN_ATTEMPTS
+            && own_attempts.failed < MIN_ATTEMPTS
     }
 }
--- a/crates/outlier-detection/src/settings.rs
+++ b/crates/outlier-detection/src/settings.rs
@@ -3,22 +3,23 @@
 use std::error::Error;
 use std::fmt;
 
-/// When nodes report and when a server is an outlier.
+/// Settings of outlier detection: when nodes report, and when a server is an outlier.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Settings {
-    /// The interval at which a node reports and judges, in milliseconds. `turn_ms` in the operators' file.
+    /// Interval at which a node reports and evaluates, in milliseconds. `turn_ms` in the operators' file.
     pub interval_ms: f64,
-    /// After this time, in milliseconds, an attempt counts for half as much.
+    /// Time after which an attempt counts for half as much, in milliseconds.
     pub half_life_ms: f64,
-    /// How many nodes have to report a server as failing; of fewer than twice as many nodes, half of them. `reporters` in
-    /// the operators' file.
+    /// Number of nodes that have to report a server as failing before it is an outlier. In a cluster of fewer than
+    /// twice as many nodes, half of the nodes suffice, but no fewer than two. `reporters` in the operators' file.
     pub min_reporters: usize,
-    /// The fraction of all reported attempts at a server that has to have failed. `share` in the operators' file.
+    /// Minimum failed fraction of all reported attempts at a server for it to be an outlier. `share` in the operators'
+    /// file.
     pub min_failed_fraction: f64,
-    /// The highest weight of an outlier; with many nodes it is lower. `floor` in the operators' file.
+    /// Maximum weight of an outlier; in large clusters the weight is lower. `floor` in the operators' file.
     pub max_outlier_weight: f64,
-    /// The highest fraction of servers that may be outliers; a node that finds more of them failing is not believed.
-    /// `panic_share` in the operators' file.
+    /// Maximum fraction of servers that may be outliers. The report of a node that finds a larger fraction failing is
+    /// rejected. `panic_share` in the operators' file.
     pub max_outlier_fraction: f64,
 }
 
@@ -58,11 +59,11 @@
 impl Error for SettingsError {}
 
 impl Settings {
-    /// Checks that each setting is in its range.
+    /// Checks that every setting is within its range.
     ///
     /// # Errors
     ///
-    /// Returns the first that is not.
+    /// Returns the first setting that is out of its range.
     pub fn check(&self) -> Result<(), SettingsError> {
         let Self {
             interval_ms,
--- a/crates/outlier-detection/src/wire/tests.rs
+++ b/crates/outlier-detection/src/wire/tests.rs
@@ -14,12 +14,12 @@
 proptest! {
     #[test]
     fn encoded_report_decodes_to_itself(
-        tried: u16,
+        tried_servers: u16,
         entries in proptest::collection::vec(any::<(u64, u8, u8, u8)>(), 0..=MAX_ENTRIES),
     ) {
-        let report = Report { tried, entries: entries.into_iter().map(entry).collect() };
+        let report = Report { tried_servers, entries: entries.into_iter().map(entry).collect() };
         let bytes = encode_report(&report);
-        prop_assert!(bytes.len() <= MAX_REPORT_BYTES && is_report(&bytes));
+        prop_assert!(bytes.len() <= MAX_REPORT_BYTES && is_report(&bytes), "not a valid report: {bytes:02x?}");
         prop_assert_eq!(decode_report(&bytes), Some(report));
     }
 
