--- a/crates/outlier-detection/tests/detector.rs
+++ b/crates/outlier-detection/tests/detector.rs
@@ -1,4 +1,4 @@
-//! Outlier detection among many nodes in virtual time: which servers are ejected, which reports are not believed, and how a
+//! Outlier detection among many nodes in virtual time: which servers are ejected, which reports are rejected, and how a
 //! server recovers.
 
 use fastrand::Rng;
@@ -12,19 +12,20 @@
     ServerKey(server * 7 + 1)
 }
 
-/// Nodes that receive each other's reports within a step of 100 ms. Each tries servers at random, by their weights.
+/// Nodes that receive each other's reports within a step of 100 ms. Each selects servers at random, in proportion to
+/// their weights.
 struct Cluster {
     nodes: Vec<OutlierDetector>,
     rng: Rng,
     now_ms: f64,
-    /// By node and server.
+    /// Weight of each server on each node, indexed by node and server.
     weights: Vec<Vec<f64>>,
-    /// Attempts at each server.
+    /// Number of attempts at each server.
     attempts: Vec<u64>,
     lying_node: Option<LyingNode>,
 }
 
-/// A node whose attempts at these servers all seem to fail.
+/// A node that records a failed attempt at each of these servers in every step, so that it reports them as failing.
 struct LyingNode {
     node: usize,
     servers: Vec<u64>,
@@ -41,10 +42,10 @@
             detector.handle(0.0, Event::ClusterSize(nodes), &mut Vec::new());
             detector
         };
-        let all = (0..nodes).map(node).collect();
+        let detectors = (0..nodes).map(node).collect();
         let weights = vec![vec![1.0; SERVERS as usize]; nodes];
         Self {
-            nodes: all,
+            nodes: detectors,
             rng,
             now_ms: 0.0,
             weights,
@@ -53,7 +54,8 @@
         }
     }
 
-    /// Each node makes this many attempts per second; `failure` says how one of a node at a server ends.
+    /// Runs for a time in which each node makes `attempts_per_s` attempts per second on average. `failure` returns how
+    /// an attempt of a node at a server fails, or `None` if it succeeds.
     fn run(
         &mut self,
         ms: f64,
@@ -114,7 +116,11 @@
         for action in actions {
             match action {
                 Action::Broadcast(bytes) => {
-                    assert!(bytes.len() <= MAX_REPORT_BYTES);
+                    assert!(
+                        bytes.len() <= MAX_REPORT_BYTES,
+                        "report of {} bytes",
+                        bytes.len()
+                    );
                     reports.push((node, bytes));
                 }
                 Action::SetWeight { server, weight } => {
@@ -125,7 +131,7 @@
         }
     }
 
-    /// How many nodes give a server hardly any requests.
+    /// Number of nodes that send a server hardly any requests.
     fn ejecting_nodes(&self, server: u64) -> usize {
         self.weights
             .iter()
@@ -143,15 +149,18 @@
     for (nodes, attempts_per_s) in [(5, 10.0), (30, 2.0), (300, 0.3)] {
         let mut cluster = Cluster::new(nodes, 1);
         cluster.run(10_000.0, attempts_per_s, |_, _| None);
-        assert!(cluster.no_server_is_ejected());
-        // Three nodes that try it are enough; earlier successes are no evidence against them.
+        assert!(
+            cluster.no_server_is_ejected(),
+            "{nodes} nodes: a server is ejected without failures"
+        );
+        // Three nodes whose attempts fail are enough; earlier successes are not evidence against their reports.
         let detection_ms = 2_000.0 + 3_000.0 * SERVERS as f64 / (nodes as f64 * attempts_per_s);
         cluster.run(detection_ms, attempts_per_s, |_, server| {
             (server == 3).then_some(FailureKind::ErrorResponse)
         });
         assert!(
             cluster.ejecting_nodes(3) * 10 >= nodes * 9,
-            "{nodes} nodes: {} eject it",
+            "{nodes} nodes: only {} eject the failing server",
             cluster.ejecting_nodes(3)
         );
         let before = cluster.attempts[3];
@@ -162,14 +171,14 @@
         let fair = nodes as f64 * attempts_per_s * 20.0 / SERVERS as f64;
         assert!(
             (attempts as f64) < fair / 5.0,
-            "{nodes} nodes: {attempts} attempts of {fair:.0}"
+            "{nodes} nodes: {attempts} attempts at the ejected server, its fair share is {fair:.0}"
         );
         assert_gradual_recovery(&mut cluster, attempts_per_s);
     }
 }
 
-/// Server 3 succeeds from now on: in no second it gets a multiple of its fair share, or its share from all nodes at once, and
-/// after a minute and a half it has nearly all of its share.
+/// Asserts that server 3, which succeeds from now on, recovers gradually: in no second does it get a multiple of its
+/// fair share, or its share from all nodes at once, and after 90 s it has nearly all of its share.
 fn assert_gradual_recovery(cluster: &mut Cluster, attempts_per_s: f64) {
     let nodes = cluster.nodes.len();
     let fair = nodes as f64 * attempts_per_s / SERVERS as f64;
@@ -180,22 +189,22 @@
         let attempts = (cluster.attempts[3] - before) as f64;
         assert!(
             attempts <= 3.0 * fair + 6.0,
-            "{nodes} nodes: {attempts} at once, fair is {fair}"
+            "{nodes} nodes: {attempts} attempts in a second, the fair share is {fair}"
         );
         let next = mean_weight(cluster);
         assert!(
             next <= 2.0 * weight + 0.02,
-            "{nodes} nodes: from {weight} to {next} in a second"
+            "{nodes} nodes: mean weight rose from {weight} to {next} in a second"
         );
         weight = next;
     }
     assert!(
         weight > 0.95,
-        "{nodes} nodes: {weight} of its share after a minute and a half"
+        "{nodes} nodes: mean weight {weight} after 90 s"
     );
 }
 
-/// The weight of the failing server, averaged over all nodes.
+/// The weight of server 3, averaged over all nodes.
 fn mean_weight(cluster: &Cluster) -> f64 {
     cluster
         .weights
@@ -205,7 +214,7 @@
         / cluster.weights.len() as f64
 }
 
-/// A report as it is sent: for each server the failed and succeeded attempts in quarters.
+/// An encoded report. Each entry is a server with its failed and succeeded attempts, in quarters of an attempt.
 fn report(tried: u16, entries: &[(u64, u8, u8)]) -> Vec<u8> {
     let mut bytes = vec![0x80];
     bytes.extend(tried.to_le_bytes());
@@ -216,7 +225,7 @@
     bytes
 }
 
-/// A node of twelve that has received these reports, each of another node.
+/// The detector of a node in a cluster of twelve that has received these reports, each from a different node.
 fn detector_with_reports(reports: &[Vec<u8>]) -> OutlierDetector {
     let keys: Vec<_> = (0..SERVERS).map(key).collect();
     let mut detector = OutlierDetector::new(0.0, Settings::default(), 0.5).expect("valid settings");
@@ -237,7 +246,8 @@
         .count()
 }
 
-/// Three busy nodes are three reporters: each counts for no more than a few attempts.
+/// Three reporters with very many failures do not outweigh seven with successes: each reporter counts for no more than
+/// a few attempts.
 #[test]
 fn reporter_with_many_failures_counts_like_others() {
     let succeeding = report(20, &[(3, 0, 8)]);
@@ -250,13 +260,13 @@
     assert_eq!((outliers(&detector), reporters.max()), (0, Some(3)));
 }
 
-/// A success before the first report of failures is no evidence against it; one since then is.
+/// A success before the first report of failures is not evidence against that report; a later one is.
 #[test]
 fn success_before_the_first_failure_report_does_not_count() {
     let failing = report(20, &[(3, 8, 0)]);
     let succeeding = |tenths: u8| {
         let mut bytes = report(20, &[(3, 0, 8)]);
-        *bytes.last_mut().expect("an age") = tenths;
+        *bytes.last_mut().expect("a report is not empty") = tenths;
         bytes
     };
     for (tenths, expected) in [(200, 1), (0, 0)] {
@@ -265,16 +275,16 @@
         assert_eq!(
             outliers(&detector),
             expected,
-            "{tenths} tenths of a second ago"
+            "last success {tenths} tenths of a second ago"
         );
     }
 }
 
-/// A node that finds two of the five servers that it tried failing is likely at fault itself.
+/// A node that reports two of the five servers that it tried as failing is likely at fault itself.
 #[test]
 fn report_of_too_many_failing_servers_is_rejected() {
-    let two = report(5, &[(3, 8, 0), (4, 8, 0), (5, 0, 8)]);
-    let detector = detector_with_reports(&vec![two; 4]);
+    let report = report(5, &[(3, 8, 0), (4, 8, 0), (5, 0, 8)]);
+    let detector = detector_with_reports(&vec![report; 4]);
     let counters = detector.counters();
     assert_eq!(outliers(&detector), 0);
     assert_eq!(
@@ -283,7 +293,7 @@
     );
 }
 
-/// A node that receives reports of three others about server 3, interval by interval.
+/// A node that receives reports of three other nodes about server 3, one interval after the other.
 struct Receiver {
     detector: OutlierDetector,
     now_ms: f64,
@@ -297,7 +307,8 @@
         }
     }
 
-    /// An interval in which they report these failed and succeeded quarters, or nothing. Returns the weight after it.
+    /// Runs an interval in which each of the three nodes reports these failed and succeeded attempts, in quarters of an
+    /// attempt, or nothing. Returns the weight at its end.
     fn interval(&mut self, reported: Option<(u8, u8)>) -> f64 {
         self.now_ms += 1_000.0;
         if let Some((failed, succeeded)) = reported {
@@ -313,15 +324,19 @@
         reported.next().map_or(1.0, |server| server.weight)
     }
 
-    /// The server fails, and succeeds from then on: the intervals until its weight rises, and until it is whole.
+    /// Runs an interval in which the server fails, and 100 in which it succeeds. Returns the index of the interval in
+    /// which its weight begins to rise, and of that in which it has its full weight again.
     fn relapse(&mut self) -> (usize, usize) {
         let floor = self.interval(Some((8, 0)));
-        assert!(floor <= 0.05);
+        assert!(floor <= 0.05, "weight {floor} while failing");
         let weights: Vec<_> = std::iter::from_fn(|| Some(self.interval(Some((0, 8)))))
             .take(100)
             .collect();
-        let first = |is_so: &dyn Fn(f64) -> bool| {
-            weights.iter().position(|w| is_so(*w)).expect("it recovers")
+        let first = |is_reached: &dyn Fn(f64) -> bool| {
+            weights
+                .iter()
+                .position(|weight| is_reached(*weight))
+                .expect("the weight rises to 1 within 100 intervals")
         };
         (
             first(&|weight| weight > floor),
@@ -331,26 +346,34 @@
 }
 
 #[test]
-fn relapsing_server_is_ejected_longer_until_forgiven() {
+fn ejection_of_relapsing_server_lengthens_until_history_expires() {
     let mut receiver = Receiver::new();
     let relapses = [(); 5].map(|()| receiver.relapse());
     let ejected = relapses.map(|(ejected, _)| ejected);
     assert!(
         ejected.windows(2).all(|pair| pair[1] >= 2 * pair[0] - 1),
-        "{ejected:?}"
+        "ejections do not double: {ejected:?}"
+    );
+    assert!(
+        ejected[0] <= 2 && ejected[4] >= 24,
+        "first or last ejection: {ejected:?}"
     );
-    assert!(ejected[0] <= 2 && ejected[4] >= 24, "{ejected:?}");
     assert!(
-        relapses.iter().all(|(ejected, whole)| whole - ejected >= 5),
-        "gradually: {relapses:?}"
+        relapses
+            .iter()
+            .all(|(ejected, full_weight)| full_weight - ejected >= 5),
+        "weight rises in fewer than 5 intervals: {relapses:?}"
     );
     for _ in 0..130 {
         receiver.interval(Some((0, 8)));
     }
-    assert!(receiver.relapse().0 <= 2, "forgotten");
+    assert!(
+        receiver.relapse().0 <= 2,
+        "earlier ejections still count after 130 intervals"
+    );
 }
 
-/// Without attempts a server cannot show that it has recovered, so its weight rises, but slowly.
+/// Without attempts there is no evidence of a server's recovery, so its weight rises anyway, but slowly.
 #[test]
 fn server_without_reports_recovers_slowly() {
     let mut receiver = Receiver::new();
@@ -358,21 +381,25 @@
     let weights: Vec<_> = (0..100).map(|_| receiver.interval(None)).collect();
     assert!(
         weights[..8].iter().all(|weight| *weight == floor),
-        "{weights:?}"
+        "weight rises within 8 intervals: {weights:?}"
     );
     let grown = weights.windows(2).filter(|pair| pair[1] > pair[0]).count();
     assert!(
         (5..=10).contains(&grown) && weights[99] > floor,
-        "{weights:?}"
+        "weight rises in {grown} of 100 intervals: {weights:?}"
     );
-    // While as many attempts fail as succeed it does not recover.
+    // While as many attempts fail as succeed, the weight does not rise.
     let mut receiver = Receiver::new();
     receiver.interval(Some((8, 0)));
     let weights: Vec<_> = (0..40).map(|_| receiver.interval(Some((3, 3)))).collect();
-    assert!(weights.iter().all(|weight| *weight <= floor), "{weights:?}");
+    assert!(
+        weights.iter().all(|weight| *weight <= floor),
+        "weight rises while half of the attempts fail: {weights:?}"
+    );
 }
 
-/// A balancer takes a server out after its first failure, so that one failure stands against many successes.
+/// A balancer stops using a server after its first failure. That single failure has to count for more than the many
+/// successes before it.
 #[test]
 fn first_failure_after_many_successes_is_reported_as_failing() {
     let keys: Vec<_> = (0..SERVERS).map(key).collect();
@@ -394,7 +421,7 @@
             Action::Broadcast(bytes) => Some(bytes),
             _ => None,
         });
-        report.expect("a report at once")
+        report.expect("the first failure is reported at once")
     };
     let reports = [0, 1, 2].map(report_of_first_failure);
     assert_eq!(outliers(&detector_with_reports(&reports)), 1);
@@ -407,10 +434,13 @@
         cluster.run(40_000.0, 5.0, |node, server| {
             (node < partitioned && server % 2 == 0).then_some(FailureKind::Unreachable)
         });
-        assert!(cluster.no_server_is_ejected(), "{partitioned} partitioned");
+        assert!(
+            cluster.no_server_is_ejected(),
+            "{partitioned} partitioned nodes eject a server"
+        );
         assert!(
             cluster.nodes[0].counters().implausible_reports > 10,
-            "it does not report, as the fault is likely its own"
+            "a partitioned node does not withhold its implausible reports"
         );
     }
 }
@@ -427,11 +457,11 @@
         let ejections: usize = (0..SERVERS)
             .map(|server| cluster.ejecting_nodes(server))
             .sum();
-        assert_eq!(ejections, 0, "{servers:?}");
+        assert_eq!(ejections, 0, "lies about servers {servers:?}");
     }
 }
 
-/// The successes of the other nodes are evidence against their reports.
+/// The successes of the other nodes are evidence against the reports of those that fail.
 #[test]
 fn failures_of_a_third_of_the_nodes_eject_no_server() {
     let mut cluster = Cluster::new(30, 4);
@@ -440,7 +470,7 @@
     });
     assert!(
         cluster.ejecting_nodes(3) < 3,
-        "{} eject it",
+        "{} nodes eject the server",
         cluster.ejecting_nodes(3)
     );
 }
@@ -451,17 +481,25 @@
     cluster.run(40_000.0, 5.0, |_, server| {
         (server < 12).then_some(FailureKind::ErrorResponse)
     });
-    assert!(cluster.no_server_is_ejected());
+    assert!(
+        cluster.no_server_is_ejected(),
+        "a server is ejected while 12 of {SERVERS} fail"
+    );
 }
 
-/// A server that is replaced under its name is another incarnation: earlier reports do not concern it.
+/// A server that is replaced under the same name is another incarnation: reports about the previous one do not apply to
+/// it.
 #[test]
 fn reports_about_a_previous_incarnation_are_ignored() {
     let mut cluster = Cluster::new(5, 6);
     cluster.run(20_000.0, 10.0, |_, server| {
         (server == 3).then_some(FailureKind::ErrorResponse)
     });
-    assert!(cluster.ejecting_nodes(3) >= 4);
+    assert!(
+        cluster.ejecting_nodes(3) >= 4,
+        "only {} nodes eject the failing server",
+        cluster.ejecting_nodes(3)
+    );
     let mut keys: Vec<_> = (0..SERVERS).map(key).collect();
     keys[3] = ServerKey(1_000_003);
     let node = &mut cluster.nodes[0];
@@ -470,17 +508,24 @@
         Event::ServersChanged(&keys),
         &mut Vec::new(),
     );
-    assert_eq!(node.reported_servers().count(), 0);
+    assert_eq!(
+        node.reported_servers().count(),
+        0,
+        "the new incarnation has reports"
+    );
     // Other nodes go on reporting the previous incarnation.
     let before = node.counters().unknown;
     cluster.run(60_000.0, 10.0, |node, server| {
         (node > 0 && server == 3).then_some(FailureKind::ErrorResponse)
     });
     let node = &cluster.nodes[0];
-    assert!(node.counters().unknown > before && node.reported_servers().count() == 0);
+    assert!(
+        node.counters().unknown > before && node.reported_servers().count() == 0,
+        "reports about the previous incarnation are not ignored"
+    );
 }
 
-/// A node that is restarted ten times a minute keeps its name.
+/// A node that is restarted ten times in a minute keeps its name, so it remains one reporter.
 #[test]
 fn restarted_reporter_counts_as_one() {
     let mut cluster = Cluster::new(12, 7);
@@ -497,6 +542,9 @@
             &mut Vec::new(),
         );
         cluster.nodes[0] = restarted;
-        assert!(cluster.no_server_is_ejected());
+        assert!(
+            cluster.no_server_is_ejected(),
+            "one reporter ejects a server"
+        );
     }
 }
--- a/crates/outlier-detection/tests/report_bytes.rs
+++ b/crates/outlier-detection/tests/report_bytes.rs
@@ -1,4 +1,4 @@
-//! Golden tests of the reports between nodes: nodes of different versions have to understand each other.
+//! Golden tests of the encoded reports between nodes: nodes of different versions have to decode each other's reports.
 
 use outlier_detection::{
     is_report, Action, Event, FailureKind, NodeKey, OutlierDetector, ServerKey, Settings,
@@ -7,8 +7,8 @@
 const SERVER: ServerKey = ServerKey(0x0102_0304_0506_0708);
 const OTHER: ServerKey = ServerKey(0x1112_1314_1516_1718);
 
-/// One report per kind of failure, as version 45ea4e8 writes it: the server failed once at 900 ms, after a success at
-/// 0 ms.
+/// One report for each kind of failure, with the kind's name, as encoded by commit 45ea4e8: the server failed once at
+/// 900 ms, after a success at 0 ms.
 const REPORTS: [(FailureKind, &str, &str); 4] = [
     (
         FailureKind::ErrorResponse,
@@ -70,12 +70,12 @@
 fn bytes(hex: &str) -> Vec<u8> {
     (0..hex.len())
         .step_by(2)
-        .map(|at| u8::from_str_radix(&hex[at..at + 2], 16).expect("hexadecimal digits"))
+        .map(|offset| u8::from_str_radix(&hex[offset..offset + 2], 16).expect("hexadecimal digits"))
         .collect()
 }
 
 #[test]
-fn report_of_each_failure_kind_has_these_bytes() {
+fn report_of_each_failure_kind_encodes_to_recorded_bytes() {
     for (kind, _, expected) in REPORTS {
         let mut detector = detector();
         let mut actions = Vec::new();
@@ -90,10 +90,10 @@
 }
 
 #[test]
-fn recorded_reports_of_each_failure_kind_are_decoded() {
+fn recorded_report_of_each_failure_kind_is_decoded() {
     for (kind, name, report) in REPORTS {
         let report = bytes(report);
-        assert!(is_report(&report));
+        assert!(is_report(&report), "not a report: {report:02x?}");
         let mut detector = detector();
         for node in 1..=2 {
             receive(&mut detector, 1_000.0, node, &report);
@@ -110,13 +110,13 @@
 
 #[test]
 fn report_that_cannot_be_decoded_is_counted_as_unknown() {
-    let sound = bytes(REPORTS[0].2);
-    let too_long = [sound.clone(), vec![0; 12 * 14]].concat();
-    let other_first_byte = [&[0x7f], &sound[1..]].concat();
+    let valid = bytes(REPORTS[0].2);
+    let too_long = [valid.clone(), vec![0; 12 * 14]].concat();
+    let other_first_byte = [&[0x7f], &valid[1..]].concat();
     for malformed in [
         &[][..],
-        &sound[..2],
-        &sound[..sound.len() - 1],
+        &valid[..2],
+        &valid[..valid.len() - 1],
         &too_long,
         &other_first_byte,
     ] {
@@ -135,7 +135,7 @@
     assert_eq!(
         detector.counters().reports_accepted,
         1,
-        "the entry alone is skipped"
+        "only the entry with the unknown kind is skipped"
     );
     assert_eq!(detector.reported_servers().count(), 0);
 }
