--- a/crates/outlier-detection/src/detector.rs
+++ b/crates/outlier-detection/src/detector.rs
@@ -23,7 +23,7 @@
 /// Duration of a panic, in intervals. During a panic no server is treated as an outlier, because too many would be. The
 /// duration keeps servers from alternating between a reduced and the full weight.
 const PANIC_INTERVALS: f64 = 30.0;
-/// Number of failing servers that is plausible whatever fraction of the servers it is.
+/// Number of failing servers that is always plausible, whatever fraction of the servers it is.
 const ALWAYS_PLAUSIBLE_FAILING: f64 = 1.0;
 /// Number of nodes that have to report a server as failing even in the smallest cluster.
 const MIN_REPORTERS: usize = 2;
@@ -301,8 +301,8 @@
             .counts(self.now_ms, self.settings.half_life_ms)
     }
 
-    /// Whether there are failures to report, or successes that are evidence against the failures that other nodes
-    /// report.
+    /// Whether there are failures to report, or successes that are evidence of a server's recovery or against the failures
+    /// that other nodes report.
     fn is_reportable(&self, key: ServerKey, counts: &AttemptCounts) -> bool {
         let needs_successes = || {
             self.servers
@@ -327,7 +327,7 @@
 
     /// Determines the outliers and updates the weights.
     fn evaluate(&mut self, trigger: Trigger) {
-        let outliers = self.outliers();
+        let outliers = self.find_outliers();
         let is_panic = self.update_panic(&outliers);
         let context = WeightContext {
             now_ms: self.now_ms,
@@ -366,7 +366,7 @@
         }
     }
 
-    fn outliers(&mut self) -> BTreeSet<ServerKey> {
+    fn find_outliers(&mut self) -> BTreeSet<ServerKey> {
         let evaluation = Evaluation {
             now_ms: self.now_ms,
             settings: self.settings,
--- a/crates/outlier-detection/src/server_state.rs
+++ b/crates/outlier-detection/src/server_state.rs
@@ -19,8 +19,8 @@
 /// one decides alone.
 const MAX_ATTEMPTS_PER_REPORTER: f64 = 4.0;
 /// Factor by which the weight rises in an interval in which more of all reported attempts succeeded than failed. The
-/// weight does not rise to 1 at once, because all nodes receive the same reports at the same time and
-/// would return to the server together.
+/// weight does not rise to 1 at once, because all nodes receive the same reports at the same time and would
+/// return to the server together.
 const WEIGHT_GROWTH: f64 = 1.6;
 /// Time in which the weight rises by the same factor while no attempts are reported, in intervals: few nodes may be
 /// trying the server.
@@ -66,7 +66,7 @@
     first_failing_ms: f64,
     /// Time of its last change of status between reported as failing, outlier, and neither.
     pub status_since_ms: f64,
-    /// Time until which its weight does not rise.
+    /// Time until which its weight is not raised step by step.
     ejected_until_ms: f64,
     /// Number of recent ejections, at most [`MAX_COUNTED_EJECTIONS`].
     recent_ejections: i32,
@@ -214,8 +214,8 @@
         self.weight < 1.0 || self.failing_reporters > 0
     }
 
-    /// Whether successes at this server have to be reported: they are evidence against the failures that other nodes
-    /// report.
+    /// Whether successes at this server have to be reported: they are evidence of its recovery, or against the failures
+    /// that other nodes report.
     pub fn needs_successes(&self) -> bool {
         let is_failing = |report: &PeerReport| report.counts.failed >= report.counts.succeeded;
         self.weight < 1.0 || self.reports.iter().any(is_failing)
