--- a/src/node/cluster/fence_file.rs
+++ b/src/node/cluster/fence_file.rs
@@ -1,6 +1,6 @@
-//! Reads and writes an acceptor's fence file; [`lease`] has its format.
+//! Reads and writes an acceptor's fence file, whose format [`lease`] defines.
 //!
-//! The file is replaced as a whole, so a crash leaves the file before or the new one.
+//! The file is replaced atomically, so a crash leaves either the previous file or the new one.
 
 use std::fmt;
 use std::fs::{self, File};
@@ -16,7 +16,7 @@
 use super::Cluster;
 use crate::node::admin::log;
 
-/// How long after a failed write the next one is attempted.
+/// Delay between a failed write and the next attempt.
 const WRITE_RETRY_INTERVAL: Duration = Duration::from_secs(1);
 
 /// Why a fence file cannot be used.
@@ -46,7 +46,7 @@
     }
 }
 
-/// The highest token that this node may have granted; 0 where there is no file yet.
+/// Reads the highest token that this node may have granted; 0 if the file does not exist.
 ///
 /// # Errors
 ///
@@ -80,20 +80,20 @@
     File::open(directory.unwrap_or(Path::new(".")))?.sync_all()
 }
 
-/// Writes that this acceptor may grant tokens up to this one, on a blocking thread, and confirms it
-/// to the leases.
+/// Stores that this acceptor may grant tokens up to `token`, on a blocking thread, and confirms
+/// that to the lease manager.
 ///
 /// A failed write is retried until it succeeds, and logged once; until then no token beyond the
-/// last reservation is granted. Dropping the future abandons the confirmation, not the write in
+/// last reservation is granted. Dropping the future cancels the confirmation, but not a write in
 /// progress.
-pub async fn reserve_tokens(fleet: Rc<Cluster>, path: PathBuf, token: FencingToken) {
-    let text = encode_fence_file(&fleet.name, token);
+pub async fn reserve_tokens(cluster: Rc<Cluster>, path: PathBuf, token: FencingToken) {
+    let text = encode_fence_file(&cluster.name, token);
     let mut is_logged = false;
     loop {
         let (path, text) = (path.clone(), text.clone());
         let written = tokio::task::spawn_blocking(move || replace(&path, &text)).await;
         match written.unwrap_or_else(|error| Err(io::Error::other(error))) {
-            Ok(()) => return fleet.handle_lease_event(Event::TokensReserved(token)),
+            Ok(()) => return cluster.handle_lease_event(Event::TokensReserved(token)),
             Err(error) if !is_logged => {
                 is_logged = true;
                 log::line(format_args!(
--- a/src/node/cluster/fleet_log.rs
+++ b/src/node/cluster/fleet_log.rs
@@ -1,8 +1,8 @@
 //! The fleet log: the owner of its shard appends a numbered line to a register, once a second.
 //!
 //! The register accepts a line only if its fencing token is no lower than the highest that it has
-//! seen, so an old owner that wakes up while it writes does no harm. There is one line per
-//! connection, `APPEND TOKEN NUMBER NODE`; the response is `OK` or `LOW TOKEN`.
+//! received, so it rejects a line of a former owner that was suspended while it was writing. There
+//! is one line per connection, `APPEND TOKEN NUMBER NODE`; the response is `OK` or `LOW TOKEN`.
 
 use std::fmt;
 use std::io;
@@ -18,21 +18,21 @@
 use super::{boot_ms, Cluster};
 use crate::node::admin::log;
 
-/// The name whose hash decides which shard the log belongs to.
-const NAME: &str = "fleet-log";
-/// How often a line is appended.
+/// Name of the log, whose hash determines the shard that the log belongs to.
+const LOG_NAME: &str = "fleet-log";
+/// Interval at which lines are appended.
 const APPEND_INTERVAL: Duration = Duration::from_secs(1);
-/// The longest response that is read.
+/// Maximum length of a response that is read, in bytes.
 const MAX_RESPONSE_BYTES: u64 = 64;
 
-/// What became of a line.
+/// Result of an attempt to append a line.
 #[derive(Debug, PartialEq)]
 enum AppendOutcome {
-    /// The register has it.
+    /// The register accepted the line.
     Accepted,
-    /// The register has a line of a later owner, and rejected this one.
+    /// The register rejected the line, because it has received one of a later owner.
     Stale,
-    /// The lease expired before the line was written.
+    /// The lease expired before the line was sent or before its response was received.
     LeaseExpired,
 }
 
@@ -40,7 +40,7 @@
 #[derive(Debug)]
 enum AppendError {
     Io(io::Error),
-    /// Neither `OK` nor `LOW`.
+    /// The response is neither `OK` nor `LOW`.
     InvalidResponse,
 }
 
@@ -59,12 +59,12 @@
     }
 }
 
-/// Appends lines while this node owns the log's shard, for as long as it is polled.
-pub async fn write_fleet_log(fleet: Rc<Cluster>, register: SocketAddr) {
-    let shards = fleet.shards().max(1);
+/// Appends lines while this node owns the log's shard, for as long as the future is polled.
+pub async fn write_fleet_log(cluster: Rc<Cluster>, register: SocketAddr) {
+    let shards = cluster.shards().max(1);
     let mut writer = FleetLogWriter {
-        shard: (MemberId::of(NAME).0 % u64::from(shards)) as Shard,
-        fleet,
+        shard: (MemberId::of(LOG_NAME).0 % u64::from(shards)) as Shard,
+        cluster,
         register,
         last_line: 0,
         is_error_logged: false,
@@ -76,18 +76,18 @@
 }
 
 struct FleetLogWriter {
-    fleet: Rc<Cluster>,
+    cluster: Rc<Cluster>,
     register: SocketAddr,
     shard: Shard,
-    /// The number of the last line that is known to be in the log.
+    /// Number of the last line that is known to be in the log.
     last_line: u64,
-    /// Whether the present failure of the register was logged.
+    /// Whether the current failure of the register has been logged.
     is_error_logged: bool,
 }
 
 impl FleetLogWriter {
     async fn append_if_owner(&mut self) {
-        // Checked here to spare the register a connection, and again right before the line is sent.
+        // Checked here to avoid a needless connection, and again right before the line is sent.
         let Some(remaining) = self.remaining_lease() else {
             return;
         };
@@ -98,10 +98,11 @@
             Ok(AppendOutcome::Accepted) => {
                 self.last_line = number;
                 self.is_error_logged = false;
-                self.fleet.publish_effect(self.shard, &number.to_le_bytes());
+                self.cluster
+                    .publish_effect(self.shard, &number.to_le_bytes());
             }
             Ok(AppendOutcome::Stale) => log::line(format_args!(
-                "{NAME}: line rejected, the register has a line of a later owner"
+                "{LOG_NAME}: line rejected, the register has a line of a later owner"
             )),
             Ok(AppendOutcome::LeaseExpired) => {}
             Err(error) => self.log_error(&error),
@@ -110,14 +111,14 @@
 
     fn remaining_lease(&self) -> Option<Duration> {
         let remaining_ms = self
-            .fleet
+            .cluster
             .with_permit(self.shard, |permit, now_ms| permit.expires_ms() - now_ms)?;
         Some(Duration::try_from_secs_f64(remaining_ms / 1e3).unwrap_or_default())
     }
 
-    /// The last line that an owner of the log has published, this node or one before it.
+    /// Number of the last line that any owner of the log has published, this node included.
     fn published_line(&self) -> Option<u64> {
-        let payload = self.fleet.latest_effect(self.shard)?;
+        let payload = self.cluster.latest_effect(self.shard)?;
         Some(u64::from_le_bytes(payload.try_into().ok()?))
     }
 
@@ -125,7 +126,7 @@
         if !self.is_error_logged {
             self.is_error_logged = true;
             log::line(format_args!(
-                "{NAME}: the register at {} does not answer: {error}",
+                "{LOG_NAME}: cannot append to the register at {}: {error}",
                 self.register
             ));
         }
@@ -134,10 +135,10 @@
     async fn append(&self, number: u64) -> Result<AppendOutcome, AppendError> {
         let mut stream = TcpStream::connect(self.register).await?;
         stream.writable().await?;
-        // The line fits the socket's buffer, so it is sent in this one step or not at all.
-        let written = self.fleet.with_permit(self.shard, |permit, _| {
+        // The line fits the socket's send buffer, so this one call writes all of it or nothing.
+        let written = self.cluster.with_permit(self.shard, |permit, _| {
             let FencingToken(token) = permit.token();
-            let line = format!("APPEND {token} {number} {}\n", self.fleet.name);
+            let line = format!("APPEND {token} {number} {}\n", self.cluster.name);
             permit
                 .is_valid_at(boot_ms())
                 .then(|| stream.try_write(line.as_bytes()))
--- a/src/node/cluster/leases.rs
+++ b/src/node/cluster/leases.rs
@@ -1,5 +1,6 @@
-//! The I/O around [`lease`]: its messages go in datagrams of [`gossip`], which authenticates and
-//! numbers them; its timer and log lines are here, the admin responses and metrics in `admin`.
+//! The I/O around the state machine of [`lease`]: its messages are payloads of the datagrams of
+//! [`gossip`], which authenticates and numbers them. The timer and the log lines are here, the
+//! admin responses and metrics in `admin`.
 
 mod admin;
 mod settings;
@@ -51,20 +52,20 @@
     }
 }
 
-/// What a node that takes part in leases has beside the sockets.
+/// State of a node that takes part in leases.
 pub struct LeaseParticipant {
-    /// `None`: another process has this node's name.
+    /// `None` once another process of the same name has superseded this one.
     manager: RefCell<Option<LeaseManager>>,
     timer: Timer,
-    /// The names of the node ids, as far as they are known.
+    /// Known names of nodes.
     names: RefCell<BTreeMap<NodeId, String>>,
-    /// The latest effect of each shard's owners.
+    /// Payload of the latest effect that an owner of each shard has published.
     effects: RefCell<BTreeMap<Shard, Vec<u8>>>,
     fence_file: Option<PathBuf>,
 }
 
 impl LeaseParticipant {
-    /// The participant of a process that starts at `unix_ms` by the wall clock.
+    /// Creates the participant of a process that starts at `unix_ms` of the wall clock.
     ///
     /// # Errors
     ///
@@ -95,7 +96,7 @@
             effects: RefCell::default(),
             fence_file: lease_settings.fence_file.clone(),
         };
-        participant.learn_acceptor_names(lease_settings);
+        participant.add_acceptor_names(lease_settings);
         participant
             .names
             .borrow_mut()
@@ -103,7 +104,7 @@
         Ok(participant)
     }
 
-    fn learn_acceptor_names(&self, settings: &LeaseSettings) {
+    fn add_acceptor_names(&self, settings: &LeaseSettings) {
         let names = settings
             .acceptors
             .iter()
@@ -113,7 +114,7 @@
             .extend(names.map(|name| (node_id(name), name.clone())));
     }
 
-    /// The number of the configuration of acceptors; 0 where this process takes no part any more.
+    /// The number of the configuration of acceptors; 0 if this process no longer takes part.
     fn configuration_number(&self) -> u32 {
         self.manager
             .borrow()
@@ -149,7 +150,8 @@
                 log::line("leases: this acceptor grants leases from now on");
             }
             LogEvent::ConfigurationSettled(number) => log::line(format_args!(
-                "leases: the acceptors of set {number} decide alone from now on"
+                "leases: reconfiguration completed, only the acceptors of set {number} decide from \
+                 now on"
             )),
             LogEvent::ConfigurationMismatch {
                 acceptor,
@@ -157,8 +159,8 @@
             } => {
                 let (acceptor, own) = (self.name_of(acceptor), self.configuration_number());
                 log::line(format_args!(
-                    "leases: acceptor {acceptor} has another configuration (keepers, shards or times), \
-                     its set is {configuration} and this node's {own}"
+                    "leases: acceptor {acceptor} has a different configuration (keepers, shards or \
+                     lease times), its set is {configuration} and this node's {own}"
                 ));
             }
         }
@@ -166,7 +168,7 @@
 }
 
 impl Cluster {
-    /// Passes an event to the leases, and does what they ask for.
+    /// Passes an event to the lease manager and executes the resulting actions.
     pub(super) fn handle_lease_event(self: &Rc<Self>, event: Event<'_>) {
         let Some(participant) = &self.leases else {
             return;
@@ -205,7 +207,7 @@
         }
     }
 
-    /// Wakes the leases whenever they are due, for as long as it is polled.
+    /// Passes timer expiries to the lease manager, for as long as the future is polled.
     pub(super) async fn run_lease_timer(self: Rc<Self>) {
         let Some(participant) = &self.leases else {
             return;
@@ -217,7 +219,8 @@
         }
     }
 
-    /// Tells the leases which nodes are believed to be alive, and how healthy this one is.
+    /// Passes the nodes that are candidates for owning shards, and this node's health, to the lease
+    /// manager.
     pub(super) fn update_lease_candidates(self: &Rc<Self>) {
         let Some(participant) = &self.leases else {
             return;
@@ -234,8 +237,8 @@
             let mut names = participant.names.borrow_mut();
             for member in gossip.members() {
                 let id = node_id(&member.name);
-                let is_fit = !member.is_self || health == NodeHealth::Healthy;
-                if is_fit && matches!(member.state, State::Alive | State::Suspect) {
+                let is_eligible = !member.is_self || health == NodeHealth::Healthy;
+                if is_eligible && matches!(member.state, State::Alive | State::Suspect) {
                     candidates.push(id);
                 }
                 names.entry(id).or_insert(member.name);
@@ -244,7 +247,8 @@
         self.handle_lease_event(Event::Candidates(&candidates, health));
     }
 
-    /// Another process has this node's name: this one grants and owns nothing from now on.
+    /// Stops taking part in leases, because another process of the same name has superseded this
+    /// one. From now on this process grants and owns nothing.
     pub(super) fn stop_leases(self: &Rc<Self>) {
         let Some(participant) = &self.leases else {
             return;
@@ -257,12 +261,13 @@
         }
     }
 
-    /// Replaces the acceptors by those that the operators' file names now, if that is safe.
+    /// Starts to replace the acceptors with those that the operators' file names now, if that is
+    /// safe.
     pub(super) fn reconfigure_leases(&self, settings: &LeaseSettings) {
         let Some(participant) = &self.leases else {
             return;
         };
-        participant.learn_acceptor_names(settings);
+        participant.add_acceptor_names(settings);
         let request = ConfigurationRequest {
             number: settings.configuration,
             acceptors: &node_ids(&settings.acceptors),
@@ -277,8 +282,8 @@
             Ok(ReconfigurationOutcome::Started) => {
                 let names = settings.acceptors.join(", ");
                 log::line(format_args!(
-                    "leases: reconfiguration to keepers {names} (set {}) started, at first together with \
-                     the previous ones",
+                    "leases: reconfiguration to keepers {names} (set {}) started, jointly with \
+                     the previous ones until it completes",
                     settings.configuration
                 ));
                 participant.timer.set(0.0);
@@ -287,18 +292,18 @@
         }
     }
 
-    /// Publishes to all nodes what was done as the owner of a shard.
+    /// Publishes an effect to all nodes, as the owner of the shard.
     pub(super) fn publish_effect(self: &Rc<Self>, shard: Shard, payload: &[u8]) {
         self.handle_lease_event(Event::PublishEffect { shard, payload });
     }
 
-    /// The latest effect that an owner of a shard has published.
+    /// The payload of the latest effect that an owner of a shard has published.
     pub(super) fn latest_effect(&self, shard: Shard) -> Option<Vec<u8>> {
         self.leases.as_ref()?.effects.borrow().get(&shard).cloned()
     }
 
-    /// Calls `act` with a permit to act on a shard and the time, in milliseconds, if this process
-    /// owns the shard now.
+    /// Calls `act` with a permit for a shard and the current time, in milliseconds since boot, if
+    /// this process owns the shard now.
     pub fn with_permit<T>(
         &self,
         shard: Shard,
@@ -311,14 +316,14 @@
         Some(act(&permit, now_ms))
     }
 
-    /// How many shards there are; 0 where this node takes no part in leases.
+    /// The number of shards; 0 if this node takes no part in leases.
     #[must_use]
     pub fn shards(&self) -> Shard {
         let Some(participant) = &self.leases else {
             return 0;
         };
         let manager = participant.manager.borrow();
-        // At most 128.
+        // The cast does not truncate: there are at most 128 shards.
         manager
             .as_ref()
             .map_or(0, |manager| manager.owners(0.0).count()) as Shard
--- a/src/node/cluster/leases/admin.rs
+++ b/src/node/cluster/leases/admin.rs
@@ -1,5 +1,5 @@
-//! What operators see and do of leases: `OWNERS`, `GIVE` and the metrics. All texts and names here
-//! are part of the admin protocol.
+//! The admin commands `OWNERS` and `GIVE`, and the metrics of leases. All texts and names here are
+//! part of the admin protocol.
 
 use std::fmt::{self, Write};
 use std::rc::Rc;
@@ -15,7 +15,7 @@
 pub enum TransferError {
     /// This process does not own the shard.
     NotOwned(Shard),
-    /// The recipient is this node, or not alive, or unknown.
+    /// The recipient is this node, not alive, or unknown.
     NoOtherLiveNode(String),
 }
 
@@ -31,8 +31,7 @@
 impl std::error::Error for TransferError {}
 
 impl Cluster {
-    /// The response to `OWNERS` without its last line; `None` where this node takes no part in
-    /// leases.
+    /// The response to `OWNERS` without its last line; `None` if this node takes no part in leases.
     #[must_use]
     pub fn owners(&self) -> Option<String> {
         let participant = self.leases.as_ref()?;
@@ -74,7 +73,7 @@
     ///
     /// # Errors
     ///
-    /// This process does not own the shard, or there is no such other node.
+    /// This process does not own the shard, or `to` is not another live node.
     pub fn transfer_shard(self: &Rc<Self>, shard: Shard, to: &str) -> Result<(), TransferError> {
         if self.with_permit(shard, |_, _| ()).is_none() {
             return Err(TransferError::NotOwned(shard));
@@ -98,7 +97,7 @@
         is_alive && name != self.name
     }
 
-    /// The metric lines of leases.
+    /// The metric lines of leases; empty if this node takes no part in them.
     pub(in crate::node::cluster) fn lease_metrics(&self) -> String {
         let Some(participant) = &self.leases else {
             return String::new();
--- a/src/node/cluster/leases/settings.rs
+++ b/src/node/cluster/leases/settings.rs
@@ -13,8 +13,8 @@
     pub acceptors: Vec<String>,
     /// The number of this configuration of acceptors (`set`).
     pub configuration: u32,
-    /// The names of the previous acceptors (`before`), while a running fleet moves from them to
-    /// these.
+    /// The names of the previous acceptors (`before`), while a running cluster is being
+    /// reconfigured from them to `acceptors`.
     pub previous_acceptors: Vec<String>,
     /// See [`Settings::shards`].
     pub shards: Shard,
@@ -22,9 +22,9 @@
     pub lease_ms: f64,
     /// See [`Settings::drift`].
     pub drift: f64,
-    /// Where an acceptor stores up to which fencing token it may have granted.
+    /// The file in which an acceptor stores the highest fencing token that it may have granted.
     pub fence_file: Option<PathBuf>,
-    /// The register to which the owner of the fleet log appends.
+    /// The address of the register to which the owner of the fleet log appends lines.
     pub fleet_log: Option<SocketAddr>,
 }
 
@@ -45,7 +45,7 @@
 }
 
 impl LeaseSettings {
-    /// The settings of a process of the node with this name.
+    /// The settings for a process of the node with this name.
     #[must_use]
     pub fn for_process(&self, node: &str, process_id: u64) -> Settings {
         Settings {
