--- a/src/node/cluster/outlier_detection.rs
+++ b/src/node/cluster/outlier_detection.rs
@@ -1,8 +1,9 @@
-//! Outlier detection on the node: connects the detector of [`::outlier_detection`] to the driver and to [`gossip`].
+//! Outlier detection on the node: connects the detector of [`::outlier_detection`] to the dispatcher and to [`gossip`].
 //!
-//! The driver reports how attempts end; reports between nodes are payloads of gossip datagrams; the weights that the
-//! detector sets go to the balancer as hints. This module decides nothing. It owns the mapping between the detector's
-//! keys and the driver's numbers of servers, and keeps it up to date with the driver's endpoint list.
+//! The dispatcher reports the results of attempts, reports between nodes are payloads of gossip datagrams, and the
+//! weights that the detector sets are passed to the balancer as hints. This module makes no decisions. It owns the
+//! mapping from the detector's server keys to the dispatcher's server ids, and updates it when the dispatcher's
+//! endpoint list changes.
 
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
@@ -21,30 +22,30 @@
 use crate::node::clock::Timer;
 use crate::node::dispatcher::Dispatcher;
 
-/// A node's part in outlier detection.
+/// State of a node that takes part in outlier detection.
 pub struct OutlierDetection {
     detector: RefCell<OutlierDetector>,
-    driver: Rc<Dispatcher>,
+    dispatcher: Rc<Dispatcher>,
     timer: Timer,
-    /// The number of the driver's list that `server_ids` is of.
-    list_number: Cell<Option<u64>>,
+    /// The version of the endpoint list from which `server_ids` was built.
+    endpoint_list_version: Cell<Option<u64>>,
     server_ids: RefCell<HashMap<ServerKey, ServerId>>,
-    /// The highest weight of an outlier.
+    /// Maximum weight of an outlier.
     max_outlier_weight: f64,
 }
 
-/// What the end of an attempt says about the server.
+/// What the result of an attempt indicates about the server.
 #[derive(Clone, Copy)]
 enum AttemptOutcome {
     Success,
     Failure(FailureKind),
-    /// The attempt ended for reasons of this node or its client.
+    /// The server shed load, or the attempt was cancelled or never sent.
     NoEvidence,
 }
 
 impl From<AttemptResult> for AttemptOutcome {
-    fn from(ending: AttemptResult) -> Self {
-        match ending {
+    fn from(result: AttemptResult) -> Self {
+        match result {
             AttemptResult::Served | AttemptResult::ClientError => Self::Success,
             AttemptResult::Error => Self::Failure(FailureKind::ErrorResponse),
             AttemptResult::Unreachable => Self::Failure(FailureKind::Unreachable),
@@ -60,7 +61,7 @@
 }
 
 impl OutlierDetection {
-    /// For a node that starts at `now_ms`, by the clock of [`boot_ms`].
+    /// Creates the state of a node that starts at `now_ms` of the clock of [`boot_ms`].
     ///
     /// # Errors
     ///
@@ -68,14 +69,14 @@
     pub fn new(
         now_ms: f64,
         settings: Settings,
-        driver: Rc<Dispatcher>,
+        dispatcher: Rc<Dispatcher>,
     ) -> Result<Self, SettingsError> {
         let detector = OutlierDetector::new(now_ms, settings, fastrand::f64())?;
         Ok(Self {
             detector: RefCell::new(detector),
-            driver,
+            dispatcher,
             timer: Timer::new(),
-            list_number: Cell::new(None),
+            endpoint_list_version: Cell::new(None),
             server_ids: RefCell::default(),
             max_outlier_weight: settings.max_outlier_weight,
         })
@@ -90,15 +91,15 @@
         actions
     }
 
-    /// Passes the driver's endpoint list to the detector if it has changed.
+    /// Passes the dispatcher's endpoint list to the detector if it has changed.
     fn update_servers(&self, actions: &mut Vec<Action>) {
-        let list_number = self.driver.endpoint_list_version();
-        if self.list_number.replace(Some(list_number)) == Some(list_number) {
+        let version = self.dispatcher.endpoint_list_version();
+        if self.endpoint_list_version.replace(Some(version)) == Some(version) {
             return;
         }
         let mut server_ids = HashMap::new();
         let mut keys = Vec::new();
-        for (id, key) in self.driver.server_keys() {
+        for (id, key) in self.dispatcher.server_keys() {
             keys.push(ServerKey(key));
             server_ids.insert(ServerKey(key), id);
         }
@@ -116,19 +117,20 @@
             return;
         };
         self.log_weight(server, weight);
-        self.driver.set_weight_hint(server, weight);
+        self.dispatcher.set_weight_hint(server, weight);
     }
 
-    /// Logs the begin and the end of a reduced weight; the steps between say nothing new.
+    /// Logs when a weight is reduced and when it is full again, but not the steps of its rise.
     fn log_weight(&self, server: ServerId, weight: f64) {
-        let name = self.driver.server_name(server).unwrap_or_default();
+        let name = self.dispatcher.server_name(server).unwrap_or_default();
         if weight >= 1.0 {
             log::line(format_args!(
-                "outlier detection: {name} has recovered and gets its whole share again"
+                "outlier detection: {name} has recovered and gets its full share of requests again"
             ));
         } else if weight <= self.max_outlier_weight {
             log::line(format_args!(
-                "outlier detection: {name} is an outlier by the reports of several nodes; its traffic is reduced"
+                "outlier detection: {name} is an outlier according to the reports of several nodes; \
+                 its share of requests is reduced"
             ));
         }
     }
@@ -144,7 +146,7 @@
         } = reported;
         let id = self.server_id(*server);
         let name = id
-            .and_then(|id| self.driver.server_name(id))
+            .and_then(|id| self.dispatcher.server_name(id))
             .unwrap_or_else(|| "-".to_owned());
         let kind = failure_kind.name();
         format!("{name} {kind} {reporters} {age_ms:.0} {weight:.2}")
@@ -152,16 +154,17 @@
 }
 
 impl Cluster {
-    /// Passes an event to the detector and executes what follows. Nothing happens on a node without outlier detection.
+    /// Passes an event to the detector and executes the resulting actions. Does nothing on a node without outlier
+    /// detection.
     pub(super) fn handle_outlier_event(self: &Rc<Self>, event: Event<'_>) {
-        let Some(part) = &self.outlier_detection else {
+        let Some(detection) = &self.outlier_detection else {
             return;
         };
-        for action in part.handle(event) {
+        for action in detection.handle(event) {
             match action {
                 Action::Broadcast(bytes) => self.broadcast(&bytes),
-                Action::WakeAt(at_ms) => part.timer.set(at_ms),
-                Action::SetWeight { server, weight } => part.set_weight(server, weight),
+                Action::WakeAt(at_ms) => detection.timer.set(at_ms),
+                Action::SetWeight { server, weight } => detection.set_weight(server, weight),
             }
         }
     }
@@ -180,7 +183,7 @@
         }
     }
 
-    /// Passes the number of live nodes, with this one, to the detector.
+    /// Passes the number of live nodes, including this one, to the detector.
     pub(super) fn update_cluster_size(self: &Rc<Self>) {
         let live_nodes = {
             let gossip = self.gossip.borrow();
@@ -197,21 +200,21 @@
         self.handle_outlier_event(Event::ReportReceived { from, bytes });
     }
 
-    /// Passes the end of each attempt to the detector from here on, and calls it at its times. Runs for as long as it is
-    /// polled.
+    /// Passes the result of each attempt from now on, and timer events, to the detector. Runs for as long as the future
+    /// is polled.
     pub(super) async fn run_outlier_detection(self: Rc<Self>) {
-        let Some(part) = &self.outlier_detection else {
+        let Some(detection) = &self.outlier_detection else {
             return;
         };
-        let fleet: Weak<Self> = Rc::downgrade(&self);
-        part.driver.observe_attempts(move |key, ending| {
-            if let Some(fleet) = fleet.upgrade() {
-                fleet.record_attempt(ServerKey(key), ending.into());
+        let cluster: Weak<Self> = Rc::downgrade(&self);
+        detection.dispatcher.observe_attempts(move |key, result| {
+            if let Some(cluster) = cluster.upgrade() {
+                cluster.record_attempt(ServerKey(key), result.into());
             }
         });
-        part.timer.set(0.0);
+        detection.timer.set(0.0);
         loop {
-            part.timer.wait(boot_ms).await;
+            detection.timer.wait(boot_ms).await;
             self.handle_outlier_event(Event::TimerFired);
         }
     }
@@ -228,22 +231,22 @@
     /// The rows of the response to `HINTS`; `None` on a node without outlier detection.
     #[must_use]
     pub fn hints(&self) -> Option<String> {
-        let part = self.outlier_detection.as_ref()?;
-        let detector = part.detector.borrow();
+        let detection = self.outlier_detection.as_ref()?;
+        let detector = detection.detector.borrow();
         let reported: Vec<_> = detector.reported_servers().collect();
         let mut rows = format!("self {} {}\n", self.name, reported.len());
         for server in &reported {
-            let _ = writeln!(rows, "{}", part.hint_row(server)); // Writing to a string cannot fail.
+            let _ = writeln!(rows, "{}", detection.hint_row(server)); // Writing to a string cannot fail.
         }
         Some(rows)
     }
 
     /// The metrics of outlier detection; empty on a node without it.
     pub(super) fn outlier_detection_metrics(&self) -> String {
-        let Some(part) = &self.outlier_detection else {
+        let Some(detection) = &self.outlier_detection else {
             return String::new();
         };
-        let detector = part.detector.borrow();
+        let detector = detection.detector.borrow();
         let counters = detector.counters();
         let reduced = detector
             .reported_servers()
@@ -262,7 +265,7 @@
     }
 }
 
-/// Whether a node takes part: a suspected one may still refute.
+/// Whether a node in this state counts as live. A suspect does, because it may still refute the suspicion.
 fn is_live(state: State) -> bool {
     matches!(state, State::Alive | State::Suspect)
 }
