--- a/src/node/cluster/address_book.rs
+++ b/src/node/cluster/address_book.rs
@@ -1,11 +1,11 @@
-//! Numbers for peer addresses, as [`gossip`] knows them. A number never stands for another address.
+//! Numbers by which [`gossip`] identifies peer addresses. A number always refers to the same address.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
 
 use gossip::PeerId;
 
-/// All peer addresses since the start. They are never removed: a number must not be reused.
+/// All peer addresses since the process started. None is ever removed, because its number must not be reused.
 #[derive(Debug, Default)]
 pub struct AddressBook {
     ids: HashMap<SocketAddr, PeerId>,
@@ -13,7 +13,7 @@
 }
 
 impl AddressBook {
-    /// The number of an address, assigned if it has none.
+    /// Returns the number of an address, and assigns one if it has none.
     pub fn assign(&mut self, address: SocketAddr) -> PeerId {
         *self.ids.entry(address).or_insert_with(|| {
             self.addresses.push(address);
@@ -21,12 +21,12 @@
         })
     }
 
-    /// The number of an address, if it was ever among the peers.
+    /// The number of an address; `None` if it was never among the peers.
     pub fn id_of(&self, address: SocketAddr) -> Option<PeerId> {
         self.ids.get(&address).copied()
     }
 
-    /// The address with a number.
+    /// The address that has a number; `None` if the number is not assigned.
     pub fn address_of(&self, id: PeerId) -> Option<SocketAddr> {
         self.addresses.get(id).copied()
     }
--- a/src/node/cluster/error.rs
+++ b/src/node/cluster/error.rs
@@ -1,4 +1,4 @@
-//! Why a node cannot take part in its cluster.
+//! Errors of joining a cluster.
 
 use std::error::Error;
 use std::fmt;
@@ -10,9 +10,9 @@
 /// Why a node cannot take part in its cluster.
 #[derive(Debug)]
 pub enum ClusterError {
-    /// Neither the operators' file nor the platform has this setting.
+    /// Neither the operators' file nor the platform sets this key.
     MissingSetting(&'static str),
-    /// This cannot be a node's name.
+    /// The name is not valid for a node.
     InvalidName(String),
     /// The key file is not usable.
     KeyFile(KeyFileError),
@@ -20,20 +20,20 @@
     Subsystem {
         /// Its section in the operators' file.
         section: &'static str,
-        /// Why not.
+        /// The error of the subsystem.
         source: Box<dyn Error + Send + Sync>,
     },
     /// The address cannot be bound.
-    Listen {
+    Bind {
         /// The address.
         address: SocketAddr,
-        /// What the system says.
+        /// The error of the operating system.
         source: io::Error,
     },
 }
 
 impl ClusterError {
-    /// An error of the subsystem with this section in the operators' file.
+    /// Wraps an error of the subsystem whose settings are in this section of the operators' file.
     pub(super) fn subsystem<E>(section: &'static str) -> impl FnOnce(E) -> Self
     where
         E: Into<Box<dyn Error + Send + Sync>>,
@@ -57,8 +57,11 @@
             }
             Self::KeyFile(error) => write!(f, "[instances]: {error}"),
             Self::Subsystem { section, source } => write!(f, "[{section}]: {source}"),
-            Self::Listen { address, source } => {
-                write!(f, "cannot listen for other nodes at {address}: {source}")
+            Self::Bind { address, source } => {
+                write!(
+                    f,
+                    "cannot bind the UDP socket for other nodes to {address}: {source}"
+                )
             }
         }
     }
@@ -70,7 +73,7 @@
             Self::MissingSetting(_) | Self::InvalidName(_) => None,
             Self::KeyFile(error) => Some(error),
             Self::Subsystem { source, .. } => Some(source.as_ref()),
-            Self::Listen { source, .. } => Some(source),
+            Self::Bind { source, .. } => Some(source),
         }
     }
 }
--- a/src/node/cluster/mod.rs
+++ b/src/node/cluster/mod.rs
@@ -1,8 +1,8 @@
-//! The cluster of nodes: the socket, clock and timers around [`gossip`], which makes all decisions, and the subsystems
-//! whose messages travel in its datagrams.
+//! The cluster of nodes: the socket, clock and timers around the state machine of [`gossip`], which makes all
+//! decisions, and the subsystems whose messages are payloads of its datagrams.
 //!
-//! It runs only if the operators' file has a section `[instances]` and the platform's settings allow it. [`Cluster`] owns
-//! the gossip state, the socket and the numbers of the peers' addresses.
+//! It runs only if the operators' file has a section `[instances]` and the platform's settings allow it. [`Cluster`]
+//! owns the gossip state, the socket and the numbers of the peers' addresses.
 
 mod address_book;
 mod error;
@@ -35,17 +35,18 @@
 pub use self::leases::LeaseSettings;
 pub use self::settings::{ClusterSettings, KeyFileError};
 
-/// Lines of `STATS` for one subsystem: the name, value and kind (`g` gauge, `c` counter) of each metric.
+/// Formats the lines of `STATS` for one subsystem. A metric has a name, a value and a kind (`g` gauge, `c` counter).
 fn metric_lines(subsystem: &str, metrics: &[(&str, u64, char)]) -> String {
     let mut lines = String::new();
     for (name, value, kind) in metrics {
-        // A string grows without fail.
+        // Writing to a string cannot fail.
         let _ = writeln!(lines, "edge_router.{subsystem}_{name}:{value}|{kind}");
     }
     lines
 }
 
-/// Milliseconds since boot, suspends included: a process has to notice that it was suspended.
+/// Milliseconds since boot, including the time in which the system was suspended: a process has to notice that it was
+/// suspended.
 fn boot_ms() -> f64 {
     let now = clock_gettime(ClockId::Boottime);
     now.tv_sec as f64 * 1e3 + now.tv_nsec as f64 / 1e6
@@ -61,10 +62,10 @@
 async fn bind(address: SocketAddr) -> Result<UdpSocket, ClusterError> {
     UdpSocket::bind(address)
         .await
-        .map_err(|source| ClusterError::Listen { address, source })
+        .map_err(|source| ClusterError::Bind { address, source })
 }
 
-/// This node's part in the cluster.
+/// This node as a member of the cluster.
 pub struct Cluster {
     gossip: RefCell<Gossip>,
     socket: UdpSocket,
@@ -78,8 +79,8 @@
 }
 
 impl Cluster {
-    /// Joins the cluster, if that is configured and allowed; `None` otherwise. Its tasks run on the current
-    /// [`LocalSet`](tokio::task::LocalSet).
+    /// Joins the cluster, and spawns its tasks on the current [`LocalSet`](tokio::task::LocalSet). Returns `None` if
+    /// the cluster is not configured or not allowed.
     ///
     /// # Errors
     ///
@@ -89,13 +90,15 @@
         settings: Option<&ClusterSettings>,
         lease_settings: Option<&LeaseSettings>,
         outlier_settings: Option<&::outlier_detection::Settings>,
-        driver: &Rc<Dispatcher>,
+        dispatcher: &Rc<Dispatcher>,
     ) -> Result<Option<Rc<Self>>, ClusterError> {
         let Some(settings) = settings else {
             return Ok(None);
         };
         if !config.peers_allowed {
-            log::line("the settings do not allow datagrams between nodes: [instances] stays off");
+            log::line(
+                "the platform's settings do not allow datagrams between nodes: [instances] stays off",
+            );
             return Ok(None);
         }
         let resolved = ResolvedSettings::new(config, settings)?;
@@ -116,7 +119,11 @@
             .map_err(ClusterError::subsystem("leases"))?;
         let outlier_detection = outlier_settings
             .map(|settings| {
-                outlier_detection::OutlierDetection::new(boot_ms(), *settings, Rc::clone(driver))
+                outlier_detection::OutlierDetection::new(
+                    boot_ms(),
+                    *settings,
+                    Rc::clone(dispatcher),
+                )
             })
             .transpose()
             .map_err(ClusterError::subsystem("word"))?;
@@ -161,7 +168,7 @@
         }
     }
 
-    /// Applies what may change without a restart: peers, timings and lease acceptors.
+    /// Applies the settings that can change without a restart: peers, timings and lease acceptors.
     pub fn reconfigure(
         self: &Rc<Self>,
         config: Option<&Config>,
@@ -182,7 +189,7 @@
         });
     }
 
-    /// Transfers the leases of this node, and notifies the others that it leaves.
+    /// Transfers the leases of this node, and notifies the other nodes that it leaves.
     pub fn leave(self: &Rc<Self>) {
         self.handle_lease_event(lease::Event::Leave);
         self.handle_gossip_event(Event::Leave);
@@ -249,7 +256,7 @@
         }
     }
 
-    /// Delivers a payload to the subsystem that it belongs to.
+    /// Delivers a payload to the subsystem that its first byte identifies.
     fn deliver_payload(self: &Rc<Self>, from: MemberId, process_id: u64, bytes: &[u8]) {
         if ::outlier_detection::is_report(bytes) {
             self.receive_outlier_report(from, bytes);
--- a/src/node/cluster/settings.rs
+++ b/src/node/cluster/settings.rs
@@ -12,10 +12,11 @@
 use super::ClusterError;
 use crate::node::config::Config;
 
-/// The longest key file that is read.
+/// Maximum length of the key file, in bytes.
 const MAX_KEY_FILE_BYTES: u64 = 4_096;
-/// Permission bits of group and others.
+/// Permission bits of the group and of others.
 const SHARED_MODE_BITS: u32 = 0o077;
+/// All permission bits, without the file type.
 const PERMISSION_BITS: u32 = 0o777;
 
 /// The section `[instances]` of the operators' file.
@@ -31,7 +32,7 @@
     pub cluster: String,
     /// The file with the key that all nodes share.
     pub key_file: PathBuf,
-    /// Where `key_file` stands in the operators' file, in bytes, for error messages.
+    /// Byte offset of `key_file` in the operators' file, for error messages.
     pub key_file_offset: usize,
     /// See [`gossip::Settings::probe_interval_ms`].
     pub probe_interval_ms: f64,
@@ -93,7 +94,7 @@
     Read {
         /// The file.
         path: PathBuf,
-        /// What the system says.
+        /// The error of the operating system.
         source: io::Error,
     },
     /// Users other than its owner may access it.
@@ -121,7 +122,7 @@
             ),
             Self::Length { path } => write!(
                 f,
-                "{}: a key has {} to {MAX_KEY_FILE_BYTES} bytes",
+                "{}: the key must be {} to {MAX_KEY_FILE_BYTES} bytes long",
                 path.display(),
                 gossip::MIN_KEY_BYTES
             ),
@@ -138,7 +139,7 @@
     }
 }
 
-/// The settings of a start: those of the operators' file, with the platform's in place of what it leaves out.
+/// The settings with which a node starts: those of the operators' file, or the platform's where that file has none.
 pub(super) struct ResolvedSettings {
     pub name: String,
     pub listen: SocketAddr,
@@ -147,6 +148,8 @@
 }
 
 impl ResolvedSettings {
+    /// Resolves the settings and reads the key file.
+    ///
     /// # Errors
     ///
     /// A setting is in neither place, the name is not valid, or the key file is not usable.
--- a/src/node/cluster/socket.rs
+++ b/src/node/cluster/socket.rs
@@ -1,4 +1,5 @@
-//! The socket between nodes: a receive loop with a rate limit, so that datagrams never starve requests, and sending.
+//! Sends and receives datagrams between nodes. The receive loop is rate-limited, so that datagrams never starve
+//! requests.
 
 use std::io;
 use std::net::SocketAddr;
@@ -9,19 +10,19 @@
 
 use super::{boot_ms, Cluster};
 
-/// Datagrams that are read a second, whoever sends them: three times what a node of any cluster receives while all of them
-/// start at once, and less than a hundredth of a core. More wait in the socket, and are lost there once it is full:
-/// requests go first.
-const READS_PER_S: f64 = 1_000.0;
-/// How many of them may be read in a burst.
-const READ_BURST: f64 = 250.0;
-/// How many are read in a row before requests have their turn.
-const READS_PER_TURN: usize = 16;
-/// How long reading pauses once the burst is used up. The system wakes this thread for each datagram that the socket has
-/// room for, so room is made seldom and in large steps.
+/// Maximum number of datagrams that are read per second, whoever sends them. It is three times what a node receives
+/// while all nodes of a cluster start at once, and takes less than a hundredth of a core. Further datagrams wait in the
+/// socket's buffer, and are lost once it is full, because requests have priority.
+const MAX_READS_PER_S: f64 = 1_000.0;
+/// Maximum number of datagrams that are read in a burst.
+const MAX_READ_BURST: f64 = 250.0;
+/// Maximum number of datagrams that are read in a row before requests are handled again.
+const READS_PER_BATCH: usize = 16;
+/// Duration of a pause in reading once the budget is exhausted. The system wakes this thread for each datagram that the
+/// socket's buffer has room for, so the buffer is emptied rarely and in large steps.
 const READ_PAUSE: Duration = Duration::from_millis(100);
 
-/// How many datagrams may still be read.
+/// Token bucket that limits the rate at which datagrams are read.
 struct ReadBudget {
     remaining: f64,
     updated_ms: f64,
@@ -30,14 +31,14 @@
 impl ReadBudget {
     fn new(now_ms: f64) -> Self {
         Self {
-            remaining: READ_BURST,
+            remaining: MAX_READ_BURST,
             updated_ms: now_ms,
         }
     }
 
     fn refill(&mut self, now_ms: f64) {
-        let refill = (now_ms - self.updated_ms) / 1e3 * READS_PER_S;
-        self.remaining = (self.remaining + refill).min(READ_BURST);
+        let refill = (now_ms - self.updated_ms) / 1e3 * MAX_READS_PER_S;
+        self.remaining = (self.remaining + refill).min(MAX_READ_BURST);
         self.updated_ms = now_ms;
     }
 
@@ -45,14 +46,14 @@
         self.remaining < 1.0
     }
 
-    /// A turn may overdraw the budget by less than its length.
+    /// Takes one datagram from the budget. The datagrams of a batch may overdraw it by fewer than [`READS_PER_BATCH`].
     fn spend_one(&mut self) {
         self.remaining -= 1.0;
     }
 }
 
 impl Cluster {
-    /// Receives datagrams for as long as it is polled.
+    /// Receives datagrams for as long as the future is polled.
     pub(super) async fn run_receive_loop(self: Rc<Self>) {
         // One byte more than the longest datagram, to detect a longer one.
         let mut buffer = [0; MAX_DATAGRAM_BYTES + 1];
@@ -70,17 +71,18 @@
                 tokio::time::sleep(READ_PAUSE).await;
                 continue;
             }
-            self.receive_turn(&mut buffer, &mut budget);
+            self.receive_batch(&mut buffer, &mut budget);
             tokio::task::yield_now().await;
         }
     }
 
-    fn receive_turn(self: &Rc<Self>, buffer: &mut [u8], budget: &mut ReadBudget) {
-        for _ in 0..READS_PER_TURN {
+    fn receive_batch(self: &Rc<Self>, buffer: &mut [u8], budget: &mut ReadBudget) {
+        for _ in 0..READS_PER_BATCH {
             match self.socket.try_recv_from(buffer) {
                 Ok((length, from)) => self.receive_datagram(from, &buffer[..length]),
                 Err(error) if error.kind() == io::ErrorKind::WouldBlock => return,
-                // Another node is not there (ICMP). The failure detector finds out by its silence.
+                // An ICMP error: another node is unreachable. The failure detector detects that by the missing
+                // datagrams.
                 Err(_) => {}
             }
             budget.spend_one();
@@ -101,7 +103,7 @@
     pub(super) fn send_datagram(&self, to: PeerId, bytes: &[u8]) {
         let address = self.addresses.borrow().address_of(to);
         if let Some(address) = address {
-            // A datagram that the system does not accept is lost, as any may be on its way.
+            // A datagram that the system does not accept is lost, as any datagram may be in transit.
             let _ = self.socket.try_send_to(bytes, address);
         }
     }
--- a/src/node/cluster/status.rs
+++ b/src/node/cluster/status.rs
@@ -1,4 +1,5 @@
-//! What operators see of the cluster: the answer to `MEMBERS`, and metrics. Both forms are external.
+//! The response to the admin command `MEMBERS`, and the metrics of the cluster. The formats of both are external
+//! interfaces.
 
 use std::fmt::Write;
 
@@ -6,11 +7,11 @@
 
 use super::{boot_ms, metric_lines, Cluster};
 
-/// Stands for an unknown value.
+/// Placeholder for an unknown value.
 const UNKNOWN: &str = "-";
 
 impl Cluster {
-    /// The answer to `MEMBERS` without its last line: this node first, then the others by name.
+    /// The response to `MEMBERS` without its last line: this node first, then the others by name.
     #[must_use]
     pub fn members(&self) -> String {
         let gossip = self.gossip.borrow();
@@ -75,7 +76,7 @@
             .members()
             .filter(|member| !member.is_self && member.state == state)
             .count();
-        let _ = writeln!(text, "edge_router.fleet_members.{state}:{count}|g"); // A string grows without fail.
+        let _ = writeln!(text, "edge_router.fleet_members.{state}:{count}|g"); // Writing to a string cannot fail.
     }
     let metrics = gossip.metrics();
     let lines = [
@@ -90,7 +91,7 @@
     text += &metric_lines("fleet", &lines);
     for reason in RejectReason::ALL {
         let (name, count) = (reason.metric_name(), metrics.rejected_for(reason));
-        let _ = writeln!(text, "edge_router.fleet_refused.{name}:{count}|c"); // A string grows without fail.
+        let _ = writeln!(text, "edge_router.fleet_refused.{name}:{count}|c"); // Writing to a string cannot fail.
     }
     text
 }
