--- a/crates/outlier-detection/src/detector.rs
+++ b/crates/outlier-detection/src/detector.rs
@@ -100,7 +100,7 @@
     /// Rejected reports of other nodes that found too many servers failing, and reports that this node did not send for
     /// the same reason.
     pub implausible_reports: u64,
-    /// Ejections: how often a server became an outlier.
+    /// Number of times that a server became an outlier.
     pub ejections: u64,
     /// Evaluations in which too many servers would have been outliers.
     pub panics: u64,
@@ -301,8 +301,8 @@
             .counts(self.now_ms, self.settings.half_life_ms)
     }
 
-    /// Whether there are failures to report, or successes that are evidence of a server's recovery or against the failures
-    /// that other nodes report.
+    /// Whether there are failures to report, or successes that are evidence of a server's recovery or against the
+    /// failures that other nodes report.
     fn is_reportable(&self, key: ServerKey, counts: &AttemptCounts) -> bool {
         let needs_successes = || {
             self.servers
