--- a/crates/outlier-detection/src/wire/tests.rs
+++ b/crates/outlier-detection/src/wire/tests.rs
@@ -19,7 +19,7 @@
     ) {
         let report = Report { tried_servers, entries: entries.into_iter().map(entry).collect() };
         let bytes = encode_report(&report);
-        prop_assert!(bytes.len() <= MAX_REPORT_BYTES && is_report(&bytes), "not a valid report: {bytes:02x?}");
+        prop_assert!(bytes.len() <= MAX_REPORT_BYTES && is_report(&bytes), "should be a report: {bytes:02x?}");
         prop_assert_eq!(decode_report(&bytes), Some(report));
     }
 
--- a/crates/outlier-detection/tests/detector.rs
+++ b/crates/outlier-detection/tests/detector.rs
@@ -118,7 +118,7 @@
                 Action::Broadcast(bytes) => {
                     assert!(
                         bytes.len() <= MAX_REPORT_BYTES,
-                        "report of {} bytes",
+                        "a report has at most {MAX_REPORT_BYTES} bytes, not {}",
                         bytes.len()
                     );
                     reports.push((node, bytes));
@@ -151,7 +151,7 @@
         cluster.run(10_000.0, attempts_per_s, |_, _| None);
         assert!(
             cluster.no_server_is_ejected(),
-            "{nodes} nodes: a server is ejected without failures"
+            "{nodes} nodes: no server should be ejected without failures"
         );
         // Three nodes whose attempts fail are enough; earlier successes are not evidence against their reports.
         let detection_ms = 2_000.0 + 3_000.0 * SERVERS as f64 / (nodes as f64 * attempts_per_s);
@@ -160,7 +160,7 @@
         });
         assert!(
             cluster.ejecting_nodes(3) * 10 >= nodes * 9,
-            "{nodes} nodes: only {} eject the failing server",
+            "{nodes} nodes: 90 % should eject the failing server, not {}",
             cluster.ejecting_nodes(3)
         );
         let before = cluster.attempts[3];
@@ -171,7 +171,7 @@
         let fair = nodes as f64 * attempts_per_s * 20.0 / SERVERS as f64;
         assert!(
             (attempts as f64) < fair / 5.0,
-            "{nodes} nodes: {attempts} attempts at the ejected server, its fair share is {fair:.0}"
+            "{nodes} nodes: an ejected server should get few attempts, not {attempts} (fair: {fair:.0})"
         );
         assert_gradual_recovery(&mut cluster, attempts_per_s);
     }
@@ -189,18 +189,18 @@
         let attempts = (cluster.attempts[3] - before) as f64;
         assert!(
             attempts <= 3.0 * fair + 6.0,
-            "{nodes} nodes: {attempts} attempts in a second, the fair share is {fair}"
+            "{nodes} nodes: at most thrice {fair} and 6 attempts should come in 1 s, not {attempts}"
         );
         let next = mean_weight(cluster);
         assert!(
             next <= 2.0 * weight + 0.02,
-            "{nodes} nodes: mean weight rose from {weight} to {next} in a second"
+            "{nodes} nodes: mean weight should rise gradually, not from {weight} to {next} in 1 s"
         );
         weight = next;
     }
     assert!(
         weight > 0.95,
-        "{nodes} nodes: mean weight {weight} after 90 s"
+        "{nodes} nodes: mean weight after 90 s should be nearly 1, not {weight}"
     );
 }
 
@@ -328,7 +328,10 @@
     /// which its weight begins to rise, and of that in which it has its full weight again.
     fn relapse(&mut self) -> (usize, usize) {
         let floor = self.interval(Some((8, 0)));
-        assert!(floor <= 0.05, "weight {floor} while failing");
+        assert!(
+            floor <= 0.05,
+            "a failing server should have a low weight, not {floor}"
+        );
         let weights: Vec<_> = std::iter::from_fn(|| Some(self.interval(Some((0, 8)))))
             .take(100)
             .collect();
@@ -352,24 +355,24 @@
     let ejected = relapses.map(|(ejected, _)| ejected);
     assert!(
         ejected.windows(2).all(|pair| pair[1] >= 2 * pair[0] - 1),
-        "ejections do not double: {ejected:?}"
+        "ejections should double: {ejected:?}"
     );
     assert!(
         ejected[0] <= 2 && ejected[4] >= 24,
-        "first or last ejection: {ejected:?}"
+        "the first ejection should last 2 intervals at most, the fifth 24 at least: {ejected:?}"
     );
     assert!(
         relapses
             .iter()
             .all(|(ejected, full_weight)| full_weight - ejected >= 5),
-        "weight rises in fewer than 5 intervals: {relapses:?}"
+        "the weight should take at least 5 intervals to rise: {relapses:?}"
     );
     for _ in 0..130 {
         receiver.interval(Some((0, 8)));
     }
     assert!(
         receiver.relapse().0 <= 2,
-        "earlier ejections still count after 130 intervals"
+        "earlier ejections should not count after 130 intervals"
     );
 }
 
@@ -381,12 +384,12 @@
     let weights: Vec<_> = (0..100).map(|_| receiver.interval(None)).collect();
     assert!(
         weights[..8].iter().all(|weight| *weight == floor),
-        "weight rises within 8 intervals: {weights:?}"
+        "the weight should not rise within 8 intervals: {weights:?}"
     );
     let grown = weights.windows(2).filter(|pair| pair[1] > pair[0]).count();
     assert!(
         (5..=10).contains(&grown) && weights[99] > floor,
-        "weight rises in {grown} of 100 intervals: {weights:?}"
+        "the weight should rise in 5 to 10 intervals, not {grown}: {weights:?}"
     );
     // While as many attempts fail as succeed, the weight does not rise.
     let mut receiver = Receiver::new();
@@ -394,7 +397,7 @@
     let weights: Vec<_> = (0..40).map(|_| receiver.interval(Some((3, 3)))).collect();
     assert!(
         weights.iter().all(|weight| *weight <= floor),
-        "weight rises while half of the attempts fail: {weights:?}"
+        "the weight should not rise while half of the attempts fail: {weights:?}"
     );
 }
 
@@ -436,11 +439,11 @@
         });
         assert!(
             cluster.no_server_is_ejected(),
-            "{partitioned} partitioned nodes eject a server"
+            "{partitioned} partitioned nodes should not eject a server"
         );
         assert!(
             cluster.nodes[0].counters().implausible_reports > 10,
-            "a partitioned node does not withhold its implausible reports"
+            "a partitioned node should withhold its implausible reports"
         );
     }
 }
@@ -457,7 +460,10 @@
         let ejections: usize = (0..SERVERS)
             .map(|server| cluster.ejecting_nodes(server))
             .sum();
-        assert_eq!(ejections, 0, "lies about servers {servers:?}");
+        assert_eq!(
+            ejections, 0,
+            "lies about servers {servers:?} should eject none"
+        );
     }
 }
 
@@ -470,7 +476,7 @@
     });
     assert!(
         cluster.ejecting_nodes(3) < 3,
-        "{} nodes eject the server",
+        "fewer than 3 nodes should eject the server, not {}",
         cluster.ejecting_nodes(3)
     );
 }
@@ -483,7 +489,7 @@
     });
     assert!(
         cluster.no_server_is_ejected(),
-        "a server is ejected while 12 of {SERVERS} fail"
+        "no server should be ejected while 12 of {SERVERS} fail"
     );
 }
 
@@ -497,7 +503,7 @@
     });
     assert!(
         cluster.ejecting_nodes(3) >= 4,
-        "only {} nodes eject the failing server",
+        "at least 4 nodes should eject the failing server, not {}",
         cluster.ejecting_nodes(3)
     );
     let mut keys: Vec<_> = (0..SERVERS).map(key).collect();
@@ -511,7 +517,7 @@
     assert_eq!(
         node.reported_servers().count(),
         0,
-        "the new incarnation has reports"
+        "no report should apply to the new incarnation"
     );
     // Other nodes go on reporting the previous incarnation.
     let before = node.counters().unknown;
@@ -521,7 +527,7 @@
     let node = &cluster.nodes[0];
     assert!(
         node.counters().unknown > before && node.reported_servers().count() == 0,
-        "reports about the previous incarnation are not ignored"
+        "reports about the previous incarnation should count as unknown"
     );
 }
 
@@ -544,7 +550,7 @@
         cluster.nodes[0] = restarted;
         assert!(
             cluster.no_server_is_ejected(),
-            "one reporter ejects a server"
+            "one reporter should not eject a server"
         );
     }
 }
--- a/crates/outlier-detection/tests/report_bytes.rs
+++ b/crates/outlier-detection/tests/report_bytes.rs
@@ -93,7 +93,7 @@
 fn recorded_report_of_each_failure_kind_is_decoded() {
     for (kind, name, report) in REPORTS {
         let report = bytes(report);
-        assert!(is_report(&report), "not a report: {report:02x?}");
+        assert!(is_report(&report), "should be a report: {report:02x?}");
         let mut detector = detector();
         for node in 1..=2 {
             receive(&mut detector, 1_000.0, node, &report);
@@ -135,7 +135,7 @@
     assert_eq!(
         detector.counters().reports_accepted,
         1,
-        "only the entry with the unknown kind is skipped"
+        "only the entry with the unknown kind should be skipped"
     );
     assert_eq!(detector.reported_servers().count(), 0);
 }
