--- a/crates/measure/src/bin/allocations.rs
+++ b/crates/measure/src/bin/allocations.rs
@@ -9,7 +9,7 @@
 use silverthread::node::config::Config;
 use silverthread::node::dispatcher::Dispatcher;
 use silverthread::node::downstream::server::{self, Phase, ServerOptions};
-use testkit::{config, list, read, settings, Client, Reply, Server};
+use testkit::{config, endpoint_list, read_request, settings, Client, Reply, Server};
 use tokio::sync::{oneshot, watch};
 use tokio::task::LocalSet;
 
@@ -31,11 +31,11 @@
 }
 
 fn run(requests: u64) -> allocation_counter::AllocationInfo {
-    let server = Server::start(|_| Reply::ok("rooms: 3\n")).quiet();
+    let server = Server::start(|_| Reply::ok("rooms: 3\n")).without_recording();
     let nowhere = SocketAddr::from(([127, 0, 0, 1], 1));
     let text = config(
         nowhere,
-        &list(1, true, &[server.entry("s-0", "ready")]),
+        &endpoint_list(1, true, &[server.endpoint_entry("s-0", "ready")]),
         &settings(15_000),
     );
     let (tell, told) = mpsc::channel();
@@ -43,8 +43,8 @@
     let node = thread::spawn(move || allocation_counter::measure(|| serve(&text, &tell, ended)));
     let mut client = Client::connect(told.recv().expect("it serves"));
     for number in 0..requests {
-        client.send(&read(&number.to_string(), "15000m"));
-        assert_eq!(client.answer().expect("an answer").status(), 200);
+        client.send(&read_request(&number.to_string(), "15000m"));
+        assert_eq!(client.read_response().expect("an answer").status(), 200);
     }
     drop(end);
     node.join().expect("the node ends")
--- a/crates/measure/src/connections.rs
+++ b/crates/measure/src/connections.rs
@@ -6,7 +6,7 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-use testkit::{config, list, settings, Discovery, Load, Node, Reply, Server};
+use testkit::{config, endpoint_list, settings, Discovery, Load, Node, Reply, Server};
 
 use crate::system::{count, cpu, quantile, time};
 
@@ -64,14 +64,14 @@
         "connections", "", "requests/s", "p50 ms", "p99 ms", "CPU us"
     );
     let sound: Vec<_> = (0..SERVERS)
-        .map(|_| Server::start(|_| Reply::ok("rooms: 3\n")).quiet())
+        .map(|_| Server::start(|_| Reply::ok("rooms: 3\n")).without_recording())
         .collect();
     let (node, proxy) = (node(&sound), Proxy::start(&sound));
     for connections in CONNECTIONS {
         let mut all = [(); 2].map(|()| [(); 4].map(|()| Vec::new()));
         for _ in 0..count(ROUNDS, 1) {
             let [of_node, of_proxy] = &mut all;
-            round(node.0.address, node.0.process(), connections, of_node);
+            round(node.0.address, node.0.process_id(), connections, of_node);
             round(proxy.address, proxy.child.id(), connections, of_proxy);
         }
         let [node, proxy] = all.map(|mut all| all.each_mut().map(|one| quantile(one, 0.5)));
@@ -90,7 +90,7 @@
 /// What a server in ten that brings bytes behind each answer costs the other nine, and sockets of the other kinds.
 pub fn measure_kinds() {
     const CONNECTIONS: usize = 32;
-    let sound = || Server::start(|_| Reply::ok("rooms: 3\n")).quiet();
+    let sound = || Server::start(|_| Reply::ok("rooms: 3\n")).without_recording();
     println!(
         "\nten servers, {CONNECTIONS} connections; {ROUNDS} rounds of {} s each, in turn; medians",
         ROUND.as_secs()
@@ -102,14 +102,14 @@
     let all_sound: Vec<_> = (0..10).map(|_| sound()).collect();
     let nine: Vec<_> = (0..9).map(|_| sound()).collect();
     let odd = Server::start(|_| {
-        let after = testkit::answer("200 OK", "", "rooms: 3\n");
-        Reply::SayThen(after, Duration::from_millis(1), b"x".to_vec())
+        let after = testkit::response("200 OK", "", "rooms: 3\n");
+        Reply::SendInTwoParts(after, Duration::from_millis(1), b"x".to_vec())
     });
-    let with_odd: Vec<_> = nine.into_iter().chain([odd.quiet()]).collect();
+    let with_odd: Vec<_> = nine.into_iter().chain([odd.without_recording()]).collect();
     let by_path: Vec<_> = (0..10)
         .map(|_| {
             let mut server = sound();
-            server.path = Some(server.also(testkit::Kind::Unix));
+            server.unix_endpoint = Some(server.add_address(testkit::AddressFamily::Unix));
             server
         })
         .collect();
@@ -121,7 +121,7 @@
     let nodes = nodes.map(|(what, servers)| {
         (
             what,
-            Node::with(&servers.iter().collect::<Vec<_>>(), 15_000),
+            Node::start_with_servers(&servers.iter().collect::<Vec<_>>(), 15_000),
             servers,
         )
     });
@@ -129,13 +129,13 @@
     let mut shares = Vec::new();
     for _ in 0..count(ROUNDS, 1) {
         for ((what, (node, ..), servers), figures) in nodes.iter().zip(&mut all) {
-            let before: Vec<_> = servers.iter().map(Server::count).collect();
-            round(node.address, node.process(), CONNECTIONS, figures);
+            let before: Vec<_> = servers.iter().map(Server::request_count).collect();
+            round(node.address, node.process_id(), CONNECTIONS, figures);
             if *what == "one odd" {
                 let came: Vec<_> = servers
                     .iter()
                     .zip(before)
-                    .map(|(s, before)| s.count() - before)
+                    .map(|(s, before)| s.request_count() - before)
                     .collect();
                 let all: usize = came.iter().sum();
                 shares.push(came[9] as f64 / all as f64);
@@ -172,11 +172,11 @@
     let entries: Vec<_> = servers
         .iter()
         .enumerate()
-        .map(|(at, s)| s.entry(&format!("s-{at}"), "ready"))
+        .map(|(at, s)| s.endpoint_entry(&format!("s-{at}"), "ready"))
         .collect();
     let node = Node::start(&config(
         discovery.address,
-        &list(1, true, &entries),
+        &endpoint_list(1, true, &entries),
         &settings(15_000),
     ));
     let watch = discovery.watch();
@@ -187,11 +187,11 @@
     let (start, before) = (Instant::now(), cpu(process));
     let load = Load::start(address, connections, Duration::ZERO);
     thread::sleep(time(ROUND));
-    let totals = load.end();
+    let totals = load.finish();
     let cpu = (cpu(process) - before).as_secs_f64();
     assert_eq!(totals.lost, 0, "no request is lost");
     figures[0].push(totals.sent as f64 / start.elapsed().as_secs_f64());
-    figures[1].push(totals.quantile(0.5).as_secs_f64() * 1e3);
-    figures[2].push(totals.quantile(0.99).as_secs_f64() * 1e3);
+    figures[1].push(totals.latency_quantile(0.5).as_secs_f64() * 1e3);
+    figures[2].push(totals.latency_quantile(0.99).as_secs_f64() * 1e3);
     figures[3].push(cpu * 1e6 / totals.sent as f64);
 }
--- a/crates/measure/src/following.rs
+++ b/crates/measure/src/following.rs
@@ -9,7 +9,10 @@
     Assertion, Endpoint, EndpointView, Freshness, Lifecycle, SourcePolicy, SourceUpdate,
 };
 use testkit::consul::{Consul, Instance};
-use testkit::{config, list, settings, until, Discovery, Load, Node, Reply, Server, Watch as Open};
+use testkit::{
+    config, endpoint_list, settings, wait_until, Discovery, Load, Node, Reply, Server,
+    Watch as Open,
+};
 
 use crate::system::{count, cpu, memory_mb, quantile, time};
 use crate::ALLOCATOR;
@@ -46,7 +49,7 @@
 
 fn site(count: usize, with_consul: bool) -> Site {
     let servers: Vec<_> = (0..count)
-        .map(|_| Server::start(|_| Reply::ok("rooms: 3\n")).quiet())
+        .map(|_| Server::start(|_| Reply::ok("rooms: 3\n")).without_recording())
         .collect();
     let consul = Consul::start();
     consul.stop_recording();
@@ -57,15 +60,15 @@
     let entries: Vec<_> = servers
         .iter()
         .enumerate()
-        .map(|(at, s)| s.entry(&name(at), "ready"))
+        .map(|(at, s)| s.endpoint_entry(&name(at), "ready"))
         .collect();
     let text = config(
         discovery.address,
-        &list(1, true, &entries),
+        &endpoint_list(1, true, &entries),
         &settings(15_000),
     );
     let file = operators(&consul);
-    let node = Node::start_with(&text, with_consul.then_some(&file));
+    let node = Node::start_with_operators_file(&text, with_consul.then_some(&file));
     let watch = discovery.watch();
     Site {
         servers,
@@ -120,31 +123,31 @@
     };
     let mut times = Vec::new();
     for _ in 0..count(changes, 2) {
-        let requests = site.servers[1].count();
-        until("the server gets requests", || {
-            site.servers[1].count() > requests + 20
+        let requests = site.servers[1].request_count();
+        wait_until("the server gets requests", || {
+            site.servers[1].request_count() > requests + 20
         });
         let mut set_draining = |site: &mut Site, draining: bool| {
             if by_consul {
                 site.consul.set_maintenance("s-1", draining);
             } else {
                 generation += 1;
-                let entry =
-                    site.servers[1].entry("s-1", if draining { "draining" } else { "ready" });
+                let entry = site.servers[1]
+                    .endpoint_entry("s-1", if draining { "draining" } else { "ready" });
                 site.watch
-                    .say(&format!("{}\n", list(generation, false, &[entry])));
+                    .send(&format!("{}\n", endpoint_list(generation, false, &[entry])));
             }
         };
         let drained = Instant::now();
         thread::sleep(time(delay));
         set_draining(&mut site, true);
         thread::sleep(CHANGE_INTERVAL);
-        let last = site.servers[1].last().unwrap_or(drained);
+        let last = site.servers[1].last_request_at().unwrap_or(drained);
         times.push(last.saturating_duration_since(drained).as_secs_f64() * 1e3);
         set_draining(&mut site, false);
         thread::sleep(CHANGE_INTERVAL);
     }
-    assert_eq!(load.end().lost, 0, "no request is lost");
+    assert_eq!(load.finish().lost, 0, "no request is lost");
     times
 }
 
@@ -302,7 +305,7 @@
         thread::sleep(time(Duration::from_secs(2)));
         let (start, cpu_before, queries_before) = (
             Instant::now(),
-            cpu(site.node.process()),
+            cpu(site.node.process_id()),
             site.consul.query_count(),
         );
         let mut done = 0;
@@ -318,14 +321,14 @@
                 thread::sleep(Duration::from_millis(100));
             }
         }
-        let share =
-            (cpu(site.node.process()) - cpu_before).as_secs_f64() / start.elapsed().as_secs_f64();
+        let share = (cpu(site.node.process_id()) - cpu_before).as_secs_f64()
+            / start.elapsed().as_secs_f64();
         let responses =
             (site.consul.query_count() - queries_before) as f64 / start.elapsed().as_secs_f64();
         println!(
             "{what:<44} {:>8.1} {:>10.1} {responses:>12.1}",
             share * 100.0,
-            memory_mb(site.node.process())
+            memory_mb(site.node.process_id())
         );
     }
 }
@@ -416,13 +419,13 @@
 }
 
 fn path(site: &Site) -> [f64; 4] {
-    let (start, before) = (Instant::now(), cpu(site.node.process()));
+    let (start, before) = (Instant::now(), cpu(site.node.process_id()));
     let load = Load::start(site.node.address, 8, Duration::ZERO);
     thread::sleep(time(ROUND_DURATION));
-    let totals = load.end();
-    let cpu = (cpu(site.node.process()) - before).as_secs_f64();
+    let totals = load.finish();
+    let cpu = (cpu(site.node.process_id()) - before).as_secs_f64();
     assert_eq!(totals.lost, 0, "no request is lost");
-    let [p50, p99] = [0.5, 0.99].map(|part| totals.quantile(part).as_secs_f64() * 1e3);
+    let [p50, p99] = [0.5, 0.99].map(|part| totals.latency_quantile(part).as_secs_f64() * 1e3);
     [
         totals.sent as f64 / start.elapsed().as_secs_f64(),
         p50,
--- a/crates/measure/src/members.rs
+++ b/crates/measure/src/members.rs
@@ -295,12 +295,12 @@
         schedule
             .faults
             .retain(|scheduled| !matches!(scheduled.fault, Fault::Kill { node } if node < serving));
-        let (since, before) = (Instant::now(), fleet.gone_lines().len());
-        fleet.play(&schedule);
+        let (since, before) = (Instant::now(), fleet.gone_log_entries().len());
+        fleet.apply_schedule(&schedule);
         fleet.wait(Duration::from_secs(if round_ms < 1_000.0 { 0 } else { 8 }));
         agreed.push(fleet.agree_within(Duration::from_secs(30)).as_secs_f64());
         let excuses = Excuses::new(&schedule, nodes);
-        let lines = fleet.gone_lines();
+        let lines = fleet.gone_log_entries();
         for (by, at, name, why) in lines
             .into_iter()
             .skip(before)
@@ -319,10 +319,10 @@
         }
         rounds += 1;
     }
-    let totals: Vec<_> = loads.into_iter().map(Load::end).collect();
+    let totals: Vec<_> = loads.into_iter().map(Load::finish).collect();
     let sent: u64 = totals.iter().map(|totals| totals.sent).sum();
     let lost: u64 = totals.iter().map(|totals| totals.lost).sum();
-    let served: u64 = totals.iter().map(|totals| totals.of(200)).sum();
+    let served: u64 = totals.iter().map(|totals| totals.with_status(200)).sum();
     let relayed = fleet.relay_totals();
     println!(
         "\n{nodes} processes, {rounds} rounds of troubles, {:.0?}",
@@ -336,7 +336,7 @@
     wrong.iter().take(10).for_each(|line| println!("  {line}"));
     println!(
         "requests: {sent} sent, {served} served, {lost} lost; the server had {}",
-        fleet.server.count()
+        fleet.server.request_count()
     );
     println!(
         "datagrams: {}, {} bytes, the longest {}",
@@ -352,12 +352,12 @@
     let alone = Fleet::prepare(1, 3, "");
     let without =
         testkit::Node::start(&alone.config(0).replace("\"peers\":true", "\"peers\":false"));
-    idle(1, without.process());
+    idle(1, without.process_id());
     for nodes in [30, 4] {
         let mut fleet = Fleet::start(count(nodes, 3), 2, "");
         fleet.agree_within(Duration::from_secs(60));
         fleet.wait(time(Duration::from_secs(10)));
-        idle(fleet.len(), fleet.node(0).process());
+        idle(fleet.len(), fleet.node(0).process_id());
         if nodes == 4 {
             requests(&fleet, &without, FLOOD_PER_S);
         }
@@ -389,7 +389,11 @@
             fleet.node(0),
             Some(nobody.local_addr().expect("an address")),
         ),
-        ("on, flood at it", fleet.node(0), Some(fleet.hears_at(0))),
+        (
+            "on, flood at it",
+            fleet.node(0),
+            Some(fleet.gossip_address(0)),
+        ),
     ];
     println!("\nrequests of 4 clients with pauses of 2 ms; a flood is {flood_per_s} datagrams a second of a stranger;");
     println!("in turn, medians of {rounds} rounds");
@@ -406,13 +410,13 @@
                     let stop = &stop;
                     scope.spawn(move || flood(at, flood_per_s, stop));
                 }
-                let before = cpu(node.process());
+                let before = cpu(node.process_id());
                 let load = Load::start(node.address, 4, Duration::from_millis(2));
                 thread::sleep(time(Duration::from_secs(4)));
-                let totals = load.end();
+                let totals = load.finish();
                 stop.store(true, Ordering::Relaxed);
-                let used = (cpu(node.process()) - before).as_secs_f64() * 1e6;
-                let quantile = |part| totals.quantile(part).as_secs_f64() * 1e6;
+                let used = (cpu(node.process_id()) - before).as_secs_f64() * 1e6;
+                let quantile = |part| totals.latency_quantile(part).as_secs_f64() * 1e6;
                 let row = [
                     quantile(0.5),
                     quantile(0.99),
--- a/crates/measure/src/owners.rs
+++ b/crates/measure/src/owners.rs
@@ -197,7 +197,7 @@
         }
         let from = Instant::now();
         match kind {
-            0 => fleet.stop(node),
+            0 => fleet.pause(node),
             1 => fleet.kill(node),
             _ => {
                 let is_deaf = rng.bool();
@@ -224,15 +224,15 @@
         match kind {
             0 => {
                 register.delay(fleet.name(node), Duration::ZERO);
-                fleet.go_on(node);
+                fleet.resume(node);
             }
-            1 => fleet.run(node),
+            1 => fleet.start_node(node),
             _ => fleet.apply(&Fault::HealAll),
         }
         fleet.wait(time(Duration::from_secs(1)));
         fleet.wait_for("all is owned", PATIENCE, |fleet| fleet.all_owned(SHARDS));
     }
-    let totals: Vec<_> = loads.into_iter().map(Load::end).collect();
+    let totals: Vec<_> = loads.into_iter().map(Load::finish).collect();
     let sent: u64 = totals.iter().map(|totals| totals.sent).sum();
     let lost: u64 = totals.iter().map(|totals| totals.lost).sum();
     println!(
@@ -264,6 +264,6 @@
     );
     println!(
         "requests: {sent} sent, {lost} lost; the server had {}",
-        fleet.server.count()
+        fleet.server.request_count()
     );
 }
--- a/crates/testkit/src/consul/mod.rs
+++ b/crates/testkit/src/consul/mod.rs
@@ -73,7 +73,7 @@
     /// The ids of the instances in maintenance mode.
     pub draining: Vec<String>,
     /// The ids of the others.
-    pub others: Vec<String>,
+    pub not_draining: Vec<String>,
 }
 
 /// A fake agent. Clones are handles to the same one.
@@ -266,7 +266,7 @@
             let mut state = self.state();
             state.query_count += 1;
             if state.is_recording {
-                state.queries.push(request.first.clone());
+                state.queries.push(request.start_line.clone());
             }
             let allowed = state
                 .token
@@ -287,7 +287,7 @@
 
     /// Responds to a request; returns whether the connection stays open.
     fn respond(&self, stream: &mut TcpStream, request: &Message) -> bool {
-        let mut words = request.first.split(' ');
+        let mut words = request.start_line.split(' ');
         let (method, target) = (
             words.next().unwrap_or_default(),
             words.next().unwrap_or_default(),
@@ -442,7 +442,7 @@
             completed_at: Instant::now(),
             index: catalog.index,
             draining: ids(true),
-            others: ids(false),
+            not_draining: ids(false),
         };
         state.responses.push(response);
     }
--- a/crates/testkit/src/discovery.rs
+++ b/crates/testkit/src/discovery.rs
@@ -8,11 +8,11 @@
 use std::time::Duration;
 
 use crate::message::Message;
-use crate::PATIENCE;
+use crate::WAIT_TIMEOUT;
 
 /// An entry of a list: a server in its zone, machine kind and cell, with its lifecycle.
 #[must_use]
-pub fn entry(id: &str, address: SocketAddr, lifecycle: &str) -> String {
+pub fn endpoint_entry(id: &str, address: SocketAddr, lifecycle: &str) -> String {
     format!(
         r#"{{"instanceId":"{id}","hostPort":"{address}","zone":"z","machineType":"m","cell":0,"lifecycle":"{lifecycle}","weight":1.0,"startedAtMs":0}}"#
     )
@@ -20,7 +20,7 @@
 
 /// A list, whole or of changes.
 #[must_use]
-pub fn list(generation: u64, reset: bool, entries: &[String]) -> String {
+pub fn endpoint_list(generation: u64, reset: bool, entries: &[String]) -> String {
     format!(
         r#"{{"generation":{generation},"reset":{reset},"instances":[{}]}}"#,
         entries.join(",")
@@ -52,7 +52,9 @@
                 };
                 let head = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
                 if stream.write_all(head.as_bytes()).is_err()
-                    || sender.send(Watch::open(request.first, stream)).is_err()
+                    || sender
+                        .send(Watch::open(request.start_line, stream))
+                        .is_err()
                 {
                     return;
                 }
@@ -64,7 +66,7 @@
     /// The next watch that a node opens.
     #[must_use]
     pub fn watch(&self) -> Watch {
-        self.watches.recv_timeout(PATIENCE).expect("a watch")
+        self.watches.recv_timeout(WAIT_TIMEOUT).expect("a watch")
     }
 }
 
@@ -79,13 +81,13 @@
 /// An open watch; dropping it ends it. It is kept alive with empty lines, as discovery does, between whole lines.
 pub struct Watch {
     /// The first line of the request.
-    pub asked: String,
+    pub request_line: String,
     stream: TcpStream,
     between: Arc<Mutex<Between>>,
 }
 
 impl Watch {
-    fn open(asked: String, stream: TcpStream) -> Self {
+    fn open(request_line: String, stream: TcpStream) -> Self {
         let between = Arc::<Mutex<Between>>::default();
         let (mut held, state) = (stream.try_clone().expect("a socket"), Arc::clone(&between));
         thread::spawn(move || loop {
@@ -96,14 +98,14 @@
             }
         });
         Self {
-            asked,
+            request_line,
             stream,
             between,
         }
     }
 
     /// Sends text as one chunk, whether or not it is a whole line.
-    pub fn say(&mut self, text: &str) {
+    pub fn send(&mut self, text: &str) {
         let mut between = self.between.lock().expect("no panic");
         between.in_line = !text.ends_with('\n');
         self.stream
@@ -112,14 +114,14 @@
     }
 
     /// From now on it says nothing by itself, and stays open.
-    pub fn fall_silent(&mut self) {
+    pub fn stop_keep_alive(&mut self) {
         self.between.lock().expect("no panic").silent = true;
     }
 
     /// Whether the node has ended it.
     pub fn is_closed(&mut self) -> bool {
         self.stream
-            .set_read_timeout(Some(PATIENCE))
+            .set_read_timeout(Some(WAIT_TIMEOUT))
             .expect("a socket");
         match self.stream.read(&mut [0; 1]) {
             Ok(n) => n == 0,
@@ -130,7 +132,7 @@
 
 impl Drop for Watch {
     fn drop(&mut self) {
-        self.fall_silent();
+        self.stop_keep_alive();
         let _ = self.stream.shutdown(Shutdown::Both); // One that the node has ended is past it.
     }
 }
--- a/crates/testkit/src/fleet.rs
+++ b/crates/testkit/src/fleet.rs
@@ -12,8 +12,8 @@
 use simulation::{Fault, FaultSchedule};
 use tempfile::TempDir;
 
-use crate::discovery::{list, Discovery};
-use crate::node::{config, settings_with_aim, Node};
+use crate::discovery::{endpoint_list, Discovery};
+use crate::node::{config, settings_with_latency_objective, Node};
 use crate::relay::{RelayTotals, Relays};
 use crate::server::{Reply, Server};
 
@@ -43,9 +43,9 @@
     /// Its own incarnation.
     pub incarnation: u64,
     /// What it takes itself for.
-    pub own: String,
+    pub own_state: String,
     /// The others, by name.
-    pub others: BTreeMap<String, Member>,
+    pub other_members: BTreeMap<String, Member>,
 }
 
 impl Members {
@@ -67,19 +67,21 @@
             };
             Some((name.to_owned(), member))
         };
-        let others = lines.map(other).collect::<Option<_>>()?;
+        let other_members = lines.map(other).collect::<Option<_>>()?;
         Some(Self {
             health: health.into(),
             incarnation: incarnation.parse().ok()?,
-            own: state.into(),
-            others,
+            own_state: state.into(),
+            other_members,
         })
     }
 
     /// The state of another node; `-` of one that it does not know.
     #[must_use]
     pub fn state(&self, name: &str) -> &str {
-        self.others.get(name).map_or("-", |member| &member.state)
+        self.other_members
+            .get(name)
+            .map_or("-", |member| &member.state)
     }
 }
 
@@ -102,7 +104,7 @@
     /// The server that all its nodes send requests to.
     pub server: Server,
     /// Others beside it, before the first node is started.
-    pub others: Vec<Server>,
+    pub extra_servers: Vec<Server>,
 }
 
 impl Fleet {
@@ -110,7 +112,7 @@
     #[must_use]
     pub fn start(nodes: usize, seed: u64, operators: &str) -> Self {
         let mut fleet = Self::prepare(nodes, seed, operators);
-        (0..nodes).for_each(|node| fleet.run(node));
+        (0..nodes).for_each(|node| fleet.start_node(node));
         fleet
     }
 
@@ -148,8 +150,8 @@
             listen,
             folder,
             discovery: Discovery::start(),
-            server: Server::start(|_| Reply::ok("yes")).quiet(),
-            others: Vec::new(),
+            server: Server::start(|_| Reply::ok("yes")).without_recording(),
+            extra_servers: Vec::new(),
         }
     }
 
@@ -173,12 +175,12 @@
 
     /// What the operators' file of a node says.
     #[must_use]
-    pub fn operators(&self, node: usize) -> &str {
+    pub fn operators_file(&self, node: usize) -> &str {
         &self.slots[node].operators
     }
 
     /// Gives a node another operators' file, from its next start on.
-    pub fn set_operators(&mut self, node: usize, text: &str) {
+    pub fn set_operators_file(&mut self, node: usize, text: &str) {
         self.slots[node].operators = text.into();
     }
 
@@ -196,11 +198,14 @@
     /// The platform's configuration of a node.
     #[must_use]
     pub fn config(&self, node: usize) -> String {
-        let servers = [&self.server].into_iter().chain(&self.others).enumerate();
+        let servers = [&self.server]
+            .into_iter()
+            .chain(&self.extra_servers)
+            .enumerate();
         let servers: Vec<_> = servers
-            .map(|(at, server)| server.entry(&format!("s-{at}"), "ready"))
+            .map(|(at, server)| server.endpoint_entry(&format!("s-{at}"), "ready"))
             .collect();
-        let known = list(1, true, &servers);
+        let known = endpoint_list(1, true, &servers);
         let peers: Vec<_> = self.relays.peers[node]
             .iter()
             .map(|at| format!("\"{at}\""))
@@ -208,7 +213,7 @@
         let text = config(
             self.discovery.address,
             &known,
-            &settings_with_aim(AIM_MS, 15_000),
+            &settings_with_latency_objective(AIM_MS, 15_000),
         );
         text.replace("\"n0\"", &format!("\"{}\"", self.slots[node].name))
             .replace("\"listen\"", "\"control\":\"127.0.0.1:0\",\"listen\"")
@@ -225,14 +230,17 @@
 
     /// Where a node hears the others.
     #[must_use]
-    pub fn hears_at(&self, node: usize) -> SocketAddr {
+    pub fn gossip_address(&self, node: usize) -> SocketAddr {
         self.listen[node]
     }
 
     /// Starts a node, where it does not run.
-    pub fn run(&mut self, node: usize) {
+    pub fn start_node(&mut self, node: usize) {
         if self.slots[node].node.is_none() {
-            let started = Node::start_with(&self.config(node), Some(&self.slots[node].operators));
+            let started = Node::start_with_operators_file(
+                &self.config(node),
+                Some(&self.slots[node].operators),
+            );
             self.slots[node].node = Some(started);
         }
     }
@@ -270,13 +278,13 @@
     }
 
     /// SIGSTOP.
-    pub fn stop(&mut self, node: usize) {
+    pub fn pause(&mut self, node: usize) {
         self.node(node).signal(Signal::STOP);
         self.slots[node].stopped_until = Some(Instant::now() + Duration::from_secs(86_400));
     }
 
     /// SIGCONT.
-    pub fn go_on(&mut self, node: usize) {
+    pub fn resume(&mut self, node: usize) {
         self.slots[node].stopped_until = None;
         self.node(node).signal(Signal::CONT);
     }
@@ -289,12 +297,12 @@
                 let until = self.slots[*node]
                     .stopped_until
                     .map_or(until, |held| held.max(until));
-                self.stop(*node);
+                self.pause(*node);
                 self.slots[*node].stopped_until = Some(until);
             }
             Fault::Pause { .. } => {}
             Fault::Kill { node } => self.kill(*node),
-            Fault::Start { node } => self.run(*node),
+            Fault::Start { node } => self.start_node(*node),
             links => self.relays.apply(links),
         }
     }
@@ -308,7 +316,7 @@
             let due: Vec<_> = (0..self.slots.len())
                 .filter(|node| due(&self.slots[*node]))
                 .collect();
-            due.into_iter().for_each(|node| self.go_on(node));
+            due.into_iter().for_each(|node| self.resume(node));
             if now >= end {
                 return;
             }
@@ -317,7 +325,7 @@
     }
 
     /// Applies a fault schedule, whose times count from now.
-    pub fn play(&mut self, schedule: &FaultSchedule) {
+    pub fn apply_schedule(&mut self, schedule: &FaultSchedule) {
         let start = Instant::now();
         for scheduled in &schedule.faults {
             let due = start + Duration::from_secs_f64(scheduled.at_ms / 1e3);
@@ -327,7 +335,7 @@
     }
 
     /// Cuts all ways between nodes of different sides, and heals the others.
-    pub fn split(&mut self, side: impl Fn(usize) -> usize) {
+    pub fn partition(&mut self, side: impl Fn(usize) -> usize) {
         self.apply(&Fault::HealAll);
         for from in 0..self.len() {
             for to in (0..self.len()).filter(|to| side(from) != side(*to)) {
@@ -339,14 +347,14 @@
     /// What a node says of the others.
     #[must_use]
     pub fn members(&self, node: usize) -> Members {
-        let text = self.node(node).call("MEMBERS\n");
+        let text = self.node(node).admin_command("MEMBERS\n");
         Members::read(&text).unwrap_or_else(|| panic!("no members: {text}"))
     }
 
     /// What a node says of leases: who owns each shard, and for how long it itself may act on it, in milliseconds.
     #[must_use]
     pub fn owners(&self, node: usize) -> Vec<(String, u64)> {
-        let text = self.node(node).call("OWNERS\n");
+        let text = self.node(node).admin_command("OWNERS\n");
         let row = |line: &str| {
             let words: Vec<_> = line.split(' ').collect();
             let [_, owner, _, left, _] = words[..] else {
@@ -410,7 +418,7 @@
                     .iter()
                     .find(|(held, _)| *held == node)
                     .map(|(_, own)| own.incarnation);
-                let held = view.others.get(&self.slots[node].name);
+                let held = view.other_members.get(&self.slots[node].name);
                 let is_right = match (own, held) {
                     (Some(own), Some(held)) => held.state == "alive" && held.incarnation == own,
                     (Some(_), None) => false,
@@ -478,9 +486,9 @@
 
     /// Who found whom gone so far by itself, and was not told.
     #[must_use]
-    pub fn verdicts(&self) -> Vec<(usize, String)> {
+    pub fn quorum_verdicts(&self) -> Vec<(usize, String)> {
         let own = self
-            .gone_lines()
+            .gone_log_entries()
             .into_iter()
             .filter(|(.., why)| why.contains("confirmed by quorum"));
         own.map(|(by, _, name, _)| (by, name)).collect()
@@ -488,8 +496,8 @@
 
     /// Who called whom gone so far: each line of each log.
     #[must_use]
-    pub fn gone(&self) -> Vec<(usize, String)> {
-        self.gone_lines()
+    pub fn gone_reports(&self) -> Vec<(usize, String)> {
+        self.gone_log_entries()
             .into_iter()
             .map(|(by, _, name, _)| (by, name))
             .collect()
@@ -497,7 +505,7 @@
 
     /// The same, with when, and why.
     #[must_use]
-    pub fn gone_lines(&self) -> Vec<(usize, Instant, String, String)> {
+    pub fn gone_log_entries(&self) -> Vec<(usize, Instant, String, String)> {
         let lines = (0..self.len()).flat_map(|node| {
             self.log_with_times(node)
                 .into_iter()
--- a/crates/testkit/src/lib.rs
+++ b/crates/testkit/src/lib.rs
@@ -4,10 +4,10 @@
 //! Everything binds to loopback, on ports that the system gives. Nothing here is used by the node itself.
 //!
 //! ```
-//! use testkit::{answer, Reply, Server};
+//! use testkit::{response, Reply, Server};
 //!
 //! let server = Server::start(|request| match request.header("req-kind") {
-//!     Some("read") => Reply::Say(answer("200 OK", "", "rooms: 3\n")),
+//!     Some("read") => Reply::Send(response("200 OK", "", "rooms: 3\n")),
 //!     _ => Reply::Close,
 //! });
 //! assert!(server.address.ip().is_loopback());
@@ -37,34 +37,37 @@
 mod server;
 mod socket;
 
-pub use discovery::{entry, list, Discovery, Watch};
+pub use discovery::{endpoint_entry, endpoint_list, Discovery, Watch};
 pub use fleet::{Fleet, Member, Members};
 pub use load::{Load, Totals};
-pub use message::{answer, post, read, Message};
+pub use message::{post_request, read_request, response, Message};
 pub use node::{
-    config, pause_process_starts, program, program_path, settings, settings_with_aim, write_config,
-    Client, Node,
+    config, pause_process_starts, program_command, program_path, settings,
+    settings_with_latency_objective, write_temp_file, Client, Node,
 };
 pub use register::{Effect, Register};
 pub use server::{Reply, Server, Unreachable};
 pub use simulation::{Burst, Fault, FaultSchedule, Link, ScheduleLimits};
-pub use socket::{Endpoint, Kind, Listener, Stream};
+pub use socket::{AddressFamily, Endpoint, Listener, Stream};
 
 use std::thread;
 use std::time::{Duration, Instant};
 
 /// Longer than anything takes on a machine that is busy, and short enough for a test that fails.
-pub const PATIENCE: Duration = Duration::from_secs(20);
+pub const WAIT_TIMEOUT: Duration = Duration::from_secs(20);
 
 /// Waits until something is so.
 ///
 /// # Panics
 ///
-/// It is not so within [`PATIENCE`].
-pub fn until(what: &str, mut so: impl FnMut() -> bool) {
+/// It is not so within [`WAIT_TIMEOUT`].
+pub fn wait_until(what: &str, mut so: impl FnMut() -> bool) {
     let start = Instant::now();
     while !so() {
-        assert!(start.elapsed() < PATIENCE, "it never came to this: {what}");
+        assert!(
+            start.elapsed() < WAIT_TIMEOUT,
+            "it never came to this: {what}"
+        );
         thread::sleep(Duration::from_millis(2));
     }
 }
--- a/crates/testkit/src/link.rs
+++ b/crates/testkit/src/link.rs
@@ -10,7 +10,7 @@
 use std::thread;
 use std::time::Duration;
 
-use crate::socket::{Endpoint, Kind, Listener, Stream};
+use crate::socket::{AddressFamily, Endpoint, Listener, Stream};
 
 /// What happens at a byte.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -85,12 +85,12 @@
 impl Link {
     /// A link to `to`; the plans are asked for with the number of each connection, from zero.
     pub fn start(to: SocketAddr, plans: impl Fn(usize) -> Plans + Send + 'static) -> Self {
-        Self::start_on(Kind::V4, to.into(), plans).0
+        Self::start_on(AddressFamily::V4, to.into(), plans).0
     }
 
     /// The same from one kind of address to another.
     pub fn start_on(
-        kind: Kind,
+        kind: AddressFamily,
         to: Endpoint,
         plans: impl Fn(usize) -> Plans + Send + 'static,
     ) -> (Self, Endpoint) {
@@ -160,7 +160,7 @@
 fn join(ends: &Arc<Ends>, (there, back): Plans) {
     let (near, far) = (&ends.near, &ends.far);
     for (from, to, plan) in [(near, far, there), (far, near, back)] {
-        let (from, to, held) = (from.another(), to.another(), Arc::clone(ends));
+        let (from, to, held) = (from.clone_handle(), to.clone_handle(), Arc::clone(ends));
         thread::spawn(move || {
             pass(from, to, plan);
             drop(held);
--- a/crates/testkit/src/load.rs
+++ b/crates/testkit/src/load.rs
@@ -7,7 +7,7 @@
 use std::thread::{self, JoinHandle};
 use std::time::{Duration, Instant};
 
-use crate::message::{post, read};
+use crate::message::{post_request, read_request};
 use crate::node::Client;
 
 /// Maximum number of latencies that are kept, the latest ones: a load, such as the demo's, may run for days.
@@ -19,30 +19,30 @@
     /// Requests that were sent.
     pub sent: u64,
     /// Answers by status.
-    pub answers: BTreeMap<u16, u64>,
+    pub responses: BTreeMap<u16, u64>,
     /// Requests that were sent whole and whose connection ended with no whole answer.
     pub lost: u64,
     /// How long each answer took, the latest 200,000 of them, in no order.
-    pub times: Vec<Duration>,
+    pub latencies: Vec<Duration>,
 }
 
 impl Totals {
     /// Answers of a status.
     #[must_use]
-    pub fn of(&self, status: u16) -> u64 {
-        self.answers.get(&status).copied().unwrap_or(0)
+    pub fn with_status(&self, status: u16) -> u64 {
+        self.responses.get(&status).copied().unwrap_or(0)
     }
 
     /// The part of the requests that was served.
     #[must_use]
-    pub fn share_served(&self) -> f64 {
-        self.of(200) as f64 / (self.sent.max(1)) as f64
+    pub fn served_fraction(&self) -> f64 {
+        self.with_status(200) as f64 / (self.sent.max(1)) as f64
     }
 
     /// The time within which this part of the answers came.
     #[must_use]
-    pub fn quantile(&self, part: f64) -> Duration {
-        let mut times = self.times.clone();
+    pub fn latency_quantile(&self, part: f64) -> Duration {
+        let mut times = self.latencies.clone();
         times.sort_unstable();
         let at = (times.len().saturating_sub(1)) as f64 * part;
         times.get(at as usize).copied().unwrap_or_default()
@@ -96,7 +96,7 @@
 
     /// Ends it, once every request is answered.
     #[must_use]
-    pub fn end(self) -> Totals {
+    pub fn finish(self) -> Totals {
         self.stop.store(true, Ordering::Relaxed);
         for client in self.clients {
             client.join().expect("a client does not panic");
@@ -110,27 +110,30 @@
 fn ask(client: &mut Client, number: u64, totals: &Mutex<Totals>) -> bool {
     let id = format!("{number:016x}");
     let request = match number % 10 {
-        8 => post(
+        8 => post_request(
             &id,
             "hold",
             &format!("Idempotency-Key: key-{id}\r\n"),
             "a guest",
         ),
-        9 => post(&id, "pay", "", "a guest"),
-        _ => read(&id, "15000m"),
+        9 => post_request(&id, "pay", "", "a guest"),
+        _ => read_request(&id, "15000m"),
     };
     let start = Instant::now();
-    let answer = client.try_send(&request).then(|| client.answer()).flatten();
+    let answer = client
+        .try_send(&request)
+        .then(|| client.read_response())
+        .flatten();
     let mut totals = totals.lock().expect("sound");
     totals.sent += 1;
     match &answer {
         Some(answer) => {
-            *totals.answers.entry(answer.status()).or_default() += 1;
+            *totals.responses.entry(answer.status()).or_default() += 1;
             let (took, at) = (start.elapsed(), totals.sent as usize % MAX_LATENCIES);
-            if totals.times.len() < MAX_LATENCIES {
-                totals.times.push(took);
+            if totals.latencies.len() < MAX_LATENCIES {
+                totals.latencies.push(took);
             } else {
-                totals.times[at] = took;
+                totals.latencies[at] = took;
             }
         }
         None => totals.lost += 1,
--- a/crates/testkit/src/message.rs
+++ b/crates/testkit/src/message.rs
@@ -6,7 +6,7 @@
 #[derive(Clone, Debug)]
 pub struct Message {
     /// The first line.
-    pub first: String,
+    pub start_line: String,
     /// Names in lower case, and values.
     pub headers: Vec<(String, String)>,
     /// The body.
@@ -21,7 +21,7 @@
             from.read_line(&mut text).ok()?;
             Some(text.strip_suffix('\n')?.trim_end().to_owned()) // A line that is cut is none.
         };
-        let first = line()?;
+        let start_line = line()?;
         let mut headers = Vec::new();
         loop {
             let text = line()?;
@@ -31,7 +31,7 @@
             headers.push((name.to_ascii_lowercase(), value.trim().to_owned()));
         }
         let mut message = Self {
-            first,
+            start_line,
             headers,
             body: Vec::new(),
         };
@@ -61,7 +61,7 @@
     /// The status of an answer.
     #[must_use]
     pub fn status(&self) -> u16 {
-        self.first
+        self.start_line
             .split(' ')
             .nth(1)
             .expect("a status")
@@ -89,7 +89,7 @@
 
 /// An answer with a length.
 #[must_use]
-pub fn answer(status: &str, headers: &str, body: &str) -> Vec<u8> {
+pub fn response(status: &str, headers: &str, body: &str) -> Vec<u8> {
     format!(
         "HTTP/1.1 {status}\r\n{headers}Content-Length: {}\r\n\r\n{body}",
         body.len()
@@ -99,13 +99,13 @@
 
 /// A request of the safe class.
 #[must_use]
-pub fn read(id: &str, deadline: &str) -> String {
+pub fn read_request(id: &str, deadline: &str) -> String {
     format!("GET /api?key=inn-7 HTTP/1.1\r\nHost: service.internal\r\nReq-Id: {id}\r\nReq-Kind: read\r\nReq-Deadline: {deadline}\r\n\r\n")
 }
 
 /// A request with a body, keyed or not.
 #[must_use]
-pub fn post(id: &str, class: &str, key: &str, body: &str) -> String {
+pub fn post_request(id: &str, class: &str, key: &str, body: &str) -> String {
     format!(
         "POST /api?key=inn-7 HTTP/1.1\r\nHost: service.internal\r\nReq-Id: {id}\r\nReq-Kind: {class}\r\nReq-Deadline: 15000m\r\n{key}Content-Length: {}\r\n\r\n{body}",
         body.len()
--- a/crates/testkit/src/node.rs
+++ b/crates/testkit/src/node.rs
@@ -11,21 +11,21 @@
 
 use rustix::process::{kill_process, Pid, Signal};
 
-use crate::discovery::{list, Discovery, Watch};
+use crate::discovery::{endpoint_list, Discovery, Watch};
 use crate::message::Message;
 use crate::server::Server;
-use crate::{until, PATIENCE};
+use crate::{wait_until, WAIT_TIMEOUT};
 
 /// The settings of the tests: a safe, a keyed and an unsafe class.
 #[must_use]
 pub fn settings(deadline_ms: u64) -> String {
-    settings_with_aim(deadline_ms, deadline_ms)
+    settings_with_latency_objective(deadline_ms, deadline_ms)
 }
 
 /// The same, where answers are wanted within a time that is shorter. A node forgets what it saw of servers in
 /// some such times: where one was slow once, as any may be on a machine that is busy, it is passed over for as long.
 #[must_use]
-pub fn settings_with_aim(aim_ms: u64, deadline_ms: u64) -> String {
+pub fn settings_with_latency_objective(aim_ms: u64, deadline_ms: u64) -> String {
     let class = |name: &str, effect: &str| {
         format!(
             r#"{{"name":"{name}","effect":"{effect}","group":"all","dedup_window_ms":60000.0,"promise_ms":{aim_ms}.0,"deadline_ms":{deadline_ms}.0,"worth":1.0}}"#
@@ -62,7 +62,7 @@
 
 /// Writes a file of its own for a test.
 #[must_use]
-pub fn write_config(text: &str) -> PathBuf {
+pub fn write_temp_file(text: &str) -> PathBuf {
     static NEXT: std::sync::atomic::AtomicUsize = std::sync::atomic::AtomicUsize::new(0);
     let next = NEXT.fetch_add(1, std::sync::atomic::Ordering::Relaxed);
     let path =
@@ -110,7 +110,7 @@
 
 /// The program, with none of the variables that it reads.
 #[must_use]
-pub fn program() -> Command {
+pub fn program_command() -> Command {
     let mut command = Command::new(program_path());
     command
         .env_remove("ROUTER_CONFIG")
@@ -132,13 +132,13 @@
     /// Starts it and waits until it serves.
     #[must_use]
     pub fn start(config: &str) -> Self {
-        Self::start_with(config, None)
+        Self::start_with_operators_file(config, None)
     }
 
     /// The same, with an operators' file.
     #[must_use]
-    pub fn start_with(config: &str, operators: Option<&str>) -> Self {
-        Self::started(config, operators, program())
+    pub fn start_with_operators_file(config: &str, operators: Option<&str>) -> Self {
+        Self::spawn(config, operators, program_command())
     }
 
     /// One process of a node whose listening socket the platform holds.
@@ -149,22 +149,22 @@
         shell
             .env("ROUTER_LISTEN_FD", "3")
             .stdin(OwnedFd::from(held));
-        Self::started(config, None, shell)
+        Self::spawn(config, None, shell)
     }
 
     /// One that the system gives so many descriptors and no more, whatever its configuration says.
     #[must_use]
-    pub fn start_limited(config: &str, descriptors: usize) -> Self {
-        Self::started(
+    pub fn start_with_descriptor_limit(config: &str, descriptors: usize) -> Self {
+        Self::spawn(
             config,
             None,
             by_shell(&format!("ulimit -n {descriptors}; exec \"$0\"")),
         )
     }
 
-    fn started(config: &str, operators: Option<&str>, mut command: Command) -> Self {
-        let config = write_config(config);
-        let operators = operators.map(write_config);
+    fn spawn(config: &str, operators: Option<&str>, mut command: Command) -> Self {
+        let config = write_temp_file(config);
+        let operators = operators.map(write_temp_file);
         if let Some(operators) = &operators {
             command.arg("--config").arg(operators);
         }
@@ -201,7 +201,7 @@
             operators,
             log,
         };
-        until("/up answers 200", || node.is_ready());
+        wait_until("/up answers 200", || node.is_ready());
         node
     }
 
@@ -212,8 +212,8 @@
     fn is_ready(&self) -> bool {
         let mut client = self.connect();
         client.send("GET /up HTTP/1.1\r\nHost: a\r\n\r\n");
-        let status = client.answer().expect("an answer").status();
-        client.end_sending();
+        let status = client.read_response().expect("an answer").status();
+        client.shutdown_write();
         client.is_closed() && status == 200
     }
 
@@ -234,9 +234,9 @@
 
     /// Where its operators call.
     #[must_use]
-    pub fn control(&self) -> SocketAddr {
+    pub fn admin_address(&self) -> SocketAddr {
         let mut address = None;
-        until("its admin server listens", || {
+        wait_until("its admin server listens", || {
             let log = self.log();
             let at = log
                 .iter()
@@ -250,9 +250,11 @@
 
     /// An operator's call, and what it is answered.
     #[must_use]
-    pub fn call(&self, line: &str) -> String {
-        let mut stream = TcpStream::connect(self.control()).expect("it listens");
-        stream.set_read_timeout(Some(PATIENCE)).expect("a socket");
+    pub fn admin_command(&self, line: &str) -> String {
+        let mut stream = TcpStream::connect(self.admin_address()).expect("it listens");
+        stream
+            .set_read_timeout(Some(WAIT_TIMEOUT))
+            .expect("a socket");
         stream
             .write_all(line.as_bytes())
             .expect("an open connection");
@@ -265,8 +267,8 @@
 
     /// One of its figures.
     #[must_use]
-    pub fn figure(&self, name: &str) -> u64 {
-        let text = self.call("STATS\n");
+    pub fn metric(&self, name: &str) -> u64 {
+        let text = self.admin_command("STATS\n");
         let line = text
             .lines()
             .find_map(|line| line.strip_prefix(&format!("edge_router.{name}:")));
@@ -283,25 +285,25 @@
 
     /// Its process, for figures of the system.
     #[must_use]
-    pub fn process(&self) -> u32 {
+    pub fn process_id(&self) -> u32 {
         self.child.id()
     }
 
     /// A node that knows these servers, with its discovery and the open watch.
     #[must_use]
-    pub fn with(servers: &[&Server], deadline_ms: u64) -> (Self, Discovery, Watch) {
+    pub fn start_with_servers(servers: &[&Server], deadline_ms: u64) -> (Self, Discovery, Watch) {
         let discovery = Discovery::start();
         let entries: Vec<_> = servers
             .iter()
             .enumerate()
-            .map(|(i, s)| s.entry(&format!("s-{i}"), "ready"))
+            .map(|(i, s)| s.endpoint_entry(&format!("s-{i}"), "ready"))
             .collect();
-        let known = list(1, true, &entries);
+        let known = endpoint_list(1, true, &entries);
         let at_paths: String = servers
             .iter()
             .enumerate()
             .filter_map(|(i, server)| {
-                let path = server.path.as_ref()?;
+                let path = server.unix_endpoint.as_ref()?;
                 let addresses = format!("addresses = [{{address = \"{path}\"}}]");
                 Some(format!(
                     "[[server]]\nid = \"s-{i}\"\nonly = true\n{addresses}\n"
@@ -309,7 +311,7 @@
             })
             .collect();
         let operators = Some(at_paths.as_str()).filter(|text| !text.is_empty());
-        let node = Self::start_with(
+        let node = Self::start_with_operators_file(
             &config(discovery.address, &known, &settings(deadline_ms)),
             operators,
         );
@@ -325,20 +327,20 @@
 
     /// The answer to a request on a connection of its own.
     #[must_use]
-    pub fn ask(&self, request: &str) -> Message {
+    pub fn request(&self, request: &str) -> Message {
         let mut client = self.connect();
         client.send(request);
-        client.answer().expect("an answer")
+        client.read_response().expect("an answer")
     }
 
     /// The answer to a request, asked again for as long as it is refused: a balancer that has measured a machine
     /// which stood still for a while may refuse, and a test of something else must not depend on it.
     #[must_use]
-    pub fn ask_until_taken(&self, request: &str) -> Message {
-        let mut answer = self.ask(request);
-        until("a request is taken", || {
+    pub fn request_until_accepted(&self, request: &str) -> Message {
+        let mut answer = self.request(request);
+        wait_until("a request is taken", || {
             if answer.status() == 503 {
-                answer = self.ask(request);
+                answer = self.request(request);
             }
             answer.status() != 503
         });
@@ -357,7 +359,7 @@
     }
 
     /// Replaces its operators' file and tells it so.
-    pub fn reload_operators(&self, operators: &str) {
+    pub fn reload_operators_file(&self, operators: &str) {
         replace(
             self.operators.as_deref().expect("it was started with one"),
             operators,
@@ -368,7 +370,7 @@
     /// Waits for its end.
     pub fn wait(&mut self) -> ExitStatus {
         let mut ended = None;
-        until("the program ends", || {
+        wait_until("the program ends", || {
             ended = self.child.try_wait().expect("a child");
             ended.is_some()
         });
@@ -407,7 +409,7 @@
     #[must_use]
     pub fn try_connect(node: SocketAddr) -> Option<Self> {
         let stream = TcpStream::connect(node).ok()?;
-        stream.set_read_timeout(Some(PATIENCE)).ok()?;
+        stream.set_read_timeout(Some(WAIT_TIMEOUT)).ok()?;
         stream.set_nodelay(true).ok()?;
         Some(Self {
             input: BufReader::new(stream),
@@ -429,7 +431,7 @@
     }
 
     /// Ends its sending, and could still read.
-    pub fn end_sending(&self) {
+    pub fn shutdown_write(&self) {
         self.input
             .get_ref()
             .shutdown(std::net::Shutdown::Write)
@@ -437,7 +439,7 @@
     }
 
     /// The next answer; `None` is an end before its last byte.
-    pub fn answer(&mut self) -> Option<Message> {
+    pub fn read_response(&mut self) -> Option<Message> {
         Message::read(&mut self.input)
     }
 
@@ -455,13 +457,13 @@
         let came = self.input.read(&mut [0; 1]);
         self.input
             .get_ref()
-            .set_read_timeout(Some(PATIENCE))
+            .set_read_timeout(Some(WAIT_TIMEOUT))
             .expect("a socket");
         came.is_err_and(|error| error.kind() == std::io::ErrorKind::WouldBlock)
     }
 
     /// Whether the node ends the connection with its answer's end, and not with a reset.
-    pub fn ends_in_order(&mut self) -> bool {
+    pub fn is_closed_without_reset(&mut self) -> bool {
         matches!(self.input.read(&mut [0; 1]), Ok(0))
     }
 }
--- a/crates/testkit/src/server.rs
+++ b/crates/testkit/src/server.rs
@@ -6,29 +6,29 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-use crate::message::{answer, Message};
-use crate::socket::{Endpoint, Kind, Listener, Stream};
+use crate::message::{response, Message};
+use crate::socket::{AddressFamily, Endpoint, Listener, Stream};
 
 /// What a server does with a request.
 #[derive(Clone)]
 pub enum Reply {
     /// Writes this and keeps the connection.
-    Say(Vec<u8>),
+    Send(Vec<u8>),
     /// Writes this and closes the connection without a word of it.
-    SayAndClose(Vec<u8>),
+    SendAndClose(Vec<u8>),
     /// Writes this, and that so much later.
-    SayThen(Vec<u8>, Duration, Vec<u8>),
+    SendInTwoParts(Vec<u8>, Duration, Vec<u8>),
     /// Closes the connection.
     Close,
     /// Says nothing.
-    Silence,
+    NoResponse,
 }
 
 impl Reply {
     /// 200 with a body.
     #[must_use]
     pub fn ok(body: &str) -> Self {
-        Self::Say(answer("200 OK", "", body))
+        Self::Send(response("200 OK", "", body))
     }
 }
 
@@ -50,7 +50,7 @@
     /// Where it listens, or where nobody does if it is reached at a path alone.
     pub address: SocketAddr,
     /// Where a node is to reach it instead, if that is not in its entry.
-    pub path: Option<Endpoint>,
+    pub unix_endpoint: Option<Endpoint>,
     seen: Arc<Mutex<Seen>>,
     reply: Arc<Replies>,
 }
@@ -58,10 +58,10 @@
 impl Server {
     /// A server that answers each request as the function says.
     pub fn start(reply: impl Fn(&Message) -> Reply + Send + Sync + 'static) -> Self {
-        let kind = Kind::of_the_run();
-        if kind == Kind::Unix {
-            let mut server = Self::start_on(Kind::V4, reply).0;
-            server.path = Some(server.also(Kind::Unix));
+        let kind = AddressFamily::from_environment();
+        if kind == AddressFamily::Unix {
+            let mut server = Self::start_on(AddressFamily::V4, reply).0;
+            server.unix_endpoint = Some(server.add_address(AddressFamily::Unix));
             return server;
         }
         Self::start_on(kind, reply).0
@@ -69,17 +69,17 @@
 
     /// The same on another kind of address.
     pub fn start_on(
-        kind: Kind,
+        kind: AddressFamily,
         reply: impl Fn(&Message) -> Reply + Send + Sync + 'static,
     ) -> (Self, Endpoint) {
         let nowhere = SocketAddr::from(([127, 0, 0, 1], 1));
         let mut server = Self {
             address: nowhere,
-            path: None,
+            unix_endpoint: None,
             seen: Arc::default(),
             reply: Arc::new(reply),
         };
-        let endpoint = server.also(kind);
+        let endpoint = server.add_address(kind);
         if let Endpoint::Ip(address) = endpoint {
             server.address = address;
         }
@@ -88,7 +88,7 @@
 
     /// One more address of the same server.
     #[must_use]
-    pub fn also(&self, kind: Kind) -> Endpoint {
+    pub fn add_address(&self, kind: AddressFamily) -> Endpoint {
         let (listener, endpoint) = Listener::bind(kind);
         let (seen, reply) = (Arc::clone(&self.seen), Arc::clone(&self.reply));
         thread::spawn(move || {
@@ -96,7 +96,7 @@
                 let (seen, reply) = (Arc::clone(&seen), Arc::clone(&reply));
                 lock(&seen).opened += 1;
                 thread::spawn(move || {
-                    let held = stream.another();
+                    let held = stream.clone_handle();
                     Self::connection(stream, &seen, &*reply);
                     // A process that another test is about to start holds a copy of every socket for a moment, and with
                     // it open a connection that is merely dropped.
@@ -109,7 +109,7 @@
     }
 
     fn connection(mut stream: Stream, seen: &Mutex<Seen>, reply: &Replies) {
-        let mut input = BufReader::new(stream.another());
+        let mut input = BufReader::new(stream.clone_handle());
         while let Some(request) = Message::read(&mut input) {
             {
                 let mut seen = lock(seen);
@@ -121,35 +121,35 @@
                 }
             }
             match reply(&request) {
-                Reply::Say(text) => stream.write_all(&text).unwrap_or_default(),
-                Reply::SayAndClose(text) => return stream.write_all(&text).unwrap_or_default(),
-                Reply::SayThen(now, after, then) => {
+                Reply::Send(text) => stream.write_all(&text).unwrap_or_default(),
+                Reply::SendAndClose(text) => return stream.write_all(&text).unwrap_or_default(),
+                Reply::SendInTwoParts(now, after, then) => {
                     stream.write_all(&now).unwrap_or_default();
                     thread::sleep(after);
                     stream.write_all(&then).unwrap_or_default();
                 }
                 Reply::Close => return,
-                Reply::Silence => {}
+                Reply::NoResponse => {}
             }
         }
     }
 
     /// Counts what comes, and keeps none of it: for long runs.
     #[must_use]
-    pub fn quiet(self) -> Self {
+    pub fn without_recording(self) -> Self {
         lock(&self.seen).quiet = true;
         self
     }
 
     /// How many requests have come.
     #[must_use]
-    pub fn count(&self) -> usize {
+    pub fn request_count(&self) -> usize {
         lock(&self.seen).count
     }
 
     /// When the last request came.
     #[must_use]
-    pub fn last(&self) -> Option<Instant> {
+    pub fn last_request_at(&self) -> Option<Instant> {
         lock(&self.seen).last
     }
 
@@ -167,20 +167,20 @@
 
     /// Connections that have come.
     #[must_use]
-    pub fn opened(&self) -> usize {
+    pub fn accepted_connections(&self) -> usize {
         lock(&self.seen).opened
     }
 
     /// Connections that have ended.
     #[must_use]
-    pub fn closed(&self) -> usize {
+    pub fn closed_connections(&self) -> usize {
         lock(&self.seen).closed
     }
 
     /// Its entry in a list.
     #[must_use]
-    pub fn entry(&self, id: &str, lifecycle: &str) -> String {
-        crate::entry(id, self.address, lifecycle)
+    pub fn endpoint_entry(&self, id: &str, lifecycle: &str) -> String {
+        crate::endpoint_entry(id, self.address, lifecycle)
     }
 }
 
@@ -199,7 +199,7 @@
     /// Takes an address.
     #[must_use]
     #[allow(clippy::new_without_default)]
-    pub fn start() -> Self {
+    pub fn reserve() -> Self {
         let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
         let stream =
             TcpStream::connect(listener.local_addr().expect("an address")).expect("a connection");
--- a/crates/testkit/src/socket.rs
+++ b/crates/testkit/src/socket.rs
@@ -12,7 +12,7 @@
 
 /// A kind of address.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Kind {
+pub enum AddressFamily {
     /// 127.0.0.1.
     V4,
     /// \[`::1`\].
@@ -21,10 +21,10 @@
     Unix,
 }
 
-impl Kind {
+impl AddressFamily {
     /// All that this machine has: on some IPv6 is off.
     #[must_use]
-    pub fn all() -> Vec<Self> {
+    pub fn available() -> Vec<Self> {
         if TcpListener::bind("[::1]:0").is_err() {
             eprintln!("this machine has no IPv6: what concerns it is not tested");
             return vec![Self::V4, Self::Unix];
@@ -34,8 +34,8 @@
 
     /// IPv6, or IPv4 on a machine that has none.
     #[must_use]
-    pub fn second() -> Self {
-        Self::all()
+    pub fn ipv6_or_ipv4() -> Self {
+        Self::available()
             .get(1)
             .copied()
             .filter(|kind| *kind == Self::V6)
@@ -45,9 +45,9 @@
     /// The kind that [`crate::Server::start`] and [`crate::Node::with`] use, from the variable
     /// `SILVERTHREAD_TEST_KIND` (`v4`, `v6`, `unix`): the tests that use them run unchanged over each.
     #[must_use]
-    pub fn of_the_run() -> Self {
+    pub fn from_environment() -> Self {
         match std::env::var("SILVERTHREAD_TEST_KIND").as_deref() {
-            Ok("v6") => Self::second(),
+            Ok("v6") => Self::ipv6_or_ipv4(),
             Ok("unix") => Self::Unix,
             Ok("v4") | Err(_) => Self::V4,
             Ok(other) => panic!("there is no kind {other:?}"),
@@ -90,11 +90,11 @@
 impl Listener {
     /// Listens on a free address of a kind.
     #[must_use]
-    pub fn bind(kind: Kind) -> (Self, Endpoint) {
+    pub fn bind(kind: AddressFamily) -> (Self, Endpoint) {
         let any = match kind {
-            Kind::V4 => "127.0.0.1:0",
-            Kind::V6 => "[::1]:0",
-            Kind::Unix => {
+            AddressFamily::V4 => "127.0.0.1:0",
+            AddressFamily::V6 => "[::1]:0",
+            AddressFamily::Unix => {
                 let folder = tempfile::tempdir().expect("a folder");
                 let path = folder.path().join("s");
                 let listener = UnixListener::bind(&path).expect("a path of its own");
@@ -146,7 +146,7 @@
 
     /// Another handle of it.
     #[must_use]
-    pub fn another(&self) -> Self {
+    pub fn clone_handle(&self) -> Self {
         match self {
             Self::Tcp(stream) => Self::Tcp(stream.try_clone().expect("a socket")),
             Self::Unix(stream) => Self::Unix(stream.try_clone().expect("a socket")),
--- a/examples/demo.rs
+++ b/examples/demo.rs
@@ -10,7 +10,7 @@
 use silverthread::node::config::Config;
 use silverthread::node::{run, NodeOptions};
 use testkit::consul::{Consul, Instance};
-use testkit::{config, list, settings, Discovery, Load, Reply, Server};
+use testkit::{config, endpoint_list, settings, Discovery, Load, Reply, Server};
 
 const SERVERS: usize = 5;
 const CLIENTS: usize = 4;
@@ -21,7 +21,7 @@
 
 fn main() -> Result<(), Box<dyn std::error::Error>> {
     let servers: Vec<_> = (0..SERVERS)
-        .map(|_| Server::start(|_| Reply::ok("rooms: 3\n")).quiet())
+        .map(|_| Server::start(|_| Reply::ok("rooms: 3\n")).without_recording())
         .collect();
     let consul = Consul::start();
     for (at, server) in servers.iter().enumerate() {
@@ -32,12 +32,12 @@
     let entries: Vec<_> = servers
         .iter()
         .enumerate()
-        .map(|(at, s)| s.entry(&format!("s-{at}"), "ready"))
+        .map(|(at, s)| s.endpoint_entry(&format!("s-{at}"), "ready"))
         .collect();
     let address = TcpListener::bind("127.0.0.1:0")?.local_addr()?;
     let text = config(
         discovery.address,
-        &list(1, true, &entries),
+        &endpoint_list(1, true, &entries),
         &settings(15_000),
     );
     let config = Config {
@@ -61,10 +61,10 @@
         .enable_all()
         .build()?;
     runtime.block_on(watch(&load, &servers, &consul));
-    let totals = load.end();
+    let totals = load.finish();
     println!(
         "{} requests, {} lost, answers {:?}",
-        totals.sent, totals.lost, totals.answers
+        totals.sent, totals.lost, totals.responses
     );
     println!("the node shuts down ...");
     node.join().map_err(|_| "the node panicked")??;
@@ -99,7 +99,7 @@
             consul.set_maintenance(&format!("s-{}", at % SERVERS), true);
         }
         let totals = load.totals();
-        let now: Vec<_> = servers.iter().map(Server::count).collect();
+        let now: Vec<_> = servers.iter().map(Server::request_count).collect();
         let each: Vec<_> = now
             .iter()
             .zip(&before.1)
@@ -108,7 +108,7 @@
         println!(
             "{second:>4} s: {:>5} requests/s, p99 {:.1} ms, lost {}, by server {each:?}, draining s-{}",
             totals.sent - before.0,
-            totals.quantile(0.99).as_secs_f64() * 1e3,
+            totals.latency_quantile(0.99).as_secs_f64() * 1e3,
             totals.lost,
             second / DRAIN_INTERVAL_S % SERVERS
         );
--- a/src/node/upstream/http1/metered/tests.rs
+++ b/src/node/upstream/http1/metered/tests.rs
@@ -19,7 +19,7 @@
         .write_all(b"HTTP/1.1 200 OK\r\n")
         .expect("an open connection");
     // The event loop runs on this thread and has not been polled since.
-    testkit::until("the bytes have arrived", || {
+    testkit::wait_until("the bytes have arrived", || {
         metered.stream.pending_input() == PendingInput::Bytes
     });
     let mut cx = Context::from_waker(Waker::noop());
--- a/src/node/upstream/servers/tests.rs
+++ b/src/node/upstream/servers/tests.rs
@@ -23,7 +23,7 @@
 fn servers(address: SocketAddr) -> Rc<Servers> {
     let text = testkit::config(
         address,
-        &testkit::list(1, true, &[]),
+        &testkit::endpoint_list(1, true, &[]),
         &testkit::settings(15_000),
     );
     let servers = Servers::new(
@@ -167,7 +167,7 @@
 }
 
 async fn check_break_within_request() {
-    for (kind, closes) in testkit::Kind::all()
+    for (kind, closes) in testkit::AddressFamily::available()
         .into_iter()
         .flat_map(|kind| [(kind, true), (kind, false)])
     {
@@ -208,7 +208,7 @@
             .await
             .expect("the attempt continues by the other address");
         assert_eq!(
-            (outcome.result, up.count()),
+            (outcome.result, up.request_count()),
             (AttemptResult::Served, 1),
             "{kind:?}, closes: {closes}"
         );
--- a/src/node/upstream/stream/tests.rs
+++ b/src/node/upstream/stream/tests.rs
@@ -26,13 +26,13 @@
     for (stream, mut server) in pairs().await {
         assert_eq!(stream.pending_input(), PendingInput::None, "{stream:?}");
         server.write_all(b"x").expect("an open connection");
-        testkit::until("the bytes have arrived", || {
+        testkit::wait_until("the bytes have arrived", || {
             stream.pending_input() == PendingInput::Bytes
         });
     }
     for (stream, server) in pairs().await {
         drop(server);
-        testkit::until("the close has arrived", || {
+        testkit::wait_until("the close has arrived", || {
             stream.pending_input() == PendingInput::Closed
         });
     }
--- a/tests/addresses.rs
+++ b/tests/addresses.rs
@@ -7,8 +7,8 @@
 
 use testkit::link::{Fault, Link, Plan};
 use testkit::{
-    answer, config, list, post, read, settings, until, Client, Discovery, Endpoint, Kind, Node,
-    Reply, Server,
+    config, endpoint_list, post_request, read_request, response, settings, wait_until,
+    AddressFamily, Client, Discovery, Endpoint, Node, Reply, Server,
 };
 
 /// An operator configuration in which each server has these addresses alone, preferred in this order.
@@ -31,7 +31,7 @@
     let nowhere = "127.0.0.1:1".parse().expect("an address");
     let entries: Vec<_> = servers
         .iter()
-        .map(|(id, _)| testkit::entry(id, nowhere, "ready"))
+        .map(|(id, _)| testkit::endpoint_entry(id, nowhere, "ready"))
         .collect();
     let settings = settings(deadline_ms)
         .replace(
@@ -39,9 +39,13 @@
             &format!("\"max_attempts\":{attempts}"),
         )
         .replace("\"dial_timeout_ms\":2000.0", "\"dial_timeout_ms\":800.0");
-    let config = config(discovery.address, &list(1, true, &entries), &settings);
+    let config = config(
+        discovery.address,
+        &endpoint_list(1, true, &entries),
+        &settings,
+    );
     (
-        Node::start_with(&config, Some(&operators(servers))),
+        Node::start_with_operators_file(&config, Some(&operators(servers))),
         discovery,
     )
 }
@@ -52,7 +56,7 @@
 
 /// An idempotent request with an idempotency key of its own.
 fn idempotent_post(id: &str) -> String {
-    post(id, "hold", &format!("Idempotency-Key: {id}\r\n"), "x")
+    post_request(id, "hold", &format!("Idempotency-Key: {id}\r\n"), "x")
 }
 
 /// How often each request id arrived completely, over all addresses of all servers.
@@ -68,32 +72,36 @@
 
 #[test]
 fn server_on_each_address_family_serves_over_one_connection() {
-    for kind in Kind::all() {
+    for kind in AddressFamily::available() {
         let (server, endpoint) = Server::start_on(kind, ok);
         let (node, _discovery) = node(&[("s-0", &[endpoint.to_string()])], 2_000, 1);
         for (at, text) in [
-            read("1", "900m"),
+            read_request("1", "900m"),
             idempotent_post("2"),
-            post("3", "pay", "", "x"),
+            post_request("3", "pay", "", "x"),
         ]
         .iter()
         .enumerate()
         {
-            assert_eq!(node.ask(text).status(), 200, "{kind:?}, {at}");
+            assert_eq!(node.request(text).status(), 200, "{kind:?}, {at}");
         }
-        assert_eq!(server.count(), 3);
-        assert_eq!(server.opened(), 1, "one connection carries them");
+        assert_eq!(server.request_count(), 3);
+        assert_eq!(
+            server.accepted_connections(),
+            1,
+            "one connection carries them"
+        );
     }
 }
 
 /// To the balancer all addresses are one server, and its only attempt may use any of them.
 #[test]
 fn address_that_is_down_costs_no_attempt_while_another_is_up() {
-    let (server, up) = Server::start_on(Kind::second(), ok);
+    let (server, up) = Server::start_on(AddressFamily::ipv6_or_ipv4(), ok);
     let folder = tempfile::tempdir().expect("a folder");
     let file = folder.path().join("file");
     std::fs::write(&file, "no socket").expect("a file");
-    let down = testkit::Unreachable::start();
+    let down = testkit::Unreachable::reserve();
     let addresses = [
         format!("unix:{}", folder.path().join("missing").display()),
         format!("unix:{}", file.display()),
@@ -103,12 +111,13 @@
     let (node, _discovery) = node(&[("s-0", &addresses)], 2_000, 1);
     for id in 0..10 {
         assert_eq!(
-            node.ask(&post(&id.to_string(), "pay", "", "x")).status(),
+            node.request(&post_request(&id.to_string(), "pay", "", "x"))
+                .status(),
             200,
             "{id}"
         );
     }
-    assert_eq!(server.count(), 10);
+    assert_eq!(server.request_count(), 10);
     let reported = node
         .log()
         .iter()
@@ -121,8 +130,8 @@
 /// and is not sent by the other address; its client gets a response within its deadline.
 #[test]
 fn request_that_may_have_run_is_not_retried_by_another_address() {
-    for kind in Kind::all() {
-        let (server, up) = Server::start_on(Kind::V4, ok);
+    for kind in AddressFamily::available() {
+        let (server, up) = Server::start_on(AddressFamily::V4, ok);
         for byte in [0, 60, 100_000] {
             let fault = if byte == 100_000 {
                 Plan::sound()
@@ -135,14 +144,14 @@
             let (node, _discovery) =
                 node(&[("s-0", &[stalled.to_string(), up.to_string()])], 300, 1);
             for text in [
-                post("1", "pay", "", "x"),
+                post_request("1", "pay", "", "x"),
                 idempotent_post("2"),
-                read("3", "250m"),
+                read_request("3", "250m"),
             ] {
-                let before = server.count();
-                assert_ne!(node.ask(&text).status(), 200, "{kind:?}, {byte}");
+                let before = server.request_count();
+                assert_ne!(node.request(&text).status(), 200, "{kind:?}, {byte}");
                 assert!(
-                    server.count() - before <= usize::from(byte == 100_000),
+                    server.request_count() - before <= usize::from(byte == 100_000),
                     "{kind:?}, {byte}"
                 );
             }
@@ -187,24 +196,32 @@
     let closes = request
         .header("req-id")
         .is_some_and(|id| id.ends_with(['0', '2', '4', '6', '8']));
-    let answer = answer("200 OK", "", "yes");
+    let answer = response("200 OK", "", "yes");
     if closes {
-        Reply::SayAndClose(answer)
+        Reply::SendAndClose(answer)
     } else {
-        Reply::Say(answer)
+        Reply::Send(answer)
     }
 }
 
 fn start_faulty_servers(count: usize) -> FaultyServers {
     let (mut servers, mut links, mut addresses) = (Vec::new(), Vec::new(), Vec::new());
     for index in 0..count {
-        let (server, first) = Server::start_on(Kind::V4, close_after_every_other);
-        let own = [first, server.also(Kind::second()), server.also(Kind::Unix)];
+        let (server, first) = Server::start_on(AddressFamily::V4, close_after_every_other);
+        let own = [
+            first,
+            server.add_address(AddressFamily::ipv6_or_ipv4()),
+            server.add_address(AddressFamily::Unix),
+        ];
         let mut listed = Vec::new();
-        for (nth, (kind, to)) in [Kind::V4, Kind::second(), Kind::Unix]
-            .into_iter()
-            .zip(own)
-            .enumerate()
+        for (nth, (kind, to)) in [
+            AddressFamily::V4,
+            AddressFamily::ipv6_or_ipv4(),
+            AddressFamily::Unix,
+        ]
+        .into_iter()
+        .zip(own)
+        .enumerate()
         {
             let seed = (index * 10 + nth) as u64;
             let (link, endpoint): (Link, Endpoint) =
@@ -231,11 +248,11 @@
         let id = format!("{client}-{number}");
         let text = match number % 3 {
             0 => idempotent_post(&id),
-            1 => post(&id, "pay", "", "x"),
-            _ => read(&id, "140m"),
+            1 => post_request(&id, "pay", "", "x"),
+            _ => read_request(&id, "140m"),
         };
         connection.send(&text);
-        let answer = connection.answer().expect("exactly one answer");
+        let answer = connection.read_response().expect("exactly one answer");
         answered += 1;
         served += u64::from(answer.status() == 200);
     }
@@ -300,9 +317,12 @@
 /// addresses, one address loses its server.
 #[test]
 fn address_changes_under_load_lose_and_duplicate_no_request() {
-    let (first, v4) = Server::start_on(Kind::V4, ok);
-    let (v6, path) = (first.also(Kind::second()), first.also(Kind::Unix));
-    let (second, other) = Server::start_on(Kind::V4, ok);
+    let (first, v4) = Server::start_on(AddressFamily::V4, ok);
+    let (v6, path) = (
+        first.add_address(AddressFamily::ipv6_or_ipv4()),
+        first.add_address(AddressFamily::Unix),
+    );
+    let (second, other) = Server::start_on(AddressFamily::V4, ok);
     let endpoints = [v4, v6, path, other];
     let [v4, v6, path, other] = endpoints.each_ref().map(ToString::to_string);
     let own = [v4.clone(), v6.clone(), path.clone()];
@@ -322,22 +342,27 @@
         (own.to_vec(), one(&other)),
     ];
     for (nth, (zero, one)) in lists.iter().cycle().take(15).enumerate() {
-        node.reload_operators(&operators(&[
+        node.reload_operators_file(&operators(&[
             ("s-0", zero.as_slice()),
             ("s-1", one.as_slice()),
         ]));
-        let before = first.count() + second.count();
-        until("requests are served again", || {
-            first.count() + second.count() > before + 20
+        let before = first.request_count() + second.request_count();
+        wait_until("requests are served again", || {
+            first.request_count() + second.request_count() > before + 20
         });
         assert!(
             !node.log().iter().any(|line| line.contains("not used")),
             "list {nth}"
         );
     }
-    let totals = load.end();
+    let totals = load.finish();
     assert_eq!(totals.lost, 0);
-    assert_eq!(totals.of(200), totals.sent, "{:?}", totals.answers);
+    assert_eq!(
+        totals.with_status(200),
+        totals.sent,
+        "{:?}",
+        totals.responses
+    );
     let arrivals = arrivals([&first, &second]);
     assert!(
         arrivals.values().all(|times| *times == 1),
@@ -353,15 +378,18 @@
     let address = format!("unix:{}", path.display());
     let (node, _discovery) = node(&[("s-0", &[address])], 2_000, 1);
     for round in 0..3 {
-        let closing = |_: &testkit::Message| Reply::SayAndClose(answer("200 OK", "", ""));
-        let (server, endpoint) = Server::start_on(Kind::Unix, closing);
+        let closing = |_: &testkit::Message| Reply::SendAndClose(response("200 OK", "", ""));
+        let (server, endpoint) = Server::start_on(AddressFamily::Unix, closing);
         let Endpoint::Unix(real, _) = &endpoint else {
             panic!("a path")
         };
         std::fs::rename(real, &path).expect("it takes the place of the previous one");
-        until("the new socket serves", || {
-            let answer = node.ask(&read(&format!("{round}-{}", server.count()), "900m"));
-            answer.status() == 200 && server.count() > 0
+        wait_until("the new socket serves", || {
+            let answer = node.request(&read_request(
+                &format!("{round}-{}", server.request_count()),
+                "900m",
+            ));
+            answer.status() == 200 && server.request_count() > 0
         });
         std::fs::remove_file(&path).expect("its file");
     }
--- a/tests/admin_interface.rs
+++ b/tests/admin_interface.rs
@@ -8,7 +8,9 @@
 use std::thread;
 
 use silverthread::node::admin::config_file::OperatorConfig;
-use testkit::{config, list, program, settings, write_config, Discovery, Fleet, Node};
+use testkit::{
+    config, endpoint_list, program_command, settings, write_temp_file, Discovery, Fleet, Node,
+};
 
 /// Every key of the operators' file, each with a value that is neither its default nor another key's.
 const EVERY_KEY: &str = include_str!("operators/every_key.toml");
@@ -77,7 +79,11 @@
 
 fn node_with_admin_address() -> (Node, Discovery) {
     let discovery = Discovery::start();
-    let text = config(discovery.address, &list(1, true, &[]), &settings(60_000));
+    let text = config(
+        discovery.address,
+        &endpoint_list(1, true, &[]),
+        &settings(60_000),
+    );
     let text = text.replace("\"listen\"", "\"control\":\"127.0.0.1:0\",\"listen\"");
     (Node::start(&text), discovery)
 }
@@ -100,7 +106,7 @@
 /// Runs a subcommand against a node that answers with `response`.
 fn run_against(response: &str, subcommand: &str, options: &[&str]) -> (String, Output) {
     let (address, request) = fake_node(response);
-    let output = program()
+    let output = program_command()
         .args([subcommand, "--at", &address])
         .args(options)
         .output()
@@ -151,7 +157,7 @@
         ),
         ("STATS\n", STATS_WITHOUT_CLUSTER),
     ] {
-        assert_eq!(node.call(command), response, "{command}");
+        assert_eq!(node.admin_command(command), response, "{command}");
     }
 }
 
@@ -160,32 +166,35 @@
     let mut fleet = Fleet::start(3, 11, CLUSTER);
     fleet.agree_within(std::time::Duration::from_secs(60));
     let node = fleet.node(0);
-    testkit::until("a shard is owned", || {
-        node.call("OWNERS\n").contains("\n0 n")
+    testkit::wait_until("a shard is owned", || {
+        node.admin_command("OWNERS\n").contains("\n0 n")
     });
     assert_eq!(
-        mask_numbers(&node.call("MEMBERS\n")),
+        mask_numbers(&node.admin_command("MEMBERS\n")),
         "self n# well # alive\nn# alive # # # #.#.#.#:#\nn# alive # # # #.#.#.#:#\nEOF\n"
     );
-    let owners = mask_numbers(&node.call("OWNERS\n"));
+    let owners = mask_numbers(&node.admin_command("OWNERS\n"));
     let free = "# - # # #\n";
     let owned = "# n# # # #\n";
     assert_eq!(
         owners.replace(free, owned),
         format!("self n# grants #\n{owned}{owned}EOF\n")
     );
-    assert_eq!(node.call("HINTS\n"), "self n0 0\nEOF\n");
+    assert_eq!(node.admin_command("HINTS\n"), "self n0 0\nEOF\n");
     assert_eq!(
-        node.call("GIVE 200 n1\n"),
+        node.admin_command("GIVE 200 n1\n"),
         "400 shard 200 is not owned here\n"
     );
-    let stats = mask_numbers(&node.call("STATS\n"));
+    let stats = mask_numbers(&node.admin_command("STATS\n"));
     let cluster_stats = stats.split_once("servers_excluded:#|g\n");
     assert_eq!(cluster_stats.map(|(_, rest)| rest), Some(CLUSTER_STATS));
-    testkit::until("an owner hands its shard over", || {
+    testkit::wait_until("an owner hands its shard over", || {
         (0..3).any(|owner| {
             let receiver = (owner + 1) % 3;
-            fleet.node(owner).call(&format!("GIVE 0 n{receiver}\n")) == "200 given\n"
+            fleet
+                .node(owner)
+                .admin_command(&format!("GIVE 0 n{receiver}\n"))
+                == "200 given\n"
         })
     });
 }
@@ -289,21 +298,21 @@
     let closed = TcpListener::bind("127.0.0.1:0").expect("a port");
     let address = closed.local_addr().expect("an address").to_string();
     drop(closed);
-    let output = program().args(["hints", "--at", &address]).output();
+    let output = program_command().args(["hints", "--at", &address]).output();
     let output = output.expect("it starts");
     assert_eq!(output.status.code(), Some(1));
 }
 
 #[test]
 fn node_that_cannot_start_exits_with_these_codes() {
-    let output = program().output().expect("it starts");
+    let output = program_command().output().expect("it starts");
     assert_eq!(output.status.code(), Some(1), "no ROUTER_CONFIG");
     let fleet = Fleet::prepare(1, 12, "probe_ms = 200\nsuspect_ms = 1000\n");
     let without_peers = fleet
         .config(0)
         .replace("\"peer_listen\"", "\"peer_listen_\"");
-    let files = [without_peers.as_str(), fleet.operators(0)].map(write_config);
-    let output = program()
+    let files = [without_peers.as_str(), fleet.operators_file(0)].map(write_temp_file);
+    let output = program_command()
         .env("ROUTER_CONFIG", &files[0])
         .arg("--config")
         .arg(&files[1])
@@ -380,8 +389,8 @@
     let parsed = OperatorConfig::parse(Path::new("file"), EVERY_KEY).expect("sound");
     assert_eq!(parsed.summary(), ["consul \"dc2\": service \"stays\" through 2 agents, names servers", "consul \"by-address\": service \"by-address\" through 1 agents, advises on the roster's servers", "2 addresses of 1 servers", "cluster \"stays\": 2 peers, probed every 501 ms", "leases of 65 shards, granted by acceptors k0, k1, k2 (set 5), 2504 ms long", "outlier detection: 4 nodes have to report a server, reports every 1001 ms"]);
     assert!(OperatorConfig::default().summary().is_empty());
-    let empty = write_config("");
-    let output = program().arg("check").arg(&empty).output();
+    let empty = write_temp_file("");
+    let output = program_command().arg("check").arg(&empty).output();
     let output = output.expect("it starts");
     assert_eq!(stdout(&output), format!("{}: valid\n", empty.display()));
     std::fs::remove_file(empty).expect("the test's own");
--- a/tests/clients.rs
+++ b/tests/clients.rs
@@ -14,8 +14,12 @@
 /// A node with few places for clients, and a list of no servers.
 fn small_node() -> (Node, Discovery) {
     let discovery = Discovery::start();
-    let text =
-        config(discovery.address, &list(1, true, &[]), &settings(15_000)).replace("1024", "16");
+    let text = config(
+        discovery.address,
+        &endpoint_list(1, true, &[]),
+        &settings(15_000),
+    )
+    .replace("1024", "16");
     (Node::start(&text), discovery)
 }
 
@@ -23,10 +27,10 @@
 #[test]
 fn request_with_ambiguous_length_is_rejected_and_nothing_after_it_is_read() {
     let server = Server::start(|_| Reply::ok("yes"));
-    let (node, _discovery, _watch) = Node::with(&[&server], 15_000);
-    let hidden = read("hidden", "15000m");
+    let (node, _discovery, _watch) = Node::start_with_servers(&[&server], 15_000);
+    let hidden = read_request("hidden", "15000m");
     let with = |headers: &str| {
-        let whole = post("a", "pay", "", "");
+        let whole = post_request("a", "pay", "", "");
         format!(
             "{}{hidden}",
             whole.replace(
@@ -50,7 +54,7 @@
         let mut client = node.connect();
         client.send(&with(headers));
         assert_eq!(
-            client.answer().expect("an answer").status(),
+            client.read_response().expect("an answer").status(),
             400,
             "{headers}"
         );
@@ -60,7 +64,7 @@
     // Where only its end shows how long a body is, it is the last thing read.
     let mut client = node.connect();
     client.send(&with("Transfer-Encoding: chunked"));
-    assert_eq!(client.answer().expect("an answer").status(), 200);
+    assert_eq!(client.read_response().expect("an answer").status(), 200);
     assert!(client.is_closed());
     assert_eq!(server.requests().len(), 1);
 }
@@ -68,8 +72,8 @@
 #[test]
 fn request_with_repeated_or_invalid_headers_is_rejected() {
     let server = Server::start(|_| Reply::ok("yes"));
-    let (node, _discovery, _watch) = Node::with(&[&server], 15_000);
-    let good = read("a", "480m");
+    let (node, _discovery, _watch) = Node::start_with_servers(&[&server], 15_000);
+    let good = read_request("a", "480m");
     let twice = |header: &str| good.replace("Req-Id", &format!("{header}\r\nReq-Id"));
     let mut cases: Vec<_> = ["Req-Id: a", "Req-Kind: read", "Req-Deadline: 480m"]
         .into_iter()
@@ -78,8 +82,8 @@
     cases.push(twice("Req-Retry: 1\r\nReq-Retry: 1"));
     cases.push(good.replace("Req-Id: a", "Req-Id: "));
     cases.push(good.replace("Req-Id: a", "Req-Id: \u{e9}"));
-    cases.push(post("a", "hold", "Idempotency-Key: \r\n", "x"));
-    cases.push(post(
+    cases.push(post_request("a", "hold", "Idempotency-Key: \r\n", "x"));
+    cases.push(post_request(
         "a",
         "hold",
         "Idempotency-Key: 5\r\nIdempotency-Key: 5\r\n",
@@ -100,7 +104,7 @@
         cases.push(good.replace("480m", deadline));
     }
     for request in cases {
-        assert_eq!(node.ask(&request).status(), 400, "{request}");
+        assert_eq!(node.request(&request).status(), 400, "{request}");
     }
     assert!(server.requests().is_empty());
 }
@@ -111,29 +115,33 @@
     let open = Arc::new(AtomicBool::new(false));
     let gate = Arc::clone(&open);
     let server = Server::start(move |_| {
-        until("the gate opens", || gate.load(Ordering::SeqCst));
+        wait_until("the gate opens", || gate.load(Ordering::SeqCst));
         Reply::ok("yes")
     });
-    let (node, _discovery, _watch) = Node::with(&[&server], 15_000);
+    let (node, _discovery, _watch) = Node::start_with_servers(&[&server], 15_000);
     let mut first = node.connect();
-    first.send(&read("a", "15000m"));
-    until("it was sent", || server.requests().len() == 1);
-    assert_eq!(node.ask(&read("a", "15000m")).status(), 409);
+    first.send(&read_request("a", "15000m"));
+    wait_until("it was sent", || server.requests().len() == 1);
+    assert_eq!(node.request(&read_request("a", "15000m")).status(), 409);
     open.store(true, Ordering::SeqCst);
-    assert_eq!(first.answer().expect("an answer").status(), 200);
-    assert_eq!(node.ask_until_taken(&read("a", "15000m")).status(), 200);
+    assert_eq!(first.read_response().expect("an answer").status(), 200);
+    assert_eq!(
+        node.request_until_accepted(&read_request("a", "15000m"))
+            .status(),
+        200
+    );
 }
 
 /// Clients that send nothing, or a part of a request, may not hold a connection for long.
 #[test]
 fn client_with_incomplete_request_is_disconnected() {
     let (node, _discovery) = small_node();
-    let whole = post("a", "pay", "", "xx");
+    let whole = post_request("a", "pay", "", "xx");
     let (mut silent, mut half, mut body) = (node.connect(), node.connect(), node.connect());
     half.send(&whole[..whole.len() / 2]);
     body.send(&whole[..whole.len() - 1]);
     let start = Instant::now();
-    assert_eq!(body.answer().expect("an answer").status(), 408);
+    assert_eq!(body.read_response().expect("an answer").status(), 408);
     assert!(silent.is_closed() && half.is_closed() && body.is_closed());
     assert!(
         start.elapsed() < Duration::from_secs(12),
@@ -154,7 +162,7 @@
         .collect();
     let mut client = node.connect();
     client.send("GET /up HTTP/1.1\r\nHost: a\r\n\r\n");
-    assert_eq!(client.answer().expect("an answer").status(), 200);
+    assert_eq!(client.read_response().expect("an answer").status(), 200);
     assert!(crowd.iter_mut().all(Client::is_closed));
 }
 
@@ -163,13 +171,17 @@
 fn oversized_request_receives_its_rejection() {
     let (node, _discovery) = small_node();
     let large = "x".repeat(1 << 20);
-    let told = post("a", "pay", "", "").replace("Content-Length: 0", "Content-Length: 60000000");
+    let told =
+        post_request("a", "pay", "", "").replace("Content-Length: 0", "Content-Length: 60000000");
     for request in [format!("{told}{large}"), format!("nonsense\r\n\r\n{large}")] {
         let mut client = node.connect();
         client.send(&request);
-        let status = client.answer().expect("an answer").status();
+        let status = client.read_response().expect("an answer").status();
         assert!(status == 413 || status == 400, "{status}");
-        assert!(client.ends_in_order(), "no reset overtakes the answer");
+        assert!(
+            client.is_closed_without_reset(),
+            "no reset overtakes the answer"
+        );
     }
 }
 
@@ -178,7 +190,7 @@
 /// Sends a request; returns whether the connection may be used again.
 fn send_and_check_keep_alive(client: &mut Client) -> bool {
     client.send(UP);
-    let answer = client.answer().expect("it is open");
+    let answer = client.read_response().expect("it is open");
     assert_eq!(answer.status(), 200);
     answer.header("connection") != Some("close")
 }
@@ -252,9 +264,9 @@
 /// lost.
 #[test]
 fn new_connection_gets_slot_from_next_response() {
-    let server = Server::start(|_| Reply::ok("yes")).quiet();
+    let server = Server::start(|_| Reply::ok("yes")).without_recording();
     let discovery = Discovery::start();
-    let known = list(1, true, &[server.entry("s-0", "ready")]);
+    let known = endpoint_list(1, true, &[server.endpoint_entry("s-0", "ready")]);
     let node =
         Node::start(&config(discovery.address, &known, &settings(15_000)).replace("1024", "16"));
     record_reused_connections(&node);
@@ -262,9 +274,9 @@
     for _ in 0..10 {
         let mut newcomer = node.connect();
         newcomer.send(UP);
-        assert_eq!(newcomer.answer().expect("a place").status(), 200);
+        assert_eq!(newcomer.read_response().expect("a place").status(), 200);
     }
-    let totals = load.end();
+    let totals = load.finish();
     assert_eq!(totals.lost, 0, "of {} that were sent", totals.sent);
 }
 
@@ -273,12 +285,13 @@
 #[test]
 fn busy_connections_near_limit_lose_no_request() {
     let servers: Vec<_> = (0..4)
-        .map(|_| Server::start(|_| Reply::ok("yes")).quiet())
+        .map(|_| Server::start(|_| Reply::ok("yes")).without_recording())
         .collect();
-    let (node, _discovery, _watch) = Node::with(&servers.iter().collect::<Vec<_>>(), 15_000);
+    let (node, _discovery, _watch) =
+        Node::start_with_servers(&servers.iter().collect::<Vec<_>>(), 15_000);
     let load = Load::start(node.address, 300, Duration::from_millis(200));
     std::thread::sleep(Duration::from_secs(3));
-    let totals = load.end();
+    let totals = load.finish();
     assert!(totals.sent > 600, "{} were sent", totals.sent);
     assert_eq!(totals.lost, 0, "of {} that were sent", totals.sent);
 }
@@ -294,7 +307,7 @@
         crowd.extend((0..20).map(|_| node.connect()));
         std::thread::sleep(Duration::from_millis(40)); // Far less than what makes it one that has stopped.
     }
-    assert_eq!(slow.answer().expect("an answer").status(), 200);
+    assert_eq!(slow.read_response().expect("an answer").status(), 200);
     let gone = crowd
         .iter_mut()
         .take(80)
--- a/tests/close_range.rs
+++ b/tests/close_range.rs
@@ -26,23 +26,23 @@
 /// than the node may live.
 #[test]
 fn requests_accepted_before_sigterm_are_answered_before_exit() {
-    let server = Server::start(|_| Reply::Silence);
-    let (mut node, _discovery, _watch) = Node::with(&[&server], 15_000);
+    let server = Server::start(|_| Reply::NoResponse);
+    let (mut node, _discovery, _watch) = Node::start_with_servers(&[&server], 15_000);
     let requests = [
-        read("safe", "15000m"),
-        post("keyed", "hold", "Idempotency-Key: 5c0f\r\n", "x"),
-        post("unsafe", "pay", "", "x"),
+        read_request("safe", "15000m"),
+        post_request("keyed", "hold", "Idempotency-Key: 5c0f\r\n", "x"),
+        post_request("unsafe", "pay", "", "x"),
     ];
     let mut clients: Vec<_> = requests.iter().map(|_| node.connect()).collect();
     for (client, request) in clients.iter_mut().zip(&requests) {
         client.send(request);
     }
-    until("all are out", || server.requests().len() == 3);
+    wait_until("all are out", || server.requests().len() == 3);
     let told = Instant::now();
     node.terminate();
     let answers: Vec<_> = clients
         .iter_mut()
-        .map(|client| client.answer().expect("a whole answer"))
+        .map(|client| client.read_response().expect("a whole answer"))
         .collect();
     assert!(told.elapsed() < MAX_EXIT_TIME, "{:?}", told.elapsed());
     assert_eq!(
@@ -50,7 +50,7 @@
         502,
         "an unsafe request that may have run has failed"
     );
-    assert!(clients.iter_mut().all(Client::ends_in_order));
+    assert!(clients.iter_mut().all(Client::is_closed_without_reset));
     assert_eq!(node.wait().code(), Some(0));
     assert_eq!(server.requests().len(), 3, "nothing was sent again so late");
 }
@@ -62,7 +62,7 @@
 /// served, though nobody reads what it sent. Its attempt is cancelled, which the server sees.
 #[test]
 fn client_with_pipelined_bytes_is_detected_as_gone() {
-    let next = read("next", "15000m");
+    let next = read_request("next", "15000m");
     let more = [
         String::new(),
         next.clone(),
@@ -70,17 +70,19 @@
         next.repeat(FLOOD_BYTES / next.len()),
     ];
     for (more, half_closes) in more.iter().flat_map(|more| [(more, false), (more, true)]) {
-        let server = Server::start(|_| Reply::Silence);
+        let server = Server::start(|_| Reply::NoResponse);
         // Its time is longer than anything here is waited for.
-        let (node, _discovery, _watch) = Node::with(&[&server], 600_000);
+        let (node, _discovery, _watch) = Node::start_with_servers(&[&server], 600_000);
         let mut client = node.connect();
-        client.send(&format!("{}{more}", read("first", "600000m")));
-        until("its attempt is out", || server.requests().len() == 1);
-        assert_eq!(server.closed(), 0);
+        client.send(&format!("{}{more}", read_request("first", "600000m")));
+        wait_until("its attempt is out", || server.requests().len() == 1);
+        assert_eq!(server.closed_connections(), 0);
         // One that ends its sending has gone, too: the page knows no other way to leave.
-        let held = half_closes.then(|| client.end_sending());
+        let held = half_closes.then(|| client.shutdown_write());
         let held = held.map(|()| client);
-        until("its attempt is given up", || server.closed() == 1);
+        wait_until("its attempt is given up", || {
+            server.closed_connections() == 1
+        });
         drop(held);
         assert_eq!(
             server.requests().len(),
@@ -94,8 +96,8 @@
 #[test]
 fn pipelined_requests_are_served_after_the_response() {
     let server = Server::start(|_| Reply::ok("yes"));
-    let (node, _discovery, _watch) = Node::with(&[&server], 15_000);
-    let second = post("second", "hold", "Idempotency-Key: 5c0f\r\n", "a body");
+    let (node, _discovery, _watch) = Node::start_with_servers(&[&server], 15_000);
+    let second = post_request("second", "hold", "Idempotency-Key: 5c0f\r\n", "a body");
     for cut in [
         0,
         1,
@@ -105,16 +107,24 @@
         second.len(),
     ] {
         let mut client = node.connect();
-        client.send(&format!("{}{}", read("first", "15000m"), &second[..cut]));
+        client.send(&format!(
+            "{}{}",
+            read_request("first", "15000m"),
+            &second[..cut]
+        ));
         assert_eq!(
-            client.answer().expect("an answer").status(),
+            client.read_response().expect("an answer").status(),
             200,
             "cut at {cut}"
         );
-        client.send(&format!("{}{}", &second[cut..], read("third", "15000m")));
+        client.send(&format!(
+            "{}{}",
+            &second[cut..],
+            read_request("third", "15000m")
+        ));
         for _ in 0..2 {
             assert_eq!(
-                client.answer().expect("an answer").status(),
+                client.read_response().expect("an answer").status(),
                 200,
                 "cut at {cut}"
             );
@@ -140,8 +150,8 @@
     }
 
     fn with(server: Server) -> Self {
-        let known = list(1, true, &[server.entry("s-0", "ready")]);
-        let text = config(Unreachable::start().address, &known, &settings(60_000));
+        let known = endpoint_list(1, true, &[server.endpoint_entry("s-0", "ready")]);
+        let text = config(Unreachable::reserve().address, &known, &settings(60_000));
         let runtime = tokio::runtime::Builder::new_current_thread()
             .enable_all()
             .build()
@@ -184,7 +194,7 @@
     fn run_until(&self, what: &str, mut so: impl FnMut() -> bool) {
         let since = Instant::now();
         while !so() {
-            assert!(since.elapsed() < PATIENCE, "{what}");
+            assert!(since.elapsed() < WAIT_TIMEOUT, "{what}");
             self.run_event_loop(1);
         }
     }
@@ -231,7 +241,7 @@
 
     fn shut_down(&self) {
         self.phase
-            .send_replace(Phase::ShuttingDown(Instant::now() + 3 * PATIENCE));
+            .send_replace(Phase::ShuttingDown(Instant::now() + 3 * WAIT_TIMEOUT));
     }
 }
 
@@ -239,7 +249,7 @@
 /// completely, on an idle connection and on a silent one, whichever the event loop handles first.
 #[test]
 fn request_in_turn_of_shutdown_is_answered() {
-    let request = read("crossing", "15000m");
+    let request = read_request("crossing", "15000m");
     for rested in [true, false] {
         for ahead in [0, 1, request.len() / 2, request.len() - 1, request.len()] {
             let node = InProcessNode::start();
@@ -282,14 +292,14 @@
 #[test]
 fn backlogged_connection_and_slow_upload_are_answered_at_shutdown() {
     let node = InProcessNode::start();
-    let whole = post("slow", "hold", "Idempotency-Key: 5c0f\r\n", "five rooms");
+    let whole = post_request("slow", "hold", "Idempotency-Key: 5c0f\r\n", "five rooms");
     let mut slow = node.connect();
     slow.write_all(&whole.as_bytes()[..whole.len() - 5])
         .expect("an open connection");
     node.run_event_loop(5);
     let mut queued = node.connect();
     queued
-        .write_all(read("queued", "15000m").as_bytes())
+        .write_all(read_request("queued", "15000m").as_bytes())
         .expect("an open connection");
     node.shut_down();
     let (answer, in_order) = node.read_to_end(&mut queued);
@@ -318,26 +328,26 @@
 #[test]
 fn request_accepted_just_before_shutdown_deadline_is_answered_by_it() {
     const LEFT: Duration = Duration::from_millis(300);
-    let node = InProcessNode::with(Server::start(|_| Reply::Silence));
+    let node = InProcessNode::with(Server::start(|_| Reply::NoResponse));
     let mut clients = [node.connect(), node.connect(), node.connect()];
     node.make_idle(&mut clients[0]);
     let by = Instant::now() + LEFT;
     node.phase.send_replace(Phase::Draining(by));
     clients[0]
-        .write_all(post("kept", "pay", "", "x").as_bytes())
+        .write_all(post_request("kept", "pay", "", "x").as_bytes())
         .expect("an open connection");
     node.run_event_loop(5);
     clients[1]
-        .write_all(post("new", "pay", "", "x").as_bytes())
+        .write_all(post_request("new", "pay", "", "x").as_bytes())
         .expect("an open connection");
     node.phase.send_replace(Phase::ShuttingDown(by));
     // And one that comes in the last tenth of what is left.
     clients[2]
-        .write_all(read("last", "15000m").split_at(20).0.as_bytes())
+        .write_all(read_request("last", "15000m").split_at(20).0.as_bytes())
         .expect("an open connection");
     node.run_until("the end is near", || Instant::now() + LEFT / 10 > by);
     clients[2]
-        .write_all(read("last", "15000m").split_at(20).1.as_bytes())
+        .write_all(read_request("last", "15000m").split_at(20).1.as_bytes())
         .expect("an open connection");
     let answers = clients.each_mut().map(|client| node.read_to_end(client));
     assert!(
@@ -365,7 +375,7 @@
 /// turn in which the bytes can arrive is tried.
 #[test]
 fn request_in_turn_of_connection_timeout_is_answered() {
-    let request = read("crossing", "15000m");
+    let request = read_request("crossing", "15000m");
     for (rested, ahead) in [(false, 0), (false, request.len() / 2), (true, 0)] {
         let (mut open, mut ended) = (0, 0);
         for turns in 0..MAX_TURNS {
@@ -421,7 +431,7 @@
 /// A request of which a part had arrived when the node shut down.
 #[test]
 fn partial_head_at_shutdown_may_complete_and_is_answered() {
-    let request = read("half", "15000m");
+    let request = read_request("half", "15000m");
     for cut in [1, 20, request.len() / 2, request.len() - 1] {
         let node = InProcessNode::start();
         let mut client = node.connect();
@@ -463,7 +473,7 @@
         // The end has come, and the client has asked before it saw that; a second time it gets a reset where the node is
         // not there any more.
         for _ in 0..2 {
-            let request = post("behind", "pay", "", "x");
+            let request = post_request("behind", "pay", "", "x");
             client
                 .write_all(request.as_bytes())
                 .expect("it still reads");
@@ -531,11 +541,11 @@
 fn attempt_for_client_that_left_during_connect_is_not_sent() {
     let crossed = (0..5).find_map(|_| {
         let late = SlowToConnectServer::start();
-        let known = list(1, true, &[entry("s-0", late.address, "ready")]);
+        let known = endpoint_list(1, true, &[endpoint_entry("s-0", late.address, "ready")]);
         let text = settings(600_000).replace("\"cancel\":true", "\"cancel\":false");
-        let node = Node::start(&config(Unreachable::start().address, &known, &text));
+        let node = Node::start(&config(Unreachable::reserve().address, &known, &text));
         let mut client = node.connect();
-        client.send(&read("left", "600000m"));
+        client.send(&read_request("left", "600000m"));
         std::thread::sleep(REACTION_TIME);
         drop(client);
         std::thread::sleep(REACTION_TIME);
@@ -558,18 +568,25 @@
         });
         let late = SlowToConnectServer::start();
         let discovery = Discovery::start();
-        let known = list(1, true, &[closes.entry("s-0", "ready")]);
+        let known = endpoint_list(1, true, &[closes.endpoint_entry("s-0", "ready")]);
         let text =
             settings(15_000).replace("\"dedup_window_ms\":60000.0", "\"dedup_window_ms\":900.0");
         let node = Node::start(&config(discovery.address, &known, &text));
         let mut watch = discovery.watch();
         let mut client = node.connect();
-        client.send(&post("once", "hold", "Idempotency-Key: 5c0f\r\n", "x"));
-        until("the first attempt is out", || closes.requests().len() == 1);
-        watch.say(&(list(2, false, &[entry("s-1", late.address, "ready")]) + "\n"));
+        client.send(&post_request(
+            "once",
+            "hold",
+            "Idempotency-Key: 5c0f\r\n",
+            "x",
+        ));
+        wait_until("the first attempt is out", || closes.requests().len() == 1);
+        watch.send(
+            &(endpoint_list(2, false, &[endpoint_entry("s-1", late.address, "ready")]) + "\n"),
+        );
         std::thread::sleep(2 * REACTION_TIME);
         late.accept_and_read()
-            .map(|bytes| (bytes, client.answer().expect("an answer").status()))
+            .map(|bytes| (bytes, client.read_response().expect("an answer").status()))
     });
     let (bytes, status) = crossed.expect("the repeat was on its way");
     assert_eq!(
@@ -620,14 +637,14 @@
         (CHUNKED, true),
     ] {
         let address = server_that_resets_within_response(answer, 0..=answer.len());
-        let known = list(1, true, &[entry("s-0", address, "ready")]);
+        let known = endpoint_list(1, true, &[endpoint_entry("s-0", address, "ready")]);
         let node = Node::start(&config(
-            Unreachable::start().address,
+            Unreachable::reserve().address,
             &known,
             &settings(15_000),
         ));
         for cut in 0..=answer.len() {
-            let got = node.ask(&post(&format!("cut-{cut}"), "pay", "", "x"));
+            let got = node.request(&post_request(&format!("cut-{cut}"), "pay", "", "x"));
             let is_whole = ends && cut == answer.len();
             assert_eq!(
                 got.status() == 200,
@@ -684,8 +701,8 @@
 #[test]
 fn request_truncated_at_any_byte_is_not_forwarded() {
     let server = Server::start(|_| Reply::ok("yes"));
-    let (node, _discovery, _watch) = Node::with(&[&server], 15_000);
-    let whole = post("cut", "pay", "", "five rooms");
+    let (node, _discovery, _watch) = Node::start_with_servers(&[&server], 15_000);
+    let whole = post_request("cut", "pay", "", "five rooms");
     for is_reset in [false, true] {
         for cut in 0..whole.len() {
             let mut stream = TcpStream::connect(node.address).expect("it listens");
@@ -700,11 +717,14 @@
         }
     }
     // Whatever was taken of these has been dealt with once one that came later has been served.
-    assert_eq!(node.ask(&post("last", "pay", "", "x")).status(), 200);
+    assert_eq!(
+        node.request(&post_request("last", "pay", "", "x")).status(),
+        200
+    );
     let seen: Vec<_> = server
         .requests()
         .iter()
-        .map(|request| request.first.clone())
+        .map(|request| request.start_line.clone())
         .collect();
     assert_eq!(seen.len(), 1, "{seen:?}");
 }
@@ -731,7 +751,7 @@
             };
             let mut came = [0; 4096];
             // All of it lies there before any of it is read.
-            until("it has come whole", || {
+            wait_until("it has come whole", || {
                 stream
                     .peek(&mut came)
                     .is_ok_and(|bytes| came[..bytes].ends_with(BODY.as_bytes()))
@@ -748,25 +768,28 @@
         }
     });
     let other = Server::start(|_| Reply::ok("yes"));
-    let known = list(
+    let known = endpoint_list(
         1,
         true,
-        &[entry("s-0", address, "ready"), other.entry("s-1", "ready")],
+        &[
+            endpoint_entry("s-0", address, "ready"),
+            other.endpoint_entry("s-1", "ready"),
+        ],
     );
     // A server that resets twice in a row is left alone for two aims.
     let node = Node::start(&config(
-        Unreachable::start().address,
+        Unreachable::reserve().address,
         &known,
-        &settings_with_aim(20, 15_000),
+        &settings_with_latency_objective(20, 15_000),
     ));
     let (mut had, mut all_cut, mut asked, since) = (Vec::new(), false, 0, Instant::now());
     while !all_cut {
         assert!(
-            since.elapsed() < 3 * PATIENCE,
+            since.elapsed() < 3 * WAIT_TIMEOUT,
             "{} of its bytes were tried",
             had.len()
         );
-        let answer = node.ask(&post(&format!("once-{asked}"), "pay", "", BODY));
+        let answer = node.request(&post_request(&format!("once-{asked}"), "pay", "", BODY));
         asked += 1;
         for (id, is_last) in told.try_iter() {
             assert_ne!(answer.status(), 200, "{id} had run");
@@ -821,7 +844,9 @@
 
 /// What a client has received of a response when its connection ends, and whether the end is graceful.
 fn read_until_closed(client: &mut TcpStream) -> (Vec<u8>, bool) {
-    client.set_read_timeout(Some(PATIENCE)).expect("a socket");
+    client
+        .set_read_timeout(Some(WAIT_TIMEOUT))
+        .expect("a socket");
     let mut read = Vec::new();
     let in_order = client.read_to_end(&mut read).is_ok();
     (read, in_order)
@@ -834,15 +859,15 @@
     let played = [true, false].map(|comes| {
         std::thread::spawn(move || {
             let (address, go_on) = server_that_pauses_within_response();
-            let known = list(1, true, &[entry("s-0", address, "ready")]);
+            let known = endpoint_list(1, true, &[endpoint_entry("s-0", address, "ready")]);
             let mut node = Node::start(&config(
-                Unreachable::start().address,
+                Unreachable::reserve().address,
                 &known,
                 &settings(15_000),
             ));
             let mut client = TcpStream::connect(node.address).expect("it listens");
             client
-                .write_all(read("passed", "15000m").as_bytes())
+                .write_all(read_request("passed", "15000m").as_bytes())
                 .expect("an open connection");
             // A part of it has come: the answer has begun.
             let mut first = vec![0; STREAMED_BYTES / 4];
@@ -885,17 +910,17 @@
         "x".repeat(UNREAD_BYTES)
     );
     let server = Server::start(move |request| match request.header("req-id") {
-        Some("unread") => Reply::Say(long.clone().into_bytes()),
-        _ => Reply::Silence,
+        Some("unread") => Reply::Send(long.clone().into_bytes()),
+        _ => Reply::NoResponse,
     });
-    let (mut node, _discovery, _watch) = Node::with(&[&server], 15_000);
+    let (mut node, _discovery, _watch) = Node::start_with_servers(&[&server], 15_000);
     let (mut unread, mut other) = (node.connect(), node.connect());
-    unread.send(&read("unread", "15000m"));
-    other.send(&post("other", "pay", "", "x"));
-    until("both are out", || server.requests().len() == 2);
+    unread.send(&read_request("unread", "15000m"));
+    other.send(&post_request("other", "pay", "", "x"));
+    wait_until("both are out", || server.requests().len() == 2);
     let told = Instant::now();
     node.terminate();
-    assert_eq!(other.answer().expect("a whole answer").status(), 502);
+    assert_eq!(other.read_response().expect("a whole answer").status(), 502);
     assert_eq!(node.wait().code(), Some(0));
     assert!(told.elapsed() < MAX_EXIT_TIME, "{:?}", told.elapsed());
 }
--- a/tests/consul.rs
+++ b/tests/consul.rs
@@ -35,10 +35,10 @@
 fn start_servers(count: usize) -> Vec<Server> {
     // A response takes a while, so that simultaneous requests are spread.
     let reply = |_: &Message| {
-        Reply::SayThen(
+        Reply::SendInTwoParts(
             Vec::new(),
             Duration::from_millis(5),
-            answer("200 OK", "", "rooms: 3\n"),
+            response("200 OK", "", "rooms: 3\n"),
         )
     };
     (0..count).map(|_| Server::start(reply)).collect()
@@ -57,7 +57,7 @@
     servers
         .iter()
         .enumerate()
-        .map(|(at, server)| server.entry(&name(at), lifecycle(at)))
+        .map(|(at, server)| server.endpoint_entry(&name(at), lifecycle(at)))
         .collect()
 }
 
@@ -66,9 +66,9 @@
         let servers = start_servers(count);
         let consul = start_consul(&servers);
         let discovery = Discovery::start();
-        let known = list(1, true, &entries(&servers, |_| "ready"));
+        let known = endpoint_list(1, true, &entries(&servers, |_| "ready"));
         let config = config(discovery.address, &known, &settings(15_000));
-        let node = Node::start_with(&config, Some(&operators_file(&consul, more)));
+        let node = Node::start_with_operators_file(&config, Some(&operators_file(&consul, more)));
         let watch = discovery.watch();
         let site = Self {
             servers,
@@ -78,7 +78,7 @@
             watch,
             generation: 1,
         };
-        until("Consul has responded", || {
+        wait_until("Consul has responded", || {
             !site.consul.responses().is_empty()
         });
         site
@@ -87,21 +87,23 @@
     /// Sends a change of the endpoint list.
     fn update_list(&mut self, at: usize, lifecycle: &str) {
         self.generation += 1;
-        let entry = self.servers[at].entry(&name(at), lifecycle);
-        self.watch
-            .say(&format!("{}\n", list(self.generation, false, &[entry])));
+        let entry = self.servers[at].endpoint_entry(&name(at), lifecycle);
+        self.watch.send(&format!(
+            "{}\n",
+            endpoint_list(self.generation, false, &[entry])
+        ));
     }
 
     /// Waits until Consul has responded with an instance in maintenance mode, or not in it.
     fn wait_for_response(&self, at: usize, draining: bool) {
         let name = name(at);
-        until("Consul responds", || {
+        wait_until("Consul responds", || {
             let responses = self.consul.responses();
             let last = responses.last().expect("a response");
             (if draining {
                 &last.draining
             } else {
-                &last.others
+                &last.not_draining
             })
             .contains(&name)
         });
@@ -123,7 +125,7 @@
                 let node = &self.node;
                 scope.spawn(move || {
                     assert_eq!(
-                        node.ask_until_taken(&read(&format!("a{id:x}"), "15000m"))
+                        node.request_until_accepted(&read_request(&format!("a{id:x}"), "15000m"))
                             .status(),
                         200
                     );
@@ -142,7 +144,7 @@
 
     /// Waits until only these servers get requests.
     fn wait_until_used(&self, servers: &[usize]) {
-        until(&format!("only {servers:?} are used"), || {
+        wait_until(&format!("only {servers:?} are used"), || {
             self.servers_used_by(4 * self.servers.len()) == servers
         });
     }
@@ -171,14 +173,14 @@
     site.consul.set_status("s-0", "critical");
     site.wait_until_used(&[1, 2]);
     site.consul.deregister_all();
-    until("Consul responds", || {
+    wait_until("Consul responds", || {
         site.consul
             .responses()
             .last()
-            .is_some_and(|response| response.others.is_empty())
+            .is_some_and(|response| response.not_draining.is_empty())
     });
     site.wait_until_used(&[1, 2]);
-    until("it is logged", || {
+    wait_until("it is logged", || {
         site.node
             .log()
             .iter()
@@ -205,12 +207,12 @@
 /// Guards against a node that rejects requests, or logs incessantly, if Consul was never reachable.
 #[test]
 fn unreachable_consul_does_not_reduce_the_served_share() {
-    let shares: Vec<f64> = [None, Some(Unreachable::start())]
+    let shares: Vec<f64> = [None, Some(Unreachable::reserve())]
         .iter()
         .map(|agent| {
             let servers = start_servers(3);
             let discovery = Discovery::start();
-            let known = list(1, true, &entries(&servers, |_| "ready"));
+            let known = endpoint_list(1, true, &entries(&servers, |_| "ready"));
             let config = config(discovery.address, &known, &settings(15_000));
             let operators = agent.as_ref().map(|agent| {
                 format!(
@@ -218,19 +220,19 @@
                     agent.address
                 )
             });
-            let node = Node::start_with(&config, operators.as_deref());
+            let node = Node::start_with_operators_file(&config, operators.as_deref());
             let _watch = discovery.watch();
             let load = Load::start(node.address, 4, Duration::from_millis(1));
             std::thread::sleep(Duration::from_millis(1_500));
-            let totals = load.end();
+            let totals = load.finish();
             assert_eq!(
                 (totals.lost, totals.sent > 100),
                 (0, true),
                 "{:?}",
-                totals.answers
+                totals.responses
             );
             assert!(node.log().len() < 10, "{:?}", node.log());
-            totals.share_served()
+            totals.served_fraction()
         })
         .collect();
     assert!(shares.iter().all(|share| *share > 0.99), "{shares:?}");
@@ -265,7 +267,7 @@
         site.consul.set_fault(fault.clone());
         // A change lets the agent respond to the blocking query, with the fault.
         site.consul.set_status("s-2", "passing");
-        until("the agent is queried again", || {
+        wait_until("the agent is queried again", || {
             site.consul.queries().len() > queries
         });
         assert!(!site.servers_used_by(6).contains(&1), "{fault:?}");
@@ -273,7 +275,7 @@
         site.consul.set_fault(Fault::None);
         let responses = site.consul.responses().len();
         site.consul.set_status("s-2", "passing");
-        until("the agent responds again", || {
+        wait_until("the agent responds again", || {
             site.consul.responses().len() > responses
         });
     }
@@ -281,9 +283,9 @@
     site.consul.set_unreachable(true);
     assert!(!site.servers_used_by(6).contains(&1));
     site.consul.set_unreachable(false);
-    let totals = load.end();
+    let totals = load.finish();
     assert_eq!(totals.lost, 0);
-    assert!(totals.share_served() > 0.99, "{:?}", totals.answers);
+    assert!(totals.served_fraction() > 0.99, "{:?}", totals.responses);
     let log = site.node.log();
     assert!(log.len() < 120, "{} lines", log.len());
 }
@@ -295,14 +297,14 @@
     let (ahead, behind) = (start_consul(&servers), start_consul(&servers));
     ahead.set_maintenance("s-1", true);
     let discovery = Discovery::start();
-    let known = list(1, true, &entries(&servers, |_| "ready"));
+    let known = endpoint_list(1, true, &entries(&servers, |_| "ready"));
     let config = config(discovery.address, &known, &settings(15_000));
     let operators = format!(
         "[[consul]]\nname = \"c\"\nservice = \"holds\"\nagents = [\"{}\", \"{}\"]\nwait_s = 1\n",
         ahead.address, behind.address
     );
     let site = Site {
-        node: Node::start_with(&config, Some(&operators)),
+        node: Node::start_with_operators_file(&config, Some(&operators)),
         watch: discovery.watch(),
         consul: ahead.clone(),
         servers,
@@ -319,7 +321,7 @@
         reachable.set_unreachable(false);
         let responses = reachable.responses().len();
         unreachable.set_unreachable(true);
-        until("the other agent responds", || {
+        wait_until("the other agent responds", || {
             reachable.responses().len() > responses
         });
         assert!(!site.servers_used_by(6).contains(&1), "turn {turn}");
@@ -347,12 +349,12 @@
         (Plan::sound(), plan)
     });
     let discovery = Discovery::start();
-    let known = list(1, true, &entries(&servers, |_| "ready"));
+    let known = endpoint_list(1, true, &entries(&servers, |_| "ready"));
     let config = config(discovery.address, &known, &settings(15_000));
     let file =
         operators_file(&consul, "").replace(&consul.address.to_string(), &link.address.to_string());
     let site = Site {
-        node: Node::start_with(&config, Some(&file)),
+        node: Node::start_with_operators_file(&config, Some(&file)),
         watch: discovery.watch(),
         consul,
         servers,
@@ -364,20 +366,20 @@
     for _ in 0..8 {
         let before = link.connections();
         link.cut_all();
-        until("the node connects again", || link.connections() > before);
+        wait_until("the node connects again", || link.connections() > before);
         site.consul.set_status("s-0", "passing");
         assert!(!site.servers_used_by(6).contains(&1));
     }
-    until("a connection has no fault", || {
+    wait_until("a connection has no fault", || {
         link.cut_all();
         std::thread::sleep(Duration::from_millis(300));
         link.connections() % 2 == 0
     });
     site.consul.set_maintenance("s-1", false);
     site.wait_until_used(&[0, 1, 2]);
-    let totals = load.end();
+    let totals = load.finish();
     assert_eq!(totals.lost, 0);
-    assert!(totals.share_served() > 0.99, "{:?}", totals.answers);
+    assert!(totals.served_fraction() > 0.99, "{:?}", totals.responses);
 }
 
 #[test]
@@ -385,25 +387,25 @@
     let servers = start_servers(2);
     let consul = start_consul(&servers);
     consul.require_token("c0ffee-first");
-    let file = write_config("c0ffee-first\n");
+    let file = write_temp_file("c0ffee-first\n");
     let discovery = Discovery::start();
     let config = config(
         discovery.address,
-        &list(1, true, &entries(&servers, |_| "ready")),
+        &endpoint_list(1, true, &entries(&servers, |_| "ready")),
         &settings(15_000),
     );
     let more = format!("token_file = {file:?}");
-    let node = Node::start_with(&config, Some(&operators_file(&consul, &more)));
-    until("the token is accepted", || !consul.responses().is_empty());
+    let node = Node::start_with_operators_file(&config, Some(&operators_file(&consul, &more)));
+    wait_until("the token is accepted", || !consul.responses().is_empty());
     consul.require_token("c0ffee-second");
-    until("the rejection is logged", || {
+    wait_until("the rejection is logged", || {
         node.log()
             .iter()
             .any(|line| line.contains("rejected the token"))
     });
     std::fs::write(&file, "c0ffee-second").expect("the test's own file");
     let before = consul.responses().len();
-    until("the new token is accepted", || {
+    wait_until("the new token is accepted", || {
         consul.responses().len() > before
     });
     assert!(
@@ -419,10 +421,10 @@
     let site = Site::new(2, "");
     site.consul.set_maintenance("s-1", true);
     site.wait_until_used(&[0]);
-    site.node.reload_operators("[membership]\n");
+    site.node.reload_operators_file("[membership]\n");
     site.wait_until_used(&[0, 1]);
-    site.node.reload_operators("nonsense = 1\n");
-    until("the invalid file is logged", || {
+    site.node.reload_operators_file("nonsense = 1\n");
+    wait_until("the invalid file is logged", || {
         site.node
             .log()
             .iter()
@@ -430,7 +432,7 @@
     });
     site.wait_until_used(&[0, 1]);
     site.node
-        .reload_operators(&operators_file(&site.consul, ""));
+        .reload_operators_file(&operators_file(&site.consul, ""));
     site.wait_until_used(&[0]);
 }
 
@@ -440,12 +442,12 @@
     let servers = start_servers(2);
     let consul = start_consul(&servers);
     consul.set_maintenance("s-1", true);
-    let (node, _discovery, _watch) = Node::with(&[&servers[0], &servers[1]], 15_000);
+    let (node, _discovery, _watch) = Node::start_with_servers(&[&servers[0], &servers[1]], 15_000);
     let mut sent = 0;
-    until("both servers are used", || {
+    wait_until("both servers are used", || {
         sent += 1;
         assert_eq!(
-            node.ask_until_taken(&read(&format!("r{sent}"), "15000m"))
+            node.request_until_accepted(&read_request(&format!("r{sent}"), "15000m"))
                 .status(),
             200
         );
@@ -531,12 +533,12 @@
     // Servers that drain now stay drained while Consul is unreachable.
     site.consul.set_unreachable(true);
     std::thread::sleep(DRAIN_DEADLINE + Duration::from_millis(500));
-    let totals = load.end();
-    assert_eq!(totals.lost, 0, "{:?}", totals.answers);
+    let totals = load.finish();
+    assert_eq!(totals.lost, 0, "{:?}", totals.responses);
     assert!(
-        totals.sent > 1_000 && totals.share_served() > 0.98,
+        totals.sent > 1_000 && totals.served_fraction() > 0.98,
         "{:?}",
-        totals.answers
+        totals.responses
     );
     spans.extend(list_drains.into_iter().map(|(server, since)| DrainSpan {
         server,
--- a/tests/discovery_requests.rs
+++ b/tests/discovery_requests.rs
@@ -14,7 +14,9 @@
 
 /// The next request's head, with the empty line that ends it.
 fn request_head(stream: &mut TcpStream) -> String {
-    stream.set_read_timeout(Some(PATIENCE)).expect("a socket");
+    stream
+        .set_read_timeout(Some(WAIT_TIMEOUT))
+        .expect("a socket");
     let mut head = Vec::new();
     while !head.ends_with(b"\r\n\r\n") {
         let mut byte = [0];
@@ -34,15 +36,19 @@
 fn respond(stream: &mut TcpStream, index: u64) {
     let headers = format!("X-Consul-Index: {index}\r\nX-Consul-KnownLeader: true\r\n");
     stream
-        .write_all(&answer("200 OK", &headers, "[]"))
+        .write_all(&response("200 OK", &headers, "[]"))
         .expect("an open connection");
 }
 
 fn node_config(discovery: SocketAddr, settings: &str) -> String {
-    let known = list(
+    let known = endpoint_list(
         7,
         true,
-        &[entry("s-0", Unreachable::start().address, "ready")],
+        &[endpoint_entry(
+            "s-0",
+            Unreachable::reserve().address,
+            "ready",
+        )],
     );
     config(discovery, &known, settings)
 }
@@ -83,7 +89,7 @@
     let operators =
         format!("[[consul]]\nname = \"consul\"\nservice = \"holds\"\nagents = [\"{address}\"]\n");
     let config = node_config(discovery_address, &settings(15_000));
-    let _node = Node::start_with(&config, Some(&operators));
+    let _node = Node::start_with_operators_file(&config, Some(&operators));
     let (mut stream, head) = next_request(&agent);
     assert_eq!(
         head,
@@ -107,7 +113,7 @@
 fn consul_requests_with_every_option_match_recorded_bytes() {
     let (agent, address) = listener();
     let (_discovery, discovery_address) = listener();
-    let token_file = write_config("c0ffee-token\n");
+    let token_file = write_temp_file("c0ffee-token\n");
     for (api, consistency) in [
         ("catalog", "stale"),
         ("health", "consistent"),
@@ -120,7 +126,7 @@
              filter = 'Service.Meta.state != \"off\"'\ntoken_file = {token_file:?}\n"
         );
         let config = node_config(discovery_address, &settings(15_000));
-        let _node = Node::start_with(&config, Some(&operators));
+        let _node = Node::start_with_operators_file(&config, Some(&operators));
         let parameters = format!(
             "dc=dc%201&ns=ns&partition=p&filter=Service.Meta.state%20%21%3D%20%22off%22\
              &tag=x&tag=y%26z&{consistency}"
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -3,7 +3,9 @@
 use std::net::UdpSocket;
 use std::time::Duration;
 
-use testkit::{config, list, settings, until, Discovery, Fault, Fleet, Link, Load, Node};
+use testkit::{
+    config, endpoint_list, settings, wait_until, Discovery, Fault, Fleet, Link, Load, Node,
+};
 
 /// Short timings, so that a test of several cases takes seconds.
 const TIMES: &str = "probe_ms = 200\nsuspect_ms = 1000\n";
@@ -59,7 +61,7 @@
 /// Which nodes but one were declared dead, and by which.
 fn deaths_except(fleet: &Fleet, node: usize) -> Vec<(usize, String)> {
     fleet
-        .gone()
+        .gone_reports()
         .into_iter()
         .filter(|(_, name)| *name != format!("n{node}"))
         .collect()
@@ -70,16 +72,16 @@
     let mut fleet = started_cluster(5, 1);
     fleet.kill(2);
     wait_for_state(&mut fleet, 2, "gone");
-    fleet.run(2);
+    fleet.start_node(2);
     fleet.agree_within(TIMEOUT);
     fleet.terminate(4);
     wait_for_state(&mut fleet, 4, "left");
-    fleet.run(4);
+    fleet.start_node(4);
     fleet.agree_within(TIMEOUT);
     assert_eq!(deaths_except(&fleet, 2), []);
     // The logs are parsed, so that the absence of deaths in other tests means something.
-    assert!(fleet.gone().iter().any(|(_, name)| name == "n2"));
-    assert!(fleet.verdicts().iter().any(|(_, name)| name == "n2"));
+    assert!(fleet.gone_reports().iter().any(|(_, name)| name == "n2"));
+    assert!(fleet.quorum_verdicts().iter().any(|(_, name)| name == "n2"));
 }
 
 #[test]
@@ -91,24 +93,24 @@
     }
     fleet.agree_within(TIMEOUT);
     assert_eq!(
-        fleet.gone(),
+        fleet.gone_reports(),
         [],
         "a pause below the suspicion timeout never causes a death"
     );
     // A third of the cluster at the same moment, for far longer.
-    fleet.stop(0);
-    fleet.stop(1);
+    fleet.pause(0);
+    fleet.pause(1);
     wait_for_state(&mut fleet, 0, "gone");
     wait_for_state(&mut fleet, 1, "gone");
     fleet.wait(ms(3_000));
-    fleet.go_on(0);
-    fleet.go_on(1);
+    fleet.resume(0);
+    fleet.resume(1);
     fleet.agree_within(TIMEOUT);
     let is_wrong = |(by, name): &(usize, String)| *by < 2 || !["n0", "n1"].contains(&name.as_str());
     assert!(
-        !fleet.verdicts().iter().any(is_wrong),
+        !fleet.quorum_verdicts().iter().any(is_wrong),
         "a resumed node declares nobody dead: {:?}",
-        fleet.verdicts()
+        fleet.quorum_verdicts()
     );
     wait_for_log(&mut fleet, 0, "this process was paused");
     wait_for_log(&mut fleet, 0, "this node refutes its death as incarnation");
@@ -125,7 +127,7 @@
         })
     });
     fleet.wait(ms(4_000));
-    assert_eq!(fleet.gone(), []);
+    assert_eq!(fleet.gone_reports(), []);
     fleet.apply(&Fault::HealAll);
     fleet.agree_within(TIMEOUT);
     // Two receive nothing from each other, and one nothing from another.
@@ -133,7 +135,7 @@
     fleet.apply(&Fault::Cut { from: 2, to: 1 });
     fleet.apply(&Fault::Cut { from: 3, to: 4 });
     fleet.wait(ms(5_000));
-    assert_eq!(fleet.gone(), []);
+    assert_eq!(fleet.gone_reports(), []);
     fleet.apply(&Fault::HealAll);
     fleet.agree_within(TIMEOUT);
     // n0 cannot send: it is dead to all, and is notified of that.
@@ -141,7 +143,7 @@
     wait_for_state(&mut fleet, 0, "gone");
     fleet.wait_for("n0 notices", TIMEOUT, |fleet| {
         at_all_nodes(fleet, |fleet, node| {
-            node != 0 || fleet.members(0).own == "gone"
+            node != 0 || fleet.members(0).own_state == "gone"
         })
     });
     wait_for_log(&mut fleet, 0, "this node was declared dead");
@@ -167,13 +169,13 @@
         });
     });
     fleet.wait(ms(4_000));
-    assert_eq!(fleet.gone(), [], "each is partitioned from one");
+    assert_eq!(fleet.gone_reports(), [], "each is partitioned from one");
     let others = (0..6).flat_map(|from| (0..6).map(move |to| (from, to)));
     for (from, to) in others.filter(|(from, to)| from != to && *to != (from + 2) % 6) {
         fleet.apply(&Fault::Cut { from, to });
     }
     fleet.wait(ms(4_000));
-    assert_eq!(fleet.gone(), [], "no probe can be acknowledged");
+    assert_eq!(fleet.gone_reports(), [], "no probe can be acknowledged");
     fleet.apply(&Fault::HealAll);
     fleet.agree_within(TIMEOUT);
     // The other half may be declared dead, but the views settle, and agree after the partition has healed.
@@ -181,13 +183,13 @@
         (0..3).for_each(|to| fleet.apply(&Fault::Cut { from, to }));
     }
     fleet.wait(ms(8_000));
-    let before = fleet.gone().len();
+    let before = fleet.gone_reports().len();
     fleet.wait(ms(5_000));
     assert_eq!(
-        fleet.gone().len(),
+        fleet.gone_reports().len(),
         before,
         "no node flaps: {:?}",
-        fleet.gone()
+        fleet.gone_reports()
     );
     fleet.apply(&Fault::HealAll);
     fleet.agree_within(TIMEOUT);
@@ -204,7 +206,7 @@
     for round in 0..6 {
         fleet.kill(2);
         fleet.wait(ms(200 * round));
-        fleet.run(2);
+        fleet.start_node(2);
         fleet.wait(ms(600));
     }
     fleet.agree_within(TIMEOUT);
@@ -220,7 +222,7 @@
     );
     (3..9).for_each(|node| fleet.kill(node));
     fleet.agree_within(TIMEOUT);
-    (3..9).for_each(|node| fleet.run(node));
+    (3..9).for_each(|node| fleet.start_node(node));
     fleet.agree_within(TIMEOUT);
 }
 
@@ -228,16 +230,16 @@
 fn successive_partitions_with_a_restart_heal() {
     let mut fleet = started_cluster(7, 13);
     for shift in 0..3 {
-        fleet.split(|node| (node + shift) / 3 % 2);
+        fleet.partition(|node| (node + shift) / 3 % 2);
         fleet.wait(ms(800 * (1 + shift as u64)));
     }
     fleet.kill(4);
-    fleet.run(4);
+    fleet.start_node(4);
     fleet.wait(ms(4_000));
     fleet.apply(&Fault::HealAll);
     fleet.agree_within(TIMEOUT);
     assert!(
-        fleet.relay_totals().faults.cut > 100 && !fleet.gone().is_empty(),
+        fleet.relay_totals().faults.cut > 100 && !fleet.gone_reports().is_empty(),
         "{:?}",
         fleet.relay_totals()
     );
@@ -250,12 +252,12 @@
     std::fs::write(&other, "another key that some share").expect("a file");
     std::fs::set_permissions(&other, std::os::unix::fs::PermissionsExt::from_mode(0o600))
         .expect("a file");
-    let wrong_key = fleet.operators(3).replace("/key\"", "/other\"");
-    let other_cluster = fleet.operators(4).replace("\"holds\"", "\"stays\"");
-    assert!(wrong_key != fleet.operators(3) && other_cluster != fleet.operators(4));
-    fleet.set_operators(3, &wrong_key);
-    fleet.set_operators(4, &other_cluster);
-    (0..5).for_each(|node| fleet.run(node));
+    let wrong_key = fleet.operators_file(3).replace("/key\"", "/other\"");
+    let other_cluster = fleet.operators_file(4).replace("\"holds\"", "\"stays\"");
+    assert!(wrong_key != fleet.operators_file(3) && other_cluster != fleet.operators_file(4));
+    fleet.set_operators_file(3, &wrong_key);
+    fleet.set_operators_file(4, &other_cluster);
+    (0..5).for_each(|node| fleet.start_node(node));
     fleet.wait_for("the three find each other", TIMEOUT, |fleet| {
         at_all_nodes(fleet, |fleet, of| {
             of > 2 || fleet.members(of).health == "well"
@@ -263,16 +265,16 @@
     });
     fleet.wait(ms(2_000));
     for of in 0..3 {
-        let names: Vec<_> = fleet.members(of).others.into_keys().collect();
+        let names: Vec<_> = fleet.members(of).other_members.into_keys().collect();
         let wanted: Vec<_> = (0..3)
             .filter(|node| *node != of)
             .map(|node| format!("n{node}"))
             .collect();
         assert_eq!(names, wanted);
-        let metric = |name: &str| fleet.node(of).figure(name);
+        let metric = |name: &str| fleet.node(of).metric(name);
         assert!(metric("fleet_refused.seal") > 0 && metric("fleet_refused.fleet") > 0);
     }
-    assert_eq!(fleet.gone(), []);
+    assert_eq!(fleet.gone_reports(), []);
 }
 
 #[test]
@@ -283,7 +285,7 @@
         |node| usize::from(node == 0),
         |node| node % 3,
     ] {
-        fleet.split(side);
+        fleet.partition(side);
         fleet.wait_for(
             "each side considers exactly its own nodes alive",
             TIMEOUT,
@@ -332,7 +334,7 @@
         fleet.apply(&Fault::AllLinks { link });
         fleet.wait(ms(5_000));
     }
-    assert_eq!(fleet.gone(), []);
+    assert_eq!(fleet.gone_reports(), []);
     let faults = fleet.relay_totals().faults;
     assert!(
         faults
@@ -345,7 +347,7 @@
     );
     let metric = |name: &str| {
         (0..6)
-            .map(|node| fleet.node(node).figure(name))
+            .map(|node| fleet.node(node).metric(name))
             .sum::<u64>()
     };
     assert!(metric("fleet_refused.seal") > 0 && metric("fleet_refused.replayed") > 0);
@@ -357,7 +359,7 @@
         },
     });
     wait_for_state(&mut fleet, 1, "gone");
-    fleet.run(1);
+    fleet.start_node(1);
     fleet.apply(&Fault::HealAll);
     fleet.agree_within(TIMEOUT);
 }
@@ -366,9 +368,9 @@
 fn two_processes_with_one_name_log_conflict_and_affect_no_other() {
     let mut fleet = Fleet::prepare(5, 6, TIMES);
     fleet.rename(4, "n0");
-    (0..4).for_each(|node| fleet.run(node));
+    (0..4).for_each(|node| fleet.start_node(node));
     fleet.wait(ms(12_000));
-    fleet.run(4);
+    fleet.start_node(4);
     fleet.wait_for("both processes log it", TIMEOUT, |fleet| {
         let has_logged = |node| {
             fleet
@@ -400,7 +402,7 @@
 fn garbage_and_floods_are_counted_and_requests_are_served() {
     let fleet = started_cluster(3, 7);
     let load = Load::start(fleet.node(0).address, 4, ms(2));
-    let at = fleet.hears_at(0);
+    let at = fleet.gossip_address(0);
     let socket = UdpSocket::bind("127.0.0.1:0").expect("a port");
     for round in 0..20_000_u32 {
         let bytes = vec![
@@ -414,15 +416,15 @@
         let _ = socket.send_to(&bytes, at);
     }
     std::thread::sleep(ms(2_000));
-    let totals = load.end();
+    let totals = load.finish();
     assert!(
-        totals.lost == 0 && totals.of(200) == totals.sent,
+        totals.lost == 0 && totals.with_status(200) == totals.sent,
         "{:?}",
-        totals.answers
+        totals.responses
     );
-    let metric = |name: &str| fleet.node(0).figure(name);
+    let metric = |name: &str| fleet.node(0).metric(name);
     assert!(metric("fleet_refused.stranger") > 100 && metric("fleet_refused.flood") > 0);
-    assert_eq!(fleet.members(0).others.len(), 2);
+    assert_eq!(fleet.members(0).other_members.len(), 2);
 }
 
 fn udp_sockets(process: u32) -> usize {
@@ -455,8 +457,8 @@
 fn members_command_prints_table_and_json() {
     let fleet = started_cluster(3, 9);
     let run_members = |arguments: &[&str]| {
-        let at = fleet.node(0).control().to_string();
-        let output = testkit::program()
+        let at = fleet.node(0).admin_address().to_string();
+        let output = testkit::program_command()
             .args(["members", "--at", &at])
             .args(arguments)
             .output()
@@ -479,8 +481,8 @@
     assert_eq!(json["members"][1]["name"], "n2");
     assert!(json["members"][1]["heard_ms"].is_u64(), "{json}");
     let node = Node::start(&fleet.config(0).replace("\"peers\":true", "\"peers\":false"));
-    let at = node.control().to_string();
-    let output = testkit::program()
+    let at = node.admin_address().to_string();
+    let output = testkit::program_command()
         .args(["members", "--at", &at])
         .output()
         .expect("it starts");
@@ -497,14 +499,14 @@
     let mut fleet = started_cluster(4, 10);
     let before = fleet.members(0).incarnation;
     let text = fleet
-        .operators(0)
+        .operators_file(0)
         .replace("probe_ms = 200", "probe_ms = 100");
     fleet
         .node(0)
-        .reload_operators(&format!("{text}peers = []\n"));
+        .reload_operators_file(&format!("{text}peers = []\n"));
     // It neither sends nor receives any more; the others declare it dead.
     wait_for_state(&mut fleet, 0, "gone");
-    fleet.node(0).reload_operators(&text);
+    fleet.node(0).reload_operators_file(&text);
     fleet.agree_within(TIMEOUT);
     assert!(
         fleet.members(0).incarnation > before,
@@ -526,28 +528,36 @@
         "[instances]\nfleet = \"holds\"\nkey_file = {:?}\n",
         fleet.key_file().display()
     );
-    let node = Node::start_with(&forbidden, Some(&configured));
-    assert_eq!(udp_sockets(node.process()), 0);
-    until("it is logged", || {
+    let node = Node::start_with_operators_file(&forbidden, Some(&configured));
+    assert_eq!(udp_sockets(node.process_id()), 0);
+    wait_until("it is logged", || {
         node.log()
             .iter()
             .any(|line| line.contains("[instances] stays off"))
     });
-    assert!(node.call("MEMBERS\n").starts_with("400 "));
-    assert!(!node.call("STATS\n").contains("fleet"));
+    assert!(node.admin_command("MEMBERS\n").starts_with("400 "));
+    assert!(!node.admin_command("STATS\n").contains("fleet"));
     drop(node);
     let node = Node::start(&allowed);
-    assert_eq!(udp_sockets(node.process()), 0, "it is not configured");
+    assert_eq!(udp_sockets(node.process_id()), 0, "it is not configured");
     drop(node);
-    let node = Node::start_with(&allowed, Some(&configured));
-    assert_eq!(udp_sockets(node.process()), 1, "the count finds a socket");
+    let node = Node::start_with_operators_file(&allowed, Some(&configured));
+    assert_eq!(
+        udp_sockets(node.process_id()),
+        1,
+        "the count finds a socket"
+    );
     drop(node);
     let discovery = Discovery::start();
-    let node = Node::start_with(
-        &config(discovery.address, &list(1, true, &[]), &settings(15_000)),
+    let node = Node::start_with_operators_file(
+        &config(
+            discovery.address,
+            &endpoint_list(1, true, &[]),
+            &settings(15_000),
+        ),
         Some(""),
     );
-    assert_eq!(udp_sockets(node.process()), 0);
+    assert_eq!(udp_sockets(node.process_id()), 0);
     assert_eq!(fleet.relay_totals().datagrams, 0);
 }
 
@@ -555,7 +565,7 @@
 #[test]
 fn metrics_and_member_fields_keep_their_recorded_names() {
     let fleet = started_cluster(2, 11);
-    let stats = fleet.node(0).call("STATS\n");
+    let stats = fleet.node(0).admin_command("STATS\n");
     let names: Vec<_> = stats
         .lines()
         .filter_map(|line| line.strip_prefix("edge_router.fleet_"))
@@ -590,7 +600,7 @@
             "refused.full|c",
         ]
     );
-    let members = fleet.node(0).call("MEMBERS\n");
+    let members = fleet.node(0).admin_command("MEMBERS\n");
     let lines: Vec<Vec<_>> = members
         .lines()
         .map(|line| line.split(' ').collect())
@@ -601,9 +611,9 @@
     );
     assert_eq!((&lines[1][..2], lines[1].len()), (&["n1", "alive"][..], 6));
     assert_eq!(lines[2..], [["EOF"]]);
-    let output = testkit::program()
+    let output = testkit::program_command()
         .args(["members", "--json", "--at"])
-        .arg(fleet.node(0).control().to_string())
+        .arg(fleet.node(0).admin_address().to_string())
         .output()
         .expect("the program starts");
     let json: serde_json::Value = serde_json::from_slice(&output.stdout).expect("JSON");
--- a/tests/lease_processes.rs
+++ b/tests/lease_processes.rs
@@ -4,7 +4,9 @@
 use std::time::{Duration, Instant};
 
 use silverthread::node::admin::config_file::OperatorConfig;
-use testkit::{program, until, write_config, Fault, Fleet, Link, Load, Node, Register};
+use testkit::{
+    program_command, wait_until, write_temp_file, Fault, Fleet, Link, Load, Node, Register,
+};
 
 /// Short times, so that a test of several cases takes seconds.
 const TIMES: &str = "probe_ms = 200\nsuspect_ms = 1000\n";
@@ -78,10 +80,10 @@
     for round in 0..4_u64 {
         let owner = wait_for_append(&mut fleet, &register, |_| true);
         fleet.wait(ms(130 * round));
-        fleet.stop(owner);
+        fleet.pause(owner);
         let next = wait_for_append(&mut fleet, &register, |node| node != owner);
         assert_ne!(next, owner);
-        fleet.go_on(owner);
+        fleet.resume(owner);
         fleet.wait(ms(500));
         wait_until_settled(&mut fleet, &register);
     }
@@ -94,13 +96,13 @@
     let owner = wait_for_append(&mut fleet, &register, |_| true);
     register.delay(fleet.name(owner), ms(8_000));
     fleet.wait(ms(1_500));
-    fleet.stop(owner);
+    fleet.pause(owner);
     wait_for_append(&mut fleet, &register, |node| node != owner);
     fleet.wait_for("it is refused", PATIENCE, |_| match register.rejected() {
         0 => Err(format!("{:?}", register.log().last())),
         _ => Ok(()),
     });
-    fleet.go_on(owner);
+    fleet.resume(owner);
     wait_until_all_owned(&mut fleet);
     assert_eq!(register.violation(), None);
 }
@@ -111,7 +113,7 @@
     let owner = wait_for_append(&mut fleet, &register, |_| true);
     fleet.kill(owner);
     wait_for_append(&mut fleet, &register, |node| node != owner);
-    fleet.run(owner);
+    fleet.start_node(owner);
     wait_until_settled(&mut fleet, &register);
     let owner = wait_for_append(&mut fleet, &register, |_| true);
     fleet.terminate(owner);
@@ -153,7 +155,7 @@
     wait_for_append(&mut fleet, &register, |_| true);
     let before = register.last().expect("a line").token;
     (0..3).for_each(|node| fleet.kill(node));
-    (0..3).for_each(|node| fleet.run(node));
+    (0..3).for_each(|node| fleet.start_node(node));
     wait_for_append(&mut fleet, &register, |_| true);
     assert!(register.last().expect("a line").token > before);
     assert_eq!(register.violation(), None);
@@ -173,9 +175,9 @@
             }),
             1 => {
                 fleet.kill(node);
-                fleet.run(node);
+                fleet.start_node(node);
             }
-            2 => fleet.split(|at| usize::from(at == node)),
+            2 => fleet.partition(|at| usize::from(at == node)),
             _ => fleet.apply(&Fault::Cut {
                 from: node,
                 to: (node + 1) % 6,
@@ -188,13 +190,17 @@
     wait_until_settled(&mut fleet, &register);
     wait_for_append(&mut fleet, &register, |_| true);
     assert_eq!(register.violation(), None);
-    let totals = load.end();
+    let totals = load.finish();
     assert_eq!(
-        (totals.lost, totals.of(200)),
+        (totals.lost, totals.with_status(200)),
         (0, totals.sent),
         "requests are served"
     );
-    assert_eq!(fleet.server.count() as u64, totals.sent, "each once");
+    assert_eq!(
+        fleet.server.request_count() as u64,
+        totals.sent,
+        "each once"
+    );
     assert!(
         fleet.relay_totals().max_datagram_bytes <= 256,
         "{} bytes",
@@ -207,7 +213,7 @@
     let (register, mut fleet) = start_fleet(4, 6);
     let owner = fleet.owner(0).expect("one");
     let to = (owner + 1) % 4;
-    let call = |fleet: &Fleet, node: usize, line: &str| fleet.node(node).call(line);
+    let call = |fleet: &Fleet, node: usize, line: &str| fleet.node(node).admin_command(line);
     assert!(call(&fleet, to, &format!("GIVE 0 n{owner}\n"))
         .starts_with("400 shard 0 is not owned here"));
     assert!(call(&fleet, owner, "GIVE 0 nobody\n").starts_with("400 nobody is no other node"));
@@ -227,10 +233,12 @@
     assert!(call(&fleet, 0, "OWNERS\n").starts_with("self n0 grants 1\n"));
     assert!(call(&fleet, 0, "STATS\n").contains("edge_router.lease_grants:"));
     // A node with another configuration is granted nothing, and logs that.
-    let other = fleet.operators(3).replace("[leases]", "[leases]\nset = 2");
+    let other = fleet
+        .operators_file(3)
+        .replace("[leases]", "[leases]\nset = 2");
     fleet.kill(3);
-    fleet.set_operators(3, &other);
-    fleet.run(3);
+    fleet.set_operators_file(3, &other);
+    fleet.start_node(3);
     fleet.wait_for("it is logged", PATIENCE, |fleet| {
         let log = fleet.log(3);
         log.iter()
@@ -260,7 +268,7 @@
         ("bytes_out", "c"),
     ];
     let (_register, fleet) = start_fleet(3, 20);
-    let owners = fleet.node(0).call("OWNERS\n");
+    let owners = fleet.node(0).admin_command("OWNERS\n");
     let lines: Vec<_> = owners.lines().collect();
     assert_eq!(lines.len(), SHARDS + 2, "{owners}");
     assert_eq!((lines[0], lines[SHARDS + 1]), ("self n0 grants 1", "EOF"));
@@ -276,7 +284,7 @@
             "{line}"
         );
     }
-    let stats = fleet.node(0).call("STATS\n");
+    let stats = fleet.node(0).admin_command("STATS\n");
     let metrics: Vec<_> = stats
         .lines()
         .filter_map(|line| line.strip_prefix("edge_router.lease_"))
@@ -286,7 +294,7 @@
     assert_eq!(metrics, METRICS);
     let answers = ["GIVE 0 nobody\n", "GIVE 200 n1\n"].map(|call| {
         let node = fleet.owner(0).expect("one");
-        fleet.node(node).call(call)
+        fleet.node(node).admin_command(call)
     });
     assert_eq!(
         answers,
@@ -305,26 +313,26 @@
     let (register, mut fleet) = start_fleet(5, 10);
     let old = "keepers = [\"n0\", \"n1\", \"n2\"]";
     let new = |before: &str| format!("set = 2\nkeepers = [\"n0\", \"n1\", \"n3\"]\n{before}");
-    let text = |fleet: &Fleet, before| fleet.operators(0).replace(old, &new(before));
+    let text = |fleet: &Fleet, before| fleet.operators_file(0).replace(old, &new(before));
     let next = text(&fleet, "before = [\"n0\", \"n1\", \"n2\"]");
     let wrong = text(&fleet, "");
-    fleet.node(4).reload_operators(&wrong);
+    fleet.node(4).reload_operators_file(&wrong);
     fleet.wait_for("it refuses", PATIENCE, |fleet| {
         logged(fleet, 4, "reconfiguration rejected: `before` must")
     });
     for node in [3, 0, 4, 2, 1] {
-        fleet.set_operators(node, &next);
-        fleet.node(node).reload_operators(&next);
+        fleet.set_operators_file(node, &next);
+        fleet.node(node).reload_operators_file(&next);
         if node == 4 {
             // It crashes after it has read its file.
             fleet.kill(0);
-            fleet.run(0);
+            fleet.start_node(0);
         }
         fleet.wait(ms(300));
     }
     for node in 0..5 {
         fleet.wait_for("the new configuration settles", PATIENCE, |fleet| {
-            let text = fleet.node(node).call("OWNERS\n");
+            let text = fleet.node(node).admin_command("OWNERS\n");
             let head = text.lines().next().unwrap_or_default().to_owned();
             if head.ends_with(" 2") {
                 Ok(())
@@ -360,11 +368,11 @@
     let mut fleet = Fleet::prepare(3, 11, &lease_section(&register));
     let with_file = format!(
         "{}fence_file = \"{}\"\n",
-        fleet.operators(0),
+        fleet.operators_file(0),
         file.display()
     );
-    fleet.set_operators(0, &with_file);
-    (0..3).for_each(|node| fleet.run(node));
+    fleet.set_operators_file(0, &with_file);
+    (0..3).for_each(|node| fleet.start_node(node));
     wait_until_all_owned(&mut fleet);
     let first = wait_for_append(&mut fleet, &register, |_| true);
     let reserved = || {
@@ -380,7 +388,7 @@
     let far = lease::FencingToken(u64::MAX / 2);
     fleet.kill(0);
     std::fs::write(&file, lease::encode_fence_file("n0", far)).expect("written");
-    fleet.run(0);
+    fleet.start_node(0);
     fleet.wait_for("a later number", PATIENCE, |_| {
         let last = register.last().expect("one");
         if last.token > far.0 {
@@ -397,8 +405,11 @@
         (&text[..40], "the file is truncated"),
     ] {
         std::fs::write(&file, wrong).expect("written");
-        let (config, operators) = (write_config(&fleet.config(0)), write_config(&with_file));
-        let mut command = program();
+        let (config, operators) = (
+            write_temp_file(&fleet.config(0)),
+            write_temp_file(&with_file),
+        );
+        let mut command = program_command();
         command
             .env("ROUTER_CONFIG", &config)
             .arg("--config")
@@ -433,7 +444,7 @@
         after.number
     );
     let node = (owner + 1) % 4;
-    assert!(fleet.node(node).figure("lease_effects") > 2);
+    assert!(fleet.node(node).metric("lease_effects") > 2);
     assert_eq!(register.violation(), None);
 }
 
@@ -444,18 +455,18 @@
     for _ in 0..4 {
         fleet.kill(1);
         fleet.wait(ms(200));
-        fleet.run(1);
+        fleet.start_node(1);
         fleet.wait(ms(600));
     }
     wait_for_append(&mut fleet, &register, |_| true);
     fleet.agree_within(PATIENCE);
-    fleet.stop(0);
-    fleet.stop(1);
+    fleet.pause(0);
+    fleet.pause(1);
     let stopped = Instant::now();
     fleet.wait(ms(5 * LEASE_MS));
     let woken = Instant::now();
-    fleet.go_on(0);
-    fleet.go_on(1);
+    fleet.resume(0);
+    fleet.resume(1);
     // Leases from before expire within their length; twice that for a busy machine.
     let lines = register.log();
     let without = lines
@@ -497,7 +508,7 @@
     for node in 0..5 {
         fleet.terminate(node);
         wait_for_append(&mut fleet, &register, |by| by != node);
-        fleet.run(node);
+        fleet.start_node(node);
         fleet.agree_within(PATIENCE);
     }
     wait_until_all_owned(&mut fleet);
@@ -513,7 +524,9 @@
         .filter(|(_, (_, left))| *left > 0);
     for (shard, _) in owned {
         // It may have lost the shard since.
-        let answer = fleet.node(from).call(&format!("GIVE {shard} n{to}\n"));
+        let answer = fleet
+            .node(from)
+            .admin_command(&format!("GIVE {shard} n{to}\n"));
         assert!(
             answer == "200 given\n" || answer.contains("is not owned here"),
             "{answer}"
@@ -530,10 +543,10 @@
         let to = (owner + 1 + round) % 5;
         let to = if to == owner { (to + 1) % 5 } else { to };
         transfer_all(&fleet, owner, to);
-        fleet.stop(owner);
+        fleet.pause(owner);
         wait_for_append(&mut fleet, &register, |node| node != owner);
         fleet.wait(ms(2 * LEASE_MS));
-        fleet.go_on(owner);
+        fleet.resume(owner);
         wait_until_settled(&mut fleet, &register);
     }
 }
@@ -579,19 +592,19 @@
     let mut fleet = Fleet::prepare(3, 19, &lease_section(&register));
     let with_file = format!(
         "{}fence_file = \"/nonexistent/fences\"\n",
-        fleet.operators(0)
+        fleet.operators_file(0)
     );
-    fleet.set_operators(0, &with_file);
-    (0..3).for_each(|node| fleet.run(node));
+    fleet.set_operators_file(0, &with_file);
+    (0..3).for_each(|node| fleet.start_node(node));
     wait_until_all_owned(&mut fleet);
     fleet.wait_for("it is logged", PATIENCE, |fleet| {
         logged(fleet, 0, "the fence file cannot be written")
     });
-    assert_eq!(fleet.node(0).figure("lease_grants"), 0);
+    assert_eq!(fleet.node(0).metric("lease_grants"), 0);
     wait_for_append(&mut fleet, &register, |_| true);
     // The other two acceptors are a majority.
     fleet.kill(2);
-    fleet.run(2);
+    fleet.start_node(2);
     wait_until_all_owned(&mut fleet);
     assert_eq!(register.violation(), None);
 }
@@ -602,7 +615,7 @@
     wait_for_append(&mut fleet, &register, |_| true);
     fleet.kill(4);
     fleet.rename(4, "n3");
-    fleet.run(4);
+    fleet.start_node(4);
     fleet.wait_for("one process stops", PATIENCE, |fleet| {
         let logged = |node| {
             fleet
@@ -628,17 +641,17 @@
     );
     let fleet = Fleet::prepare(3, 8, &lease_section);
     let forbidden = fleet.config(0).replace("\"peers\":true", "\"peers\":false");
-    let node = Node::start_with(&forbidden, Some(fleet.operators(0)));
-    until("it is logged", || {
+    let node = Node::start_with_operators_file(&forbidden, Some(fleet.operators_file(0)));
+    wait_until("it is logged", || {
         node.log()
             .iter()
             .any(|line| line.contains("[instances] stays off"))
     });
     assert!(node
-        .call("OWNERS\n")
+        .admin_command("OWNERS\n")
         .starts_with("400 this node takes no part"));
     assert!(node
-        .call("GIVE 0 n1\n")
+        .admin_command("GIVE 0 n1\n")
         .starts_with("400 this node takes no part"));
     std::thread::sleep(ms(1_500));
     assert_eq!(register.log(), []);
--- a/tests/long.rs
+++ b/tests/long.rs
@@ -25,11 +25,11 @@
     let entries: Vec<_> = servers
         .iter()
         .enumerate()
-        .map(|(i, server)| server.entry(&format!("s-{i}"), "ready"))
+        .map(|(i, server)| server.endpoint_entry(&format!("s-{i}"), "ready"))
         .collect();
     let text = config(
         discovery.address,
-        &list(1, true, &entries),
+        &endpoint_list(1, true, &entries),
         &settings(60_000),
     );
     (
@@ -41,7 +41,7 @@
 /// The most memory that a process has had, in KiB.
 fn peak_kb(node: &Node) -> u64 {
     let status =
-        std::fs::read_to_string(format!("/proc/{}/status", node.process())).expect("a process");
+        std::fs::read_to_string(format!("/proc/{}/status", node.process_id())).expect("a process");
     let line = status
         .lines()
         .find_map(|line| line.strip_prefix("VmHWM:"))
@@ -80,7 +80,8 @@
 }
 
 fn upload_head(id: &str, length: usize) -> String {
-    post(id, "pay", "", "").replace("Content-Length: 0", &format!("Content-Length: {length}"))
+    post_request(id, "pay", "", "")
+        .replace("Content-Length: 0", &format!("Content-Length: {length}"))
 }
 
 /// The limit on memory holds, and the body arrives completely, with a content length and chunked.
@@ -96,13 +97,13 @@
         .concat(),
     ];
     for answer in answers {
-        let server = Server::start(move |_| Reply::Say(answer.clone())).quiet();
+        let server = Server::start(move |_| Reply::Send(answer.clone())).without_recording();
         let (node, _discovery) = node(&[&server]);
         let before = peak_kb(&node);
         let mut client = node.connect();
         for id in ["a", "b"] {
-            client.send(&read(id, "60000m"));
-            let served = client.answer().expect("all of it");
+            client.send(&read_request(id, "60000m"));
+            let served = client.read_response().expect("all of it");
             assert_eq!((served.status(), served.body.len()), (200, LONG));
             assert!(served.body == body, "it is the same");
         }
@@ -113,11 +114,11 @@
             peak_kb(&node)
         );
         assert_eq!(
-            (server.count(), server.opened()),
+            (server.request_count(), server.accepted_connections()),
             (2, 1),
             "the connection is used again"
         );
-        until("both are counted", || node.figure("served.read") == 2);
+        wait_until("both are counted", || node.metric("served.read") == 2);
     }
 }
 
@@ -128,7 +129,7 @@
         let expected = body.clone();
         let server =
             Server::start(move |request| Reply::ok(&(request.body == expected).to_string()))
-                .quiet();
+                .without_recording();
         let (node, _discovery) = node(&[&server]);
         let before = peak_kb(&node);
         let head = upload_head("a", LONG);
@@ -154,7 +155,7 @@
             before,
             peak_kb(&node)
         );
-        assert_eq!(node.figure("attempts.pay"), 1);
+        assert_eq!(node.metric("attempts.pay"), 1);
     }
 }
 
@@ -165,18 +166,18 @@
     let head = b"HTTP/1.1 200 OK\r\nContent-Length: 200000\r\n\r\n";
     let now = [&head[..], &first].concat();
     let wait = Duration::from_secs(2);
-    let server = Server::start(move |_| Reply::SayThen(now.clone(), wait, rest.clone()));
+    let server = Server::start(move |_| Reply::SendInTwoParts(now.clone(), wait, rest.clone()));
     let (node, _discovery) = node(&[&server]);
     let mut stream = TcpStream::connect(node.address).expect("it listens");
     let start = Instant::now();
     stream
-        .write_all(read("a", "60000m").as_bytes())
+        .write_all(read_request("a", "60000m").as_bytes())
         .expect("an open connection");
     stream
         .read_exact(&mut vec![0; 60_000])
         .expect("the first bytes");
     assert!(start.elapsed() < wait, "{:?}", start.elapsed());
-    assert_eq!(node.figure("in_flight"), 1, "it has not ended");
+    assert_eq!(node.metric("in_flight"), 1, "it has not ended");
     let mut rest = vec![0; 140_000];
     stream.read_exact(&mut rest).expect("and the others");
     assert!(rest.ends_with(&[b'b'; 90_000]));
@@ -194,14 +195,14 @@
     let head = &b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n30d40\r\n"[..];
     let unended = [head, &part, b"\r\n"].concat();
     for cut in [told, unended] {
-        let server = Server::start(move |_| Reply::SayAndClose(cut.clone()));
+        let server = Server::start(move |_| Reply::SendAndClose(cut.clone()));
         let (node, _discovery) = node(&[&server]);
         let mut client = node.connect();
-        client.send(&read("a", "60000m"));
-        assert!(client.answer().is_none(), "its end does not come");
-        until("it is counted", || node.figure("failed.read") == 1);
-        assert_eq!((server.count(), node.figure("in_flight")), (1, 0));
-        assert_eq!(node.ask(UP).status(), 200);
+        client.send(&read_request("a", "60000m"));
+        assert!(client.read_response().is_none(), "its end does not come");
+        wait_until("it is counted", || node.metric("failed.read") == 1);
+        assert_eq!((server.request_count(), node.metric("in_flight")), (1, 0));
+        assert_eq!(node.request(UP).status(), 200);
     }
 }
 
@@ -213,9 +214,9 @@
 fn slow_peers_are_not_disconnected() {
     let server = Server::start(|request| {
         let body = "y".repeat(request.body.len());
-        let whole = answer("200 OK", "", &body);
+        let whole = response("200 OK", "", &body);
         let (now, then) = whole.split_at(20);
-        Reply::SayThen(now.to_vec(), Duration::from_millis(600), then.to_vec())
+        Reply::SendInTwoParts(now.to_vec(), Duration::from_millis(600), then.to_vec())
     });
     let (node, _discovery) = node(&[&server]);
     let node = &node;
@@ -250,15 +251,18 @@
             .write_all(&with_body(&upload_head(id, LONG), &[b'x'; 400_000]))
             .expect("an open connection");
     }
-    until("both are passed on", || server.opened() == 2);
+    wait_until("both are passed on", || server.accepted_connections() == 2);
     drop(leaves);
     let told = Message::read(&mut std::io::BufReader::new(&stops)).expect("an answer");
     assert_eq!(told.status(), 408);
-    until("nothing is held", || {
-        server.closed() == 2 && node.figure("in_flight") == 0
+    wait_until("nothing is held", || {
+        server.closed_connections() == 2 && node.metric("in_flight") == 0
     });
-    assert_eq!((server.count(), node.figure("attempts.pay")), (0, 0));
-    assert_eq!(node.ask(&read("a", "15000m")).status(), 200);
+    assert_eq!(
+        (server.request_count(), node.metric("attempts.pay")),
+        (0, 0)
+    );
+    assert_eq!(node.request(&read_request("a", "15000m")).status(), 200);
 }
 
 /// A body of which a server took a part must not be sent to another without that part, and what was never executed must
@@ -267,15 +271,15 @@
 fn long_request_is_retried_only_while_completely_buffered() {
     // Nobody is there: none of it was taken, so it goes on elsewhere, whatever its class.
     let server = Server::start(|request| Reply::ok(&request.body.len().to_string()));
-    let nobody = Unreachable::start();
+    let nobody = Unreachable::reserve();
     let discovery = Discovery::start();
     let entries = [
-        entry("s-dead", nobody.address, "ready"),
-        server.entry("s-live", "ready"),
+        endpoint_entry("s-dead", nobody.address, "ready"),
+        server.endpoint_entry("s-live", "ready"),
     ];
     let text = config(
         discovery.address,
-        &list(1, true, &entries),
+        &endpoint_list(1, true, &entries),
         &settings(60_000),
     );
     let node = Node::start(&text);
@@ -291,14 +295,18 @@
             (200, &b"400000"[..])
         );
     }
-    assert_eq!(server.count(), 6);
+    assert_eq!(server.request_count(), 6);
     // It was turned away unseen, and has gone: it is refused, which is true, and goes nowhere else.
     let seen = Arc::<AtomicUsize>::default();
     let declining = |seen: &Arc<AtomicUsize>| {
         let seen = Arc::clone(seen);
         Server::start(move |_| {
             seen.fetch_add(1, Ordering::SeqCst);
-            Reply::Say(answer("503 Service Unavailable", "Srv-Declined: 1\r\n", ""))
+            Reply::Send(response(
+                "503 Service Unavailable",
+                "Srv-Declined: 1\r\n",
+                "",
+            ))
         })
     };
     let servers = [declining(&seen), declining(&seen)];
@@ -315,7 +323,7 @@
 #[test]
 fn peer_leaving_during_long_response_releases_all_resources() {
     let answer = with_content_length(&vec![b'z'; 4 << 20]);
-    let server = Server::start(move |_| Reply::Say(answer.clone())).quiet();
+    let server = Server::start(move |_| Reply::Send(answer.clone())).without_recording();
     let (node, _discovery) = node(&[&server]);
     for (at, bytes) in [0, 1, 100, 65_536, 65_700, 1 << 20, 3 << 20]
         .into_iter()
@@ -325,19 +333,22 @@
     {
         let mut stream = TcpStream::connect(node.address).expect("it listens");
         stream
-            .write_all(read(&at.to_string(), "60000m").as_bytes())
+            .write_all(read_request(&at.to_string(), "60000m").as_bytes())
             .expect("an open connection");
         stream
             .read_exact(&mut vec![0; bytes])
             .expect("so much of it");
     }
-    until("nothing is open", || node.figure("in_flight") == 0);
-    until("no connection is held for them", || {
-        server.opened() - server.closed() <= 1
+    wait_until("nothing is open", || node.metric("in_flight") == 0);
+    wait_until("no connection is held for them", || {
+        server.accepted_connections() - server.closed_connections() <= 1
     });
     let mut client = node.connect();
-    client.send(&read("last", "60000m"));
-    assert_eq!(client.answer().expect("an answer").body.len(), 4 << 20);
+    client.send(&read_request("last", "60000m"));
+    assert_eq!(
+        client.read_response().expect("an answer").body.len(),
+        4 << 20
+    );
 }
 
 /// The overhead of many small chunks must not be taken for a response without an end.
@@ -347,11 +358,14 @@
         let body = long_body()[..length].to_vec();
         let head = &b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"[..];
         let answer = [head, &chunked(&body, 1)].concat();
-        let server = Server::start(move |_| Reply::Say(answer.clone()));
+        let server = Server::start(move |_| Reply::Send(answer.clone()));
         let (node, _discovery) = node(&[&server]);
         let mut client = node.connect();
-        client.send(&read("a", "60000m"));
-        assert!(client.answer().expect("all of it").body == body, "{length}");
+        client.send(&read_request("a", "60000m"));
+        assert!(
+            client.read_response().expect("all of it").body == body,
+            "{length}"
+        );
     }
 }
 
@@ -378,14 +392,14 @@
         &b"HTTP/1.1 503 Service Unavailable\r\nSrv-Declined: 1\r\nContent-Length: 0\r\n\r\n"[..];
     for says in [declines, b""] {
         let discovery = Discovery::start();
-        let entries = [entry(
+        let entries = [endpoint_entry(
             "s-part",
             server_that_reads_a_prefix(10_000, says),
             "ready",
         )];
         let text = config(
             discovery.address,
-            &list(1, true, &entries),
+            &endpoint_list(1, true, &entries),
             &settings(60_000),
         );
         let node =
@@ -395,13 +409,15 @@
         let sends = thread::spawn(move || {
             let _ = sending.write_all(&with_body(&upload_head("a", LONG), &vec![b'x'; LONG]));
         });
-        stream.set_read_timeout(Some(PATIENCE)).expect("a socket");
+        stream
+            .set_read_timeout(Some(WAIT_TIMEOUT))
+            .expect("a socket");
         let told = Message::read(&mut std::io::BufReader::new(&mut stream)).expect("an answer");
         assert_eq!(told.status(), 503);
         drop(stream);
         sends.join().expect("it ends");
         assert_eq!(
-            node.figure("attempts.pay"),
+            node.metric("attempts.pay"),
             0,
             "its last byte never went out"
         );
