--- a/tests/node.rs
+++ b/tests/node.rs
@@ -21,21 +21,21 @@
 #[test]
 fn request_and_response_are_forwarded_unchanged() {
     let server = Server::start(|_| {
-        Reply::Say(answer(
+        Reply::Send(response(
             "200 OK",
             "Srv-Load: TEXT inflight=1, queue=0\r\n",
             "rooms: 3\n",
         ))
     });
-    let (node, _discovery, _watch) = Node::with(&[&server], 15_000);
-    let served = node.ask(&post("r1", "hold", KEY, "a guest"));
+    let (node, _discovery, _watch) = Node::start_with_servers(&[&server], 15_000);
+    let served = node.request(&post_request("r1", "hold", KEY, "a guest"));
     assert_eq!(
         (served.status(), served.body.as_slice()),
         (200, b"rooms: 3\n".as_slice())
     );
     let requests = server.requests();
     assert_eq!(requests.len(), 1);
-    assert_eq!(requests[0].first, "POST /api?key=inn-7 HTTP/1.1");
+    assert_eq!(requests[0].start_line, "POST /api?key=inn-7 HTTP/1.1");
     assert_eq!(requests[0].body, b"a guest");
     assert_eq!(requests[0].header("req-id"), Some("r1"));
     assert_eq!(requests[0].header("idempotency-key"), Some("5c0f"));
@@ -52,31 +52,38 @@
 #[test]
 fn absolute_form_request_is_forwarded_in_origin_form() {
     let server = Server::start(|_| Reply::ok("yes"));
-    let (node, _discovery, _watch) = Node::with(&[&server], 15_000);
-    let absolute = read("a", "15000m").replace("GET /api", "GET http://service.internal/api");
-    assert_eq!(node.ask(&absolute).status(), 200);
-    assert_eq!(server.requests()[0].first, "GET /api?key=inn-7 HTTP/1.1");
+    let (node, _discovery, _watch) = Node::start_with_servers(&[&server], 15_000);
+    let absolute =
+        read_request("a", "15000m").replace("GET /api", "GET http://service.internal/api");
+    assert_eq!(node.request(&absolute).status(), 200);
+    assert_eq!(
+        server.requests()[0].start_line,
+        "GET /api?key=inn-7 HTTP/1.1"
+    );
 }
 
 #[test]
 fn connections_to_client_and_server_are_reused() {
     let server = Server::start(|_| Reply::ok("yes"));
-    let (node, _discovery, _watch) = Node::with(&[&server], 15_000);
+    let (node, _discovery, _watch) = Node::start_with_servers(&[&server], 15_000);
     let mut client = node.connect();
     let mut served = 0;
-    until("three requests are served", || {
-        client.send(&read("a", "15000m"));
-        served += usize::from(client.answer().expect("an answer").status() == 200);
+    wait_until("three requests are served", || {
+        client.send(&read_request("a", "15000m"));
+        served += usize::from(client.read_response().expect("an answer").status() == 200);
         served == 3
     });
-    assert_eq!((server.requests().len(), server.opened()), (3, 1));
+    assert_eq!(
+        (server.requests().len(), server.accepted_connections()),
+        (3, 1)
+    );
 }
 
 #[test]
 fn invalid_request_is_rejected_and_not_forwarded() {
     let server = Server::start(|_| Reply::ok("yes"));
-    let (node, _discovery, _watch) = Node::with(&[&server], 15_000);
-    let good = read("a", "480m");
+    let (node, _discovery, _watch) = Node::start_with_servers(&[&server], 15_000);
+    let good = read_request("a", "480m");
     let cases = [
         (400, "nonsense\r\n\r\n".to_owned()),
         (400, good.replace("Req-Id: a\r\n", "")),
@@ -89,12 +96,13 @@
         (400, good.replace("480m", "12é")),
         (400, good.replace("Req-Deadline: 480m\r\n", "")),
         (400, good.replace("GET", "POST")),
-        (400, post("a", "hold", "", "no key")),
-        (400, post("a", "pay", KEY, "a key")),
+        (400, post_request("a", "hold", "", "no key")),
+        (400, post_request("a", "pay", KEY, "a key")),
         (404, good.replace("/api", "/other")),
         (
             413,
-            post("a", "pay", "", "").replace("Content-Length: 0", "Content-Length: 60000000"),
+            post_request("a", "pay", "", "")
+                .replace("Content-Length: 0", "Content-Length: 60000000"),
         ),
         (
             405,
@@ -103,21 +111,25 @@
     ];
     for (status, request) in cases {
         assert_eq!(
-            node.ask(&request).status(),
+            node.request(&request).status(),
             status,
             "{}",
             &request[..request.len().min(300)]
         );
     }
     assert!(server.requests().is_empty());
-    assert_eq!(node.ask(&read("b", "15000m")).status(), 200, "it serves on");
+    assert_eq!(
+        node.request(&read_request("b", "15000m")).status(),
+        200,
+        "it serves on"
+    );
 }
 
 #[test]
 fn body_of_64_kib_is_forwarded_whole() {
     let server = Server::start(|request| Reply::ok(&"y".repeat(request.body.len())));
-    let (node, _discovery, _watch) = Node::with(&[&server], 15_000);
-    let served = node.ask(&post("a", "pay", "", &"x".repeat(64 * 1024)));
+    let (node, _discovery, _watch) = Node::start_with_servers(&[&server], 15_000);
+    let served = node.request(&post_request("a", "pay", "", &"x".repeat(64 * 1024)));
     assert_eq!((served.status(), served.body.len()), (200, 64 * 1024));
 }
 
@@ -126,31 +138,38 @@
 fn declined_request_is_retried_even_if_not_idempotent() {
     let seen = AtomicUsize::new(0);
     let server = Server::start(move |_| match seen.fetch_add(1, Ordering::SeqCst) {
-        0 => Reply::Say(answer("503 Service Unavailable", "Srv-Declined: 1\r\n", "")),
+        0 => Reply::Send(response(
+            "503 Service Unavailable",
+            "Srv-Declined: 1\r\n",
+            "",
+        )),
         _ => Reply::ok("yes"),
     });
-    let (node, _discovery, _watch) = Node::with(&[&server], 15_000);
-    assert_eq!(node.ask(&post("a", "pay", "", "x")).status(), 200);
+    let (node, _discovery, _watch) = Node::start_with_servers(&[&server], 15_000);
+    assert_eq!(
+        node.request(&post_request("a", "pay", "", "x")).status(),
+        200
+    );
     assert_eq!(server.requests().len(), 2);
 }
 
 #[test]
 fn request_to_unreachable_server_is_retried_elsewhere() {
     let server = Server::start(|_| Reply::ok("yes"));
-    let nobody = Unreachable::start();
+    let nobody = Unreachable::reserve();
     let discovery = Discovery::start();
     let entries = [
-        entry("s-dead", nobody.address, "ready"),
-        server.entry("s-live", "ready"),
+        endpoint_entry("s-dead", nobody.address, "ready"),
+        server.endpoint_entry("s-live", "ready"),
     ];
     let node = Node::start(&config(
         discovery.address,
-        &list(1, true, &entries),
+        &endpoint_list(1, true, &entries),
         &settings(15_000),
     ));
     for id in 0..8 {
         assert_eq!(
-            node.ask_until_taken(&post(&format!("r{id}"), "pay", "", "x"))
+            node.request_until_accepted(&post_request(&format!("r{id}"), "pay", "", "x"))
                 .status(),
             200
         );
@@ -164,33 +183,42 @@
 fn non_idempotent_request_that_may_have_run_is_not_retried() {
     for reply in [
         Reply::Close,
-        Reply::Say(answer("500 Oops", "", "")),
-        Reply::Say(b"nonsense\r\n\r\n".to_vec()),
+        Reply::Send(response("500 Oops", "", "")),
+        Reply::Send(b"nonsense\r\n\r\n".to_vec()),
     ] {
         let server = Server::start(move |_| reply.clone());
-        let (node, _discovery, _watch) = Node::with(&[&server], 15_000);
-        assert_eq!(node.ask(&post("a", "pay", "", "x")).status(), 502);
+        let (node, _discovery, _watch) = Node::start_with_servers(&[&server], 15_000);
+        assert_eq!(
+            node.request(&post_request("a", "pay", "", "x")).status(),
+            502
+        );
         assert_eq!(server.requests().len(), 1);
     }
 }
 
 #[test]
 fn undeclined_503_counts_as_may_have_run_and_is_not_retried() {
-    let server = Server::start(|_| Reply::Say(answer("503 Service Unavailable", "", "")));
-    let (node, _discovery, _watch) = Node::with(&[&server], 15_000);
-    assert_eq!(node.ask(&post("a", "pay", "", "x")).status(), 502);
+    let server = Server::start(|_| Reply::Send(response("503 Service Unavailable", "", "")));
+    let (node, _discovery, _watch) = Node::start_with_servers(&[&server], 15_000);
+    assert_eq!(
+        node.request(&post_request("a", "pay", "", "x")).status(),
+        502
+    );
     assert_eq!(server.requests().len(), 1);
 }
 
 #[test]
 fn truncated_or_oversized_response_is_not_forwarded() {
-    let mut cut = answer("200 OK", "", "rooms: 3\n");
+    let mut cut = response("200 OK", "", "rooms: 3\n");
     cut.pop();
     let large = b"HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\nyyy".to_vec();
-    for reply in [Reply::SayAndClose(cut), Reply::Say(large)] {
+    for reply in [Reply::SendAndClose(cut), Reply::Send(large)] {
         let server = Server::start(move |_| reply.clone());
-        let (node, _discovery, _watch) = Node::with(&[&server], 15_000);
-        assert_eq!(node.ask(&post("a", "pay", "", "x")).status(), 502);
+        let (node, _discovery, _watch) = Node::start_with_servers(&[&server], 15_000);
+        assert_eq!(
+            node.request(&post_request("a", "pay", "", "x")).status(),
+            502
+        );
     }
 }
 
@@ -201,11 +229,11 @@
         write!(body, "{n:06} ").expect("a string takes all");
         body
     });
-    let reply = answer("200 OK", "", &body);
-    let server = Server::start(move |_| Reply::Say(reply.clone()));
-    let (node, _discovery, _watch) = Node::with(&[&server], 15_000);
+    let reply = response("200 OK", "", &body);
+    let server = Server::start(move |_| Reply::Send(reply.clone()));
+    let (node, _discovery, _watch) = Node::start_with_servers(&[&server], 15_000);
     for n in 0..3 {
-        let served = node.ask_until_taken(&read(&n.to_string(), "15000m"));
+        let served = node.request_until_accepted(&read_request(&n.to_string(), "15000m"));
         assert_eq!(served.status(), 200);
         assert!(
             served.body == body.as_bytes(),
@@ -225,11 +253,15 @@
         "TEXT inflight=NaN, queue=-1",
         "",
     ] {
-        let reply = answer("200 OK", &format!("Srv-Load: {load}\r\n"), "yes");
-        let server = Server::start(move |_| Reply::Say(reply.clone()));
-        let (node, _discovery, _watch) = Node::with(&[&server], 15_000);
-        assert_eq!(node.ask(&read("a", "15000m")).status(), 200);
-        assert_eq!(node.ask_until_taken(&read("b", "15000m")).status(), 200);
+        let reply = response("200 OK", &format!("Srv-Load: {load}\r\n"), "yes");
+        let server = Server::start(move |_| Reply::Send(reply.clone()));
+        let (node, _discovery, _watch) = Node::start_with_servers(&[&server], 15_000);
+        assert_eq!(node.request(&read_request("a", "15000m")).status(), 200);
+        assert_eq!(
+            node.request_until_accepted(&read_request("b", "15000m"))
+                .status(),
+            200
+        );
     }
 }
 
@@ -237,15 +269,15 @@
 /// unsafe request does not survive.
 #[test]
 fn connection_closed_by_server_is_not_reused() {
-    let server = Server::start(|_| Reply::SayAndClose(answer("200 OK", "", "yes")));
-    let (node, _discovery, _watch) = Node::with(&[&server], 15_000);
+    let server = Server::start(|_| Reply::SendAndClose(response("200 OK", "", "yes")));
+    let (node, _discovery, _watch) = Node::start_with_servers(&[&server], 15_000);
     for n in 1..=5 {
         assert_eq!(
-            node.ask_until_taken(&post(&format!("r{n}"), "pay", "", "x"))
+            node.request_until_accepted(&post_request(&format!("r{n}"), "pay", "", "x"))
                 .status(),
             200
         );
-        until("the server has closed", || server.closed() == n);
+        wait_until("the server has closed", || server.closed_connections() == n);
     }
     assert_eq!(server.requests().len(), 5);
 }
@@ -253,11 +285,11 @@
 /// Guards against a request that is held past its time by a server that took it and fell silent.
 #[test]
 fn request_to_silent_server_fails_at_its_deadline() {
-    let server = Server::start(|_| Reply::Silence);
-    let (node, _discovery, _watch) = Node::with(&[&server], 15_000);
+    let server = Server::start(|_| Reply::NoResponse);
+    let (node, _discovery, _watch) = Node::start_with_servers(&[&server], 15_000);
     let start = Instant::now();
     let status = node
-        .ask(&post("a", "pay", "", "x").replace("15000m", "700m"))
+        .request(&post_request("a", "pay", "", "x").replace("15000m", "700m"))
         .status();
     assert!(
         (500..600).contains(&status) && status != 503,
@@ -267,41 +299,49 @@
         start.elapsed() >= Duration::from_millis(600),
         "it was given its time"
     );
-    until("its connection is closed", || server.closed() == 1);
+    wait_until("its connection is closed", || {
+        server.closed_connections() == 1
+    });
 }
 
 #[test]
 fn attempt_is_aborted_when_its_client_disconnects() {
-    let server = Server::start(|_| Reply::Silence);
-    let (node, _discovery, _watch) = Node::with(&[&server], 15_000);
+    let server = Server::start(|_| Reply::NoResponse);
+    let (node, _discovery, _watch) = Node::start_with_servers(&[&server], 15_000);
     let mut client = node.connect();
-    client.send(&read("a", "15000m"));
-    until("it was sent", || server.requests().len() == 1);
+    client.send(&read_request("a", "15000m"));
+    wait_until("it was sent", || server.requests().len() == 1);
     drop(client);
-    until("its connection is closed", || server.closed() == 1);
+    wait_until("its connection is closed", || {
+        server.closed_connections() == 1
+    });
 }
 
 /// Guards against clients that wait in the system's queue while others keep connections they do not use.
 #[test]
 fn idle_client_connections_are_evicted_for_new_ones() {
     let discovery = Discovery::start();
-    let small =
-        config(discovery.address, &list(1, true, &[]), &settings(15_000)).replace("1024", "8");
+    let small = config(
+        discovery.address,
+        &endpoint_list(1, true, &[]),
+        &settings(15_000),
+    )
+    .replace("1024", "8");
     let node = Node::start(&small);
     let mut kept = Vec::new();
     for _ in 0..12 {
         let mut client = node.connect();
         client.send("GET /up HTTP/1.1\r\nHost: a\r\n\r\n");
-        assert_eq!(client.answer().expect("an answer").status(), 200);
+        assert_eq!(client.read_response().expect("an answer").status(), 200);
         kept.push(client);
     }
 }
 
 #[test]
 fn incomplete_body_times_out_with_408() {
-    let (node, _discovery, _watch) = Node::with(&[], 300);
-    let whole = post("a", "pay", "", "xx");
-    assert_eq!(node.ask(&whole[..whole.len() - 1]).status(), 408);
+    let (node, _discovery, _watch) = Node::start_with_servers(&[], 300);
+    let whole = post_request("a", "pay", "", "xx");
+    assert_eq!(node.request(&whole[..whole.len() - 1]).status(), 408);
 }
 
 /// Guards against clients that are sent away with no word of when there may be room.
@@ -314,11 +354,11 @@
     let discovery = Discovery::start();
     let aims = settings(15_000).replace("\"promise_ms\":15000.0", "\"promise_ms\":300.0");
     let many_nodes = aims.replace("\"n_instances\":1", "\"n_instances\":600");
-    let known = list(1, true, &[slow.entry("s-0", "ready")]);
+    let known = endpoint_list(1, true, &[slow.endpoint_entry("s-0", "ready")]);
     let node = Node::start(&config(discovery.address, &known, &many_nodes));
     let mut refused = None;
-    until("a request is refused", || {
-        let answer = node.ask(&read("a", "15000m"));
+    wait_until("a request is refused", || {
+        let answer = node.request(&read_request("a", "15000m"));
         refused = Some(answer).filter(|answer| answer.status() == 503);
         refused.is_some()
     });
@@ -338,30 +378,30 @@
     let server = Server::start(move |_| {
         match counted.fetch_add(1, Ordering::SeqCst) {
             0 => std::thread::sleep(Duration::from_millis(2_600)),
-            _ => until("two are there at a time", || {
+            _ => wait_until("two are there at a time", || {
                 counted.load(Ordering::SeqCst) == 3
             }),
         }
-        Reply::Say(answer(
+        Reply::Send(response(
             "200 OK",
             "Srv-Load: TEXT active=0, waiting=0\r\n",
             "yes",
         ))
     });
-    let (node, _discovery, _watch) = Node::with(&[&server], 10_000);
-    assert_eq!(node.ask(&read("a", "10000m")).status(), 200);
+    let (node, _discovery, _watch) = Node::start_with_servers(&[&server], 10_000);
+    assert_eq!(node.request(&read_request("a", "10000m")).status(), 200);
     let (mut one, mut other) = (node.connect(), node.connect());
-    one.send(&read("b", "10000m"));
-    until("the first is there", || seen.load(Ordering::SeqCst) == 2);
-    other.send(&read("c", "10000m"));
-    assert_eq!(other.answer().expect("an answer").status(), 200);
-    assert_eq!(one.answer().expect("an answer").status(), 200);
+    one.send(&read_request("b", "10000m"));
+    wait_until("the first is there", || seen.load(Ordering::SeqCst) == 2);
+    other.send(&read_request("c", "10000m"));
+    assert_eq!(other.read_response().expect("an answer").status(), 200);
+    assert_eq!(one.read_response().expect("an answer").status(), 200);
 }
 
 #[test]
 fn request_without_any_server_is_rejected() {
-    let (node, _discovery, _watch) = Node::with(&[], 15_000);
-    assert_eq!(node.ask(&read("a", "15000m")).status(), 503);
+    let (node, _discovery, _watch) = Node::start_with_servers(&[], 15_000);
+    assert_eq!(node.request(&read_request("a", "15000m")).status(), 503);
 }
 
 #[test]
@@ -370,29 +410,32 @@
         Server::start(|_| Reply::ok("old")),
         Server::start(|_| Reply::ok("new")),
     );
-    let (node, _discovery, mut watch) = Node::with(&[&old], 15_000);
+    let (node, _discovery, mut watch) = Node::start_with_servers(&[&old], 15_000);
     assert!(
-        watch.asked.contains("watch=1") && watch.asked.contains("from=1"),
+        watch.request_line.contains("watch=1") && watch.request_line.contains("from=1"),
         "{}",
-        watch.asked
+        watch.request_line
     );
-    let change = list(
+    let change = endpoint_list(
         2,
         false,
-        &[old.entry("s-0", "draining"), new.entry("s-9", "ready")],
+        &[
+            old.endpoint_entry("s-0", "draining"),
+            new.endpoint_entry("s-9", "ready"),
+        ],
     );
-    watch.say("\n");
+    watch.send("\n");
     let (head, tail) = change.split_at(change.len() / 2);
-    watch.say(head);
-    watch.say(tail);
-    watch.say("\n\n");
+    watch.send(head);
+    watch.send(tail);
+    watch.send("\n\n");
     let mut n = 0;
-    until("requests go to the new server", || {
+    wait_until("requests go to the new server", || {
         n += 1;
-        node.ask(&read(&format!("r{n}"), "15000m")).body == b"new"
+        node.request(&read_request(&format!("r{n}"), "15000m")).body == b"new"
     });
     for n in 0..10 {
-        let served = node.ask_until_taken(&read(&format!("s{n}"), "15000m"));
+        let served = node.request_until_accepted(&read_request(&format!("s{n}"), "15000m"));
         assert_eq!(
             (served.status(), served.body.as_slice()),
             (200, b"new".as_slice()),
@@ -413,23 +456,28 @@
     let discovery = Discovery::start();
     let aims = settings(15_000).replace("\"promise_ms\":15000.0", "\"promise_ms\":1000.0");
     let many_nodes = aims.replace("\"n_instances\":1", "\"n_instances\":60");
-    let known = list(1, true, &[slow.entry("s-0", "ready")]);
+    let known = endpoint_list(1, true, &[slow.endpoint_entry("s-0", "ready")]);
     let node = Node::start(&config(discovery.address, &known, &many_nodes));
     // Requests come often, and the one server that answers takes most of their aim.
     for n in 1..=60 {
         let mut client = node.connect();
-        client.send(&read(&format!("gone-{n}"), "15000m"));
-        until("it was sent", || slow.requests().len() == n);
+        client.send(&read_request(&format!("gone-{n}"), "15000m"));
+        wait_until("it was sent", || slow.requests().len() == n);
     }
-    until("their attempts are given up", || slow.closed() == 60);
-    assert_eq!(node.ask(&read("a", "15000m")).body, b"slow");
+    wait_until("their attempts are given up", || {
+        slow.closed_connections() == 60
+    });
+    assert_eq!(node.request(&read_request("a", "15000m")).body, b"slow");
     let mut watch = discovery.watch();
-    let both = [slow.entry("s-0", "ready"), idle.entry("s-1", "ready")];
+    let both = [
+        slow.endpoint_entry("s-0", "ready"),
+        idle.endpoint_entry("s-1", "ready"),
+    ];
     // Nothing is asked between, so that the change is what the node goes by.
-    watch.say(&format!("{}\n", list(2, true, &both)));
-    watch.say("\n");
+    watch.send(&format!("{}\n", endpoint_list(2, true, &both)));
+    watch.send("\n");
     std::thread::sleep(Duration::from_millis(300));
-    assert_eq!(node.ask(&read("b", "15000m")).status(), 200);
+    assert_eq!(node.request(&read_request("b", "15000m")).status(), 200);
 }
 
 #[test]
@@ -438,22 +486,26 @@
         Server::start(|_| Reply::ok("old")),
         Server::start(|_| Reply::ok("new")),
     );
-    let (node, _discovery, mut watch) = Node::with(&[&old], 15_000);
+    let (node, _discovery, mut watch) = Node::start_with_servers(&[&old], 15_000);
     let bad = [
         "7".to_owned(),
         r#"{"instanceId":"s-7"}"#.to_owned(),
-        new.entry("s-8", "asleep"),
-        new.entry("s-6", "ready")
+        new.endpoint_entry("s-8", "asleep"),
+        new.endpoint_entry("s-6", "ready")
             .replace(&new.address.to_string(), "nowhere"),
-        new.entry("s-9", "ready"),
+        new.endpoint_entry("s-9", "ready"),
     ];
-    watch.say(&format!("{}\n", list(2, true, &bad)));
+    watch.send(&format!("{}\n", endpoint_list(2, true, &bad)));
     let mut n = 0;
-    until("requests go to the new server", || {
+    wait_until("requests go to the new server", || {
         n += 1;
-        node.ask(&read(&format!("r{n}"), "15000m")).body == b"new"
+        node.request(&read_request(&format!("r{n}"), "15000m")).body == b"new"
     });
-    assert_eq!(node.ask_until_taken(&read("s", "15000m")).body, b"new");
+    assert_eq!(
+        node.request_until_accepted(&read_request("s", "15000m"))
+            .body,
+        b"new"
+    );
 }
 
 /// Guards against a server that gets what was meant for the one before it at its address: the list tells of the new
@@ -461,61 +513,68 @@
 #[test]
 fn new_server_at_a_reused_address_gets_new_connections() {
     let server = Server::start(|_| Reply::ok("yes"));
-    if server.path.is_some() {
+    if server.unix_endpoint.is_some() {
         return; // The operators name the path, and no list moves a server away from it.
     }
-    let (node, _discovery, mut watch) = Node::with(&[&server], 15_000);
-    assert_eq!(node.ask(&read("a", "15000m")).status(), 200);
-    assert_eq!((server.opened(), server.closed()), (1, 0));
-    watch.say(&format!(
+    let (node, _discovery, mut watch) = Node::start_with_servers(&[&server], 15_000);
+    assert_eq!(node.request(&read_request("a", "15000m")).status(), 200);
+    assert_eq!(
+        (server.accepted_connections(), server.closed_connections()),
+        (1, 0)
+    );
+    watch.send(&format!(
         "{}\n",
-        list(2, false, &[server.entry("s-new", "ready")])
+        endpoint_list(2, false, &[server.endpoint_entry("s-new", "ready")])
     ));
-    until("the old one's connection is closed", || {
-        server.closed() == 1
+    wait_until("the old one's connection is closed", || {
+        server.closed_connections() == 1
     });
-    assert_eq!(node.ask_until_taken(&read("b", "15000m")).status(), 200);
+    assert_eq!(
+        node.request_until_accepted(&read_request("b", "15000m"))
+            .status(),
+        200
+    );
     // What is said of the old one later is said of one that is not there.
-    watch.say(&format!(
+    watch.send(&format!(
         "{}\n",
-        list(3, false, &[server.entry("s-0", "draining")])
+        endpoint_list(3, false, &[server.endpoint_entry("s-0", "draining")])
     ));
-    watch.say(&format!(
+    watch.send(&format!(
         "{}\n",
-        list(4, false, &[server.entry("s-0", "gone")])
+        endpoint_list(4, false, &[server.endpoint_entry("s-0", "gone")])
     ));
     for n in 0..5 {
         assert_eq!(
-            node.ask_until_taken(&read(&format!("c{n}"), "15000m"))
+            node.request_until_accepted(&read_request(&format!("c{n}"), "15000m"))
                 .status(),
             200
         );
     }
-    assert_eq!(server.opened(), 2);
+    assert_eq!(server.accepted_connections(), 2);
 }
 
 #[test]
 fn ended_watch_is_reopened_from_its_last_generation() {
     let server = Server::start(|_| Reply::ok("yes"));
-    let (node, discovery, mut watch) = Node::with(&[&server], 15_000);
-    watch.say(&format!("{}\n", list(5, false, &[])));
+    let (node, discovery, mut watch) = Node::start_with_servers(&[&server], 15_000);
+    watch.send(&format!("{}\n", endpoint_list(5, false, &[])));
     drop(watch);
     let mut watch = discovery.watch();
     // What was written may have been lost with the connection.
     assert!(
-        watch.asked.contains("from=5") || watch.asked.contains("from=1"),
+        watch.request_line.contains("from=5") || watch.request_line.contains("from=1"),
         "{}",
-        watch.asked
+        watch.request_line
     );
-    watch.say("{nonsense}\n");
+    watch.send("{nonsense}\n");
     let watch = discovery.watch();
     assert!(
-        !watch.asked.contains("from="),
+        !watch.request_line.contains("from="),
         "the whole list is asked for: {}",
-        watch.asked
+        watch.request_line
     );
     assert_eq!(
-        node.ask(&read("a", "15000m")).status(),
+        node.request(&read_request("a", "15000m")).status(),
         200,
         "the list held stands"
     );
@@ -524,9 +583,9 @@
 #[test]
 fn silent_watch_is_reopened() {
     let server = Server::start(|_| Reply::ok("yes"));
-    let (_node, discovery, mut watch) = Node::with(&[&server], 15_000);
-    watch.fall_silent();
-    assert!(discovery.watch().asked.contains("from=1"));
+    let (_node, discovery, mut watch) = Node::start_with_servers(&[&server], 15_000);
+    watch.stop_keep_alive();
+    assert!(discovery.watch().request_line.contains("from=1"));
 }
 
 /// A server that answers nothing until its gate is opened by storing one.
@@ -534,7 +593,7 @@
     let go = Arc::new(AtomicUsize::new(0));
     let gate = Arc::clone(&go);
     let server = Server::start(move |_| {
-        until("the gate opens", || gate.load(Ordering::SeqCst) == 1);
+        wait_until("the gate opens", || gate.load(Ordering::SeqCst) == 1);
         Reply::ok("yes")
     });
     (go, server)
@@ -544,19 +603,19 @@
 #[test]
 fn sigterm_ends_the_process_once_all_requests_are_answered() {
     let (go, server) = gated();
-    let (mut node, _discovery, _watch) = Node::with(&[&server], 15_000);
+    let (mut node, _discovery, _watch) = Node::start_with_servers(&[&server], 15_000);
     let (mut held, mut between) = (node.connect(), node.connect());
     between.send("GET /up HTTP/1.1\r\nHost: a\r\n\r\n");
-    assert_eq!(between.answer().expect("an answer").status(), 200);
-    held.send(&read("a", "15000m"));
-    until("it waits", || server.opened() == 1);
+    assert_eq!(between.read_response().expect("an answer").status(), 200);
+    held.send(&read_request("a", "15000m"));
+    wait_until("it waits", || server.accepted_connections() == 1);
     node.terminate();
     assert!(
         between.is_closed(),
         "a connection between requests is closed"
     );
     go.store(1, Ordering::SeqCst);
-    let served = held.answer().expect("what was held is answered");
+    let served = held.read_response().expect("what was held is answered");
     assert_eq!(
         (served.status(), served.header("connection")),
         (200, Some("close"))
@@ -604,15 +663,19 @@
 /// that is there. The phases are set by hand, so that no clock decides.
 #[test]
 fn draining_node_accepts_and_keeps_connections_until_shutdown() {
-    let nowhere = Unreachable::start();
-    let text = config(nowhere.address, &list(1, true, &[]), &settings(15_000));
+    let nowhere = Unreachable::reserve();
+    let text = config(
+        nowhere.address,
+        &endpoint_list(1, true, &[]),
+        &settings(15_000),
+    );
     run_locally(async {
         let LocalNode {
             address,
             phase,
             serving,
         } = LocalNode::start(&text, 16).await;
-        let by = Instant::now() + PATIENCE;
+        let by = Instant::now() + WAIT_TIMEOUT;
         phase.send_replace(Phase::Draining(by));
         let mut client = tokio::net::TcpStream::connect(address)
             .await
@@ -630,7 +693,7 @@
             client.read_u8().await.is_err(),
             "between requests it is closed in the end"
         );
-        tokio::time::timeout(PATIENCE, serving)
+        tokio::time::timeout(WAIT_TIMEOUT, serving)
             .await
             .expect("it ends")
             .expect("in order");
@@ -649,7 +712,7 @@
 async fn head(client: &mut tokio::net::TcpStream) -> String {
     let mut head = String::new();
     while !head.ends_with("\r\n\r\n") {
-        let byte = tokio::time::timeout(PATIENCE, client.read_u8())
+        let byte = tokio::time::timeout(WAIT_TIMEOUT, client.read_u8())
             .await
             .expect("an answer in time");
         head.push(char::from(byte.expect("an answer")));
@@ -662,8 +725,8 @@
 #[test]
 fn draining_node_rejects_requests_to_keep_connections_free() {
     let (go, server) = gated();
-    let known = list(1, true, &[server.entry("s-0", "ready")]);
-    let text = config(Unreachable::start().address, &known, &settings(60_000));
+    let known = endpoint_list(1, true, &[server.endpoint_entry("s-0", "ready")]);
+    let text = config(Unreachable::reserve().address, &known, &settings(60_000));
     run_locally(async {
         let LocalNode { address, phase, .. } = LocalNode::start(&text, 64).await;
         let mut clients = Vec::new();
@@ -676,20 +739,20 @@
                 .contains("200 OK"));
             clients.push(client);
         }
-        phase.send_replace(Phase::Draining(Instant::now() + 3 * PATIENCE));
+        phase.send_replace(Phase::Draining(Instant::now() + 3 * WAIT_TIMEOUT));
         let mut held = clients.split_off(2);
         for (at, client) in held.iter_mut().enumerate() {
             client
-                .write_all(read(&at.to_string(), "60000m").as_bytes())
+                .write_all(read_request(&at.to_string(), "60000m").as_bytes())
                 .await
                 .expect("an open connection");
             let start = Instant::now();
             while server.requests().len() <= at {
-                assert!(start.elapsed() < PATIENCE, "request {at} was not taken");
+                assert!(start.elapsed() < WAIT_TIMEOUT, "request {at} was not taken");
                 tokio::time::sleep(Duration::from_millis(2)).await;
             }
         }
-        let refused = ask(&mut clients[0], &read("more", "60000m"))
+        let refused = ask(&mut clients[0], &read_request("more", "60000m"))
             .await
             .to_ascii_lowercase();
         assert!(
@@ -713,12 +776,16 @@
 /// Guards against clients that are sent away while a node hands over: they get no further connections to it.
 #[test]
 fn draining_node_closes_no_idle_connection() {
-    let nowhere = Unreachable::start();
-    let text = config(nowhere.address, &list(1, true, &[]), &settings(15_000));
+    let nowhere = Unreachable::reserve();
+    let text = config(
+        nowhere.address,
+        &endpoint_list(1, true, &[]),
+        &settings(15_000),
+    );
     run_locally(async {
         let LocalNode { address, phase, .. } = LocalNode::start(&text, 8).await;
         tokio::task::yield_now().await; // It has begun to listen for phases.
-        phase.send_replace(Phase::Draining(Instant::now() + 3 * PATIENCE));
+        phase.send_replace(Phase::Draining(Instant::now() + 3 * WAIT_TIMEOUT));
         let mut clients = Vec::new();
         for _ in 0..2 {
             // As many as there are places, and more than may stand idle while a node serves.
@@ -744,26 +811,30 @@
     let servers: Vec<_> = (0..3)
         .map(|n| Server::start(move |_| Reply::ok(&n.to_string())))
         .collect();
-    let (node, old, mut watch) = Node::with(&[&servers[0]], 15_000);
-    watch.say(&format!("{}\n", list(70, false, &[])));
+    let (node, old, mut watch) = Node::start_with_servers(&[&servers[0]], 15_000);
+    watch.send(&format!("{}\n", endpoint_list(70, false, &[])));
     let mut left = vec![(old, watch)];
     for n in [1, 2, 0] {
         let discovery = Discovery::start();
-        let text = config(discovery.address, &list(1, true, &[]), &settings(15_000));
+        let text = config(
+            discovery.address,
+            &endpoint_list(1, true, &[]),
+            &settings(15_000),
+        );
         node.reload(&text);
         let mut watch = discovery.watch();
         assert!(
-            !watch.asked.contains("from="),
+            !watch.request_line.contains("from="),
             "its versions are its own: {}",
-            watch.asked
+            watch.request_line
         );
         let id = format!("s-{n}");
-        watch.say(&format!(
+        watch.send(&format!(
             "{}\n",
-            list(3, true, &[servers[n].entry(&id, "ready")])
+            endpoint_list(3, true, &[servers[n].endpoint_entry(&id, "ready")])
         ));
-        until("requests go to the server that it names", || {
-            node.ask(&read("a", "15000m")).body == n.to_string().as_bytes()
+        wait_until("requests go to the server that it names", || {
+            node.request(&read_request("a", "15000m")).body == n.to_string().as_bytes()
         });
         let (_, before) = left.last_mut().expect("one");
         assert!(before.is_closed(), "the one before is left");
@@ -776,14 +847,15 @@
         ] {
             node.reload(&broken);
             assert_eq!(
-                node.ask_until_taken(&read("b", "15000m")).body,
+                node.request_until_accepted(&read_request("b", "15000m"))
+                    .body,
                 n.to_string().as_bytes()
             );
         }
         let (_, watch) = left.last_mut().expect("one");
-        watch.say(&format!(
+        watch.send(&format!(
             "{}\n",
-            list(4, true, &[servers[n].entry(&id, "ready")])
+            endpoint_list(4, true, &[servers[n].endpoint_entry(&id, "ready")])
         ));
     }
 }
@@ -792,17 +864,17 @@
 #[test]
 fn generation_that_goes_back_triggers_a_full_list_request() {
     let server = Server::start(|_| Reply::ok("yes"));
-    let (_node, discovery, mut watch) = Node::with(&[&server], 15_000);
-    watch.say(&format!("{}\n", list(9, false, &[])));
-    watch.say(&format!("{}\n", list(8, false, &[])));
-    assert!(!discovery.watch().asked.contains("from="));
+    let (_node, discovery, mut watch) = Node::start_with_servers(&[&server], 15_000);
+    watch.send(&format!("{}\n", endpoint_list(9, false, &[])));
+    watch.send(&format!("{}\n", endpoint_list(8, false, &[])));
+    assert!(!discovery.watch().request_line.contains("from="));
 }
 
 #[test]
 fn invalid_configuration_ends_the_process_with_one_line() {
     let good = config(
         "127.0.0.1:1".parse().expect("an address"),
-        &list(1, true, &[]),
+        &endpoint_list(1, true, &[]),
         &settings(1_000),
     );
     let broken = [
@@ -816,12 +888,12 @@
     ];
     for text in broken {
         assert_ne!(text, good);
-        let path = write_config(&text);
-        ends_with_one_line(program().env("ROUTER_CONFIG", &path));
+        let path = write_temp_file(&text);
+        ends_with_one_line(program_command().env("ROUTER_CONFIG", &path));
         std::fs::remove_file(path).expect("a file");
     }
-    ends_with_one_line(&mut program());
-    ends_with_one_line(program().env("ROUTER_CONFIG", "/nowhere/at/all"));
+    ends_with_one_line(&mut program_command());
+    ends_with_one_line(program_command().env("ROUTER_CONFIG", "/nowhere/at/all"));
 }
 
 fn ends_with_one_line(command: &mut std::process::Command) {
--- a/tests/operations.rs
+++ b/tests/operations.rs
@@ -23,11 +23,11 @@
     let entries: Vec<_> = servers
         .iter()
         .enumerate()
-        .map(|(i, server)| server.entry(&format!("s-{i}"), "ready"))
+        .map(|(i, server)| server.endpoint_entry(&format!("s-{i}"), "ready"))
         .collect();
     let text = config(
         discovery.address,
-        &list(1, true, &entries),
+        &endpoint_list(1, true, &entries),
         &settings(60_000),
     );
     text.replace("\"listen\"", "\"control\":\"127.0.0.1:0\",\"listen\"")
@@ -38,7 +38,7 @@
     let gate = Arc::<AtomicBool>::default();
     let is_open = Arc::clone(&gate);
     let server = Server::start(move |_| {
-        until("the gate is open", || is_open.load(Ordering::SeqCst));
+        wait_until("the gate is open", || is_open.load(Ordering::SeqCst));
         Reply::ok("yes")
     });
     (gate, server)
@@ -47,58 +47,62 @@
 #[test]
 fn admin_command_gets_one_response_and_unknown_commands_get_400() {
     let (node, _discovery) = node_with_admin_address(&[]);
-    assert!(node.call("READY\n").starts_with("200"));
-    assert!(node.call("READY\r\n").starts_with("200"));
+    assert!(node.admin_command("READY\n").starts_with("200"));
+    assert!(node.admin_command("READY\r\n").starts_with("200"));
     for wrong in ["ready\n", "HELP\n", "\n", "\0\n", &"x".repeat(100_000)] {
-        let mut stream = TcpStream::connect(node.control()).expect("it listens");
+        let mut stream = TcpStream::connect(node.admin_address()).expect("it listens");
         let _ = stream.write_all(wrong.as_bytes());
         let mut answer = [0; 4];
         stream.read_exact(&mut answer).expect("an answer");
         assert_eq!(&answer, b"400 ", "{wrong:.20}");
     }
-    assert!(node.call("STATS\n").ends_with("\nEOF\n"));
+    assert!(node.admin_command("STATS\n").ends_with("\nEOF\n"));
 }
 
 /// Some clients send nothing, some only part of a command.
 #[test]
 fn unfinished_admin_connections_do_not_block_others() {
     let (node, _discovery) = node_with_admin_address(&[]);
-    let address = node.control();
+    let address = node.admin_address();
     let idle: Vec<_> = (0..100)
         .map(|_| TcpStream::connect(address).expect("it listens"))
         .collect();
     for mut stream in idle.iter().take(10) {
         stream.write_all(b"REA").expect("an open connection");
     }
-    assert!(node.call("READY\n").starts_with("200"));
-    assert_eq!(node.ask(UP).status(), 200);
+    assert!(node.admin_command("READY\n").starts_with("200"));
+    assert_eq!(node.request(UP).status(), 200);
 }
 
 #[test]
 fn metrics_count_each_request_by_its_outcome() {
     let server = Server::start(|request| match request.header("req-id") {
-        Some("bad") => Reply::Say(answer("404 Not Found", "", "no")),
+        Some("bad") => Reply::Send(response("404 Not Found", "", "no")),
         _ => Reply::ok("yes"),
     });
     let (node, _discovery) = node_with_admin_address(&[&server]);
     for at in 0..20 {
-        assert_eq!(node.ask(&read(&at.to_string(), "15000m")).status(), 200);
+        assert_eq!(
+            node.request(&read_request(&at.to_string(), "15000m"))
+                .status(),
+            200
+        );
     }
-    assert_eq!(node.ask(&read("bad", "15000m")).status(), 404);
-    assert_eq!(node.ask("nonsense\r\n\r\n").status(), 400);
+    assert_eq!(node.request(&read_request("bad", "15000m")).status(), 404);
+    assert_eq!(node.request("nonsense\r\n\r\n").status(), 400);
     assert_eq!(
-        (node.figure("served.read"), node.figure("failed.read")),
+        (node.metric("served.read"), node.metric("failed.read")),
         (20, 1)
     );
     assert_eq!(
-        (node.figure("refused.read"), node.figure("served.hold")),
+        (node.metric("refused.read"), node.metric("served.hold")),
         (0, 0)
     );
-    assert_eq!(node.figure("attempts.read"), server.count() as u64);
+    assert_eq!(node.metric("attempts.read"), server.request_count() as u64);
     assert_eq!(
         (
-            node.figure("servers_known"),
-            node.figure("servers_excluded")
+            node.metric("servers_known"),
+            node.metric("servers_excluded")
         ),
         (1, 0)
     );
@@ -111,18 +115,18 @@
     let (node, _discovery) = node_with_admin_address(&[&server]);
     let mut clients: Vec<_> = (0..2).map(|_| node.connect()).collect();
     for (at, client) in clients.iter_mut().enumerate() {
-        client.send(&read(&at.to_string(), "60000m"));
+        client.send(&read_request(&at.to_string(), "60000m"));
     }
-    until("both are sent", || node.figure("attempts.read") == 2);
-    assert_eq!(node.figure("in_flight"), 2);
+    wait_until("both are sent", || node.metric("attempts.read") == 2);
+    assert_eq!(node.metric("in_flight"), 2);
     drop(clients.pop());
-    until("the closed client is noticed", || {
-        node.figure("in_flight") == 1
+    wait_until("the closed client is noticed", || {
+        node.metric("in_flight") == 1
     });
     gate.store(true, Ordering::SeqCst);
-    assert_eq!(clients[0].answer().expect("an answer").status(), 200);
-    until("all have ended", || node.figure("in_flight") == 0);
-    assert_eq!(node.figure("served.read"), 1);
+    assert_eq!(clients[0].read_response().expect("an answer").status(), 200);
+    wait_until("all have ended", || node.metric("in_flight") == 0);
+    assert_eq!(node.metric("served.read"), 1);
 }
 
 /// Guards the course of a drain: not ready at once, service for clients that still send requests, an end to every idle
@@ -132,17 +136,17 @@
     let (gate, server) = gated_server();
     let (node, _discovery) = node_with_admin_address(&[&server]);
     let mut busy = node.connect();
-    busy.send(&read("busy", "60000m"));
+    busy.send(&read_request("busy", "60000m"));
     let mut idle = node.connect();
     idle.send(UP);
-    assert_eq!(idle.answer().expect("an answer").status(), 200);
+    assert_eq!(idle.read_response().expect("an answer").status(), 200);
     let mut silent = node.connect();
-    until("its request is sent", || node.figure("attempts.read") == 1);
-    assert!(node.call("DRAIN\n").starts_with("200"));
+    wait_until("its request is sent", || node.metric("attempts.read") == 1);
+    assert!(node.admin_command("DRAIN\n").starts_with("200"));
     let start = Instant::now();
-    assert_ne!(node.ask(UP).status(), 200);
+    assert_ne!(node.request(UP).status(), 200);
     assert!(
-        node.call("READY\n").starts_with("200"),
+        node.admin_command("READY\n").starts_with("200"),
         "the process serves"
     );
     assert!(
@@ -155,20 +159,20 @@
         start.elapsed()
     );
     gate.store(true, Ordering::SeqCst);
-    let served = busy.answer().expect("an answer");
+    let served = busy.read_response().expect("an answer");
     assert_eq!(
         (served.status(), served.header("connection")),
         (200, Some("close"))
     );
-    let late = node.ask(&read("late", "60000m"));
+    let late = node.request(&read_request("late", "60000m"));
     assert_eq!(
         (late.status(), late.header("connection")),
         (200, Some("close")),
         "a new client is served"
     );
-    assert!(node.call("UNDRAIN\n").starts_with("200"));
-    assert_eq!(node.ask(UP).status(), 200);
-    let kept = node.ask(&read("kept", "60000m"));
+    assert!(node.admin_command("UNDRAIN\n").starts_with("200"));
+    assert_eq!(node.request(UP).status(), 200);
+    let kept = node.request(&read_request("kept", "60000m"));
     assert_eq!((kept.status(), kept.header("connection")), (200, None));
 }
 
@@ -176,7 +180,7 @@
 /// first process ends by itself.
 #[test]
 fn process_replacement_rejects_no_client() {
-    let server = Server::start(|_| Reply::ok("yes")).quiet();
+    let server = Server::start(|_| Reply::ok("yes")).without_recording();
     let discovery = Discovery::start();
     let text = config_with_admin_address(&discovery, &[&server]);
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
@@ -191,9 +195,13 @@
                 while !stop.load(Ordering::SeqCst) {
                     asked += 1;
                     let mut client = kept.take().unwrap_or_else(|| Client::connect(address));
-                    client.send(&read(&format!("{number}-{asked}"), "15000m"));
-                    let answer = client.answer().expect("an answer");
-                    assert!([200, 503].contains(&answer.status()), "{}", answer.first);
+                    client.send(&read_request(&format!("{number}-{asked}"), "15000m"));
+                    let answer = client.read_response().expect("an answer");
+                    assert!(
+                        [200, 503].contains(&answer.status()),
+                        "{}",
+                        answer.start_line
+                    );
                     let ends = answer.header("connection") == Some("close");
                     kept = Some(client).filter(|_| !ends && number % 2 == 0);
                 }
@@ -203,7 +211,9 @@
         .collect();
     for _ in 0..2 {
         let next = Node::start_on(&text, &listener);
-        until("it is ready", || next.call("READY\n").starts_with("200"));
+        wait_until("it is ready", || {
+            next.admin_command("READY\n").starts_with("200")
+        });
         node.terminate();
         assert_eq!(node.wait().code(), Some(0));
         node = next;
@@ -218,9 +228,9 @@
 
 #[test]
 fn descriptor_that_is_not_a_listening_socket_is_an_error() {
-    let path = write_config(&config_with_admin_address(&Discovery::start(), &[]));
+    let path = write_temp_file(&config_with_admin_address(&Discovery::start(), &[]));
     for wrong in ["99", "1", "three", "-1"] {
-        let output = program()
+        let output = program_command()
             .env("ROUTER_CONFIG", &path)
             .env("ROUTER_LISTEN_FD", wrong)
             .output();
@@ -243,29 +253,31 @@
     let discovery = Discovery::start();
     let drained = Server::start(|_| Reply::ok("no"));
     let entries = [
-        server.entry("s-0", "ready"),
-        drained.entry("s-1", "draining"),
+        server.endpoint_entry("s-0", "ready"),
+        drained.endpoint_entry("s-1", "draining"),
     ];
     let text = config(
         discovery.address,
-        &list(1, true, &entries),
+        &endpoint_list(1, true, &entries),
         &settings(60_000),
     );
     let mut node =
         Node::start(&text.replace("\"listen\"", "\"control\":\"127.0.0.1:0\",\"listen\""));
     assert_eq!(
         (
-            node.figure("servers_known"),
-            node.figure("servers_excluded")
+            node.metric("servers_known"),
+            node.metric("servers_excluded")
         ),
         (2, 1)
     );
     let mut client = node.connect();
-    client.send(&read("a", "60000m"));
-    until("it is sent", || node.figure("attempts.read") == 1);
+    client.send(&read_request("a", "60000m"));
+    wait_until("it is sent", || node.metric("attempts.read") == 1);
     node.terminate();
-    until("it shuts down", || node.call("READY\n").starts_with("400"));
+    wait_until("it shuts down", || {
+        node.admin_command("READY\n").starts_with("400")
+    });
     gate.store(true, Ordering::SeqCst);
-    assert_eq!(client.answer().expect("an answer").status(), 200);
+    assert_eq!(client.read_response().expect("an answer").status(), 200);
     assert_eq!(node.wait().code(), Some(0));
 }
--- a/tests/operators.rs
+++ b/tests/operators.rs
@@ -2,11 +2,11 @@
 
 use std::process::Output;
 
-use testkit::{program, write_config};
+use testkit::{program_command, write_temp_file};
 
 fn check(text: &str) -> Output {
-    let file = write_config(text);
-    let output = program()
+    let file = write_temp_file(text);
+    let output = program_command()
         .arg("check")
         .arg(&file)
         .output()
@@ -18,7 +18,7 @@
 /// A key file, in a folder that goes with the process.
 fn key_file(key: &str, mode: u32) -> std::path::PathBuf {
     use std::os::unix::fs::PermissionsExt;
-    let file = write_config(key);
+    let file = write_temp_file(key);
     std::fs::set_permissions(&file, std::fs::Permissions::from_mode(mode)).expect("the test's own");
     file
 }
@@ -176,17 +176,20 @@
         &["check", "/nowhere/at/all.toml"],
         &["--cnofig"],
     ] {
-        let output = program().args(arguments).output().expect("it starts");
+        let output = program_command()
+            .args(arguments)
+            .output()
+            .expect("it starts");
         assert_eq!(output.status.code(), Some(2), "{arguments:?}");
         assert!(!output.stderr.is_empty() && output.stdout.is_empty());
     }
-    let endless = program()
+    let endless = program_command()
         .args(["check", "/dev/zero"])
         .output()
         .expect("it starts");
     assert_eq!(endless.status.code(), Some(2), "an endless file");
-    let file = write_config("[[consul]]\n");
-    let output = program()
+    let file = write_temp_file("[[consul]]\n");
+    let output = program_command()
         .env("SILVERTHREAD_CONFIG", &file)
         .output()
         .expect("it starts");
@@ -196,7 +199,7 @@
 
 #[test]
 fn program_without_arguments_and_variables_fails() {
-    let output = program().output().expect("it starts");
+    let output = program_command().output().expect("it starts");
     assert_eq!(output.status.code(), Some(1));
     assert_eq!(
         text(&output.stderr),
--- a/tests/outlier_detection.rs
+++ b/tests/outlier_detection.rs
@@ -5,7 +5,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use testkit::{answer, program, Fault, Fleet, Load, Reply, Server};
+use testkit::{program_command, response, Fault, Fleet, Load, Reply, Server};
 
 const PROBE_SETTINGS: &str = "probe_ms = 200\nsuspect_ms = 1000\n";
 const OUTLIER_DETECTION: &str = "[word]\nturn_ms = 300\nfloor = 0.0001\n";
@@ -30,16 +30,18 @@
             std::thread::sleep(SLOW_RESPONSE_DELAY);
         }
         if fails.load(Ordering::Relaxed) {
-            Reply::Say(answer("500 Internal Server Error", "", "no"))
+            Reply::Send(response("500 Internal Server Error", "", "no"))
         } else {
             Reply::ok("yes")
         }
     };
-    fleet.others.push(Server::start(first).quiet());
     fleet
-        .others
-        .extend((2..SERVERS).map(|_| Server::start(|_| Reply::ok("yes")).quiet()));
-    (0..NODES).for_each(|node| fleet.run(node));
+        .extra_servers
+        .push(Server::start(first).without_recording());
+    fleet
+        .extra_servers
+        .extend((2..SERVERS).map(|_| Server::start(|_| Reply::ok("yes")).without_recording()));
+    (0..NODES).for_each(|node| fleet.start_node(node));
     fleet.agree_within(WAIT_TIMEOUT);
     (fleet, is_failing)
 }
@@ -51,7 +53,7 @@
 }
 
 fn stop(loads: Vec<Load>) {
-    let totals: Vec<_> = loads.into_iter().map(Load::end).collect();
+    let totals: Vec<_> = loads.into_iter().map(Load::finish).collect();
     assert!(
         totals
             .iter()
@@ -65,7 +67,7 @@
     if !fleet.is_up(node) {
         return 1.0;
     }
-    let text = fleet.node(node).call("HINTS\n");
+    let text = fleet.node(node).admin_command("HINTS\n");
     let row = text.lines().find(|line| line.starts_with("s-1 "));
     row.and_then(|row| row.split(' ').nth(4)?.parse().ok())
         .unwrap_or(1.0)
@@ -90,9 +92,11 @@
 
 /// Waits until the failing server has had this many requests in all.
 fn wait_for_requests(fleet: &mut Fleet, what: &str, count: usize) {
-    fleet.wait_for(what, WAIT_TIMEOUT, |fleet| match fleet.others[0].count() {
-        requests if requests < count => Err(format!("{requests} of {count}")),
-        _ => Ok(()),
+    fleet.wait_for(what, WAIT_TIMEOUT, |fleet| {
+        match fleet.extra_servers[0].request_count() {
+            requests if requests < count => Err(format!("{requests} of {count}")),
+            _ => Ok(()),
+        }
     });
 }
 
@@ -118,7 +122,7 @@
         wait_for_weight(&mut fleet, "all eject it", 0..NODES, is_ejected);
     }
     stop(detecting);
-    let found = fleet.others[0].count();
+    let found = fleet.extra_servers[0].request_count();
     assert!(found >= 3, "each of the three tried it: {found}");
     let newcomers = loads(&fleet, 3..NODES);
     fleet.wait(Duration::from_secs(2));
@@ -127,7 +131,7 @@
         wait_for_requests(&mut fleet, "newcomers try it", found + 2);
     }
     stop(newcomers);
-    fleet.others[0].count() - found
+    fleet.extra_servers[0].request_count() - found
 }
 
 /// Judged by the server's own count. Without reports each node has to fail there itself.
@@ -149,14 +153,14 @@
     wait_for_weight(&mut fleet, "it is not reported", 0..NODES, has_whole_share);
     is_failing.store(true, Ordering::Relaxed);
     wait_for_weight(&mut fleet, "all eject it", 0..NODES, is_ejected);
-    let at = fleet.node(2).control().to_string();
-    let table = program()
+    let at = fleet.node(2).admin_address().to_string();
+    let table = program_command()
         .args(["hints", "--at", &at])
         .output()
         .expect("it starts");
     let table = String::from_utf8_lossy(&table.stdout).into_owned();
     assert!(table.contains("s-1") && table.contains("error"), "{table}");
-    assert!(fleet.node(0).figure("word_heard") > 0 && fleet.node(0).figure("word_suspected") > 0);
+    assert!(fleet.node(0).metric("word_heard") > 0 && fleet.node(0).metric("word_suspected") > 0);
     is_failing.store(false, Ordering::Relaxed);
     wait_for_weight(
         &mut fleet,
@@ -164,11 +168,14 @@
         0..NODES,
         has_whole_share,
     );
-    let before = fleet.others[0].count();
+    let before = fleet.extra_servers[0].request_count();
     wait_for_requests(&mut fleet, "it has requests again", before + 20);
     stop(loads);
     assert!(
-        fleet.others.iter().all(|server| server.count() > 0),
+        fleet
+            .extra_servers
+            .iter()
+            .all(|server| server.request_count() > 0),
         "no server is without requests"
     );
 }
@@ -200,7 +207,7 @@
         relayed.faults.cut > 0 && relayed.max_datagram_bytes <= 256,
         "{relayed:?}"
     );
-    assert!(fleet.others[0].count() >= 3, "it was tried");
+    assert!(fleet.extra_servers[0].request_count() >= 3, "it was tried");
 }
 
 #[test]
@@ -208,15 +215,15 @@
     let fleet = Fleet::start(1, 3, PROBE_SETTINGS);
     assert!(fleet
         .node(0)
-        .call("HINTS\n")
+        .admin_command("HINTS\n")
         .starts_with("400 this node takes no word of servers"));
     let forbidden = fleet.config(0).replace("\"peers\":true", "\"peers\":false");
-    let node = testkit::Node::start_with(
+    let node = testkit::Node::start_with_operators_file(
         &forbidden,
-        Some(&format!("{}{OUTLIER_DETECTION}", fleet.operators(0))),
+        Some(&format!("{}{OUTLIER_DETECTION}", fleet.operators_file(0))),
     );
     assert!(node
-        .call("HINTS\n")
+        .admin_command("HINTS\n")
         .starts_with("400 this node takes no word of servers"));
     let parse_error = |text: &str| {
         let path = std::path::Path::new("file");
--- a/tests/pressure.rs
+++ b/tests/pressure.rs
@@ -15,14 +15,14 @@
 use testkit::*;
 
 fn descriptors(node: &Node) -> usize {
-    std::fs::read_dir(format!("/proc/{}/fd", node.process()))
+    std::fs::read_dir(format!("/proc/{}/fd", node.process_id()))
         .expect("it runs")
         .count()
 }
 
 fn resident_kb(node: &Node) -> usize {
     let status =
-        std::fs::read_to_string(format!("/proc/{}/status", node.process())).expect("it runs");
+        std::fs::read_to_string(format!("/proc/{}/status", node.process_id())).expect("it runs");
     let line = status
         .lines()
         .find_map(|line| line.strip_prefix("VmRSS:"))
@@ -41,8 +41,8 @@
     let server = Server::start(|_| Reply::ok("yes"));
     let discovery = TcpListener::bind("127.0.0.1:0").expect("a port");
     let address = discovery.local_addr().expect("an address");
-    let text =
-        config(address, &list(1, true, &[]), &settings(15_000)).replace("1024", &LIMIT.to_string());
+    let text = config(address, &endpoint_list(1, true, &[]), &settings(15_000))
+        .replace("1024", &LIMIT.to_string());
     let node = Node::start(&text);
     // Nobody takes the node's calls; four times as many clients come as it may have descriptors, and say nothing.
     let mut idle: Vec<_> = (0..4 * LIMIT)
@@ -54,7 +54,7 @@
         most = most.max(descriptors(&node));
         std::thread::sleep(Duration::from_millis(5));
     }
-    let said = list(2, true, &[server.entry("s-0", "ready")]) + "\n";
+    let said = endpoint_list(2, true, &[server.endpoint_entry("s-0", "ready")]) + "\n";
     let taking = std::thread::spawn(move || {
         let mut held = Vec::new();
         while let Ok((mut stream, _)) = discovery.accept() {
@@ -67,11 +67,15 @@
             held.push(stream);
         }
     });
-    until("a request is served", || {
+    wait_until("a request is served", || {
         most = most.max(descriptors(&node));
         let mut client = node.connect();
-        client.try_send(&read(&format!("{}", since.elapsed().as_micros()), "15000m"))
-            && client.answer().is_some_and(|answer| answer.status() == 200)
+        client.try_send(&read_request(
+            &format!("{}", since.elapsed().as_micros()),
+            "15000m",
+        )) && client
+            .read_response()
+            .is_some_and(|answer| answer.status() == 200)
     });
     assert!(most <= LIMIT, "{most} of {LIMIT} descriptors");
     idle.clear();
@@ -85,19 +89,22 @@
     const GIVEN: usize = 48;
     let server = Server::start(|_| Reply::ok("yes"));
     let discovery = Discovery::start();
-    let known = list(1, true, &[server.entry("s-0", "ready")]);
-    let node = Node::start_limited(&config(discovery.address, &known, &settings(15_000)), GIVEN);
+    let known = endpoint_list(1, true, &[server.endpoint_entry("s-0", "ready")]);
+    let node = Node::start_with_descriptor_limit(
+        &config(discovery.address, &known, &settings(15_000)),
+        GIVEN,
+    );
     let mut idle: Vec<_> = (0..3 * GIVEN)
         .map(|_| TcpStream::connect(node.address).expect("a queue"))
         .collect();
-    until("it finds none", || {
+    wait_until("it finds none", || {
         node.log()
             .iter()
             .any(|line| line.contains("cannot accept a connection"))
     });
     // It waits between two tries: a node that spins would be at it all the time.
     let spent =
-        || std::fs::read_to_string(format!("/proc/{}/stat", node.process())).expect("it runs");
+        || std::fs::read_to_string(format!("/proc/{}/stat", node.process_id())).expect("it runs");
     let ticks = |stat: &str| -> u64 {
         let fields: Vec<_> = stat
             .rsplit_once(')')
@@ -115,10 +122,12 @@
         ticks(&spent()) - before
     );
     idle.clear();
-    until("it serves again", || {
+    wait_until("it serves again", || {
         let mut client = node.connect();
-        client.try_send(&read("again", "15000m"))
-            && client.answer().is_some_and(|answer| answer.status() == 200)
+        client.try_send(&read_request("again", "15000m"))
+            && client
+                .read_response()
+                .is_some_and(|answer| answer.status() == 200)
     });
 }
 
@@ -127,7 +136,7 @@
 fn processes_are_ready_at_once_without_discovery() {
     let nobody = TcpListener::bind("127.0.0.1:0").expect("a port");
     let server = Server::start(|_| Reply::ok("yes"));
-    let known = list(1, true, &[server.entry("s-0", "ready")]);
+    let known = endpoint_list(1, true, &[server.endpoint_entry("s-0", "ready")]);
     let text = config(
         nobody.local_addr().expect("an address"),
         &known,
@@ -140,7 +149,7 @@
             std::thread::spawn(move || {
                 let node = Node::start(&text);
                 (
-                    node.ask("GET /up HTTP/1.1\r\nHost: a\r\n\r\n").status(),
+                    node.request("GET /up HTTP/1.1\r\nHost: a\r\n\r\n").status(),
                     node,
                 )
             })
@@ -165,10 +174,10 @@
 fn floods_and_slow_clients_use_bounded_memory() {
     const MOST_KB: usize = 64 * 1024;
     let server = Server::start(|_| Reply::ok("yes"));
-    let (node, _discovery, _watch) = Node::with(&[&server], 15_000);
+    let (node, _discovery, _watch) = Node::start_with_servers(&[&server], 15_000);
     let ends = Arc::new(AtomicBool::new(false));
     let mut peers = Vec::new();
-    let flood = read("flood", "15000m").repeat(50);
+    let flood = read_request("flood", "15000m").repeat(50);
     for at in 0..24 {
         let (address, ends) = (node.address, Arc::clone(&ends));
         // A third writes requests and reads nothing, a third what is no request, a third one byte at a time.
@@ -193,7 +202,7 @@
     }
     let mut most = 0;
     for n in 0..100 {
-        let answer = node.ask_until_taken(&post(
+        let answer = node.request_until_accepted(&post_request(
             &format!("fair-{n}"),
             "hold",
             "Idempotency-Key: 5c0f\r\n",
--- a/tests/servers.rs
+++ b/tests/servers.rs
@@ -7,7 +7,7 @@
 
 /// A response whose body is the id of its request.
 fn own(request: &Message) -> Vec<u8> {
-    answer("200 OK", "", request.header("req-id").expect("an id"))
+    response("200 OK", "", request.header("req-id").expect("an id"))
 }
 
 /// Otherwise they would reach the client of the next request. The connection is closed, whether the bytes arrive with
@@ -31,20 +31,20 @@
 
 fn check_unsolicited_bytes(behind: fn(&Message) -> Vec<u8>, after: Option<Duration>) {
     let server = Server::start(move |request| match after {
-        None => Reply::Say([own(request), behind(request)].concat()),
-        Some(after) => Reply::SayThen(own(request), after, behind(request)),
+        None => Reply::Send([own(request), behind(request)].concat()),
+        Some(after) => Reply::SendInTwoParts(own(request), after, behind(request)),
     });
-    let (node, _discovery, _watch) = Node::with(&[&server], 15_000);
+    let (node, _discovery, _watch) = Node::start_with_servers(&[&server], 15_000);
     for n in 0..4 {
         let id = format!("r{n}");
-        let served = node.ask_until_taken(&post(&id, "pay", "", "x"));
+        let served = node.request_until_accepted(&post_request(&id, "pay", "", "x"));
         assert_eq!(
             (served.status(), served.body),
             (200, id.into_bytes()),
             "{after:?}"
         );
-        until("the node closes the connection", || {
-            server.closed() == server.opened()
+        wait_until("the node closes the connection", || {
+            server.closed_connections() == server.accepted_connections()
         });
     }
 }
@@ -58,24 +58,26 @@
         let before = last.lock().expect("sound").replace(own(request));
         let own = own(request);
         match before.filter(|_| request.header("req-id") == Some("r1")) {
-            Some(before) => Reply::Say([before, own].concat()),
-            None => Reply::Say(own),
+            Some(before) => Reply::Send([before, own].concat()),
+            None => Reply::Send(own),
         }
     });
-    let (node, _discovery, _watch) = Node::with(&[&server], 15_000);
+    let (node, _discovery, _watch) = Node::start_with_servers(&[&server], 15_000);
     for (id, body) in [("r0", "r0"), ("r1", "r0"), ("r2", "r2"), ("r3", "r3")] {
-        let served = node.ask_until_taken(&post(id, "pay", "", "x"));
+        let served = node.request_until_accepted(&post_request(id, "pay", "", "x"));
         assert_eq!(
             (served.status(), served.body.as_slice()),
             (200, body.as_bytes()),
             "{id}"
         );
         if id == "r1" {
-            until("the node closes the connection", || server.closed() == 1);
+            wait_until("the node closes the connection", || {
+                server.closed_connections() == 1
+            });
         }
     }
     assert_eq!(
-        server.opened(),
+        server.accepted_connections(),
         2,
         "one connection before it, and one since"
     );
@@ -101,12 +103,12 @@
     ] {
         let (seen, malformed) = (AtomicUsize::new(0), malformed.to_owned());
         let server = Server::start(move |_| match seen.fetch_add(1, Ordering::SeqCst) {
-            0 => Reply::Say(malformed.clone().into_bytes()),
+            0 => Reply::Send(malformed.clone().into_bytes()),
             _ => Reply::ok("yes"),
         });
-        let (node, _discovery, _watch) = Node::with(&[&server], 15_000);
+        let (node, _discovery, _watch) = Node::start_with_servers(&[&server], 15_000);
         let start = Instant::now();
-        let served = node.ask(&post("a", "hold", "Idempotency-Key: 5c0f\r\n", "x"));
+        let served = node.request(&post_request("a", "hold", "Idempotency-Key: 5c0f\r\n", "x"));
         assert_eq!(
             (served.status(), served.body.as_slice()),
             (200, b"yes".as_slice())
@@ -123,9 +125,12 @@
 #[test]
 fn non_idempotent_request_with_malformed_response_is_not_retried() {
     let server =
-        Server::start(|_| Reply::Say(b"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nroo".to_vec()));
-    let (node, _discovery, _watch) = Node::with(&[&server], 15_000);
-    assert_eq!(node.ask(&post("a", "pay", "", "x")).status(), 502);
+        Server::start(|_| Reply::Send(b"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nroo".to_vec()));
+    let (node, _discovery, _watch) = Node::start_with_servers(&[&server], 15_000);
+    assert_eq!(
+        node.request(&post_request("a", "pay", "", "x")).status(),
+        502
+    );
     assert_eq!(server.requests().len(), 1);
 }
 
@@ -134,10 +139,10 @@
 fn interim_responses_are_skipped_and_the_final_one_is_awaited() {
     let server = Server::start(|request| {
         let early = b"HTTP/1.1 103 Early Hints\r\nLink: <a>\r\n\r\nHTTP/1.1 102 Processing\r\n\r\n";
-        Reply::SayThen(early.to_vec(), Duration::from_millis(700), own(request))
+        Reply::SendInTwoParts(early.to_vec(), Duration::from_millis(700), own(request))
     });
-    let (node, _discovery, _watch) = Node::with(&[&server], 15_000);
-    let served = node.ask(&post("a", "pay", "", "x"));
+    let (node, _discovery, _watch) = Node::start_with_servers(&[&server], 15_000);
+    let served = node.request(&post_request("a", "pay", "", "x"));
     assert_eq!(
         (served.status(), served.body.as_slice()),
         (200, b"a".as_slice())
@@ -147,9 +152,10 @@
 /// Retrying it would have every server reject it, and each be ejected for it.
 #[test]
 fn client_error_from_a_server_is_forwarded_without_retry() {
-    let server = Server::start(|_| Reply::Say(answer("400 Bad Request", "", "an id of nobody\n")));
-    let (node, _discovery, _watch) = Node::with(&[&server], 15_000);
-    let rejected = node.ask(&read("a", "15000m"));
+    let server =
+        Server::start(|_| Reply::Send(response("400 Bad Request", "", "an id of nobody\n")));
+    let (node, _discovery, _watch) = Node::start_with_servers(&[&server], 15_000);
+    let rejected = node.request(&read_request("a", "15000m"));
     assert_eq!(
         (rejected.status(), rejected.body.as_slice()),
         (400, b"an id of nobody\n".as_slice())
@@ -170,10 +176,10 @@
             })
         })
         .collect();
-    let (node, _discovery, _watch) = Node::with(&[&servers[0], &servers[1]], 15_000);
+    let (node, _discovery, _watch) = Node::start_with_servers(&[&servers[0], &servers[1]], 15_000);
     for n in 0..10 {
         assert_eq!(
-            node.ask_until_taken(&read(&n.to_string(), "15000m"))
+            node.request_until_accepted(&read_request(&n.to_string(), "15000m"))
                 .status(),
             200
         );
--- a/tests/settings.rs
+++ b/tests/settings.rs
@@ -35,16 +35,21 @@
     let own = settings(15_000).replace("\"cold_from\"", &budget(1_000.0));
     let other = settings_of_another_customer().replace("\"cold_from\"", &budget(0.0));
     assert_ne!(own, other);
-    let known = list(1, true, &[failing.entry("s-0", "ready")]);
+    let known = endpoint_list(1, true, &[failing.endpoint_entry("s-0", "ready")]);
     let discoveries: Vec<_> = (0..4).map(|_| Discovery::start()).collect();
     let node = Node::start(&config(discoveries[0].address, &known, &own));
     let mut watches = vec![discoveries[0].watch()];
     for (round, discovery) in discoveries.iter().enumerate() {
         if round > 0 {
             let text = [&own, &other][round % 2];
-            node.reload(&config(discovery.address, &list(1, true, &[]), text));
+            node.reload(&config(
+                discovery.address,
+                &endpoint_list(1, true, &[]),
+                text,
+            ));
             watches.push(discovery.watch());
-            watches[round].say(&(list(1, true, &[failing.entry("s-0", "ready")]) + "\n"));
+            watches[round]
+                .send(&(endpoint_list(1, true, &[failing.endpoint_entry("s-0", "ready")]) + "\n"));
         }
         let id = |kind: &str| format!("{kind}-{round}");
         let attempts_of = |id: &str| {
@@ -55,7 +60,7 @@
                 .count()
         };
         // This request is not idempotent and may have run; by the other settings it is idempotent.
-        let answer = node.ask(&post(&id("pay"), "pay", "", "x"));
+        let answer = node.request(&post_request(&id("pay"), "pay", "", "x"));
         assert_eq!(
             (answer.status(), attempts_of(&id("pay"))),
             (502, 1),
@@ -65,11 +70,11 @@
         for (kind, request) in [
             (
                 "hold",
-                post(&id("hold"), "hold", "Idempotency-Key: 5c0f\r\n", "x"),
+                post_request(&id("hold"), "hold", "Idempotency-Key: 5c0f\r\n", "x"),
             ),
-            ("read", read(&id("read"), "15000m")),
+            ("read", read_request(&id("read"), "15000m")),
         ] {
-            let answer = node.ask(&request);
+            let answer = node.request(&request);
             assert_eq!(answer.status(), 503, "{kind} in round {round}");
             assert_eq!(
                 attempts_of(&id(kind)),
@@ -78,17 +83,18 @@
             );
         }
         // A name of the other settings has no meaning here.
-        let unknown = read(&id("search"), "15000m").replace("Req-Kind: read", "Req-Kind: search");
-        assert_eq!(node.ask(&unknown).status(), 400, "round {round}");
+        let unknown =
+            read_request(&id("search"), "15000m").replace("Req-Kind: read", "Req-Kind: search");
+        assert_eq!(node.request(&unknown).status(), 400, "round {round}");
     }
     // The deadline is that of the own settings; the other's would have passed.
     let slow = Server::start(|_| {
         std::thread::sleep(4 * OTHERS_DEADLINE);
         Reply::ok("slow")
     });
-    let said = list(2, true, &[slow.entry("s-1", "ready")]) + "\n";
-    watches.last_mut().expect("one is open").say(&said);
-    until("the slow one is known", || {
-        node.ask(&read("slow", "15000m")).body == b"slow"
+    let said = endpoint_list(2, true, &[slow.endpoint_entry("s-1", "ready")]) + "\n";
+    watches.last_mut().expect("one is open").send(&said);
+    wait_until("the slow one is known", || {
+        node.request(&read_request("slow", "15000m")).body == b"slow"
     });
 }
--- a/tests/watches.rs
+++ b/tests/watches.rs
@@ -57,7 +57,7 @@
     }
 
     fn begin(self, stream: &mut TcpStream) {
-        let line = list(2, false, &[]);
+        let line = endpoint_list(2, false, &[]);
         let text = match self {
             Self::NoResponse => String::new(),
             Self::HeadOnly => HEAD.to_owned(),
@@ -85,7 +85,7 @@
             .set_read_timeout(Some(Duration::from_millis(100)))
             .expect("a socket");
         let since = Instant::now();
-        while since.elapsed() < PATIENCE
+        while since.elapsed() < WAIT_TIMEOUT
             && matches!(stream.read(&mut [0; 1]), Err(e) if e.kind() == std::io::ErrorKind::WouldBlock)
         {
             if self == Self::EndlessLine && stream.write_all(chunk(" ").as_bytes()).is_err() {
@@ -119,8 +119,9 @@
 
     fn list(&self, generation: u64, is_whole: bool, first: &str) -> String {
         let lifecycles = [first, "ready"];
-        let entries = [0, 1].map(|n| self.servers[n].entry(&format!("s-{n}"), lifecycles[n]));
-        list(generation, is_whole, &entries)
+        let entries =
+            [0, 1].map(|n| self.servers[n].endpoint_entry(&format!("s-{n}"), lifecycles[n]));
+        endpoint_list(generation, is_whole, &entries)
     }
 
     /// The configuration of a node that knows the list in this generation.
@@ -142,10 +143,12 @@
             .write_all(format!("{HEAD}{}", chunk(&line)).as_bytes())
             .expect("an open connection");
         let mut id = 0;
-        until("the change takes effect", || {
+        wait_until("the change takes effect", || {
             (0..8).all(|_| {
                 id += 1;
-                node.ask(&read(&format!("known-{id}"), "15000m")).body == b"1"
+                node.request(&read_request(&format!("known-{id}"), "15000m"))
+                    .body
+                    == b"1"
             })
         });
     }
@@ -155,15 +158,17 @@
 fn next_watch(discovery: &TcpListener) -> (TcpStream, String) {
     discovery.set_nonblocking(true).expect("a socket");
     let mut accepted = None;
-    until("the node opens a watch", || {
+    wait_until("the node opens a watch", || {
         accepted = discovery.accept().ok();
         accepted.is_some()
     });
     let (stream, _) = accepted.expect("`until` has waited for it");
     stream.set_nonblocking(false).expect("a socket");
-    stream.set_read_timeout(Some(PATIENCE)).expect("a socket");
+    stream
+        .set_read_timeout(Some(WAIT_TIMEOUT))
+        .expect("a socket");
     let request = Message::read(&mut BufReader::new(&stream)).expect("a request");
-    (stream, request.first)
+    (stream, request.start_line)
 }
 
 /// Runs a node whose first watch fails and whose second one drains the first of two servers.
@@ -301,20 +306,24 @@
         "\"drain_grace_ms\":0.0",
         "\"drain_grace_ms\":0.0,\"ask_within_ms\":600000.0",
     );
-    let known = list(
+    let known = endpoint_list(
         7,
         true,
-        &[entry("s-0", Unreachable::start().address, "ready")],
+        &[endpoint_entry(
+            "s-0",
+            Unreachable::reserve().address,
+            "ready",
+        )],
     );
     let (old, new) = (Discovery::start(), Discovery::start());
     let node = Node::start(&config(old.address, &known, &settings));
     // Each watch fails at once, so that the node waits between two of them nearly all the time.
     for _ in 0..6 {
-        assert!(old.watch().asked.contains("from=7"));
+        assert!(old.watch().request_line.contains("from=7"));
     }
     node.reload(&config(new.address, &known, &settings));
     assert!(
-        !new.watch().asked.contains("from="),
+        !new.watch().request_line.contains("from="),
         "generations are one discovery's own"
     );
 }
