--- a/src/node/upstream/http1/metered/tests.rs
+++ b/src/node/upstream/http1/metered/tests.rs
@@ -21,7 +21,7 @@
         .write_all(b"HTTP/1.1 200 OK\r\n")
         .expect("write to the connection");
     // The event loop runs on this thread and is not polled before the write, so it cannot have reported the bytes.
-    testkit::until("the bytes have arrived", || {
+    testkit::wait_until("the bytes have arrived", || {
         metered.stream.pending_input() == PendingInput::Bytes
     });
     let mut cx = Context::from_waker(Waker::noop());
--- a/src/node/upstream/servers/tests.rs
+++ b/src/node/upstream/servers/tests.rs
@@ -23,7 +23,7 @@
 fn servers(address: SocketAddr) -> Rc<Servers> {
     let text = testkit::config(
         address,
-        &testkit::list(1, true, &[]),
+        &testkit::endpoint_list(1, true, &[]),
         &testkit::settings(15_000),
     );
     let servers = Servers::new(
@@ -171,7 +171,7 @@
 }
 
 async fn check_break_within_request() {
-    for (kind, closes) in testkit::Kind::all()
+    for (kind, closes) in testkit::AddressFamily::available()
         .into_iter()
         .flat_map(|kind| [(kind, true), (kind, false)])
     {
@@ -213,7 +213,7 @@
             .await
             .expect("the attempt completes at the other address");
         assert_eq!(
-            (outcome.result, healthy_server.count()),
+            (outcome.result, healthy_server.request_count()),
             (AttemptResult::Served, 1),
             "{kind:?}, closes: {closes}"
         );
