--- a/crates/stable-hash/src/lib.rs
+++ b/crates/stable-hash/src/lib.rs
@@ -1,8 +1,9 @@
 //! Mixing of 64-bit numbers with the same result on every node and in every version.
 //!
-//! Observer rings, shard preferences, and state digests of the fleet rest on it, so the function must
-//! never change: two versions that mixed differently could not agree on any of these. It is no defense
-//! against inputs that are chosen to collide; data from outside is authenticated before it gets here.
+//! Observer rings, shard placement, state digests, and the servers' ring positions depend on these
+//! functions, so they must never change: nodes of two versions that hash differently would disagree on
+//! all of these. The functions do not resist inputs chosen to collide; data from outside is authenticated
+//! before it is hashed.
 
 /// The finalizer of `SplitMix64` (Steele, Lea, Flood 2014): each input bit affects every output bit.
 ///
@@ -17,15 +18,15 @@
     x ^ (x >> 31)
 }
 
-/// A number from a name: 64-bit FNV-1a, its bits mixed once more, so that the servers of one list are evenly distributed
-/// on the ring that all nodes share.
+/// Hashes a name with 64-bit FNV-1a and mixes the bits once more, so that the servers of a list are evenly distributed
+/// on the hash ring that all nodes share.
 ///
 /// ```
 /// assert_eq!(stable_hash::hash_name("10.0.0.1:80"), 0x4aff_b0b3_15f6_7a66);
 /// ```
 #[must_use]
 pub fn hash_name(name: &str) -> u64 {
-    let mix = |hash: u64, byte: u8| (hash ^ u64::from(byte)).wrapping_mul(0x0100_0000_01b3);
-    let hash = name.bytes().fold(0xcbf2_9ce4_8422_2325, mix);
+    let mix_byte = |hash: u64, byte: u8| (hash ^ u64::from(byte)).wrapping_mul(0x0100_0000_01b3);
+    let hash = name.bytes().fold(0xcbf2_9ce4_8422_2325, mix_byte);
     (hash ^ (hash >> 32)).wrapping_mul(0x9e37_79b9_7f4a_7c15)
 }
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,6 +1,6 @@
-//! A load-balancing node: the [`node`] on real sockets, and the [`simulator`]'s line protocol.
+//! A load-balancing node: [`node`] serves requests on sockets, [`simulator`] translates the simulator's line protocol.
 //!
-//! Both are driven by the decisions of the crate [`balancer`], whose items are re-exported here.
+//! In both, the crate [`balancer`] makes the decisions. Its items are re-exported here.
 
 #![allow(
     clippy::match_same_arms,
--- a/src/main.rs
+++ b/src/main.rs
@@ -1,7 +1,7 @@
-//! The program `silverthread`: runs a load-balancing node, or queries one that runs.
+//! The program `silverthread`: runs a load-balancing node, queries a running one, or validates an operators' file.
 //!
-//! `ROUTER_CONFIG` names the platform's configuration. An operators' file may be named beside it, by `--config` or by
-//! `SILVERTHREAD_CONFIG`.
+//! `ROUTER_CONFIG` names the platform's configuration file. An optional operators' file is named by `--config` or,
+//! without that flag, by `SILVERTHREAD_CONFIG`.
 
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
@@ -14,21 +14,20 @@
 use silverthread::node::{config::Config, run, NodeError, NodeOptions};
 use silverthread::text::one_line;
 
-/// The environment variable that names the operators' file where the command line does not.
+/// The environment variable that names the operators' file if `--config` is not given.
 const CONFIG_FILE_VARIABLE: &str = "SILVERTHREAD_CONFIG";
-/// Exit code: the node cannot start or go on, or a query has no result.
+/// Exit code if the node cannot start or fails, or a query has no result.
 const EXIT_FAILURE: u8 = 1;
-/// Exit code: wrong command line or operators' file.
+/// Exit code if the command line or the operators' file is invalid.
 const EXIT_USAGE: u8 = 2;
-/// Exit code of a panic, as the standard library has it.
+/// Exit code after a panic, the one that the Rust runtime uses.
 const EXIT_PANIC: i32 = 101;
 
-/// A load-balancing node. `ROUTER_CONFIG` names the platform's configuration; without arguments the node runs by that
-/// alone.
+/// A load-balancing node. Without a subcommand, runs the node; `ROUTER_CONFIG` names the platform's configuration file.
 #[derive(Parser)]
 #[command(version)]
 struct CommandLine {
-    /// The operators' file; `SILVERTHREAD_CONFIG` names it, too.
+    /// The operators' file; the default is the value of `SILVERTHREAD_CONFIG`.
     #[arg(long, value_name = "FILE")]
     config: Option<PathBuf>,
     #[command(subcommand)]
@@ -37,15 +36,15 @@
 
 #[derive(Subcommand)]
 enum Command {
-    /// Prints the other nodes of the cluster and their states, as a running node knows them.
+    /// Prints the other nodes of the cluster and their states, as seen by a running node.
     Members(QueryArguments),
-    /// Prints the lease holder of each shard, as a running node knows it.
+    /// Prints the lease holder of each shard, as seen by a running node.
     Owners(QueryArguments),
-    /// Prints the servers that nodes report as outliers, as a running node knows them.
+    /// Prints the servers that nodes of the cluster report as outliers, as seen by a running node.
     Hints(QueryArguments),
-    /// Validates an operators' file: prints what is wrong with it, or what it turns on.
+    /// Validates an operators' file: prints its error, or the features that it configures.
     Check {
-        /// The file.
+        /// The operators' file to validate.
         file: PathBuf,
     },
 }
@@ -55,19 +54,19 @@
     /// The node's admin address.
     #[arg(long = "at", value_name = "ADDRESS")]
     address: SocketAddr,
-    /// Print JSON.
+    /// Print JSON instead of a table.
     #[arg(long)]
     json: bool,
 }
 
 fn main() -> ExitCode {
-    let line = CommandLine::parse();
-    match line.command {
-        Some(Command::Check { file }) => check(&file),
+    let command_line = CommandLine::parse();
+    match command_line.command {
+        Some(Command::Check { file }) => check_operator_config(&file),
         Some(Command::Members(arguments)) => query(&client::MEMBERS, &arguments),
         Some(Command::Owners(arguments)) => query(&client::OWNERS, &arguments),
         Some(Command::Hints(arguments)) => query(&client::HINTS, &arguments),
-        None => run_node(line.config.or_else(config_file_from_environment)),
+        None => run_node(command_line.config.or_else(config_file_from_environment)),
     }
 }
 
@@ -98,7 +97,7 @@
     }
 }
 
-fn check(file: &Path) -> ExitCode {
+fn check_operator_config(file: &Path) -> ExitCode {
     match OperatorConfig::read(file) {
         Ok(config) => {
             println!("{}: valid", file.display());
@@ -120,13 +119,14 @@
     ExitCode::SUCCESS
 }
 
+/// Prints an error, and returns `code` as the exit code.
 fn fail(error: &dyn std::error::Error, code: u8) -> ExitCode {
     eprintln!("silverthread: {}", one_line(&error.to_string()));
     code.into()
 }
 
-/// Makes a panic end the process. A node whose event loop is broken would hold requests without answering any; a process
-/// that has ended is started again by the platform.
+/// Makes a panic end the process. A node whose event loop has panicked would hold its requests without ever answering
+/// them, whereas the platform restarts a process that has ended.
 fn exit_on_panic() {
     let default_hook = std::panic::take_hook();
     std::panic::set_hook(Box::new(move |panic| {
--- a/src/text.rs
+++ b/src/text.rs
@@ -1,6 +1,6 @@
 //! Text for logs and error messages.
 
-/// Text without line breaks, so that what a peer sent cannot forge a line of a log.
+/// Replaces each line break with a space, so that text received from a peer cannot forge log lines.
 #[must_use]
 pub fn one_line(text: &str) -> String {
     text.replace(['\n', '\r'], " ")
