--- a/src/settings.rs
+++ b/src/settings.rs
@@ -1,7 +1,7 @@
-//! The platform's settings of a balancer, as JSON: the same for the simulator's instances and for a
-//! node's configuration file.
+//! Parses the platform's settings of a balancer, which are JSON and have the same keys in the simulator
+//! and in a node's configuration file.
 //!
-//! A key that is missing keeps the default of [`balancer::Settings`]; a key that is unknown is ignored.
+//! A missing key keeps the default of [`balancer::Settings`]; an unknown key is ignored.
 
 use std::fmt;
 
@@ -13,17 +13,17 @@
 /// Why settings cannot be used.
 #[derive(Debug)]
 pub enum SettingsFormatError {
-    /// They are not JSON.
+    /// The text is not JSON.
     Json(serde_json::Error),
-    /// They are not a JSON object.
+    /// The value is not a JSON object.
     NotAnObject,
-    /// A class does not say how long its clients wait. Nothing can be guessed in its place.
-    NoDeadline,
+    /// A class has no deadline. There is no safe default for the time that its clients wait.
+    MissingDeadline,
     /// A key has a value of the wrong type.
     WrongType {
         /// The key.
         key: String,
-        /// What it should be.
+        /// The expected type, with its article.
         expected: &'static str,
     },
     /// A value is out of range.
@@ -34,9 +34,9 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             Self::Json(error) => write!(f, "`facts`: {error}"),
-            Self::NotAnObject => f.write_str("`facts` is no object"),
-            Self::NoDeadline => f.write_str("`facts`: a class has no `deadline_ms`"),
-            Self::WrongType { key, expected } => write!(f, "`facts`: `{key}` is no {expected}"),
+            Self::NotAnObject => f.write_str("`facts` is not a JSON object"),
+            Self::MissingDeadline => f.write_str("`facts`: a class has no `deadline_ms`"),
+            Self::WrongType { key, expected } => write!(f, "`facts`: `{key}` is not {expected}"),
             Self::OutOfRange(error) => error.fmt(f),
         }
     }
@@ -47,31 +47,31 @@
         match self {
             Self::Json(error) => Some(error),
             Self::OutOfRange(error) => Some(error),
-            Self::NotAnObject | Self::NoDeadline | Self::WrongType { .. } => None,
+            Self::NotAnObject | Self::MissingDeadline | Self::WrongType { .. } => None,
         }
     }
 }
 
-/// Parses settings. Whether their values are in range is checked by [`Settings::validate`].
+/// Parses settings. [`Settings::validate`] checks whether their values are in range.
 ///
 /// # Errors
 ///
-/// They are not an object, a class has no deadline, or a key has a value of the wrong type.
+/// The value is not an object, a class has no deadline, or a key has a value of the wrong type.
 pub fn parse_settings(value: &Value) -> Result<Settings, SettingsFormatError> {
     if !value.is_object() {
         return Err(SettingsFormatError::NotAnObject);
     }
-    let classes = elements(&value["classes"]).iter().map(parse_class);
+    let classes = array_elements(&value["classes"]).iter().map(parse_class);
     let mut settings = Settings::new(classes.collect::<Result<_, _>>()?);
-    for tenant in elements(&value["parties"]) {
+    for tenant in array_elements(&value["parties"]) {
         let mut quota_per_s = f64::MAX;
         read_number(tenant, "quota_per_s", &mut quota_per_s)?;
         settings.tenant_quotas_per_s.push(quota_per_s);
     }
-    read_index(value, "n_instances", &mut settings.nodes)?;
-    read_index(value, "me", &mut settings.node_index)?;
-    read_index(value, "az", &mut settings.zone)?;
-    settings.machine_kinds = elements(&value["kinds"]).len().max(1);
+    read_integer(value, "n_instances", &mut settings.nodes)?;
+    read_integer(value, "me", &mut settings.node_index)?;
+    read_integer(value, "az", &mut settings.zone)?;
+    settings.machine_kinds = array_elements(&value["kinds"]).len().max(1);
     if value["discovery"] == "subscribe" {
         settings.discovery = DiscoveryMode::Subscribe;
     }
@@ -82,7 +82,7 @@
     };
     parse_rules(&value["rules"], &mut settings)?;
     let allowed = &value["allowed"];
-    read_index(allowed, "max_attempts", &mut settings.max_attempts)?;
+    read_integer(allowed, "max_attempts", &mut settings.max_attempts)?;
     read_flag(allowed, "cancel", &mut settings.cancel)?;
     read_flag(allowed, "probes", &mut settings.health_checks)?;
     let prices = &value["prices"];
@@ -101,7 +101,7 @@
     Ok(())
 }
 
-/// The retry budget; there is none without a window.
+/// Parses the retry budget; `None` if its window is not set.
 fn parse_retry_budget(rules: &Value) -> Result<Option<RetryBudget>, SettingsFormatError> {
     let mut budget = RetryBudget {
         min_retries: 0.0,
@@ -118,7 +118,7 @@
     let (mut objective_ms, mut deadline_ms) = (f64::NAN, f64::NAN);
     read_number(value, "deadline_ms", &mut deadline_ms)?;
     if deadline_ms.is_nan() {
-        return Err(SettingsFormatError::NoDeadline);
+        return Err(SettingsFormatError::MissingDeadline);
     }
     read_number(value, "promise_ms", &mut objective_ms)?;
     if objective_ms.is_nan() {
@@ -143,41 +143,42 @@
             },
             window_ms,
         },
-        // What is not known is treated as what allows least.
+        // An unknown or missing effect gets the most restrictive treatment.
         _ => Idempotency::NonIdempotent,
     })
 }
 
-fn elements(value: &Value) -> &[Value] {
+/// The elements of an array; empty if the value is not an array.
+fn array_elements(value: &Value) -> &[Value] {
     value.as_array().map_or(&[], Vec::as_slice)
 }
 
-fn read_number(from: &Value, key: &str, to: &mut f64) -> Result<(), SettingsFormatError> {
-    read(from, key, "number", Value::as_f64, to)
+fn read_number(object: &Value, key: &str, target: &mut f64) -> Result<(), SettingsFormatError> {
+    read(object, key, "a number", Value::as_f64, target)
 }
 
-fn read_index(from: &Value, key: &str, to: &mut usize) -> Result<(), SettingsFormatError> {
-    let index = |value: &Value| value.as_u64().map(|index| index as usize);
-    read(from, key, "whole number", index, to)
+fn read_integer(object: &Value, key: &str, target: &mut usize) -> Result<(), SettingsFormatError> {
+    let integer = |value: &Value| value.as_u64().map(|integer| integer as usize);
+    read(object, key, "a non-negative integer", integer, target)
 }
 
-fn read_flag(from: &Value, key: &str, to: &mut bool) -> Result<(), SettingsFormatError> {
-    read(from, key, "yes or no", Value::as_bool, to)
+fn read_flag(object: &Value, key: &str, target: &mut bool) -> Result<(), SettingsFormatError> {
+    read(object, key, "a boolean", Value::as_bool, target)
 }
 
-/// Reads a key into `to`, which keeps its value if the key is missing or null.
+/// Reads the value of a key into `target`, which stays unchanged if the key is missing or null.
 fn read<T>(
-    from: &Value,
+    object: &Value,
     key: &str,
     expected: &'static str,
     convert: impl Fn(&Value) -> Option<T>,
-    to: &mut T,
+    target: &mut T,
 ) -> Result<(), SettingsFormatError> {
-    let value = &from[key];
+    let value = &object[key];
     if value.is_null() {
         return Ok(());
     }
-    *to = convert(value).ok_or_else(|| SettingsFormatError::WrongType {
+    *target = convert(value).ok_or_else(|| SettingsFormatError::WrongType {
         key: key.to_owned(),
         expected,
     })?;
