--- a/src/bin/silverthread-simulator-adapter.rs
+++ b/src/bin/silverthread-simulator-adapter.rs
@@ -1,8 +1,8 @@
-//! Runs balancers by the simulator's line protocol on standard input and output, one balancer for
-//! each simulated node.
+//! Serves the simulator's line protocol on standard input and output, with one balancer for each
+//! simulated node.
 //!
-//! It replies to each batch when the batch is complete. Malformed input ends it with one line on
-//! standard error that says where and what.
+//! The adapter replies to each batch once the batch is complete. On malformed input it exits with one
+//! line on standard error that gives the line number and the error.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt::{self, Write as _};
@@ -16,72 +16,72 @@
 
 const PROGRAM: &str = "silverthread-simulator-adapter";
 
-/// Whether a line ended its batch.
-enum Progress {
-    More,
-    EndOfBatch,
+/// Whether the batch is complete after a line.
+enum BatchStatus {
+    Incomplete,
+    Complete,
 }
 
-/// The instances, and the batch being read.
+/// The running instances by node, and the reply to the batch being read.
 #[derive(Default)]
 struct Adapter {
     now_ms: f64,
     instances: BTreeMap<String, Instance>,
-    lists: ServerLists,
-    /// What was ignored and has been reported once.
-    reported: BTreeSet<String>,
+    server_lists: ServerLists,
+    /// Message types and nodes whose messages were reported as ignored.
+    reported_as_ignored: BTreeSet<String>,
     reply: String,
     actions: Vec<Action>,
 }
 
 impl Adapter {
-    fn handle_line(&mut self, text: &str) -> Result<Progress, ProtocolError> {
-        if self.lists.receive(text)? {
-            return Ok(Progress::More);
+    fn handle_line(&mut self, text: &str) -> Result<BatchStatus, ProtocolError> {
+        if self.server_lists.receive_entry(text)? {
+            return Ok(BatchStatus::Incomplete);
         }
         if text.is_empty() {
-            return Ok(Progress::More); // It separates batches.
+            return Ok(BatchStatus::Incomplete); // An empty line separates batches.
         }
         let line = Line::parse(text)?;
-        match line.message {
+        match line.message_type {
             "CLOCK" => self.now_ms = line.required_number("wall_ms")?,
             "EOB" => {
                 self.reply.push_str("NEXT\n");
-                return Ok(Progress::EndOfBatch);
+                return Ok(BatchStatus::Complete);
             }
-            "CENSUS" => self.lists.begin(&line)?,
+            "CENSUS" => self.server_lists.begin(&line)?,
             "BOOT" => {
                 let instance = Instance::start(&line)?;
-                let node = line.text("node")?.to_owned();
+                let node = line.required_text("node")?.to_owned();
                 self.instances.insert(node, instance);
             }
-            "TEARDOWN" => drop(self.instances.remove(line.text("node")?)),
+            "TEARDOWN" => drop(self.instances.remove(line.required_text("node")?)),
             "REGISTRY" | "CALL" | "ACK_FIRST" | "ENDED" | "HANGUP" | "FIRED" | "HEALTH" => {
                 self.handle_event(&line)?;
             }
-            "FROM_PEER" => {} // A balancer takes no messages from its peers.
-            other => self.report_ignored(other, "ignored an unknown message"),
+            "FROM_PEER" => {} // Balancers do not use messages from their peers.
+            other => self.report_ignored(other, "unknown message type ignored"),
         }
-        Ok(Progress::More)
+        Ok(BatchStatus::Incomplete)
     }
 
     fn handle_event(&mut self, line: &Line<'_>) -> Result<(), ProtocolError> {
-        let node = line.text("node")?;
+        let node = line.required_text("node")?;
         let Some(instance) = self.instances.get_mut(node) else {
-            self.report_ignored(node, "ignored a message to an instance that is not running");
+            self.report_ignored(node, "message to a node without a running instance ignored");
             return Ok(());
         };
-        let Some(event) = instance.parse_event(line, &self.lists)? else {
+        let Some(event) = instance.parse_event(line, &self.server_lists)? else {
             return Ok(());
         };
         let (now_ms, actions) = (self.now_ms, &mut self.actions);
-        // A fault in one instance must not end the others.
+        // A panic in one instance must not end the others.
         let handled = panic::catch_unwind(AssertUnwindSafe(|| {
             instance.handle(now_ms, event, actions);
         }));
         if handled.is_ok() {
             for action in self.actions.drain(..) {
-                instance.print(node, &action, &mut self.reply);
+                instance.append_action_line(node, &action, &mut self.reply);
             }
         } else {
             self.actions.clear();
@@ -95,66 +95,70 @@
         Ok(())
     }
 
-    /// Reports what is ignored, once for each kind.
-    fn report_ignored(&mut self, what: &str, why: &str) {
-        if self.reported.insert(what.to_owned()) {
-            eprintln!("{PROGRAM}: {why}: {}", one_line(what));
+    /// Reports a message type or a node whose messages are ignored, once for each.
+    fn report_ignored(&mut self, name: &str, reason: &str) {
+        if self.reported_as_ignored.insert(name.to_owned()) {
+            eprintln!("{PROGRAM}: {reason}: {}", one_line(name));
         }
     }
 }
 
-/// Why the adapter ends before its input does, and at which line.
+/// Why the adapter exits before the end of its input.
 struct AdapterError {
-    line: u64,
+    /// Number of the line, from one, at which the error occurred.
+    line_number: u64,
     cause: Cause,
 }
 
 enum Cause {
     Read(io::Error),
-    Reply(io::Error),
-    /// A message is malformed.
+    WriteReply(io::Error),
+    /// A line is malformed.
     Protocol {
-        message: String,
+        message_type: String,
         error: ProtocolError,
     },
 }
 
 impl fmt::Display for AdapterError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "line {}: ", self.line)?;
+        write!(f, "line {}: ", self.line_number)?;
         match &self.cause {
             Cause::Read(error) => error.fmt(f),
-            Cause::Reply(error) => write!(f, "cannot reply: {error}"),
-            Cause::Protocol { message, error } => write!(f, "{message}: {error}"),
+            Cause::WriteReply(error) => write!(f, "cannot write the reply: {error}"),
+            Cause::Protocol {
+                message_type,
+                error,
+            } => write!(f, "{message_type}: {error}"),
         }
     }
 }
 
-/// Reads and replies until the input ends.
+/// Handles lines and replies to batches until the input ends.
 fn run(mut input: impl BufRead, mut output: impl Write) -> Result<(), AdapterError> {
     let mut adapter = Adapter::default();
     let mut text = String::new();
     for line_number in 1.. {
-        let fail = |cause| AdapterError {
-            line: line_number,
-            cause,
-        };
+        let error_at_line = |cause| AdapterError { line_number, cause };
         text.clear();
-        let bytes = input.read_line(&mut text);
-        let bytes = bytes.map_err(|error| fail(Cause::Read(error)))?;
-        if bytes == 0 {
+        let bytes_read = input.read_line(&mut text);
+        let bytes_read = bytes_read.map_err(|error| error_at_line(Cause::Read(error)))?;
+        if bytes_read == 0 {
             break;
         }
         let line = text.trim_end_matches(['\n', '\r']);
-        let progress = adapter.handle_line(line).map_err(|error| {
-            let message = line.split(' ').next().unwrap_or_default().to_owned();
-            fail(Cause::Protocol { message, error })
+        let status = adapter.handle_line(line).map_err(|error| {
+            let message_type = line.split(' ').next().unwrap_or_default().to_owned();
+            error_at_line(Cause::Protocol {
+                message_type,
+                error,
+            })
         })?;
-        if matches!(progress, Progress::EndOfBatch) {
+        if matches!(status, BatchStatus::Complete) {
             let written = output
                 .write_all(adapter.reply.as_bytes())
                 .and_then(|()| output.flush());
-            written.map_err(|error| fail(Cause::Reply(error)))?;
+            written.map_err(|error| error_at_line(Cause::WriteReply(error)))?;
             adapter.reply.clear();
         }
     }
--- a/src/simulator/error.rs
+++ b/src/simulator/error.rs
@@ -1,90 +1,104 @@
-//! What can be wrong with a line of the protocol.
+//! Errors in the lines of the protocol.
 
 use std::fmt;
 
 use crate::settings::SettingsFormatError;
 
-/// Why a line cannot be used.
+/// Why a line was not accepted.
 #[derive(Debug)]
 pub enum ProtocolError {
-    /// The line has no message.
-    NoMessage,
-    /// The rest of the line does not begin with a pair.
-    NotAPair(String),
-    /// What stands before `=` is no name.
-    NotAName(String),
-    /// A pair is missing.
-    Missing(String),
+    /// The line does not begin with a message type.
+    NoMessageType,
+    /// The rest of the line has no `=` and therefore no further field.
+    MalformedField(String),
+    /// A field's name is empty or contains a space.
+    InvalidName(String),
+    /// A required field is missing, with its name.
+    MissingField(String),
     /// A value is not a finite number.
     NotANumber {
-        /// The pair's name.
+        /// The field's name.
         name: String,
-        /// Its value.
+        /// The field's value.
         value: String,
     },
-    /// A value is not a whole number.
-    NotWhole {
-        /// The pair's name.
+    /// A value is not an unsigned 64-bit integer.
+    NotAnInteger {
+        /// The field's name.
         name: String,
-        /// Its value.
+        /// The field's value.
         value: String,
     },
-    /// A whole number is too large for an index.
+    /// An integer is too large for an index.
     TooLarge {
-        /// The pair's name.
+        /// The field's name.
         name: String,
-        /// Its value.
+        /// The field's value.
         value: u64,
     },
     /// A value is neither 1 nor 0.
     NotAFlag {
-        /// The pair's name.
+        /// The field's name.
         name: String,
-        /// Its value.
+        /// The field's value.
         value: String,
     },
-    /// A value is none of those that the protocol knows.
-    Unknown {
-        /// The pair's name.
+    /// A value is not among those that the protocol defines for its field.
+    UnknownValue {
+        /// The field's name.
         name: String,
-        /// Its value.
+        /// The field's value.
         value: String,
     },
-    /// Another message came while entries of a server list were outstanding.
+    /// A message of another type was received before the last entry of a server list.
     EntryExpected {
-        /// The message.
-        message: String,
+        /// The type of the message.
+        message_type: String,
     },
-    /// No list of this number was received.
+    /// No server list with this number was received.
     UnknownList(usize),
-    /// The protocol does not allow a list of this number.
+    /// The number of a server list is not below [`MAX_LISTS`](super::MAX_LISTS).
     ListOutOfRange(usize),
-    /// The settings of an instance cannot be used.
+    /// The settings of an instance are invalid.
     Settings(SettingsFormatError),
 }
 
 impl ProtocolError {
-    pub(super) fn missing(name: &str) -> Self {
-        Self::Missing(name.to_owned())
+    pub(super) fn missing_field(name: &str) -> Self {
+        Self::MissingField(name.to_owned())
     }
 }
 
 impl fmt::Display for ProtocolError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Self::NoMessage => f.write_str("no message"),
-            Self::NotAPair(text) => write!(f, "`{text}` is no name=value pair"),
-            Self::NotAName(name) => write!(f, "`{name}` is no name"),
-            Self::Missing(name) => write!(f, "`{name}` is missing"),
-            Self::NotANumber { name, value } => write!(f, "`{name}={value}` is no number"),
-            Self::NotWhole { name, value } => write!(f, "`{name}={value}` is no whole number"),
-            Self::TooLarge { name, value } => write!(f, "`{name}={value}` is too large"),
-            Self::NotAFlag { name, value } => write!(f, "`{name}={value}` is neither 1 nor 0"),
-            Self::Unknown { name, value } => write!(f, "`{name}={value}` is unknown"),
-            Self::EntryExpected { message } => {
-                write!(f, "`{message}` where an entry of the list was due")
+            Self::NoMessageType => f.write_str("no message type"),
+            Self::MalformedField(text) => write!(f, "`{text}` is not a name=value field"),
+            Self::InvalidName(name) => write!(f, "`{name}` is not a valid field name"),
+            Self::MissingField(name) => write!(f, "`{name}` is missing"),
+            Self::NotANumber { name, value } => {
+                write!(f, "`{name}={value}` is not a finite number")
             }
-            Self::UnknownList(number) => write!(f, "`roster_id={number}` is no list"),
+            Self::NotAnInteger { name, value } => {
+                write!(f, "`{name}={value}` is not an unsigned 64-bit integer")
+            }
+            Self::TooLarge { name, value } => {
+                write!(f, "`{name}={value}` is too large for an index")
+            }
+            Self::NotAFlag { name, value } => {
+                write!(f, "`{name}={value}` is not a flag: expected 1 or 0")
+            }
+            Self::UnknownValue { name, value } => write!(f, "`{name}={value}` is an unknown value"),
+            Self::EntryExpected { message_type } => {
+                write!(
+                    f,
+                    "expected an entry of the server list, got `{message_type}`"
+                )
+            }
+            Self::UnknownList(number) => write!(
+                f,
+                "`roster_id={number}`: no server list with this number was received"
+            ),
             Self::ListOutOfRange(number) => write!(f, "`roster_id={number}` is out of range"),
             Self::Settings(error) => error.fmt(f),
         }
--- a/src/simulator/instance.rs
+++ b/src/simulator/instance.rs
@@ -1,5 +1,5 @@
-//! One simulated node: its balancer, and what its messages need beside themselves, that is the names
-//! of its servers and the columns of their load reports.
+//! One simulated node: its balancer, and what is needed to translate its messages, namely the IDs of the
+//! server names and the column layout of the load reports.
 
 use std::collections::HashMap;
 
@@ -10,14 +10,15 @@
 use serde_json::Value;
 
 use super::line::parse_number;
-use super::{print_action, Line, ProtocolError, ServerLists};
+use super::{append_action_line, Line, ProtocolError, ServerLists};
 use crate::settings::{parse_settings, SettingsFormatError};
 
-/// Names of the columns of a load report that are used.
+/// Name of the load report's column with the number of requests in flight.
 const IN_FLIGHT_COLUMN: &str = "active";
+/// Name of the load report's column with the number of queued requests.
 const QUEUED_COLUMN: &str = "waiting";
 
-/// Where a load report holds the figures that are used, if it does.
+/// Indexes of the columns of a load report that the balancer uses; `None` for a column that the reports lack.
 #[derive(Debug, Default)]
 struct ReportColumns {
     in_flight: Option<usize>,
@@ -35,15 +36,18 @@
         }
     }
 
+    /// Parses the load report of a line; `None` if it has none.
     fn parse(&self, line: &Line<'_>) -> Result<Option<LoadReport>, ProtocolError> {
-        const NAME: &str = "server_stats";
-        let row = line.get(NAME).filter(|row| !row.is_empty() && *row != "-");
+        const REPORT_FIELD: &str = "server_stats";
+        let row = line
+            .get(REPORT_FIELD)
+            .filter(|row| !row.is_empty() && *row != "-");
         let Some(row) = row else {
             return Ok(None);
         };
         let values: Vec<f64> = row
             .split(',')
-            .map(|value| parse_number(NAME, value))
+            .map(|value| parse_number(REPORT_FIELD, value))
             .collect::<Result<_, _>>()?;
         let value = |column: Option<usize>| column.and_then(|column| values.get(column).copied());
         Ok(Some(LoadReport {
@@ -53,7 +57,7 @@
     }
 }
 
-/// The servers' names, numbered in the order in which the instance learned them.
+/// The server names that an instance has received, and their IDs in the order of first receipt.
 #[derive(Debug, Default)]
 pub(super) struct ServerNames {
     names: Vec<String>,
@@ -61,7 +65,8 @@
 }
 
 impl ServerNames {
-    fn id(&mut self, name: &str) -> ServerId {
+    /// The ID of a name, which is assigned if the name is new.
+    fn intern(&mut self, name: &str) -> ServerId {
         if let Some(id) = self.ids.get(name) {
             return *id;
         }
@@ -76,55 +81,55 @@
     }
 }
 
-/// One instance.
+/// A simulated node: its balancer, and what is needed to translate its messages.
 pub struct Instance {
     balancer: Balancer,
     servers: ServerNames,
-    columns: ReportColumns,
+    report_columns: ReportColumns,
 }
 
 impl Instance {
-    /// Starts an instance by a `BOOT` line.
+    /// Starts an instance from a `BOOT` line.
     ///
     /// # Errors
     ///
-    /// The line is malformed, or its settings cannot be used.
+    /// The line is malformed, or its settings are invalid.
     pub fn start(line: &Line<'_>) -> Result<Self, ProtocolError> {
-        let settings: Value =
-            serde_json::from_str(line.text("facts")?).map_err(SettingsFormatError::Json)?;
-        let columns = ReportColumns::from_settings(&settings);
+        let settings: Value = serde_json::from_str(line.required_text("facts")?)
+            .map_err(SettingsFormatError::Json)?;
+        let report_columns = ReportColumns::from_settings(&settings);
         let settings = parse_settings(&settings)?;
         let seed = line.integer("seed")?.unwrap_or(0);
         let balancer = Balancer::new(settings, seed).map_err(SettingsFormatError::OutOfRange)?;
         Ok(Self {
             balancer,
             servers: ServerNames::default(),
-            columns,
+            report_columns,
         })
     }
 
-    /// Passes an event to the balancer, which appends its actions.
+    /// Passes an event to the balancer, which appends its actions to `actions`.
     pub fn handle(&mut self, now_ms: f64, event: Event, actions: &mut Vec<Action>) {
         self.balancer.handle(now_ms, event, actions);
     }
 
-    /// Appends the line of an action.
-    pub fn print(&self, node: &str, action: &Action, out: &mut String) {
-        print_action(node, &self.servers, action, out);
+    /// Appends the protocol line for an action to `out`.
+    pub fn append_action_line(&self, node: &str, action: &Action, out: &mut String) {
+        append_action_line(node, &self.servers, action, out);
     }
 
-    /// Parses an event; `Ok(None)` is a message that is unknown or not used.
+    /// Parses a line into an event; `Ok(None)` if its message type is not an event's, or its timer token is not a number.
     ///
     /// # Errors
     ///
-    /// The line is malformed, or names a list that was not received.
+    /// The line is malformed, or refers to a server list that was not received.
     pub fn parse_event(
         &mut self,
         line: &Line<'_>,
         lists: &ServerLists,
     ) -> Result<Option<Event>, ProtocolError> {
-        Ok(Some(match line.message {
-            "REGISTRY" => Event::ServerList(self.parse_update(line, lists)?),
+        Ok(Some(match line.message_type {
+            "REGISTRY" => Event::ServerList(self.parse_server_list_update(line, lists)?),
             "CALL" => Event::Request(parse_request(line)?),
             "ACK_FIRST" => Event::StreamStarted {
                 request: parse_request_id(line)?,
@@ -132,33 +137,33 @@
             },
             "ENDED" => Event::Outcome(self.parse_outcome(line)?),
             "HANGUP" => Event::ClientGone(parse_request_id(line)?),
-            "FIRED" => match line.text("nonce")?.parse() {
+            "FIRED" => match line.required_text("nonce")?.parse() {
                 Ok(timer) => Event::Timer(timer),
-                // A token of another form is no timer of this instance.
+                // The balancer's timers are numbers: any other token was not set by this instance.
                 Err(_) => return Ok(None),
             },
             "HEALTH" => Event::HealthChecked {
-                server: self.servers.id(line.text("server")?),
+                server: self.servers.intern(line.required_text("server")?),
                 elapsed_ms: line.number("rtt_ms")?.unwrap_or(0.0),
-                result: parse_result(line)?,
-                report: self.columns.parse(line)?,
+                result: parse_attempt_result(line)?,
+                report: self.report_columns.parse(line)?,
             },
             _ => return Ok(None),
         }))
     }
 
-    fn parse_update(
+    fn parse_server_list_update(
         &mut self,
         line: &Line<'_>,
         lists: &ServerLists,
     ) -> Result<ServerListUpdate, ProtocolError> {
-        let mode = line.text("mode")?;
+        let mode = line.required_text("mode")?;
         if mode == "3" {
             return Ok(ServerListUpdate::Failed);
         }
         let list = lists.get(line.required_index("roster_id")?)?;
         let entries = list.iter().map(|listed| ServerEntry {
-            server: self.servers.id(&listed.name),
+            server: self.servers.intern(&listed.name),
             ..listed.entry.clone()
         });
         let entries = entries.collect();
@@ -166,7 +171,7 @@
             "0" => Ok(ServerListUpdate::Changes(entries)),
             "1" => Ok(ServerListUpdate::Full(entries)),
             "2" => Ok(ServerListUpdate::Cached(entries)),
-            other => Err(Line::unknown("mode", other)),
+            other => Err(Line::unknown_value("mode", other)),
         }
     }
 
@@ -175,9 +180,9 @@
             request: parse_request_id(line)?,
             attempt: line.required_index("try")?,
             elapsed_ms: line.required_number("rtt_ms")?,
-            result: parse_result(line)?,
+            result: parse_attempt_result(line)?,
             complete: parse_flag(line, "complete")?,
-            report: self.columns.parse(line)?,
+            report: self.report_columns.parse(line)?,
         })
     }
 }
@@ -197,7 +202,7 @@
 }
 
 fn parse_flag(line: &Line<'_>, name: &str) -> Result<bool, ProtocolError> {
-    match line.text(name)? {
+    match line.required_text(name)? {
         "1" => Ok(true),
         "0" => Ok(false),
         other => Err(ProtocolError::NotAFlag {
@@ -207,8 +212,8 @@
     }
 }
 
-fn parse_result(line: &Line<'_>) -> Result<AttemptResult, ProtocolError> {
-    Ok(match line.text("ending")? {
+fn parse_attempt_result(line: &Line<'_>) -> Result<AttemptResult, ProtocolError> {
+    Ok(match line.required_text("ending")? {
         "S" => AttemptResult::Served,
         "E" => AttemptResult::Error,
         "F" => AttemptResult::Overloaded,
@@ -217,6 +222,6 @@
         "R" => AttemptResult::Reset,
         "X" => AttemptResult::Cancelled,
         "N" => AttemptResult::NotSent,
-        other => return Err(Line::unknown("ending", other)),
+        other => return Err(Line::unknown_value("ending", other)),
     })
 }
--- a/src/simulator/line.rs
+++ b/src/simulator/line.rs
@@ -1,18 +1,18 @@
-//! One line of the protocol: a message and its name=value pairs.
+//! One line of the protocol: a message type and name=value fields.
 
 use super::ProtocolError;
 
-/// Pairs whose value is the rest of the line, spaces included.
+/// Names of the fields whose value is the rest of the line, including spaces.
 const TEXT_FIELDS: [&str; 2] = ["facts", "note_text"];
-/// Pairs that a line of requests or results ordinarily has.
-const USUAL_PAIRS: usize = 8;
+/// Initial capacity for fields, sufficient for a typical request or outcome.
+const TYPICAL_FIELD_COUNT: usize = 8;
 
-/// A line split into its message and its pairs.
+/// A line split into its message type and its fields.
 #[derive(Debug)]
 pub struct Line<'a> {
-    /// The message.
-    pub message: &'a str,
-    pairs: Vec<(&'a str, &'a str)>,
+    /// The message type, such as `CALL`.
+    pub message_type: &'a str,
+    fields: Vec<(&'a str, &'a str)>,
 }
 
 impl<'a> Line<'a> {
@@ -20,76 +20,82 @@
     ///
     /// # Errors
     ///
-    /// It has no message, or a part that is not a pair.
+    /// The line has no message type, or a part that is not a field.
     pub fn parse(line: &'a str) -> Result<Self, ProtocolError> {
-        let (message, mut rest) = line.split_once(' ').unwrap_or((line, ""));
-        if message.is_empty() {
-            return Err(ProtocolError::NoMessage);
+        let (message_type, mut rest) = line.split_once(' ').unwrap_or((line, ""));
+        if message_type.is_empty() {
+            return Err(ProtocolError::NoMessageType);
         }
-        let mut pairs = Vec::with_capacity(USUAL_PAIRS);
+        let mut fields = Vec::with_capacity(TYPICAL_FIELD_COUNT);
         while !rest.is_empty() {
             let Some((name, tail)) = rest.split_once('=') else {
-                return Err(ProtocolError::NotAPair(rest.to_owned()));
+                return Err(ProtocolError::MalformedField(rest.to_owned()));
             };
             if name.is_empty() || name.contains(' ') {
-                return Err(ProtocolError::NotAName(name.to_owned()));
+                return Err(ProtocolError::InvalidName(name.to_owned()));
             }
             let (value, tail) = if TEXT_FIELDS.contains(&name) {
                 (tail, "")
             } else {
                 tail.split_once(' ').unwrap_or((tail, ""))
             };
-            pairs.push((name, value));
+            fields.push((name, value));
             rest = tail;
         }
-        Ok(Self { message, pairs })
+        Ok(Self {
+            message_type,
+            fields,
+        })
     }
 
-    /// The value of a pair, if it is there.
+    /// The value of a field; `None` if the field is missing.
     #[must_use]
     pub fn get(&self, name: &str) -> Option<&'a str> {
-        let mut pairs = self.pairs.iter();
-        pairs.find(|(n, _)| *n == name).map(|(_, value)| *value)
+        let mut fields = self.fields.iter();
+        fields
+            .find(|(field, _)| *field == name)
+            .map(|(_, value)| *value)
     }
 
-    /// The value of a pair that must be there.
+    /// The value of a required field.
     ///
     /// # Errors
     ///
-    /// It is missing.
-    pub fn text(&self, name: &str) -> Result<&'a str, ProtocolError> {
-        self.get(name).ok_or_else(|| ProtocolError::missing(name))
+    /// The field is missing.
+    pub fn required_text(&self, name: &str) -> Result<&'a str, ProtocolError> {
+        self.get(name)
+            .ok_or_else(|| ProtocolError::missing_field(name))
     }
 
-    /// A number, if it is there.
+    /// The value of a field as a number; `None` if the field is missing.
     ///
     /// # Errors
     ///
-    /// It is not a finite number.
+    /// The value is not a finite number.
     pub fn number(&self, name: &str) -> Result<Option<f64>, ProtocolError> {
         self.get(name)
             .map(|value| parse_number(name, value))
             .transpose()
     }
 
-    /// A number that must be there.
+    /// The value of a required field as a number.
     ///
     /// # Errors
     ///
-    /// It is missing, or not a finite number.
+    /// The field is missing, or its value is not a finite number.
     pub fn required_number(&self, name: &str) -> Result<f64, ProtocolError> {
         self.number(name)?
-            .ok_or_else(|| ProtocolError::missing(name))
+            .ok_or_else(|| ProtocolError::missing_field(name))
     }
 
-    /// A whole number, if it is there.
+    /// The value of a field as an unsigned integer; `None` if the field is missing.
     ///
     /// # Errors
     ///
-    /// It is not a whole number.
+    /// The value is not an unsigned 64-bit integer.
     pub fn integer(&self, name: &str) -> Result<Option<u64>, ProtocolError> {
         let parse = |value: &str| {
-            value.parse().map_err(|_| ProtocolError::NotWhole {
+            value.parse().map_err(|_| ProtocolError::NotAnInteger {
                 name: name.to_owned(),
                 value: value.to_owned(),
             })
@@ -97,21 +103,21 @@
         self.get(name).map(parse).transpose()
     }
 
-    /// A whole number that must be there.
+    /// The value of a required field as an unsigned integer.
     ///
     /// # Errors
     ///
-    /// It is missing, or not a whole number.
+    /// The field is missing, or its value is not an unsigned 64-bit integer.
     pub fn required_integer(&self, name: &str) -> Result<u64, ProtocolError> {
         self.integer(name)?
-            .ok_or_else(|| ProtocolError::missing(name))
+            .ok_or_else(|| ProtocolError::missing_field(name))
     }
 
-    /// An index that must be there.
+    /// The value of a required field as an index.
     ///
     /// # Errors
     ///
-    /// It is missing, not a whole number, or too large for an index.
+    /// The field is missing, or its value is not an unsigned integer or is too large for an index.
     pub fn required_index(&self, name: &str) -> Result<usize, ProtocolError> {
         let value = self.required_integer(name)?;
         usize::try_from(value).map_err(|_| ProtocolError::TooLarge {
@@ -120,16 +126,16 @@
         })
     }
 
-    /// The error for a pair whose value is not known.
-    pub(super) fn unknown(name: &str, value: &str) -> ProtocolError {
-        ProtocolError::Unknown {
+    /// The error for a value that the protocol does not define for its field.
+    pub(super) fn unknown_value(name: &str, value: &str) -> ProtocolError {
+        ProtocolError::UnknownValue {
             name: name.to_owned(),
             value: value.to_owned(),
         }
     }
 }
 
-/// Parses one value of a pair as a finite number.
+/// Parses a value of a field as a finite number.
 pub(super) fn parse_number(name: &str, value: &str) -> Result<f64, ProtocolError> {
     match value.parse::<f64>() {
         Ok(number) if number.is_finite() => Ok(number),
--- a/src/simulator/mod.rs
+++ b/src/simulator/mod.rs
@@ -1,9 +1,9 @@
-//! The simulator's line protocol: parsing its messages into events of a balancer, and printing the
-//! balancer's actions. Nothing here decides, reads or writes; `silverthread-simulator-adapter` does
-//! the I/O.
+//! The simulator's line protocol: parses its messages into events of a balancer, and formats the
+//! balancer's actions. The balancer makes the decisions, and the program
+//! `silverthread-simulator-adapter` does the I/O.
 //!
-//! The words of the protocol, such as `REGISTRY`, `txn` or `grade`, are the simulator's and appear as
-//! string literals only.
+//! The terms of the protocol, such as `REGISTRY`, `txn` or `grade`, are defined by the simulator and
+//! appear here only as string literals.
 
 mod error;
 mod instance;
@@ -16,4 +16,4 @@
 pub use line::Line;
 pub use server_list::{ListedServer, ServerLists, MAX_LISTS};
 
-use reply::print_action;
+use reply::append_action_line;
--- a/src/simulator/reply.rs
+++ b/src/simulator/reply.rs
@@ -1,4 +1,4 @@
-//! The lines that the adapter prints for a balancer's actions.
+//! The lines that the adapter writes for a balancer's actions.
 
 use std::fmt::{self, Write as _};
 
@@ -6,8 +6,13 @@
 
 use super::instance::ServerNames;
 
-/// Appends the line of an action.
-pub(super) fn print_action(node: &str, servers: &ServerNames, action: &Action, out: &mut String) {
+/// Appends the protocol line for an action to `out`.
+pub(super) fn append_action_line(
+    node: &str,
+    servers: &ServerNames,
+    action: &Action,
+    out: &mut String,
+) {
     write_action(node, servers, action, out).expect("writing to a string cannot fail");
     out.push('\n');
 }
@@ -55,14 +60,14 @@
         }
         Action::Log(event) => {
             write!(out, "NOTE_DOWN node={node} note_text=")?;
-            write_note(*event, out)
+            write_note_text(*event, out)
         }
     }
 }
 
-/// The text of a note. It is part of what simulator runs are compared by, so it stays as it is while
-/// the node's log uses the text of [`LogEvent`] itself.
-fn write_note(event: LogEvent, out: &mut String) -> fmt::Result {
+/// Writes the text of a note. Simulator runs are compared by these texts, so they must not change; the
+/// node's log uses the `Display` text of [`LogEvent`] instead.
+fn write_note_text(event: LogEvent, out: &mut String) -> fmt::Result {
     match event {
         LogEvent::ServerListUnavailable => out.write_str("the list of servers does not come"),
         LogEvent::ServerListAvailable => out.write_str("the list of servers comes again"),
--- a/tests/wire.rs
+++ b/tests/wire.rs
@@ -211,24 +211,27 @@
         ),
         (
             "CALL node=node-1 txn=five grade=0 budget_ms=800.0",
-            "CALL: `txn=five` is no whole number",
+            "CALL: `txn=five` is not an unsigned 64-bit integer",
         ),
         (
             "CALL node=node-1 txn=5 grade=0 budget_ms=soon",
-            "CALL: `budget_ms=soon` is no number",
+            "CALL: `budget_ms=soon` is not a finite number",
         ),
         (
             "CALL node=node-1 txn=5 grade=0 budget_ms=NaN",
-            "CALL: `budget_ms=NaN` is no number",
+            "CALL: `budget_ms=NaN` is not a finite number",
+        ),
+        (
+            "CALL node=node-1 txn",
+            "CALL: `txn` is not a name=value field",
         ),
-        ("CALL node=node-1 txn", "CALL: `txn` is no name=value pair"),
         (
             "REGISTRY node=node-1 mode=1 roster_id=4 epoch=1",
-            "REGISTRY: `roster_id=4` is no list",
+            "REGISTRY: `roster_id=4`: no server list with this number was received",
         ),
         (
             "REGISTRY node=node-1 mode=7 roster_id=0 epoch=1",
-            "REGISTRY: `mode=7` is unknown",
+            "REGISTRY: `mode=7` is an unknown value",
         ),
         (
             "CENSUS roster_id=16 hosts=0",
@@ -236,11 +239,11 @@
         ),
         (
             "CENSUS roster_id=0 hosts=1\nEOB",
-            "EOB: `EOB` where an entry of the list was due",
+            "EOB: expected an entry of the server list, got `EOB`",
         ),
         (
             "ENDED node=node-1 txn=5 rtt_ms=7.0 try=0 complete=1 ending=Q",
-            "ENDED: `ending=Q` is unknown",
+            "ENDED: `ending=Q` is an unknown value",
         ),
         (
             "BOOT node=node-2 seed=1 facts={\"classes\": []}",
