--- a/examples/demo.rs
+++ b/examples/demo.rs
@@ -1,6 +1,8 @@
-//! A node with five fake servers, a fake discovery and a fake Consul on loopback, under some load: `cargo run --release --example
-//! demo`. It prints how to send requests to the node, and each second what it does; every ten seconds Consul drains
-//! another server. Ctrl-C ends it.
+//! Runs a node under load on loopback, with five fake servers, a fake endpoint discovery and a fake Consul agent:
+//! `cargo run --release --example demo`.
+//!
+//! The program prints how to send requests to the node and, each second, the request rate and the latency. Every ten
+//! seconds Consul drains another server. Ctrl-C ends the program.
 
 use std::net::{SocketAddr, TcpListener};
 use std::thread;
@@ -14,9 +16,9 @@
 
 const SERVERS: usize = 5;
 const CLIENTS: usize = 4;
-/// How long each client pauses between two requests.
+/// Pause of each client between two requests.
 const CLIENT_PAUSE: Duration = Duration::from_millis(2);
-/// Interval at which Consul drains another server.
+/// Interval at which Consul drains another server, in seconds.
 const DRAIN_INTERVAL_S: usize = 10;
 
 fn main() -> Result<(), Box<dyn std::error::Error>> {
@@ -24,31 +26,35 @@
         .map(|_| Server::start(|_| Reply::ok("rooms: 3\n")).quiet())
         .collect();
     let consul = Consul::start();
-    for (at, server) in servers.iter().enumerate() {
-        consul.register(Instance::new("holds", &format!("s-{at}"), server.address));
+    for (index, server) in servers.iter().enumerate() {
+        consul.register(Instance::new(
+            "holds",
+            &format!("s-{index}"),
+            server.address,
+        ));
     }
     consul.stop_recording();
     let discovery = Discovery::start();
     let entries: Vec<_> = servers
         .iter()
         .enumerate()
-        .map(|(at, s)| s.entry(&format!("s-{at}"), "ready"))
+        .map(|(index, server)| server.entry(&format!("s-{index}"), "ready"))
         .collect();
     let address = TcpListener::bind("127.0.0.1:0")?.local_addr()?;
-    let text = config(
+    let config_text = config(
         discovery.address,
         &list(1, true, &entries),
         &settings(15_000),
     );
     let config = Config {
         listen: address,
-        ..Config::parse(&text)?
+        ..Config::parse(&config_text)?
     };
-    let file = format!(
+    let operator_config_text = format!(
         "[[consul]]\nname = \"consul\"\nservice = \"holds\"\nagents = [\"{}\"]\n",
         consul.address
     );
-    let operator_config = OperatorConfig::parse("demo.toml".as_ref(), &file)?;
+    let operator_config = OperatorConfig::parse("demo.toml".as_ref(), &operator_config_text)?;
     let options = NodeOptions {
         operator_config,
         config_path: None,
@@ -60,13 +66,13 @@
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .build()?;
-    runtime.block_on(watch(&load, &servers, &consul));
+    runtime.block_on(drain_servers_and_report(&load, &servers, &consul));
     let totals = load.end();
     println!(
-        "{} requests, {} lost, answers {:?}",
+        "{} requests, {} lost, responses {:?}",
         totals.sent, totals.lost, totals.answers
     );
-    println!("the node shuts down ...");
+    println!("shutting down the node ...");
     node.join().map_err(|_| "the node panicked")??;
     Ok(())
 }
@@ -74,44 +80,44 @@
 /// Prints how to send requests to the node and how to drain a server.
 fn print_usage(address: SocketAddr, consul: &Consul) {
     println!(
-        "a node serves on {address}, and a fake Consul agent on {}",
+        "the node listens on {address}, the fake Consul agent on {}",
         consul.address
     );
-    println!("ask it:   curl -i -H 'Req-Id: me1' -H 'Req-Kind: read' -H 'Req-Deadline: 1000m' http://{address}/api");
+    println!("send a request: curl -i -H 'Req-Id: me1' -H 'Req-Kind: read' -H 'Req-Deadline: 1000m' http://{address}/api");
     println!(
-        "drain:    curl -X PUT 'http://{}/v1/agent/service/maintenance/s-0?enable=true'",
+        "drain a server: curl -X PUT 'http://{}/v1/agent/service/maintenance/s-0?enable=true'",
         consul.address
     );
 }
 
-/// Prints a line each second until Ctrl-C.
-async fn watch(load: &Load, servers: &[Server], consul: &Consul) {
+/// Prints a status line each second until Ctrl-C, and lets Consul drain one server after the other.
+async fn drain_servers_and_report(load: &Load, servers: &[Server], consul: &Consul) {
     let mut seconds = tokio::time::interval(Duration::from_secs(1));
-    let mut before = (load.totals().sent, vec![0; servers.len()]);
+    let mut previous = (load.totals().sent, vec![0; servers.len()]);
     for second in 0_usize.. {
         tokio::select! {
             _ = tokio::signal::ctrl_c() => return,
             _ = seconds.tick() => {}
         }
         if second % DRAIN_INTERVAL_S == 0 {
-            let at = second / DRAIN_INTERVAL_S;
-            consul.set_maintenance(&format!("s-{}", (at + SERVERS - 1) % SERVERS), false);
-            consul.set_maintenance(&format!("s-{}", at % SERVERS), true);
+            let index = second / DRAIN_INTERVAL_S;
+            consul.set_maintenance(&format!("s-{}", (index + SERVERS - 1) % SERVERS), false);
+            consul.set_maintenance(&format!("s-{}", index % SERVERS), true);
         }
         let totals = load.totals();
-        let now: Vec<_> = servers.iter().map(Server::count).collect();
-        let each: Vec<_> = now
+        let counts: Vec<_> = servers.iter().map(Server::count).collect();
+        let requests_by_server: Vec<_> = counts
             .iter()
-            .zip(&before.1)
-            .map(|(now, before)| now - before)
+            .zip(&previous.1)
+            .map(|(count, previous)| count - previous)
             .collect();
         println!(
-            "{second:>4} s: {:>5} requests/s, p99 {:.1} ms, lost {}, by server {each:?}, draining s-{}",
-            totals.sent - before.0,
+            "{second:>4} s: {:>5} requests/s, p99 {:.1} ms, lost {}, by server {requests_by_server:?}, draining s-{}",
+            totals.sent - previous.0,
             totals.quantile(0.99).as_secs_f64() * 1e3,
             totals.lost,
             second / DRAIN_INTERVAL_S % SERVERS
         );
-        before = (totals.sent, now);
+        previous = (totals.sent, counts);
     }
 }
