--- a/crates/simulation/src/clock.rs
+++ b/crates/simulation/src/clock.rs
@@ -3,9 +3,9 @@
 /// A node's local clock.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Clock {
-    /// What the clock shows when the simulation begins, in milliseconds.
+    /// Reading of the clock at the start of the simulation, in milliseconds.
     pub offset_ms: f64,
-    /// Relative error of the clock's rate: 0.01 gains one second in a hundred.
+    /// Relative error of the clock's rate: with 0.01, the clock gains one second in a hundred.
     pub drift: f64,
 }
 
@@ -19,13 +19,13 @@
 }
 
 impl Clock {
-    /// The local time in milliseconds at a time of the simulation in microseconds.
+    /// Converts simulation time in microseconds to local time in milliseconds.
     pub(crate) fn local_ms(self, simulation_us: u64) -> f64 {
         self.offset_ms + simulation_us as f64 / 1e3 * (1.0 + self.drift)
     }
 
-    /// The simulation's time in microseconds at a local time in milliseconds. Rounded up, so that a process is never
-    /// woken early.
+    /// Converts local time in milliseconds to simulation time in microseconds, rounded up so that a process is never woken
+    /// early.
     pub(crate) fn simulation_us(self, local_ms: f64) -> u64 {
         (((local_ms - self.offset_ms) / (1.0 + self.drift)).max(0.0) * 1e3).ceil() as u64
     }
--- a/crates/simulation/src/fault.rs
+++ b/crates/simulation/src/fault.rs
@@ -6,10 +6,10 @@
 use crate::link::{Burst, Link};
 use crate::NodeId;
 
-/// A fault that is injected, or its repair.
+/// A fault to inject, or a repair.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Fault {
-    /// Drops everything that one node sends to another. The other direction is not affected.
+    /// Drops all datagrams from one node to another. The other direction is not affected.
     Cut {
         /// The sender.
         from: NodeId,
@@ -23,7 +23,7 @@
         /// The receiver.
         to: NodeId,
     },
-    /// Replaces one link.
+    /// Replaces the properties of one link.
     Link {
         /// The sender.
         from: NodeId,
@@ -32,7 +32,7 @@
         /// The link's new properties.
         link: Link,
     },
-    /// Replaces all links.
+    /// Replaces the properties of all links.
     AllLinks {
         /// The links' new properties.
         link: Link,
@@ -43,7 +43,7 @@
     Pause {
         /// The process's node.
         node: NodeId,
-        /// For how long, in milliseconds.
+        /// Duration of the pause, in milliseconds.
         ms: f64,
     },
     /// Kills a process.
@@ -51,17 +51,17 @@
         /// The process's node.
         node: NodeId,
     },
-    /// Starts a process, for the first time or again.
+    /// Starts or restarts a process.
     Start {
         /// The process's node.
         node: NodeId,
     },
 }
 
-/// A text that is not a fault, or not a scheduled one.
+/// Error for a text that is not a valid fault or scheduled fault.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ParseFaultError {
-    /// The text that was not understood.
+    /// The text that could not be parsed.
     pub text: String,
 }
 
@@ -75,7 +75,7 @@
 
 impl fmt::Display for ParseFaultError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "not a fault: {}", self.text)
+        write!(f, "invalid fault: {}", self.text)
     }
 }
 
@@ -123,7 +123,7 @@
     )
 }
 
-/// The numbers that follow a fault's keyword, and the whole text for the error.
+/// The numbers that follow a fault's keyword, and the whole text, which is quoted in parse errors.
 struct Arguments<'a> {
     text: &'a str,
     numbers: Vec<f64>,
@@ -142,7 +142,7 @@
         self.number(index).map(|number| number as NodeId)
     }
 
-    /// The link whose properties are all numbers from an index on.
+    /// Parses all numbers from this index on as the properties of a link.
     fn link(&self, index: usize) -> Result<Link, ParseFaultError> {
         let Some(
             [cut, loss, probability, duration_ms, delay_ms, jitter_ms, duplication, corruption, replay],
@@ -169,7 +169,7 @@
 impl FromStr for Fault {
     type Err = ParseFaultError;
 
-    /// Parses what [`Display`](fmt::Display) writes.
+    /// Parses the text form that [`Display`](fmt::Display) writes.
     fn from_str(text: &str) -> Result<Self, ParseFaultError> {
         let mut words = text.split_whitespace();
         let keyword = words.next().unwrap_or_default();
--- a/crates/simulation/src/fault_schedule.rs
+++ b/crates/simulation/src/fault_schedule.rs
@@ -1,4 +1,4 @@
-//! Schedules of faults. A schedule is generated from a seed, or parsed from the text that an earlier one was printed as.
+//! Fault schedules, which are generated from a seed or parsed from the text form of an earlier schedule.
 
 use std::fmt;
 use std::str::FromStr;
@@ -9,25 +9,25 @@
 use crate::link::Link;
 use crate::NodeId;
 
-/// Faults begin within this fraction of the schedule's period, so that each has some time to act.
-const LATEST_BEGIN: f64 = 0.8;
-/// Limits of a generated link that delays, duplicates, corrupts and replays.
+/// Fraction of the schedule's period within which faults begin, so that each has time to take effect.
+const LATEST_BEGIN_FRACTION: f64 = 0.8;
+/// Upper bounds of the random properties of a link that delays, duplicates, corrupts and replays datagrams.
 const MAX_DELAY_MS: f64 = 300.0;
 const MAX_JITTER_MS: f64 = 2_000.0;
 const MAX_DUPLICATION: f64 = 0.3;
 const MAX_CORRUPTION: f64 = 0.1;
 const MAX_REPLAY: f64 = 0.3;
 
-/// A fault and its time.
+/// A fault and the time at which it is injected.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ScheduledFault {
-    /// When the fault is injected, in milliseconds since the schedule began.
+    /// Time of injection, in milliseconds since the start of the schedule.
     pub at_ms: f64,
-    /// What is injected.
+    /// The fault to inject.
     pub fault: Fault,
 }
 
-/// Faults in the order of their times.
+/// Faults ordered by time.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct FaultSchedule {
     /// The faults, earliest first.
@@ -45,7 +45,7 @@
 impl FromStr for FaultSchedule {
     type Err = ParseFaultError;
 
-    /// Parses what [`Display`](fmt::Display) writes. Empty lines and what follows a `#` are ignored.
+    /// Parses the text form that [`Display`](fmt::Display) writes. Ignores empty lines and comments that begin with `#`.
     fn from_str(text: &str) -> Result<Self, ParseFaultError> {
         let faults = text
             .lines()
@@ -69,17 +69,17 @@
 /// Limits of generated schedules.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ScheduleLimits {
-    /// How many nodes there are; at least two.
+    /// Number of nodes; at least two.
     pub nodes: usize,
-    /// The earliest time of a fault, in milliseconds.
+    /// Earliest time of a fault, in milliseconds.
     pub start_ms: f64,
-    /// When every link is repaired and every process started again, in milliseconds.
+    /// Time at which all links are repaired and all processes are started, in milliseconds.
     pub end_ms: f64,
-    /// How many faults are generated. Some affect several nodes or links.
+    /// Number of faults to generate. Some affect several nodes or links.
     pub faults: usize,
-    /// The longest pause, in milliseconds.
+    /// Longest pause, in milliseconds.
     pub max_pause_ms: f64,
-    /// The highest probability of loss on all links.
+    /// Highest probability that a link loses a datagram.
     pub max_loss: f64,
 }
 
@@ -99,14 +99,14 @@
     }
 }
 
-/// When a generated fault begins and is repaired, in milliseconds.
+/// Begin and repair times of a generated fault, in milliseconds.
 #[derive(Clone, Copy)]
 struct Period {
     begin_ms: f64,
     end_ms: f64,
 }
 
-/// Generates faults. The order of its random draws decides what a seed means.
+/// Generates faults. The order of its random draws must not change, because it determines the schedule of each seed.
 struct Generator {
     rng: Rng,
     limits: ScheduleLimits,
@@ -125,7 +125,7 @@
             end_ms,
             ..
         } = self.limits;
-        let begin_ms = start_ms + self.rng.f64() * (end_ms - start_ms) * LATEST_BEGIN;
+        let begin_ms = start_ms + self.rng.f64() * (end_ms - start_ms) * LATEST_BEGIN_FRACTION;
         let repair_ms = begin_ms + self.rng.f64() * (end_ms - begin_ms);
         let node = self.rng.usize(..nodes);
         let peer = (node + 1 + self.rng.usize(..nodes - 1)) % nodes;
@@ -139,8 +139,8 @@
             3 => self.cut(period, node, peer),
             4 => self.isolate_one_way(period, node),
             5 => self.partition(period),
-            6 => self.lose(period),
-            7 => self.disturb(period),
+            6 => self.lose_datagrams(period),
+            7 => self.degrade_links(period),
             _ => self.pause_several(period),
         }
     }
@@ -160,7 +160,7 @@
         self.push(period.end_ms, Fault::Restore { from, to });
     }
 
-    /// Cuts a node off in one direction: it receives nothing, or nothing that it sends is received.
+    /// Cuts either all links to a node or all links from it.
     fn isolate_one_way(&mut self, period: Period, node: NodeId) {
         let is_receiver = self.rng.bool();
         for peer in (0..self.limits.nodes).filter(|peer| *peer != node) {
@@ -172,7 +172,7 @@
         }
     }
 
-    /// Divides the nodes into two sides that receive nothing from each other.
+    /// Partitions the nodes at random into two sides and cuts all links between them.
     fn partition(&mut self, period: Period) {
         let nodes = self.limits.nodes;
         let side: Vec<bool> = (0..nodes).map(|_| self.rng.bool()).collect();
@@ -183,7 +183,7 @@
         }
     }
 
-    fn lose(&mut self, period: Period) {
+    fn lose_datagrams(&mut self, period: Period) {
         let link = Link {
             loss: self.rng.f64() * self.limits.max_loss,
             ..Link::default()
@@ -191,7 +191,7 @@
         self.replace_all_links(period, link);
     }
 
-    fn disturb(&mut self, period: Period) {
+    fn degrade_links(&mut self, period: Period) {
         let link = Link {
             delay_ms: self.rng.f64() * MAX_DELAY_MS,
             jitter_ms: self.rng.f64() * MAX_JITTER_MS,
@@ -218,7 +218,7 @@
         }
     }
 
-    /// Repairs everything at the end of the schedule and sorts it by time.
+    /// Adds the repair of all links and the start of all processes at the end, and sorts the faults by time.
     fn finish(mut self) -> FaultSchedule {
         let end_ms = self.limits.end_ms;
         self.push(end_ms, Fault::HealAll);
--- a/crates/simulation/src/lib.rs
+++ b/crates/simulation/src/lib.rs
@@ -1,17 +1,17 @@
 //! Deterministic discrete-event simulation of processes that exchange datagrams.
 //!
 //! A [`Simulation`] runs in virtual time. It owns the event queue, one [`Clock`] per node and one [`Link`] per direction
-//! between two nodes. Processes start, pause, are killed and restart; links lose, delay, duplicate, reorder, corrupt and
-//! replay datagrams, each direction on its own.
+//! between two nodes. Processes start, pause, are killed and restart. Links lose, delay, duplicate, reorder, corrupt and
+//! replay datagrams; the two directions between a pair of nodes have independent faults.
 //!
-//! Anything that takes timed events and returns actions can be a [`Process`]; the simulation knows nothing of what it
-//! does. The same seed and the same [`FaultSchedule`] give the same bytes, because every link has a stream of random
-//! numbers of its own.
+//! Any state machine that handles timer and datagram events and returns actions can be a [`Process`]; the simulation does
+//! not depend on its protocol. Runs are reproducible: the same seed and the same [`FaultSchedule`] give the same
+//! datagrams, byte for byte. Every link draws from a random number generator of its own.
 //!
 //! ```
 //! use simulation::{Fault, Outbox, Process, Simulation};
 //!
-//! /// Sends a datagram to a peer once a second, if it has one, and counts those that it receives.
+//! /// Sends a datagram to its peer, if it has one, once a second, and counts the datagrams that it receives.
 //! struct Counter {
 //!     peer: Option<usize>,
 //!     received: u32,
--- a/crates/simulation/src/link.rs
+++ b/crates/simulation/src/link.rs
@@ -1,40 +1,41 @@
-//! One direction between two nodes: its properties, and what it does to datagrams.
+//! Links, each of which carries datagrams from one node to another, and the faults that they apply to them.
 
 use std::collections::VecDeque;
 
 use fastrand::Rng;
 
-/// Datagrams of a link that are kept for replay: more than a minute of a busy one. The oldest is dropped beyond.
+/// Maximum number of datagrams that a link keeps for replay: more than a minute of traffic on a busy link. Beyond it, the
+/// oldest is dropped.
 const MAX_REPLAY_HISTORY: usize = 512;
 
-/// Periods in which a link loses everything.
+/// Bursts of loss: periods in which a link loses every datagram.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Burst {
-    /// The probability that a datagram begins a burst. 0: there are no bursts.
+    /// Probability that a datagram begins a burst; 0 disables bursts.
     pub probability: f64,
-    /// How long a burst lasts, in milliseconds.
+    /// Duration of a burst, in milliseconds.
     pub duration_ms: f64,
 }
 
-/// The properties of a link. The default is a good one: a delay of half a millisecond with a little jitter.
+/// Properties of a link. The default link has no faults, a delay of half a millisecond and a little jitter.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Link {
-    /// Whether everything is dropped.
+    /// Whether all datagrams are dropped.
     pub cut: bool,
-    /// The probability that a datagram is lost, independent of others.
+    /// Probability that a datagram is lost, independent of other datagrams.
     pub loss: f64,
-    /// Periods in which everything is lost.
+    /// Periods in which all datagrams are lost.
     pub burst: Burst,
-    /// The least delay of a datagram, in milliseconds.
+    /// Minimum delay of a datagram, in milliseconds.
     pub delay_ms: f64,
-    /// The most that is added to the delay, in milliseconds. Each datagram gets a random part of it, so a long jitter
-    /// reorders them.
+    /// Maximum random addition to the delay of each datagram, in milliseconds. If it is longer than the interval between
+    /// datagrams, they may be reordered.
     pub jitter_ms: f64,
-    /// The probability that a datagram is delivered twice.
+    /// Probability that a datagram is delivered twice.
     pub duplication: f64,
-    /// The probability that a byte of a datagram is changed.
+    /// Probability that a byte of a datagram is changed.
     pub corruption: f64,
-    /// The probability that an earlier datagram is delivered again together with this one.
+    /// Probability that a datagram causes an earlier one to be delivered again.
     pub replay: f64,
 }
 
@@ -53,7 +54,7 @@
     }
 }
 
-/// How many datagrams each kind of fault affected. Lets a trial show that it provoked something.
+/// Number of datagrams that each kind of fault affected. Lets a test verify that its faults took effect.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct LinkFaultCounts {
     /// Dropped by a cut link.
@@ -88,13 +89,13 @@
 /// A datagram that a link delivers.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Delivery {
-    /// How long after it was sent, in milliseconds.
+    /// Delay since the datagram was sent, in milliseconds.
     pub after_ms: f64,
-    /// Its bytes.
+    /// Contents of the datagram, possibly corrupted.
     pub bytes: Vec<u8>,
 }
 
-/// The state of a link: its random numbers, the burst that it is in and the datagrams that it may replay.
+/// State of a link: its random number generator, the end of its last burst and the datagrams that it may replay.
 #[derive(Debug)]
 pub struct LinkState {
     rng: Rng,
@@ -104,7 +105,7 @@
 }
 
 impl LinkState {
-    /// The state of a link that has not been used. The seed should be its own, so that links are independent.
+    /// Creates the state of an unused link. Each link should have a seed of its own, so that links are independent.
     #[must_use]
     pub fn new(seed: u64) -> Self {
         Self {
@@ -114,7 +115,7 @@
         }
     }
 
-    /// Decides what becomes of a datagram, and counts the faults that affected it.
+    /// Applies the link's faults to a datagram, counts them and returns the resulting deliveries.
     pub fn transmit(
         &mut self,
         now_ms: f64,
@@ -130,7 +131,7 @@
             counts.lost += 1;
             return Vec::new();
         }
-        // All three delays are drawn for every datagram, whichever of them are used.
+        // All three delays are drawn for every datagram, including those that are not used.
         let [original_ms, duplicate_ms, replay_ms] = [(); 3].map(|()| self.delay_ms(link));
         let mut deliveries = Vec::with_capacity(1);
         if link.replay > 0.0 {
@@ -161,7 +162,7 @@
         deliveries
     }
 
-    /// Whether an event of this probability happens. Draws no random number for an impossible one.
+    /// Draws whether an event of this probability happens. Draws no random number if the probability is 0.
     fn happens(&mut self, probability: f64) -> bool {
         probability > 0.0 && self.rng.f64() < probability
     }
@@ -170,7 +171,7 @@
         if self.happens(link.burst.probability) {
             self.burst_until_ms = now_ms + link.burst.duration_ms;
         }
-        // Draws a random number on a link without loss too: seeded results depend on it.
+        // Draws a random number even on a link without loss, because seeded results depend on it.
         now_ms < self.burst_until_ms || self.rng.f64() < link.loss
     }
 
@@ -178,7 +179,7 @@
         link.delay_ms + self.rng.f64() * link.jitter_ms
     }
 
-    /// Records a datagram, and returns an earlier one if one is to be replayed.
+    /// Records a datagram for later replay. Returns an earlier one if one is to be replayed now.
     fn replay(&mut self, link: &Link, bytes: &[u8]) -> Option<Vec<u8>> {
         let replays = self.rng.f64() < link.replay && !self.history.is_empty();
         let replayed = replays.then(|| {
--- a/crates/simulation/src/process.rs
+++ b/crates/simulation/src/process.rs
@@ -9,7 +9,7 @@
     pub bytes: Vec<u8>,
 }
 
-/// Collects the actions of a process during one call. The simulation carries them out when the call returns.
+/// Collects the actions of a process during one call. The simulation executes them when the call returns.
 #[derive(Debug, Default)]
 pub struct Outbox {
     pub(crate) datagrams: Vec<OutgoingDatagram>,
@@ -17,12 +17,12 @@
 }
 
 impl Outbox {
-    /// Sends a datagram to a node. One to a node that does not exist is counted as sent and dropped.
+    /// Sends a datagram to a node. A datagram to a node that does not exist is counted as sent and dropped.
     pub fn send(&mut self, to: NodeId, bytes: Vec<u8>) {
         self.datagrams.push(OutgoingDatagram { to, bytes });
     }
 
-    /// Sets the process's only timer to this time of its local clock. Replaces the timer set before.
+    /// Sets the process's only timer to expire at this local time. Replaces the previous timer.
     pub fn wake_at(&mut self, local_ms: f64) {
         self.wake_at_ms = Some(local_ms);
     }
--- a/crates/simulation/src/simulation.rs
+++ b/crates/simulation/src/simulation.rs
@@ -1,4 +1,4 @@
-//! The event loop: what happens when, in an order that the seed alone decides.
+//! The event loop. Events are processed in order of time, which is reproducible from the seed.
 
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap, VecDeque};
@@ -11,15 +11,16 @@
 use crate::process::{Outbox, Process};
 use crate::NodeId;
 
-/// Datagrams that wait for a paused process. More are dropped, as by the full receive buffer of a socket.
+/// Maximum number of datagrams queued for a paused process. Further ones are dropped, as by the full receive buffer of a
+/// socket.
 const MAX_RECEIVE_QUEUE: usize = 256;
 
-/// Datagrams and their size.
+/// Number and total size of datagrams.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Traffic {
-    /// How many datagrams.
+    /// Number of datagrams.
     pub datagrams: u64,
-    /// How many bytes they have together.
+    /// Total size, in bytes.
     pub bytes: u64,
 }
 
@@ -30,25 +31,25 @@
     }
 }
 
-/// What all nodes exchanged since the simulation began.
+/// Traffic of all nodes since the start of the simulation.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Totals {
-    /// What was sent.
+    /// Datagrams that were sent.
     pub sent: Traffic,
-    /// Datagrams that were received, with corrupted, duplicated and replayed ones.
+    /// Number of datagrams received, including corrupted, duplicated and replayed ones.
     pub received: u64,
-    /// The length of the longest datagram that was sent.
+    /// Size of the longest datagram sent, in bytes.
     pub max_datagram_bytes: usize,
-    /// Datagrams that faults of links affected.
+    /// Number of datagrams affected by each kind of link fault.
     pub faults: LinkFaultCounts,
 }
 
-/// Events of a node.
+/// An event at a node.
 #[derive(Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum Event {
     /// The timer of this generation expires.
     Wake {
-        timer: u64,
+        timer_generation: u64,
     },
     Arrive {
         from: NodeId,
@@ -57,7 +58,7 @@
     Resume,
 }
 
-/// An event in the queue. Ordered by time, then by the order of insertion.
+/// An event in the queue. Ordered by time, then by order of insertion.
 #[derive(Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct QueuedEvent {
     at_us: u64,
@@ -66,7 +67,7 @@
     event: Event,
 }
 
-/// A datagram that waits for a paused process.
+/// A datagram queued for a paused process.
 struct ReceivedDatagram {
     from: NodeId,
     bytes: Vec<u8>,
@@ -77,8 +78,8 @@
     clock: Clock,
     paused_until_us: Option<u64>,
     receive_queue: VecDeque<ReceivedDatagram>,
-    /// Generation of the timer that is set; those before it are ignored when they expire.
-    timer: u64,
+    /// Generation of the current timer. Timers of earlier generations are ignored when they expire.
+    timer_generation: u64,
     /// Whether the timer expired during the pause.
     is_timer_overdue: bool,
     sent: Traffic,
@@ -91,7 +92,7 @@
             clock: Clock::default(),
             paused_until_us: None,
             receive_queue: VecDeque::new(),
-            timer: 0,
+            timer_generation: 0,
             is_timer_overdue: false,
             sent: Traffic::default(),
         }
@@ -102,7 +103,7 @@
     }
 }
 
-/// A simulation of nodes that each run a process or none.
+/// A simulation of nodes, each of which runs at most one process.
 pub struct Simulation<P> {
     seed: u64,
     now_us: u64,
@@ -117,7 +118,7 @@
 }
 
 impl<P: Process> Simulation<P> {
-    /// A simulation of this many nodes, none of which runs a process yet.
+    /// Creates a simulation with this number of nodes, none of which runs a process yet.
     #[must_use]
     pub fn new(seed: u64, nodes: usize) -> Self {
         Self {
@@ -133,7 +134,7 @@
         }
     }
 
-    /// The simulation's time, in milliseconds since it began.
+    /// Simulation time, in milliseconds since the start.
     #[must_use]
     pub fn now_ms(&self) -> f64 {
         self.now_us as f64 / 1e3
@@ -145,7 +146,7 @@
         self.nodes[node].clock.local_ms(self.now_us)
     }
 
-    /// How many nodes there are, whether they run a process or not.
+    /// Number of nodes, whether they run a process or not.
     #[must_use]
     pub fn len(&self) -> usize {
         self.nodes.len()
@@ -169,24 +170,24 @@
         self.nodes[node].process.is_some() && !self.nodes[node].is_paused()
     }
 
-    /// What all nodes exchanged so far.
+    /// Traffic of all nodes so far.
     #[must_use]
     pub fn totals(&self) -> Totals {
         self.totals
     }
 
-    /// What a node has sent so far.
+    /// Traffic that a node has sent so far.
     #[must_use]
     pub fn sent_by(&self, node: NodeId) -> Traffic {
         self.nodes[node].sent
     }
 
-    /// Sets a node's clock. To be called before a process is started there.
+    /// Sets a node's clock. Call it before starting a process on the node.
     pub fn set_clock(&mut self, node: NodeId, clock: Clock) {
         self.nodes[node].clock = clock;
     }
 
-    /// Sets the properties of all links that have none of their own.
+    /// Sets the properties of all links that have not been changed individually.
     pub fn set_default_link(&mut self, link: Link) {
         self.default_link = link;
     }
@@ -197,44 +198,45 @@
         self.links.get(&(from, to)).unwrap_or(&self.default_link)
     }
 
-    /// The link from one node to another, to be changed on its own.
+    /// The link from one node to another, for changing it individually.
     pub fn link_mut(&mut self, from: NodeId, to: NodeId) -> &mut Link {
         self.links
             .entry((from, to))
             .or_insert_with(|| self.default_link.clone())
     }
 
-    /// Gives all links the default properties again.
+    /// Resets all links to the default properties.
     pub fn reset_links(&mut self) {
         self.links.clear();
     }
 
-    /// Starts a process on a node. A process that runs there is killed.
+    /// Starts a process on a node. A process that already runs there is killed.
     pub fn start(&mut self, node: NodeId, process: P) {
         self.kill(node);
         self.nodes[node].process = Some(process);
         self.call(node, Process::wake);
     }
 
-    /// Kills a process without notice. What arrives while none runs is lost.
+    /// Kills the process on a node without notice. Datagrams that arrive while no process runs are lost.
     pub fn kill(&mut self, node: NodeId) {
         let node = &mut self.nodes[node];
         node.process = None;
-        node.timer += 1; // The timer of this process must not wake the next one.
+        node.timer_generation += 1; // The timer of this process must not wake the next one.
         node.paused_until_us = None;
         node.receive_queue.clear();
         node.is_timer_overdue = false;
     }
 
-    /// Calls a process from outside, as an operator does. Does nothing on a node that is not up.
-    pub fn with(&mut self, node: NodeId, act: impl FnOnce(&mut P, f64, &mut Outbox)) {
+    /// Calls a function on a node's process, for example to issue an operator's command. Does nothing if the node is not
+    /// [up](Self::is_up).
+    pub fn with(&mut self, node: NodeId, function: impl FnOnce(&mut P, f64, &mut Outbox)) {
         if self.is_up(node) {
-            self.call(node, act);
+            self.call(node, function);
         }
     }
 
-    /// Pauses a process. Its clock continues, as the boot-time clock of a suspended machine does. A second pause can only
-    /// make the first one longer.
+    /// Pauses a process. Its clock continues, as the boot-time clock of a suspended machine does. A pause during another
+    /// one can only lengthen it.
     pub fn pause(&mut self, node: NodeId, ms: f64) {
         if self.nodes[node].process.is_none() {
             return;
@@ -247,7 +249,7 @@
         self.push(until_us, node, Event::Resume);
     }
 
-    /// Injects a fault. [`Fault::Start`] is ignored: the caller has to build the process and [`start`](Self::start) it.
+    /// Injects a fault. Ignores [`Fault::Start`]: the caller has to create the process and [`start`](Self::start) it.
     pub fn apply(&mut self, fault: &Fault) {
         match fault {
             Fault::Cut { from, to } => self.link_mut(*from, *to).cut = true,
@@ -267,7 +269,7 @@
         }
     }
 
-    /// Runs until a time of the simulation, in milliseconds.
+    /// Runs until this simulation time, in milliseconds.
     pub fn run_until(&mut self, ms: f64) {
         let until_us = (ms * 1e3) as u64;
         while let Some(Reverse(next)) = self.queue.peek() {
@@ -301,7 +303,7 @@
         match event {
             Event::Resume if node.paused_until_us == Some(self.now_us) => self.resume(id),
             Event::Resume => {}
-            Event::Wake { timer } if timer != node.timer => {}
+            Event::Wake { timer_generation } if timer_generation != node.timer_generation => {}
             Event::Wake { .. } if node.is_paused() => node.is_timer_overdue = true,
             Event::Wake { .. } => self.call(id, Process::wake),
             Event::Arrive { from, bytes } if node.is_paused() => {
@@ -314,8 +316,8 @@
         }
     }
 
-    /// Ends a pause. An operating system may hand over the overdue timer before the datagrams or after them, so both
-    /// orders occur.
+    /// Ends a pause. An operating system may deliver an overdue timer before the queued datagrams or after them. Both
+    /// orders occur here: the timer comes first if the number of datagrams is even.
     fn resume(&mut self, id: NodeId) {
         let node = &mut self.nodes[id];
         node.paused_until_us = None;
@@ -337,20 +339,20 @@
         });
     }
 
-    /// Calls a node's process and carries out what it asks for.
-    fn call(&mut self, id: NodeId, act: impl FnOnce(&mut P, f64, &mut Outbox)) {
+    /// Calls a function on a node's process and executes the resulting actions.
+    fn call(&mut self, id: NodeId, function: impl FnOnce(&mut P, f64, &mut Outbox)) {
         let node = &mut self.nodes[id];
         let local_ms = node.clock.local_ms(self.now_us);
         let Some(process) = &mut node.process else {
             return;
         };
         let mut outbox = Outbox::default();
-        act(process, local_ms, &mut outbox);
+        function(process, local_ms, &mut outbox);
         if let Some(wake_at_ms) = outbox.wake_at_ms {
-            node.timer += 1;
-            let timer = node.timer;
+            node.timer_generation += 1;
+            let timer_generation = node.timer_generation;
             let at_us = node.clock.simulation_us(wake_at_ms).max(self.now_us);
-            self.push(at_us, id, Event::Wake { timer });
+            self.push(at_us, id, Event::Wake { timer_generation });
         }
         for datagram in outbox.datagrams {
             self.send(id, datagram.to, datagram.bytes);
@@ -379,7 +381,7 @@
     }
 }
 
-/// The seed of a link's own stream of random numbers.
+/// Derives the seed of a link's own random number generator.
 fn link_seed(seed: u64, from: NodeId, to: NodeId) -> u64 {
     let mut rng = Rng::with_seed(seed ^ ((from as u64) << 40) ^ ((to as u64 + 1) << 16));
     rng.u64(..)
--- a/crates/simulation/tests/fault_schedule.rs
+++ b/crates/simulation/tests/fault_schedule.rs
@@ -13,7 +13,7 @@
     }
 }
 
-/// A failure must be reproducible from the schedule that it printed.
+/// A failed test prints its fault schedule, which must reproduce the failure.
 #[test]
 fn printed_schedule_is_parsed_unchanged() {
     for seed in 0..200 {
@@ -44,7 +44,7 @@
     assert_eq!(schedule.to_string(), "100 kill 3\n200 heal\n");
 }
 
-/// Seeds are quoted in reports, so what they mean must not change. A change to the order of random draws fails here.
+/// Reports quote seeds, so each seed must keep its schedule. Fails if the order of random draws changes.
 #[test]
 fn schedule_of_a_seed_never_changes() {
     let text: String = (0..200)
--- a/crates/simulation/tests/simulation.rs
+++ b/crates/simulation/tests/simulation.rs
@@ -1,4 +1,4 @@
-//! Clocks, pauses, restarts and faulty links as processes see them.
+//! Effects of clocks, pauses, restarts and faulty links on processes.
 
 use std::fmt::Write;
 
@@ -9,7 +9,7 @@
 
 const OFFSET_MS: f64 = 5e6;
 
-/// Records when it is woken and what it receives. Sends a datagram to its peer once a second.
+/// Records the times of its wake-ups and of the datagrams that it receives. Sends a datagram to its peer once a second.
 struct Recorder {
     peer: NodeId,
     woken_ms: Vec<f64>,
@@ -38,7 +38,7 @@
     }
 }
 
-/// Two nodes that send to each other. The clock of the first has this drift.
+/// Starts two nodes that send datagrams to each other. The clock of the first has this drift.
 fn two_nodes(seed: u64, drift: f64) -> Simulation<Recorder> {
     let mut simulation = Simulation::new(seed, 2);
     for node in 0..2 {
@@ -76,7 +76,7 @@
     assert!((local_ms - 101_505.0).abs() < 1e-6, "{local_ms}");
 }
 
-/// Nothing happens during a pause, datagrams wait, and the timer expires once after it.
+/// During a pause the process is not called and datagrams are queued; after it, the overdue timer expires once.
 #[test]
 fn paused_process_receives_after_the_pause() {
     let mut simulation = two_nodes(2, 0.0);
@@ -87,8 +87,12 @@
     assert_eq!(received(&simulation, 0), 11);
     assert!(!simulation.is_up(0));
     simulation.run_until(15_600.0);
-    assert_eq!(received(&simulation, 0), 16, "all five that waited");
-    assert_eq!(wakes(&simulation, 0), 12, "one timer");
+    assert_eq!(
+        received(&simulation, 0),
+        16,
+        "receives the five datagrams that were queued during the pause"
+    );
+    assert_eq!(wakes(&simulation, 0), 12, "the overdue timer expires once");
     assert!(simulation.is_up(0));
 }
 
@@ -104,11 +108,11 @@
     assert_eq!(
         wakes(&simulation, 0),
         2,
-        "at its start and a second after it"
+        "woken at its start and one second later"
     );
 }
 
-/// A link with one fault, and the count that must show it.
+/// A link with one kind of fault, and the counter of that fault.
 struct LinkFaultCase {
     link: Link,
     count: fn(&LinkFaultCounts) -> u64,
@@ -190,7 +194,7 @@
     }
 }
 
-/// Sends its local time to all nodes twice a second, and logs what it receives.
+/// Sends its local time to all nodes twice a second, and logs the datagrams that it receives.
 struct Broadcaster {
     nodes: usize,
     log: String,
@@ -211,7 +215,7 @@
     }
 }
 
-/// What every node received, in order, under the faults of a seed.
+/// The logs of all nodes, concatenated, after a run with the fault schedule of a seed.
 fn received_under_faults(seed: u64) -> String {
     let nodes = 2 + seed as usize % 9;
     let limits = ScheduleLimits {
@@ -236,8 +240,7 @@
     processes.map(|process| process.log.as_str()).collect()
 }
 
-/// Seeds are quoted in reports, so what they mean must not change. A change to the order of events or random draws fails
-/// here.
+/// Reports quote seeds, so a run of each seed must not change. Fails if the order of events or of random draws changes.
 #[test]
 fn run_of_a_seed_never_changes() {
     let log: String = (0..20).map(received_under_faults).collect();
