--- a/crates/simulation/src/clock.rs
+++ b/crates/simulation/src/clock.rs
@@ -24,8 +24,8 @@
         self.offset_ms + simulation_us as f64 / 1e3 * (1.0 + self.drift)
     }
 
-    /// Converts local time in milliseconds to simulation time in microseconds, rounded up so that a process is never woken
-    /// early.
+    /// Converts local time in milliseconds to simulation time in microseconds, rounded up so that a process is never
+    /// woken early.
     pub(crate) fn simulation_us(self, local_ms: f64) -> u64 {
         (((local_ms - self.offset_ms) / (1.0 + self.drift)).max(0.0) * 1e3).ceil() as u64
     }
--- a/crates/simulation/src/fault_schedule.rs
+++ b/crates/simulation/src/fault_schedule.rs
@@ -45,7 +45,8 @@
 impl FromStr for FaultSchedule {
     type Err = ParseFaultError;
 
-    /// Parses the text form that [`Display`](fmt::Display) writes. Ignores empty lines and comments that begin with `#`.
+    /// Parses the text form that [`Display`](fmt::Display) writes. Ignores empty lines and comments that begin with
+    /// `#`.
     fn from_str(text: &str) -> Result<Self, ParseFaultError> {
         let faults = text
             .lines()
--- a/crates/simulation/src/lib.rs
+++ b/crates/simulation/src/lib.rs
@@ -1,11 +1,11 @@
 //! Deterministic discrete-event simulation of processes that exchange datagrams.
 //!
-//! A [`Simulation`] runs in virtual time. It owns the event queue, one [`Clock`] per node and one [`Link`] per direction
-//! between two nodes. Processes start, pause, are killed and restart. Links lose, delay, duplicate, reorder, corrupt and
-//! replay datagrams; the two directions between a pair of nodes have independent faults.
+//! A [`Simulation`] runs in virtual time. It owns the event queue, one [`Clock`] per node and one [`Link`] per
+//! direction between two nodes. Processes start, pause, are killed and restart. Links lose, delay, duplicate, reorder,
+//! corrupt and replay datagrams; the two directions between a pair of nodes have independent faults.
 //!
-//! Any state machine that handles timer and datagram events and returns actions can be a [`Process`]; the simulation does
-//! not depend on its protocol. Runs are reproducible: the same seed and the same [`FaultSchedule`] give the same
+//! Any state machine that handles timer and datagram events and returns actions can be a [`Process`]; the simulation
+//! does not depend on its protocol. Runs are reproducible: the same seed and the same [`FaultSchedule`] give the same
 //! datagrams, byte for byte. Every link draws from a random number generator of its own.
 //!
 //! ```
--- a/crates/simulation/src/link.rs
+++ b/crates/simulation/src/link.rs
@@ -4,8 +4,8 @@
 
 use fastrand::Rng;
 
-/// Maximum number of datagrams that a link keeps for replay: more than a minute of traffic on a busy link. Beyond it, the
-/// oldest is dropped.
+/// Maximum number of datagrams that a link keeps for replay: more than a minute of traffic on a busy link. Beyond it,
+/// the oldest is dropped.
 const MAX_REPLAY_HISTORY: usize = 512;
 
 /// Bursts of loss: periods in which a link loses every datagram.
@@ -28,8 +28,8 @@
     pub burst: Burst,
     /// Minimum delay of a datagram, in milliseconds.
     pub delay_ms: f64,
-    /// Maximum random addition to the delay of each datagram, in milliseconds. If it is longer than the interval between
-    /// datagrams, they may be reordered.
+    /// Maximum random addition to the delay of each datagram, in milliseconds. If it is longer than the interval
+    /// between datagrams, they may be reordered.
     pub jitter_ms: f64,
     /// Probability that a datagram is delivered twice.
     pub duplication: f64,
--- a/crates/simulation/src/simulation.rs
+++ b/crates/simulation/src/simulation.rs
@@ -11,8 +11,8 @@
 use crate::process::{Outbox, Process};
 use crate::NodeId;
 
-/// Maximum number of datagrams queued for a paused process. Further ones are dropped, as by the full receive buffer of a
-/// socket.
+/// Maximum number of datagrams queued for a paused process. Further ones are dropped, as by the full receive buffer of
+/// a socket.
 const MAX_RECEIVE_QUEUE: usize = 256;
 
 /// Number and total size of datagrams.
@@ -227,16 +227,16 @@
         node.is_timer_overdue = false;
     }
 
-    /// Calls a function on a node's process, for example to issue an operator's command. Does nothing if the node is not
-    /// [up](Self::is_up).
+    /// Calls a function on a node's process, for example to issue an operator's command. Does nothing if the node is
+    /// not [up](Self::is_up).
     pub fn with(&mut self, node: NodeId, function: impl FnOnce(&mut P, f64, &mut Outbox)) {
         if self.is_up(node) {
             self.call(node, function);
         }
     }
 
-    /// Pauses a process. Its clock continues, as the boot-time clock of a suspended machine does. A pause during another
-    /// one can only lengthen it.
+    /// Pauses a process. Its clock continues, as the boot-time clock of a suspended machine does. A pause during
+    /// another one can only lengthen it.
     pub fn pause(&mut self, node: NodeId, ms: f64) {
         if self.nodes[node].process.is_none() {
             return;
--- a/crates/testkit/src/lease_model.rs
+++ b/crates/testkit/src/lease_model.rs
@@ -1,12 +1,13 @@
-//! Three acceptors and two claimants, in every order of events within bounds: a model for
-//! `stateright` over the code that nodes run.
+//! A `stateright` model of three acceptors and two claimants, which checks every order of events
+//! within bounds. It runs the same lease code as the nodes.
 //!
-//! Time advances in steps. Within one, messages arrive in the order in which they were sent, unless
-//! the model spends one of a few *deviations* on holding a message back, for as long as it likes,
-//! or on duplicating it and holding the copy back. A claimant may be woken in a step or not, so
-//! that it may be stopped at any time and for any time; when it is woken, an acceptor tells it what
-//! is free. Any process may end and restart, a few times. The clocks of acceptors are as much
-//! faster than those of claimants as `drift` allows.
+//! Time advances in steps. Within a step, messages arrive in the order in which they were sent,
+//! unless the model spends one of a limited number of *deviations* on delaying a message for any
+//! time, or on duplicating it and delaying the copy for any time. A claimant may or may not be
+//! woken in a step, which covers pauses at any time and of any length; when it is woken, it
+//! receives the table of one acceptor, which shows the free shards. Any process may restart, a
+//! limited number of times. The clocks of acceptors are faster than those of claimants by the
+//! maximum that `drift` allows.
 
 use std::fmt;
 use std::hash::{Hash, Hasher};
@@ -19,52 +20,53 @@
 
 use crate::lease_simulation::node_id;
 
-/// The property that must always hold.
-const EXCLUSIVE_OWNERSHIP: &str = "one owner at a time, under rising tokens";
-/// The property that shows that ownership is exercised.
-const THREE_OWNERS: &str = "three own one after the other";
+/// Name of the property that must hold in every state.
+const EXCLUSIVE_OWNERSHIP: &str = "one owner at a time, under increasing tokens";
+/// Name of the property that shows that the search exercises changes of the owner.
+const THREE_OWNERS: &str = "three successive owners";
 
 const SHARD: Shard = 0;
 const ACCEPTORS: usize = 3;
 const NODES: usize = ACCEPTORS + 2;
 const LEASE_MS: f64 = 1_000.0;
-/// The largest drift that the settings allow.
+/// Clock drift, at the maximum that the settings allow.
 const DRIFT: f64 = 0.1;
-/// How far time advances in a step: less than a first grant lasts, so that an owner can renew.
+/// Duration of a step, in milliseconds: shorter than a first grant, so that an owner can renew.
 const STEP_MS: f64 = LEASE_MS / 5.0;
-/// The time by the clocks when the model begins, in milliseconds: after all quarantines.
+/// Reading of all clocks in the first step, in milliseconds: after all quarantines.
 const START_MS: f64 = 1e6;
-/// Kinds of messages that are delivered only when a claimant is woken, without delay: table
-/// requests, tables, and queries and answers of the highest token.
-const HINT_KINDS: [u8; 4] = [6, TABLE_KIND, 8, 9];
-/// The kind of an acceptor's table.
+/// Kinds of messages that are not sent through the model's network: table requests, tables, and
+/// requests and responses for the highest token. Waking a claimant delivers a table directly.
+const UNMODELED_KINDS: [u8; 4] = [6, TABLE_KIND, 8, 9];
+/// Kind of the message that carries an acceptor's table.
 const TABLE_KIND: u8 = 7;
 
 /// The bounds of a search.
 #[derive(Clone, Copy, Debug)]
 pub struct Bounds {
-    /// Whether the model begins with an owner that has just requested a renewal; else no claimant
-    /// has been woken.
+    /// Whether the model begins with an owner that has just requested a renewal. Otherwise no
+    /// claimant has been woken yet.
     pub is_owned: bool,
-    /// Steps of a fifth of a lease.
+    /// Maximum number of steps, each a fifth of a lease long.
     pub steps: u32,
-    /// Messages that are held back or duplicated.
+    /// Maximum number of messages that are held back or duplicated.
     pub deviations: u32,
-    /// Processes that end and restart.
+    /// Maximum number of process restarts.
     pub restarts: u32,
-    /// Transfers of the shard.
+    /// Maximum number of transfers of the shard.
     pub transfers: u32,
-    /// Messages that may be held back at a time.
+    /// Maximum number of messages held back at the same time.
     pub max_held_back: usize,
-    /// The injected fault.
+    /// Fault injected into the lease code.
     pub injected_fault: InjectedFault,
 }
 
-/// How deep a search goes: steps, messages held back or duplicated, restarts, transfers.
+/// Depth of a search: maximum numbers of steps, of messages held back or duplicated, of restarts
+/// and of transfers.
 pub type SearchDepth = [u32; 4];
 
-/// Bounds within which each injected fault is found: whether the model begins with an owner, and
-/// how deep the search goes.
+/// Bounds within which a search detects each injected fault: whether the model begins with an
+/// owner, and the depth of the search.
 pub const INJECTED_FAULTS: [(InjectedFault, bool, SearchDepth); 6] = [
     (InjectedFault::NoQuarantine, false, [4, 1, 1, 0]),
     (InjectedFault::LeaseFromResponse, true, [5, 2, 0, 0]),
@@ -75,7 +77,7 @@
 ];
 
 impl Bounds {
-    /// Bounds of this depth, with two messages held back at a time.
+    /// Creates bounds of this depth, with at most two messages held back at the same time.
     #[must_use]
     pub fn of(
         injected_fault: InjectedFault,
@@ -102,28 +104,29 @@
     bytes: Vec<u8>,
 }
 
-/// What can happen.
+/// An event of the model.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum ModelEvent {
     /// The first message in flight arrives.
     Arrive,
-    /// It is held back.
-    Hold,
-    /// It arrives, and a copy is held back.
-    Copy,
-    /// A message that was held back arrives.
+    /// The first message in flight is held back.
+    HoldBack,
+    /// The first message in flight arrives, and a copy is held back.
+    Duplicate,
+    /// The held-back message at this index arrives.
     Release(usize),
-    /// A claimant is sent the table of an acceptor, another one in each step, and woken.
+    /// The claimant on this node receives the table of an acceptor, of the next one in each step,
+    /// and is woken.
     Wake(usize),
-    /// A process ends, and its node restarts.
+    /// The process on this node ends, and a new one starts.
     Restart(usize),
-    /// An owner transfers the shard.
+    /// The owner on this node transfers the shard to the other claimant.
     Transfer(usize),
     /// Time advances.
     Step,
 }
 
-/// What the model may still spend.
+/// Numbers of deviations, restarts and transfers that may still happen.
 #[derive(Clone, Copy, Debug, Hash)]
 struct Budget {
     deviations: u32,
@@ -131,27 +134,30 @@
     transfers: u32,
 }
 
-/// What a process did as the owner.
+/// An effect that a process had as the owner.
 #[derive(Clone, Copy, Debug, Hash)]
 struct Effect {
     token: FencingToken,
     process_id: u64,
 }
 
-/// A guarantee that was broken.
+/// A violation of the lease guarantees.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum ModelViolation {
-    /// Two processes have a permit at one moment.
+    /// Two processes have a permit at the same time.
     TwoPermits,
-    /// The token of an owner is not above the one before.
-    TokenNotRising,
+    /// An owner's token is not greater than the previous owner's.
+    TokenNotIncreasing,
 }
 
 impl fmt::Display for ModelViolation {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Self::TwoPermits => write!(f, "two processes have a permit at one moment"),
-            Self::TokenNotRising => write!(f, "an owner's token is not above the one before"),
+            Self::TwoPermits => write!(f, "two processes have a permit at the same time"),
+            Self::TokenNotIncreasing => write!(
+                f,
+                "an owner's token is not greater than the previous owner's"
+            ),
         }
     }
 }
@@ -162,24 +168,25 @@
     step: u32,
     nodes: Vec<LeaseManager>,
     process_ids: Vec<u64>,
-    /// In which step each process started.
+    /// Step in which each node's process started.
     started_at_step: Vec<u32>,
-    /// Which claimants were woken in this step.
+    /// Whether each claimant was woken in this step.
     woken: [bool; 2],
     in_flight: Vec<Datagram>,
     held_back: Vec<Datagram>,
     budget: Budget,
     started_processes: u64,
-    /// The last effect, as a register that checks tokens has seen it.
+    /// The last effect, as seen by a register that checks tokens.
     last_effect: Effect,
-    /// How often the acting process has changed.
+    /// Number of effects that came from another process than the effect before, including the
+    /// first.
     owner_changes: u32,
-    /// The guarantee that was broken.
+    /// The violation that was found, if any.
     violation: Option<ModelViolation>,
 }
 
 impl State {
-    fn key(&self, to: &mut impl Hasher) {
+    fn hash_key(&self, hasher: &mut impl Hasher) {
         (
             self.step,
             &self.process_ids,
@@ -188,21 +195,21 @@
             self.budget,
             self.owner_changes,
         )
-            .hash(to);
+            .hash(hasher);
         (
             &self.in_flight,
             &self.held_back,
             self.last_effect,
             self.violation,
         )
-            .hash(to);
-        self.nodes.iter().for_each(|node| node.hash_state(to));
+            .hash(hasher);
+        self.nodes.iter().for_each(|node| node.hash_state(hasher));
     }
 }
 
 impl Hash for State {
-    fn hash<H: Hasher>(&self, to: &mut H) {
-        self.key(to);
+    fn hash<H: Hasher>(&self, hasher: &mut H) {
+        self.hash_key(hasher);
     }
 }
 
@@ -210,7 +217,7 @@
     fn eq(&self, other: &Self) -> bool {
         let key = |state: &Self| {
             let mut hasher = std::hash::DefaultHasher::new();
-            state.key(&mut hasher);
+            state.hash_key(&mut hasher);
             hasher.finish()
         };
         key(self) == key(other)
@@ -231,29 +238,29 @@
 #[derive(Clone, Copy, Debug)]
 pub struct LeaseModel(pub Bounds);
 
-/// The time by a node's clock: acceptors have fast ones.
-fn own_ms(step: u32, node: usize) -> f64 {
+/// Local time of a node in a step, in milliseconds. The clocks of acceptors are fast.
+fn local_ms(step: u32, node: usize) -> f64 {
     let rate = if node < ACCEPTORS { 1.0 + DRIFT } else { 1.0 };
     START_MS + f64::from(step) * STEP_MS * rate
 }
 
-/// After how many steps a model that begins with an owner begins.
-const OWNED_AFTER_STEPS: u32 = 4;
+/// Number of steps that lead to the initial state of a model that begins with an owner.
+const STEPS_BEFORE_OWNED: u32 = 4;
 
 impl LeaseModel {
-    fn after(&self, state: State, act: ModelEvent) -> State {
-        self.next_state(&state, act)
+    fn state_after(&self, state: State, event: ModelEvent) -> State {
+        self.next_state(&state, event)
             .expect("every event has a next state")
     }
 
     fn deliver_all(&self, mut state: State) -> State {
         while !state.in_flight.is_empty() {
-            state = self.after(state, ModelEvent::Arrive);
+            state = self.state_after(state, ModelEvent::Arrive);
         }
         state
     }
 
-    fn process(&self, step: u32, node: usize, process_id: u64) -> LeaseManager {
+    fn start_process(&self, step: u32, node: usize, process_id: u64) -> LeaseManager {
         let settings = Settings {
             shards: 1,
             lease_ms: LEASE_MS,
@@ -266,26 +273,26 @@
                 (0..ACCEPTORS).map(node_id).collect(),
             )
         };
-        // The first processes have been running for long.
-        let start = if process_id < NODES as u64 {
+        // The initial processes have been running since long before the model begins.
+        let start_ms = if process_id < NODES as u64 {
             0.0
         } else {
-            own_ms(step, node)
+            local_ms(step, node)
         };
-        LeaseManager::new(start, settings).expect("valid settings")
+        LeaseManager::new(start_ms, settings).expect("the model's settings are valid")
     }
 
-    fn act(state: &mut State, node: usize, event: Event<'_>) {
+    fn handle(state: &mut State, node: usize, event: Event<'_>) {
         let mut actions = Vec::new();
-        state.nodes[node].handle(own_ms(state.step, node), event, &mut actions);
+        state.nodes[node].handle(local_ms(state.step, node), event, &mut actions);
         for action in actions {
             let LeaseAction::Send { to, bytes } = action else {
                 continue;
             };
             let to = (0..NODES)
                 .find(|node| node_id(*node) == to)
-                .expect("a node");
-            if !HINT_KINDS.contains(&bytes[0]) {
+                .expect("messages are addressed to nodes of the model");
+            if !UNMODELED_KINDS.contains(&bytes[0]) {
                 state.in_flight.push(Datagram {
                     from: node,
                     process_id: state.process_ids[node],
@@ -302,23 +309,23 @@
             process_id: message.process_id,
             bytes: &message.bytes,
         };
-        Self::act(state, message.to, event);
+        Self::handle(state, message.to, event);
     }
 
     fn wake(state: &mut State, node: usize) {
         state.woken[node - ACCEPTORS] = true;
-        // It believes that it is alone: safety may not rest on that.
-        Self::act(
+        // The claimant is the only candidate in its own view: safety must not depend on the view.
+        Self::handle(
             state,
             node,
             Event::Candidates(&[node_id(node)], NodeHealth::Healthy),
         );
-        Self::act(state, node, Event::TimerExpired);
+        Self::handle(state, node, Event::TimerExpired);
     }
 
-    /// Requests an acceptor's table, and delivers it at once.
+    /// Requests an acceptor's table on behalf of a node and delivers it immediately.
     fn deliver_table(state: &mut State, node: usize, acceptor: usize) {
-        let now_ms = own_ms(state.step, acceptor);
+        let now_ms = local_ms(state.step, acceptor);
         let request = state.nodes[node].encode_table_request();
         let mut actions = Vec::new();
         let event = Event::Message {
@@ -343,11 +350,11 @@
         }
     }
 
-    /// Lets each process with a permit act, and records what must not happen.
-    fn check(state: &mut State) {
+    /// Records an effect of each process that has a permit, and any violation of the guarantees.
+    fn record_effects(state: &mut State) {
         let effects: Vec<_> = (0..NODES)
             .filter_map(|node| {
-                let permit = state.nodes[node].permit(own_ms(state.step, node), SHARD)?;
+                let permit = state.nodes[node].permit(local_ms(state.step, node), SHARD)?;
                 Some(Effect {
                     token: permit.token(),
                     process_id: state.process_ids[node],
@@ -358,10 +365,11 @@
             state.violation = Some(ModelViolation::TwoPermits);
         }
         for effect in effects {
-            let last = state.last_effect;
-            let is_same_process = effect.process_id == last.process_id;
-            if effect.token < last.token || (effect.token == last.token && !is_same_process) {
-                state.violation = Some(ModelViolation::TokenNotRising);
+            let previous = state.last_effect;
+            let is_same_process = effect.process_id == previous.process_id;
+            if effect.token < previous.token || (effect.token == previous.token && !is_same_process)
+            {
+                state.violation = Some(ModelViolation::TokenNotIncreasing);
             }
             if !is_same_process {
                 state.owner_changes += 1;
@@ -377,10 +385,10 @@
 
     fn init_states(&self) -> Vec<State> {
         let process_ids: Vec<_> = (0..NODES as u64).collect();
-        let first = State {
+        let initial = State {
             step: 0,
             nodes: (0..NODES)
-                .map(|node| self.process(0, node, node as u64))
+                .map(|node| self.start_process(0, node, node as u64))
                 .collect(),
             process_ids,
             started_at_step: vec![0; NODES],
@@ -401,18 +409,18 @@
             violation: None,
         };
         if !self.0.is_owned {
-            return vec![first];
+            return vec![initial];
         }
-        let wakes = [
+        let first_events = [
             ModelEvent::Wake(ACCEPTORS),
             ModelEvent::Wake(ACCEPTORS + 1),
             ModelEvent::Step,
             ModelEvent::Wake(ACCEPTORS),
         ];
-        let mut state = wakes
+        let mut state = first_events
             .into_iter()
-            .fold(first, |state, act| self.after(state, act));
-        for act in [
+            .fold(initial, |state, event| self.state_after(state, event));
+        for event in [
             ModelEvent::Step,
             ModelEvent::Wake(ACCEPTORS),
             ModelEvent::Step,
@@ -420,12 +428,12 @@
             ModelEvent::Wake(ACCEPTORS),
         ] {
             state = self.deliver_all(state);
-            state = self.after(state, act);
+            state = self.state_after(state, event);
         }
         vec![state]
     }
 
-    fn actions(&self, state: &State, to: &mut Vec<ModelEvent>) {
+    fn actions(&self, state: &State, events: &mut Vec<ModelEvent>) {
         if state.violation.is_some() {
             return;
         }
@@ -435,14 +443,15 @@
             transfers,
         } = state.budget;
         if !state.in_flight.is_empty() {
-            to.push(ModelEvent::Arrive);
+            events.push(ModelEvent::Arrive);
             if deviations > 0 && state.held_back.len() < self.0.max_held_back {
-                to.extend([ModelEvent::Hold, ModelEvent::Copy]);
+                events.extend([ModelEvent::HoldBack, ModelEvent::Duplicate]);
             }
             return;
         }
-        to.extend((0..state.held_back.len()).map(ModelEvent::Release));
-        // The claimants are alike, so the first one that is ever woken may be the first of them.
+        events.extend((0..state.held_back.len()).map(ModelEvent::Release));
+        // The claimants are interchangeable until one of them is woken, so in step 0 the first of
+        // them is always woken before the other.
         let claimants = if !self.0.is_owned && state.step == 0 && !state.woken[0] {
             1
         } else {
@@ -450,41 +459,41 @@
         };
         for node in (ACCEPTORS..NODES).take(claimants) {
             let is_owner = state.nodes[node]
-                .permit(own_ms(state.step, node), SHARD)
+                .permit(local_ms(state.step, node), SHARD)
                 .is_some();
             if !state.woken[node - ACCEPTORS] {
-                to.push(ModelEvent::Wake(node));
+                events.push(ModelEvent::Wake(node));
             }
             if is_owner && transfers > 0 {
-                to.push(ModelEvent::Transfer(node));
+                events.push(ModelEvent::Transfer(node));
             }
         }
         if restarts > 0 {
             (0..NODES)
                 .filter(|node| state.started_at_step[*node] < state.step)
-                .for_each(|node| to.push(ModelEvent::Restart(node)));
+                .for_each(|node| events.push(ModelEvent::Restart(node)));
         }
-        let steps_before = if self.0.is_owned {
-            OWNED_AFTER_STEPS
+        let steps_before_model = if self.0.is_owned {
+            STEPS_BEFORE_OWNED
         } else {
             0
         };
-        if state.step < self.0.steps + steps_before {
-            to.push(ModelEvent::Step);
+        if state.step < self.0.steps + steps_before_model {
+            events.push(ModelEvent::Step);
         }
     }
 
-    fn next_state(&self, last: &State, action: ModelEvent) -> Option<State> {
-        let mut state = last.clone();
+    fn next_state(&self, previous: &State, action: ModelEvent) -> Option<State> {
+        let mut state = previous.clone();
         match action {
             ModelEvent::Arrive => {
                 let message = state.in_flight.remove(0);
                 Self::arrive(&mut state, &message);
             }
-            ModelEvent::Hold | ModelEvent::Copy => {
+            ModelEvent::HoldBack | ModelEvent::Duplicate => {
                 state.budget.deviations -= 1;
                 let message = state.in_flight.remove(0);
-                if action == ModelEvent::Copy {
+                if action == ModelEvent::Duplicate {
                     Self::arrive(&mut state, &message);
                 }
                 state.held_back.push(message);
@@ -492,8 +501,8 @@
                     .held_back
                     .sort_by(|a, b| (a.from, a.to, &a.bytes).cmp(&(b.from, b.to, &b.bytes)));
             }
-            ModelEvent::Release(at) => {
-                let message = state.held_back.remove(at);
+            ModelEvent::Release(index) => {
+                let message = state.held_back.remove(index);
                 Self::arrive(&mut state, &message);
             }
             ModelEvent::Wake(node) => {
@@ -506,7 +515,7 @@
                 state.started_processes += 1;
                 state.process_ids[node] = state.started_processes;
                 state.started_at_step[node] = state.step;
-                state.nodes[node] = self.process(state.step, node, state.started_processes);
+                state.nodes[node] = self.start_process(state.step, node, state.started_processes);
             }
             ModelEvent::Transfer(node) => {
                 state.budget.transfers -= 1;
@@ -515,7 +524,7 @@
                 } else {
                     ACCEPTORS
                 };
-                Self::act(
+                Self::handle(
                     &mut state,
                     node,
                     Event::TransferShard {
@@ -528,10 +537,10 @@
                 state.step += 1;
                 state.woken = [false; 2];
                 (0..ACCEPTORS)
-                    .for_each(|acceptor| Self::act(&mut state, acceptor, Event::TimerExpired));
+                    .for_each(|acceptor| Self::handle(&mut state, acceptor, Event::TimerExpired));
             }
         }
-        Self::check(&mut state);
+        Self::record_effects(&mut state);
         Some(state)
     }
 
@@ -545,40 +554,41 @@
     }
 }
 
-/// A broken guarantee, and the shortest path to it.
+/// A violation, and the path of events by which the breadth-first search reached it.
 #[derive(Debug)]
 pub struct FoundViolation {
-    /// What was broken.
+    /// The violation.
     pub violation: ModelViolation,
-    /// The events that lead there.
+    /// The events that lead to it, in order.
     pub path: Vec<String>,
 }
 
-/// What a search came to.
+/// Result of a search.
 #[derive(Debug)]
 pub struct Search {
-    /// Different states.
+    /// Number of distinct states visited.
     pub states: usize,
-    /// The longest path.
+    /// Maximum depth that was explored.
     pub depth: usize,
     /// Whether all states within the bounds were visited.
     pub is_exhaustive: bool,
-    /// Whether three processes owned the shard one after another, so that the guarantee was
+    /// Whether on some path the shard had three successive owners, so that the guarantee was
     /// exercised.
     pub changed_owners: bool,
-    /// The guarantee that was broken.
+    /// The violation that was found, if any.
     pub violation: Option<FoundViolation>,
 }
 
-/// Searches for a broken guarantee, in so many states at most.
+/// Searches the states within the bounds for a violation, breadth first. Stops when about
+/// `max_states` states have been generated.
 #[must_use]
 pub fn search(bounds: Bounds, max_states: usize, threads: usize) -> Search {
-    let until = HasDiscoveries::AnyOf([EXCLUSIVE_OWNERSHIP].into());
+    let stop_condition = HasDiscoveries::AnyOf([EXCLUSIVE_OWNERSHIP].into());
     let checker = LeaseModel(bounds)
         .checker()
         .threads(threads)
         .target_state_count(max_states)
-        .finish_when(until)
+        .finish_when(stop_condition)
         .spawn_bfs()
         .join();
     let violation = checker.discovery(EXCLUSIVE_OWNERSHIP).and_then(|path| {
--- a/crates/testkit/src/lease_simulation.rs
+++ b/crates/testkit/src/lease_simulation.rs
@@ -1,5 +1,5 @@
-//! Leases in virtual time: nodes with drifting clocks, faults, and checkers that observe who may
-//! act.
+//! Simulation of leases in virtual time: nodes with drifting clocks, faults, and checkers of which
+//! node may act on a shard.
 
 mod checker;
 mod node;
@@ -17,17 +17,17 @@
 use node::{DelayedEffect, History};
 use simulation::{Clock, Fault, FaultSchedule, ScheduleLimits, Simulation};
 
-/// How many shards there are by default.
+/// Default number of shards.
 pub const SHARDS: Shard = 4;
-/// How long a lease lasts, in milliseconds.
+/// Duration of a lease, in milliseconds.
 pub const LEASE_MS: f64 = 2_500.0;
-/// Within this a shard has an owner again where a majority of acceptors reach each other, in
-/// milliseconds.
+/// Maximum time until each shard has an owner again once a majority of acceptors reach each other,
+/// in milliseconds.
 pub const RECOVERY_MS: f64 = 5_000.0;
-/// How often permits are compared, in milliseconds.
+/// Interval between observations of the permits of all nodes, in milliseconds.
 const OBSERVATION_INTERVAL_MS: f64 = 7.0;
 
-/// The id of a node.
+/// Derives the lease protocol's id of a simulated node.
 #[must_use]
 pub fn node_id(node: usize) -> NodeId {
     NodeId((node as u64 + 1).wrapping_mul(0x9e37_79b9_7f4a_7c15))
@@ -37,19 +37,19 @@
     nodes.iter().copied().map(node_id).collect()
 }
 
-/// What the operators' file of a node says of acceptors.
+/// The acceptor configuration in a node's operators' file.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct AcceptorFile {
-    /// The number of the configuration.
+    /// Number of the configuration.
     pub number: u32,
     /// The acceptors.
     pub acceptors: Vec<usize>,
-    /// The previous acceptors, where they are named.
+    /// The previous acceptors; empty if the file does not name them.
     pub previous_acceptors: Vec<usize>,
 }
 
 impl AcceptorFile {
-    /// The file of the configuration after this one.
+    /// Returns the file of the next configuration, with these acceptors.
     #[must_use]
     pub fn next(&self, acceptors: &[usize]) -> Self {
         Self {
@@ -60,36 +60,38 @@
     }
 }
 
-/// Simulated nodes, and which of them may act.
+/// A fleet of simulated nodes, and the observed owners of its shards.
 pub struct SimulatedFleet {
-    /// Where the nodes run.
+    /// The simulation that runs the nodes.
     pub simulation: Simulation<Node>,
     seed: u64,
     shards: Shard,
-    /// The operators' file of each node, read at its start and by [`SimulatedFleet::reload`].
+    /// The operators' file of each node, which is read at its start and by
+    /// [`SimulatedFleet::reload`].
     pub files: Vec<AcceptorFile>,
     /// Whether acceptors have fence files.
     pub has_fence_files: bool,
     fence_files: Vec<Rc<Cell<FencingToken>>>,
-    /// How much the machines' wall clocks are set back, in milliseconds.
+    /// Time by which the machines' wall clocks are set back, in milliseconds.
     pub wall_clock_setback_ms: u64,
-    /// The nodes' clocks.
+    /// The nodes' local clocks.
     pub clocks: Vec<Clock>,
     injected_fault: InjectedFault,
     history: Rc<RefCell<History>>,
     started_processes: u64,
     /// The owner of each shard at the last observation.
     pub owner: Vec<Option<usize>>,
-    /// How long shards had no owner, summed over the shards, in milliseconds.
+    /// Total time without an owner, summed over the shards, in milliseconds.
     pub unowned_ms: f64,
     overlaps: Vec<Overlap>,
 }
 
 impl SimulatedFleet {
-    /// So many nodes, the first of which are acceptors; none is started.
+    /// Creates a fleet of `nodes` nodes, none of which is started. The first `acceptors` of them
+    /// are acceptors.
     #[must_use]
     pub fn new(seed: u64, nodes: usize, acceptors: usize, injected_fault: InjectedFault) -> Self {
-        // Both extremes of the allowed drift.
+        // Covers both extremes of the allowed drift.
         let clock = |node: usize| Clock {
             offset_ms: 1e6 + node as f64 * 7e6,
             drift: [0.0, 0.0099, 0.003][(node + seed as usize) % 3],
@@ -117,7 +119,7 @@
         }
     }
 
-    /// The same with so many shards, before the first node is started.
+    /// Sets the number of shards. Call it before the first node is started.
     #[must_use]
     pub fn with_shards(mut self, shards: Shard) -> Self {
         self.shards = shards;
@@ -125,12 +127,13 @@
         self
     }
 
-    /// Nodes have no effects from here on, so that all messages are about leases.
+    /// Stops the effects of all nodes, so that only lease messages are sent from now on.
     pub fn stop_effects(&mut self) {
-        self.history.borrow_mut().is_idle = true;
+        self.history.borrow_mut().effects_disabled = true;
     }
 
-    /// A fleet whose nodes are all started, after the time in which all shards are acquired.
+    /// Creates a fleet, starts all nodes and runs them for the time in which they acquire all
+    /// shards.
     #[must_use]
     pub fn started(
         seed: u64,
@@ -146,11 +149,11 @@
         fleet
     }
 
-    /// Starts a node, unless it runs.
+    /// Starts a node, unless it is running.
     ///
     /// # Panics
     ///
-    /// Its file is invalid.
+    /// Panics if the node's operators' file is invalid.
     pub fn start(&mut self, node: usize) {
         if self.simulation.process(node).is_some() {
             return;
@@ -160,8 +163,8 @@
         self.simulation.set_clock(node, self.clocks[node]);
         let process_id = rng.u64(1..);
         let settings = self.settings_at_start(node, process_id);
-        let leases =
-            LeaseManager::new(self.simulation.local_ms(node), settings).expect("the file is valid");
+        let leases = LeaseManager::new(self.simulation.local_ms(node), settings)
+            .expect("the operators' file is valid");
         let peers: Vec<_> = (0..self.clocks.len()).map(node_id).collect();
         let process = Node {
             leases,
@@ -194,11 +197,11 @@
         }
     }
 
-    /// A node reads its file again, if it runs.
+    /// Makes a node reload its operators' file, if it is running.
     ///
     /// # Errors
     ///
-    /// It keeps the acceptors that it has.
+    /// Returns the reason if the node rejects the file and keeps its current acceptors.
     pub fn reload(&mut self, node: usize) -> Result<ReconfigurationOutcome, ReconfigurationError> {
         let file = self.files[node].clone();
         let request = ConfigurationRequest {
@@ -213,7 +216,7 @@
         outcome
     }
 
-    /// The configuration of acceptors that a node has.
+    /// The acceptor configuration of a node, or `None` if it is not running.
     #[must_use]
     pub fn configuration(&self, node: usize) -> Option<ConfigurationState> {
         self.simulation
@@ -221,7 +224,8 @@
             .map(|node| node.leases.configuration())
     }
 
-    /// Published effects that were dropped because a later owner had published one.
+    /// Number of published effects that running nodes dropped because a later owner had published
+    /// one.
     #[must_use]
     pub fn stale_effects(&self) -> u64 {
         (0..self.clocks.len())
@@ -230,13 +234,13 @@
             .sum()
     }
 
-    /// Published effects that were accepted.
+    /// Number of published effects that nodes accepted.
     #[must_use]
     pub fn accepted_effects(&self) -> u64 {
         self.history.borrow().accepted_effects
     }
 
-    /// The highest token under which a shard was acquired.
+    /// The highest token under which any shard was acquired.
     #[must_use]
     pub fn highest_token(&self) -> FencingToken {
         self.history
@@ -248,12 +252,12 @@
             .unwrap_or_default()
     }
 
-    /// Ends a node's process without notice.
+    /// Kills a node's process without notice.
     pub fn kill(&mut self, node: usize) {
         self.simulation.kill(node);
     }
 
-    /// The nodes that have a permit for a shard.
+    /// Nodes that have a permit for a shard, including paused ones.
     fn permitted_nodes(&self, shard: Shard) -> Vec<usize> {
         let is_permitted = |node: &usize| {
             self.simulation.process(*node).is_some_and(|process| {
@@ -266,8 +270,8 @@
         (0..self.clocks.len()).filter(is_permitted).collect()
     }
 
-    /// Runs the simulation for a time, and observes every few milliseconds which nodes may act; a
-    /// paused one counts as it would if it resumed.
+    /// Runs the simulation for this time, and observes every few milliseconds which nodes may act.
+    /// A paused node counts as if it resumed at that moment.
     pub fn run(&mut self, ms: f64) {
         let until_ms = self.simulation.now_ms() + ms;
         while self.simulation.now_ms() < until_ms {
@@ -305,15 +309,15 @@
         for effect in due {
             history
                 .register
-                .act(effect.shard, effect.token, effect.process_id);
+                .apply(effect.shard, effect.token, effect.process_id);
         }
     }
 
-    /// Runs until each shard has an owner, and returns how long that took, in milliseconds.
+    /// Runs until each shard has an owner, and returns the time that this took, in milliseconds.
     ///
     /// # Errors
     ///
-    /// It takes longer than this.
+    /// Returns an error if it takes longer than `timeout_ms`.
     pub fn wait_until_owned(&mut self, timeout_ms: f64) -> Result<f64, OwnershipError> {
         let start_ms = self.simulation.now_ms();
         while self.owner.iter().any(Option::is_none) {
@@ -328,11 +332,13 @@
         Ok(self.simulation.now_ms() - start_ms)
     }
 
-    /// Checks that there was one owner of each shard at a time, under rising tokens.
+    /// Checks that each shard had at most one owner at a time, and was acquired under increasing
+    /// tokens.
     ///
     /// # Errors
     ///
-    /// What was broken first.
+    /// Returns the first overlap of owners; without one, the first invalid effect; without either,
+    /// the first acquisition whose token is not greater than the one before.
     pub fn check(&self) -> Result<(), OwnershipError> {
         if let Some(first) = self.overlaps.first() {
             return Err(self.error(Violation::TwoOwners {
@@ -346,9 +352,9 @@
         }
         let mut highest = BTreeMap::new();
         for acquisition in &history.acquisitions {
-            let before = highest.insert(acquisition.shard, acquisition.token);
-            if before.is_some_and(|before| before >= acquisition.token) {
-                return Err(self.error(Violation::TokenNotRising {
+            let previous = highest.insert(acquisition.shard, acquisition.token);
+            if previous.is_some_and(|previous| previous >= acquisition.token) {
+                return Err(self.error(Violation::TokenNotIncreasing {
                     shard: acquisition.shard,
                     token: acquisition.token,
                     process_id: acquisition.process_id,
@@ -358,7 +364,7 @@
         Ok(())
     }
 
-    /// An error with this fleet's seed.
+    /// Creates an error that states this fleet's seed.
     #[must_use]
     pub fn error(&self, violation: Violation) -> OwnershipError {
         OwnershipError {
@@ -367,7 +373,7 @@
         }
     }
 
-    /// Applies a fault.
+    /// Injects a fault.
     pub fn apply(&mut self, fault: &Fault) {
         match fault {
             Fault::Start { node } => self.start(*node),
@@ -376,7 +382,7 @@
         }
     }
 
-    /// Gives a node a new file, which it reloads.
+    /// Replaces a node's operators' file and makes the node reload it.
     fn replace_file(&mut self, node: usize, file: &AcceptorFile) -> Result<(), OwnershipError> {
         self.files[node] = file.clone();
         match self.reload(node) {
@@ -386,11 +392,11 @@
     }
 }
 
-/// The limits of a seed's fault schedule.
+/// Limits of the fault schedule that is generated from a seed.
 #[must_use]
 pub fn schedule_limits(seed: u64) -> ScheduleLimits {
     ScheduleLimits {
-        // One fleet in sixteen is large.
+        // One fleet in 16 is large.
         nodes: if seed % 16 == 7 {
             15 + seed as usize / 16 % 16
         } else {
@@ -404,7 +410,7 @@
     }
 }
 
-/// The acceptors with a random one replaced by a random other node.
+/// Returns the acceptors with a random one replaced by a random other node, if there is one.
 fn replace_one(rng: &mut fastrand::Rng, acceptors: &[usize], nodes: usize) -> Vec<usize> {
     let mut next = acceptors.to_vec();
     let others: Vec<_> = (0..nodes)
@@ -417,21 +423,21 @@
     next
 }
 
-/// What a trial without a violation came to.
+/// Result of a trial without a violation.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct TrialOutcome {
-    /// How often a shard was acquired.
+    /// Number of times that a shard was acquired.
     pub acquired: usize,
-    /// Effects of former owners that the register rejected.
+    /// Number of effects of former owners that the register rejected.
     pub rejected_effects: u64,
 }
 
-/// Runs a fleet through the random faults of a seed. In one seed of three an acceptor is replaced
-/// meanwhile, with the nodes reloading their files in random order.
+/// Runs a fleet under the fault schedule of a seed. With one seed in three, an acceptor is replaced
+/// during the faults, and the nodes reload their files in random order.
 ///
 /// # Errors
 ///
-/// A guarantee was broken.
+/// Returns the violation if a guarantee was broken.
 pub fn run_trial(seed: u64, injected_fault: InjectedFault) -> Result<TrialOutcome, OwnershipError> {
     let limits = schedule_limits(seed);
     let acceptors = if seed % 2 == 0 { 3 } else { 5 };
@@ -455,7 +461,7 @@
             fleet.replace_file(node, &next_file)?;
         }
     }
-    // Paused nodes resume meanwhile.
+    // Long enough for all paused nodes to resume.
     fleet.run(limits.max_pause_ms + LEASE_MS);
     if reconfigures {
         for node in 0..limits.nodes {
--- a/crates/testkit/src/lease_simulation/checker.rs
+++ b/crates/testkit/src/lease_simulation/checker.rs
@@ -1,6 +1,6 @@
-//! The judges of the simulated leases: a register that checks fencing tokens, and what it and the
-//! observer of permits found wrong. They read only what nodes did, and share no code with the
-//! leases.
+//! Checks of the simulated leases: a register that checks fencing tokens, and the violations that
+//! it and the observation of permits detect. They rely only on the observed actions of nodes and
+//! share no code with the leases.
 
 use std::collections::BTreeMap;
 use std::fmt;
@@ -12,23 +12,23 @@
 pub struct Overlap {
     /// The shard.
     pub shard: Shard,
-    /// When, in milliseconds of the simulation.
+    /// Simulation time, in milliseconds.
     pub at_ms: f64,
-    /// The nodes.
+    /// The nodes with a permit.
     pub nodes: Vec<usize>,
 }
 
-/// An effect that must not happen.
+/// An effect that violates the guarantees of fencing tokens.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum EffectViolation {
-    /// Two processes act on a shard under the same token.
+    /// Two processes acted on a shard under the same token.
     SharedToken {
         /// The shard.
         shard: Shard,
         /// The token.
         token: FencingToken,
     },
-    /// A node accepts a published effect after one with a higher token.
+    /// A node accepted a published effect after one with a higher token.
     StaleEffectAccepted {
         /// The shard.
         shard: Shard,
@@ -41,38 +41,41 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             Self::SharedToken { shard, token } => {
-                write!(f, "shard {shard}: two processes act as {token}")
+                write!(f, "shard {shard}: two processes acted under token {token}")
             }
             Self::StaleEffectAccepted { shard, token } => {
-                write!(f, "shard {shard}: {token} is accepted after a later token")
+                write!(
+                    f,
+                    "shard {shard}: effect under token {token} accepted after a higher one"
+                )
             }
         }
     }
 }
 
-/// How a guarantee of the leases was broken, and under which seed.
+/// A violation of the guarantees of leases, and the seed that reproduces it.
 #[derive(Clone, Debug, PartialEq)]
 pub struct OwnershipError {
-    /// The seed that reproduces it.
+    /// Seed of the simulation.
     pub seed: u64,
-    /// What was broken.
+    /// The violation.
     pub violation: Violation,
 }
 
-/// How a guarantee of the leases was broken.
+/// A violation of the guarantees of leases.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Violation {
-    /// A shard had two owners.
+    /// A shard had several owners at the same time.
     TwoOwners {
-        /// The first time.
+        /// The first observation.
         first: Overlap,
-        /// How many more times that was observed.
+        /// Number of further observations.
         more: usize,
     },
-    /// An effect that must not happen.
+    /// An effect violated the guarantees of fencing tokens.
     Effect(EffectViolation),
-    /// A shard was acquired under a token that is not above the one before.
-    TokenNotRising {
+    /// A shard was acquired under a token that is not greater than the previous owner's.
+    TokenNotIncreasing {
         /// The shard.
         shard: Shard,
         /// The token.
@@ -80,20 +83,20 @@
         /// The process that acquired it.
         process_id: u64,
     },
-    /// Some shards have no owner after a time.
+    /// Some shards had no owner when the timeout expired.
     Unowned {
-        /// The owner of each shard.
+        /// The owner of each shard, if any.
         owners: Vec<Option<usize>>,
-        /// How long was waited, in milliseconds.
+        /// Timeout, in milliseconds.
         timeout_ms: f64,
     },
-    /// A shard has an owner while earlier grants may still be valid.
+    /// A shard had an owner while earlier grants could still be valid.
     OwnedDuringQuarantine,
-    /// A node rejects a reconfiguration that is safe.
+    /// A node rejected a safe reconfiguration.
     Reconfiguration {
         /// The node.
         node: usize,
-        /// Its reason.
+        /// The reason that the node gave.
         error: ReconfigurationError,
     },
 }
@@ -115,25 +118,33 @@
                 } = first;
                 write!(
                     f,
-                    "shard {shard} at {at_ms:.0}: owned by {nodes:?}, and {more} more"
+                    "shard {shard} at {at_ms:.0} ms: owned by nodes {nodes:?}; {more} more overlaps"
                 )
             }
             Self::Effect(violation) => violation.fmt(f),
-            Self::TokenNotRising {
+            Self::TokenNotIncreasing {
                 shard,
                 token,
                 process_id,
             } => write!(
                 f,
-                "shard {shard} acquired as {token} by {process_id}, not above the token before"
+                "shard {shard}: token {token} of process {process_id} is not above the previous one"
             ),
             Self::Unowned { owners, timeout_ms } => {
-                write!(f, "owners {owners:?} after {timeout_ms} ms")
+                write!(
+                    f,
+                    "not all shards have an owner after {timeout_ms} ms: {owners:?}"
+                )
             }
             Self::OwnedDuringQuarantine => {
-                write!(f, "a shard is owned before all earlier grants have expired")
+                write!(
+                    f,
+                    "a shard has an owner before all earlier grants have expired"
+                )
+            }
+            Self::Reconfiguration { node, error } => {
+                write!(f, "n{node} rejected a safe reconfiguration: {error}")
             }
-            Self::Reconfiguration { node, error } => write!(f, "n{node}: {error}"),
         }
     }
 }
@@ -147,27 +158,27 @@
     process_id: u64,
 }
 
-/// A resource that checks fencing tokens: it accepts an effect unless its token is below the
-/// highest.
+/// A resource that checks fencing tokens: it rejects an effect whose token is lower than the
+/// highest accepted one.
 #[derive(Default)]
 pub(super) struct Register {
-    highest: BTreeMap<Shard, AcceptedEffect>,
+    last_accepted: BTreeMap<Shard, AcceptedEffect>,
     pub rejected: u64,
     pub violations: Vec<EffectViolation>,
 }
 
 impl Register {
-    pub fn act(&mut self, shard: Shard, token: FencingToken, process_id: u64) {
-        let highest = self.highest.get(&shard).copied().unwrap_or_default();
-        if token < highest.token {
+    pub fn apply(&mut self, shard: Shard, token: FencingToken, process_id: u64) {
+        let last = self.last_accepted.get(&shard).copied().unwrap_or_default();
+        if token < last.token {
             self.rejected += 1;
             return;
         }
-        if token == highest.token && highest.process_id != process_id {
+        if token == last.token && last.process_id != process_id {
             self.violations
                 .push(EffectViolation::SharedToken { shard, token });
         }
-        self.highest
+        self.last_accepted
             .insert(shard, AcceptedEffect { token, process_id });
     }
 }
--- a/crates/testkit/src/lease_simulation/node.rs
+++ b/crates/testkit/src/lease_simulation/node.rs
@@ -1,4 +1,4 @@
-//! One simulated node: its leases, and the effects that it has whenever it has a permit.
+//! A simulated node: its lease manager, and the effects that it has while it holds a permit.
 
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
@@ -11,19 +11,19 @@
 
 use super::checker::{EffectViolation, Register};
 
-/// An effect arrives at the register up to this much after it began.
+/// Maximum delay until a repeated effect arrives at the register, in milliseconds.
 const MAX_EFFECT_DELAY_MS: f64 = 5_000.0;
-/// One effect in so many is delayed, and published to the other nodes.
-const DELAYED_EFFECTS: u32 = 20;
+/// On average, one in this many effects is repeated after a delay and published to the other nodes.
+const EFFECTS_PER_DELAYED: u32 = 20;
 
-/// A shard that a process acquired.
+/// The acquisition of a shard by a process.
 pub(super) struct Acquisition {
     pub shard: Shard,
     pub token: FencingToken,
     pub process_id: u64,
 }
 
-/// An effect on its way to the register.
+/// A repeated effect that has not arrived at the register yet.
 pub(super) struct DelayedEffect {
     pub arrives_ms: f64,
     pub shard: Shard,
@@ -31,16 +31,16 @@
     pub process_id: u64,
 }
 
-/// What all nodes did.
+/// The observed actions of all nodes.
 #[derive(Default)]
 pub(super) struct History {
     pub acquisitions: Vec<Acquisition>,
     pub register: Register,
     /// The token of the last published effect that each process accepted, by shard.
     accepted_tokens: BTreeMap<(u64, Shard), FencingToken>,
-    /// Whether nodes have no effects.
-    pub is_idle: bool,
-    /// Published effects that were accepted.
+    /// Whether the nodes' effects are disabled.
+    pub effects_disabled: bool,
+    /// Number of published effects that nodes accepted.
     pub accepted_effects: u64,
     /// Effects that have not arrived yet.
     pub delayed: Vec<DelayedEffect>,
@@ -54,14 +54,14 @@
     pub(super) shards: Shard,
     pub(super) history: Rc<RefCell<History>>,
     pub(super) peers: Vec<NodeId>,
-    /// The candidates that it has not been told yet.
+    /// Candidates that the lease manager has not received yet.
     pub(super) candidates: Option<Vec<NodeId>>,
-    /// Its fence file, which outlives the process.
+    /// The node's fence file, which outlives the process.
     pub(super) fence_file: Rc<Cell<FencingToken>>,
     pub(super) rng: fastrand::Rng,
 }
 
-/// Stands in for the authentication of a datagram: a changed one is dropped.
+/// Checksum that stands in for the authentication of datagrams, so that corrupted ones are dropped.
 fn checksum(bytes: &[u8]) -> [u8; 8] {
     bytes
         .iter()
@@ -76,14 +76,14 @@
     ///
     /// # Panics
     ///
-    /// A message is too long, or for no node.
+    /// Panics if a message is too long or addressed to an unknown node.
     pub fn handle(&mut self, local_ms: f64, event: Event<'_>, outbox: &mut Outbox) {
         let mut actions = Vec::new();
         self.leases.handle(local_ms, event, &mut actions);
         for action in actions {
             self.execute(local_ms, action, outbox);
         }
-        if !self.history.borrow().is_idle {
+        if !self.history.borrow().effects_disabled {
             self.act_on_owned_shards(local_ms, outbox);
         }
     }
@@ -113,7 +113,9 @@
     fn send(&self, to: NodeId, bytes: &[u8], outbox: &mut Outbox) {
         assert!(
             bytes.len() <= lease::MAX_MESSAGE_BYTES,
-            "a message is too long"
+            "lease message has {} bytes, more than the maximum of {}",
+            bytes.len(),
+            lease::MAX_MESSAGE_BYTES
         );
         let mut datagram = self.process_id.to_le_bytes().to_vec();
         datagram.extend_from_slice(bytes);
@@ -122,17 +124,17 @@
             .peers
             .iter()
             .position(|id| *id == to)
-            .expect("messages are for nodes");
+            .expect("messages are addressed to simulated nodes");
         outbox.send(to, datagram);
     }
 
     fn check_accepted_effect(&self, shard: Shard, token: FencingToken) {
         let mut history = self.history.borrow_mut();
         history.accepted_effects += 1;
-        let before = history
+        let previous = history
             .accepted_tokens
             .insert((self.process_id, shard), token);
-        if before.is_some_and(|before| before > token) {
+        if previous.is_some_and(|previous| previous > token) {
             history
                 .register
                 .violations
@@ -140,7 +142,8 @@
         }
     }
 
-    /// Acts on each shard that it has a permit for. Some effects are delayed, and published.
+    /// Acts on each shard for which the node has a permit. Repeats some effects after a delay and
+    /// publishes them.
     fn act_on_owned_shards(&mut self, local_ms: f64, outbox: &mut Outbox) {
         let simulation_ms = (local_ms - self.clock.offset_ms) / (1.0 + self.clock.drift);
         let mut published = Vec::new();
@@ -150,9 +153,9 @@
             };
             let token = permit.token();
             let mut history = self.history.borrow_mut();
-            history.register.act(shard, token, self.process_id);
+            history.register.apply(shard, token, self.process_id);
             let arrives_ms = simulation_ms + self.rng.f64() * MAX_EFFECT_DELAY_MS;
-            if self.rng.u32(..DELAYED_EFFECTS) == 0 {
+            if self.rng.u32(..EFFECTS_PER_DELAYED) == 0 {
                 history.delayed.push(DelayedEffect {
                     arrives_ms,
                     shard,
