--- a/crates/testkit/src/link.rs
+++ b/crates/testkit/src/link.rs
@@ -1,7 +1,7 @@
-//! A link between two sockets that passes bytes on until it reaches one where a fault is planted.
+//! A proxy that forwards bytes between two stream sockets and injects faults at given byte offsets.
 //!
-//! Each connection that comes in is given a [`Plan`] for each direction; the plan's faults stand at byte offsets, so
-//! that a test can walk through every offset of an exchange.
+//! Each accepted connection has a [`Plan`] for each direction. The plan's faults are at byte offsets, so that a test
+//! can inject a fault at every offset of an exchange.
 
 use std::io::{Read, Write};
 use std::net::{Shutdown, SocketAddr};
@@ -12,109 +12,112 @@
 
 use crate::socket::{Endpoint, Kind, Listener, Stream};
 
-/// What happens at a byte.
+/// A fault at a byte of a stream.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Fault {
-    /// Both ends are closed in order before this byte is passed on.
+    /// Both ends are shut down in order before this byte is forwarded.
     Cut,
-    /// Nothing from this byte on is passed on, and nothing is closed.
+    /// Neither this byte nor any later one is forwarded, and both ends stay open.
     Stall,
-    /// This byte and what follows is passed on so much later.
+    /// This byte and all later ones are forwarded after this delay.
     Delay(Duration),
-    /// So many of the bytes before this one are passed on once more.
+    /// Up to this number of the bytes before this one are forwarded a second time.
     Repeat(usize),
 }
 
-/// The faults of one direction of one connection, each at the offset of a byte.
+/// Faults of one direction of a connection, by byte offset, and whether the connection is closed when it is accepted.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Plan(Vec<(usize, Fault)>, bool);
 
 impl Plan {
-    /// All is passed on as it comes.
+    /// A plan that forwards all bytes unchanged.
     #[must_use]
     pub fn fault_free() -> Self {
         Self::default()
     }
 
-    /// One fault.
+    /// A plan with one fault at a byte offset.
     #[must_use]
-    pub fn at(byte: usize, fault: Fault) -> Self {
-        Self(vec![(byte, fault)], false)
+    pub fn at(offset: usize, fault: Fault) -> Self {
+        Self(vec![(offset, fault)], false)
     }
 
-    /// The connection is closed as soon as it has come; of either direction.
+    /// A plan that closes the connection as soon as it is accepted. The plan of either direction suffices.
     #[must_use]
     pub fn closed() -> Self {
         Self(Vec::new(), true)
     }
 
-    /// One more fault.
+    /// Adds a fault at a byte offset.
     #[must_use]
-    pub fn and(mut self, byte: usize, fault: Fault) -> Self {
-        self.0.push((byte, fault));
-        self.0.sort_by_key(|(byte, _)| *byte);
+    pub fn with_fault(mut self, offset: usize, fault: Fault) -> Self {
+        self.0.push((offset, fault));
+        self.0.sort_by_key(|(offset, _)| *offset);
         self
     }
 
-    /// A fault drawn from a seed, at a byte below `most`; one seed gives one plan.
+    /// A plan with a random fault at an offset below `offset_limit`. The same seed gives the same plan.
     #[must_use]
-    pub fn seeded(seed: u64, most: usize) -> Self {
+    pub fn seeded(seed: u64, offset_limit: usize) -> Self {
         let mut random = fastrand::Rng::with_seed(seed);
-        let byte = random.usize(..most.max(1));
+        let offset = random.usize(..offset_limit.max(1));
         let fault = match random.u8(..4) {
             0 => Fault::Cut,
             1 => Fault::Stall,
             2 => Fault::Delay(Duration::from_millis(random.u64(1..30))),
             _ => Fault::Repeat(random.usize(1..64)),
         };
-        Self::at(byte, fault)
+        Self::at(offset, fault)
     }
 }
 
-/// The plans of a connection: from the side that connected, and back to it.
+/// The plans of a connection: for the bytes from the client, and for the bytes back to it.
 pub type Plans = (Plan, Plan);
 
-/// A link that listens, and connects on to an address for each connection that comes.
+/// A proxy that opens a connection to its target for each connection that it accepts.
 pub struct Link {
-    /// Where it listens, or where nobody does if that is a path.
+    /// Address on which the link listens. If that is a Unix socket, an IP address on which nothing listens.
     pub address: SocketAddr,
-    connections: Arc<AtomicUsize>,
-    open: Arc<Mutex<Vec<Weak<Ends>>>>,
+    accepted_connections: Arc<AtomicUsize>,
+    open_connections: Arc<Mutex<Vec<Weak<Ends>>>>,
 }
 
 impl Link {
-    /// A link to `to`; the plans are asked for with the number of each connection, from zero.
+    /// Starts a link to `to` on IPv4. `plans` returns the plans of a connection by its number, counted from zero.
     pub fn start(to: SocketAddr, plans: impl Fn(usize) -> Plans + Send + 'static) -> Self {
         Self::start_on(Kind::V4, to.into(), plans).0
     }
 
-    /// The same from one kind of address to another.
+    /// Starts a link to `to` that listens on this kind of address. Also returns the endpoint on which it listens.
     pub fn start_on(
         kind: Kind,
         to: Endpoint,
         plans: impl Fn(usize) -> Plans + Send + 'static,
     ) -> (Self, Endpoint) {
         let (listener, endpoint) = Listener::bind(kind);
-        let (connections, open) = (
+        let (accepted_connections, open_connections) = (
             Arc::<AtomicUsize>::default(),
             Arc::<Mutex<Vec<_>>>::default(),
         );
-        let (count, all) = (Arc::clone(&connections), Arc::clone(&open));
+        let (accepted, open) = (
+            Arc::clone(&accepted_connections),
+            Arc::clone(&open_connections),
+        );
         thread::spawn(move || {
             while let Ok(near) = listener.accept() {
-                let plans = plans(count.fetch_add(1, Ordering::SeqCst));
+                let plans = plans(accepted.fetch_add(1, Ordering::SeqCst));
                 if plans.0 .1 || plans.1 .1 {
                     continue;
                 }
-                // Nobody at the far end: the near one is closed, as a refused connection would be.
+                // The target refuses connections: the accepted one is closed, as if it had been refused, too.
                 let Ok(far) = Stream::connect(&to) else {
                     continue;
                 };
                 let ends = Arc::new(Ends { near, far });
-                let mut all = all.lock().expect("sound");
-                all.retain(|ends: &Weak<Ends>| ends.strong_count() > 0);
-                all.push(Arc::downgrade(&ends));
-                join(&ends, plans);
+                let mut open = open.lock().expect("no thread panics with the lock held");
+                open.retain(|ends: &Weak<Ends>| ends.strong_count() > 0);
+                open.push(Arc::downgrade(&ends));
+                start_forwarding(&ends, plans);
             }
         });
         let address = match &endpoint {
@@ -124,46 +127,46 @@
         (
             Self {
                 address,
-                connections,
-                open,
+                accepted_connections,
+                open_connections,
             },
             endpoint,
         )
     }
 
-    /// How many connections have come.
+    /// Number of connections accepted so far.
     #[must_use]
     pub fn connections(&self) -> usize {
-        self.connections.load(Ordering::SeqCst)
+        self.accepted_connections.load(Ordering::SeqCst)
     }
 
-    /// Ends every connection that there is; new ones are taken.
+    /// Closes all open connections. New ones are still accepted.
     pub fn cut_all(&self) {
         for ends in self
-            .open
+            .open_connections
             .lock()
-            .expect("sound")
+            .expect("no thread panics with the lock held")
             .drain(..)
             .filter_map(|ends| ends.upgrade())
         {
-            end(&ends.near, &ends.far);
+            close(&ends.near, &ends.far);
         }
     }
 }
 
-/// A connection's two ends, for as long as either direction goes on.
+/// The two ends of a connection, shared by the threads of both directions and dropped when both have ended.
 struct Ends {
     near: Stream,
     far: Stream,
 }
 
-fn join(ends: &Arc<Ends>, (there, back): Plans) {
+fn start_forwarding(ends: &Arc<Ends>, (plan_from_client, plan_to_client): Plans) {
     let (near, far) = (&ends.near, &ends.far);
-    for (from, to, plan) in [(near, far, there), (far, near, back)] {
-        let (from, to, held) = (from.another(), to.another(), Arc::clone(ends));
+    for (from, to, plan) in [(near, far, plan_from_client), (far, near, plan_to_client)] {
+        let (from, to, ends) = (from.another(), to.another(), Arc::clone(ends));
         thread::spawn(move || {
-            pass(from, to, plan);
-            drop(held);
+            forward(from, to, plan);
+            drop(ends);
         });
     }
 }
@@ -171,53 +174,55 @@
 /// Maximum number of forwarded bytes that a [`Fault::Repeat`] can send again.
 const MAX_REPEATED_BYTES: usize = 64 * 1024;
 
-fn pass(mut from: Stream, mut to: Stream, plan: Plan) {
+fn forward(mut from: Stream, mut to: Stream, plan: Plan) {
     let mut buffer = [0; 16 * 1024];
-    let (mut passed, mut recent, mut faults) = (0, Vec::new(), plan.0.into_iter().peekable());
+    let (mut forwarded, mut recent, mut faults) = (0, Vec::new(), plan.0.into_iter().peekable());
     while let Ok(n) = from.read(&mut buffer) {
         if n == 0 {
             break;
         }
-        let mut left = &buffer[..n];
-        while let Some((byte, fault)) = faults.next_if(|(byte, _)| *byte < passed + left.len()) {
-            let (before, rest) = left.split_at(byte.saturating_sub(passed));
-            if !write(&mut to, before, &mut recent) {
-                return end(&from, &to);
+        let mut remaining = &buffer[..n];
+        while let Some((offset, fault)) =
+            faults.next_if(|(offset, _)| *offset < forwarded + remaining.len())
+        {
+            let (before, rest) = remaining.split_at(offset.saturating_sub(forwarded));
+            if !write_and_record(&mut to, before, &mut recent) {
+                return close(&from, &to);
             }
-            (passed, left) = (passed + before.len(), rest);
+            (forwarded, remaining) = (forwarded + before.len(), rest);
             match fault {
-                Fault::Cut => return end(&from, &to),
-                Fault::Stall => return swallow(from),
-                Fault::Delay(time) => thread::sleep(time),
+                Fault::Cut => return close(&from, &to),
+                Fault::Stall => return discard(from),
+                Fault::Delay(delay) => thread::sleep(delay),
                 Fault::Repeat(count) => {
-                    let again = recent[recent.len().saturating_sub(count)..].to_vec();
-                    if to.write_all(&again).is_err() {
-                        return end(&from, &to);
+                    let repeated = recent[recent.len().saturating_sub(count)..].to_vec();
+                    if to.write_all(&repeated).is_err() {
+                        return close(&from, &to);
                     }
                 }
             }
         }
-        if !write(&mut to, left, &mut recent) {
-            return end(&from, &to);
+        if !write_and_record(&mut to, remaining, &mut recent) {
+            return close(&from, &to);
         }
-        passed += left.len();
+        forwarded += remaining.len();
     }
-    to.shutdown(Shutdown::Write); // The other direction goes on.
+    to.shutdown(Shutdown::Write); // The other direction stays open.
 }
 
-fn write(to: &mut Stream, bytes: &[u8], recent: &mut Vec<u8>) -> bool {
+fn write_and_record(to: &mut Stream, bytes: &[u8], recent: &mut Vec<u8>) -> bool {
     recent.extend_from_slice(bytes);
     recent.drain(..recent.len().saturating_sub(MAX_REPEATED_BYTES));
     to.write_all(bytes).is_ok()
 }
 
-/// The sender must not notice that nothing arrives: what it writes is read and thrown away.
-fn swallow(mut from: Stream) {
+/// Reads and discards all bytes, so that the sender does not notice that they are not forwarded.
+fn discard(mut from: Stream) {
     let mut buffer = [0; 16 * 1024];
     while matches!(from.read(&mut buffer), Ok(n) if n > 0) {}
 }
 
-fn end(from: &Stream, to: &Stream) {
+fn close(from: &Stream, to: &Stream) {
     from.shutdown(Shutdown::Both);
     to.shutdown(Shutdown::Both);
 }
--- a/crates/testkit/src/register.rs
+++ b/crates/testkit/src/register.rs
@@ -1,6 +1,5 @@
-//! A resource that checks fencing tokens, and a checker of all that it accepted: it accepts a line
-//! whose token is no lower than the highest accepted one, rejects the others, and keeps an exact
-//! log.
+//! A resource that checks fencing tokens, and a check of the lines that it accepted. It accepts a
+//! line whose token is not lower than the highest accepted one, rejects all others and logs both.
 
 use std::collections::BTreeMap;
 use std::io::{BufRead, BufReader, Write};
@@ -9,18 +8,18 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// How long a connection may wait for its line: longer than any pause in a test, as late lines are
-/// what the register is for.
+/// Timeout for receiving the line of a connection: longer than any pause in a test, because the
+/// register has to receive late lines.
 const READ_TIMEOUT: Duration = Duration::from_secs(120);
 
 /// A line that arrived.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Effect {
-    /// When it arrived.
+    /// Time of arrival, after the delay of its node.
     pub at: Instant,
     /// The fencing token.
     pub token: u64,
-    /// The number of the line.
+    /// The line's number, which the node assigned.
     pub number: u64,
     /// The node that sent it.
     pub node: String,
@@ -30,25 +29,25 @@
 
 /// A running register.
 pub struct Register {
-    /// Where it listens.
+    /// Address on which the register listens.
     pub address: SocketAddr,
     log: Arc<Mutex<Vec<Effect>>>,
     delays: Arc<Mutex<BTreeMap<String, Duration>>>,
 }
 
 impl Register {
-    /// A register that has accepted nothing.
+    /// Starts a register with an empty log.
     #[must_use]
     pub fn start() -> Self {
-        let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
-        let address = listener.local_addr().expect("an address");
+        let listener = TcpListener::bind("127.0.0.1:0").expect("bind a loopback socket");
+        let address = listener.local_addr().expect("address of the socket");
         let log: Arc<Mutex<Vec<Effect>>> = Arc::default();
         let delays: Arc<Mutex<BTreeMap<String, Duration>>> = Arc::default();
         let shared = (Arc::clone(&log), Arc::clone(&delays));
         thread::spawn(move || {
             for stream in listener.incoming().map_while(Result::ok) {
                 let (log, delays) = shared.clone();
-                // A connection that ends within its line has no effect.
+                // A connection that closes before the end of its line has no effect.
                 thread::spawn(move || serve_line(stream, &log, &delays));
             }
         });
@@ -60,14 +59,14 @@
     }
 
     /// Delays the lines of a node by this time from now on.
-    pub fn delay(&self, node: &str, time: Duration) {
+    pub fn delay(&self, node: &str, delay: Duration) {
         self.delays
             .lock()
             .unwrap_or_else(PoisonError::into_inner)
-            .insert(node.into(), time);
+            .insert(node.into(), delay);
     }
 
-    /// How many lines were rejected because of their token.
+    /// Number of lines that were rejected because of their token.
     #[must_use]
     pub fn rejected(&self) -> usize {
         self.log()
@@ -76,7 +75,7 @@
             .count()
     }
 
-    /// All lines, in order of arrival.
+    /// All lines that arrived, in order of arrival.
     #[must_use]
     pub fn log(&self) -> Vec<Effect> {
         self.log
@@ -91,22 +90,22 @@
         self.log().into_iter().rfind(|effect| effect.is_accepted)
     }
 
-    /// What is wrong with the accepted lines: two nodes under one token, or a lower token after a
-    /// higher one.
+    /// Describes the first violation among the accepted lines: two nodes under one token, or a
+    /// lower token after a higher one. `None` if there is none.
     #[must_use]
     pub fn violation(&self) -> Option<String> {
         let log = self.log();
         let accepted: Vec<_> = log.iter().filter(|effect| effect.is_accepted).collect();
         accepted.windows(2).find_map(|pair| {
             let [before, after] = pair else { return None };
-            let is_wrong = after.token < before.token
+            let is_violation = after.token < before.token
                 || (after.token == before.token && after.node != before.node);
-            is_wrong.then(|| format!("{after:?} after {before:?}"))
+            is_violation.then(|| format!("{after:?} after {before:?}"))
         })
     }
 }
 
-/// Reads one line, waits for the node's delay, and answers.
+/// Reads one line, waits for the node's delay, logs the line and responds.
 fn serve_line(
     mut stream: TcpStream,
     log: &Mutex<Vec<Effect>>,
--- a/crates/testkit/src/register/tests.rs
+++ b/crates/testkit/src/register/tests.rs
@@ -5,11 +5,15 @@
 fn lower_token_is_rejected_and_shared_token_is_reported() {
     let register = Register::start();
     let send = |line: &str| {
-        let mut stream = TcpStream::connect(register.address).expect("a register");
-        stream.write_all(line.as_bytes()).expect("sent");
-        stream.shutdown(std::net::Shutdown::Write).expect("sent");
+        let mut stream = TcpStream::connect(register.address).expect("connect to the register");
+        stream.write_all(line.as_bytes()).expect("send the line");
+        stream
+            .shutdown(std::net::Shutdown::Write)
+            .expect("close the sending direction");
         let mut response = String::new();
-        stream.read_to_string(&mut response).expect("a response");
+        stream
+            .read_to_string(&mut response)
+            .expect("read the response");
         response
     };
     let responses = [
