--- a/crates/testkit/src/nodes/checker.rs
+++ b/crates/testkit/src/nodes/checker.rs
@@ -1,5 +1,5 @@
-//! Trials under drawn faults, and a checker that knows the fault schedule and the nodes' outputs, and nothing of how they
-//! decide.
+//! Trials under generated faults, and a checker that uses only the fault schedule and the nodes' outputs, independent
+//! of the protocol code.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt;
@@ -9,22 +9,24 @@
 
 use super::{Output, VirtualCluster};
 
-/// For how long after a fault is over a node may be declared dead because of it, in milliseconds: a verdict takes some time,
-/// and so does its dissemination.
+/// Time after the end of a fault during which a node may still be declared dead because of it, in milliseconds: the
+/// detection and the dissemination of a death take time.
 pub const GRACE_MS: f64 = 8_000.0;
-/// Within this time all nodes must agree after the last fault.
+/// Maximum time until all views agree, in milliseconds, counted from the end of the fault schedule plus its maximum
+/// pause.
 pub const CONVERGENCE_MS: f64 = 10_000.0;
-/// A shorter pause must be tolerated.
+/// Minimum duration of a pause for which a node may be declared dead, in milliseconds.
 pub const SUSPICION_TIMEOUT_MS: f64 = 2_500.0;
 
-/// Links that take longer one way are outside the stated bounds: half of a probe interval, so that a refutation arrives
-/// within the probe interval for which a death notice is pending.
+/// One-way delay above which links are outside the guaranteed bounds, in milliseconds: half of a probe interval, so
+/// that a refutation arrives within the probe interval for which a death notice is pending.
 pub const SLOW_LINK_MS: f64 = 250.0;
 
-/// Pauses with a shorter interval count as one: hardly any datagram of the node was received in between.
+/// Minimum interval between separate pauses of a node, in milliseconds. Pauses at a shorter interval count as one,
+/// because hardly any datagram of the node is received between them.
 const MIN_PAUSE_INTERVAL_MS: f64 = 1_000.0;
 
-/// A period.
+/// A period, in milliseconds since the start of the schedule.
 #[derive(Clone, Copy)]
 struct Span {
     start_ms: f64,
@@ -36,30 +38,32 @@
         self.start_ms <= at_ms && at_ms < self.end_ms
     }
 
-    /// Whether a node paused for this long may be declared dead.
+    /// Whether a node that is paused during this period may be declared dead.
     fn exceeds_suspicion_timeout(&self) -> bool {
         self.end_ms - self.start_ms >= SUSPICION_TIMEOUT_MS
     }
 }
 
-/// When which node may be declared dead by which other, by the fault schedule.
+/// Deaths that a fault schedule excuses: which node may be declared dead by which other, and when.
 pub struct ExcusedDeaths {
-    /// By node: when it was down, paused for too long, or partitioned.
+    /// By node: periods in which it was down, paused for at least the suspicion timeout, or partitioned.
     faulty: Vec<Vec<Span>>,
-    /// By node: when it was partitioned from a third of the others or more, or from half of them counting those that were
-    /// down or paused. Then it may declare others dead, as the other side of a partition.
+    /// By node: periods in which it was partitioned from at least a third of its peers, or from at least half of them
+    /// if peers that were down or paused count. It may then declare other nodes dead, as those on the other side of a
+    /// partition.
     partitioned: Vec<Vec<Span>>,
-    /// By node: when it was paused, for however long.
+    /// By node: periods in which it was paused, of any duration.
     pauses: Vec<Vec<Span>>,
-    /// When a quarter of all nodes were down or paused.
+    /// Periods in which at least a quarter of all nodes were down or paused.
     many_unresponsive: Vec<Span>,
-    /// When links were slow beyond the bounds. Then the refutation of what one side of a partition declares, or of what a
-    /// resumed node reads, may arrive too late, and a short pause lasts longer for others.
+    /// Periods in which links were slower than [`SLOW_LINK_MS`]. A refutation of deaths that one side of a partition
+    /// declares, or of death notices that a resumed node reads, may then arrive too late, and other nodes may observe a
+    /// short pause as a longer one.
     slow_links: Vec<Span>,
 }
 
 impl ExcusedDeaths {
-    /// The deaths that a fault schedule excuses in a cluster of this many nodes.
+    /// Determines the deaths that a fault schedule excuses in a cluster of `nodes` nodes.
     #[must_use]
     pub fn new(schedule: &FaultSchedule, nodes: usize) -> Self {
         let mut history = FaultHistory::new(pauses(schedule, nodes));
@@ -80,13 +84,14 @@
         history.finish()
     }
 
-    /// Whether a node may be declared dead by another at a time, until `after_ms` after the end of a fault.
+    /// Whether node `by` may declare `node` dead at a time in milliseconds since the start of the schedule. A fault
+    /// excuses deaths until `grace_ms` after its end.
     #[must_use]
-    pub fn contains(&self, by: NodeId, node: NodeId, at_ms: f64, after_ms: f64) -> bool {
+    pub fn contains(&self, by: NodeId, node: NodeId, at_ms: f64, grace_ms: f64) -> bool {
         let within = |spans: &Vec<Span>| {
             spans
                 .iter()
-                .any(|span| span.start_ms <= at_ms && at_ms <= span.end_ms + after_ms)
+                .any(|span| span.start_ms <= at_ms && at_ms <= span.end_ms + grace_ms)
         };
         let was_paused = || {
             within(&self.pauses[node])
@@ -100,7 +105,7 @@
     }
 }
 
-/// A condition that begins and ends.
+/// A condition: the start of the current period in which it holds, if it does, and its earlier periods.
 #[derive(Clone, Default)]
 struct Condition {
     since_ms: Option<f64>,
@@ -127,7 +132,8 @@
     }
 }
 
-/// When each node was paused. Pauses in quick succession are one, and a pause within another does not shorten it.
+/// Periods in which each node was paused. Pauses in quick succession count as one, and a pause during another one does
+/// not shorten it.
 fn pauses(schedule: &FaultSchedule, nodes: usize) -> Vec<Vec<Span>> {
     let mut pauses: Vec<Vec<Span>> = vec![Vec::new(); nodes];
     for ScheduledFault { at_ms, fault } in &schedule.faults {
@@ -148,7 +154,7 @@
     pauses
 }
 
-/// The faults in effect while a schedule is followed, and the periods of those before.
+/// The faults in effect at a time of a schedule, and the periods of earlier ones.
 struct FaultHistory {
     pauses: Vec<Vec<Span>>,
     down: Vec<Condition>,
@@ -221,7 +227,8 @@
             .filter(|pause| pause.exceeds_suspicion_timeout())
     }
 
-    /// How many peers a node cannot reach, or cannot be reached by, whichever is more.
+    /// Number of peers that a node cannot reach, or number of those that cannot reach it, whichever is greater.
+    /// Unresponsive peers count as unreachable in both directions.
     fn unreachable_peers(&self, node: NodeId, unresponsive: &[bool]) -> usize {
         let peers = || (0..self.pauses.len()).filter(|peer| *peer != node);
         let is_cut = |from, to| self.cut_links.contains(&(from, to));
@@ -254,29 +261,29 @@
     }
 }
 
-/// A guarantee that a trial found broken.
+/// A violation of the membership guarantees that a trial detected.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Violation {
-    /// The views did not agree in time after the last fault. Describes one that was wrong.
+    /// The views did not agree in time after the last fault. Describes a wrong entry of a view.
     Disagreement(String),
     /// A node was declared dead without a fault that excuses it.
     UnexcusedDeath {
         /// The name of the dead node.
         name: String,
-        /// Who declared it dead.
+        /// The node that declared it dead.
         by: NodeId,
-        /// When, in milliseconds since the schedule began.
+        /// Time, in milliseconds since the start of the schedule.
         at_ms: f64,
     },
     /// A dead node was accepted as alive again without a later incarnation.
     Resurrection {
-        /// The name of the node.
+        /// The name of the dead node.
         name: String,
-        /// Who accepted it.
+        /// The node that accepted it as alive.
         by: NodeId,
-        /// When, in milliseconds of the simulation.
+        /// Simulation time, in milliseconds.
         at_ms: f64,
-        /// The incarnation in which it was dead already.
+        /// The accepted incarnation, which is not later than the dead one.
         incarnation: u64,
     },
     /// A datagram exceeded `gossip::MAX_DATAGRAM_BYTES`.
@@ -289,7 +296,7 @@
             Self::Disagreement(what) => f.write_str(what),
             Self::UnexcusedDeath { name, by, at_ms } => write!(
                 f,
-                "{name} was declared dead by n{by} at {at_ms:.0} without a fault"
+                "{name} was declared dead by n{by} at {at_ms:.0} ms without a fault"
             ),
             Self::Resurrection {
                 name,
@@ -298,9 +305,9 @@
                 incarnation,
             } => write!(
                 f,
-                "{name} came back to n{by} at {at_ms:.0} as incarnation {incarnation} again"
+                "{name} was accepted as alive again by n{by} at {at_ms:.0} ms in old incarnation {incarnation}"
             ),
-            Self::OversizedDatagram => write!(f, "a datagram is too long"),
+            Self::OversizedDatagram => write!(f, "a datagram exceeds the maximum size"),
         }
     }
 }
@@ -310,11 +317,11 @@
 pub struct TrialError {
     /// The seed of the cluster and of its schedule.
     pub seed: u64,
-    /// How many nodes there were.
+    /// Number of nodes.
     pub nodes: usize,
-    /// What was wrong.
+    /// The violation.
     pub violation: Violation,
-    /// The faults that led to it.
+    /// The fault schedule of the trial.
     pub schedule: FaultSchedule,
 }
 
@@ -332,10 +339,10 @@
 
 impl std::error::Error for TrialError {}
 
-/// A dead node that was accepted as alive again without a later incarnation.
-fn resurrection(cluster: &VirtualCluster) -> Option<Violation> {
+/// Finds a dead node that was accepted as alive again without a later incarnation.
+fn find_resurrection(cluster: &VirtualCluster) -> Option<Violation> {
     let mut dead = BTreeMap::new();
-    for (by, at, output) in cluster.outputs() {
+    for (by, output_ms, output) in cluster.outputs() {
         let Output::Change(change) = output else {
             continue;
         };
@@ -348,12 +355,12 @@
                 if change.from.is_some()
                     && dead
                         .get(&key)
-                        .is_some_and(|held| change.incarnation <= *held) =>
+                        .is_some_and(|known| change.incarnation <= *known) =>
             {
                 return Some(Violation::Resurrection {
                     name: change.name,
                     by,
-                    at_ms: at,
+                    at_ms: output_ms,
                     incarnation: change.incarnation,
                 });
             }
@@ -365,30 +372,30 @@
     None
 }
 
-/// The result of a trial in which nothing was wrong.
+/// Result of a trial without a violation.
 pub struct TrialOutcome {
-    /// How long after the last fault all nodes agreed, in milliseconds.
+    /// Time from the end of the fault schedule until all views agreed, in milliseconds.
     pub convergence_ms: f64,
-    /// Deaths that were declared, all of them excused.
+    /// Number of declarations of death, all of them excused.
     pub deaths: usize,
 }
 
-/// Runs a drawn fault schedule and checks the outputs.
+/// Runs a cluster under the fault schedule of a seed and checks the nodes' outputs.
 ///
 /// # Errors
 ///
-/// A guarantee was broken.
+/// Returns the violation, with the schedule, if a guarantee was broken.
 pub fn run_trial(
     seed: u64,
     limits: ScheduleLimits,
-    fault: InjectedFault,
+    injected_fault: InjectedFault,
 ) -> Result<TrialOutcome, TrialError> {
     let schedule = FaultSchedule::generate(seed, limits);
     let mut cluster = VirtualCluster::new(seed, limits.nodes);
-    cluster.injected_fault = fault;
+    cluster.injected_fault = injected_fault;
     cluster.start_all(1_000.0);
     cluster.run(12_000.0);
-    let start = cluster.simulation.now_ms();
+    let schedule_start_ms = cluster.simulation.now_ms();
     cluster.apply_schedule(&schedule);
     let fail = |violation| {
         Err(TrialError {
@@ -400,10 +407,10 @@
     };
     let schedule_end_ms = cluster.simulation.now_ms();
     let convergence_ms = loop {
-        let passed = cluster.simulation.now_ms() - schedule_end_ms;
+        let elapsed_ms = cluster.simulation.now_ms() - schedule_end_ms;
         match cluster.disagreement() {
-            None => break passed,
-            Some(error) if passed >= CONVERGENCE_MS + limits.max_pause_ms => {
+            None => break elapsed_ms,
+            Some(error) if elapsed_ms >= CONVERGENCE_MS + limits.max_pause_ms => {
                 return fail(Violation::Disagreement(error))
             }
             Some(_) => cluster.run(100.0),
@@ -411,21 +418,21 @@
     };
     cluster.run(5_000.0);
     let excused_deaths = ExcusedDeaths::new(&schedule, limits.nodes);
-    let deaths = cluster.deaths_since(start);
-    for (by, at, name) in &deaths {
-        let Some(node) = cluster.names.iter().position(|held| held == name) else {
+    let deaths = cluster.deaths_since(schedule_start_ms);
+    for (by, death_ms, name) in &deaths {
+        let Some(node) = cluster.names.iter().position(|known| known == name) else {
             continue;
         };
-        let at = at - start;
-        if !excused_deaths.contains(*by, node, at, GRACE_MS) {
+        let since_start_ms = death_ms - schedule_start_ms;
+        if !excused_deaths.contains(*by, node, since_start_ms, GRACE_MS) {
             return fail(Violation::UnexcusedDeath {
                 name: name.clone(),
                 by: *by,
-                at_ms: at,
+                at_ms: since_start_ms,
             });
         }
     }
-    if let Some(violation) = resurrection(&cluster) {
+    if let Some(violation) = find_resurrection(&cluster) {
         return fail(violation);
     }
     if cluster.simulation.totals().max_datagram_bytes > gossip::MAX_DATAGRAM_BYTES {
@@ -437,7 +444,7 @@
     })
 }
 
-/// The limits of a seed's fault schedule.
+/// Limits of the fault schedule that is generated from a seed.
 #[must_use]
 pub fn schedule_limits(seed: u64, max_nodes: usize) -> ScheduleLimits {
     let nodes = 5 + (seed as usize * 7) % (max_nodes - 4);
--- a/crates/testkit/src/nodes/mod.rs
+++ b/crates/testkit/src/nodes/mod.rs
@@ -1,4 +1,5 @@
-//! A cluster of gossip nodes in virtual time, and a checker that goes by the fault schedule and the nodes' observable output.
+//! A simulated cluster of gossip nodes, and a checker that relies on the fault schedule and the nodes' observable
+//! outputs.
 
 pub mod checker;
 
@@ -25,29 +26,30 @@
 pub struct Node {
     /// The state machine.
     pub gossip: Gossip,
-    /// Its outputs, with the simulation's time in milliseconds.
+    /// The node's outputs, each with its simulation time in milliseconds.
     pub outputs: Vec<(f64, Output)>,
     clock: Clock,
     peers: Vec<NodeId>,
+    /// Whether the process has not been woken yet.
     is_new: bool,
 }
 
 impl Node {
     fn execute(&mut self, local_ms: f64, actions: Vec<Action>, outbox: &mut Outbox) {
-        let at = (local_ms - self.clock.offset_ms) / (1.0 + self.clock.drift);
+        let at_ms = (local_ms - self.clock.offset_ms) / (1.0 + self.clock.drift);
         for action in actions {
             match action {
                 Action::Send { to, bytes } => outbox.send(to, bytes),
-                Action::WakeAt(at) => outbox.wake_at(at),
-                Action::Changed(change) => self.outputs.push((at, Output::Change(change))),
-                Action::Health(health) => self.outputs.push((at, Output::Health(health))),
-                Action::Log(event) => self.outputs.push((at, Output::Log(event))),
+                Action::WakeAt(wake_at_ms) => outbox.wake_at(wake_at_ms),
+                Action::Changed(change) => self.outputs.push((at_ms, Output::Change(change))),
+                Action::Health(health) => self.outputs.push((at_ms, Output::Health(health))),
+                Action::Log(event) => self.outputs.push((at_ms, Output::Log(event))),
                 Action::Payload { .. } => {}
             }
         }
     }
 
-    /// Handles an event at the local time of its clock.
+    /// Handles an event at a local time of the node's clock, in milliseconds.
     pub fn handle(&mut self, local_ms: f64, event: Event<'_>, outbox: &mut Outbox) {
         let mut actions = Vec::new();
         self.gossip.handle(local_ms, event, &mut actions);
@@ -74,7 +76,7 @@
 /// The shared key of the cluster.
 pub const KEY: &[u8] = b"0123456789abcdef";
 
-/// A cluster in virtual time.
+/// A cluster of gossip nodes in virtual time.
 pub struct VirtualCluster {
     /// The simulation that runs the nodes.
     pub simulation: Simulation<Node>,
@@ -82,20 +84,20 @@
     pub seed: u64,
     /// The nodes' names.
     pub names: Vec<String>,
-    /// The nodes' clocks, from their next start on.
+    /// The nodes' clocks. A change takes effect at the node's next start.
     pub clocks: Vec<Clock>,
-    /// The protocol fault that is injected into them.
+    /// The fault injected into the nodes' protocol code. A change takes effect at a node's next start.
     pub injected_fault: InjectedFault,
-    /// Their cluster keys, from the next start on.
+    /// The nodes' cluster keys. A change takes effect at the node's next start.
     pub keys: Vec<ClusterKey>,
-    /// Processes started so far.
-    starts: u64,
+    /// Number of processes started so far.
+    started_processes: u64,
     /// Outputs of processes that have ended.
     ended_outputs: Vec<(NodeId, f64, Output)>,
 }
 
 impl VirtualCluster {
-    /// A cluster of `nodes` nodes, none of them started.
+    /// Creates a cluster of `nodes` nodes, none of which is started.
     #[must_use]
     pub fn new(seed: u64, nodes: usize) -> Self {
         Self {
@@ -105,12 +107,12 @@
             clocks: vec![Clock::default(); nodes],
             injected_fault: InjectedFault::None,
             keys: vec![ClusterKey::new("holds", KEY); nodes],
-            starts: 0,
+            started_processes: 0,
             ended_outputs: Vec::new(),
         }
     }
 
-    /// A cluster whose nodes were started within a second, ten seconds later.
+    /// Creates a cluster, starts its nodes within a second and then runs it for ten seconds.
     #[must_use]
     pub fn started(seed: u64, nodes: usize) -> Self {
         let mut cluster = Self::new(seed, nodes);
@@ -119,7 +121,7 @@
         cluster
     }
 
-    /// Starts all nodes at equal intervals within a time.
+    /// Starts all nodes at equal intervals within this time.
     pub fn start_all(&mut self, within_ms: f64) {
         let nodes = self.names.len();
         for node in 0..nodes {
@@ -128,16 +130,16 @@
         }
     }
 
-    /// Starts a process on a node, which ends the one that runs there.
+    /// Starts a process on a node. A process that already runs there is killed.
     pub fn start(&mut self, node: NodeId) {
         self.start_with_incarnation(node, self.simulation.now_ms() as u64 + 1_000_000);
     }
 
-    /// Starts a process with this first incarnation, as from a wall clock that may be wrong.
+    /// Starts a process with this initial incarnation, for example one taken from a wrong wall clock.
     pub fn start_with_incarnation(&mut self, node: NodeId, incarnation: u64) {
-        self.keep_outputs(node);
-        self.starts += 1;
-        let mut rng = fastrand::Rng::with_seed(self.seed ^ (self.starts << 20));
+        self.save_outputs(node);
+        self.started_processes += 1;
+        let mut rng = fastrand::Rng::with_seed(self.seed ^ (self.started_processes << 20));
         self.simulation.set_clock(node, self.clocks[node]);
         let process = rng.u64(1..);
         let mut settings = Settings::new(
@@ -162,33 +164,34 @@
         );
     }
 
-    fn keep_outputs(&mut self, node: NodeId) {
+    /// Saves the outputs of a process that is about to end.
+    fn save_outputs(&mut self, node: NodeId) {
         if let Some(process) = self.simulation.process(node) {
             self.ended_outputs.extend(
                 process
                     .outputs
                     .iter()
-                    .map(|(at, output)| (node, *at, output.clone())),
+                    .map(|(at_ms, output)| (node, *at_ms, output.clone())),
             );
         }
     }
 
     /// Kills a node's process.
     pub fn kill(&mut self, node: NodeId) {
-        self.keep_outputs(node);
+        self.save_outputs(node);
         self.simulation.kill(node);
     }
 
-    /// Runs for some milliseconds.
+    /// Runs the simulation for this time, in milliseconds.
     pub fn run(&mut self, ms: f64) {
         self.simulation.run_until(self.simulation.now_ms() + ms);
     }
 
-    /// Applies a fault schedule, whose times count from now.
+    /// Runs a fault schedule, whose times are relative to now.
     pub fn apply_schedule(&mut self, schedule: &FaultSchedule) {
-        let start = self.simulation.now_ms();
+        let start_ms = self.simulation.now_ms();
         for scheduled in &schedule.faults {
-            self.simulation.run_until(start + scheduled.at_ms);
+            self.simulation.run_until(start_ms + scheduled.at_ms);
             match &scheduled.fault {
                 Fault::Start { node } if self.simulation.process(*node).is_some() => {}
                 Fault::Start { node } => self.start(*node),
@@ -208,12 +211,12 @@
         self.simulation.apply(&Fault::HealAll);
     }
 
-    /// Cuts a link one way.
+    /// Cuts the link from one node to another. The other direction is not affected.
     pub fn cut(&mut self, from: NodeId, to: NodeId) {
         self.simulation.apply(&Fault::Cut { from, to });
     }
 
-    /// Partitions the cluster: cuts all links between nodes of different sides.
+    /// Partitions the cluster: repairs all links, then cuts those between nodes of different sides.
     pub fn partition(&mut self, side: impl Fn(NodeId) -> usize) {
         self.heal();
         for from in 0..self.names.len() {
@@ -223,11 +226,11 @@
         }
     }
 
-    /// A node's view: state and incarnation by name.
+    /// A node's view of the cluster: the state and incarnation of each member, by name.
     ///
     /// # Panics
     ///
-    /// The node is not running.
+    /// Panics if the node is not running.
     #[must_use]
     pub fn view(&self, of: NodeId) -> BTreeMap<String, (State, u64)> {
         let process = self.simulation.process(of).expect("the node is running");
@@ -250,7 +253,7 @@
     ///
     /// # Panics
     ///
-    /// The node is not running.
+    /// Panics if the node is not running.
     #[must_use]
     pub fn health(&self, of: NodeId) -> Health {
         self.simulation
@@ -264,7 +267,7 @@
     ///
     /// # Panics
     ///
-    /// The node is not running.
+    /// Panics if the node is not running.
     #[must_use]
     pub fn metrics(&self, of: NodeId) -> Metrics {
         self.simulation
@@ -274,32 +277,38 @@
             .metrics()
     }
 
-    /// A node whose view is wrong, and about which other: all running nodes must be alive, in their incarnation, and all
-    /// others dead or left. `None` if there is none.
+    /// Describes a wrong entry in the view of a running node, or returns `None` if there is none. In each view, all
+    /// running nodes must be alive in their own incarnation, and all other nodes must be dead, left or absent. A paused
+    /// node does not count as running.
     #[must_use]
     pub fn disagreement(&self) -> Option<String> {
-        let up: Vec<_> = (0..self.names.len())
+        let running: Vec<_> = (0..self.names.len())
             .filter(|node| self.simulation.is_up(*node))
             .collect();
-        let views: BTreeMap<_, _> = up.iter().map(|node| (*node, self.view(*node))).collect();
-        for (of, view) in &views {
+        let views: BTreeMap<_, _> = running
+            .iter()
+            .map(|node| (*node, self.view(*node)))
+            .collect();
+        for (observer, view) in &views {
             for node in 0..self.names.len() {
-                let held = view.get(&self.names[node]);
-                let own = views
+                let entry = view.get(&self.names[node]);
+                let own_incarnation = views
                     .get(&node)
-                    .and_then(|own| own.get(&self.names[node]))
-                    .map(|(_, at)| *at);
-                let is_right = match (own, held) {
-                    (Some(own), Some((state, at))) => *state == State::Alive && *at == own,
+                    .and_then(|own_view| own_view.get(&self.names[node]))
+                    .map(|(_, incarnation)| *incarnation);
+                let is_correct = match (own_incarnation, entry) {
+                    (Some(own_incarnation), Some((state, incarnation))) => {
+                        *state == State::Alive && *incarnation == own_incarnation
+                    }
                     (Some(_), None) => false,
-                    (None, held) => {
-                        held.is_none_or(|(state, _)| matches!(state, State::Dead | State::Left))
+                    (None, entry) => {
+                        entry.is_none_or(|(state, _)| matches!(state, State::Dead | State::Left))
                     }
                 };
-                if !is_right {
-                    let (of, node) = (&self.names[*of], &self.names[node]);
+                if !is_correct {
+                    let (observer, node) = (&self.names[*observer], &self.names[node]);
                     return Some(format!(
-                        "{of} has {node} as {held:?}, whose own incarnation is {own:?}"
+                        "{observer} has {node} as {entry:?}, actual incarnation {own_incarnation:?}"
                     ));
                 }
             }
@@ -307,56 +316,67 @@
         None
     }
 
-    /// Runs until all views agree, and returns how long it took.
+    /// Runs until all views agree, and returns the time that this took, in milliseconds.
     ///
     /// # Panics
     ///
-    /// They do not within `ms`.
-    pub fn agree_within(&mut self, ms: f64) -> f64 {
-        let start = self.simulation.now_ms();
+    /// Panics if the views do not agree within `timeout_ms`.
+    pub fn agree_within(&mut self, timeout_ms: f64) -> f64 {
+        let start_ms = self.simulation.now_ms();
         loop {
-            let passed = self.simulation.now_ms() - start;
+            let elapsed_ms = self.simulation.now_ms() - start_ms;
             let Some(error) = self.disagreement() else {
-                return passed;
+                return elapsed_ms;
             };
             assert!(
-                passed < ms,
-                "seed {}: no agreement after {passed} ms: {error}",
+                elapsed_ms < timeout_ms,
+                "seed {}: no agreement after {elapsed_ms} ms: {error}",
                 self.seed
             );
             self.run(50.0);
         }
     }
 
-    /// All outputs in order of time, with node and time; also those of processes that have ended.
+    /// All outputs in order of time, each with its node and its simulation time in milliseconds. Includes those of
+    /// processes that have ended.
     #[must_use]
     pub fn outputs(&self) -> Vec<(NodeId, f64, Output)> {
-        let now =
+        let running =
             (0..self.names.len()).filter_map(|node| Some((node, self.simulation.process(node)?)));
-        let now = now.flat_map(|(node, process)| {
+        let current_outputs = running.flat_map(|(node, process)| {
             process
                 .outputs
                 .iter()
-                .map(move |(at, output)| (node, *at, output.clone()))
+                .map(move |(at_ms, output)| (node, *at_ms, output.clone()))
         });
-        let mut all: Vec<_> = self.ended_outputs.iter().cloned().chain(now).collect();
+        let mut all: Vec<_> = self
+            .ended_outputs
+            .iter()
+            .cloned()
+            .chain(current_outputs)
+            .collect();
         all.sort_by(|(_, a, _), (_, b, _)| a.total_cmp(b));
         all
     }
 
-    /// Which nodes were declared dead since a time: by which node, when, and the name.
+    /// Declarations of death since a simulation time: the declaring node, the time in milliseconds and the name of the
+    /// dead node.
     #[must_use]
     pub fn deaths_since(&self, since_ms: f64) -> Vec<(NodeId, f64, String)> {
-        let death = |(by, at, output): (NodeId, f64, Output)| match output {
-            Output::Change(change) if change.to == State::Dead && at >= since_ms => {
-                Some((by, at, change.name))
+        let death = |(by, at_ms, output): (NodeId, f64, Output)| match output {
+            Output::Change(change) if change.to == State::Dead && at_ms >= since_ms => {
+                Some((by, at_ms, change.name))
             }
             _ => None,
         };
         self.outputs().into_iter().filter_map(death).collect()
     }
 
-    /// The log events of a node's process.
+    /// The log events of the process that runs on a node.
+    ///
+    /// # Panics
+    ///
+    /// Panics if the node is not running.
     #[must_use]
     pub fn log_events(&self, of: NodeId) -> Vec<LogEvent> {
         let log_event = |(_, output): &(f64, Output)| match output {
