--- a/crates/testkit/src/lease_simulation.rs
+++ b/crates/testkit/src/lease_simulation.rs
@@ -197,7 +197,7 @@
         }
     }
 
-    /// Makes a node reload its operators' file, if it is running.
+    /// Makes a node reload its operators' file, unless it is down or paused.
     ///
     /// # Errors
     ///
--- a/crates/testkit/src/lease_simulation/node.rs
+++ b/crates/testkit/src/lease_simulation/node.rs
@@ -42,11 +42,11 @@
     pub effects_disabled: bool,
     /// Number of published effects that nodes accepted.
     pub accepted_effects: u64,
-    /// Effects that have not arrived yet.
+    /// Repeated effects that have not arrived at the register yet.
     pub delayed: Vec<DelayedEffect>,
 }
 
-/// A simulated node.
+/// A simulated node with a lease manager.
 pub struct Node {
     pub(super) leases: LeaseManager,
     pub(super) process_id: u64,
--- a/crates/testkit/src/link.rs
+++ b/crates/testkit/src/link.rs
@@ -15,7 +15,7 @@
 /// A fault at a byte of a stream.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Fault {
-    /// Both ends are shut down in order before this byte is forwarded.
+    /// Both ends are closed gracefully before this byte is forwarded.
     Cut,
     /// Neither this byte nor any later one is forwarded, and both ends stay open.
     Stall,
@@ -109,7 +109,7 @@
                 if plans.0 .1 || plans.1 .1 {
                     continue;
                 }
-                // The target refuses connections: the accepted one is closed, as if it had been refused, too.
+                // The target refuses connections: the accepted one is closed, as if it had been refused as well.
                 let Ok(far) = Stream::connect(&to) else {
                     continue;
                 };
@@ -156,7 +156,9 @@
 
 /// The two ends of a connection, shared by the threads of both directions and dropped when both have ended.
 struct Ends {
+    /// The connection from the client.
     near: Stream,
+    /// The connection to the target.
     far: Stream,
 }
 
--- a/crates/testkit/src/link/tests.rs
+++ b/crates/testkit/src/link/tests.rs
@@ -23,7 +23,7 @@
     let mut bytes = Vec::new();
     server
         .read_to_end(&mut bytes)
-        .expect("the connection is closed in order");
+        .expect("read until the connection is closed gracefully");
     bytes
 }
 
