--- a/crates/testkit/src/bin/fake-consul.rs
+++ b/crates/testkit/src/bin/fake-consul.rs
@@ -1,7 +1,9 @@
-//! The fake Consul agent by itself, for experiments: `cargo run -p testkit --bin fake-consul -- 127.0.0.1:8500`.
+//! Runs the fake Consul agent as a program, for experiments:
+//! `cargo run -p testkit --bin fake-consul -- 127.0.0.1:8500`.
 //!
-//! It accepts registrations by the agent API, and faults as lines on standard input: `lag 500`, `vanish`, `back`,
-//! `status 500`, `never`, `leader off`, `sound`.
+//! It accepts registrations through the agent API, and commands as lines on standard input: `lag 500` (milliseconds),
+//! `vanish` and `back` (unreachable and reachable again), and the faults `status 500`, `never` and `leader off`, which
+//! `sound` ends.
 
 use std::io::BufRead;
 use std::time::Duration;
@@ -14,8 +16,9 @@
         .unwrap_or_else(|| "127.0.0.1:8500".into());
     let consul = address
         .parse()
-        .map_err(|_| "it is not an address".to_owned());
-    let consul = match consul.and_then(|at| Consul::start_at(at).map_err(|error| error.to_string()))
+        .map_err(|_| "not an IP address with a port".to_owned());
+    let consul = match consul
+        .and_then(|address| Consul::start_at(address).map_err(|error| error.to_string()))
     {
         Ok(consul) => consul,
         Err(error) => {
@@ -35,10 +38,10 @@
             ["leader", "off"] => consul.set_fault(Fault::NoLeader),
             ["sound"] => consul.set_fault(Fault::None),
             [] => {}
-            other => println!("not understood: {other:?}"),
+            other => println!("unknown command: {other:?}"),
         }
     }
-    // The end of the input does not end the agent: it may have been started in the background.
+    // The agent keeps running after the end of its input: a background process may have none.
     loop {
         std::thread::park();
     }
--- a/crates/testkit/src/consul/catalog.rs
+++ b/crates/testkit/src/consul/catalog.rs
@@ -1,4 +1,4 @@
-//! The fake agent's catalog: instances, their JSON in both APIs, and edits.
+//! The fake agent's catalog: service instances, their JSON in the health and the catalog API, and edits.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -9,26 +9,26 @@
 /// An instance of a service.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Instance {
-    /// The service's id.
+    /// Service ID.
     pub id: String,
-    /// The service's name.
+    /// Service name.
     pub service: String,
-    /// Where it listens.
+    /// Address that it listens on.
     pub address: SocketAddr,
-    /// Its tags.
+    /// Service tags.
     pub tags: Vec<String>,
-    /// Its metadata.
+    /// Service metadata.
     pub meta: BTreeMap<String, String>,
-    /// Its weights while it passes and while it warns.
+    /// Weights in the states passing and warning.
     pub weights: (u32, u32),
-    /// Its checks: id and status.
+    /// Status of each check, by check ID.
     pub checks: BTreeMap<String, String>,
     create_index: u64,
     modify_index: u64,
 }
 
 impl Instance {
-    /// An instance with one check that passes.
+    /// Creates an instance with one passing check.
     #[must_use]
     pub fn new(service: &str, id: &str, address: SocketAddr) -> Self {
         Self {
@@ -103,7 +103,7 @@
     })
 }
 
-/// An instance with its JSON, which is built once.
+/// An instance with its JSON for each API, which is built once.
 #[derive(Debug)]
 pub(super) struct RegisteredInstance {
     pub instance: Instance,
@@ -111,10 +111,10 @@
     pub catalog: String,
 }
 
-/// The catalog at an index.
+/// A version of the catalog.
 #[derive(Clone, Debug, Default)]
 pub struct Catalog {
-    /// The index.
+    /// Index that responses report in `X-Consul-Index`.
     pub index: u64,
     pub(super) instances: BTreeMap<String, Arc<RegisteredInstance>>,
 }
@@ -126,7 +126,7 @@
         Self { index, ..self }
     }
 
-    /// The instances.
+    /// All instances, in the order of their IDs.
     pub fn instances(&self) -> impl Iterator<Item = &Instance> {
         self.instances
             .values()
@@ -134,14 +134,15 @@
     }
 }
 
-/// Edits a catalog, within one index.
+/// Editor of a catalog; all its edits get the index of that catalog.
 pub struct CatalogEditor<'a>(pub(super) &'a mut Catalog);
 
 impl CatalogEditor<'_> {
-    /// Adds an instance, or replaces the one of the same id.
+    /// Adds an instance, or replaces the one with the same ID.
     pub fn put(&mut self, mut instance: Instance) {
-        let before = self.0.instances.get(&instance.id);
-        instance.create_index = before.map_or(self.0.index, |before| before.instance.create_index);
+        let previous = self.0.instances.get(&instance.id);
+        instance.create_index =
+            previous.map_or(self.0.index, |previous| previous.instance.create_index);
         instance.modify_index = self.0.index;
         let (health, catalog) = (instance.health_json(), instance.catalog_json());
         let id = instance.id.clone();
@@ -185,7 +186,7 @@
     }
 }
 
-/// The instance in a registration of the agent API; `None` if it is invalid.
+/// Parses a service registration of the agent API; `None` if it is invalid.
 pub(super) fn parse_registration(body: &Value) -> Option<Instance> {
     let name = body["Name"].as_str()?;
     let id = body["ID"].as_str().unwrap_or(name);
--- a/crates/testkit/src/consul/http.rs
+++ b/crates/testkit/src/consul/http.rs
@@ -1,4 +1,4 @@
-//! HTTP as Consul writes and reads it: headers, durations, percent-encoding.
+//! HTTP details of Consul's API: response headers, durations, percent-encoding, and faulty responses.
 
 use std::io::Write;
 use std::net::TcpStream;
@@ -8,10 +8,11 @@
 use super::catalog::RegisteredInstance;
 use super::Fault;
 
-/// Pieces of a response without an end: some hundred MB. A client that receives them all fails its test.
+/// Maximum number of pieces of an endless response, some hundred MB in total. A client that receives all of them fails
+/// its test.
 const MAX_PIECES: usize = 10_000;
 
-/// The headers of a response.
+/// Returns the headers of a response, as changed by the fault.
 pub(super) fn headers(fault: &Fault, index: u64) -> String {
     let index = if let Fault::Index(index) = fault {
         *index
@@ -77,19 +78,19 @@
     String::from_utf8_lossy(&bytes).into_owned()
 }
 
-/// Writes a response up to a position of its body, which is never complete.
+/// Writes a response whose body is truncated at a position, and always lacks at least its last byte.
 pub(super) fn write_truncated(stream: &mut TcpStream, headers: &str, body: &str, at: usize) {
     let head = format!(
         "HTTP/1.1 200 OK\r\n{headers}Content-Length: {}\r\n\r\n",
         body.len()
     );
     let part = &body.as_bytes()[..at.min(body.len().saturating_sub(1))];
-    // The connection is closed either way.
+    // The caller closes the connection in any case.
     let _ = stream.write_all(head.as_bytes());
     let _ = stream.write_all(part);
 }
 
-/// Writes a response that repeats one instance until the client closes the connection.
+/// Writes a response that repeats one instance until the client closes the connection, or [`MAX_PIECES`] are written.
 pub(super) fn write_endless(
     stream: &mut TcpStream,
     headers: &str,
--- a/crates/testkit/src/consul/mod.rs
+++ b/crates/testkit/src/consul/mod.rs
@@ -1,10 +1,11 @@
-//! A fake Consul agent, written from the published HTTP API pages. It holds one catalog in memory, answers blocking
-//! queries, and lags, responds wrongly, loses its data and becomes unreachable on request.
+//! A fake Consul agent, written from Consul's published HTTP API documentation. It keeps one catalog in memory and
+//! answers blocking queries. On request it lags, responds incorrectly, loses its data or becomes unreachable.
 //!
-//! What it implements: `/v1/health/service/:name` (with `passing`), `/v1/catalog/service/:name`, `/v1/catalog/services`,
+//! It implements `/v1/health/service/:name` (with `passing`), `/v1/catalog/service/:name`, `/v1/catalog/services`,
 //! `/v1/status/leader`, `/v1/agent/self`, and of the agent API `service/register`, `service/deregister/:id`,
-//! `service/maintenance/:id`, `maintenance` and `check/update/:id`. Of the query parameters `index`, `wait`, `tag`,
-//! `stale`, `consistent` and `cached`; others are ignored. One node, one datacenter, no ACLs but one token.
+//! `service/maintenance/:id`, `maintenance` and `check/update/:id`. It evaluates the query parameters `index`,
+//! `wait`, `tag` and `passing`, and ignores all others, such as `stale`, `consistent` and `cached`. It has one node,
+//! one datacenter, and no ACLs except a single token.
 
 mod catalog;
 mod http;
@@ -28,58 +29,58 @@
 
 pub use catalog::{Catalog, CatalogEditor, Instance};
 
-/// Versions of the catalog that are kept for an agent that lags.
+/// Maximum number of catalog versions kept for an agent that lags.
 const MAX_VERSIONS: usize = 4_096;
-/// How often an agent that lags checks whether a later version is due.
+/// Interval at which an agent that lags checks whether a later version has become visible.
 const LAG_POLL_INTERVAL: Duration = Duration::from_millis(5);
 
-/// What an agent does to its responses.
+/// A fault in the responses to queries for service instances.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub enum Fault {
-    /// Nothing.
+    /// No fault.
     #[default]
     None,
-    /// It responds with this status.
+    /// Responds with this status.
     Status(u16),
-    /// It closes the connection after so many bytes of the body.
+    /// Closes the connection after this many bytes of the body.
     Truncate(usize),
-    /// It reads the query and never responds.
+    /// Reads the query and never responds.
     Never,
-    /// Its response has no end.
+    /// Responds with a body that does not end.
     Endless,
-    /// Its response has this body.
+    /// Responds with this body.
     Body(String),
-    /// It responds at once, whatever the index.
+    /// Responds at once, whatever index the query blocks on.
     Immediate,
-    /// It returns this index.
+    /// Returns this index in place of the catalog's.
     Index(u64),
-    /// It knows no leader.
+    /// Reports that the cluster has no known leader.
     NoLeader,
-    /// It was in contact with the leader so many milliseconds ago.
+    /// Reports that its last contact with the leader was this many milliseconds ago.
     LastContact(u64),
-    /// It responds from a cache of this age, in seconds.
+    /// Reports that the response comes from a cache and has this age, in seconds.
     Cached(u64),
 }
 
 /// A response that was written completely.
 #[derive(Clone, Debug, PartialEq)]
 pub struct RecordedResponse {
-    /// Before its first byte was written.
+    /// Time just before its first byte was written.
     pub started_at: Instant,
-    /// After its last byte was written.
+    /// Time just after its last byte was written.
     pub completed_at: Instant,
-    /// The index of its catalog.
+    /// Index of the catalog that it was built from.
     pub index: u64,
-    /// The ids of the instances in maintenance mode.
+    /// IDs of its instances in maintenance mode.
     pub draining: Vec<String>,
-    /// The ids of the others.
+    /// IDs of its instances that are not in maintenance mode.
     pub not_draining: Vec<String>,
 }
 
-/// A fake agent. Clones are handles to the same one.
+/// A fake Consul agent. Clones are handles to the same agent.
 #[derive(Clone)]
 pub struct Consul {
-    /// Where it listens.
+    /// Address that it listens on.
     pub address: SocketAddr,
     shared: Arc<(Mutex<State>, Condvar)>,
 }
@@ -88,14 +89,14 @@
     /// Starts an agent with an empty catalog on a free port.
     #[must_use]
     pub fn start() -> Self {
-        Self::start_at(([127, 0, 0, 1], 0).into()).expect("a port")
+        Self::start_at(([127, 0, 0, 1], 0).into()).expect("bind a loopback socket")
     }
 
     /// Starts an agent at an address.
     ///
     /// # Errors
     ///
-    /// It cannot listen there.
+    /// If the address cannot be bound.
     pub fn start_at(address: SocketAddr) -> std::io::Result<Self> {
         let listener = TcpListener::bind(address)?;
         let address = listener.local_addr()?;
@@ -120,8 +121,8 @@
                 if serving.state().is_unreachable {
                     continue; // Dropping the stream closes it.
                 }
-                let copy = stream.try_clone().expect("a socket");
-                serving.state().connections.push(copy);
+                let handle = stream.try_clone().expect("duplicate a socket");
+                serving.state().connections.push(handle);
                 let consul = serving.clone();
                 thread::spawn(move || consul.connection(stream));
             }
@@ -133,15 +134,15 @@
         self.shared
             .0
             .lock()
-            .expect("no thread panics with the lock")
+            .expect("no thread panics while it holds the lock")
     }
 
-    /// Changes the catalog by one index.
-    pub fn change(&self, change: impl FnOnce(&mut CatalogEditor<'_>)) {
+    /// Edits the catalog and increments its index by one.
+    pub fn change(&self, edit: impl FnOnce(&mut CatalogEditor<'_>)) {
         let mut state = self.state();
         let mut next = Catalog::clone(state.newest());
         next.index += 1;
-        change(&mut CatalogEditor(&mut next));
+        edit(&mut CatalogEditor(&mut next));
         state.versions.push_back(Version {
             since: Some(Instant::now()),
             catalog: Arc::new(next),
@@ -153,7 +154,7 @@
         self.shared.1.notify_all();
     }
 
-    /// Registers an instance, or registers it anew.
+    /// Registers an instance, or replaces the one with the same ID.
     pub fn register(&self, instance: Instance) {
         self.change(|catalog| catalog.put(instance));
     }
@@ -179,7 +180,7 @@
         });
     }
 
-    /// Sets or ends the maintenance mode of an instance.
+    /// Turns the maintenance mode of an instance on or off.
     pub fn set_maintenance(&self, id: &str, on: bool) {
         self.change(|catalog| {
             catalog.edit(id, |instance| {
@@ -199,7 +200,8 @@
         Catalog::clone(self.state().newest())
     }
 
-    /// Replaces the catalog by one of another time or another agent.
+    /// Replaces the catalog and drops its earlier versions, as when an agent is restored from a snapshot or replaced by
+    /// another agent.
     pub fn restore(&self, catalog: Catalog) {
         let mut state = self.state();
         state.versions.clear();
@@ -211,13 +213,13 @@
         self.shared.1.notify_all();
     }
 
-    /// Injects a fault into all responses from now on.
+    /// Injects a fault into all responses to queries for service instances from now on.
     pub fn set_fault(&self, fault: Fault) {
         self.state().fault = fault;
         self.shared.1.notify_all();
     }
 
-    /// Sets how far the agent lags from now on.
+    /// Sets by how much the agent's view of the catalog lags from now on.
     pub fn set_lag(&self, lag: Duration) {
         self.state().lag = lag;
     }
@@ -227,7 +229,7 @@
         let mut state = self.state();
         state.is_unreachable = is_unreachable;
         for stream in state.connections.drain(..) {
-            let _ = stream.shutdown(Shutdown::Both); // It may have been closed by the client.
+            let _ = stream.shutdown(Shutdown::Both); // The client may have closed it already.
         }
     }
 
@@ -236,19 +238,19 @@
         self.state().token = Some(token.into());
     }
 
-    /// The request lines of all queries, in order.
+    /// Request lines of all queries, in order of arrival.
     #[must_use]
     pub fn queries(&self) -> Vec<String> {
         self.state().queries.clone()
     }
 
-    /// How many queries were received.
+    /// Number of queries received.
     #[must_use]
     pub fn query_count(&self) -> usize {
         self.state().query_count
     }
 
-    /// All responses that were written completely, in order.
+    /// All responses to queries for service instances that were written completely, in order.
     #[must_use]
     pub fn responses(&self) -> Vec<RecordedResponse> {
         self.state().responses.clone()
@@ -260,8 +262,8 @@
     }
 
     fn connection(&self, mut stream: TcpStream) {
-        let _ = stream.set_nodelay(true); // It only makes responses arrive sooner.
-        let mut input = BufReader::new(stream.try_clone().expect("a socket"));
+        let _ = stream.set_nodelay(true); // Responses only arrive later without it.
+        let mut input = BufReader::new(stream.try_clone().expect("duplicate a socket"));
         while let Some(request) = Message::read(&mut input) {
             let mut state = self.state();
             state.query_count += 1;
@@ -279,7 +281,7 @@
                 write_response(&mut stream, "403 Forbidden", "", b"Permission denied")
             };
             if !stays_open {
-                let _ = stream.shutdown(Shutdown::Both); // The client sees the end either way.
+                let _ = stream.shutdown(Shutdown::Both); // An error means that it is already closed.
                 return;
             }
         }
@@ -334,10 +336,14 @@
                 write_response(stream, "200 OK", "", body.to_string().as_bytes())
             }
             ("PUT", ["agent", rest @ ..]) => {
-                let done = self.handle_agent_api(rest, &query, &request.body);
+                let is_valid = self.handle_agent_api(rest, &query, &request.body);
                 write_response(
                     stream,
-                    if done { "200 OK" } else { "400 Bad Request" },
+                    if is_valid {
+                        "200 OK"
+                    } else {
+                        "400 Bad Request"
+                    },
                     "",
                     b"",
                 )
@@ -431,10 +437,11 @@
             return;
         }
         let ids = |draining: bool| {
-            let some = selected
+            let matching = selected
                 .iter()
                 .filter(|registered| registered.instance.is_in_maintenance() == draining);
-            some.map(|registered| registered.instance.id.clone())
+            matching
+                .map(|registered| registered.instance.id.clone())
                 .collect()
         };
         let response = RecordedResponse {
@@ -447,8 +454,8 @@
         state.responses.push(response);
     }
 
-    /// Waits until the visible catalog is newer than `index`, or the wait is over. `None`: the agent has become
-    /// unreachable, and there is no response.
+    /// Waits until the visible catalog is newer than `index`, the wait time is over, or a fault requires an immediate
+    /// response. Returns `None`, and no response is sent, if the agent has become unreachable.
     fn block(&self, index: u64, wait: Duration) -> Option<(Fault, Arc<Catalog>)> {
         let end = Instant::now() + wait;
         let mut state = self.state();
@@ -471,14 +478,14 @@
             } else {
                 LAG_POLL_INTERVAL
             };
-            let left = end
+            let remaining = end
                 .saturating_duration_since(now)
                 .clamp(Duration::from_millis(1), interval);
             state = self
                 .shared
                 .1
-                .wait_timeout(state, left)
-                .expect("no thread panics with the lock")
+                .wait_timeout(state, remaining)
+                .expect("no thread panics while it holds the lock")
                 .0;
         }
     }
--- a/crates/testkit/src/consul/service_query.rs
+++ b/crates/testkit/src/consul/service_query.rs
@@ -1,4 +1,4 @@
-//! A query for a service's instances: its parameters, and what it selects.
+//! Queries for a service's instances: parameters and the selection of instances.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -6,9 +6,9 @@
 use super::catalog::{Instance, RegisteredInstance};
 use super::http::{parse_duration, percent_decode};
 
-/// How long a query blocks if it does not say (as the API pages have it).
+/// Wait time of a blocking query that does not set one, as in Consul's API documentation.
 const DEFAULT_WAIT: Duration = Duration::from_secs(300);
-/// The longest wait that a query may ask for (as the API pages have it).
+/// Maximum wait time that a query may set, as in Consul's API documentation.
 const MAX_WAIT: Duration = Duration::from_secs(600);
 
 /// A query for a service's instances.
@@ -17,8 +17,9 @@
     service: &'a str,
     tags: Vec<String>,
     passing_only: bool,
-    /// The index that the query blocks on; 0: it does not block.
+    /// Index that the query blocks on; 0 if it does not block.
     pub index: u64,
+    /// Maximum time that the query blocks.
     pub wait: Duration,
 }
 
@@ -53,7 +54,7 @@
             && (!self.passing_only || instance.is_passing())
     }
 
-    /// The body of the response, in the JSON of the queried API.
+    /// Returns the body of the response, in the JSON of the queried API.
     pub fn body(&self, selected: &[&Arc<RegisteredInstance>]) -> String {
         let texts = selected.iter().map(|registered| {
             if self.with_health {
--- a/crates/testkit/src/consul/state.rs
+++ b/crates/testkit/src/consul/state.rs
@@ -1,4 +1,4 @@
-//! What a fake agent holds: versions of its catalog, faults, and records.
+//! State of a fake agent: versions of its catalog, faults, and recorded queries and responses.
 
 use std::collections::VecDeque;
 use std::net::TcpStream;
@@ -7,7 +7,7 @@
 
 use super::{Catalog, Fault, RecordedResponse};
 
-/// The catalog since a time; `None`: from the beginning.
+/// A version of the catalog, with the time of its change; `None` for the initial version.
 pub(super) struct Version {
     pub since: Option<Instant>,
     pub catalog: Arc<Catalog>,
@@ -32,11 +32,11 @@
         &self
             .versions
             .back()
-            .expect("there is always a version")
+            .expect("the history always contains a version")
             .catalog
     }
 
-    /// The catalog as the agent sees it: an earlier version, if it lags.
+    /// Returns the catalog that queries see: the newest version that is at least as old as the lag, or else the oldest.
     pub fn visible(&self) -> &Arc<Catalog> {
         let is_visible = |version: &&Version| {
             version
@@ -45,6 +45,8 @@
         };
         let visible = self.versions.iter().rev().find(is_visible);
         let visible = visible.or(self.versions.front());
-        &visible.expect("there is always a version").catalog
+        &visible
+            .expect("the history always contains a version")
+            .catalog
     }
 }
