--- a/crates/testkit/src/discovery.rs
+++ b/crates/testkit/src/discovery.rs
@@ -1,4 +1,4 @@
-//! Discovery as the platform has it, on a script.
+//! A fake of the platform's endpoint discovery; the test supplies the lines that its watches send.
 
 use std::io::{BufReader, Read, Write};
 use std::net::{Shutdown, SocketAddr, TcpListener, TcpStream};
@@ -10,7 +10,7 @@
 use crate::message::Message;
 use crate::WAIT_TIMEOUT;
 
-/// An entry of a list: a server in its zone, machine kind and cell, with its lifecycle.
+/// JSON of an endpoint list's entry: a server in zone `z`, of machine type `m` and in cell 0, with this lifecycle.
 #[must_use]
 pub fn endpoint_entry(id: &str, address: SocketAddr, lifecycle: &str) -> String {
     format!(
@@ -18,7 +18,7 @@
     )
 }
 
-/// A list, whole or of changes.
+/// JSON of an endpoint list: the complete list if `reset` is true, otherwise only the changed entries.
 #[must_use]
 pub fn endpoint_list(generation: u64, reset: bool, entries: &[String]) -> String {
     format!(
@@ -27,26 +27,26 @@
     )
 }
 
-/// How often a watch says that it is alive: discovery does so every 2 s at the latest.
-const ALIVE: Duration = Duration::from_millis(500);
+/// Interval of the empty lines that keep a watch alive: discovery sends one at least every 2 s.
+const KEEP_ALIVE_INTERVAL: Duration = Duration::from_millis(500);
 
-/// A discovery whose watch says what it is told to.
+/// A fake discovery service. Its watches send what the test sends, and empty lines that keep them alive.
 pub struct Discovery {
-    /// Where it listens.
+    /// Address that it listens on.
     pub address: SocketAddr,
     watches: Receiver<Watch>,
 }
 
 impl Discovery {
-    /// A discovery that takes watches and keeps them alive, and says nothing else.
+    /// Starts a service that accepts watches and keeps them alive.
     #[must_use]
     pub fn start() -> Self {
-        let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
-        let address = listener.local_addr().expect("an address");
+        let listener = TcpListener::bind("127.0.0.1:0").expect("bind a loopback socket");
+        let address = listener.local_addr().expect("read the local address");
         let (sender, watches): (Sender<Watch>, _) = channel();
         thread::spawn(move || {
             for mut stream in listener.incoming().map_while(Result::ok) {
-                let mut input = BufReader::new(stream.try_clone().expect("a socket"));
+                let mut input = BufReader::new(stream.try_clone().expect("duplicate a socket"));
                 let Some(request) = Message::read(&mut input) else {
                     continue;
                 };
@@ -63,66 +63,79 @@
         Self { address, watches }
     }
 
-    /// The next watch that a node opens.
+    /// Waits for the next watch that a node opens.
     #[must_use]
     pub fn watch(&self) -> Watch {
-        self.watches.recv_timeout(WAIT_TIMEOUT).expect("a watch")
+        self.watches
+            .recv_timeout(WAIT_TIMEOUT)
+            .expect("a node opens a watch within the time limit")
     }
 }
 
-/// How a watch stands between what it is told to say.
+/// State of a watch that decides whether a keep-alive line may be sent.
 #[derive(Default)]
-struct Between {
-    /// Whether a part of a line has been said.
-    in_line: bool,
-    silent: bool,
+struct WatchState {
+    /// Whether the text sent last ended within a line.
+    is_within_line: bool,
+    /// Whether keep-alive lines have ended.
+    is_silent: bool,
 }
 
-/// An open watch; dropping it ends it. It is kept alive with empty lines, as discovery does, between whole lines.
+/// An open watch; dropping it closes it. As in discovery, empty lines keep it alive; none is sent within a line.
 pub struct Watch {
-    /// The first line of the request.
+    /// Request line of the request that opened it.
     pub request_line: String,
     stream: TcpStream,
-    between: Arc<Mutex<Between>>,
+    state: Arc<Mutex<WatchState>>,
 }
 
 impl Watch {
     fn open(request_line: String, stream: TcpStream) -> Self {
-        let between = Arc::<Mutex<Between>>::default();
-        let (mut held, state) = (stream.try_clone().expect("a socket"), Arc::clone(&between));
+        let state = Arc::<Mutex<WatchState>>::default();
+        let (mut output, shared_state) = (
+            stream.try_clone().expect("duplicate a socket"),
+            Arc::clone(&state),
+        );
         thread::spawn(move || loop {
-            thread::sleep(ALIVE);
-            let between = state.lock().expect("no panic");
-            if between.silent || (!between.in_line && held.write_all(b"1\r\n\n\r\n").is_err()) {
+            thread::sleep(KEEP_ALIVE_INTERVAL);
+            let state = shared_state
+                .lock()
+                .expect("the watch state is not poisoned");
+            if state.is_silent
+                || (!state.is_within_line && output.write_all(b"1\r\n\n\r\n").is_err())
+            {
                 return;
             }
         });
         Self {
             request_line,
             stream,
-            between,
+            state,
         }
     }
 
-    /// Sends text as one chunk, whether or not it is a whole line.
+    /// Sends text as one chunk; it need not be a complete line.
     pub fn send(&mut self, text: &str) {
-        let mut between = self.between.lock().expect("no panic");
-        between.in_line = !text.ends_with('\n');
+        let mut state = self.state.lock().expect("the watch state is not poisoned");
+        state.is_within_line = !text.ends_with('\n');
         self.stream
             .write_all(format!("{:x}\r\n{text}\r\n", text.len()).as_bytes())
-            .expect("an open watch");
+            .expect("the watch is open");
     }
 
-    /// From now on it says nothing by itself, and stays open.
+    /// Sends no more keep-alive lines, and leaves the watch open.
     pub fn stop_keep_alive(&mut self) {
-        self.between.lock().expect("no panic").silent = true;
+        self.state
+            .lock()
+            .expect("the watch state is not poisoned")
+            .is_silent = true;
     }
 
-    /// Whether the node has ended it.
+    /// Waits until the node closes the watch, and returns whether it did so within the time limit.
     pub fn is_closed(&mut self) -> bool {
         self.stream
             .set_read_timeout(Some(WAIT_TIMEOUT))
-            .expect("a socket");
+            .expect("set the read timeout");
         match self.stream.read(&mut [0; 1]) {
             Ok(n) => n == 0,
             Err(error) => error.kind() != std::io::ErrorKind::WouldBlock,
@@ -133,6 +146,6 @@
 impl Drop for Watch {
     fn drop(&mut self) {
         self.stop_keep_alive();
-        let _ = self.stream.shutdown(Shutdown::Both); // One that the node has ended is past it.
+        let _ = self.stream.shutdown(Shutdown::Both); // An error means that it is already closed.
     }
 }
--- a/crates/testkit/src/load.rs
+++ b/crates/testkit/src/load.rs
@@ -1,4 +1,4 @@
-//! Clients that go on asking until they are told to stop, and what they were answered.
+//! Clients that send requests continuously until they are stopped, and totals of the responses.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -10,46 +10,47 @@
 use crate::message::{post_request, read_request};
 use crate::node::Client;
 
-/// Maximum number of latencies that are kept, the latest ones: a load, such as the demo's, may run for days.
+/// Maximum number of latencies that are kept; later ones replace earlier ones. A load may run for days, as in the demo.
 const MAX_LATENCIES: usize = 200_000;
 
-/// What was answered.
+/// Totals of the requests and their responses.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Totals {
-    /// Requests that were sent.
+    /// Number of requests, including those that could not be sent.
     pub sent: u64,
-    /// Answers by status.
+    /// Number of responses by status.
     pub responses: BTreeMap<u16, u64>,
-    /// Requests that were sent whole and whose connection ended with no whole answer.
+    /// Number of requests without a complete response: the connection ended, or the time limit for the response
+    /// expired.
     pub lost: u64,
-    /// How long each answer took, the latest 200,000 of them, in no order.
+    /// Latencies of the last 200,000 responses, in no particular order.
     pub latencies: Vec<Duration>,
 }
 
 impl Totals {
-    /// Answers of a status.
+    /// Number of responses of this status.
     #[must_use]
     pub fn with_status(&self, status: u16) -> u64 {
         self.responses.get(&status).copied().unwrap_or(0)
     }
 
-    /// The part of the requests that was served.
+    /// Fraction of the requests that had a response of status 200.
     #[must_use]
     pub fn served_fraction(&self) -> f64 {
         self.with_status(200) as f64 / (self.sent.max(1)) as f64
     }
 
-    /// The time within which this part of the answers came.
+    /// Latency that this fraction of the responses did not exceed.
     #[must_use]
-    pub fn latency_quantile(&self, part: f64) -> Duration {
-        let mut times = self.latencies.clone();
-        times.sort_unstable();
-        let at = (times.len().saturating_sub(1)) as f64 * part;
-        times.get(at as usize).copied().unwrap_or_default()
+    pub fn latency_quantile(&self, fraction: f64) -> Duration {
+        let mut latencies = self.latencies.clone();
+        latencies.sort_unstable();
+        let index = (latencies.len().saturating_sub(1)) as f64 * fraction;
+        latencies.get(index as usize).copied().unwrap_or_default()
     }
 }
 
-/// Clients at work.
+/// Clients that send requests, each from its own thread.
 pub struct Load {
     stop: Arc<AtomicBool>,
     totals: Arc<Mutex<Totals>>,
@@ -57,8 +58,8 @@
 }
 
 impl Load {
-    /// So many clients, each with one connection and a pause after each answer. Of ten requests of each, eight are
-    /// safe, one is keyed and one is unsafe.
+    /// Starts clients, each with one connection and a pause after each response. Of ten consecutive requests, eight
+    /// are of the class `read`, one is of the class `hold` with an idempotency key, and one of the class `pay`.
     #[must_use]
     pub fn start(node: SocketAddr, clients: usize, pause: Duration) -> Self {
         static NEXT: AtomicU64 = AtomicU64::new(0);
@@ -71,10 +72,13 @@
             thread::spawn(move || {
                 let mut client: Option<Client> = None;
                 while !stop.load(Ordering::Relaxed) {
-                    // A node that takes no connections is asked nothing.
-                    if let Some(mut at) = client.take().or_else(|| Client::try_connect(node)) {
+                    // No request is sent or counted while the node accepts no connection.
+                    if let Some(mut connection) =
+                        client.take().or_else(|| Client::try_connect(node))
+                    {
                         let number = NEXT.fetch_add(1, Ordering::Relaxed);
-                        client = ask(&mut at, number, &totals).then_some(at);
+                        client =
+                            send_request(&mut connection, number, &totals).then_some(connection);
                     }
                     thread::sleep(pause);
                 }
@@ -88,26 +92,33 @@
         }
     }
 
-    /// What has been answered so far.
+    /// Totals so far.
     #[must_use]
     pub fn totals(&self) -> Totals {
-        self.totals.lock().expect("sound").clone()
+        self.totals
+            .lock()
+            .expect("no thread panics while it holds the lock")
+            .clone()
     }
 
-    /// Ends it, once every request is answered.
+    /// Stops the clients after their current requests and returns the totals.
     #[must_use]
     pub fn finish(self) -> Totals {
         self.stop.store(true, Ordering::Relaxed);
         for client in self.clients {
-            client.join().expect("a client does not panic");
+            client.join().expect("the client thread does not panic");
         }
-        let totals = self.totals.lock().expect("sound").clone();
+        let totals = self
+            .totals
+            .lock()
+            .expect("no thread panics while it holds the lock")
+            .clone();
         totals
     }
 }
 
-/// One request. `false`: the connection is of no more use.
-fn ask(client: &mut Client, number: u64, totals: &Mutex<Totals>) -> bool {
+/// Sends one request and records its response; returns whether the connection can be used again.
+fn send_request(client: &mut Client, number: u64, totals: &Mutex<Totals>) -> bool {
     let id = format!("{number:016x}");
     let request = match number % 10 {
         8 => post_request(
@@ -120,23 +131,25 @@
         _ => read_request(&id, "15000m"),
     };
     let start = Instant::now();
-    let answer = client
+    let response = client
         .try_send(&request)
         .then(|| client.read_response())
         .flatten();
-    let mut totals = totals.lock().expect("sound");
+    let mut totals = totals
+        .lock()
+        .expect("no thread panics while it holds the lock");
     totals.sent += 1;
-    match &answer {
-        Some(answer) => {
-            *totals.responses.entry(answer.status()).or_default() += 1;
-            let (took, at) = (start.elapsed(), totals.sent as usize % MAX_LATENCIES);
+    match &response {
+        Some(response) => {
+            *totals.responses.entry(response.status()).or_default() += 1;
+            let (latency, index) = (start.elapsed(), totals.sent as usize % MAX_LATENCIES);
             if totals.latencies.len() < MAX_LATENCIES {
-                totals.latencies.push(took);
+                totals.latencies.push(latency);
             } else {
-                totals.latencies[at] = took;
+                totals.latencies[index] = latency;
             }
         }
         None => totals.lost += 1,
     }
-    answer.is_some_and(|answer| answer.header("connection") != Some("close"))
+    response.is_some_and(|response| response.header("connection") != Some("close"))
 }
--- a/crates/testkit/src/message.rs
+++ b/crates/testkit/src/message.rs
@@ -1,25 +1,25 @@
-//! Messages of HTTP/1.1 as scripts write and read them.
+//! HTTP/1.1 messages, written and read without an HTTP library.
 
 use std::io::BufRead;
 
-/// A message as it came: its first line, its headers in lower case, its body.
+/// A received message.
 #[derive(Clone, Debug)]
 pub struct Message {
-    /// The first line.
+    /// Request line or status line.
     pub start_line: String,
-    /// Names in lower case, and values.
+    /// Header names in lower case, and values, in the order received.
     pub headers: Vec<(String, String)>,
-    /// The body.
+    /// Body, without chunked framing.
     pub body: Vec<u8>,
 }
 
 impl Message {
-    /// Reads one; `None` is an end before its last byte.
-    pub fn read(from: &mut impl BufRead) -> Option<Self> {
+    /// Reads a message; `None` if the input ends before its last byte, or its chunks are malformed.
+    pub fn read(input: &mut impl BufRead) -> Option<Self> {
         let mut line = || {
             let mut text = String::new();
-            from.read_line(&mut text).ok()?;
-            Some(text.strip_suffix('\n')?.trim_end().to_owned()) // A line that is cut is none.
+            input.read_line(&mut text).ok()?;
+            Some(text.strip_suffix('\n')?.trim_end().to_owned()) // A line without a newline is truncated.
         };
         let start_line = line()?;
         let mut headers = Vec::new();
@@ -36,50 +36,50 @@
             body: Vec::new(),
         };
         if message.header("transfer-encoding") == Some("chunked") {
-            message.body = read_chunks(from)?;
+            message.body = read_chunks(input)?;
             return Some(message);
         }
         message.body = vec![
             0;
             message
                 .header("content-length")
-                .map_or(0, |n| n.parse().expect("a length"))
+                .map_or(0, |n| n.parse().expect("Content-Length is a number"))
         ];
-        from.read_exact(&mut message.body).ok()?;
+        input.read_exact(&mut message.body).ok()?;
         Some(message)
     }
 
-    /// The value of a header.
+    /// Value of the first header with this name; the name must be in lower case.
     #[must_use]
     pub fn header(&self, name: &str) -> Option<&str> {
         self.headers
             .iter()
-            .find(|(n, _)| n == name)
+            .find(|(other, _)| other == name)
             .map(|(_, value)| value.as_str())
     }
 
-    /// The status of an answer.
+    /// Status code of a response.
     #[must_use]
     pub fn status(&self) -> u16 {
         self.start_line
             .split(' ')
             .nth(1)
-            .expect("a status")
+            .expect("the status line has a status code")
             .parse()
-            .expect("a number")
+            .expect("the status code is a number")
     }
 }
 
-/// The chunks of a body (RFC 9112, 7.1), without extensions and trailers.
-fn read_chunks(from: &mut impl BufRead) -> Option<Vec<u8>> {
+/// Reads a chunked body (RFC 9112, section 7.1) without chunk extensions and trailers.
+fn read_chunks(input: &mut impl BufRead) -> Option<Vec<u8>> {
     let mut body = Vec::new();
     loop {
         let mut line = String::new();
-        from.read_line(&mut line).ok()?;
+        input.read_line(&mut line).ok()?;
         let length = usize::from_str_radix(line.strip_suffix("\r\n")?, 16).ok()?;
         let start = body.len();
         body.resize(start + length + 2, 0);
-        from.read_exact(&mut body[start..]).ok()?;
+        input.read_exact(&mut body[start..]).ok()?;
         body.truncate(start + length);
         if length == 0 {
             return Some(body);
@@ -87,7 +87,7 @@
     }
 }
 
-/// An answer with a length.
+/// A response with a `Content-Length`. `headers` are complete lines.
 #[must_use]
 pub fn response(status: &str, headers: &str, body: &str) -> Vec<u8> {
     format!(
@@ -97,13 +97,13 @@
     .into_bytes()
 }
 
-/// A request of the safe class.
+/// A request of the class `read`, whose deadline is the value of `Req-Deadline`.
 #[must_use]
 pub fn read_request(id: &str, deadline: &str) -> String {
     format!("GET /api?key=inn-7 HTTP/1.1\r\nHost: service.internal\r\nReq-Id: {id}\r\nReq-Kind: read\r\nReq-Deadline: {deadline}\r\n\r\n")
 }
 
-/// A request with a body, keyed or not.
+/// A request of a class with a body. `key` is an `Idempotency-Key` header line, or empty.
 #[must_use]
 pub fn post_request(id: &str, class: &str, key: &str, body: &str) -> String {
     format!(
--- a/crates/testkit/src/relay.rs
+++ b/crates/testkit/src/relay.rs
@@ -1,8 +1,8 @@
-//! Relays between the nodes of a fleet: a socket for each direction between two, which does to what passes what a
-//! [`Link`] says.
+//! UDP relays between the nodes of a fleet, with one socket for each direction between two nodes. A relay applies the
+//! faults of a [`Link`] to the datagrams of its direction.
 //!
-//! A node sends to another at the address that its own `peers` has for it, and hears it from there: that is the relay's
-//! socket which stands for the other one at this node.
+//! In the `peers` list of a node, the address of another node is that of a relay socket, which represents the other
+//! node: the node sends datagrams for the other node there, and receives datagrams of the other node from there.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -14,19 +14,19 @@
 use tokio::net::UdpSocket;
 use tokio::sync::oneshot;
 
-/// Longer than any datagram that is allowed, to see that one is too long.
-const BUFFER: usize = 65_536;
+/// Size of the receive buffer in bytes: more than a datagram may have, so that one that is too long is noticed.
+const BUFFER_BYTES: usize = 65_536;
 
-/// What the relays of a fleet have received.
+/// Totals of the datagrams that the relays of a fleet have received.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct RelayTotals {
-    /// How many datagrams.
+    /// Number of datagrams.
     pub datagrams: u64,
-    /// How many bytes they have together.
+    /// Sum of their lengths in bytes.
     pub bytes: u64,
-    /// The length of the longest datagram.
+    /// Length of the longest datagram in bytes.
     pub max_datagram_bytes: usize,
-    /// Datagrams that faults of links affected.
+    /// Numbers of datagrams that link faults affected.
     pub faults: LinkFaultCounts,
 }
 
@@ -39,7 +39,7 @@
 
 /// The relays of a fleet.
 pub struct Relays {
-    /// By node, then by other node: where the node reaches the other.
+    /// By node, then by other node: the address at which the node reaches the other.
     pub peers: Vec<Vec<SocketAddr>>,
     state: Arc<Mutex<State>>,
     stop: Option<oneshot::Sender<()>>,
@@ -47,7 +47,7 @@
 }
 
 impl Relays {
-    /// Relays between nodes that hear at these addresses. Their random numbers come from the seed.
+    /// Starts relays between the nodes that receive datagrams at these addresses. Random faults derive from the seed.
     #[must_use]
     pub fn start(nodes: Vec<SocketAddr>, seed: u64) -> Self {
         let count = nodes.len();
@@ -56,12 +56,15 @@
         for at in 0..count {
             for other in 0..count {
                 if at == other {
-                    peers[at].push(nodes[at]); // Its own among them, as the platform has it.
+                    peers[at].push(nodes[at]); // The platform's list contains the node's own address.
                     continue;
                 }
-                let socket = std::net::UdpSocket::bind("127.0.0.1:0").expect("a port");
-                socket.set_nonblocking(true).expect("a socket");
-                peers[at].push(socket.local_addr().expect("an address"));
+                let socket =
+                    std::net::UdpSocket::bind("127.0.0.1:0").expect("bind a loopback socket");
+                socket
+                    .set_nonblocking(true)
+                    .expect("make the socket non-blocking");
+                peers[at].push(socket.local_addr().expect("read the local address"));
                 sockets.insert((at, other), socket);
             }
         }
@@ -70,26 +73,30 @@
             ..State::default()
         }));
         let (stop, stopped) = oneshot::channel();
-        let of_thread = Arc::clone(&state);
+        let shared_state = Arc::clone(&state);
         let thread = std::thread::spawn(move || {
             let runtime = tokio::runtime::Builder::new_current_thread()
                 .enable_all()
                 .build()
-                .expect("a runtime");
+                .expect("build a Tokio runtime");
             runtime.block_on(async move {
-                let adopt = |(key, socket)| {
+                let into_tokio = |(key, socket)| {
                     (
                         key,
-                        Arc::new(UdpSocket::from_std(socket).expect("a socket")),
+                        Arc::new(
+                            UdpSocket::from_std(socket)
+                                .expect("register the socket with the runtime"),
+                        ),
                     )
                 };
-                let sockets: BTreeMap<_, _> = sockets.into_iter().map(adopt).collect();
+                let sockets: BTreeMap<_, _> = sockets.into_iter().map(into_tokio).collect();
                 for ((at, other), socket) in &sockets {
-                    // What `at` sends to `other` leaves where `other` has `at` among its peers.
+                    // Datagrams from `at` to `other` are sent from the socket that represents `at` at `other`.
                     let out = Arc::clone(&sockets[&(*other, *at)]);
                     let link_state =
                         LinkState::new(seed ^ ((*at as u64) << 32) ^ (*other as u64 + 1));
-                    let (to, key, state) = (nodes[*other], (*at, *other), Arc::clone(&of_thread));
+                    let (to, key, state) =
+                        (nodes[*other], (*at, *other), Arc::clone(&shared_state));
                     tokio::spawn(relay(Arc::clone(socket), out, to, key, link_state, state));
                 }
                 let _ = stopped.await;
@@ -104,16 +111,18 @@
     }
 
     fn state(&self) -> MutexGuard<'_, State> {
-        self.state.lock().expect("sound")
+        self.state
+            .lock()
+            .expect("no thread panics while it holds the lock")
     }
 
-    /// What the relays have received so far.
+    /// Totals of the datagrams received so far.
     #[must_use]
     pub fn totals(&self) -> RelayTotals {
         self.state().totals
     }
 
-    /// Applies the faults of links. Faults of processes are ignored.
+    /// Applies a fault of links, and ignores a fault of processes.
     pub fn apply(&self, fault: &Fault) {
         let mut state = self.state();
         let default_link = state.default_link.clone();
@@ -140,7 +149,7 @@
     }
 }
 
-/// A link that adds no delay to that of the machine itself.
+/// A link without faults that adds no delay to that of the machine itself.
 fn undisturbed_link() -> Link {
     Link {
         delay_ms: 0.0,
@@ -153,11 +162,12 @@
     fn drop(&mut self) {
         drop(self.stop.take());
         if let Some(thread) = self.thread.take() {
-            let _ = thread.join(); // Its panic has been printed.
+            let _ = thread.join(); // A panic of the thread has already been printed.
         }
     }
 }
 
+/// Forwards the datagrams of one direction, which arrive at `socket`, from the socket `out` to the address `to`.
 async fn relay(
     socket: Arc<UdpSocket>,
     out: Arc<UdpSocket>,
@@ -167,14 +177,16 @@
     state: Arc<Mutex<State>>,
 ) {
     let start = Instant::now();
-    let mut buffer = vec![0; BUFFER];
+    let mut buffer = vec![0; BUFFER_BYTES];
     loop {
         // ICMP errors of an unreachable receiver are reported here.
         let Ok((length, _)) = socket.recv_from(&mut buffer).await else {
             continue;
         };
         let link = {
-            let mut state = state.lock().expect("sound");
+            let mut state = state
+                .lock()
+                .expect("no thread panics while it holds the lock");
             state.totals.datagrams += 1;
             state.totals.bytes += length as u64;
             state.totals.max_datagram_bytes = state.totals.max_datagram_bytes.max(length);
@@ -183,7 +195,11 @@
         let now = start.elapsed().as_secs_f64() * 1e3;
         let mut faults = LinkFaultCounts::default();
         let deliveries = link_state.transmit(now, &link, buffer[..length].to_vec(), &mut faults);
-        state.lock().expect("sound").totals.faults += faults;
+        state
+            .lock()
+            .expect("no thread panics while it holds the lock")
+            .totals
+            .faults += faults;
         for Delivery { after_ms, bytes } in deliveries {
             if after_ms <= 0.0 {
                 let _ = out.send_to(&bytes, to).await; // A failed send is a lost datagram.
--- a/crates/testkit/src/server.rs
+++ b/crates/testkit/src/server.rs
@@ -1,4 +1,4 @@
-//! Servers that answer as they are told and note what comes.
+//! Fake servers that respond as a test specifies and record the requests.
 
 use std::io::{BufReader, Write};
 use std::net::{Shutdown, SocketAddr, TcpListener, TcpStream};
@@ -9,23 +9,23 @@
 use crate::message::{response, Message};
 use crate::socket::{AddressFamily, Endpoint, Listener, Stream};
 
-/// What a server does with a request.
+/// Reaction of a server to a request.
 #[derive(Clone)]
 pub enum Reply {
-    /// Writes this and keeps the connection.
+    /// Writes these bytes and keeps the connection open.
     Send(Vec<u8>),
-    /// Writes this and closes the connection without a word of it.
+    /// Writes these bytes, without adding a `Connection: close`, and closes the connection.
     SendAndClose(Vec<u8>),
-    /// Writes this, and that so much later.
+    /// Writes the first bytes, and after the delay the second; keeps the connection open.
     SendInTwoParts(Vec<u8>, Duration, Vec<u8>),
-    /// Closes the connection.
+    /// Closes the connection without a response.
     Close,
-    /// Says nothing.
+    /// Sends no response and keeps the connection open.
     NoResponse,
 }
 
 impl Reply {
-    /// 200 with a body.
+    /// A response of status 200 with this body.
     #[must_use]
     pub fn ok(body: &str) -> Self {
         Self::Send(response("200 OK", "", body))
@@ -33,100 +33,102 @@
 }
 
 #[derive(Default)]
-struct Seen {
+/// Record of requests and connections.
+struct Traffic {
     requests: Vec<Message>,
-    quiet: bool,
-    count: usize,
-    last: Option<Instant>,
+    /// Whether requests are only counted.
+    counts_only: bool,
+    request_count: usize,
+    last_request_at: Option<Instant>,
     arrivals: Vec<Instant>,
-    opened: usize,
-    closed: usize,
+    accepted_connections: usize,
+    closed_connections: usize,
 }
 
-type Replies = dyn Fn(&Message) -> Reply + Send + Sync;
+type ReplyFn = dyn Fn(&Message) -> Reply + Send + Sync;
 
-/// A server that notes what comes.
+/// A fake server that records the requests.
 pub struct Server {
-    /// Where it listens, or where nobody does if it is reached at a path alone.
+    /// Address that it listens on, or one without a listener if the server has only a Unix socket.
     pub address: SocketAddr,
-    /// Where a node is to reach it instead, if that is not in its entry.
+    /// Unix socket at which a node must reach the server instead of at the address in its endpoint-list entry.
     pub unix_endpoint: Option<Endpoint>,
-    seen: Arc<Mutex<Seen>>,
-    reply: Arc<Replies>,
+    traffic: Arc<Mutex<Traffic>>,
+    reply: Arc<ReplyFn>,
 }
 
 impl Server {
-    /// A server that answers each request as the function says.
+    /// Starts a server of the address family of the test run, which handles each request as `reply` returns.
     pub fn start(reply: impl Fn(&Message) -> Reply + Send + Sync + 'static) -> Self {
-        let kind = AddressFamily::from_environment();
-        if kind == AddressFamily::Unix {
+        let family = AddressFamily::from_environment();
+        if family == AddressFamily::Unix {
             let mut server = Self::start_on(AddressFamily::V4, reply).0;
             server.unix_endpoint = Some(server.add_address(AddressFamily::Unix));
             return server;
         }
-        Self::start_on(kind, reply).0
+        Self::start_on(family, reply).0
     }
 
-    /// The same on another kind of address.
+    /// Like [`Server::start`], on an address of this family; also returns the address.
     pub fn start_on(
-        kind: AddressFamily,
+        family: AddressFamily,
         reply: impl Fn(&Message) -> Reply + Send + Sync + 'static,
     ) -> (Self, Endpoint) {
-        let nowhere = SocketAddr::from(([127, 0, 0, 1], 1));
+        let without_listener = SocketAddr::from(([127, 0, 0, 1], 1));
         let mut server = Self {
-            address: nowhere,
+            address: without_listener,
             unix_endpoint: None,
-            seen: Arc::default(),
+            traffic: Arc::default(),
             reply: Arc::new(reply),
         };
-        let endpoint = server.add_address(kind);
+        let endpoint = server.add_address(family);
         if let Endpoint::Ip(address) = endpoint {
             server.address = address;
         }
         (server, endpoint)
     }
 
-    /// One more address of the same server.
+    /// Makes the server listen on one more address, of this family.
     #[must_use]
-    pub fn add_address(&self, kind: AddressFamily) -> Endpoint {
-        let (listener, endpoint) = Listener::bind(kind);
-        let (seen, reply) = (Arc::clone(&self.seen), Arc::clone(&self.reply));
+    pub fn add_address(&self, family: AddressFamily) -> Endpoint {
+        let (listener, endpoint) = Listener::bind(family);
+        let (traffic, reply) = (Arc::clone(&self.traffic), Arc::clone(&self.reply));
         thread::spawn(move || {
             while let Ok(stream) = listener.accept() {
-                let (seen, reply) = (Arc::clone(&seen), Arc::clone(&reply));
-                lock(&seen).opened += 1;
+                let (traffic, reply) = (Arc::clone(&traffic), Arc::clone(&reply));
+                lock(&traffic).accepted_connections += 1;
                 thread::spawn(move || {
-                    let held = stream.clone_handle();
-                    Self::connection(stream, &seen, &*reply);
-                    // A process that another test is about to start holds a copy of every socket for a moment, and with
-                    // it open a connection that is merely dropped.
-                    held.shutdown(Shutdown::Both);
-                    lock(&seen).closed += 1;
+                    let handle = stream.clone_handle();
+                    Self::serve(stream, &traffic, &*reply);
+                    // Between fork and exec, a process that another test starts has a copy of every socket. The copy
+                    // would keep a connection open that is only dropped here.
+                    handle.shutdown(Shutdown::Both);
+                    lock(&traffic).closed_connections += 1;
                 });
             }
         });
         endpoint
     }
 
-    fn connection(mut stream: Stream, seen: &Mutex<Seen>, reply: &Replies) {
+    fn serve(mut stream: Stream, traffic: &Mutex<Traffic>, reply: &ReplyFn) {
         let mut input = BufReader::new(stream.clone_handle());
         while let Some(request) = Message::read(&mut input) {
             {
-                let mut seen = lock(seen);
-                seen.count += 1;
-                seen.last = Some(Instant::now());
-                if !seen.quiet {
-                    seen.requests.push(request.clone());
-                    seen.arrivals.push(Instant::now());
+                let mut traffic = lock(traffic);
+                traffic.request_count += 1;
+                traffic.last_request_at = Some(Instant::now());
+                if !traffic.counts_only {
+                    traffic.requests.push(request.clone());
+                    traffic.arrivals.push(Instant::now());
                 }
             }
             match reply(&request) {
                 Reply::Send(text) => stream.write_all(&text).unwrap_or_default(),
                 Reply::SendAndClose(text) => return stream.write_all(&text).unwrap_or_default(),
-                Reply::SendInTwoParts(now, after, then) => {
-                    stream.write_all(&now).unwrap_or_default();
-                    thread::sleep(after);
-                    stream.write_all(&then).unwrap_or_default();
+                Reply::SendInTwoParts(first, delay, second) => {
+                    stream.write_all(&first).unwrap_or_default();
+                    thread::sleep(delay);
+                    stream.write_all(&second).unwrap_or_default();
                 }
                 Reply::Close => return,
                 Reply::NoResponse => {}
@@ -134,78 +136,81 @@
         }
     }
 
-    /// Counts what comes, and keeps none of it: for long runs.
+    /// Counts requests without recording them, which long runs need.
     #[must_use]
     pub fn without_recording(self) -> Self {
-        lock(&self.seen).quiet = true;
+        lock(&self.traffic).counts_only = true;
         self
     }
 
-    /// How many requests have come.
+    /// Number of requests received.
     #[must_use]
     pub fn request_count(&self) -> usize {
-        lock(&self.seen).count
+        lock(&self.traffic).request_count
     }
 
-    /// When the last request came.
+    /// Time at which the last request was received.
     #[must_use]
     pub fn last_request_at(&self) -> Option<Instant> {
-        lock(&self.seen).last
+        lock(&self.traffic).last_request_at
     }
 
-    /// What has come, in its order.
+    /// Recorded requests, in order of arrival.
     #[must_use]
     pub fn requests(&self) -> Vec<Message> {
-        lock(&self.seen).requests.clone()
+        lock(&self.traffic).requests.clone()
     }
 
-    /// When the requests' last bytes had come, in the same order.
+    /// Time at which each recorded request was complete, in the same order.
     #[must_use]
     pub fn arrivals(&self) -> Vec<Instant> {
-        lock(&self.seen).arrivals.clone()
+        lock(&self.traffic).arrivals.clone()
     }
 
-    /// Connections that have come.
+    /// Number of connections accepted.
     #[must_use]
     pub fn accepted_connections(&self) -> usize {
-        lock(&self.seen).opened
+        lock(&self.traffic).accepted_connections
     }
 
-    /// Connections that have ended.
+    /// Number of connections closed.
     #[must_use]
     pub fn closed_connections(&self) -> usize {
-        lock(&self.seen).closed
+        lock(&self.traffic).closed_connections
     }
 
-    /// Its entry in a list.
+    /// Its entry in an endpoint list.
     #[must_use]
     pub fn endpoint_entry(&self, id: &str, lifecycle: &str) -> String {
         crate::endpoint_entry(id, self.address, lifecycle)
     }
 }
 
-fn lock(seen: &Mutex<Seen>) -> MutexGuard<'_, Seen> {
-    seen.lock().expect("sound")
+fn lock(traffic: &Mutex<Traffic>) -> MutexGuard<'_, Traffic> {
+    traffic
+        .lock()
+        .expect("no thread panics while it holds the lock")
 }
 
-/// An address where nobody listens, nor can another test while this lives: a connection has its port.
+/// An address without a listener. No other test can listen on it until this is dropped, as an open connection occupies
+/// its port.
 pub struct Unreachable {
-    /// The address.
+    /// Address that refuses connections.
     pub address: SocketAddr,
-    _ends: (TcpListener, TcpStream),
+    _connection: (TcpListener, TcpStream),
 }
 
 impl Unreachable {
-    /// Takes an address.
+    /// Reserves an address.
     #[must_use]
     #[allow(clippy::new_without_default)]
     pub fn reserve() -> Self {
-        let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
-        let stream =
-            TcpStream::connect(listener.local_addr().expect("an address")).expect("a connection");
+        let listener = TcpListener::bind("127.0.0.1:0").expect("bind a loopback socket");
+        let stream = TcpStream::connect(listener.local_addr().expect("read the local address"))
+            .expect("connect to the listener");
         Self {
-            address: stream.local_addr().expect("an address"),
-            _ends: (listener, stream),
+            address: stream.local_addr().expect("read the local address"),
+            _connection: (listener, stream),
         }
     }
 }
--- a/crates/testkit/src/socket.rs
+++ b/crates/testkit/src/socket.rs
@@ -1,4 +1,4 @@
-//! Sockets of three kinds, under one name: what listens and what connects on IPv4, IPv6 and at a path.
+//! Listeners and connections over TCP on IPv4, TCP on IPv6 and Unix sockets, with one interface.
 
 use std::fmt;
 use std::io::{self, Read, Write};
@@ -10,57 +10,57 @@
 
 use tempfile::TempDir;
 
-/// A kind of address.
+/// An address family.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AddressFamily {
-    /// 127.0.0.1.
+    /// IPv4, on 127.0.0.1.
     V4,
-    /// \[`::1`\].
+    /// IPv6, on \[`::1`\].
     V6,
-    /// A local socket in a folder of its own.
+    /// Unix socket in its own temporary directory.
     Unix,
 }
 
 impl AddressFamily {
-    /// All that this machine has: on some IPv6 is off.
+    /// All families that this machine supports: IPv6 may be disabled.
     #[must_use]
     pub fn available() -> Vec<Self> {
         if TcpListener::bind("[::1]:0").is_err() {
-            eprintln!("this machine has no IPv6: what concerns it is not tested");
+            eprintln!("this machine has no IPv6: tests of IPv6 are skipped");
             return vec![Self::V4, Self::Unix];
         }
         vec![Self::V4, Self::V6, Self::Unix]
     }
 
-    /// IPv6, or IPv4 on a machine that has none.
+    /// IPv6, or IPv4 on a machine without IPv6.
     #[must_use]
     pub fn ipv6_or_ipv4() -> Self {
         Self::available()
             .get(1)
             .copied()
-            .filter(|kind| *kind == Self::V6)
+            .filter(|family| *family == Self::V6)
             .unwrap_or(Self::V4)
     }
 
-    /// The kind that [`crate::Server::start`] and [`crate::Node::with`] use, from the variable
-    /// `SILVERTHREAD_TEST_KIND` (`v4`, `v6`, `unix`): the tests that use them run unchanged over each.
+    /// The family of the servers of [`crate::Server::start`], from the environment variable `SILVERTHREAD_TEST_KIND`:
+    /// `v4` (also if it is not set), `v6` or `unix`. It lets the same tests run over each family.
     #[must_use]
     pub fn from_environment() -> Self {
         match std::env::var("SILVERTHREAD_TEST_KIND").as_deref() {
             Ok("v6") => Self::ipv6_or_ipv4(),
             Ok("unix") => Self::Unix,
             Ok("v4") | Err(_) => Self::V4,
-            Ok(other) => panic!("there is no kind {other:?}"),
+            Ok(other) => panic!("SILVERTHREAD_TEST_KIND is {other:?}, expected v4, v6 or unix"),
         }
     }
 }
 
-/// Where something listens. Displayed as the operators' file has it.
+/// Address of a listener, displayed in the format of the operators' file.
 #[derive(Clone, Debug)]
 pub enum Endpoint {
-    /// By TCP.
+    /// A TCP socket.
     Ip(SocketAddr),
-    /// At a path, in a folder that goes with the last that knows it.
+    /// The path of a Unix socket, and its temporary directory, which is deleted with the last clone.
     Unix(PathBuf, Arc<TempDir>),
 }
 
@@ -79,38 +79,41 @@
     }
 }
 
-/// Something that listens.
+/// A listening socket.
 pub enum Listener {
-    /// By TCP.
+    /// Over TCP.
     Tcp(TcpListener),
-    /// At a path.
+    /// Over a Unix socket.
     Unix(UnixListener),
 }
 
 impl Listener {
-    /// Listens on a free address of a kind.
+    /// Listens on a free address of this family.
     #[must_use]
-    pub fn bind(kind: AddressFamily) -> (Self, Endpoint) {
-        let any = match kind {
+    pub fn bind(family: AddressFamily) -> (Self, Endpoint) {
+        let unspecified_port = match family {
             AddressFamily::V4 => "127.0.0.1:0",
             AddressFamily::V6 => "[::1]:0",
             AddressFamily::Unix => {
-                let folder = tempfile::tempdir().expect("a folder");
-                let path = folder.path().join("s");
-                let listener = UnixListener::bind(&path).expect("a path of its own");
-                return (Self::Unix(listener), Endpoint::Unix(path, Arc::new(folder)));
+                let directory = tempfile::tempdir().expect("create a temporary directory");
+                let path = directory.path().join("s");
+                let listener = UnixListener::bind(&path).expect("bind a Unix socket");
+                return (
+                    Self::Unix(listener),
+                    Endpoint::Unix(path, Arc::new(directory)),
+                );
             }
         };
-        let listener = TcpListener::bind(any).expect("a port");
-        let address = listener.local_addr().expect("an address");
+        let listener = TcpListener::bind(unspecified_port).expect("bind a loopback socket");
+        let address = listener.local_addr().expect("read the local address");
         (Self::Tcp(listener), Endpoint::Ip(address))
     }
 
-    /// Takes the next connection.
+    /// Accepts the next connection.
     ///
     /// # Errors
     ///
-    /// The system is out of descriptors, say.
+    /// If the system cannot accept one, for example for lack of descriptors.
     pub fn accept(&self) -> io::Result<Stream> {
         match self {
             Self::Tcp(listener) => listener.accept().map(|(stream, _)| Stream::Tcp(stream)),
@@ -121,54 +124,54 @@
 
 /// A connection.
 pub enum Stream {
-    /// By TCP.
+    /// Over TCP.
     Tcp(TcpStream),
-    /// At a path.
+    /// Over a Unix socket.
     Unix(UnixStream),
 }
 
 impl Stream {
-    /// Connects.
+    /// Connects to an endpoint.
     ///
     /// # Errors
     ///
-    /// Nobody listens there.
+    /// If nothing listens there.
     pub fn connect(to: &Endpoint) -> io::Result<Self> {
         match to {
             Endpoint::Ip(address) => {
                 let stream = TcpStream::connect(address)?;
-                stream.set_nodelay(true)?; // Faults fall more exactly.
+                stream.set_nodelay(true)?; // Injected faults hit the intended bytes more exactly.
                 Ok(Self::Tcp(stream))
             }
             Endpoint::Unix(path, _) => UnixStream::connect(path).map(Self::Unix),
         }
     }
 
-    /// Another handle of it.
+    /// Returns another handle of the same socket.
     #[must_use]
     pub fn clone_handle(&self) -> Self {
         match self {
-            Self::Tcp(stream) => Self::Tcp(stream.try_clone().expect("a socket")),
-            Self::Unix(stream) => Self::Unix(stream.try_clone().expect("a socket")),
+            Self::Tcp(stream) => Self::Tcp(stream.try_clone().expect("duplicate a socket")),
+            Self::Unix(stream) => Self::Unix(stream.try_clone().expect("duplicate a socket")),
         }
     }
 
-    /// Ends a direction, or both.
+    /// Shuts down one direction of the connection, or both.
     pub fn shutdown(&self, how: Shutdown) {
-        // What has ended already is what is wanted.
+        // An error means that it is already shut down.
         let _ = match self {
             Self::Tcp(stream) => stream.shutdown(how),
             Self::Unix(stream) => stream.shutdown(how),
         };
     }
 
-    /// How long a read may wait.
+    /// Sets the maximum time that a read waits.
     pub fn set_read_timeout(&self, time: Duration) {
         match self {
             Self::Tcp(stream) => stream.set_read_timeout(Some(time)),
             Self::Unix(stream) => stream.set_read_timeout(Some(time)),
         }
-        .expect("a socket");
+        .expect("set the read timeout");
     }
 }
 
