--- a/crates/testkit/src/fleet.rs
+++ b/crates/testkit/src/fleet.rs
@@ -1,4 +1,4 @@
-//! A fleet of processes of the program, with faults between them.
+//! A fleet of node processes, with fault injection on the links between them.
 
 use std::collections::BTreeMap;
 use std::fs;
@@ -17,57 +17,57 @@
 use crate::relay::{RelayTotals, Relays};
 use crate::server::{Reply, Server};
 
-/// The longest datagram that the platform lets nodes send one another.
-const MOST_DATAGRAM: usize = 256;
-/// How soon answers are wanted: nodes have forgotten in seconds that a server's first answer was slow.
-const AIM_MS: u64 = 500;
-/// The most processes of a fleet: each has an address of its own.
-const MOST_NODES: usize = 30;
+/// Maximum length of a datagram that the platform carries between nodes, in bytes.
+const MAX_DATAGRAM_BYTES: usize = 256;
+/// Latency objective. It is so short that a slow first response of a server affects decisions for a few seconds only.
+const LATENCY_OBJECTIVE_MS: u64 = 500;
+/// Maximum number of nodes of a fleet: each has its own loopback address.
+const MAX_NODES: usize = 30;
 
-/// A line of what a node answers to `MEMBERS`.
+/// Another node's line in the response to `MEMBERS`.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Member {
-    /// What is believed of it.
+    /// State in which the responding node lists it.
     pub state: String,
-    /// In which incarnation.
+    /// Incarnation in which it is listed.
     pub incarnation: u64,
-    /// When it was heard, in milliseconds ago.
+    /// Time since a datagram of it was last received, in milliseconds; `None` if the responding node does not know.
     pub heard_ms: Option<u64>,
 }
 
-/// What a node answers to `MEMBERS`.
+/// Response of a node to `MEMBERS`.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Members {
-    /// How well it hears and is heard.
+    /// Health of the node's own communication: `isolated`, `degraded` or `well`.
     pub health: String,
-    /// Its own incarnation.
+    /// Own incarnation of the responding node.
     pub incarnation: u64,
-    /// What it takes itself for.
+    /// State in which the responding node lists itself.
     pub own_state: String,
-    /// The others, by name.
+    /// All other nodes that it lists, by name.
     pub other_members: BTreeMap<String, Member>,
 }
 
 impl Members {
-    fn read(text: &str) -> Option<Self> {
+    fn parse(text: &str) -> Option<Self> {
         let mut lines = text.strip_suffix("EOF\n")?.lines();
-        let own: Vec<_> = lines.next()?.split(' ').collect();
-        let ["self", _, health, incarnation, state] = own[..] else {
+        let own_line: Vec<_> = lines.next()?.split(' ').collect();
+        let ["self", _, health, incarnation, state] = own_line[..] else {
             return None;
         };
-        let other = |line: &str| {
+        let parse_member = |line: &str| {
             let words: Vec<_> = line.split(' ').collect();
-            let [name, state, incarnation, _, heard, _] = words[..] else {
+            let [name, state, incarnation, _, heard_ms, _] = words[..] else {
                 return None;
             };
             let member = Member {
                 state: state.into(),
                 incarnation: incarnation.parse().ok()?,
-                heard_ms: heard.parse().ok(),
+                heard_ms: heard_ms.parse().ok(),
             };
             Some((name.to_owned(), member))
         };
-        let other_members = lines.map(other).collect::<Option<_>>()?;
+        let other_members = lines.map(parse_member).collect::<Option<_>>()?;
         Some(Self {
             health: health.into(),
             incarnation: incarnation.parse().ok()?,
@@ -76,7 +76,7 @@
         })
     }
 
-    /// The state of another node; `-` of one that it does not know.
+    /// State of another node; `-` if it is not listed.
     #[must_use]
     pub fn state(&self, name: &str) -> &str {
         self.other_members
@@ -85,30 +85,33 @@
     }
 }
 
+/// A node of the fleet, running or not.
 struct Slot {
     name: String,
-    operators: String,
+    operators_file: String,
     node: Option<Node>,
-    stopped_until: Option<Instant>,
-    /// The log of processes that have ended.
-    past: Vec<(Instant, String)>,
+    /// End of the pause, if the process is paused.
+    paused_until: Option<Instant>,
+    /// Log of earlier processes, which have exited.
+    earlier_log: Vec<(Instant, String)>,
 }
 
-/// A fleet. Its processes end with it, also where a test panics.
+/// A fleet of nodes. Its processes are killed when it is dropped, also when a test panics.
 pub struct Fleet {
     slots: Vec<Slot>,
     relays: Relays,
-    listen: Vec<SocketAddr>,
-    folder: TempDir,
+    gossip_addresses: Vec<SocketAddr>,
+    directory: TempDir,
     discovery: Discovery,
-    /// The server that all its nodes send requests to.
+    /// Server that all nodes send requests to.
     pub server: Server,
-    /// Others beside it, before the first node is started.
+    /// Further servers. They must be added before the first node is started.
     pub extra_servers: Vec<Server>,
 }
 
 impl Fleet {
-    /// So many nodes, started; `operators` is added to the operators' file of each, behind `[instances]` and its keys.
+    /// Starts a fleet. `operators` is appended to the operators' file of each node, after the section `[instances]` and
+    /// its keys.
     #[must_use]
     pub fn start(nodes: usize, seed: u64, operators: &str) -> Self {
         let mut fleet = Self::prepare(nodes, seed, operators);
@@ -116,11 +119,15 @@
         fleet
     }
 
-    /// The same, with none of them started.
+    /// Like [`Fleet::start`], without starting the nodes.
     #[must_use]
     pub fn prepare(nodes: usize, seed: u64, operators: &str) -> Self {
-        assert!((1..=MOST_NODES).contains(&nodes), "1 to {MOST_NODES} nodes");
-        // Addresses of this process's own, so that nobody else's socket is there, and the same after a restart.
+        assert!(
+            (1..=MAX_NODES).contains(&nodes),
+            "a fleet has 1 to {MAX_NODES} nodes"
+        );
+        // The addresses depend on the process ID, so that no socket of another process is bound there, and stay the
+        // same when a node restarts.
         static NEXT: AtomicU16 = AtomicU16::new(0);
         let process = std::process::id();
         let [_, _, high, low] = process.to_be_bytes();
@@ -129,73 +136,74 @@
             let ip = Ipv4Addr::new(127, 64 + high % 64, low, 10 + node as u8);
             SocketAddr::new(IpAddr::V4(ip), port)
         };
-        let listen: Vec<_> = (0..nodes).map(address).collect();
-        let folder = tempfile::tempdir().expect("a folder");
-        let key = folder.path().join("key");
-        fs::write(&key, "a key that all nodes share\n").expect("a file");
-        fs::set_permissions(&key, fs::Permissions::from_mode(0o600)).expect("a file");
+        let gossip_addresses: Vec<_> = (0..nodes).map(address).collect();
+        let directory = tempfile::tempdir().expect("create a temporary directory");
+        let key = directory.path().join("key");
+        fs::write(&key, "a key that all nodes share\n").expect("write the key file");
+        fs::set_permissions(&key, fs::Permissions::from_mode(0o600))
+            .expect("set the mode of the key file");
         let key = key.display();
-        let operators =
+        let operators_file =
             format!("[instances]\nfleet = \"holds\"\nkey_file = \"{key}\"\n{operators}");
         let slot = |node| Slot {
             name: format!("n{node}"),
-            operators: operators.clone(),
+            operators_file: operators_file.clone(),
             node: None,
-            stopped_until: None,
-            past: Vec::new(),
+            paused_until: None,
+            earlier_log: Vec::new(),
         };
         Self {
             slots: (0..nodes).map(slot).collect(),
-            relays: Relays::start(listen.clone(), seed),
-            listen,
-            folder,
+            relays: Relays::start(gossip_addresses.clone(), seed),
+            gossip_addresses,
+            directory,
             discovery: Discovery::start(),
             server: Server::start(|_| Reply::ok("yes")).without_recording(),
             extra_servers: Vec::new(),
         }
     }
 
-    /// How many nodes it has, running or not.
+    /// Number of nodes, running or not.
     #[must_use]
     pub fn len(&self) -> usize {
         self.slots.len()
     }
 
-    /// Whether it has none.
+    /// Whether the fleet has no nodes.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.slots.is_empty()
     }
 
-    /// Where the key is that its nodes share.
+    /// Path of the key file that the nodes share.
     #[must_use]
     pub fn key_file(&self) -> std::path::PathBuf {
-        self.folder.path().join("key")
+        self.directory.path().join("key")
     }
 
-    /// What the operators' file of a node says.
+    /// Text of a node's operators' file.
     #[must_use]
     pub fn operators_file(&self, node: usize) -> &str {
-        &self.slots[node].operators
+        &self.slots[node].operators_file
     }
 
-    /// Gives a node another operators' file, from its next start on.
+    /// Replaces a node's operators' file from its next start on.
     pub fn set_operators_file(&mut self, node: usize, text: &str) {
-        self.slots[node].operators = text.into();
+        self.slots[node].operators_file = text.into();
     }
 
-    /// Gives a node another name, from its next start on.
+    /// Changes the name of a node from its next start on.
     pub fn rename(&mut self, node: usize, name: &str) {
         self.slots[node].name = name.into();
     }
 
-    /// A node's name.
+    /// Name of a node.
     #[must_use]
     pub fn name(&self, node: usize) -> &str {
         &self.slots[node].name
     }
 
-    /// The platform's configuration of a node.
+    /// The platform's configuration file for a node.
     #[must_use]
     pub fn config(&self, node: usize) -> String {
         let servers = [&self.server]
@@ -203,17 +211,17 @@
             .chain(&self.extra_servers)
             .enumerate();
         let servers: Vec<_> = servers
-            .map(|(at, server)| server.endpoint_entry(&format!("s-{at}"), "ready"))
+            .map(|(i, server)| server.endpoint_entry(&format!("s-{i}"), "ready"))
             .collect();
         let known = endpoint_list(1, true, &servers);
         let peers: Vec<_> = self.relays.peers[node]
             .iter()
-            .map(|at| format!("\"{at}\""))
+            .map(|address| format!("\"{address}\""))
             .collect();
         let text = config(
             self.discovery.address,
             &known,
-            &settings_with_latency_objective(AIM_MS, 15_000),
+            &settings_with_latency_objective(LATENCY_OBJECTIVE_MS, 15_000),
         );
         text.replace("\"n0\"", &format!("\"{}\"", self.slots[node].name))
             .replace("\"listen\"", "\"control\":\"127.0.0.1:0\",\"listen\"")
@@ -222,97 +230,100 @@
                 "\"discovery\":\"1",
                 &format!(
                     "\"peer_listen\":\"{}\",\"peers\":[{}],\"discovery\":\"1",
-                    self.listen[node],
+                    self.gossip_addresses[node],
                     peers.join(",")
                 ),
             )
     }
 
-    /// Where a node hears the others.
+    /// Address at which a node receives gossip datagrams.
     #[must_use]
     pub fn gossip_address(&self, node: usize) -> SocketAddr {
-        self.listen[node]
+        self.gossip_addresses[node]
     }
 
-    /// Starts a node, where it does not run.
+    /// Starts a node unless it runs.
     pub fn start_node(&mut self, node: usize) {
         if self.slots[node].node.is_none() {
-            let started = Node::start_with_operators_file(
+            let process = Node::start_with_operators_file(
                 &self.config(node),
-                Some(&self.slots[node].operators),
+                Some(&self.slots[node].operators_file),
             );
-            self.slots[node].node = Some(started);
+            self.slots[node].node = Some(process);
         }
     }
 
-    /// A node that runs.
+    /// A running node.
     #[must_use]
     pub fn node(&self, node: usize) -> &Node {
-        self.slots[node].node.as_ref().expect("it runs")
+        self.slots[node].node.as_ref().expect("the node runs")
     }
 
-    /// Whether a node runs and is not stopped.
+    /// Whether a node runs and is not paused.
     #[must_use]
     pub fn is_up(&self, node: usize) -> bool {
-        self.slots[node].node.is_some() && self.slots[node].stopped_until.is_none()
+        self.slots[node].node.is_some() && self.slots[node].paused_until.is_none()
     }
 
-    /// SIGKILL.
+    /// Kills a node with SIGKILL.
     pub fn kill(&mut self, node: usize) {
         let slot = &mut self.slots[node];
-        slot.stopped_until = None;
+        slot.paused_until = None;
         if let Some(node) = slot.node.take() {
-            slot.past.extend(node.log_with_times());
+            slot.earlier_log.extend(node.log_with_times());
             drop(node);
         }
     }
 
-    /// SIGTERM, and its end.
+    /// Sends SIGTERM to a node and waits until it exits.
     pub fn terminate(&mut self, node: usize) {
         let slot = &mut self.slots[node];
         if let Some(mut node) = slot.node.take() {
             node.terminate();
-            assert!(node.wait().success(), "it ends well");
-            slot.past.extend(node.log_with_times());
+            assert!(
+                node.wait().success(),
+                "the node must exit with status 0 after SIGTERM"
+            );
+            slot.earlier_log.extend(node.log_with_times());
         }
     }
 
-    /// SIGSTOP.
+    /// Pauses a node with SIGSTOP, until [`Fleet::resume`] is called.
     pub fn pause(&mut self, node: usize) {
         self.node(node).signal(Signal::STOP);
-        self.slots[node].stopped_until = Some(Instant::now() + Duration::from_secs(86_400));
+        self.slots[node].paused_until = Some(Instant::now() + Duration::from_secs(86_400));
     }
 
-    /// SIGCONT.
+    /// Resumes a paused node with SIGCONT.
     pub fn resume(&mut self, node: usize) {
-        self.slots[node].stopped_until = None;
+        self.slots[node].paused_until = None;
         self.node(node).signal(Signal::CONT);
     }
 
-    /// Injects a fault. A pause ends in [`Fleet::wait`].
+    /// Injects a fault. [`Fleet::wait`] resumes a node whose pause is over.
     pub fn apply(&mut self, fault: &Fault) {
         match fault {
             Fault::Pause { node, ms } if self.slots[*node].node.is_some() => {
                 let until = Instant::now() + Duration::from_secs_f64(ms / 1e3);
                 let until = self.slots[*node]
-                    .stopped_until
-                    .map_or(until, |held| held.max(until));
+                    .paused_until
+                    .map_or(until, |earlier| earlier.max(until));
                 self.pause(*node);
-                self.slots[*node].stopped_until = Some(until);
+                self.slots[*node].paused_until = Some(until);
             }
             Fault::Pause { .. } => {}
             Fault::Kill { node } => self.kill(*node),
             Fault::Start { node } => self.start_node(*node),
-            links => self.relays.apply(links),
+            link_fault => self.relays.apply(link_fault),
         }
     }
 
-    /// Waits, and lets pauses end that are due.
+    /// Waits, and meanwhile resumes nodes whose pause is over.
     pub fn wait(&mut self, time: Duration) {
         let end = Instant::now() + time;
         loop {
             let now = Instant::now();
-            let due = |slot: &Slot| slot.stopped_until.is_some_and(|until| until <= now);
+            let due = |slot: &Slot| slot.paused_until.is_some_and(|until| until <= now);
             let due: Vec<_> = (0..self.slots.len())
                 .filter(|node| due(&self.slots[*node]))
                 .collect();
@@ -324,7 +335,7 @@
         }
     }
 
-    /// Applies a fault schedule, whose times count from now.
+    /// Applies the faults of a schedule at their times, which count from now, and returns after the last.
     pub fn apply_schedule(&mut self, schedule: &FaultSchedule) {
         let start = Instant::now();
         for scheduled in &schedule.faults {
@@ -334,7 +345,7 @@
         }
     }
 
-    /// Cuts all ways between nodes of different sides, and heals the others.
+    /// Cuts all links between nodes of different sides, and heals all others.
     pub fn partition(&mut self, side: impl Fn(usize) -> usize) {
         self.apply(&Fault::HealAll);
         for from in 0..self.len() {
@@ -344,40 +355,43 @@
         }
     }
 
-    /// What a node says of the others.
+    /// Response of a node to `MEMBERS`.
     #[must_use]
     pub fn members(&self, node: usize) -> Members {
         let text = self.node(node).admin_command("MEMBERS\n");
-        Members::read(&text).unwrap_or_else(|| panic!("no members: {text}"))
+        Members::parse(&text).unwrap_or_else(|| panic!("malformed response to MEMBERS: {text}"))
     }
 
-    /// What a node says of leases: who owns each shard, and for how long it itself may act on it, in milliseconds.
+    /// Response of a node to `OWNERS`: for each shard the name of its owner, and for how many milliseconds the
+    /// responding node itself may still act as the owner.
     #[must_use]
     pub fn owners(&self, node: usize) -> Vec<(String, u64)> {
         let text = self.node(node).admin_command("OWNERS\n");
-        let row = |line: &str| {
+        let parse_row = |line: &str| {
             let words: Vec<_> = line.split(' ').collect();
-            let [_, owner, _, left, _] = words[..] else {
+            let [_, owner, _, left_ms, _] = words[..] else {
                 return None;
             };
-            Some((owner.to_owned(), left.parse().ok()?))
+            Some((owner.to_owned(), left_ms.parse().ok()?))
         };
         text.lines()
             .filter(|line| !line.starts_with("self "))
-            .filter_map(row)
+            .filter_map(parse_row)
             .collect()
     }
 
-    /// Whether so many shards have one owner each, by its own word; all nodes that run are asked once.
+    /// Checks that each of the shards has exactly one node that reports itself as the owner. Queries each node that
+    /// runs and is not paused once.
     ///
     /// # Errors
     ///
-    /// One has none, or several: by the answers, which come one after the other.
+    /// If a shard has no owner, or several. The nodes are queried one after another, so a shard that changes its owner
+    /// meanwhile may appear with none or several.
     pub fn all_owned(&self, shards: usize) -> Result<(), String> {
         let mut owners = vec![Vec::new(); shards];
         for node in (0..self.len()).filter(|node| self.is_up(*node)) {
-            for (owners, (_, left)) in owners.iter_mut().zip(self.owners(node)) {
-                if left > 0 {
+            for (owners, (_, left_ms)) in owners.iter_mut().zip(self.owners(node)) {
+                if left_ms > 0 {
                     owners.push(node);
                 }
             }
@@ -388,48 +402,56 @@
         }
     }
 
-    /// Which node owns a shard, by its own word. A node that stands still is not asked.
+    /// The node that reports itself as the owner of a shard. Paused nodes are not queried.
     ///
     /// # Errors
     ///
-    /// None, or several: by the answers, which come one after the other.
+    /// If no node does, or several do. The nodes are queried one after another, so a shard that changes its owner
+    /// meanwhile may appear with none or several.
     pub fn owner(&self, shard: usize) -> Result<usize, String> {
-        let asked = (0..self.len()).filter(|node| self.is_up(*node));
+        let running = (0..self.len()).filter(|node| self.is_up(*node));
         let owns = |node: &usize| {
             self.owners(*node)
                 .get(shard)
-                .is_some_and(|(_, left)| *left > 0)
+                .is_some_and(|(_, left_ms)| *left_ms > 0)
         };
-        let owners: Vec<_> = asked.filter(owns).collect();
+        let owners: Vec<_> = running.filter(owns).collect();
         match owners[..] {
             [owner] => Ok(owner),
             _ => Err(format!("shard {shard} is owned by {owners:?}")),
         }
     }
 
-    /// Who errs on whom: those that run must be alive to all that run, in their own incarnation, and others must not.
+    /// Describes the first mistake in the member lists of the running nodes, if there is one. Each must list every
+    /// other running node as alive in that node's current incarnation, and every node that does not run or is paused
+    /// as gone or left, or not at all.
     #[must_use]
     pub fn disagreement(&self) -> Option<String> {
-        let up: Vec<_> = (0..self.len()).filter(|node| self.is_up(*node)).collect();
-        let views: Vec<_> = up.iter().map(|node| (*node, self.members(*node))).collect();
-        for (of, view) in &views {
-            for node in (0..self.len()).filter(|node| node != of) {
-                let own = views
+        let running: Vec<_> = (0..self.len()).filter(|node| self.is_up(*node)).collect();
+        let views: Vec<_> = running
+            .iter()
+            .map(|node| (*node, self.members(*node)))
+            .collect();
+        for (observer, view) in &views {
+            for node in (0..self.len()).filter(|node| node != observer) {
+                let actual_incarnation = views
                     .iter()
-                    .find(|(held, _)| *held == node)
-                    .map(|(_, own)| own.incarnation);
-                let held = view.other_members.get(&self.slots[node].name);
-                let is_right = match (own, held) {
-                    (Some(own), Some(held)) => held.state == "alive" && held.incarnation == own,
+                    .find(|(other, _)| *other == node)
+                    .map(|(_, own_view)| own_view.incarnation);
+                let listed = view.other_members.get(&self.slots[node].name);
+                let is_right = match (actual_incarnation, listed) {
+                    (Some(actual), Some(listed)) => {
+                        listed.state == "alive" && listed.incarnation == actual
+                    }
                     (Some(_), None) => false,
-                    (None, held) => {
-                        held.is_none_or(|held| held.state == "gone" || held.state == "left")
+                    (None, listed) => {
+                        listed.is_none_or(|listed| listed.state == "gone" || listed.state == "left")
                     }
                 };
                 if !is_right {
                     return Some(format!(
-                        "{} holds {} for {held:?}, itself {own:?}",
-                        self.name(*of),
+                        "{} lists {} as {listed:?}, but its incarnation is {actual_incarnation:?} (None: not running)",
+                        self.name(*observer),
                         self.name(node)
                     ));
                 }
@@ -438,35 +460,38 @@
         None
     }
 
-    /// Waits until all agree, and tells how long it took.
+    /// Waits until [`Fleet::disagreement`] finds none, and returns how long that took.
     pub fn agree_within(&mut self, time: Duration) -> Duration {
-        self.wait_for("all agree", time, |fleet| {
+        self.wait_for("all member lists are correct", time, |fleet| {
             fleet.disagreement().map_or(Ok(()), Err)
         })
     }
 
-    /// Waits until something is so, and tells how long it took.
+    /// Waits until a condition holds, and returns how long that took.
     ///
     /// # Panics
     ///
-    /// It is not so in time.
+    /// If it does not hold in time.
     pub fn wait_for(
         &mut self,
-        what: &str,
+        description: &str,
         time: Duration,
-        mut so: impl FnMut(&mut Self) -> Result<(), String>,
+        mut condition: impl FnMut(&mut Self) -> Result<(), String>,
     ) -> Duration {
         let start = Instant::now();
         loop {
-            match so(self) {
+            match condition(self) {
                 Ok(()) => return start.elapsed(),
-                Err(why) => assert!(start.elapsed() < time, "not within {time:?}: {what}: {why}"),
+                Err(why) => assert!(
+                    start.elapsed() < time,
+                    "condition not met within {time:?}: {description}: {why}"
+                ),
             }
             self.wait(Duration::from_millis(50));
         }
     }
 
-    /// The log of a node, of all its processes so far.
+    /// Log of all processes of a node so far.
     #[must_use]
     pub fn log(&self, node: usize) -> Vec<String> {
         self.log_with_times(node)
@@ -477,33 +502,36 @@
 
     fn log_with_times(&self, node: usize) -> Vec<(Instant, String)> {
         let slot = &self.slots[node];
-        slot.past
+        slot.earlier_log
             .iter()
             .cloned()
             .chain(slot.node.iter().flat_map(Node::log_with_times))
             .collect()
     }
 
-    /// Who found whom gone so far by itself, and was not told.
+    /// All log entries by which a node itself confirmed another as gone by quorum, rather than on the report of a third:
+    /// the node that logged it, and the name of the one gone.
     #[must_use]
     pub fn quorum_verdicts(&self) -> Vec<(usize, String)> {
-        let own = self
+        let confirmed = self
             .gone_log_entries()
             .into_iter()
             .filter(|(.., why)| why.contains("confirmed by quorum"));
-        own.map(|(by, _, name, _)| (by, name)).collect()
+        confirmed
+            .map(|(observer, _, name, _)| (observer, name))
+            .collect()
     }
 
-    /// Who called whom gone so far: each line of each log.
+    /// All log entries by which a node reported another as gone: the node that logged it, and the name of the one gone.
     #[must_use]
     pub fn gone_reports(&self) -> Vec<(usize, String)> {
         self.gone_log_entries()
             .into_iter()
-            .map(|(by, _, name, _)| (by, name))
+            .map(|(observer, _, name, _)| (observer, name))
             .collect()
     }
 
-    /// The same, with when, and why.
+    /// Like [`Fleet::gone_reports`], with the time and the reason of each: observer, time, name, reason.
     #[must_use]
     pub fn gone_log_entries(&self) -> Vec<(usize, Instant, String, String)> {
         let lines = (0..self.len()).flat_map(|node| {
@@ -511,15 +539,15 @@
                 .into_iter()
                 .map(move |line| (node, line))
         });
-        let read = |(by, (at, line)): (usize, (Instant, String))| {
+        let parse = |(observer, (time, line)): (usize, (Instant, String))| {
             let rest = line.split_once("gossip: ")?.1;
             let (name, why) = rest.split_once(" is gone")?;
-            (name != "this node").then(|| (by, at, name.to_owned(), why.to_owned()))
+            (name != "this node").then(|| (observer, time, name.to_owned(), why.to_owned()))
         };
-        lines.filter_map(read).collect()
+        lines.filter_map(parse).collect()
     }
 
-    /// What the relays between the nodes have received so far.
+    /// Totals of the datagrams that the relays between the nodes have received so far.
     #[must_use]
     pub fn relay_totals(&self) -> RelayTotals {
         self.relays.totals()
@@ -528,13 +556,16 @@
 
 impl Drop for Fleet {
     fn drop(&mut self) {
-        // One that is stopped is killed all the same.
+        // SIGKILL ends paused processes, too.
         self.slots
             .iter_mut()
             .for_each(|slot| drop(slot.node.take()));
-        let longest = self.relays.totals().max_datagram_bytes;
+        let max_bytes = self.relays.totals().max_datagram_bytes;
         if !thread::panicking() {
-            assert!(longest <= MOST_DATAGRAM, "a datagram of {longest} bytes");
+            assert!(
+                max_bytes <= MAX_DATAGRAM_BYTES,
+                "a datagram has {max_bytes} bytes, more than {MAX_DATAGRAM_BYTES}"
+            );
         }
     }
 }
--- a/crates/testkit/src/lib.rs
+++ b/crates/testkit/src/lib.rs
@@ -1,7 +1,8 @@
-//! What the tests, the measurements and the demo share: stand-in servers, discovery and clients on loopback, the
-//! program run as a child, and a [`link`] that does to the bytes between two sockets what networks do.
+//! Test utilities shared by the tests, the measurements and the demo: fake servers, discovery and clients on loopback,
+//! the program run as a child process, and a [`link`] that injects network faults between two sockets.
 //!
-//! Everything binds to loopback, on ports that the system gives. Nothing here is used by the node itself.
+//! Sockets are bound to loopback addresses, by default on ports that the system assigns. Nothing here is used by the
+//! node itself.
 //!
 //! ```
 //! use testkit::{response, Reply, Server};
@@ -19,7 +20,7 @@
     clippy::needless_pass_by_value,
     reason = "this file is still to be rewritten: docs/ROADMAP.md, Readability"
 )]
-// A kit for tests fails loudly: what it needs and does not get ends the test that asked for it.
+// Helpers panic when an operation fails, so that the calling test fails at the cause.
 #![allow(clippy::missing_panics_doc)]
 
 pub mod consul;
@@ -53,20 +54,21 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// Longer than anything takes on a machine that is busy, and short enough for a test that fails.
+/// Time limit for what a test waits for: longer than anything takes on a busy machine, and short enough for a test that
+/// fails.
 pub const WAIT_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// Waits until something is so.
+/// Polls a condition every 2 ms until it holds.
 ///
 /// # Panics
 ///
-/// It is not so within [`WAIT_TIMEOUT`].
-pub fn wait_until(what: &str, mut so: impl FnMut() -> bool) {
+/// If it does not hold within [`WAIT_TIMEOUT`].
+pub fn wait_until(description: &str, mut condition: impl FnMut() -> bool) {
     let start = Instant::now();
-    while !so() {
+    while !condition() {
         assert!(
             start.elapsed() < WAIT_TIMEOUT,
-            "it never came to this: {what}"
+            "condition not met within {WAIT_TIMEOUT:?}: {description}"
         );
         thread::sleep(Duration::from_millis(2));
     }
--- a/crates/testkit/src/node.rs
+++ b/crates/testkit/src/node.rs
@@ -1,4 +1,4 @@
-//! The program, run and signalled.
+//! The node program as a child process, and clients of it.
 
 use std::io::{BufRead, BufReader, Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -16,19 +16,21 @@
 use crate::server::Server;
 use crate::{wait_until, WAIT_TIMEOUT};
 
-/// The settings of the tests: a safe, a keyed and an unsafe class.
+/// Platform settings with a class for each effect: `read` is `retryable`, `hold` is `dedup` and `pay` is `fragile`. The
+/// latency objective is the deadline.
 #[must_use]
 pub fn settings(deadline_ms: u64) -> String {
     settings_with_latency_objective(deadline_ms, deadline_ms)
 }
 
-/// The same, where answers are wanted within a time that is shorter. A node forgets what it saw of servers in
-/// some such times: where one was slow once, as any may be on a machine that is busy, it is passed over for as long.
+/// Like [`settings`], with a latency objective that is shorter than the deadline. A node discards its measurements of
+/// a server after a few times the latency objective. It avoids a server that was slow once, as any may be on a busy
+/// machine, for that long.
 #[must_use]
-pub fn settings_with_latency_objective(aim_ms: u64, deadline_ms: u64) -> String {
+pub fn settings_with_latency_objective(objective_ms: u64, deadline_ms: u64) -> String {
     let class = |name: &str, effect: &str| {
         format!(
-            r#"{{"name":"{name}","effect":"{effect}","group":"all","dedup_window_ms":60000.0,"promise_ms":{aim_ms}.0,"deadline_ms":{deadline_ms}.0,"worth":1.0}}"#
+            r#"{{"name":"{name}","effect":"{effect}","group":"all","dedup_window_ms":60000.0,"promise_ms":{objective_ms}.0,"deadline_ms":{deadline_ms}.0,"worth":1.0}}"#
         )
     };
     format!(
@@ -42,7 +44,7 @@
     )
 }
 
-/// A node's configuration.
+/// The platform's configuration file for a node.
 #[must_use]
 pub fn config(discovery: SocketAddr, known: &str, settings: &str) -> String {
     format!(
@@ -50,51 +52,51 @@
     )
 }
 
-/// The program, running.
+/// A running process of the node program.
 pub struct Node {
     child: Child,
-    /// Where it serves.
+    /// Address at which it serves clients.
     pub address: SocketAddr,
-    config: PathBuf,
-    operators: Option<PathBuf>,
+    config_file: PathBuf,
+    operators_file: Option<PathBuf>,
     log: Arc<Mutex<Vec<(Instant, String)>>>,
 }
 
-/// Writes a file of its own for a test.
+/// Writes a new temporary file and returns its path. The caller deletes it.
 #[must_use]
 pub fn write_temp_file(text: &str) -> PathBuf {
     static NEXT: std::sync::atomic::AtomicUsize = std::sync::atomic::AtomicUsize::new(0);
     let next = NEXT.fetch_add(1, std::sync::atomic::Ordering::Relaxed);
     let path =
         std::env::temp_dir().join(format!("silverthread-{}-{next}.json", std::process::id()));
-    std::fs::write(&path, text).expect("a file");
+    std::fs::write(&path, text).expect("write a temporary file");
     path
 }
 
-/// Where the program is: beside the one that asks, or above it where that is a test.
+/// Path of the node program: in the directory of the running executable, or in its parent directory if that is a test.
 ///
 /// # Panics
 ///
-/// It has not been built.
+/// If the program has not been built.
 #[must_use]
 pub fn program_path() -> PathBuf {
-    let own = std::env::current_exe().expect("a program");
+    let executable = std::env::current_exe().expect("find the running executable");
     let name = format!("silverthread{}", std::env::consts::EXE_SUFFIX);
-    let found = own
+    let found = executable
         .ancestors()
         .skip(1)
         .take(2)
-        .map(|folder| folder.join(&name))
+        .map(|directory| directory.join(&name))
         .find(|path| path.is_file());
     found.unwrap_or_else(|| {
         panic!(
-            "there is no {name} beside {}: build it first",
-            own.display()
+            "no {name} in the directory of {} or its parent: build it first",
+            executable.display()
         )
     })
 }
 
-/// Held shared while a process is started, and exclusively by [`pause_process_starts`].
+/// Locked for reading while a process is started, and for writing by [`pause_process_starts`].
 static PROCESS_STARTS: RwLock<()> = RwLock::new(());
 
 /// Keeps other tests of this test binary from starting processes until the guard is dropped.
@@ -108,7 +110,7 @@
         .unwrap_or_else(PoisonError::into_inner)
 }
 
-/// The program, with none of the variables that it reads.
+/// A command that runs the node program, without the environment variables that it reads.
 #[must_use]
 pub fn program_command() -> Command {
     let mut command = Command::new(program_path());
@@ -118,8 +120,8 @@
     command
 }
 
-/// A shell that is to put the program in its place.
-fn by_shell(script: &str) -> Command {
+/// A command that runs a shell script, which replaces the shell with the node program by `exec "$0"`.
+fn shell_command(script: &str) -> Command {
     let mut shell = Command::new("/bin/sh");
     shell
         .env_remove("ROUTER_CONFIG")
@@ -129,76 +131,82 @@
 }
 
 impl Node {
-    /// Starts it and waits until it serves.
+    /// Starts a node and waits until it is ready.
     #[must_use]
     pub fn start(config: &str) -> Self {
         Self::start_with_operators_file(config, None)
     }
 
-    /// The same, with an operators' file.
+    /// Like [`Node::start`], with an operators' file of this text, if there is one.
     #[must_use]
     pub fn start_with_operators_file(config: &str, operators: Option<&str>) -> Self {
         Self::spawn(config, operators, program_command())
     }
 
-    /// One process of a node whose listening socket the platform holds.
+    /// Like [`Node::start`], with a listening socket that the platform passes to the process.
     #[must_use]
     pub fn start_on(config: &str, listener: &TcpListener) -> Self {
-        let held = listener.try_clone().expect("a socket");
-        let mut shell = by_shell("exec \"$0\" 3<&0 </dev/null");
+        let socket = listener.try_clone().expect("duplicate a socket");
+        let mut shell = shell_command("exec \"$0\" 3<&0 </dev/null");
         shell
             .env("ROUTER_LISTEN_FD", "3")
-            .stdin(OwnedFd::from(held));
+            .stdin(OwnedFd::from(socket));
         Self::spawn(config, None, shell)
     }
 
-    /// One that the system gives so many descriptors and no more, whatever its configuration says.
+    /// Like [`Node::start`], with a limit on open descriptors that the system enforces, whatever the configuration
+    /// says.
     #[must_use]
     pub fn start_with_descriptor_limit(config: &str, descriptors: usize) -> Self {
         Self::spawn(
             config,
             None,
-            by_shell(&format!("ulimit -n {descriptors}; exec \"$0\"")),
+            shell_command(&format!("ulimit -n {descriptors}; exec \"$0\"")),
         )
     }
 
     fn spawn(config: &str, operators: Option<&str>, mut command: Command) -> Self {
-        let config = write_temp_file(config);
-        let operators = operators.map(write_temp_file);
-        if let Some(operators) = &operators {
-            command.arg("--config").arg(operators);
+        let config_file = write_temp_file(config);
+        let operators_file = operators.map(write_temp_file);
+        if let Some(operators_file) = &operators_file {
+            command.arg("--config").arg(operators_file);
         }
-        let starting = PROCESS_STARTS
+        let start_guard = PROCESS_STARTS
             .read()
             .unwrap_or_else(PoisonError::into_inner);
         let mut child = command
-            .env("ROUTER_CONFIG", &config)
+            .env("ROUTER_CONFIG", &config_file)
             .stderr(Stdio::piped())
             .spawn()
-            .expect("it starts");
-        drop(starting);
-        let mut input = BufReader::new(child.stderr.take().expect("piped"));
+            .expect("start the node program");
+        drop(start_guard);
+        let mut input = BufReader::new(child.stderr.take().expect("standard error is piped"));
         let mut line = String::new();
-        input.read_line(&mut line).expect("a log");
+        input.read_line(&mut line).expect("read the first log line");
         let address = line
             .trim_end()
             .rsplit(' ')
             .next()
-            .and_then(|a| a.parse().ok());
-        let address = address.unwrap_or_else(|| panic!("it did not say where it serves: {line}"));
+            .and_then(|word| word.parse().ok());
+        let address = address.unwrap_or_else(|| {
+            panic!("the first log line does not end with the serving address: {line}")
+        });
         let log = Arc::<Mutex<Vec<(Instant, String)>>>::default();
-        let lines = Arc::clone(&log);
+        let shared_log = Arc::clone(&log);
         thread::spawn(move || {
             for line in input.lines().map_while(Result::ok) {
                 eprintln!("{line}");
-                lines.lock().expect("sound").push((Instant::now(), line));
+                shared_log
+                    .lock()
+                    .expect("no thread panics while it holds the lock")
+                    .push((Instant::now(), line));
             }
         });
         let node = Self {
             child,
             address,
-            config,
-            operators,
+            config_file,
+            operators_file,
             log,
         };
         wait_until("/up answers 200", || node.is_ready());
@@ -208,16 +216,16 @@
     /// Whether `/up` answers 200, on a connection that the node has closed when this returns.
     ///
     /// Dropping the connection would not be enough: a process that another test forks at that moment has a copy of
-    /// the socket until it calls exec, so the node would see the end late and count one more client than there is.
+    /// the socket until it calls exec, so the node would see the close late and count one client too many.
     fn is_ready(&self) -> bool {
         let mut client = self.connect();
         client.send("GET /up HTTP/1.1\r\nHost: a\r\n\r\n");
-        let status = client.read_response().expect("an answer").status();
+        let status = client.read_response().expect("/up has a response").status();
         client.shutdown_write();
         client.is_closed() && status == 200
     }
 
-    /// The lines of its log so far, but for the first.
+    /// Lines of its log so far, without the first.
     #[must_use]
     pub fn log(&self) -> Vec<String> {
         self.log_with_times()
@@ -226,46 +234,50 @@
             .collect()
     }
 
-    /// The same, with when each line was read.
+    /// Like [`Node::log`], with the time at which each line was read.
     #[must_use]
     pub fn log_with_times(&self) -> Vec<(Instant, String)> {
-        self.log.lock().expect("sound").clone()
+        self.log
+            .lock()
+            .expect("no thread panics while it holds the lock")
+            .clone()
     }
 
-    /// Where its operators call.
+    /// Address of its admin server. Waits until the log contains it.
     #[must_use]
     pub fn admin_address(&self) -> SocketAddr {
         let mut address = None;
-        wait_until("its admin server listens", || {
+        wait_until("the admin server listens", || {
             let log = self.log();
-            let at = log
+            let text = log
                 .iter()
                 .find_map(|line| line.rsplit_once("admin server listens on "))
-                .map(|(_, at)| at);
-            address = at.and_then(|at| at.parse().ok());
+                .map(|(_, text)| text);
+            address = text.and_then(|text| text.parse().ok());
             address.is_some()
         });
-        address.expect("it said so")
+        address.expect("wait_until returns once there is an address")
     }
 
-    /// An operator's call, and what it is answered.
+    /// Sends an admin command and returns the response.
     #[must_use]
     pub fn admin_command(&self, line: &str) -> String {
-        let mut stream = TcpStream::connect(self.admin_address()).expect("it listens");
+        let mut stream =
+            TcpStream::connect(self.admin_address()).expect("connect to the admin server");
         stream
             .set_read_timeout(Some(WAIT_TIMEOUT))
-            .expect("a socket");
+            .expect("set the read timeout");
         stream
             .write_all(line.as_bytes())
-            .expect("an open connection");
-        let mut answer = String::new();
+            .expect("send the admin command");
+        let mut response = String::new();
         stream
-            .read_to_string(&mut answer)
-            .expect("an answer and its end");
-        answer
+            .read_to_string(&mut response)
+            .expect("read the response to its end");
+        response
     }
 
-    /// One of its figures.
+    /// Value of a metric in `STATS`, without the prefix `edge_router.` of its name.
     #[must_use]
     pub fn metric(&self, name: &str) -> u64 {
         let text = self.admin_command("STATS\n");
@@ -275,42 +287,44 @@
         let value = line
             .and_then(|line| line.split_once('|'))
             .and_then(|(value, _)| value.parse().ok());
-        value.unwrap_or_else(|| panic!("no figure {name} in {text}"))
+        value.unwrap_or_else(|| panic!("no metric {name} in {text}"))
     }
 
-    /// Sends its process a signal. It is a child that has not been waited for, so its number is no other's.
+    /// Sends a signal to its process. The process is a child that has not been waited for, so no other process can
+    /// have its ID.
     pub fn signal(&self, signal: Signal) {
-        let _ = kill_process(Pid::from_child(&self.child), signal); // One that has ended is past it.
+        let _ = kill_process(Pid::from_child(&self.child), signal); // An error means that it has exited.
     }
 
-    /// Its process, for figures of the system.
+    /// ID of its process, for reading the statistics that the system keeps of it.
     #[must_use]
     pub fn process_id(&self) -> u32 {
         self.child.id()
     }
 
-    /// A node that knows these servers, with its discovery and the open watch.
+    /// Starts a discovery service and a node whose initial endpoint list contains these servers, and returns both
+    /// with the watch that the node has opened. The node reaches a server that has a Unix socket only there.
     #[must_use]
     pub fn start_with_servers(servers: &[&Server], deadline_ms: u64) -> (Self, Discovery, Watch) {
         let discovery = Discovery::start();
         let entries: Vec<_> = servers
             .iter()
             .enumerate()
-            .map(|(i, s)| s.endpoint_entry(&format!("s-{i}"), "ready"))
+            .map(|(i, server)| server.endpoint_entry(&format!("s-{i}"), "ready"))
             .collect();
         let known = endpoint_list(1, true, &entries);
-        let at_paths: String = servers
+        let server_sections: String = servers
             .iter()
             .enumerate()
             .filter_map(|(i, server)| {
-                let path = server.unix_endpoint.as_ref()?;
-                let addresses = format!("addresses = [{{address = \"{path}\"}}]");
+                let endpoint = server.unix_endpoint.as_ref()?;
+                let addresses = format!("addresses = [{{address = \"{endpoint}\"}}]");
                 Some(format!(
                     "[[server]]\nid = \"s-{i}\"\nonly = true\n{addresses}\n"
                 ))
             })
             .collect();
-        let operators = Some(at_paths.as_str()).filter(|text| !text.is_empty());
+        let operators = Some(server_sections.as_str()).filter(|text| !text.is_empty());
         let node = Self::start_with_operators_file(
             &config(discovery.address, &known, &settings(deadline_ms)),
             operators,
@@ -319,62 +333,67 @@
         (node, discovery, watch)
     }
 
-    /// A connection to it.
+    /// Opens a client connection to the node.
     #[must_use]
     pub fn connect(&self) -> Client {
         Client::connect(self.address)
     }
 
-    /// The answer to a request on a connection of its own.
+    /// Sends a request on a new connection and returns the response.
     #[must_use]
     pub fn request(&self, request: &str) -> Message {
         let mut client = self.connect();
         client.send(request);
-        client.read_response().expect("an answer")
+        client
+            .read_response()
+            .expect("the node sends a complete response")
     }
 
-    /// The answer to a request, asked again for as long as it is refused: a balancer that has measured a machine
-    /// which stood still for a while may refuse, and a test of something else must not depend on it.
+    /// Like [`Node::request`], repeated while the response has status 503: if the machine stood still for a while,
+    /// the balancer may refuse requests because of its latency measurements. Tests of anything else must not depend
+    /// on that.
     #[must_use]
     pub fn request_until_accepted(&self, request: &str) -> Message {
-        let mut answer = self.request(request);
-        wait_until("a request is taken", || {
-            if answer.status() == 503 {
-                answer = self.request(request);
+        let mut response = self.request(request);
+        wait_until("a request is accepted", || {
+            if response.status() == 503 {
+                response = self.request(request);
             }
-            answer.status() != 503
+            response.status() != 503
         });
-        answer
+        response
     }
 
-    /// SIGTERM.
+    /// Sends SIGTERM, which starts a graceful shutdown.
     pub fn terminate(&self) {
         self.signal(Signal::TERM);
     }
 
-    /// Replaces its configuration and tells it so.
+    /// Replaces the platform's configuration file and sends SIGHUP.
     pub fn reload(&self, config: &str) {
-        replace(&self.config, config);
+        replace(&self.config_file, config);
         self.signal(Signal::HUP);
     }
 
-    /// Replaces its operators' file and tells it so.
+    /// Replaces the operators' file and sends SIGHUP.
     pub fn reload_operators_file(&self, operators: &str) {
         replace(
-            self.operators.as_deref().expect("it was started with one"),
+            self.operators_file
+                .as_deref()
+                .expect("the node was started with an operators' file"),
             operators,
         );
         self.signal(Signal::HUP);
     }
 
-    /// Waits for its end.
+    /// Waits until the process exits.
     pub fn wait(&mut self) -> ExitStatus {
-        let mut ended = None;
-        wait_until("the program ends", || {
-            ended = self.child.try_wait().expect("a child");
-            ended.is_some()
+        let mut exit_status = None;
+        wait_until("the node exits", || {
+            exit_status = self.child.try_wait().expect("query the child process");
+            exit_status.is_some()
         });
-        ended.expect("ended")
+        exit_status.expect("wait_until returns once the process has exited")
     }
 }
 
@@ -382,30 +401,31 @@
     fn drop(&mut self) {
         let _ = self.child.kill();
         let _ = self.child.wait();
-        let _ = std::fs::remove_file(&self.config);
-        self.operators.as_ref().map(std::fs::remove_file);
+        let _ = std::fs::remove_file(&self.config_file);
+        self.operators_file.as_ref().map(std::fs::remove_file);
     }
 }
 
+/// Replaces a file atomically.
 fn replace(file: &Path, text: &str) {
     let next = file.with_extension("next");
-    std::fs::write(&next, text).expect("a file");
-    std::fs::rename(&next, file).expect("a file");
+    std::fs::write(&next, text).expect("write a temporary file");
+    std::fs::rename(&next, file).expect("rename the temporary file");
 }
 
-/// A client's connection.
+/// A client connection.
 pub struct Client {
     input: BufReader<TcpStream>,
 }
 
 impl Client {
-    /// A connection to a node.
+    /// Connects to a node.
     #[must_use]
     pub fn connect(node: SocketAddr) -> Self {
-        Self::try_connect(node).expect("it listens")
+        Self::try_connect(node).expect("connect to the node")
     }
 
-    /// The same, where it may not listen.
+    /// Like [`Client::connect`]; `None` if the node does not accept the connection.
     #[must_use]
     pub fn try_connect(node: SocketAddr) -> Option<Self> {
         let stream = TcpStream::connect(node).ok()?;
@@ -416,53 +436,54 @@
         })
     }
 
-    /// Sends text as it is; `false`: the connection has ended.
+    /// Sends text unchanged; returns whether the connection accepted it.
     #[must_use]
     pub fn try_send(&mut self, text: &str) -> bool {
         self.input.get_mut().write_all(text.as_bytes()).is_ok()
     }
 
-    /// Sends text as it is.
+    /// Sends text unchanged.
     pub fn send(&mut self, text: &str) {
         self.input
             .get_mut()
             .write_all(text.as_bytes())
-            .expect("an open connection");
+            .expect("the connection is open");
     }
 
-    /// Ends its sending, and could still read.
+    /// Shuts down the sending direction; responses can still be read.
     pub fn shutdown_write(&self) {
         self.input
             .get_ref()
             .shutdown(std::net::Shutdown::Write)
-            .expect("an open connection");
+            .expect("the connection is open");
     }
 
-    /// The next answer; `None` is an end before its last byte.
+    /// Reads the next response; `None` if the connection ends or the time limit expires before its last byte.
     pub fn read_response(&mut self) -> Option<Message> {
         Message::read(&mut self.input)
     }
 
-    /// Whether the node has ended the connection.
+    /// Waits for the next byte or the end of the connection; returns whether it ended. An expired time limit counts
+    /// as the end.
     pub fn is_closed(&mut self) -> bool {
         matches!(self.input.read(&mut [0; 1]), Ok(0) | Err(_))
     }
 
-    /// Whether the connection is open and nothing comes on it for a moment.
+    /// Whether the connection stays open and no byte is received for 50 ms.
     pub fn is_silent(&mut self) -> bool {
         let stream = self.input.get_ref();
         stream
             .set_read_timeout(Some(Duration::from_millis(50)))
-            .expect("a socket");
-        let came = self.input.read(&mut [0; 1]);
+            .expect("set the read timeout");
+        let result = self.input.read(&mut [0; 1]);
         self.input
             .get_ref()
             .set_read_timeout(Some(WAIT_TIMEOUT))
-            .expect("a socket");
-        came.is_err_and(|error| error.kind() == std::io::ErrorKind::WouldBlock)
+            .expect("set the read timeout");
+        result.is_err_and(|error| error.kind() == std::io::ErrorKind::WouldBlock)
     }
 
-    /// Whether the node ends the connection with its answer's end, and not with a reset.
+    /// Waits for the next byte or the end of the connection; returns whether it ended in order and not by a reset.
     pub fn is_closed_without_reset(&mut self) -> bool {
         matches!(self.input.read(&mut [0; 1]), Ok(0))
     }
