--- a/crates/testkit/src/fleet.rs
+++ b/crates/testkit/src/fleet.rs
@@ -318,7 +318,7 @@
         }
     }
 
-    /// Waits, and meanwhile resumes nodes whose pause is over.
+    /// Waits, and resumes each node whose pause ends in that time.
     pub fn wait(&mut self, time: Duration) {
         let end = Instant::now() + time;
         loop {
@@ -385,8 +385,8 @@
     ///
     /// # Errors
     ///
-    /// If a shard has no owner, or several. The nodes are queried one after another, so a shard that changes its owner
-    /// meanwhile may appear with none or several.
+    /// If a shard has no owner, or several. The nodes are queried one after another, so a shard whose owner changes
+    /// during the queries may appear with none or several.
     pub fn all_owned(&self, shards: usize) -> Result<(), String> {
         let mut owners = vec![Vec::new(); shards];
         for node in (0..self.len()).filter(|node| self.is_up(*node)) {
@@ -406,8 +406,8 @@
     ///
     /// # Errors
     ///
-    /// If no node does, or several do. The nodes are queried one after another, so a shard that changes its owner
-    /// meanwhile may appear with none or several.
+    /// If no node does, or several do. The nodes are queried one after another, so a shard whose owner changes
+    /// during the queries may appear with none or several.
     pub fn owner(&self, shard: usize) -> Result<usize, String> {
         let running = (0..self.len()).filter(|node| self.is_up(*node));
         let owns = |node: &usize| {
--- a/crates/testkit/src/node.rs
+++ b/crates/testkit/src/node.rs
@@ -1,4 +1,4 @@
-//! The node program as a child process, and clients of it.
+//! The node program as a child process, and its clients.
 
 use std::io::{BufRead, BufReader, Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -44,11 +44,11 @@
     )
 }
 
-/// The platform's configuration file for a node.
+/// The platform's configuration file for a node, with its initial endpoint list and its settings.
 #[must_use]
-pub fn config(discovery: SocketAddr, known: &str, settings: &str) -> String {
+pub fn config(discovery: SocketAddr, endpoint_list: &str, settings: &str) -> String {
     format!(
-        r#"{{"name":"n0","listen":"127.0.0.1:0","discovery":"{discovery}","seed":"0f","limits":{{"cores":1.0,"memory_mb":192,"sockets":1024}},"known":{known},"settings":{settings}}}"#
+        r#"{{"name":"n0","listen":"127.0.0.1:0","discovery":"{discovery}","seed":"0f","limits":{{"cores":1.0,"memory_mb":192,"sockets":1024}},"known":{endpoint_list},"settings":{settings}}}"#
     )
 }
 
@@ -296,7 +296,7 @@
         let _ = kill_process(Pid::from_child(&self.child), signal); // An error means that it has exited.
     }
 
-    /// ID of its process, for reading the statistics that the system keeps of it.
+    /// ID of its process, for reading system statistics.
     #[must_use]
     pub fn process_id(&self) -> u32 {
         self.child.id()
