--- a/crates/testkit/src/node.rs
+++ b/crates/testkit/src/node.rs
@@ -46,9 +46,9 @@
 
 /// The platform's configuration file for a node, with its initial endpoint list and its settings.
 #[must_use]
-pub fn config(discovery: SocketAddr, endpoint_list: &str, settings: &str) -> String {
+pub fn config(discovery: SocketAddr, initial_endpoints: &str, settings: &str) -> String {
     format!(
-        r#"{{"name":"n0","listen":"127.0.0.1:0","discovery":"{discovery}","seed":"0f","limits":{{"cores":1.0,"memory_mb":192,"sockets":1024}},"known":{endpoint_list},"settings":{settings}}}"#
+        r#"{{"name":"n0","listen":"127.0.0.1:0","discovery":"{discovery}","seed":"0f","limits":{{"cores":1.0,"memory_mb":192,"sockets":1024}},"known":{initial_endpoints},"settings":{settings}}}"#
     )
 }
 
