--- a/crates/balancer/src/admission.rs
+++ b/crates/balancer/src/admission.rs
@@ -12,16 +12,19 @@
 /// Fraction of its latency objective that an answer may be expected to take. The rest is a margin for
 /// uncertainty, because counts are estimates between reports.
 const OBJECTIVE_FRACTION: f64 = 0.45;
-/// The same fraction where servers are polled before each send, so that counts are fresh.
+/// Fraction of its latency objective that an answer may be expected to take where servers are polled
+/// before each send, so that counts are fresh.
 const POLLED_OBJECTIVE_FRACTION: f64 = 0.8;
-/// Lower bound of the factor that scales this fraction by the relative value density of a class.
+/// Factor that scales the objective fraction of a class whose relative value density approaches zero; the
+/// class with the highest density has a factor of 1.
 const MIN_PRIORITY_FACTOR: f64 = 0.5;
-/// Admitted fraction of a class's requests below which only the class's own objective limits the wait.
+/// Admitted fraction of a class's requests below which other classes' objectives no longer limit its wait.
 const MIN_ADMITTED_FRACTION: f64 = 0.3;
-/// After this many consecutive rejections over at least this time a request is sent regardless of the
-/// estimates, because only an attempt can refute them. The platform does not tolerate a node that
-/// rejects 15 requests over 4 s without an attempt.
+/// Number of consecutive rejections after which a request is sent regardless of the estimates, if the run
+/// also lasts [`MAX_REJECTION_RUN_MS`]: only an attempt can refute the estimates. The platform does not
+/// tolerate a node that rejects 15 requests over 4 s without an attempt.
 const MAX_CONSECUTIVE_REJECTIONS: usize = 12;
+/// Duration of such a run of rejections, in milliseconds.
 const MAX_REJECTION_RUN_MS: f64 = 3_000.0;
 
 /// A run of consecutive rejections.
@@ -80,8 +83,8 @@
         server
     }
 
-    /// The longest expected wait at which a request is admitted, in milliseconds, normalized to a
-    /// class with average work.
+    /// The longest expected wait at which a request is admitted, in milliseconds. Objectives are normalized
+    /// to a class with average work, except where servers are polled.
     pub(crate) fn admissible_wait_ms(&self, request: &PendingRequest) -> f64 {
         if self.latency.all.latency.samples == 0.0 {
             return f64::INFINITY; // There is no estimate before the first answer.
@@ -93,8 +96,8 @@
             let due_ms = request.accepted_at_ms + objective_ms;
             return (due_ms.min(request.deadline_ms) - self.now_ms) * fraction;
         }
-        // The short objective of a class of higher value must not starve this class where the other
-        // class gains nothing by it.
+        // The short objective of a class of higher value must not starve this class: an objective that
+        // causes so many rejections may be out of reach anyway.
         let admitted = self.admission.admitted_fraction[request.class];
         if admitted.is_confident() && admitted.mean < MIN_ADMITTED_FRACTION {
             let own_ms = self.normalized_objective_ms(request.class);
@@ -145,8 +148,8 @@
             * (MIN_PRIORITY_FACTOR + (1.0 - MIN_PRIORITY_FACTOR) * priority)
     }
 
-    /// The fraction of the servers' capacity that admission relies on. Warming servers cannot take
-    /// their full share yet, and a node with old reports must not let queues grow until it notices.
+    /// The fraction of the servers' capacity that admission relies on. Where reports are stale it excludes
+    /// the capacity that warming servers lack, as stale reports would show growing queues too late.
     fn usable_capacity(&self) -> f64 {
         if self.traffic.has_recent_reports || self.health_checks.enabled {
             1.0
--- a/crates/balancer/src/balancer.rs
+++ b/crates/balancer/src/balancer.rs
@@ -22,16 +22,16 @@
 use crate::traffic::Traffic;
 use crate::window::SlidingWindow;
 
-/// Decides for one node. See the [crate] page for an example.
+/// The decision logic of one node. See the documentation of the [crate] for an example.
 ///
 /// The default value has no classes and fails every request.
 #[derive(Default)]
 pub struct Balancer {
     pub(crate) settings: Settings,
     pub(crate) random: fastrand::Rng,
-    /// Time of the event that is being handled.
+    /// Time of the event that is being handled, in milliseconds.
     pub(crate) now_ms: f64,
-    /// Mean latency objective of the classes, in which most other durations are expressed.
+    /// Mean latency objective of the classes, in milliseconds. Most other durations are multiples of it.
     pub(crate) objective_ms: f64,
     /// Actions that result from the event that is being handled.
     pub(crate) actions: Vec<Action>,
--- a/crates/balancer/src/event.rs
+++ b/crates/balancer/src/event.rs
@@ -56,7 +56,7 @@
     Served,
     /// An error response; the request may have run.
     Error,
-    /// Rejected by the server's own load shedding, before it ran.
+    /// Rejected by the server's own load shedding; the request never ran.
     Overloaded,
     /// No response in time; the request may have run.
     TimedOut,
@@ -66,7 +66,7 @@
     Reset,
     /// The response cannot be parsed or is incomplete; the request may have run.
     Malformed,
-    /// The server rejected the request as invalid, as any other would; the client gets that response.
+    /// The server rejected the request as invalid, as any other server would; the client gets that response.
     ClientError,
     /// Cancelled by the node; the request may have run.
     Cancelled,
@@ -94,7 +94,7 @@
     pub request: RequestId,
     /// The attempt, numbered from zero in the order of sending.
     pub attempt: usize,
-    /// Milliseconds since it was sent.
+    /// Milliseconds since the attempt was sent.
     pub elapsed_ms: f64,
     /// How it ended.
     pub result: AttemptResult,
@@ -135,7 +135,7 @@
     HealthChecked {
         /// The server.
         server: ServerId,
-        /// Milliseconds since it was sent.
+        /// Milliseconds since the health check was sent.
         elapsed_ms: f64,
         /// How it ended.
         result: AttemptResult,
--- a/crates/balancer/src/health_check.rs
+++ b/crates/balancer/src/health_check.rs
@@ -19,11 +19,11 @@
 const MAX_POLL_PRICE: f64 = 0.02;
 /// Time-out of a poll, in mean latency objectives. Polling ends if the mean round trip exceeds it.
 const POLL_TIMEOUT_OBJECTIVES: f64 = 0.02;
-/// Number of poll time-outs that must be left before a request's deadline when it is sent.
+/// Number of poll time-outs that must fit between the sending of a request and its deadline.
 const RESERVED_POLLS: f64 = 3.0;
 /// Interval between polls of a server with an overdue attempt, in mean latency objectives.
 const OVERDUE_REPOLL_OBJECTIVES: f64 = 0.125;
-/// A server that reports fewer requests in flight than this has none.
+/// Reported number of requests in flight below which a server is considered to have none.
 const MIN_IN_FLIGHT: f64 = 0.5;
 
 /// Whether servers are polled before each send, and the round-trip time of health checks.
@@ -43,7 +43,7 @@
         }
     }
 
-    /// Time before its deadline that a request must have left for polls, in milliseconds.
+    /// Time reserved for polls before a request's deadline, in milliseconds; zero if servers are not polled.
     pub fn reserve_ms(&self, objective_ms: f64) -> f64 {
         if self.enabled {
             RESERVED_POLLS * POLL_TIMEOUT_OBJECTIVES * objective_ms
@@ -52,8 +52,8 @@
         }
     }
 
-    /// Records a response. Ends polling for good if health checks are queued as requests are, because
-    /// their reports are then too old.
+    /// Records the round-trip time of a health check. Disables polling permanently if the mean exceeds the
+    /// time-out of a poll: the servers then queue health checks like requests, and reports are too old.
     fn responded(&mut self, elapsed_ms: f64, objective_ms: f64) {
         let round_trip_ms = &mut self.round_trip_ms;
         round_trip_ms.add(elapsed_ms, GAIN);
--- a/crates/balancer/src/outlier.rs
+++ b/crates/balancer/src/outlier.rs
@@ -1,4 +1,4 @@
-//! Outlier detection: what the result of an attempt says about its server, and when a server is ejected.
+//! Outlier detection: which results of attempts are faults of their servers, and when a server is ejected.
 //!
 //! A server that fails quickly, hangs or cannot be reached has a low count, so the counts alone would
 //! favour it. After its ejection a server is on trial: it gets one request at a time until it serves one.
@@ -13,13 +13,13 @@
 /// Duration of an ejection, and of withholding a quota group for which a server is overloaded, in mean
 /// latency objectives.
 const EJECTION_OBJECTIVES: f64 = 2.0;
-/// Mean deviations above the mean latency within which answers are ordinary (as in TCP's
+/// Number of mean deviations by which the latency of an ordinary answer may exceed the mean (as in TCP's
 /// retransmission time-out, RFC 6298).
 const TIMEOUT_DEVIATIONS: f64 = 4.0;
-/// Consecutive malformed responses that are a fault. A healthy server, or the network, causes a single
-/// one at times.
+/// Number of consecutive malformed responses that counts as a fault. A healthy server, or the network,
+/// occasionally causes a single one.
 const MAX_CONSECUTIVE_MALFORMED: usize = 3;
-/// Consecutive connections broken during a request that are a fault.
+/// Number of consecutive connections broken during a request that counts as a fault.
 const MAX_CONSECUTIVE_RESETS: usize = 2;
 /// Lower bound of a measured latency, in milliseconds. Latencies are divisors, so none may be zero.
 const MIN_ELAPSED_MS: f64 = 0.001;
@@ -36,7 +36,7 @@
 }
 
 impl Observation {
-    /// Whether the server is at fault; `None` if the result says nothing about the server.
+    /// Whether the server is at fault; `None` if the result gives no information about the server.
     fn is_fault(&self, server: &Server, attempt: &Attempt) -> Option<bool> {
         match self.result {
             AttemptResult::Served | AttemptResult::Overloaded => Some(false),
@@ -50,7 +50,8 @@
         }
     }
 
-    /// Whether a time-out is longer than an ordinary answer. A shorter one is not the server's fault.
+    /// Whether a time-out took at least as long as the slowest ordinary answer. A shorter one is not the
+    /// server's fault.
     fn is_overlong(&self, attempt: &Attempt) -> bool {
         let longest = self.class_multiple.mean + TIMEOUT_DEVIATIONS * self.class_multiple.deviation;
         self.elapsed_ms >= longest * attempt.expected_latency_ms
--- a/crates/balancer/src/queue.rs
+++ b/crates/balancer/src/queue.rs
@@ -10,7 +10,7 @@
 use crate::request::PendingRequest;
 use crate::timer::TimerKind;
 
-/// Fraction of its timeout after which a request that is still queued gets its answer.
+/// Fraction of a request's timeout after which the request is rejected if it is still queued.
 const MAX_WAIT_FRACTION: f64 = 0.95;
 
 /// The requests of one key, of which only the first may run.
@@ -36,7 +36,7 @@
 #[derive(Default)]
 pub(crate) struct KeyQueues {
     queues: HashMap<Box<str>, KeyQueue>,
-    /// In the order in which they end, as all are equally long.
+    /// Cooldowns in the order in which they end, which is the order of their start, as all are equally long.
     cooldowns: VecDeque<Cooldown>,
 }
 
@@ -60,7 +60,7 @@
 /// The new head of a queue after the previous one has left.
 struct NextRequest {
     id: RequestId,
-    /// Rest of the key's cooldown in milliseconds; zero or negative if it has ended.
+    /// Remaining cooldown of the key in milliseconds; zero or negative if it has ended.
     remaining_cooldown_ms: f64,
 }
 
--- a/crates/balancer/src/request.rs
+++ b/crates/balancer/src/request.rs
@@ -12,7 +12,7 @@
 use crate::timer::TimerKind;
 
 /// Number of attempt lists kept for reuse, so that a request allocates nothing. A node with more
-/// requests at a time allocates the rest.
+/// concurrent requests allocates the rest.
 const MAX_SPARE_ATTEMPT_LISTS: usize = 256;
 
 /// One attempt of a request.
@@ -42,7 +42,7 @@
     pub deadline_ms: f64,
     /// Servers polled for their load before the next attempt.
     pub polled: Vec<ServerId>,
-    /// Those of the polled servers that have responded.
+    /// The polled servers that have responded.
     pub responded: Vec<ServerId>,
     pub attempts: Vec<Attempt>,
     /// Index of the first attempt that may have run or may still run.
@@ -174,7 +174,8 @@
         }
     }
 
-    /// Expected latency of an answer at this depth, from the results of all servers.
+    /// Expected latency of an answer, in milliseconds, from the results of all servers. Where servers are
+    /// polled it is proportional to the depth.
     fn expected_latency_ms(&self, depth: f64) -> f64 {
         let relative_depth = if self.health_checks.enabled {
             depth / self.latency.all.depth.mean.max(1.0)
--- a/crates/balancer/src/retry.rs
+++ b/crates/balancer/src/retry.rs
@@ -6,18 +6,19 @@
 use crate::settings::{Idempotency, RetryBudget, Settings};
 use crate::window::SlidingWindow;
 
-/// Retries per request accepted in the window, in the budget that applies where none is set. Limits how
-/// much retries add to an overload.
+/// Retries per request accepted in the window of the default budget, which applies if none is set. Limits
+/// how much retries add to an overload.
 const DEFAULT_RETRIES_PER_REQUEST: f64 = 0.2;
 /// Window of the default budget, in mean latency objectives.
 const DEFAULT_WINDOW_OBJECTIVES: f64 = 25.0;
-/// Fraction of the deduplication window within which a retry is sent, as it must also arrive within it.
+/// Fraction of the deduplication window within which a retry is sent, as the retry must also arrive within
+/// the window.
 const DEDUP_WINDOW_FRACTION: f64 = 0.8;
-/// Margin in milliseconds by which fewer accepted requests and more retries are counted, so that the
-/// budget is not exceeded.
+/// Margin in milliseconds by which the window is shortened for accepted requests and extended for retries,
+/// so that the budget is not exceeded.
 const WINDOW_MARGIN_MS: f64 = 1.0;
 
-/// The retry budget and what has been used of it.
+/// The retry budget, and the accepted requests and retries that count towards it.
 #[derive(Default)]
 pub(crate) struct RetryLimiter {
     budget: RetryBudget,
@@ -60,8 +61,8 @@
 }
 
 impl Balancer {
-    /// Whether a request is too near its deadline to be sent: the remaining time must allow for polling,
-    /// if servers are polled, and for an answer.
+    /// Whether it is too late to send a request: its deadline has passed or, if servers are polled, the
+    /// remaining time is no longer than the time reserved for polls.
     #[inline]
     pub(crate) fn deadline_too_near(&self, request: &PendingRequest) -> bool {
         self.now_ms + self.health_checks.reserve_ms(self.objective_ms) >= request.deadline_ms
--- a/crates/balancer/src/sampling.rs
+++ b/crates/balancer/src/sampling.rs
@@ -11,7 +11,7 @@
 /// Length of the list up to which every server is assessed for each request, and of the part of the
 /// ring in which a sample looks for the next servers.
 const MAX_FULL_SCAN: usize = 64;
-/// Limit, in a sample, of the contacted servers, and of the warming servers to which this node may send.
+/// Maximum number of contacted servers in a sample, and maximum number of warming servers added to them.
 const MAX_SAMPLED: usize = 24;
 /// Number of servers in a sample that come next on the ring, from this node's position.
 const MAX_NEXT_ON_RING: usize = 8;
@@ -27,7 +27,7 @@
 /// The servers from which samples are drawn; empty while the list is short.
 #[derive(Default)]
 pub(crate) struct Sampler {
-    /// Contacted servers. Those that no longer count as contacted are removed when they are drawn.
+    /// Contacted servers. Those that are no longer contacted or ready are removed when they are drawn.
     contacted: Vec<ServerId>,
     /// Warming servers, in order of their slow-start thresholds.
     warming: Vec<WarmingServer>,
@@ -126,8 +126,8 @@
         sample.extend(uncontacted.take(MAX_SAMPLED));
     }
 
-    /// Adds the next uncontacted servers of the ring that have not failed, and random ones from the
-    /// whole ring if there are too few. This way a node whose part of the ring is unreachable finds others.
+    /// Adds the next uncontacted servers of the ring that have not failed, and random servers of the whole
+    /// ring if there are too few, so that a node whose part of the ring is unreachable finds other servers.
     fn sample_ring(&mut self, sample: &mut Vec<ServerId>) {
         let before = sample.len();
         let nearest = self.ring.iter().take(MAX_FULL_SCAN).copied();
--- a/crates/balancer/src/selection.rs
+++ b/crates/balancer/src/selection.rs
@@ -16,11 +16,13 @@
 
 /// Multiple of the shortest expected wait above which a server is not selected.
 const MAX_RELATIVE_WAIT: f64 = 2.5;
-/// The same on a node with stale reports, whose counts are older.
+/// Multiple of the shortest expected wait above which a server is not selected on a node with stale
+/// reports. It is lower, as the counts are older.
 const MAX_RELATIVE_WAIT_STALE: f64 = 1.5;
-/// A server with at most this many attempts of this node in flight, and at most this count, is assumed
-/// to have no queue.
+/// Number of this node's attempts in flight up to which a server is assumed to have no queue, if its count
+/// is also at most [`MAX_UNQUEUED_COUNT`].
 const MAX_UNQUEUED_IN_FLIGHT: usize = 2;
+/// Count up to which a server is assumed to have no queue.
 const MAX_UNQUEUED_COUNT: f64 = 3.0;
 /// Number of servers whose counts are compared where reports are stale.
 const MAX_CHOICES_STALE: usize = 2;
@@ -40,12 +42,13 @@
     pub server: ServerId,
     /// Expected latency at the server, in milliseconds.
     wait_ms: f64,
-    /// The count, multiplied by the latency per request where capacities may differ.
+    /// The count, multiplied by the latency per request unless servers are polled.
     rank: f64,
     /// Whether it is admitted regardless of its expected wait: it has no queue, or a trial is due.
     always_admitted: bool,
     healthy: bool,
     same_zone: bool,
+    /// Whether the latest attempt reached it, or it is warming up.
     contacted: bool,
     /// Whether it has not been ejected since it last served a request.
     no_open_ejection: bool,
@@ -203,9 +206,10 @@
         }
     }
 
-    /// A warming server looks idle, so all nodes keep within its budget, each in proportion to the
-    /// number of requests that it served. Where a node's part is less than one request, the server's
-    /// random threshold lets only some nodes send one.
+    /// Whether a request would exceed this node's part of a warming server's budget. A warming server looks
+    /// idle, so all nodes keep within its budget, each in proportion to the number of requests that the node
+    /// served. Where a node's part is less than one request, the server's random threshold lets only some
+    /// nodes send one.
     #[inline]
     fn exceeds_slow_start_budget(
         &self,
@@ -240,7 +244,7 @@
 }
 
 impl Balancer {
-    /// Selects the server with the lowest count among the candidates that are expected to answer within
+    /// Selects the server with the lowest rank among the candidates that are expected to answer within
     /// `max_wait_ms`, with ties broken at random. If all are expected to take longer, the request gets
     /// its retry-after time.
     pub(crate) fn select(
@@ -280,7 +284,8 @@
         }
     }
 
-    /// Drops servers whose recent answers took long, whatever load they report.
+    /// Drops servers whose expected wait is much longer than the shortest, whatever load they report. Where
+    /// servers are polled, the fresh reports suffice and none is dropped.
     fn drop_backed_up(&self, candidates: &mut Vec<Candidate>) {
         let relative = if self.traffic.has_recent_reports {
             MAX_RELATIVE_WAIT
@@ -297,8 +302,8 @@
         // Such a node keeps to the servers that it has contacted and to those just started, as reports
         // of further servers would be too rare.
         prefer(candidates, |c| c.contacted);
-        // One in ten nodes at a time may fill a warming server. If those nodes do not, the warm servers
-        // also carry the load of the servers that were replaced.
+        // At any time only some nodes, about one in ten, have budget left for a warming server. If they did
+        // not fill it, the warm servers would also carry the load of the servers that were replaced.
         prefer(candidates, |c| c.fill_first);
         // If none is contacted yet, the order of the ring decides. With a random choice some servers
         // would be contacted by more nodes than others.
--- a/crates/balancer/src/server.rs
+++ b/crates/balancer/src/server.rs
@@ -16,7 +16,8 @@
 #[derive(Default)]
 pub(crate) struct Server {
     pub entry: ServerEntry,
-    /// The count of HSQ: the last load report plus the number of requests that this node sent since.
+    /// The count of HSQ: the last load report, or the mean count without one, plus the number of requests
+    /// that this node sent since.
     pub count: Option<f64>,
     /// Number of this node's attempts that have not ended.
     pub in_flight: usize,
--- a/crates/balancer/src/settings.rs
+++ b/crates/balancer/src/settings.rs
@@ -18,12 +18,12 @@
     Cell,
 }
 
-/// What happens if a request is executed twice.
+/// Whether and how a request of a class may be repeated.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Idempotency {
-    /// It is idempotent: it may be repeated freely.
+    /// The request is idempotent: it may be repeated freely.
     Idempotent,
-    /// It has an idempotency key, by which the servers of a scope discard repeats within a window.
+    /// The request has an idempotency key, by which the servers of a scope discard repeats within a window.
     IdempotencyKey {
         /// The servers that discard repeats.
         scope: KeyScope,
@@ -31,7 +31,7 @@
         /// that may have run.
         window_ms: f64,
     },
-    /// It must never be executed twice.
+    /// The request must never be executed twice.
     NonIdempotent,
 }
 
@@ -79,7 +79,7 @@
     pub latency_objective_ms: f64,
     /// Time that a client waits over all attempts together, in milliseconds.
     pub deadline_ms: f64,
-    /// What happens if a request is executed twice.
+    /// Whether and how a request of the class may be repeated.
     pub idempotency: Idempotency,
     /// Value of an answer in time, relative to other classes. Under overload the lowest value per unit of
     /// work is shed first.
@@ -157,7 +157,7 @@
     /// Time in milliseconds for which the next request of a key is held back after an attempt that may
     /// still be running, in classes that are ordered by key.
     pub key_cooldown_ms: f64,
-    /// The retry budget, where one is set.
+    /// The retry budget; `None` for the default budget.
     pub retry_budget: Option<RetryBudget>,
     /// Longest interval at which a node without a subscription may poll, in milliseconds.
     pub max_poll_interval_ms: f64,
@@ -165,7 +165,7 @@
     pub max_attempts: usize,
     /// Whether an attempt may be cancelled.
     pub cancel: bool,
-    /// Fraction of its capacity that a server has at least when it starts.
+    /// Minimum fraction of its capacity that a server has when it starts.
     pub slow_start_fraction: f64,
     /// Duration of the slow start, after which a server has its full capacity, in milliseconds.
     pub slow_start_ms: f64,
@@ -174,7 +174,7 @@
     pub collapse_multiple: f64,
     /// Time in milliseconds for which a warming server withstands such an overload.
     pub collapse_after_ms: f64,
-    /// Price of one health check per request, as a fraction of the value of a result.
+    /// Price of one health check, as a fraction of the value of a request's result.
     pub health_check_price: f64,
 }
 
--- a/crates/balancer/src/slow_start.rs
+++ b/crates/balancer/src/slow_start.rs
@@ -20,7 +20,7 @@
     refresh_at_ms: f64,
 }
 
-/// The fraction of its capacity that a server has at least while it warms up; `None` once it is warm.
+/// The minimum fraction of its capacity that a warming server has; `None` once the server is warm.
 #[inline]
 pub(crate) fn warm_fraction(settings: &Settings, now_ms: f64, server: &Server) -> Option<f64> {
     let age_ms = now_ms - server.entry.started_at_ms?;
@@ -29,9 +29,9 @@
 }
 
 impl Balancer {
-    /// Multiple of its share of this node's requests that a warming server may be sent. Where reports
-    /// are stale it is filled before others instead of being compared with them, so only its budget
-    /// makes it as busy as they are and no busier.
+    /// Multiple of its share of this node's requests that a warming server may be sent. Where reports are
+    /// stale, a warming server is filled before other servers instead of being compared with them, and only
+    /// a budget of its share makes it as busy as the others and no busier.
     #[inline]
     pub(crate) fn slow_start_multiple(&self) -> f64 {
         let multiple = BUDGET_FRACTION * self.settings.collapse_multiple;
