--- a/crates/balancer/tests/admission.rs
+++ b/crates/balancer/tests/admission.rs
@@ -28,12 +28,12 @@
     assert_eq!(
         rejections_of(100.0, 100.0),
         0,
-        "nothing is rejected while answers are in time"
+        "nothing must be rejected while answers are in time"
     );
     let rejections = rejections_of(400.0, 100.0);
     assert!(
         (300..995).contains(&rejections),
-        "{rejections} of 1000 rejected at twice the admissible wait"
+        "{rejections} of 1000 rejected at twice the admissible wait, expected 300 to 994"
     );
 }
 
@@ -88,7 +88,7 @@
     // 20 s are 50 objectives, in which 16 nodes together may try each server about 100 times.
     assert!(
         (10..=10 * 2 * 50 / 16 * 3 / 2).contains(&trials),
-        "{trials} trials of 10 servers in 20 s"
+        "{trials} trials of 10 servers in 20 s, expected 10 to 93"
     );
 }
 
@@ -224,7 +224,8 @@
 }
 
 /// The expected wait must not double with the second request, as servers run some requests concurrently and
-/// the network does not queue. A node sheds its fourth request in flight, or if the server reports many.
+/// the network does not queue. A node sheds its fourth request in flight, and earlier ones if the server reports a
+/// higher load.
 #[test]
 fn server_with_few_requests_has_capacity_for_one_more() {
     for (reported, expected_sends) in [(0.0, 3), (2.0, 2), (5.0, 0)] {
@@ -306,11 +307,11 @@
     }
     assert!(
         rejections[0] * 2 > requests[0],
-        "the short objective cannot be met, so half must be rejected: {rejections:?} of {requests:?}"
+        "the short objective cannot be met, so over half must be rejected: {rejections:?} of {requests:?}"
     );
     assert!(
         rejections[2] * 10 < requests[2] * 7,
-        "the long objective is met, so 70 percent is the most: {rejections:?} of {requests:?} rejected"
+        "the long objective is met, so under 70 percent must be rejected: {rejections:?} of {requests:?}"
     );
 }
 
--- a/crates/balancer/tests/final_answer.rs
+++ b/crates/balancer/tests/final_answer.rs
@@ -77,13 +77,13 @@
             attempt: 0
         })
         .is_empty());
-    let probed = Event::HealthChecked {
+    let health_checked = Event::HealthChecked {
         server: ServerId(99),
         elapsed_ms: 1.0,
         result: AttemptResult::Served,
         report: Some(LoadReport::default()),
     };
-    assert!(node.feed(probed).is_empty());
+    assert!(node.feed(health_checked).is_empty());
     node.dispatch(1);
     assert!(
         node.end_attempt(1, 9, 5.0, AttemptResult::Error).is_empty(),
--- a/crates/balancer/tests/health_check.rs
+++ b/crates/balancer/tests/health_check.rs
@@ -107,8 +107,8 @@
     (node, sent)
 }
 
-/// A lost answer or a silently dropped connection would cost a request its whole deadline. A server without a
-/// request in flight will not answer, so the attempt is cancelled and the request is sent again.
+/// After a lost answer or a silently dropped connection a request would wait until its deadline. A server that
+/// reports no request in flight will not answer, so the attempt is cancelled and the request is sent again.
 #[test]
 fn lost_answer_costs_only_the_attempt() {
     let (mut node, sent) = one_in_flight(Idempotency::Idempotent);
@@ -140,8 +140,8 @@
     );
 }
 
-/// A health check that was sent before an attempt may end after the attempt was sent. Its report says nothing
-/// about the attempt.
+/// A health check that was sent before an attempt may end after the attempt was sent. Its report does not
+/// include the attempt.
 #[test]
 fn late_poll_response_cancels_nothing() {
     let mut node = Node::new(settings_with_polling(Idempotency::Idempotent), 1);
--- a/crates/balancer/tests/outlier.rs
+++ b/crates/balancer/tests/outlier.rs
@@ -67,7 +67,7 @@
     }
     assert!(
         sent_to_silent < 12,
-        "{sent_to_silent} requests went to a silent server"
+        "{sent_to_silent} requests went to a silent server, expected under 12"
     );
 }
 
@@ -102,7 +102,8 @@
     let down = contacted.len().div_ceil(2);
     assert!(
         (1..=down + 350 / 16).contains(&failures),
-        "{failures} attempts at {down} unreachable servers"
+        "{failures} attempts at {down} unreachable servers, expected 1 to {}",
+        down + 350 / 16
     );
 }
 
@@ -154,10 +155,10 @@
             node.end_attempt(id, 0, 1.0, AttemptResult::Reset);
         }
         node.now += 10.0;
-        let contacted = (10..40).any(|id| node.dispatch(id) == 0);
+        let is_selected = (10..40).any(|id| node.dispatch(id) == 0);
         assert_eq!(
-            contacted, stays_in_use,
-            "whether the server is used after {resets} resets"
+            is_selected, stays_in_use,
+            "whether the server is still selected after {resets} consecutive resets"
         );
     }
 }
@@ -179,10 +180,10 @@
         node.set_servers(ready_servers(0..2));
         node.now += 770.0;
         node.end_attempt(0, 0, 800.0, AttemptResult::TimedOut);
-        let contacted = (10..30).any(|id| sent_server(&node.request(id, 0, 800.0)) == Some(0));
+        let is_selected = (10..30).any(|id| sent_server(&node.request(id, 0, 800.0)) == Some(0));
         assert_eq!(
-            contacted, answers,
-            "whether the server is used if it answered a later request: {answers}"
+            is_selected, answers,
+            "the server must be selected only if it answered a later request: {answers}"
         );
     }
 }
--- a/crates/balancer/tests/retry.rs
+++ b/crates/balancer/tests/retry.rs
@@ -25,16 +25,16 @@
         assert_eq!(
             sent_server(&actions).is_some(),
             is_retried,
-            "after an attempt with the result {result:?}"
+            "whether the request is retried after an attempt with the result {result:?}"
         );
         assert_eq!(
             is_failed(&actions),
             !is_retried,
-            "after an attempt with the result {result:?}"
+            "whether the request fails after an attempt with the result {result:?}"
         );
         assert!(
             !is_rejected(&actions),
-            "after an attempt with the result {result:?}"
+            "the request must not be rejected after an attempt with the result {result:?}"
         );
     }
 }
--- a/crates/balancer/tests/selection.rs
+++ b/crates/balancer/tests/selection.rs
@@ -5,7 +5,7 @@
 
 use balancer::*;
 
-/// Each of the first sends goes to a server without one so far, as every send increments the count.
+/// Every send increments the count of its server, so each round of sends reaches every server once.
 #[test]
 fn own_sends_raise_the_count() {
     let mut node = Node::new(settings_with_long_objective(), 1);
@@ -89,7 +89,7 @@
     }
 }
 
-/// Sends requests to which each server reports a load that changes with every second answer.
+/// Sends requests; the load that each server reports changes with every second answer.
 fn establish_report_interval(node: &mut Node) {
     let mut answers = [0; 2];
     for id in 500..560 {
@@ -106,9 +106,10 @@
     }
 }
 
-/// Several answers may carry the same report. A repeated report must not discard sends from the count.
+/// Several answers may carry the same report. A server must not get all of the next requests because its report
+/// is repeated.
 #[test]
-fn repeated_report_does_not_erase_own_sends() {
+fn repeated_report_does_not_attract_every_request() {
     let mut node = warmed_up_node(2, settings_with_long_objective());
     establish_report_interval(&mut node);
     // One answer of each server with the same report: the counts are equal and nothing is in flight.
@@ -131,21 +132,22 @@
     }
     let sends: Vec<usize> = (100..102).map(|id| node.dispatch(id)).collect();
     assert_ne!(sends[0], sends[1]);
-    // One server repeats its report of 5 at once. If that were taken as fresh, the send to it would be
-    // discarded and it would get the next two requests.
+    // One server repeats its report of 5 immediately, which overwrites its count of 6. Its next request raises
+    // the count to 6 again, which is also the count of the other server.
     let repeating = sends[0];
     node.now += 1.0;
     node.end_attempt_with_report(100, 0, 40.0, AttemptResult::Served, Some(5.0));
     let next: Vec<usize> = (200..202).map(|id| node.dispatch(id)).collect();
     assert!(
         next != [repeating, repeating],
-        "the repeated report must not discard a send: {next:?}"
+        "server {repeating} must not get both requests after it repeated its report: {next:?}"
     );
 }
 
-/// An idle server always reports the same load. A report that is repeated after a long time is fresh.
+/// An idle server always reports the same load. A report that is repeated after a long time must also overwrite
+/// the count.
 #[test]
-fn report_repeated_late_is_fresh() {
+fn report_repeated_late_overwrites_the_count() {
     let mut node = warmed_up_node(2, settings_with_long_objective());
     establish_report_interval(&mut node);
     let mut unanswered = [Vec::new(), Vec::new()];
@@ -181,7 +183,7 @@
         assert_eq!(
             node.dispatch(id),
             0,
-            "the repeated report of 0 must be taken as fresh"
+            "the repeated report of 0 must overwrite the count"
         );
         node.end_attempt(id, 0, 40.0, AttemptResult::Served);
     }
@@ -196,7 +198,7 @@
     node.end_attempt_with_report(1, 0, 40.0, AttemptResult::Served, Some(9.0));
     node.set_servers(ready_servers(0..3));
     // The counts are 1 and 9, and the new server starts at their mean of 5. The server with 1 gets the
-    // next four requests, as none of them backs up.
+    // next four requests, as it is not backed up.
     for id in 100..104 {
         assert_eq!(
             node.dispatch(id),
@@ -266,7 +268,7 @@
 
 /// If no server of the node's own zone is healthy, requests go to other zones.
 #[test]
-fn failing_servers_of_the_same_zone_are_left_for_others() {
+fn requests_leave_the_zone_if_its_servers_fail() {
     let mut settings = settings_with_long_objective();
     settings.zone = 1;
     let mut node = Node::new(settings, 4);
@@ -276,7 +278,7 @@
     for id in 0..3 {
         assert!(
             id > 0 || node.dispatch(id) == 2,
-            "the first request must go to the server of the own zone"
+            "the first request must go to the server in the node's own zone"
         );
         if id > 0 {
             assert!(
--- a/crates/balancer/tests/selection_uninformed.rs
+++ b/crates/balancer/tests/selection_uninformed.rs
@@ -51,7 +51,7 @@
     // A node's first server is drawn from all servers, as its request rate is still unknown.
     assert!(
         variance < mean / 2.0,
-        "variance {variance:.2} at a mean of {mean:.2}, expected under half the mean; random choices give the mean"
+        "variance {variance:.2} at a mean of {mean:.2}, expected under half the mean; random choices give a variance equal to the mean"
     );
 }
 
--- a/crates/balancer/tests/server_list.rs
+++ b/crates/balancer/tests/server_list.rs
@@ -33,7 +33,7 @@
     ))));
     assert_eq!(actions, [Action::Subscribe]);
     let mut delays_ms = Vec::new();
-    for call in 0..8 {
+    for poll in 0..8 {
         let actions = node.feed(Event::ServerList(ServerListUpdate::Failed));
         let log_lines = actions
             .iter()
@@ -41,7 +41,7 @@
             .count();
         assert_eq!(
             log_lines,
-            usize::from(call == 0),
+            usize::from(poll == 0),
             "only the first failure must be logged: {actions:?}"
         );
         let [.., Action::SetTimer { timer, after_ms }] = actions[..] else {
@@ -61,7 +61,7 @@
         );
     }
     assert!(
-        delays_ms[0] < delays_ms[4] && delays_ms.iter().all(|w| *w <= MAX_RESUBSCRIBE_DELAY_MS),
+        delays_ms[0] < delays_ms[4] && delays_ms.iter().all(|ms| *ms <= MAX_RESUBSCRIBE_DELAY_MS),
         "the delays must grow up to {MAX_RESUBSCRIBE_DELAY_MS} ms: {delays_ms:?}"
     );
     let list = || Event::ServerList(ServerListUpdate::Full(ready_servers(0..2)));
@@ -107,8 +107,8 @@
     }
 }
 
-/// All nodes detect an outage of discovery at the same instant, and each failed poll at once. The polls of 300
-/// nodes must be spread over the backoff each time, and no delay may exceed the maximum.
+/// All nodes detect an outage of discovery at the same time, and each failed poll immediately. Each time the
+/// polls of 300 nodes must be spread over the backoff, and no delay may exceed the maximum.
 #[test]
 fn resubscriptions_of_many_nodes_are_spread_over_time() {
     const NODES: usize = 300;
@@ -135,12 +135,12 @@
             delays_ms.push(resubscribe(&mut node));
         }
     }
-    for (call, delays_ms) in delays_ms.iter_mut().enumerate() {
+    for (poll, delays_ms) in delays_ms.iter_mut().enumerate() {
         delays_ms.sort_by(f64::total_cmp);
         let (shortest, longest) = (delays_ms[0], delays_ms[NODES - 1]);
         assert!(
             longest <= MAX_RESUBSCRIBE_DELAY_MS && longest >= 1.8 * shortest,
-            "delays of poll {call}: {shortest} to {longest} ms"
+            "delays of poll {poll}: {shortest} to {longest} ms, expected {MAX_RESUBSCRIBE_DELAY_MS} ms at most and a ratio of 1.8 or more"
         );
         let count_from = |from: f64| {
             delays_ms
@@ -153,11 +153,11 @@
             .map(|from| count_from(*from))
             .max()
             .expect("there are delays");
-        // The first polls follow soon, as most subscriptions break alone. From the fifth on, at most a quarter of
-        // the nodes may poll at the same time.
+        // The first delays are short, as most subscriptions break one at a time. From the fifth poll on, at most a
+        // quarter of the nodes may poll at the same time.
         assert!(
-            call < 4 || max_concurrent * 4 <= NODES,
-            "poll {call}: {max_concurrent} of {NODES} nodes poll within {WITHIN_MS} ms"
+            poll < 4 || max_concurrent * 4 <= NODES,
+            "poll {poll}: {max_concurrent} of {NODES} nodes poll within {WITHIN_MS} ms, expected a quarter at most"
         );
     }
 }
--- a/crates/balancer/tests/slow_start.rs
+++ b/crates/balancer/tests/slow_start.rs
@@ -57,7 +57,7 @@
         let capacity = 25.0 * 3.0 * (0.3 + 0.7 * (from + 3_000.0 - start) / 9_000.0);
         assert!(
             sent < 2.5 * capacity,
-            "{sent} requests in window {window}, at a capacity of {capacity}"
+            "{sent} requests in window {window}, expected under 2.5 times the capacity of {capacity}"
         );
     }
     assert!(
