--- a/crates/lease/src/acceptor.rs
+++ b/crates/lease/src/acceptor.rs
@@ -78,7 +78,7 @@
         } else {
             settings.max_grant_ms()
         };
-        // Tells the versions of this process from those of any other.
+        // Distinguishes the table versions of this process from those of any other process.
         let version = settings.process_id << CHANGE_COUNT_BITS;
         // Every token up to the reserved one may have been granted by an earlier process.
         let highest_token = settings
@@ -139,8 +139,8 @@
     }
 
     /// Grants or renews a lease. A new lease requires that no other process holds the shard, unless
-    /// it has transferred it, and that the token is reserved and above the highest. Returns whether
-    /// the lease was granted.
+    /// that process has transferred it, and that the token is reserved and above the highest.
+    /// Returns whether the lease was granted.
     pub fn request(
         &mut self,
         now_ms: f64,
--- a/crates/lease/src/action.rs
+++ b/crates/lease/src/action.rs
@@ -15,7 +15,7 @@
         bytes: Vec<u8>,
     },
     /// Deliver [`Event::TimerExpired`](crate::Event::TimerExpired) at this time at the latest, in
-    /// milliseconds, unless another event comes before. Replaces the previous `WakeAt`.
+    /// milliseconds, unless another event is delivered earlier. Replaces the previous `WakeAt`.
     WakeAt(f64),
     /// This process has acquired or lost a shard.
     OwnershipChanged {
--- a/crates/lease/src/claim.rs
+++ b/crates/lease/src/claim.rs
@@ -69,7 +69,8 @@
         self.rejected[acceptor] = false;
     }
 
-    /// Records an acceptor's rejection. Returns whether the others are too few for a quorum.
+    /// Records an acceptor's rejection. Returns whether the acceptors that have not rejected the
+    /// claim are too few for a quorum.
     pub fn record_rejection(&mut self, acceptor: usize, quorum: Quorum) -> bool {
         self.rejected[acceptor] = true;
         match quorum {
@@ -88,7 +89,8 @@
         mask.count_ones() as usize - rejections < majority_of(mask)
     }
 
-    /// When the grants stop being a quorum; a time in the past if they never were one.
+    /// Time at which the grants cease to form a quorum, in milliseconds; negative infinity if they
+    /// have never formed one.
     pub fn expires_ms(&self, quorum: Quorum) -> f64 {
         match quorum {
             Quorum::Unknown => f64::NEG_INFINITY,
--- a/crates/lease/src/event.rs
+++ b/crates/lease/src/event.rs
@@ -2,10 +2,11 @@
 
 use crate::identity::{FencingToken, NodeId, Shard};
 
-/// An event for a node's leases to handle.
+/// An event that a lease manager handles.
 #[derive(Clone, Copy, Debug)]
 pub enum Event<'a> {
-    /// A message of another node arrived. The caller has authenticated it and excluded a replay.
+    /// A message of another node arrived. The caller has authenticated it and has verified that it
+    /// is not a replay.
     Message {
         /// The sender.
         from: NodeId,
--- a/crates/lease/src/manager.rs
+++ b/crates/lease/src/manager.rs
@@ -54,13 +54,14 @@
     pub const RENEWAL: f64 = 1.0 / 3.0;
     /// Time after which an unanswered request is sent again.
     pub const RETRY: f64 = 1.0 / 10.0;
-    /// A lease with less remaining time than this is requested again after `RETRY`. Without a grant
-    /// from another acceptor for this long, a node requests only short leases: its messages may
-    /// arrive while it receives none, and the next owner has to wait until its grants expire.
+    /// A lease with less remaining time than this is requested again after `RETRY`. If no other
+    /// acceptor's grant of a lease has arrived for this long, the lease is requested only for the
+    /// length of a first grant: the node's requests may arrive although it receives no answers,
+    /// and the next owner has to wait until the grants expire.
     pub const LOW_REMAINING: f64 = 1.0 / 2.0;
 }
 
-/// The leases of one process: see the crate's documentation.
+/// The lease manager of one process: see the crate's documentation.
 #[derive(Clone, Debug)]
 pub struct LeaseManager {
     settings: Settings,
@@ -88,7 +89,8 @@
 }
 
 impl LeaseManager {
-    /// Creates the leases of a process that owns no shard and does not know the owners.
+    /// Creates the lease manager of a process that owns no shard and has no information about the
+    /// owners.
     ///
     /// # Errors
     ///
@@ -358,8 +360,9 @@
             .map_or(known, |acceptor| acceptor.highest_token().max(known))
     }
 
-    /// Hashes the state that determines what happens next, except the random number generator. For
-    /// a model checker.
+    /// Hashes the state by which a model checker recognizes visited states: the quorum, the
+    /// acceptor, the shards, the pending requests, whether the node is leaving, and the time of the
+    /// last message from an acceptor.
     #[cfg(feature = "injected-fault")]
     pub fn hash_state(&self, hasher: &mut impl std::hash::Hasher) {
         use std::hash::Hash;
--- a/crates/lease/src/manager/acceptor_role.rs
+++ b/crates/lease/src/manager/acceptor_role.rs
@@ -1,12 +1,13 @@
-//! A node's role as an acceptor: it answers requests, has tokens reserved on disk, and queries the
-//! highest token after a restart.
+//! A node's role as an acceptor: it answers requests, requests the reservation of tokens on disk,
+//! and queries the highest token after a restart.
 
 use crate::action::{Action, LogEvent};
 use crate::identity::{FencingToken, NodeId, Requester, ShardToken};
 use crate::manager::LeaseManager;
 use crate::message::{ConfigurationIds, LeaseRequest, Message, MAX_SHARD_STATUSES};
 
-/// Interval at which an acceptor in quarantine queries the other acceptors for the highest token.
+/// Interval at which an acceptor in quarantine queries the other acceptors for the highest token,
+/// in milliseconds.
 const TOKEN_QUERY_INTERVAL_MS: f64 = 200.0;
 
 impl LeaseManager {
@@ -111,8 +112,8 @@
         }
     }
 
-    /// Has tokens reserved on disk if that is due. Logs the end of the quarantine, or queries the
-    /// highest token during it.
+    /// Requests that tokens be reserved on disk if a reservation is due. Logs the end of the
+    /// quarantine, or queries the highest token during it.
     pub(super) fn tick_acceptor(&mut self) {
         let Some(acceptor) = &mut self.acceptor else {
             return;
--- a/crates/lease/src/manager/claiming.rs
+++ b/crates/lease/src/manager/claiming.rs
@@ -11,15 +11,16 @@
 use crate::message::{LeaseRequest, Message, ShardStatus, MAX_LEASE_REQUESTS};
 use crate::settings::InjectedFault;
 
-/// Time without a message from another acceptor after which a node claims no shards. Its requests
-/// may still arrive (one-way partition) and would block nodes that could own the shard.
+/// Time in milliseconds without a message from another acceptor after which a node claims no
+/// shards. Its requests may still arrive (one-way partition) and would block nodes that could own
+/// the shard.
 const RECEIVE_TIMEOUT_MS: f64 = 4.0 * POLL_INTERVAL_MS;
-/// Delay between the claims to a free shard by two consecutive candidates, in the shard's order of
-/// preference.
+/// Delay in milliseconds between the claims to a free shard by two consecutive candidates, in the
+/// shard's order of preference.
 const RANK_DELAY_MS: f64 = 200.0;
 /// Number of candidates, the most preferred ones, that claim a free shard.
 const MAX_CLAIMING_RANKS: usize = 5;
-/// Additional delay of the claims of a node whose health is degraded.
+/// Additional delay of the claims of a node whose health is degraded, in milliseconds.
 const DEGRADED_DELAY_MS: f64 = 1_000.0;
 
 /// An acceptor's grant of a lease.
--- a/crates/lease/src/manager/pending_requests.rs
+++ b/crates/lease/src/manager/pending_requests.rs
@@ -2,8 +2,9 @@
 
 use std::collections::VecDeque;
 
-/// Maximum number of requests whose answers are awaited: one per tick and acceptor, for the longest
-/// lease. Beyond that the oldest is discarded, and a grant in answer to it is ignored.
+/// Maximum number of requests whose answers are awaited, enough for one per tick to each of seven
+/// acceptors during the longest lease. Beyond that the oldest is discarded, and a grant in answer
+/// to it is ignored.
 const MAX_PENDING_REQUESTS: usize = 2_048;
 
 /// A request that was sent to an acceptor.
--- a/crates/lease/src/manager/placement.rs
+++ b/crates/lease/src/manager/placement.rs
@@ -7,10 +7,10 @@
 use crate::identity::{NodeId, Shard};
 use crate::manager::LeaseManager;
 
-/// Time for which another node has to be preferred before it is offered the shard, so that nodes
-/// that join and leave within a short time move no shards.
+/// Time in milliseconds for which another node has to be preferred before it is offered the shard,
+/// so that nodes that join and leave within a short time cause no transfers.
 const STABLE_PREFERENCE_MS: f64 = 10_000.0;
-/// Minimum interval between two offers of misplaced shards.
+/// Minimum interval between two offers of misplaced shards, in milliseconds.
 const TRANSFER_INTERVAL_MS: f64 = 500.0;
 
 /// The rendezvous hash: the node with the highest hash should own the shard.
--- a/crates/lease/src/manager/reconfiguration.rs
+++ b/crates/lease/src/manager/reconfiguration.rs
@@ -69,17 +69,17 @@
         match self {
             Self::NumberInUse(number) => write!(
                 f,
-                "set {number} is in use with other keepers: new keepers need the next set number"
+                "keeper set {number} is in use with other keepers: new keepers need the next number"
             ),
             Self::NotConsecutive { current, requested } => {
                 write!(
                     f,
-                    "set {requested} does not follow set {current}: set numbers increase by one"
+                    "keeper set {requested} does not follow {current}: set numbers increase by one"
                 )
             }
             Self::NotSettled(number) => write!(
                 f,
-                "set {number} does not decide alone yet: the previous set may still be in use"
+                "keeper set {number} does not decide alone yet: the previous one may be in use"
             ),
             Self::PreviousMismatch => {
                 write!(f, "`before` must name the current keepers of this node")
@@ -168,7 +168,7 @@
         }
     }
 
-    /// Adopts the settings, and keeps the grants of the previous acceptors.
+    /// Adopts the settings, and keeps the grants of the acceptors that stay configured.
     fn start_reconfiguration(&mut self, settings: Settings) {
         let quorum = JointQuorum::after_reconfiguration(self.now_ms, &settings);
         let previous_index: Vec<_> = quorum
--- a/crates/lease/src/manager/renewal.rs
+++ b/crates/lease/src/manager/renewal.rs
@@ -6,8 +6,8 @@
 use crate::message::LeaseRequest;
 
 impl LeaseManager {
-    /// Renews the leases that are due: for the full length where other acceptors answer, else for
-    /// that of a first grant.
+    /// Renews the leases whose renewal is due: for the full length if another acceptor has granted
+    /// the lease recently, otherwise for the length of a first grant.
     pub(super) fn renew_leases(&mut self) {
         let now_ms = self.now_ms;
         let quorum = self.quorum.quorum();
--- a/crates/lease/src/manager/table_polling.rs
+++ b/crates/lease/src/manager/table_polling.rs
@@ -5,10 +5,11 @@
 use crate::manager::LeaseManager;
 use crate::message::{Message, ShardStatus, MAX_SHARD_STATUSES};
 
-/// Interval between two polls. Each poll goes to the next acceptor.
+/// Interval between two polls, in milliseconds. Each poll goes to the next acceptor.
 pub(super) const POLL_INTERVAL_MS: f64 = 500.0;
 
-/// The known version of each acceptor's table, and the acceptor and time of the next poll.
+/// The known version of each acceptor's table, the index of the last polled acceptor, and the time
+/// of the next poll.
 #[derive(Clone, Debug)]
 pub(super) struct TablePolling {
     pub known_versions: [u64; MAX_ACCEPTORS],
--- a/crates/lease/src/manager/tests.rs
+++ b/crates/lease/src/manager/tests.rs
@@ -82,7 +82,8 @@
     })
 }
 
-/// Claims the shard and receives the grants of these acceptors. Returns whether it is owned then.
+/// Claims the shard and receives the grants of these acceptors. Returns whether the process then
+/// owns the shard.
 fn acquire(manager: &mut LeaseManager, acceptors: &[u64]) -> bool {
     let candidates = Event::Candidates(&[NODE], NodeHealth::Healthy);
     let mut sent = handle(manager, 1.0, candidates);
@@ -162,7 +163,8 @@
     );
 }
 
-/// Guards against tokens that go back as new acceptors do not know the grants of the old ones.
+/// Guards against tokens that fall because new acceptors have no record of the previous acceptors'
+/// grants.
 #[test]
 fn settled_configuration_continues_above_previous_tokens() {
     let mut manager = manager(1, &[1, 2, 3], &[]);
--- a/crates/lease/src/manager/transfer.rs
+++ b/crates/lease/src/manager/transfer.rs
@@ -12,11 +12,11 @@
 use crate::manager::{lease_fraction, LeaseManager};
 use crate::message::Message;
 
-/// Time for which an offer can be accepted.
+/// Time for which an offer can be accepted, in milliseconds.
 const OFFER_TIMEOUT_MS: f64 = 2_000.0;
 
 impl LeaseManager {
-    /// The state of a shard, if it exists and the given node is not this one.
+    /// The state of a shard, if the shard exists and `to` is another node.
     fn transferable(&mut self, shard: Shard, to: NodeId) -> Option<&mut ShardState> {
         let is_other = to != self.settings.node;
         self.shards.get_mut(usize::from(shard)).filter(|_| is_other)
--- a/crates/lease/src/message.rs
+++ b/crates/lease/src/message.rs
@@ -20,8 +20,8 @@
 /// Number of shard statuses that fit into a message.
 pub const MAX_SHARD_STATUSES: usize = (MAX_MESSAGE_BYTES - 9) / 19;
 
-/// The first byte of a message. Kinds that carry the previous configuration are sent only while
-/// acceptors are replaced.
+/// The first byte of a message. The `JOINT_` kinds also carry the id of the previous configuration,
+/// and are sent only while acceptors are being replaced.
 mod kind {
     pub const LEASE_REQUEST: u8 = 1;
     pub const GRANTED: u8 = 2;
@@ -114,7 +114,8 @@
     Release {
         released: Vec<ShardToken>,
     },
-    /// The sender has given up this ownership, and the receiver may claim the next one.
+    /// The sender has given up this ownership, and the receiver may claim the shard under the next
+    /// token.
     Transfer(ShardToken),
     /// The sender offers to transfer this ownership to the receiver.
     TransferOffer(ShardToken),
@@ -130,10 +131,11 @@
         version: u64,
         shards: Vec<ShardStatus>,
     },
-    /// Requests the highest token known to the receiver.
+    /// Requests the highest token of the receiver, an acceptor. The receiver ignores the id.
     HighestTokenRequest {
         configuration_id: u64,
     },
+    /// The highest token of the sender, an acceptor.
     HighestToken(FencingToken),
     /// Requests the status of a reconfiguration.
     ConfigurationStatusRequest {
@@ -323,8 +325,8 @@
     }
 }
 
-/// Encodes one id, or two while the previous configuration decides too. The message's kind says
-/// which.
+/// Encodes one id, or two while the previous configuration also decides. The message's kind
+/// distinguishes the two encodings.
 fn encode_configurations(out: &mut Vec<u8>, configurations: ConfigurationIds) {
     out.put_u64_le(configurations.current);
     if let Some(previous) = configurations.previous {
