--- a/crates/lease/tests/lease_simulation/faults.rs
+++ b/crates/lease/tests/lease_simulation/faults.rs
@@ -18,7 +18,7 @@
     .into_iter()
     .enumerate()
     {
-        // The pause begins at 20 phases of the lease.
+        // The pause begins at 20 times, 43 ms apart, which cover a renewal interval.
         for phase in 0..20 {
             let mut fleet = SimulatedFleet::started(seed as u64, 7, 3, InjectedFault::None);
             fleet.run(f64::from(phase) * 43.0);
@@ -198,7 +198,7 @@
     for acceptor in 0..5 {
         fleet.start(acceptor);
     }
-    // The acceptors grant leases from now on, but no node has discovered a free shard yet.
+    // Ends shortly after the acceptors' quarantine, so that the other nodes compete for the shards.
     fleet.run(LEASE_MS * 1.02);
     for node in 5..300 {
         fleet.start(node);
@@ -210,8 +210,8 @@
     fleet.check().expect("each shard has one owner at a time");
 }
 
-/// All nodes restart with their wall clocks set back by an hour: with fence files tokens continue
-/// to rise, without them they go back, as the design page says.
+/// All nodes restart with their wall clocks set back by an hour. With fence files the tokens
+/// continue to rise; without them the tokens fall, which is a documented limitation.
 #[test]
 fn reserved_tokens_rise_despite_wall_clock_set_back() {
     for has_fence_files in [true, false] {
--- a/crates/lease/tests/lease_simulation/injected_faults.rs
+++ b/crates/lease/tests/lease_simulation/injected_faults.rs
@@ -49,7 +49,8 @@
     Ok(())
 }
 
-/// All processes end, and all nodes restart.
+/// All nodes restart at the same time. No shard may have an owner for the length of a lease, and
+/// the tokens must then continue to rise.
 fn restart_all_nodes(injected_fault: InjectedFault) -> Result<(), OwnershipError> {
     let mut fleet = SimulatedFleet::started(1, 5, 3, injected_fault);
     for node in 0..5 {
--- a/crates/lease/tests/lease_simulation/reconfiguration.rs
+++ b/crates/lease/tests/lease_simulation/reconfiguration.rs
@@ -29,7 +29,7 @@
             fleet.files[*node] = next.clone();
             assert_eq!(fleet.reload(*node), Ok(ReconfigurationOutcome::Started));
             fleet.run(700.0);
-            // A node that crashes meanwhile restarts with the current content of its file.
+            // One node crashes during the reconfiguration and restarts with its current file.
             if step == index % 5 {
                 let crashed = order[index / 5 % 5];
                 fleet.kill(crashed);
--- a/crates/lease/tests/lease_simulation/transfer.rs
+++ b/crates/lease/tests/lease_simulation/transfer.rs
@@ -30,8 +30,8 @@
     fleet.check().expect("each shard has one owner at a time");
 }
 
-/// Guards against a next owner that has to wait until the lease expires if all messages of a
-/// transfer are lost: they are repeated.
+/// Guards against a next owner that has to wait until the previous lease expires because all
+/// messages of the transfer were lost: the messages are repeated.
 #[test]
 fn transfer_with_lost_messages_is_repeated() {
     let (mut fleet, owner, shard) = owned_by_non_acceptor(8, InjectedFault::None);
