--- a/crates/admin/src/command.rs
+++ b/crates/admin/src/command.rs
@@ -1,40 +1,40 @@
-//! The admin protocol's commands: parsing one line of text into a [`Command`].
+//! Commands of the admin protocol: parses one line of text into a [`Command`].
 
 use std::fmt;
 
-/// The longest line of a command in bytes, its line end included: several times what any command needs.
+/// Maximum length of a command line in bytes, including its line end. A `GIVE` with the longest node name fits.
 pub const MAX_LINE_BYTES: usize = 128;
 
-/// The longest name of a node, in bytes.
+/// Maximum length of a node name, in bytes.
 pub const MAX_NODE_NAME_BYTES: usize = 64;
 
-/// What an operator requests of a node.
+/// A command that an operator sends to a node.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Command {
-    /// `READY`: whether this process accepts requests.
+    /// `READY`: report whether this process accepts requests.
     Ready,
-    /// `STATS`: the metrics.
+    /// `STATS`: report the node's metrics.
     Stats,
-    /// `DRAIN`: send clients to other nodes.
+    /// `DRAIN`: start to move clients to other nodes.
     Drain,
-    /// `UNDRAIN`: accept clients again.
+    /// `UNDRAIN`: cancel the drain and accept new clients again.
     Undrain,
-    /// `MEMBERS`: the other nodes of the cluster, as this node knows them.
+    /// `MEMBERS`: list the other nodes of the cluster, as seen by this node.
     Members,
-    /// `OWNERS`: the lease holder of each shard, as this node knows it.
+    /// `OWNERS`: list the lease holder of each shard, as seen by this node.
     Owners,
-    /// `HINTS`: the servers that nodes report as outliers.
+    /// `HINTS`: list the servers that nodes report as outliers.
     Hints,
     /// `GIVE SHARD NODE`: transfer the lease of a shard to another node.
     Give {
         /// The shard.
         shard: u8,
-        /// The node that is to hold its lease.
+        /// The node that receives its lease.
         receiver: NodeName,
     },
 }
 
-/// A node's name in a command: 1 to [`MAX_NODE_NAME_BYTES`] visible ASCII characters.
+/// A node name in a command: 1 to [`MAX_NODE_NAME_BYTES`] visible ASCII characters.
 #[derive(Clone, Copy, PartialEq, Eq)]
 pub struct NodeName {
     bytes: [u8; MAX_NODE_NAME_BYTES],
@@ -69,14 +69,14 @@
     }
 }
 
-/// Why a line is not a command. Its display form is the reason in the node's `400` response.
+/// Why a line is not a valid command. The display form is the reason in the `400` response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CommandError {
-    /// No command has this name.
+    /// The line does not begin with a known command.
     Unknown,
     /// The line is longer than [`MAX_LINE_BYTES`].
     TooLong,
-    /// `GIVE` without a valid shard number and node name.
+    /// The arguments of `GIVE` are not a shard number and a node name.
     MalformedGive,
 }
 
@@ -101,7 +101,7 @@
     ///
     /// # Errors
     ///
-    /// Returns why the line is not a command.
+    /// The line is too long, names no known command, or has invalid `GIVE` arguments.
     pub fn parse(line: &[u8]) -> Result<Self, CommandError> {
         if line.len() > MAX_LINE_BYTES {
             return Err(CommandError::TooLong);
--- a/crates/admin/src/command/tests.rs
+++ b/crates/admin/src/command/tests.rs
@@ -2,7 +2,7 @@
 use proptest::prelude::*;
 
 #[test]
-fn line_with_any_line_end_is_parsed_and_other_lines_are_errors() {
+fn command_with_any_line_end_parses_and_invalid_line_fails() {
     for end in ["", "\n", "\r\n", " \r\n"] {
         assert_eq!(
             Command::parse(format!("READY{end}").as_bytes()),
@@ -13,7 +13,7 @@
             Ok(Command::Undrain)
         );
     }
-    for wrong in [
+    for invalid in [
         "",
         "\n",
         "ready\n",
@@ -22,20 +22,20 @@
         "STATS\0",
     ] {
         assert_eq!(
-            Command::parse(wrong.as_bytes()),
+            Command::parse(invalid.as_bytes()),
             Err(CommandError::Unknown),
-            "{wrong:?}"
+            "{invalid:?}"
         );
     }
     assert_eq!(
         Command::parse(&[b' '; MAX_LINE_BYTES + 1]),
         Err(CommandError::TooLong)
     );
-    let give = Command::parse(b"GIVE 7 n1\n").map(|command| {
+    let is_parsed_give = Command::parse(b"GIVE 7 n1\n").map(|command| {
         matches!(command, Command::Give { shard: 7, receiver } if receiver.as_str() == "n1")
     });
-    assert_eq!(give, Ok(true));
-    for wrong in [
+    assert_eq!(is_parsed_give, Ok(true));
+    for invalid in [
         "GIVE 7\n",
         "GIVE 256 n1\n",
         "GIVE x n1\n",
@@ -43,16 +43,16 @@
         "GIVE 7 \n",
     ] {
         assert_eq!(
-            Command::parse(wrong.as_bytes()),
+            Command::parse(invalid.as_bytes()),
             Err(CommandError::MalformedGive),
-            "{wrong:?}"
+            "{invalid:?}"
         );
     }
 }
 
 proptest! {
     #[test]
-    fn arbitrary_bytes_are_too_long_only_above_the_limit(line in proptest::collection::vec(any::<u8>(), 0..200)) {
+    fn arbitrary_line_is_too_long_only_above_the_limit(line in proptest::collection::vec(any::<u8>(), 0..200)) {
         let parsed = Command::parse(&line);
         prop_assert_eq!(parsed == Err(CommandError::TooLong), line.len() > MAX_LINE_BYTES);
     }
--- a/crates/admin/src/lib.rs
+++ b/crates/admin/src/lib.rs
@@ -1,12 +1,12 @@
-//! What operators can request of a running node, and what it reports to them.
+//! Admin commands, drain state and request metrics of a running node.
 //!
-//! - [`Command`] is one line of the admin protocol, parsed.
-//! - [`Drain`] is the course of a node that sends its clients away and may accept them again; it yields the
+//! - [`Command`] is a parsed line of the admin protocol.
+//! - [`Drain`] is the drain state of a node, whose clients move to other nodes while it drains; it determines the
 //!   [`ConnectionPolicy`] for client connections.
-//! - [`Metrics`] counts requests. At every moment the requests that were accepted are those that have ended and those
-//!   that are in flight.
+//! - [`Metrics`] counts requests. At all times, the number of accepted requests equals the number of ended requests plus
+//!   the number of requests in flight.
 //!
-//! The crate does no I/O and reads no clock: times are milliseconds of any clock that never runs backwards.
+//! The crate performs no I/O and reads no clock. Times are milliseconds of any monotonic clock.
 //!
 //! ```
 //! use admin::{Command, ConnectionPolicy, Drain, CLOSE_AFTER_RESPONSE_DELAY_MS, CLOSE_IDLE_DELAY_MS};
--- a/crates/admin/src/metrics.rs
+++ b/crates/admin/src/metrics.rs
@@ -1,13 +1,14 @@
-//! Request counters by class, and their text form for collectors.
+//! Request counters per class, and their text form for metrics collectors.
 //!
-//! Invariant: at every moment the accepted requests of a class are those that ended, in one of four ways, and those
-//! that are in flight. It holds by construction: whoever accepts a request holds an [`InFlightRequest`], which ends once.
+//! Invariant: for each class, the number of accepted requests equals the number of ended requests (served, rejected,
+//! failed or abandoned) plus the number of requests in flight. It holds by construction: each accepted request is
+//! represented by an [`InFlightRequest`], which ends exactly once.
 
 use std::cell::Cell;
 use std::fmt::Write;
 use std::rc::Rc;
 
-/// A counter; its clones count into the same value.
+/// A counter whose clones share one value.
 #[derive(Clone, Debug, Default)]
 pub struct Counter(Rc<Cell<u64>>);
 
@@ -17,7 +18,7 @@
         self.0.set(self.0.get() + 1);
     }
 
-    /// The value.
+    /// Returns the current value.
     #[must_use]
     pub fn get(&self) -> u64 {
         self.0.get()
@@ -31,15 +32,15 @@
 /// How a request ended for its client.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RequestOutcome {
-    /// With a server's response.
+    /// A server's response was returned.
     Served,
-    /// Rejected before it had any effect; a retry is harmless.
+    /// The request was rejected before it had any effect; a retry is safe.
     Rejected,
-    /// In any other way.
+    /// The request ended in any other way.
     Failed,
 }
 
-/// The counters of one class.
+/// The counters of one class of requests.
 #[derive(Debug, Default)]
 struct ClassMetrics {
     name: String,
@@ -47,7 +48,7 @@
     served: Counter,
     rejected: Counter,
     failed: Counter,
-    /// The client left before its response.
+    /// Requests whose client disconnected before the response.
     abandoned: Counter,
     in_flight: Counter,
     /// Attempts whose last byte was sent to a server.
@@ -55,7 +56,7 @@
 }
 
 impl ClassMetrics {
-    fn ended(&self) -> u64 {
+    fn ended_requests(&self) -> u64 {
         [&self.served, &self.rejected, &self.failed, &self.abandoned]
             .map(Counter::get)
             .iter()
@@ -63,23 +64,23 @@
     }
 }
 
-/// Gauges that are measured outside of this crate.
+/// Numbers of servers, which the caller provides.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct ServerGauges {
-    /// Servers in the endpoint list.
+    /// Number of servers in the endpoint list.
     pub known: usize,
-    /// Those of them to which the node sends no ordinary requests: draining or ejected.
+    /// Number of those servers that receive no ordinary requests because they are draining or ejected.
     pub excluded: usize,
 }
 
-/// The request counters of a process, from zero at its start.
+/// The request counters of a process. They start at zero.
 #[derive(Debug, Default)]
 pub struct Metrics {
     classes: Vec<Rc<ClassMetrics>>,
 }
 
 impl Metrics {
-    /// Counters for classes of these names; the class of index `i` is the `i`-th name.
+    /// Creates counters for the named classes. The index of a class is the position of its name.
     pub fn new(class_names: impl IntoIterator<Item = String>) -> Self {
         let new_class = |name| {
             Rc::new(ClassMetrics {
@@ -96,7 +97,7 @@
     ///
     /// # Panics
     ///
-    /// Panics if there is no class of this index.
+    /// Panics if `class` is out of range.
     #[must_use]
     pub fn begin_request(&self, class: usize) -> InFlightRequest {
         let class = Rc::clone(&self.classes[class]);
@@ -108,17 +109,17 @@
         }
     }
 
-    /// The counter of attempts whose last byte was sent to a server.
+    /// The counter of a class's attempts whose last byte was sent to a server.
     ///
     /// # Panics
     ///
-    /// Panics if there is no class of this index.
+    /// Panics if `class` is out of range.
     #[must_use]
     pub fn attempts(&self, class: usize) -> &Counter {
         &self.classes[class].attempts
     }
 
-    /// The number of requests in flight, over all classes.
+    /// The number of requests in flight in all classes.
     #[must_use]
     pub fn in_flight(&self) -> u64 {
         self.classes.iter().map(|class| class.in_flight.get()).sum()
@@ -129,11 +130,11 @@
     pub fn is_balanced(&self) -> bool {
         self.classes
             .iter()
-            .all(|class| class.accepted.get() == class.ended() + class.in_flight.get())
+            .all(|class| class.accepted.get() == class.ended_requests() + class.in_flight.get())
     }
 
-    /// The metrics as text, a line each, in the form that statsd collectors read: `NAME:VALUE|c` is a count since the
-    /// start of the process, `NAME:VALUE|g` a gauge.
+    /// Renders the metrics in statsd format, one per line: `NAME:VALUE|c` is a count since the start of the process,
+    /// `NAME:VALUE|g` a gauge.
     #[must_use]
     pub fn render(&self, servers: ServerGauges) -> String {
         let mut text = String::with_capacity(64 * (4 * self.classes.len() + 3));
@@ -161,7 +162,7 @@
     }
 }
 
-/// Guard of a request in flight. Dropped without an outcome, it counts as abandoned: its client has left.
+/// Guard of a request in flight. If it is dropped without an outcome, the request counts as abandoned by its client.
 #[derive(Debug)]
 pub struct InFlightRequest {
     class: Rc<ClassMetrics>,
@@ -178,13 +179,13 @@
 impl Drop for InFlightRequest {
     fn drop(&mut self) {
         self.class.in_flight.decrement();
-        let ended = match self.outcome {
+        let counter = match self.outcome {
             Some(RequestOutcome::Served) => &self.class.served,
             Some(RequestOutcome::Rejected) => &self.class.rejected,
             Some(RequestOutcome::Failed) => &self.class.failed,
             None => &self.class.abandoned,
         };
-        ended.increment();
+        counter.increment();
     }
 }
 
--- a/crates/admin/src/metrics/tests.rs
+++ b/crates/admin/src/metrics/tests.rs
@@ -23,19 +23,19 @@
 }
 
 proptest! {
-    /// Guards the sum, in every order of begins and ends.
+    /// Guards the invariant of the module for any order of starts and ends.
     #[test]
-    fn accepted_requests_in_any_order_are_ended_or_in_flight(
+    fn accepted_requests_equal_ended_plus_in_flight(
         steps in proptest::collection::vec((0..5_usize, 0..3_usize, any::<usize>()), 0..200),
     ) {
         let metrics = Metrics::new((0..3).map(|class| format!("c{class}")));
         let mut in_flight = Vec::new();
-        for (step, class, which) in steps {
+        for (step, class, selector) in steps {
             if step == 0 || in_flight.is_empty() {
                 in_flight.push(metrics.begin_request(class));
             } else {
-                let at = which % in_flight.len();
-                let request = in_flight.swap_remove(at);
+                let position = selector % in_flight.len();
+                let request = in_flight.swap_remove(position);
                 match step {
                     1 => request.finish(RequestOutcome::Served),
                     2 => request.finish(RequestOutcome::Rejected),
@@ -43,7 +43,7 @@
                     _ => drop(request),
                 }
             }
-            prop_assert!(metrics.is_balanced());
+            prop_assert!(metrics.is_balanced(), "accepted requests are not ended plus in flight: {metrics:?}");
             prop_assert_eq!(metrics.in_flight(), in_flight.len() as u64);
         }
     }
