--- a/src/node/config.rs
+++ b/src/node/config.rs
@@ -1,6 +1,6 @@
 //! The platform's configuration: the file that the environment variable `ROUTER_CONFIG` names.
 //!
-//! `raw` has the file's types as they are written. [`Config::parse`] validates them; a [`Config`] is always usable.
+//! `raw` has the types of the file's contents. [`Config::parse`] validates them, so that a [`Config`] is always valid.
 
 mod raw;
 
@@ -14,15 +14,15 @@
 use serde::Deserialize;
 use serde_json::Value;
 
-use self::raw::{RawConfig, RawNamed, RawSocketSettings};
+use self::raw::{RawConfig, RawNamed, RawNodeSettings};
 use crate::settings::{parse_settings, SettingsFormatError};
 use balancer::{DiscoveryMode, Settings};
 
 /// The environment variable that names the configuration file.
 const CONFIG_VARIABLE: &str = "ROUTER_CONFIG";
-/// The longest duration that a setting may have: a day.
+/// Maximum duration of a setting, in milliseconds: one day.
 const MAX_DURATION_MS: f64 = 86_400_000.0;
-/// The base of the seed's digits.
+/// The radix of the seed, which is written as text.
 const SEED_RADIX: u32 = 16;
 
 /// Why a configuration cannot be used.
@@ -34,14 +34,14 @@
     Unreadable {
         /// The file.
         path: PathBuf,
-        /// The system's error.
+        /// The error of opening or reading it.
         source: io::Error,
     },
-    /// It is not JSON, or does not have the types that it should have.
+    /// The text is not JSON, or a value is missing or has the wrong type.
     Malformed(serde_json::Error),
     /// A value is invalid.
     InvalidValue {
-        /// The key of the value.
+        /// The key in the file.
         key: &'static str,
         /// The value.
         value: String,
@@ -79,16 +79,16 @@
     }
 }
 
-/// An endpoint list in the JSON form of the platform's discovery. Its entries are decoded one by one,
-/// so that a malformed one does not hide the others.
+/// An endpoint list in the JSON format of the platform's discovery. Its entries are decoded one by one, so that the other
+/// entries remain usable if one is malformed.
 #[derive(Clone, Debug, Default, Deserialize)]
 pub struct EndpointList {
     /// The version of the list.
     pub generation: u64,
-    /// Whether this is the whole list, and not only what changed.
+    /// Whether the list is complete; otherwise it contains only changes.
     #[serde(default)]
     pub reset: bool,
-    /// The entries, not decoded yet.
+    /// The entries, as undecoded JSON.
     #[serde(default)]
     pub instances: Vec<Value>,
 }
@@ -97,16 +97,17 @@
 #[derive(Clone, Copy, Debug, Deserialize)]
 #[serde(default)]
 pub struct Limits {
-    /// The number of file descriptors.
-    pub sockets: usize,
-    /// Memory, in MB.
+    /// Maximum number of open file descriptors.
+    #[serde(rename = "sockets")]
+    pub file_descriptors: usize,
+    /// Maximum memory, in MB.
     pub memory_mb: usize,
 }
 
 impl Default for Limits {
     fn default() -> Self {
         Self {
-            sockets: 1024,
+            file_descriptors: 1024,
             memory_mb: 64,
         }
     }
@@ -116,55 +117,55 @@
     /// The maximum number of connections from clients: half of all descriptors.
     #[must_use]
     pub fn client_connections(self) -> usize {
-        (self.sockets / 2).max(1)
+        (self.file_descriptors / 2).max(1)
     }
 
-    /// The maximum number of bytes of long uploads that are buffered at a time: a quarter of the memory.
+    /// The maximum number of bytes of long uploads that are buffered at the same time: a quarter of the memory.
     #[must_use]
     pub fn buffered_upload_bytes(self) -> usize {
         self.memory_mb.saturating_mul(1024 * 1024 / 4)
     }
 
-    /// The maximum number of connections to servers: three eighths of all descriptors. What remains is for discovery and
-    /// the system.
+    /// The maximum number of connections to servers: three eighths of all descriptors. The remaining eighth is for
+    /// discovery and the operating system.
     #[must_use]
     pub fn server_connections(self) -> usize {
-        (self.sockets * 3 / 8).max(1)
+        (self.file_descriptors * 3 / 8).max(1)
     }
 }
 
-/// Names, each of which stands for an index of the settings.
+/// Names of items in the settings, such as classes, mapped to the items' indexes.
 #[derive(Clone, Debug, Default)]
 pub struct Names(HashMap<String, usize>);
 
 impl Names {
-    /// Assigns indexes to names in their order.
+    /// Assigns increasing indexes, from 0, to names in the given order.
     #[must_use]
     pub fn new(names: impl IntoIterator<Item = String>) -> Self {
         Self(
             names
                 .into_iter()
                 .enumerate()
-                .map(|(at, name)| (name, at))
+                .map(|(index, name)| (name, index))
                 .collect(),
         )
     }
 
-    /// The names in the order of their indexes.
+    /// Returns the names in the order of their indexes.
     #[must_use]
     pub fn in_order(&self) -> Vec<String> {
         let mut names: Vec<_> = self.0.iter().collect();
-        names.sort_by_key(|(_, at)| **at);
+        names.sort_by_key(|(_, index)| **index);
         names.into_iter().map(|(name, _)| name.clone()).collect()
     }
 
-    /// The index of a name.
+    /// Returns the index of a name.
     #[must_use]
     pub fn get(&self, name: &str) -> Option<usize> {
         self.0.get(name).copied()
     }
 
-    /// Whether there are none.
+    /// Whether there are no names.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.0.is_empty()
@@ -174,27 +175,27 @@
 /// A node's configuration.
 #[derive(Clone, Debug)]
 pub struct Config {
-    /// The node's name.
+    /// The node's name, if the platform assigns one.
     pub name: Option<String>,
     /// The address on which clients connect.
     pub listen: SocketAddr,
-    /// The address of the admin server, which only operators reach.
+    /// The address of the admin server, which only operators can reach; `None` disables the server.
     pub admin_listen: Option<SocketAddr>,
     /// The address of the platform's discovery.
     pub discovery: SocketAddr,
-    /// The address on which datagrams of other nodes arrive.
+    /// The address on which datagrams from other nodes are received.
     pub peer_listen: Option<SocketAddr>,
-    /// The addresses of other nodes for datagrams; the node's own may be among them.
+    /// The addresses of other nodes for datagrams. The node's own address may be among them.
     pub peers: Vec<SocketAddr>,
     /// Whether nodes may send one another datagrams.
     pub peers_allowed: bool,
-    /// Whether discovery pushes changes of the endpoint list without being asked.
+    /// Whether discovery pushes changes of the endpoint list; otherwise the balancer subscribes to them.
     pub is_discovery_pushed: bool,
     /// The seed of random numbers.
     pub seed: u64,
     /// The resources that the process may use.
     pub limits: Limits,
-    /// The endpoint list as cached from an earlier run.
+    /// The endpoint list that was cached in an earlier run.
     pub cached_endpoints: EndpointList,
     /// The balancer's settings.
     pub settings: Settings,
@@ -206,13 +207,13 @@
     pub zones: Names,
     /// The names of the machine kinds.
     pub machine_kinds: Names,
-    /// How long establishing a connection may take.
+    /// Maximum time for establishing a connection to a server.
     pub dial_timeout: Duration,
-    /// How long a connection may be idle.
+    /// Time for which a connection may be idle.
     pub idle_timeout: Duration,
     /// The maximum number of requests in flight.
     pub max_in_flight: usize,
-    /// How long after the notice of a drain a send to the server may still begin.
+    /// Time after a server's drain is announced during which sending a request to it may still begin.
     pub drain_grace: Duration,
 }
 
@@ -238,24 +239,28 @@
     ///
     /// # Errors
     ///
-    /// It is malformed, or a value is invalid.
+    /// The text is malformed, or a value is invalid.
     pub fn parse(text: &str) -> Result<Self, ConfigError> {
         let raw: RawConfig = serde_json::from_str(text).map_err(ConfigError::Malformed)?;
         let settings = parse_balancer_settings(&raw.settings)?;
-        let sockets: RawSocketSettings =
+        let node_settings: RawNodeSettings =
             serde_json::from_value(raw.settings).map_err(ConfigError::Malformed)?;
-        let limits = sockets.limits;
+        let node_limits = node_settings.limits;
         Ok(Self {
             name: raw.name,
-            // A node must serve also where it has no use for other nodes: an invalid address of one is left out.
-            peer_listen: raw.peer_listen.and_then(|at| at.parse().ok()),
-            peers: raw.peers.iter().filter_map(|at| at.parse().ok()).collect(),
-            peers_allowed: limits.peers_allowed,
+            // Datagrams between nodes are optional, so an invalid address for them must not prevent the node's start.
+            peer_listen: raw.peer_listen.and_then(|address| address.parse().ok()),
+            peers: raw
+                .peers
+                .iter()
+                .filter_map(|address| address.parse().ok())
+                .collect(),
+            peers_allowed: node_limits.peers_allowed,
             listen: parse_address("listen", &raw.listen)?,
             admin_listen: raw
                 .admin_listen
                 .as_deref()
-                .map(|at| parse_address("control", at))
+                .map(|address| parse_address("control", address))
                 .transpose()?,
             discovery: parse_address("discovery", &raw.discovery)?,
             is_discovery_pushed: settings.discovery == DiscoveryMode::Push,
@@ -263,20 +268,20 @@
             limits: raw.limits,
             cached_endpoints: raw.cached_endpoints,
             settings,
-            classes: names(sockets.classes),
-            tenants: names(sockets.tenants),
-            zones: Names::new(sockets.zones),
-            machine_kinds: Names::new(sockets.machine_kinds),
-            dial_timeout: parse_duration("dial_timeout_ms", limits.dial_timeout_ms)?,
-            idle_timeout: parse_duration("conn_idle_ms", limits.idle_timeout_ms)?,
-            max_in_flight: limits.max_in_flight,
-            drain_grace: parse_duration("drain_grace_ms", sockets.rules.drain_grace_ms)?,
+            classes: names(node_settings.classes),
+            tenants: names(node_settings.tenants),
+            zones: Names::new(node_settings.zones),
+            machine_kinds: Names::new(node_settings.machine_kinds),
+            dial_timeout: parse_duration("dial_timeout_ms", node_limits.dial_timeout_ms)?,
+            idle_timeout: parse_duration("conn_idle_ms", node_limits.idle_timeout_ms)?,
+            max_in_flight: node_limits.max_in_flight,
+            drain_grace: parse_duration("drain_grace_ms", node_settings.rules.drain_grace_ms)?,
         })
     }
 }
 
-/// The settings of the balancer, without health checks: this node cannot make any, and the balancer relies on the load
-/// reports in responses alone.
+/// Parses the settings of the balancer and disables health checks: the node sends none, so the balancer relies on the
+/// load reports in responses alone.
 fn parse_balancer_settings(settings: &Value) -> Result<Settings, ConfigError> {
     let mut settings = parse_settings(settings).map_err(ConfigError::Settings)?;
     settings.health_checks = false;
@@ -304,7 +309,7 @@
     })
 }
 
-/// A duration in milliseconds, at most [`MAX_DURATION_MS`].
+/// Converts milliseconds, at most [`MAX_DURATION_MS`], to a duration.
 fn parse_duration(key: &'static str, ms: f64) -> Result<Duration, ConfigError> {
     if (0.0..=MAX_DURATION_MS).contains(&ms) {
         Ok(Duration::from_secs_f64(ms / 1e3))
--- a/src/node/config/raw.rs
+++ b/src/node/config/raw.rs
@@ -1,12 +1,12 @@
-//! The types of the configuration file as the platform writes it. Its keys are external names: where a field is called
-//! otherwise, `serde` renames it. Unknown keys are ignored.
+//! The types of the configuration file that the platform writes. Its keys are external names; where a field has another
+//! name, `serde` renames it. Unknown keys are ignored.
 
 use serde::Deserialize;
 use serde_json::Value;
 
 use super::{EndpointList, Limits};
 
-/// The whole file.
+/// The contents of the file.
 #[derive(Deserialize)]
 pub(super) struct RawConfig {
     #[serde(default)]
@@ -19,7 +19,7 @@
     pub(super) discovery: String,
     #[serde(default, rename = "control")]
     pub(super) admin_listen: Option<String>,
-    /// Hexadecimal.
+    /// A hexadecimal number.
     pub(super) seed: String,
     #[serde(default)]
     pub(super) limits: Limits,
@@ -28,16 +28,16 @@
     pub(super) settings: Value,
 }
 
-/// A class or a tenant, as far as its name goes.
+/// A class or a tenant; the node uses only its name.
 #[derive(Deserialize)]
 pub(super) struct RawNamed {
     pub(super) name: String,
 }
 
-/// The settings that concern the node alone. The balancer's own are read by [`crate::settings::parse_settings`].
+/// The settings of the node. Those of the balancer are parsed by [`crate::settings::parse_settings`].
 #[derive(Default, Deserialize)]
 #[serde(default)]
-pub(super) struct RawSocketSettings {
+pub(super) struct RawNodeSettings {
     pub(super) classes: Vec<RawNamed>,
     #[serde(rename = "parties")]
     pub(super) tenants: Vec<RawNamed>,
@@ -45,14 +45,14 @@
     #[serde(rename = "kinds")]
     pub(super) machine_kinds: Vec<String>,
     #[serde(rename = "allowed")]
-    pub(super) limits: RawSocketLimits,
+    pub(super) limits: RawNodeLimits,
     pub(super) rules: RawRules,
 }
 
-/// What the node may use.
+/// Limits that the platform sets for the node.
 #[derive(Deserialize)]
 #[serde(default)]
-pub(super) struct RawSocketLimits {
+pub(super) struct RawNodeLimits {
     pub(super) dial_timeout_ms: f64,
     #[serde(rename = "conn_idle_ms")]
     pub(super) idle_timeout_ms: f64,
@@ -63,7 +63,7 @@
     pub(super) peers_allowed: bool,
 }
 
-impl Default for RawSocketLimits {
+impl Default for RawNodeLimits {
     fn default() -> Self {
         Self {
             dial_timeout_ms: 1_000.0,
@@ -74,7 +74,7 @@
     }
 }
 
-/// What all nodes must keep to.
+/// Rules that the platform sets for all nodes.
 #[derive(Default, Deserialize)]
 #[serde(default)]
 pub(super) struct RawRules {
