--- a/src/node/admin/config_file.rs
+++ b/src/node/admin/config_file.rs
@@ -1,12 +1,12 @@
-//! The operators' configuration file: what a node does beyond the platform's configuration.
+//! The operators' configuration file, which extends the platform's configuration.
 //!
-//! The file is parsed and validated as a whole before anything of it takes effect. `deploy/silverthread.toml` shows
-//! every key with a comment.
+//! The whole file is parsed and validated before any part of it takes effect. `deploy/silverthread.toml` documents every
+//! key.
 //!
-//! - `raw` mirrors the file: one type per section, fields named like the keys.
-//! - `bounded_value` has the types of values that are checked while they are parsed.
-//! - `validation` and `consul_source` turn the raw sections into the settings of the node's parts.
-//! - `error` says what is wrong with a file, and at which line and key.
+//! - `raw` mirrors the file: it has one type per section, whose fields are named like the keys.
+//! - `bounded_value` has types of values that are checked while they are parsed.
+//! - `validation` and `consul_source` convert the raw sections to the settings of the node's components.
+//! - `error` describes a problem in a file, with its line and key.
 //! - `summary` describes a valid file.
 
 mod bounded_value;
@@ -28,23 +28,23 @@
 use crate::node::upstream::addresses::ConfiguredAddresses;
 use crate::node::upstream::servers::PoolLimits;
 
-/// The largest file: room for the addresses of as many servers as it may name.
+/// Maximum size of the file, in bytes; sufficient for the addresses of the maximum number of servers.
 const MAX_FILE_BYTES: u64 = 4 * 1024 * 1024;
 
-/// What the operators' file turns on. The default, nothing, holds without a file.
+/// The settings in an operators' file. The default applies without a file and enables nothing.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct OperatorConfig {
-    /// How the endpoint view is merged from several sources; `None` without a file.
+    /// The sources that are merged into the endpoint view; `None` without a file.
     pub endpoint_sources: Option<EndpointSources>,
-    /// Addresses of servers, beside or instead of those that the sources name.
+    /// Addresses of servers, in addition to or instead of those that the sources report.
     pub addresses: ConfiguredAddresses,
     /// Limits on connections to servers.
     pub pool: PoolLimits,
-    /// How the other nodes of the cluster are found.
+    /// The settings of the cluster of nodes, if the node takes part in one.
     pub cluster: Option<ClusterSettings>,
-    /// The acceptors that grant leases to the nodes of the cluster.
+    /// The settings of leases, such as their acceptors, if the node takes part in leases.
     pub leases: Option<LeaseSettings>,
-    /// How nodes report outliers among the servers to each other.
+    /// The settings of outlier detection, if nodes report outliers among the servers to each other.
     pub outlier_detection: Option<outlier_detection::Settings>,
 }
 
@@ -58,11 +58,11 @@
 }
 
 impl OperatorConfig {
-    /// Reads and validates a file, and checks that the key file that it names can be used.
+    /// Reads and validates a file, and checks that the key file named in it can be used.
     ///
     /// # Errors
     ///
-    /// Returns the first problem, with its line and key where the file could be read. Nothing takes effect then.
+    /// Returns the first problem, with its line and key if the file could be read.
     pub fn read(file: &Path) -> Result<Self, ConfigFileError> {
         let text = read_text(file).map_err(|problem| ConfigFileError::of_file(file, problem))?;
         let config = Self::parse(file, &text)?;
@@ -75,7 +75,7 @@
         Ok(config)
     }
 
-    /// Parses and validates a file's text. `file` is only named in errors.
+    /// Parses and validates a file's text. `file` is used only in error messages.
     ///
     /// # Errors
     ///
--- a/src/node/admin/config_file/bounded_value.rs
+++ b/src/node/admin/config_file/bounded_value.rs
@@ -7,7 +7,7 @@
 use serde::de::Error;
 use serde::{Deserialize, Deserializer};
 
-/// Defines a number type whose parsing fails outside of a range.
+/// Defines a number type that rejects numbers outside a range when it is parsed.
 macro_rules! bounded_number {
     ($(#[$doc:meta])* $name:ident($number:ty), $range:expr, $message:literal) => {
         $(#[$doc])*
@@ -28,59 +28,59 @@
 }
 
 bounded_number!(
-    /// A part of a whole.
+    /// A fraction.
     Fraction(f64),
     0.0..=1.0,
-    "a share lies between 0 and 1"
+    "a fraction must be between 0 and 1"
 );
 
 bounded_number!(
-    /// A duration of up to a day.
+    /// A duration of up to one day, in seconds.
     Seconds(f64),
     0.0..=86_400.0,
-    "a time lies between 0 and 86400 seconds"
+    "a duration must be between 0 and 86400 seconds"
 );
 
 bounded_number!(
-    /// The interval between polls.
+    /// The interval between polls, in milliseconds.
     PollIntervalMs(f64),
     10.0..=10_000.0,
-    "a poll interval lies between 10 and 10000 milliseconds"
+    "a poll interval must be between 10 and 10000 milliseconds"
 );
 
 bounded_number!(
-    /// The interval between a node's probes of other nodes.
+    /// The interval between a node's probes of other nodes, in milliseconds.
     ProbeIntervalMs(f64),
     50.0..=10_000.0,
-    "a probe interval lies between 50 and 10000 milliseconds"
+    "a probe interval must be between 50 and 10000 milliseconds"
 );
 
 bounded_number!(
-    /// How long a suspected node has to refute before it is declared dead.
+    /// Time without a datagram from a node after which it is suspected, in milliseconds.
     SuspicionMs(f64),
     250.0..=600_000.0,
-    "a suspicion time lies between 250 and 600000 milliseconds"
+    "a suspicion timeout must be between 250 and 600000 milliseconds"
 );
 
 bounded_number!(
-    /// Events per second.
+    /// A number of events per second.
     RatePerSecond(f64),
     0.1..=100_000.0,
-    "a rate lies between 0.1 and 100000 a second"
+    "a rate must be between 0.1 and 100000 per second"
 );
 
 bounded_number!(
-    /// A limit on a number of things; zero would stop the node from serving.
+    /// A limit on a count, such as connections to a server. Zero would prevent the node from serving.
     CountLimit(usize),
     1..=1_000_000,
-    "a limit lies between 1 and 1000000"
+    "a limit must be between 1 and 1000000"
 );
 
 bounded_number!(
-    /// How long a blocking query may wait, in the range that Consul's API documents.
+    /// The maximum wait of a blocking query, in seconds, in the range that Consul's API documents.
     QueryWaitSeconds(u32),
     1..=600,
-    "a query waits 1 to 600 whole seconds"
+    "a query's wait must be 1 to 600 whole seconds"
 );
 
 impl Seconds {
@@ -89,7 +89,7 @@
     }
 }
 
-/// A socket address or a path of a Unix socket.
+/// A socket address or the path of a Unix socket.
 pub struct AddressText(pub Address);
 
 impl<'de> Deserialize<'de> for AddressText {
@@ -99,7 +99,7 @@
     }
 }
 
-/// A field of an instance in Consul.
+/// The field of an instance in Consul from which a value is read.
 pub struct FieldText(pub FieldSource);
 
 impl<'de> Deserialize<'de> for FieldText {
@@ -111,7 +111,7 @@
     }
 }
 
-/// How an instance in Consul identifies a server: by a field, or by its address.
+/// What identifies the server of an instance in Consul: a field or the instance's address.
 pub struct ServerIdText(pub KeySource);
 
 impl<'de> Deserialize<'de> for ServerIdText {
@@ -122,7 +122,7 @@
         }
         match FieldSource::from_str(&text) {
             Ok(field) => Ok(Self(KeySource::Id(field))),
-            Err(error) => Err(Error::custom(format_args!("{error}, nor `address`"))),
+            Err(error) => Err(Error::custom(format_args!("{error}, or `address`"))),
         }
     }
 }
--- a/src/node/admin/config_file/consul_source.rs
+++ b/src/node/admin/config_file/consul_source.rs
@@ -1,5 +1,5 @@
-//! Turns a `[[consul]]` section into the settings of a source: what is watched, through which agents, what an instance
-//! means, and how far the source is trusted.
+//! Converts a `[[consul]]` section to the settings of a source: the watched service, the agents, the mapping of instances
+//! to endpoints, and the source's policy.
 
 use consul::{
     Api, Consistency, FieldSource, KeySource, Lifecycle, Mapping, MetaRule, Query,
@@ -13,11 +13,11 @@
 use super::validation::{check_name_length, override_policy};
 use crate::node::discovery::consul::ConsulSource;
 
-/// The most agents of a source: each takes a connection.
+/// Maximum number of agents of a source.
 const MAX_AGENTS: usize = 16;
-/// How long a blocking query may wait unless the file says otherwise.
+/// Default of `wait_s`: the maximum wait of a blocking query, in seconds.
 const DEFAULT_QUERY_WAIT_S: u32 = 60;
-/// The shortest half-life of damping: it divides a time.
+/// Minimum half-life of flap damping, in milliseconds. A half-life is a divisor, so it must not be zero.
 const MIN_DAMPING_HALF_LIFE_MS: f64 = 1.0;
 
 impl RawConsul {
@@ -27,7 +27,7 @@
             return Err(InvalidValue::new(&self.service, Problem::EmptyServiceName));
         }
         self.check_agent_count()?;
-        self.check_naming()?;
+        self.check_server_ids()?;
         Ok(ConsulSource {
             policy: self.policy(),
             agents: self
@@ -53,11 +53,11 @@
         Err(InvalidValue::new(&self.agents, problem))
     }
 
-    /// A source that names servers has to know their ids.
-    fn check_naming(&self) -> Result<(), InvalidValue> {
+    /// Checks that a source that adds servers identifies them by id.
+    fn check_server_ids(&self) -> Result<(), InvalidValue> {
         match &self.names_servers {
-            Some(names) if *names.get_ref() && self.identifies_by_address() => {
-                Err(InvalidValue::new(names, Problem::NamesServersByAddress))
+            Some(flag) if *flag.get_ref() && self.identifies_by_address() => {
+                Err(InvalidValue::new(flag, Problem::NamesServersByAddress))
             }
             _ => Ok(()),
         }
@@ -78,7 +78,7 @@
         policy.may_add_endpoints = self
             .names_servers
             .as_ref()
-            .is_some_and(|names| *names.get_ref());
+            .is_some_and(|flag| *flag.get_ref());
         policy.match_by = if self.identifies_by_address() {
             MatchBy::Address
         } else {
@@ -86,7 +86,7 @@
         };
         policy.retention_ms = self.hold_s.map_or(policy.retention_ms, Seconds::as_ms);
         if let Some(damping) = &self.damping {
-            policy.damping = damping.enabled();
+            policy.damping = damping.flap_damping();
         }
         policy
     }
@@ -111,14 +111,14 @@
                 .map_or(KeySource::Id(FieldSource::ServiceId), |id| id.0),
             tagged_address: self.tagged_address,
             alternate_tagged_addresses: self.also_tagged,
-            status_lifecycles: self.states.by_status(),
+            status_lifecycles: self.states.status_lifecycles(),
             tag_rules: self.states.tag_rules(),
             meta_rules: self.states.meta_rules(),
-            zone: field(self.zone),
-            machine_type: field(self.kind),
-            cell: field(self.cell),
-            weight: field(self.weight),
-            started_at_ms: field(self.started_at_ms),
+            zone: field_source(self.zone),
+            machine_type: field_source(self.kind),
+            cell: field_source(self.cell),
+            weight: field_source(self.weight),
+            started_at_ms: field_source(self.started_at_ms),
         };
         let mut watch = WatchSettings::new(query, mapping, agents);
         watch.max_age_ms = max_age.map_or(watch.max_age_ms, Seconds::as_ms);
@@ -128,13 +128,13 @@
     }
 }
 
-fn field(text: Option<FieldText>) -> Option<FieldSource> {
+fn field_source(text: Option<FieldText>) -> Option<FieldSource> {
     text.map(|text| text.0)
 }
 
 impl RawDamping {
-    /// `most_s = 0` turns damping off.
-    fn enabled(&self) -> Option<FlapDamping> {
+    /// Returns the settings of flap damping; `None` if `most_s` is 0, which turns damping off.
+    fn flap_damping(&self) -> Option<FlapDamping> {
         let max_ms = self.most_s.as_ms();
         (max_ms > 0.0).then(|| FlapDamping {
             initial_ms: self.first_s.as_ms(),
@@ -145,7 +145,7 @@
 }
 
 impl RawStates {
-    fn by_status(&self) -> StatusLifecycles {
+    fn status_lifecycles(&self) -> StatusLifecycles {
         let defaults = Mapping::default().status_lifecycles;
         let or_default = |raw: Option<RawState>, default| raw.map_or(default, Lifecycle::from);
         StatusLifecycles {
--- a/src/node/admin/config_file/error.rs
+++ b/src/node/admin/config_file/error.rs
@@ -1,4 +1,4 @@
-//! What is wrong with an operators' file, and where.
+//! Errors in an operators' file, with their location.
 
 use std::error::Error;
 use std::fmt;
@@ -19,13 +19,13 @@
 /// A place in an operators' file.
 #[derive(Debug)]
 struct Location {
-    /// Counted from one.
+    /// The line number, counted from 1.
     line: usize,
-    /// The key or section on that line, or, for a value that goes over several lines, on the nearest line before.
+    /// The key or section on that line or, within a value of several lines, on the nearest line above.
     key: Option<String>,
 }
 
-/// What is wrong with an operators' file.
+/// A problem in an operators' file.
 #[derive(Debug)]
 #[non_exhaustive]
 pub enum Problem {
@@ -33,69 +33,69 @@
     Read(io::Error),
     /// The file is too large.
     FileTooLarge {
-        /// The largest size.
+        /// The maximum size, in bytes.
         max_bytes: u64,
     },
     /// The text is not TOML, a key is unknown or missing, or a value is of the wrong type or out of range.
     Syntax(String),
     /// The key file of `[instances]` cannot be used.
     KeyFile(Box<dyn Error + Send + Sync>),
-    /// A name of this node that is not valid.
+    /// The name of this node is invalid.
     InvalidOwnName {
-        /// The longest name.
+        /// The maximum length of a name, in bytes.
         max_bytes: usize,
     },
-    /// A node's name that is not valid, among the acceptors.
+    /// An acceptor has this name, which is invalid.
     InvalidNodeName(String),
-    /// A name that is empty or too long.
+    /// A name is empty or too long.
     NameLength {
-        /// What is named.
+        /// The kind of thing that has the name.
         subject: &'static str,
-        /// The longest name.
+        /// The maximum length of a name, in bytes.
         max_bytes: usize,
     },
-    /// A list with too few or too many items.
+    /// A list has too few or too many items.
     ItemCount {
-        /// What is listed.
+        /// The kind of the items, in the plural.
         items: &'static str,
-        /// The fewest.
+        /// The minimum number of items.
         min: usize,
         /// The most.
         max: usize,
     },
-    /// More sections of a kind than there may be.
+    /// The file has too many sections of one kind.
     TooManySections {
-        /// What a section describes.
+        /// The kind of thing that a section describes, in the plural.
         subjects: &'static str,
         /// The most.
         max: usize,
     },
-    /// A source with the name of another one.
+    /// Two sources have the same name.
     DuplicateSource,
-    /// A server with the id of another one.
+    /// Two sections have the same server id.
     DuplicateServer,
-    /// An address that already belongs to this server.
+    /// The same address is listed twice.
     DuplicateAddress {
-        /// The other server's id.
+        /// The id of the server for which it was listed first.
         server: String,
     },
-    /// The service of a source has no name.
+    /// The service name of a source is empty.
     EmptyServiceName,
-    /// A source is to name servers, but identifies them by address.
+    /// A source adds servers but identifies them by address.
     NamesServersByAddress,
-    /// `suspect_ms` is too short for the number of probes before a suspicion.
+    /// `suspect_ms` is shorter than the minimum number of probe intervals.
     SuspicionTooShort,
-    /// `[leases]` without `[instances]`.
+    /// The file has a section `[leases]` but no `[instances]`.
     LeasesNeedInstances,
-    /// `[word]` without `[instances]`.
+    /// The file has a section `[word]` but no `[instances]`.
     OutlierDetectionNeedsInstances,
-    /// The settings of `[leases]` are not valid.
+    /// The settings of `[leases]` are invalid.
     LeaseSettings(Box<dyn Error + Send + Sync>),
-    /// The settings of `[word]` are not valid.
+    /// The settings of `[word]` are invalid.
     OutlierDetectionSettings(outlier_detection::SettingsError),
 }
 
-/// A problem and the part of the text that it is about.
+/// A problem and its byte range in the file's text.
 #[derive(Debug)]
 pub(super) struct InvalidValue {
     pub(super) span: Range<usize>,
@@ -128,19 +128,20 @@
         }
     }
 
-    /// The line, counted from one; `None` if the file could not be read.
+    /// The line of the problem, counted from 1; `None` if the problem has no location, for example if the file could not
+    /// be read.
     #[must_use]
     pub fn line(&self) -> Option<usize> {
         self.location.as_ref().map(|location| location.line)
     }
 
-    /// The key or section on that line, or, for a value that goes over several lines, on the nearest line before.
+    /// The key or section on that line or, within a value of several lines, on the nearest line above.
     #[must_use]
     pub fn key(&self) -> Option<&str> {
         self.location.as_ref()?.key.as_deref()
     }
 
-    /// What is wrong there.
+    /// The problem at that location.
     #[must_use]
     pub fn problem(&self) -> &Problem {
         &self.problem
@@ -200,39 +201,39 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             Self::Read(error) => error.fmt(f),
-            Self::FileTooLarge { max_bytes } => write!(f, "it is larger than {max_bytes} bytes"),
+            Self::FileTooLarge { max_bytes } => write!(f, "larger than {max_bytes} bytes"),
             Self::Syntax(message) => f.write_str(message),
             Self::KeyFile(error) | Self::LeaseSettings(error) => error.fmt(f),
             Self::InvalidOwnName { max_bytes } => write!(
                 f,
-                "a node's name is 1 to {max_bytes} characters of ASCII without spaces"
+                "a node's name must be 1 to {max_bytes} printable ASCII characters without spaces"
             ),
             Self::InvalidNodeName(name) => write!(f, "{name:?} cannot be a node's name"),
             Self::NameLength { subject, max_bytes } => {
-                write!(f, "a {subject}'s name has 1 to {max_bytes} bytes")
+                write!(f, "a {subject}'s name must have 1 to {max_bytes} bytes")
             }
-            Self::ItemCount { items, min: 0, max } => write!(f, "there are at most {max} {items}"),
-            Self::ItemCount { items, min, max } => write!(f, "there are {min} to {max} {items}"),
+            Self::ItemCount { items, min: 0, max } => write!(f, "at most {max} {items} allowed"),
+            Self::ItemCount { items, min, max } => write!(f, "{min} to {max} {items} required"),
             Self::TooManySections { subjects, max } => {
                 write!(f, "there are more than {max} {subjects}")
             }
-            Self::DuplicateSource => f.write_str("there is a source of this name already"),
-            Self::DuplicateServer => f.write_str("there is a server of this id already"),
+            Self::DuplicateSource => f.write_str("another source has this name"),
+            Self::DuplicateServer => f.write_str("another section has this server id"),
             Self::DuplicateAddress { server } => {
-                write!(f, "the address belongs to server {server:?} already")
+                write!(f, "the address already belongs to server {server:?}")
             }
-            Self::EmptyServiceName => f.write_str("the name of a service is empty"),
+            Self::EmptyServiceName => f.write_str("the service name is empty"),
             Self::NamesServersByAddress => {
-                f.write_str("a source that names servers identifies them by id, not by address")
+                f.write_str("a source that names servers must identify them by id, not by address")
             }
             Self::SuspicionTooShort => {
-                f.write_str("a node is probed at least three times before it is suspected")
+                f.write_str("the suspicion timeout must be at least three probe intervals")
             }
             Self::LeasesNeedInstances => {
-                f.write_str("leases need [instances]: nodes have to know each other")
+                f.write_str("leases need [instances] to find the other nodes")
             }
             Self::OutlierDetectionNeedsInstances => {
-                f.write_str("outlier detection needs [instances]: nodes have to know each other")
+                f.write_str("outlier detection needs [instances] to find the other nodes")
             }
             Self::OutlierDetectionSettings(error) => error.fmt(f),
         }
--- a/src/node/admin/config_file/raw.rs
+++ b/src/node/admin/config_file/raw.rs
@@ -1,4 +1,4 @@
-//! The operators' file as it is written: one type per section. Fields have the names of the file's keys.
+//! The contents of the operators' file, with one type per section. Fields have the names of the file's keys.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -13,7 +13,7 @@
     QueryWaitSeconds, RatePerSecond, Seconds, ServerIdText, SuspicionMs,
 };
 
-/// The whole file.
+/// The contents of the file.
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct RawConfig {
@@ -66,16 +66,16 @@
 #[serde(deny_unknown_fields)]
 pub struct RawRoute {
     pub address: AddressText,
-    #[serde(default = "ordinary_preference")]
+    #[serde(default = "default_preference")]
     pub preference: u16,
     pub label: Option<String>,
 }
 
-fn ordinary_preference() -> u16 {
+fn default_preference() -> u16 {
     DEFAULT_PREFERENCE
 }
 
-/// `[instances]`: how the other nodes of the cluster are found.
+/// `[instances]`: this node and the other nodes of its cluster.
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct RawInstances {
@@ -88,7 +88,7 @@
     pub suspect_ms: Option<Spanned<SuspicionMs>>,
 }
 
-/// `[leases]`: the acceptors that grant leases.
+/// `[leases]`: the acceptors that grant leases, and the settings of leases.
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct RawLeases {
@@ -102,7 +102,7 @@
     pub fleet_log: Option<SocketAddr>,
 }
 
-/// `[word]`: how nodes report outliers to each other.
+/// `[word]`: outlier detection, for which nodes report servers to each other.
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct RawOutlierDetection {
@@ -182,7 +182,7 @@
     Gone,
 }
 
-/// `[consul.states]`: what a state in Consul makes of a server.
+/// `[consul.states]`: the lifecycle of a server for each state in Consul.
 #[derive(Deserialize, Default)]
 #[serde(deny_unknown_fields)]
 pub struct RawStates {
@@ -192,12 +192,12 @@
     pub maintenance: Option<RawState>,
     #[serde(default)]
     pub tags: BTreeMap<String, RawState>,
-    /// By key, then by value.
+    /// Lifecycles by metadata key and, within a key, by metadata value.
     #[serde(default)]
     pub meta: BTreeMap<String, BTreeMap<String, RawState>>,
 }
 
-/// `[consul.damping]`: how long a flapping server is kept out.
+/// `[consul.damping]`: flap damping, that is, how long a flapping server is excluded.
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
 #[allow(
--- a/src/node/admin/config_file/summary.rs
+++ b/src/node/admin/config_file/summary.rs
@@ -1,11 +1,11 @@
-//! A description of a valid operators' file, for `silverthread check`.
+//! The summary of a valid operators' file for `silverthread check`.
 
 use super::OperatorConfig;
 use crate::node::cluster::{ClusterSettings, LeaseSettings};
 use crate::node::discovery::consul::ConsulSource;
 
 impl OperatorConfig {
-    /// What the file turns on, a line each. Empty without a file.
+    /// Returns a line for each feature that the file enables. Empty without a file.
     #[must_use]
     pub fn summary(&self) -> Vec<String> {
         let Some(sources) = &self.endpoint_sources else {
--- a/src/node/admin/config_file/validation.rs
+++ b/src/node/admin/config_file/validation.rs
@@ -1,5 +1,5 @@
-//! Turns the raw sections of the operators' file into the settings of the node's parts, and checks what concerns more
-//! than one value.
+//! Converts the raw sections of the operators' file to the settings of the node's components, and performs the checks
+//! that involve more than one value.
 
 use std::collections::HashMap;
 
@@ -19,17 +19,17 @@
 use crate::node::upstream::addresses::{ConfiguredAddresses, ServerAddresses};
 use crate::node::upstream::servers::PoolLimits;
 
-/// The most sources: each takes part in every decision about a server.
+/// Maximum number of Consul sources. Each source is considered in every decision about a server.
 const MAX_SOURCES: usize = 16;
-/// The longest name of a source or a cluster: it is part of many log lines.
+/// Maximum length of the name of a source or a cluster, in bytes. The name is part of many log lines.
 pub(super) const MAX_NAME_BYTES: usize = 64;
-/// The most servers whose addresses the file names: the largest service that is measured has 5,000.
+/// Maximum number of servers with addresses in the file. The largest service in the benchmarks has 5,000 servers.
 const MAX_SERVERS: usize = 16_384;
-/// The name of the platform's endpoint list among the sources, in the log and in the operators' file.
+/// The name of the platform's endpoint list as a source. Consul sources must not have it.
 const ENDPOINT_LIST_NAME: &str = "roster";
-/// `suspect_ms` without a value, in probe intervals.
+/// Default of `suspect_ms`, in probe intervals.
 const DEFAULT_SUSPICION_PROBES: f64 = 5.0;
-/// A suspicion has to last for this many probe intervals, so that a single lost datagram raises none.
+/// Minimum of `suspect_ms`, in probe intervals, so that a single lost datagram does not raise a suspicion.
 const MIN_SUSPICION_PROBES: f64 = 3.0;
 
 impl RawConfig {
@@ -80,7 +80,7 @@
     }
 }
 
-/// Replaces the values that the file names.
+/// Replaces those values of a policy that the file sets.
 pub(super) fn override_policy(
     policy: &mut SourcePolicy,
     panic_share: Option<Fraction>,
@@ -134,7 +134,8 @@
     Ok(servers)
 }
 
-/// The routes of one server. `owners` has the server of each address so far: an address belongs to one server.
+/// Validates the routes of one server. `owners` maps the addresses of all sections so far to their server, because an
+/// address must belong to only one server.
 fn validate_routes(
     server: &str,
     addresses: Spanned<Vec<Spanned<RawRoute>>>,
@@ -191,10 +192,10 @@
                 interval.0
             });
         let suspect_ms = match &self.suspect_ms {
-            Some(suspicion) if suspicion.get_ref().0 < MIN_SUSPICION_PROBES * probe_ms => {
-                return Err(InvalidValue::new(suspicion, Problem::SuspicionTooShort));
+            Some(timeout) if timeout.get_ref().0 < MIN_SUSPICION_PROBES * probe_ms => {
+                return Err(InvalidValue::new(timeout, Problem::SuspicionTooShort));
             }
-            Some(suspicion) => suspicion.get_ref().0,
+            Some(timeout) => timeout.get_ref().0,
             None => DEFAULT_SUSPICION_PROBES * probe_ms,
         };
         Ok(ClusterSettings {
@@ -218,7 +219,7 @@
                 return Err(InvalidValue::new(name, problem));
             }
         }
-        check_name_length("fleet", &self.fleet)
+        check_name_length("cluster", &self.fleet)
     }
 
     fn check_peer_count(&self) -> Result<(), InvalidValue> {
@@ -267,7 +268,7 @@
             fence_file: self.fence_file,
             fleet_log: self.fleet_log,
         };
-        // Whose settings these are makes no difference to their check.
+        // The result of the check does not depend on the node's name or process, so any values will do.
         let (any_name, any_process) = ("-", 1);
         match leases.for_process(any_name, any_process).validate() {
             Ok(()) => Ok(leases),
