--- a/src/node/admin/client.rs
+++ b/src/node/admin/client.rs
@@ -1,4 +1,4 @@
-//! The admin client of the command line: requests rows of a running node and prints them as a table or as JSON.
+//! Admin client of the command line: queries a running node and formats the response as a table or as JSON.
 
 use std::fmt::{self, Write as _};
 use std::io::{self, Read, Write};
@@ -7,17 +7,17 @@
 
 use serde_json::{json, Value};
 
-/// How long connecting, and each read and write, may take: a node that works responds at once.
+/// Timeout for connecting and for each read and write. A functioning node responds at once.
 const TIMEOUT: Duration = Duration::from_secs(5);
-/// The longest response that is read: a line for each of the most nodes there may be, several times over.
+/// Maximum size of a response, in bytes: several times the size of a response about the maximum number of nodes.
 const MAX_RESPONSE_BYTES: u64 = 4 * 1024 * 1024;
-/// The last line of a response.
+/// The last line of a complete response.
 const END_OF_ROWS: &str = "EOF";
-/// The first field of a response's first line.
-const OWN_LINE: &str = "self";
-/// What stands for a value that is not known.
+/// The first field of a response's first row, which describes the queried node itself.
+const SELF_FIELD: &str = "self";
+/// Placeholder for an unknown value.
 const NO_VALUE: &str = "-";
-/// Columns whose values are text even if they look like numbers.
+/// Columns whose values are text even if they consist of digits.
 const TEXT_COLUMNS: [&str; 2] = ["name", "owner"];
 
 /// Why a query has no result.
@@ -25,18 +25,18 @@
 pub enum QueryError {
     /// The node cannot be reached, or its response is incomplete.
     Io(io::Error),
-    /// The node rejected the command; with its response.
+    /// The node rejected the command with this response.
     Rejected(String),
-    /// The response has not the form that the query expects; with the line in question.
+    /// This line of the response does not have the expected format.
     Malformed(String),
 }
 
 impl fmt::Display for QueryError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Self::Io(error) => write!(f, "the node cannot be queried: {error}"),
-            Self::Rejected(line) => write!(f, "the node rejects the command: {line}"),
-            Self::Malformed(line) => write!(f, "malformed response of the node: {line:?}"),
+            Self::Io(error) => write!(f, "cannot query the node: {error}"),
+            Self::Rejected(line) => write!(f, "the node rejected the command: {line}"),
+            Self::Malformed(line) => write!(f, "malformed response from the node: {line:?}"),
         }
     }
 }
@@ -56,23 +56,24 @@
     }
 }
 
-/// An admin command whose response has a line about the node itself, which begins with `self`, and rows.
+/// An admin command whose response has a row about the node itself, which begins with `self`, followed by the rows of a
+/// table.
 #[derive(Debug, PartialEq, Eq)]
 pub struct Query {
     command: &'static str,
-    /// The fields of the line about the node, after `self`.
-    own_fields: &'static [&'static str],
-    /// The heading of the table: each `{}` is the next of these fields.
+    /// The fields of the row about the node, after `self`.
+    node_fields: &'static [&'static str],
+    /// The heading of the table. Each `{}` is replaced by the next of the node's fields.
     title: &'static str,
-    /// The JSON key of the rows.
+    /// The JSON key of the table's rows.
     rows_key: &'static str,
     columns: &'static [&'static str],
 }
 
-/// The other nodes of the cluster, as a node knows them.
+/// Queries the other nodes of the cluster, as seen by the queried node.
 pub const MEMBERS: Query = Query {
     command: "MEMBERS",
-    own_fields: &["name", "health", "incarnation"],
+    node_fields: &["name", "health", "incarnation"],
     title: "{} is {}, incarnation {}",
     rows_key: "members",
     columns: &[
@@ -85,19 +86,19 @@
     ],
 };
 
-/// The lease holder of each shard, as a node knows it.
+/// Queries the lease holder of each shard, as seen by the queried node.
 pub const OWNERS: Query = Query {
     command: "OWNERS",
-    own_fields: &["name", "keeper", "set"],
+    node_fields: &["name", "keeper", "set"],
     title: "{}: acceptor: {}, set {}",
     rows_key: "shards",
     columns: &["shard", "owner", "fence", "left_ms", "since_ms"],
 };
 
-/// The servers that nodes report as outliers, as a node knows them.
+/// Queries the servers that nodes report as outliers, as seen by the queried node.
 pub const HINTS: Query = Query {
     command: "HINTS",
-    own_fields: &["name", "count"],
+    node_fields: &["name", "count"],
     title: "{}: {} servers are reported as outliers",
     rows_key: "hints",
     columns: &["server", "kind", "reporters", "age_ms", "weight"],
@@ -107,42 +108,42 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct QueryResponse {
     query: &'static Query,
-    /// Values of the query's own fields, and of any fields after them.
-    own_values: Vec<String>,
+    /// The values of the query's `node_fields`, followed by the values of any additional fields.
+    node_values: Vec<String>,
     rows: Vec<Vec<String>>,
 }
 
 impl Query {
-    /// Sends the command to the admin server at this address and reads the response. Blocks.
+    /// Sends the command to the admin server at `address` and reads the response. Blocks the thread.
     ///
     /// # Errors
     ///
-    /// The node cannot be reached in time, rejects the command (because it takes no part in what it is about), or
-    /// sends a response of another form.
+    /// The node does not respond in time, rejects the command (for example, because it takes no part in leases), or sends
+    /// a malformed response.
     pub fn send(&'static self, address: SocketAddr) -> Result<QueryResponse, QueryError> {
         let lines = request_lines(address, self.command)?;
         let mut rows: Vec<_> = lines.iter().map(|line| split_fields(line)).collect();
-        if !rows.first().is_some_and(|row| self.is_own_line(row)) {
+        if !rows.first().is_some_and(|row| self.is_node_row(row)) {
             let first = lines.into_iter().next();
             return Err(QueryError::Malformed(first.unwrap_or_default()));
         }
-        let own_values = rows.remove(0).split_off(1);
+        let node_values = rows.remove(0).split_off(1);
         match rows.iter().find(|row| row.len() < self.columns.len()) {
             Some(row) => Err(QueryError::Malformed(row.join(" "))),
             None => Ok(QueryResponse {
                 query: self,
-                own_values,
+                node_values,
                 rows,
             }),
         }
     }
 
-    fn is_own_line(&self, row: &[String]) -> bool {
-        row.len() > self.own_fields.len() && row[0] == OWN_LINE
+    fn is_node_row(&self, row: &[String]) -> bool {
+        row.len() > self.node_fields.len() && row[0] == SELF_FIELD
     }
 }
 
-/// Sends a command and reads the lines of the response but for the last one.
+/// Sends a command and returns the lines of the response without the final `EOF`.
 fn request_lines(address: SocketAddr, command: &str) -> Result<Vec<String>, QueryError> {
     let mut stream = TcpStream::connect_timeout(&address, TIMEOUT)?;
     stream.set_read_timeout(Some(TIMEOUT))?;
@@ -163,11 +164,11 @@
 }
 
 impl QueryResponse {
-    /// The response as JSON on one line, for scripts.
+    /// Formats the response as one line of JSON, for scripts.
     #[must_use]
     pub fn to_json(&self) -> String {
         let Query {
-            own_fields,
+            node_fields,
             rows_key,
             columns,
             ..
@@ -177,14 +178,15 @@
             .iter()
             .map(|row| json_object(columns, row))
             .collect();
-        json!({ OWN_LINE: json_object(own_fields, &self.own_values), *rows_key: rows }).to_string()
+        json!({ SELF_FIELD: json_object(node_fields, &self.node_values), *rows_key: rows })
+            .to_string()
     }
 
-    /// The response as a table with a heading, for a terminal.
+    /// Formats the response as a table with a heading, for a terminal.
     #[must_use]
     pub fn to_table(&self) -> String {
         let mut text = self.query.title.to_owned();
-        for value in &self.own_values {
+        for value in &self.node_values {
             text = text.replacen("{}", value, 1);
         }
         text.push('\n');
--- a/src/node/admin/log.rs
+++ b/src/node/admin/log.rs
@@ -1,53 +1,54 @@
-//! The node's log: lines on standard error, limited to a number per second.
+//! The node's log: lines on standard error, with a limit on lines per second.
 //!
-//! The limit is per thread; a node has one.
+//! The limit applies to each thread; a node has one thread.
 
 use std::cell::Cell;
 use std::fmt::Display;
 use std::time::{Duration, Instant};
 
-/// Lines per second; a hostile peer must not fill the log.
+/// Maximum number of lines per second, so that a hostile peer cannot fill the log.
 const MAX_LINES_PER_SECOND: u32 = 20;
 const WINDOW_LENGTH: Duration = Duration::from_secs(1);
 
-/// A second and the lines that were to be written in it.
+/// A period of [`WINDOW_LENGTH`] and the number of lines that were requested in it, including suppressed lines.
 #[derive(Clone, Copy)]
 struct Window {
     start: Instant,
-    lines: u32,
+    requested_lines: u32,
 }
 
 thread_local! {
     static WINDOW: Cell<Option<Window>> = const { Cell::new(None) };
 }
 
-/// Writes a line, unless as many lines as allowed were written in this second. Line breaks in `text` are escaped, so
-/// that one event is one line.
+/// Writes a line unless the limit per second is reached. Line breaks in `text` are replaced, so that an event is always
+/// one line.
 pub fn line(text: impl Display) {
     let window = current_window(Instant::now());
     WINDOW.set(Some(Window {
-        lines: window.lines.saturating_add(1),
+        requested_lines: window.requested_lines.saturating_add(1),
         ..window
     }));
-    if window.lines < MAX_LINES_PER_SECOND {
+    if window.requested_lines < MAX_LINES_PER_SECOND {
         eprintln!("silverthread: {}", crate::text::one_line(&text.to_string()));
     }
 }
 
-/// The window of this moment. Where a new one begins, logs how many lines the previous one suppressed.
+/// Returns the window that contains `now`. If a new window begins, logs how many lines were suppressed in the previous
+/// one.
 fn current_window(now: Instant) -> Window {
     let previous = WINDOW.get();
     if let Some(window) = previous {
         if now - window.start < WINDOW_LENGTH {
             return window;
         }
-        if window.lines > MAX_LINES_PER_SECOND {
-            let suppressed = window.lines - MAX_LINES_PER_SECOND;
+        if window.requested_lines > MAX_LINES_PER_SECOND {
+            let suppressed = window.requested_lines - MAX_LINES_PER_SECOND;
             eprintln!("silverthread: {suppressed} more lines were suppressed");
         }
     }
     Window {
         start: now,
-        lines: 0,
+        requested_lines: 0,
     }
 }
--- a/src/node/admin/mod.rs
+++ b/src/node/admin/mod.rs
@@ -1,7 +1,8 @@
-//! The operators' side of a node: their configuration file and its reload, the admin server and its client, the log.
+//! The interfaces for operators of a node: the operators' file, the reload of the configuration, the admin server, its
+//! client, and the log.
 //!
-//! Nothing here decides anything about a request. Without an operators' file and an admin address none of it runs, but
-//! for the log.
+//! None of them takes part in the processing of requests. Without an operators' file and an admin address, only the log
+//! and the reload of the platform's configuration are active.
 
 pub mod client;
 pub mod config_file;
--- a/src/node/admin/reload.rs
+++ b/src/node/admin/reload.rs
@@ -1,8 +1,9 @@
 //! Reload on SIGHUP: applies a changed configuration while the node runs.
 //!
-//! What can change without a restart: the address of discovery; and of the operators' file the services that are watched
-//! in Consul, the addresses of servers, where and how often other nodes are probed, and the acceptors of leases.
-//! Everything else takes effect at the next start.
+//! These settings can change without a restart: in the platform's configuration, the address of discovery and the
+//! addresses of other nodes; in the operators' file, the services that are watched in Consul, the addresses of servers,
+//! the addresses of other nodes and the timing of their probes, and the acceptors of leases. All other settings take
+//! effect at the next start.
 
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -17,25 +18,26 @@
 use crate::node::config::Config;
 use crate::node::discovery::ConsulFollowers;
 
-/// An operators' file and the sources that it configures.
+/// An operators' file, and the sources to which a reload of it applies.
 pub struct ReloadableFile {
-    /// Where the file is.
+    /// The path of the file.
     pub path: PathBuf,
-    /// The sources of the endpoint view.
+    /// The Consul services that the node follows.
     pub sources: Rc<ConsulFollowers>,
 }
 
-/// Reads the configuration and the operators' file again at each signal and applies what can change. A file that is not
-/// valid is logged, and the previous configuration stays in effect: a typing error must not end a node that serves.
+/// Reads the platform's configuration and the operators' file again at each signal, and applies the settings that can
+/// change. If a file is invalid, logs the error and keeps the previous settings, so that a typing error does not stop a
+/// running node.
 ///
-/// Runs for as long as it is polled; dropping it has no other effect than that signals are no longer followed.
+/// Runs as long as it is polled. Dropping it only ends the handling of signals.
 pub async fn reload_on_signal(
     mut signals: Signal,
     discovery: watch::Sender<SocketAddr>,
     file: Option<ReloadableFile>,
     cluster: Option<Rc<Cluster>>,
 ) {
-    // Signals that arrive during a reload are merged into one: the files are read after the last of them.
+    // Signals that arrive during a reload are merged into one, so the files are read again after the last signal.
     while signals.recv().await.is_some() {
         let config = reload_platform_config(&discovery);
         if let Some(file) = &file {
--- a/src/node/admin/server.rs
+++ b/src/node/admin/server.rs
@@ -1,6 +1,6 @@
 //! The admin server: accepts operators' connections, each with one command line and one response.
 //!
-//! A response is a line with a status (`200` or `400` and a reason), or rows that end with the line `EOF`.
+//! A response is either a line with a status (`200` or `400`) and a text, or rows that end with the line `EOF`.
 
 use std::collections::VecDeque;
 use std::error::Error;
@@ -19,16 +19,16 @@
 use crate::node::dispatcher::Dispatcher;
 use crate::node::downstream::server::{Phase, ServerOptions, ACCEPT_RETRY_INTERVAL};
 
-/// How long a connection may take from its accept to its end: many times what a command needs. A client that does not
-/// finish holds a descriptor no longer.
+/// Maximum duration of a connection, many times what a command needs. It limits how long a client that does not finish
+/// occupies a descriptor.
 const CONNECTION_TIMEOUT: Duration = Duration::from_secs(5);
-/// Connections at a time; beyond them the oldest is closed for the new one. Each holds a descriptor beside those of
-/// clients and servers.
+/// Maximum number of open connections, because each occupies a descriptor in addition to those of clients and servers.
+/// At the limit, the oldest connection is closed for a new one.
 const MAX_CONNECTIONS: usize = 16;
 /// The last line of a response of several lines.
 const END_OF_ROWS: &str = "EOF\n";
 
-/// Carries out admin commands.
+/// Executes admin commands.
 #[derive(Clone)]
 pub struct AdminServer {
     dispatcher: Rc<Dispatcher>,
@@ -37,7 +37,7 @@
 }
 
 impl AdminServer {
-    /// A server for the node of this dispatcher. `options` are those of the node's accept loop, whose drain the server
+    /// Creates a server for the node of this dispatcher. `options` are those of the node's accept loop, whose drain the server
     /// starts and cancels; `cluster` is the node's part in the cluster, if it takes part in one.
     #[must_use]
     pub fn new(
@@ -123,20 +123,20 @@
     }
 
     fn begin_drain(&self) {
-        let before = self.options.drain.get();
-        let mut drain = before;
+        let previous = self.options.drain.get();
+        let mut drain = previous;
         drain.begin(self.dispatcher.now_ms());
-        if drain != before {
+        if drain != previous {
             self.options.drain.set(drain);
             log::line("drain begins: clients are sent to other nodes");
         }
     }
 
     fn cancel_drain(&self) {
-        let before = self.options.drain.get();
-        let mut drain = before;
+        let previous = self.options.drain.get();
+        let mut drain = previous;
         drain.cancel();
-        if drain != before {
+        if drain != previous {
             self.options.drain.set(drain);
             log::line("drain is cancelled: clients are accepted again");
         }
@@ -147,12 +147,12 @@
     rows + END_OF_ROWS
 }
 
-/// Why a command is not carried out. Its display form is the reason in the `400` response.
+/// Why a command is not executed. The display form is the reason in the `400` response.
 #[derive(Debug)]
 enum Rejection {
-    /// The line is not a command.
+    /// The line is not a valid command.
     Command(CommandError),
-    /// The process accepts no requests any more.
+    /// The process no longer accepts requests.
     ShuttingDown,
     /// The node takes no part in a cluster.
     NoCluster,
@@ -177,13 +177,13 @@
     }
 }
 
-/// Serves operators for as long as it is polled. Dropping it leaves open connections to their timeout.
+/// Serves admin connections as long as it is polled. Dropping it leaves open connections to end or time out.
 pub async fn serve(listener: TcpListener, server: AdminServer) {
     let mut connections: VecDeque<AbortHandle> = VecDeque::new();
     loop {
         match listener.accept().await {
             Ok((stream, _)) => {
-                make_room(&mut connections);
+                close_oldest_if_full(&mut connections);
                 let connection = tokio::task::spawn_local(serve_connection(stream, server.clone()));
                 connections.push_back(connection.abort_handle());
             }
@@ -195,7 +195,7 @@
     }
 }
 
-fn make_room(connections: &mut VecDeque<AbortHandle>) {
+fn close_oldest_if_full(connections: &mut VecDeque<AbortHandle>) {
     connections.retain(|connection| !connection.is_finished());
     if connections.len() >= MAX_CONNECTIONS {
         if let Some(oldest) = connections.pop_front() {
@@ -205,7 +205,7 @@
 }
 
 async fn serve_connection(stream: TcpStream, server: AdminServer) {
-    // A client that leaves or exceeds the timeout gets no response and sees that itself: nothing is left to report.
+    // A client that disconnects or exceeds the timeout notices the missing response itself, so the result is ignored.
     let _ = tokio::time::timeout(CONNECTION_TIMEOUT, exchange(stream, &server)).await;
 }
 
@@ -218,12 +218,13 @@
     discard_rest(&mut stream).await
 }
 
-/// Reads up to and with the first line end, the end of the stream, or one byte more than the longest line.
+/// Reads up to and including the first line end. Stops at the end of the stream, or at one byte more than the longest
+/// line.
 async fn read_line(stream: &mut TcpStream) -> io::Result<Vec<u8>> {
     let mut line = Vec::with_capacity(MAX_LINE_BYTES + 1);
     while !line.contains(&b'\n') && line.len() <= MAX_LINE_BYTES {
-        let room = MAX_LINE_BYTES + 1 - line.len();
-        if (&mut *stream).take(room as u64).read_buf(&mut line).await? == 0 {
+        let left = MAX_LINE_BYTES + 1 - line.len();
+        if (&mut *stream).take(left as u64).read_buf(&mut line).await? == 0 {
             break;
         }
     }
@@ -233,8 +234,8 @@
     Ok(line)
 }
 
-/// Reads to the end of the stream. Closing a socket with unread data would reset the connection, and the client could
-/// lose the response.
+/// Reads and discards data until the end of the stream. Closing a socket with unread data would reset the connection,
+/// and the client could lose the response.
 async fn discard_rest(stream: &mut TcpStream) -> io::Result<()> {
     let mut discarded = [0; MAX_LINE_BYTES];
     while stream.read(&mut discarded).await? > 0 {}
