--- a/src/node/discovery/endpoint_list/decode.rs
+++ b/src/node/discovery/endpoint_list/decode.rs
@@ -1,6 +1,6 @@
 //! Decodes the endpoint list's entries from the platform's JSON.
 //!
-//! An entry that cannot be decoded is logged and skipped, so that it hides no other.
+//! An entry that cannot be decoded is logged and skipped, so that the other entries take effect.
 
 use std::fmt;
 
@@ -27,7 +27,7 @@
     lifecycle: String,
     #[serde(default)]
     started_at_ms: f64,
-    /// Any JSON value: an invalid weight must not hide the server.
+    /// Any JSON value, because an invalid weight must not invalidate the entry.
     #[serde(default)]
     weight: Value,
 }
@@ -35,11 +35,11 @@
 /// Why an entry of the endpoint list cannot be used.
 #[derive(Debug)]
 pub enum EntryError {
-    /// It is not an object with the required fields, or a field has the wrong type.
+    /// The entry is not an object with the required fields, or a field has the wrong type.
     Malformed(serde_json::Error),
-    /// Its lifecycle is none of the known ones.
+    /// The lifecycle is unknown.
     UnknownLifecycle(String),
-    /// It is ready, but its address cannot be parsed.
+    /// The endpoint is ready, but its address cannot be parsed.
     InvalidAddress(String),
 }
 
--- a/src/node/discovery/endpoint_list/decode/tests.rs
+++ b/src/node/discovery/endpoint_list/decode/tests.rs
@@ -9,7 +9,7 @@
         "instanceId": "s-1", "hostPort": "10.0.0.7:80", "zone": "b", "machineType": "m2",
         "cell": 3, "lifecycle": "draining", "startedAtMs": 5.5, "weight": 0.5, "other": true,
     });
-    let endpoint = decode_endpoint(&entry).expect("a valid entry");
+    let endpoint = decode_endpoint(&entry).expect("decode a valid entry");
     assert_eq!(
         endpoint,
         Endpoint {
@@ -26,9 +26,9 @@
 }
 
 #[test]
-fn entry_with_required_fields_alone_has_the_defaults() {
+fn entry_without_optional_fields_gets_defaults() {
     let entry = json!({"instanceId": "s-1", "lifecycle": "gone", "weight": "heavy"});
-    let endpoint = decode_endpoint(&entry).expect("a valid entry");
+    let endpoint = decode_endpoint(&entry).expect("decode a valid entry");
     assert_eq!(
         endpoint,
         Endpoint {
@@ -40,7 +40,7 @@
 }
 
 #[test]
-fn invalid_entry_is_skipped_and_the_others_are_kept() {
+fn invalid_entries_are_skipped_and_valid_ones_kept() {
     let list = EndpointList {
         generation: 1,
         reset: true,
@@ -53,7 +53,11 @@
     };
     let errors: Vec<_> = list.instances[..3]
         .iter()
-        .map(|entry| decode_endpoint(entry).expect_err("invalid").to_string())
+        .map(|entry| {
+            decode_endpoint(entry)
+                .expect_err("invalid entry")
+                .to_string()
+        })
         .collect();
     assert!(errors[0].starts_with("malformed entry: "), "{errors:?}");
     assert_eq!(
--- a/src/node/discovery/endpoint_list/mod.rs
+++ b/src/node/discovery/endpoint_list/mod.rs
@@ -1,5 +1,5 @@
 //! Client of the platform's discovery: follows the endpoint list with a watch that is reopened
-//! whenever it ends, falls silent or delivers an invalid list.
+//! whenever it ends, times out or delivers an invalid list.
 
 pub mod decode;
 mod lines;
@@ -22,18 +22,18 @@
 /// How changes of the endpoint list reach the node.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Delivery {
-    /// Discovery pushes them: the client keeps a watch open.
+    /// Discovery pushes changes, and the client keeps a watch open.
     Pushed {
         /// The platform's drain grace, within which a change must take effect.
         drain_grace: Duration,
     },
-    /// The balancer subscribes: the client opens one watch each time that it is asked to, and
-    /// reports its end.
+    /// The balancer subscribes to changes: at each subscription, the client opens one watch and
+    /// reports when it ends.
     Subscribed,
 }
 
-/// Follows the endpoint list at the latest address for as long as the future is polled. Dropping it
-/// closes the watch.
+/// Follows the endpoint list at the latest address as long as the future is polled. Dropping the
+/// future closes the watch.
 pub async fn follow(
     updates: Rc<EndpointUpdates>,
     addresses: Receiver<SocketAddr>,
@@ -54,12 +54,12 @@
     follower.run(generation).await;
 }
 
-/// How a watch ended, or what comes before the next one.
+/// When and where the next watch is opened.
 #[derive(Clone, Copy, PartialEq, Eq)]
-enum Next {
-    /// Open a watch as usual: when the balancer subscribes, or at once if lists are pushed.
+enum NextWatch {
+    /// At the latest address: when the balancer subscribes, or at once if lists are pushed.
     Reopen,
-    /// Discovery has moved: open a watch at its new address at once.
+    /// At once, because the address of discovery has changed.
     OpenAtNewAddress,
 }
 
@@ -79,15 +79,15 @@
             has_received: false,
         };
         let mut last_address = *self.addresses.borrow_and_update();
-        let mut next = Next::Reopen;
+        let mut next = NextWatch::Reopen;
         loop {
-            if next == Next::Reopen {
+            if next == NextWatch::Reopen {
                 self.wait_for_subscription().await;
             }
             let address = *self.addresses.borrow_and_update();
             if std::mem::replace(&mut last_address, address) != address {
-                // Generations are one discovery's own: another may count differently, so the whole
-                // list is requested.
+                // Generations at another address may not be comparable, so the complete list is
+                // requested.
                 state.generation = None;
                 self.retry_delay = FIRST_RETRY_DELAY;
             }
@@ -98,13 +98,14 @@
                 Ok(()) = self.addresses.changed() => None,
             };
             next = match ended {
-                None => Next::OpenAtNewAddress,
+                None => NextWatch::OpenAtNewAddress,
                 Some(error) => self.handle_failure(&error, &mut state).await,
             };
         }
     }
 
-    /// Waits until a watch may be opened.
+    /// Waits until a watch may be opened: with subscribed lists, until the balancer subscribes or the
+    /// address changes.
     async fn wait_for_subscription(&mut self) {
         if self.delivery == Delivery::Subscribed {
             tokio::select! {
@@ -114,7 +115,7 @@
         }
     }
 
-    async fn handle_failure(&mut self, error: &WatchError, state: &mut WatchState) -> Next {
+    async fn handle_failure(&mut self, error: &WatchError, state: &mut WatchState) -> NextWatch {
         log::line(format_args!("endpoint list: the watch ended: {error}"));
         if matches!(error, WatchError::Invalid(_)) {
             state.generation = None;
@@ -122,17 +123,17 @@
         self.updates.mark_list_lost();
         if self.delivery == Delivery::Subscribed {
             self.updates.dispatcher().endpoint_list_failed();
-            return Next::Reopen;
+            return NextWatch::Reopen;
         }
         self.retry_delay = if state.has_received {
             FIRST_RETRY_DELAY
         } else {
             (self.retry_delay * 2).min(self.timing.max_retry_delay)
         };
-        // A new address ends the delay: the node must not wait for one that is no longer used.
+        // A new address ends the delay, because the delay applies to an address no longer in use.
         tokio::select! {
-            () = tokio::time::sleep(self.retry_delay) => Next::Reopen,
-            Ok(()) = self.addresses.changed() => Next::OpenAtNewAddress,
+            () = tokio::time::sleep(self.retry_delay) => NextWatch::Reopen,
+            Ok(()) = self.addresses.changed() => NextWatch::OpenAtNewAddress,
         }
     }
 }
--- a/src/node/discovery/endpoint_list/timing.rs
+++ b/src/node/discovery/endpoint_list/timing.rs
@@ -1,72 +1,72 @@
-//! How long each step of a watch may take, so that a change takes effect within the platform's
-//! deadline whatever goes wrong.
+//! Time limits of the steps of a watch. With them, a change takes effect within the platform's
+//! deadline even if steps fail.
 
 use std::time::Duration;
 
 use balancer::MAX_RESUBSCRIBE_DELAY_MS;
 
-/// A change must take effect this long after discovery had it and was reachable.
+/// Maximum time until a change takes effect, counted from when discovery has it and is reachable.
 pub const PROPAGATION_DEADLINE: Duration = Duration::from_secs(6);
-/// A watch that receives nothing for this long is dead, and so is one whose line has begun and not
-/// ended in that time. Discovery sends an empty line every 2 s while nothing changes.
+/// Time after which a watch counts as broken if it receives nothing, or if a line that has begun
+/// does not end. Discovery sends an empty line every 2 s while nothing changes.
 pub const SILENCE_TIMEOUT: Duration = Duration::from_millis(2_800);
 /// The delay before the first attempt to reopen a watch.
 pub const FIRST_RETRY_DELAY: Duration = Duration::from_millis(50);
 
-/// How long opening a subscribed watch may take: discovery queues such calls for up to 2 s.
+/// Timeout for opening a subscribed watch. Discovery queues such requests for up to 2 s.
 const SUBSCRIBED_OPEN_TIMEOUT: Duration = Duration::from_secs(2);
-/// Opening a pushed watch may take a quarter of the grace, within these limits: the agent is on the
-/// node's own machine and responds at once, so one that does not is down.
-const PUSHED_OPEN_TIMEOUT: Limits = Limits {
-    grace_divisor: 4,
+/// Timeout for opening a pushed watch: a quarter of the drain grace, within a range. The discovery
+/// agent runs on the node's own machine and responds at once unless it is down.
+const PUSHED_OPEN_TIMEOUT: GraceFraction = GraceFraction {
+    divisor: 4,
     min: Duration::from_millis(300),
     max: Duration::from_millis(700),
 };
-/// The longest delay between two attempts to open a pushed watch is an eighth of the grace, within
-/// these limits.
-const PUSHED_RETRY_DELAY: Limits = Limits {
-    grace_divisor: 8,
+/// Maximum delay between two attempts to open a pushed watch: an eighth of the drain grace, within a
+/// range.
+const MAX_PUSHED_RETRY_DELAY: GraceFraction = GraceFraction {
+    divisor: 8,
     min: Duration::from_millis(100),
     max: Duration::from_millis(300),
 };
 
-/// A part of the drain grace with its limits.
-struct Limits {
-    grace_divisor: u32,
+/// A fraction of the drain grace, clamped to a range.
+struct GraceFraction {
+    divisor: u32,
     min: Duration,
     max: Duration,
 }
 
-impl Limits {
-    fn of(&self, grace: Duration) -> Duration {
-        (grace / self.grace_divisor).clamp(self.min, self.max)
+impl GraceFraction {
+    fn of(&self, drain_grace: Duration) -> Duration {
+        (drain_grace / self.divisor).clamp(self.min, self.max)
     }
 }
 
 /// The time limits of opening and reopening a watch.
 ///
-/// With pushed lists, a change counts from the moment at which the agent is back, so an attempt
-/// that hangs, the delay and the next attempt must fit into the grace. With subscribed lists, the
-/// balancer decides when to subscribe again.
+/// With pushed lists, the time until a change takes effect is counted from when the discovery agent
+/// is reachable again. An attempt that hangs, the delay and the next attempt must therefore fit into
+/// the drain grace. With subscribed lists, the balancer decides when to subscribe again.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct WatchTiming {
-    /// How long opening a watch may take.
+    /// Timeout for opening a watch.
     pub open_timeout: Duration,
-    /// The longest delay between two attempts.
+    /// Maximum delay between two attempts.
     pub max_retry_delay: Duration,
 }
 
 impl WatchTiming {
-    /// The limits of pushed lists, for the platform's drain grace.
+    /// The time limits for pushed lists, which depend on the platform's drain grace.
     #[must_use]
-    pub fn pushed(grace: Duration) -> Self {
+    pub fn pushed(drain_grace: Duration) -> Self {
         Self {
-            open_timeout: PUSHED_OPEN_TIMEOUT.of(grace),
-            max_retry_delay: PUSHED_RETRY_DELAY.of(grace),
+            open_timeout: PUSHED_OPEN_TIMEOUT.of(drain_grace),
+            max_retry_delay: MAX_PUSHED_RETRY_DELAY.of(drain_grace),
         }
     }
 
-    /// The limits of subscribed lists.
+    /// The time limits for subscribed lists.
     #[must_use]
     pub fn subscribed() -> Self {
         Self {
--- a/src/node/discovery/endpoint_list/watch.rs
+++ b/src/node/discovery/endpoint_list/watch.rs
@@ -1,5 +1,5 @@
-//! One watch on the endpoint list: opened with a request, it receives lists line by line until it
-//! fails.
+//! A single watch on the endpoint list: it is opened by a request, and receives lists line by line
+//! until it fails.
 
 use std::convert::Infallible;
 use std::fmt;
@@ -23,35 +23,35 @@
 /// Why a watch ended.
 #[derive(Debug)]
 pub enum WatchError {
-    /// There is no connection.
+    /// The connection could not be established.
     Connect(io::Error),
-    /// The connection broke, or what came is not HTTP.
+    /// The connection broke, or the response is not HTTP.
     Http(hyper::Error),
     /// The request could not be built.
     Request(hyper::http::Error),
-    /// It could not be opened in time.
+    /// The watch was not opened in time.
     OpenTimeout,
     /// Discovery responded with this status.
     Status(StatusCode),
-    /// Nothing was received for too long.
-    Silent,
-    /// A line began and did not end in time.
+    /// Nothing was received for [`SILENCE_TIMEOUT`].
+    SilenceTimeout,
+    /// A line began but did not end within [`SILENCE_TIMEOUT`].
     LineTimeout,
-    /// Discovery closed it.
+    /// Discovery closed the watch.
     Closed,
-    /// It delivered an invalid list. The held generation cannot be trusted: the next watch must
-    /// request the whole list.
+    /// Discovery delivered an invalid list. The current generation is no longer reliable, so the next
+    /// watch must request the complete list.
     Invalid(ListError),
 }
 
 /// Why a list from discovery is invalid.
 #[derive(Debug)]
 pub enum ListError {
-    /// It is not the JSON of a list.
+    /// The line is not an endpoint list in JSON.
     Malformed(serde_json::Error),
-    /// It changes an older generation than the held one: discovery has started anew, and the
-    /// changes do not apply to what is held.
-    GenerationWentBack,
+    /// A list of changes has a lower generation than the current list: discovery has restarted, and
+    /// the changes do not apply to the current list.
+    GenerationDecreased,
     /// A line is too long.
     LineTooLong,
 }
@@ -62,11 +62,11 @@
             Self::Connect(error) => write!(f, "{error}"),
             Self::Http(error) => write!(f, "{error}"),
             Self::Request(error) => write!(f, "{error}"),
-            Self::OpenTimeout => f.write_str("opening it timed out"),
+            Self::OpenTimeout => f.write_str("opening timed out"),
             Self::Status(status) => write!(f, "discovery responded with status {status}"),
-            Self::Silent => f.write_str("nothing was received for too long"),
+            Self::SilenceTimeout => f.write_str("no data was received in time"),
             Self::LineTimeout => f.write_str("a line did not end in time"),
-            Self::Closed => f.write_str("discovery closed it"),
+            Self::Closed => f.write_str("discovery closed the watch"),
             Self::Invalid(error) => write!(f, "invalid list: {error}"),
         }
     }
@@ -88,7 +88,7 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             Self::Malformed(error) => write!(f, "{error}"),
-            Self::GenerationWentBack => f.write_str("its generation went back"),
+            Self::GenerationDecreased => f.write_str("its generation decreased"),
             Self::LineTooLong => f.write_str("a line is too long"),
         }
     }
@@ -98,7 +98,7 @@
     fn source(&self) -> Option<&(dyn std::error::Error + 'static)> {
         match self {
             Self::Malformed(error) => Some(error),
-            Self::GenerationWentBack | Self::LineTooLong => None,
+            Self::GenerationDecreased | Self::LineTooLong => None,
         }
     }
 }
@@ -109,17 +109,17 @@
     }
 }
 
-/// What survives a watch.
+/// State that is kept across watches.
 #[derive(Debug)]
 pub struct WatchState {
-    /// The generation of the last list; `None`: the whole list must be requested.
+    /// The generation of the latest list; `None` if the complete list must be requested.
     pub generation: Option<u64>,
     /// Whether the current watch has received anything.
     pub has_received: bool,
 }
 
-/// Opens a watch and passes its lists on, from the held generation or with the whole list first.
-/// Dropping the future closes the connection.
+/// Opens a watch and passes its lists to `updates`. The watch begins at the current generation or,
+/// without one, with the complete list. Dropping the future closes the connection.
 ///
 /// # Errors
 ///
@@ -133,7 +133,7 @@
     let opened = tokio::time::timeout(open_timeout, open(address, state.generation)).await;
     let (mut body, _connection) = opened.map_err(|_| WatchError::OpenTimeout)??;
     let mut lines = LineBuffer::default();
-    // When the line that is incomplete now began.
+    // When the current, incomplete line began.
     let mut line_started_at = None::<Instant>;
     loop {
         let piece = next_piece(&mut body, line_started_at).await?;
@@ -181,7 +181,7 @@
     Ok((response.into_body(), connection))
 }
 
-/// The next piece of the body; `None` for a frame without data.
+/// Returns the next piece of the body; `None` for a frame without data.
 async fn next_piece(
     body: &mut Incoming,
     line_started_at: Option<Instant>,
@@ -199,16 +199,16 @@
         frame = tokio::time::timeout(SILENCE_TIMEOUT, body.frame()) => frame,
         () = line_timeout => return Err(WatchError::LineTimeout),
     };
-    let frame = frame.map_err(|_| WatchError::Silent)?;
+    let frame = frame.map_err(|_| WatchError::SilenceTimeout)?;
     let frame = frame.ok_or(WatchError::Closed)??;
     Ok(frame.into_data().ok())
 }
 
-fn decode_list(line: &[u8], held_generation: Option<u64>) -> Result<EndpointList, ListError> {
+fn decode_list(line: &[u8], current_generation: Option<u64>) -> Result<EndpointList, ListError> {
     let list: EndpointList = serde_json::from_slice(line).map_err(ListError::Malformed)?;
-    let goes_back = held_generation.is_some_and(|held| list.generation < held);
-    if goes_back && !list.reset {
-        return Err(ListError::GenerationWentBack);
+    let is_older = current_generation.is_some_and(|current| list.generation < current);
+    if is_older && !list.reset {
+        return Err(ListError::GenerationDecreased);
     }
     Ok(list)
 }
