--- a/src/node/discovery/connection.rs
+++ b/src/node/discovery/connection.rs
@@ -1,4 +1,4 @@
-//! An HTTP connection to a service that the node itself queries: discovery, or a Consul agent.
+//! An HTTP connection to a service that the node queries: discovery or a Consul agent.
 
 use std::io;
 use std::net::SocketAddr;
@@ -12,8 +12,9 @@
 use tokio::net::TcpStream;
 use tokio::task::AbortHandle;
 
-/// The most of a response's head, and of its body that is read at once: one piece is processed in a
-/// fraction of a millisecond, and other tasks run between two.
+/// Maximum size of a response's head, and of a piece of its body that is read at once, in bytes. A
+/// piece of this size is processed in a fraction of a millisecond, and other tasks run between two
+/// pieces.
 const MAX_BUFFER_BYTES: usize = 64 * 1024;
 
 /// An open connection. Dropping it closes the socket.
@@ -23,8 +24,8 @@
 }
 
 impl Connection {
-    /// Connects; `prepare` may set options of the socket before anything is written. Cancel safe:
-    /// dropping the future leaves nothing open.
+    /// Opens a connection. `prepare` may set socket options before anything is written. Cancel safe:
+    /// dropping the future closes the socket.
     ///
     /// # Errors
     ///
@@ -50,7 +51,7 @@
         })
     }
 
-    /// Whether it can take a request now.
+    /// Whether the connection can take a request now.
     #[must_use]
     pub fn is_ready(&self) -> bool {
         self.sender.is_ready()
--- a/src/node/discovery/consul/exchange.rs
+++ b/src/node/discovery/consul/exchange.rs
@@ -1,5 +1,5 @@
-//! One query at a time to one of Consul's agents, over a connection that is kept while the agent
-//! stays the same.
+//! Sends queries to Consul's agents, one at a time, over a connection that is reused as long as the
+//! agent remains the same.
 
 use std::fmt;
 use std::future::{pending, Future};
@@ -19,10 +19,10 @@
 use super::token::{read_token, TokenError};
 use crate::node::discovery::connection::Connection;
 
-/// How long connecting to an agent may take: it is near.
+/// Timeout for connecting to an agent, which is close in the network.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(2);
-/// An agent's machine that disappears without closing the connection is noticed after 20 s, not at
-/// the end of the wait: the connection is idle for `KEEPALIVE_IDLE`, and then
+/// If an agent's machine disappears without closing the connection, the node detects it after 20 s
+/// rather than at the end of the blocking query: the connection is idle for `KEEPALIVE_IDLE`, and then
 /// `KEEPALIVE_RETRIES` probes go unanswered, one each `KEEPALIVE_INTERVAL`.
 const KEEPALIVE_IDLE: Duration = Duration::from_secs(10);
 const KEEPALIVE_INTERVAL: Duration = Duration::from_secs(5);
@@ -36,9 +36,9 @@
     Token(TokenError),
     /// The request could not be built.
     Request(hyper::http::Error),
-    /// There is no connection.
+    /// The connection could not be established.
     Connect(io::Error),
-    /// Connecting took too long.
+    /// The connection was not established in time.
     ConnectTimeout,
     /// The connection broke, or the response is not HTTP.
     Http(hyper::Error),
@@ -50,7 +50,7 @@
             Self::Token(error) => write!(f, "{error}"),
             Self::Request(error) => write!(f, "{error}"),
             Self::Connect(error) => write!(f, "{error}"),
-            Self::ConnectTimeout => f.write_str("no connection in time"),
+            Self::ConnectTimeout => f.write_str("connecting timed out"),
             Self::Http(error) => write!(f, "{error}"),
         }
     }
@@ -68,7 +68,7 @@
     }
 }
 
-/// What has happened to the query.
+/// A step of a query.
 pub enum Progress {
     /// The response's head was received.
     Head(Response<Incoming>),
@@ -80,13 +80,13 @@
     Failed(QueryError),
 }
 
-/// A response's head, with the connection that it came over.
+/// A response's head and the connection on which it was received.
 struct ReceivedHead {
     response: Response<Incoming>,
     connection: AgentConnection,
 }
 
-/// A connection and the agent that it leads to.
+/// A connection and the index of its agent.
 struct AgentConnection {
     agent: usize,
     connection: Connection,
@@ -100,7 +100,7 @@
     ReceivingBody(Incoming),
 }
 
-/// The query that is under way, if any, and the connection.
+/// The query in progress, if any, and the connection.
 pub struct Exchange {
     agents: Vec<SocketAddr>,
     token_file: Option<PathBuf>,
@@ -118,18 +118,18 @@
         }
     }
 
-    /// Begins a query. Any other one must have ended or been closed.
+    /// Starts a query. The previous query must have ended or been closed.
     pub fn send(&mut self, agent: usize, path: &str) {
-        let kept = self
+        let reused = self
             .connection
             .take()
-            .filter(|kept| kept.agent == agent && kept.connection.is_ready());
+            .filter(|reused| reused.agent == agent && reused.connection.is_ready());
         let address = self.agents[agent];
         let request = self.request(address, path);
         self.state = State::AwaitingHead(Box::pin(async move {
             let request = request?;
-            let mut connection = match kept {
-                Some(kept) => kept.connection,
+            let mut connection = match reused {
+                Some(reused) => reused.connection,
                 None => connect(address).await?,
             };
             let response = connection.send(request).await.map_err(QueryError::Http)?;
@@ -141,20 +141,20 @@
         }));
     }
 
-    /// Begins to receive a response's body, unless the query was closed at its head.
+    /// Starts to receive a response's body, unless the query was closed when its head was handled.
     pub fn receive_body(&mut self, body: Incoming) {
         if self.connection.is_some() {
             self.state = State::ReceivingBody(body);
         }
     }
 
-    /// Abandons the query and closes the connection.
+    /// Cancels the query and closes the connection.
     pub fn close(&mut self) {
         self.state = State::Idle;
         self.connection = None;
     }
 
-    /// Waits for what happens next to the query; for ever if there is none. Cancel safe.
+    /// Waits for the next step of the query; never completes if there is no query. Cancel safe.
     pub async fn next(&mut self) -> Progress {
         let progress = match &mut self.state {
             State::Idle => pending().await,
--- a/src/node/discovery/consul/mod.rs
+++ b/src/node/discovery/consul/mod.rs
@@ -1,5 +1,5 @@
-//! Client of Consul's agents: carries out what a [`Watch`] asks for, and reports to the merged view
-//! what the watch reports.
+//! Client of Consul's agents: performs the actions of a [`Watch`], and passes the updates that it
+//! reports to the merged view.
 
 mod exchange;
 mod token;
@@ -18,21 +18,21 @@
 use crate::node::discovery::updates::EndpointUpdates;
 use exchange::{Exchange, Progress};
 
-/// A service in Consul that is followed.
+/// The settings for following a service in Consul.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ConsulSource {
-    /// How far it is trusted, with its name.
+    /// The policy of the source, with its name.
     pub policy: SourcePolicy,
     /// The agents, in the order in which they are tried.
     pub agents: Vec<SocketAddr>,
     /// The file that holds the token.
     pub token_file: Option<PathBuf>,
-    /// The query, and the mapping of its response.
+    /// The settings of the watch, such as its query and the mapping of the response.
     pub watch: WatchSettings,
 }
 
-/// Follows a service for as long as the future is polled. Dropping it closes its connection and has
-/// no other effect.
+/// Follows a service as long as the future is polled. Dropping the future only closes the
+/// connection.
 pub async fn follow(
     updates: Rc<EndpointUpdates>,
     source: SourceId,
@@ -50,11 +50,11 @@
     };
     follower.handle(Event::TimerExpired);
     loop {
-        let left_ms = (follower.timer_ms - follower.updates.dispatcher().now_ms()).max(0.0);
-        let left = Duration::try_from_secs_f64(left_ms / 1e3).unwrap_or(Duration::MAX);
+        let remaining_ms = (follower.timer_ms - follower.updates.dispatcher().now_ms()).max(0.0);
+        let remaining = Duration::try_from_secs_f64(remaining_ms / 1e3).unwrap_or(Duration::MAX);
         let progress = tokio::select! {
             progress = follower.exchange.next() => Some(progress),
-            () = tokio::time::sleep(left) => None,
+            () = tokio::time::sleep(remaining) => None,
         };
         match progress {
             None => follower.handle(Event::TimerExpired),
@@ -70,18 +70,18 @@
     agents: Vec<SocketAddr>,
     updates: Rc<EndpointUpdates>,
     source: SourceId,
-    /// The watch's timer, in milliseconds of the dispatcher's clock.
+    /// When the watch's timer expires, in milliseconds of the dispatcher's clock.
     timer_ms: f64,
 }
 
 impl Follower {
-    /// Passes an event to the watch and carries out its actions.
+    /// Passes an event to the watch and performs the resulting actions.
     fn handle(&mut self, event: Event<'_>) {
         let mut actions = Vec::new();
         let now_ms = self.updates.dispatcher().now_ms();
         self.watch.handle(now_ms, event, &mut actions);
         for action in actions {
-            self.carry_out(action);
+            self.perform(action);
         }
     }
 
@@ -105,7 +105,7 @@
         }
     }
 
-    fn carry_out(&mut self, action: Action) {
+    fn perform(&mut self, action: Action) {
         let source = self.source;
         match action {
             Action::SendQuery { agent, path } => self.exchange.send(agent, &path),
@@ -127,7 +127,7 @@
     }
 }
 
-/// What a watch reports, as an update of the merged view.
+/// Converts the update that a watch reports to an update of the merged view.
 fn source_update(report: ServiceUpdate) -> SourceUpdate {
     let version = report.index;
     SourceUpdate {
@@ -140,7 +140,7 @@
         assertions: report
             .updated
             .iter()
-            .map(|facts| assertion(facts, version))
+            .map(|mapped| assertion(mapped, version))
             .collect(),
         removals: report
             .removed
@@ -150,22 +150,22 @@
     }
 }
 
-fn assertion(facts: &MappedEndpoint, version: u64) -> Assertion {
-    let lifecycle = lifecycle(facts.lifecycle);
+fn assertion(mapped: &MappedEndpoint, version: u64) -> Assertion {
+    let lifecycle = lifecycle(mapped.lifecycle);
     Assertion {
-        key: facts.key.clone(),
+        key: mapped.key.clone(),
         lifecycle,
         version,
         endpoint: Some(Endpoint {
-            id: facts.key.clone(),
-            address: facts.address,
-            alternate_addresses: facts.alternate_addresses.clone(),
+            id: mapped.key.clone(),
+            address: mapped.address,
+            alternate_addresses: mapped.alternate_addresses.clone(),
             lifecycle,
-            zone: facts.zone.clone().unwrap_or_default(),
-            machine_type: facts.machine_type.clone().unwrap_or_default(),
-            cell: facts.cell,
-            started_at_ms: facts.started_at_ms.unwrap_or(0.0),
-            weight: facts.weight,
+            zone: mapped.zone.clone().unwrap_or_default(),
+            machine_type: mapped.machine_type.clone().unwrap_or_default(),
+            cell: mapped.cell,
+            started_at_ms: mapped.started_at_ms.unwrap_or(0.0),
+            weight: mapped.weight,
         }),
     }
 }
--- a/src/node/discovery/consul/token.rs
+++ b/src/node/discovery/consul/token.rs
@@ -1,4 +1,4 @@
-//! The token for Consul's agents, read from its file.
+//! Reads the token for Consul's agents from its file.
 
 use std::fmt;
 use std::fs::File;
@@ -7,23 +7,23 @@
 
 use hyper::header::HeaderValue;
 
-/// The longest token; Consul's own have 36 characters.
+/// Maximum length of a token, in bytes. Tokens that Consul generates have 36 characters.
 const MAX_TOKEN_BYTES: usize = 4 * 1024;
 
-/// Why there is no token.
+/// Why a token cannot be used.
 #[derive(Debug)]
 pub enum TokenError {
     /// The file cannot be read.
     Unreadable(io::Error),
-    /// The file is empty, too large, or holds what no header may contain.
+    /// The file is empty, too large, or contains bytes that are not valid in a header.
     Invalid,
 }
 
 impl fmt::Display for TokenError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Self::Unreadable(error) => write!(f, "the token's file cannot be read: {error}"),
-            Self::Invalid => f.write_str("the token's file holds no token"),
+            Self::Unreadable(error) => write!(f, "cannot read the token file: {error}"),
+            Self::Invalid => f.write_str("the token file does not contain a valid token"),
         }
     }
 }
@@ -37,15 +37,15 @@
     }
 }
 
-/// Reads the token. It is read anew for each query, so that it can be replaced while the node runs,
-/// and never logged.
+/// Reads the token. Called for each query, so that the token can be replaced while the node runs.
+/// The token is never logged.
 ///
 /// # Errors
 ///
 /// See [`TokenError`].
 pub fn read_token(file: &Path) -> Result<HeaderValue, TokenError> {
     let mut text = Vec::new();
-    // One byte more than allowed shows that a file is too large, also if it has no end.
+    // Reading one byte more than allowed detects a file that is too large, even an endless one.
     File::open(file)
         .and_then(|file| file.take(MAX_TOKEN_BYTES as u64 + 1).read_to_end(&mut text))
         .map_err(TokenError::Unreadable)?;
--- a/src/node/discovery/mod.rs
+++ b/src/node/discovery/mod.rs
@@ -1,8 +1,8 @@
 //! Endpoint discovery: the platform's endpoint list, the Consul services that the operators' file
-//! names beside it, and the path of their updates to the dispatcher.
+//! adds, and the path of their updates to the dispatcher.
 //!
-//! It owns the sockets to discovery and to Consul's agents. Which assertion of which source takes
-//! effect is decided by the `endpoint-discovery` crate.
+//! The module owns the sockets to discovery and to Consul's agents. The `endpoint-discovery` crate
+//! decides which assertion of which source takes effect.
 
 mod connection;
 pub mod consul;
@@ -21,7 +21,7 @@
 use consul::ConsulSource;
 use updates::EndpointUpdates;
 
-/// The Consul services that are followed, each by a task of its own.
+/// The Consul services that are followed, each by its own task.
 pub struct ConsulFollowers {
     updates: Rc<EndpointUpdates>,
     seed: u64,
@@ -35,7 +35,7 @@
 }
 
 impl ConsulFollowers {
-    /// Follows no service yet. `seed` determines the jitter of the retry delays.
+    /// Creates an empty set of services. `seed` determines the jitter of the retry delays.
     #[must_use]
     pub fn new(updates: Rc<EndpointUpdates>, seed: u64) -> Rc<Self> {
         Rc::new(Self {
@@ -45,14 +45,14 @@
         })
     }
 
-    /// The dispatcher that the updates go to.
+    /// The dispatcher that receives the updates.
     #[must_use]
     pub fn dispatcher(&self) -> &Rc<Dispatcher> {
         self.updates.dispatcher()
     }
 
-    /// Follows these services and no others. One whose settings have not changed is not
-    /// interrupted.
+    /// Follows exactly these services. A service that is already followed with the same settings is
+    /// not interrupted.
     pub fn follow(&self, services: &[ConsulSource]) {
         let mut followers = self.followers.borrow_mut();
         followers.retain(|name, follower| {
@@ -73,8 +73,8 @@
 
     fn start(&self, settings: &ConsulSource, seed: u64) -> Follower {
         let source = self.updates.add_source(settings.policy.clone());
-        let following = consul::follow(Rc::clone(&self.updates), source, settings.clone(), seed);
-        let task = tokio::task::spawn_local(following).abort_handle();
+        let follow = consul::follow(Rc::clone(&self.updates), source, settings.clone(), seed);
+        let task = tokio::task::spawn_local(follow).abort_handle();
         log::line(format_args!(
             "{}: following service {:?}",
             settings.policy.name, settings.watch.query.service
--- a/src/node/discovery/updates.rs
+++ b/src/node/discovery/updates.rs
@@ -1,5 +1,5 @@
-//! The path of endpoint updates to the dispatcher: straight from the endpoint list or, where an
-//! operators' file is named, through a view that merges the list with other sources.
+//! The path of endpoint updates to the dispatcher: directly from the endpoint list or, with an
+//! operators' file, through a view that merges the list with other sources.
 
 use std::cell::{Cell, RefCell};
 use std::collections::HashSet;
@@ -16,10 +16,10 @@
 use crate::node::discovery::endpoint_list::decode::decode_endpoints;
 use crate::node::dispatcher::Dispatcher;
 
-/// The endpoint list's position among the sources.
+/// The endpoint list's id as a source.
 const ENDPOINT_LIST: SourceId = 0;
 
-/// Receives what the sources report and passes changes on to the dispatcher.
+/// Receives the updates of all sources and passes changes to the dispatcher.
 pub struct EndpointUpdates {
     dispatcher: Rc<Dispatcher>,
     merged: Option<MergedView>,
@@ -31,18 +31,18 @@
     list: ListState,
 }
 
-/// What must be known of earlier endpoint lists to report the next one to the view.
+/// State of earlier endpoint lists, from which the next list is converted to an update of the view.
 #[derive(Default)]
 struct ListState {
-    /// The ids that the list contained last.
+    /// The ids in the list after its latest update.
     ids: RefCell<HashSet<String>>,
     generation: Cell<u64>,
-    /// Counts how often the generation went back.
+    /// Number of times that the generation has decreased.
     epoch: Cell<u64>,
 }
 
 impl EndpointUpdates {
-    /// Passes the endpoint list on as it comes, without a merged view.
+    /// Passes the endpoint list to the dispatcher unchanged, without a merged view.
     #[must_use]
     pub fn direct(dispatcher: Rc<Dispatcher>) -> Rc<Self> {
         Rc::new(Self {
@@ -51,13 +51,13 @@
         })
     }
 
-    /// Merges several sources, beginning with the endpoint list as last known, which the dispatcher has
-    /// already. Spawns a task for the view's timer.
+    /// Merges several sources, starting with the cached endpoint list, which the dispatcher already
+    /// has. Spawns a task for the view's timer.
     #[must_use]
     pub fn merged(
         dispatcher: Rc<Dispatcher>,
         list_policy: SourcePolicy,
-        known_list: &EndpointList,
+        cached_list: &EndpointList,
     ) -> Rc<Self> {
         let updates = Rc::new(Self {
             dispatcher,
@@ -67,20 +67,20 @@
                 list: ListState::default(),
             }),
         });
-        if !known_list.instances.is_empty() {
-            updates.merge_list(known_list, Freshness::Outdated);
+        if !cached_list.instances.is_empty() {
+            updates.merge_list(cached_list, Freshness::Outdated);
         }
         tokio::task::spawn_local(Rc::clone(&updates).run_timer());
         updates
     }
 
-    /// The dispatcher that the updates go to.
+    /// The dispatcher that receives the updates.
     #[must_use]
     pub fn dispatcher(&self) -> &Rc<Dispatcher> {
         &self.dispatcher
     }
 
-    /// Receives an endpoint list from discovery, or a change of it.
+    /// Handles an endpoint list from discovery, which may be complete or contain only changes.
     pub fn receive_list(&self, list: &EndpointList) {
         if self.merged.is_some() {
             return self.merge_list(list, Freshness::Current);
@@ -93,7 +93,7 @@
         }
     }
 
-    /// Discovery is unreachable.
+    /// Reports to the merged view that discovery is unreachable.
     pub fn mark_list_lost(&self) {
         self.handle(Event::SourceLost {
             source: ENDPOINT_LIST,
@@ -104,13 +104,13 @@
     ///
     /// # Panics
     ///
-    /// There is no merged view.
+    /// Panics if there is no merged view.
     #[must_use]
     pub fn add_source(&self, policy: SourcePolicy) -> SourceId {
         let merged = self
             .merged
             .as_ref()
-            .expect("sources are followed only where an operators' file is named");
+            .expect("sources are added only with an operators' file, for which a view exists");
         merged.view.borrow_mut().add_source(policy)
     }
 
@@ -133,8 +133,8 @@
         let publishes = actions
             .iter()
             .any(|action| matches!(action, Action::Publish(_)));
-        // Even a list that changes nothing is passed on: with subscribed lists the balancer waits
-        // for its arrival.
+        // A list without changes is passed on as well, because with subscribed lists the balancer
+        // waits for the next list.
         if is_from_list && !publishes {
             self.dispatcher.update_endpoints(&[]);
         }
@@ -149,7 +149,7 @@
 
     fn merge_list(&self, list: &EndpointList, freshness: Freshness) {
         let Some(merged) = &self.merged else { return };
-        let update = merged.list.update(list, freshness);
+        let update = merged.list.source_update(list, freshness);
         self.handle(Event::SourceUpdated {
             source: ENDPOINT_LIST,
             update,
@@ -166,17 +166,17 @@
 }
 
 impl ListState {
-    /// The report that a list makes to the view.
-    fn update(&self, list: &EndpointList, freshness: Freshness) -> SourceUpdate {
-        // A generation that goes back means that discovery has started anew: its generations are
-        // not comparable with earlier ones.
+    /// Converts a list to an update of the view.
+    fn source_update(&self, list: &EndpointList, freshness: Freshness) -> SourceUpdate {
+        // A decreased generation means that discovery has restarted: its generations are not
+        // comparable with earlier ones.
         if list.generation < self.generation.replace(list.generation) {
             self.epoch.set(self.epoch.get() + 1);
         }
         let version = list.generation;
         let endpoints = decode_endpoints(list);
         let removals = self
-            .replace_ids(&endpoints, list.reset)
+            .record_ids(&endpoints, list.reset)
             .into_iter()
             .map(|key| Removal { key, version })
             .collect();
@@ -197,11 +197,12 @@
         }
     }
 
-    /// Records the ids of a list; returns those that a whole list no longer contains.
-    fn replace_ids(&self, endpoints: &[Endpoint], is_whole: bool) -> Vec<String> {
+    /// Records the ids of a list. If the list is complete, returns the earlier ids that it no longer
+    /// contains.
+    fn record_ids(&self, endpoints: &[Endpoint], is_complete: bool) -> Vec<String> {
         let mut ids = self.ids.borrow_mut();
         let mut removed = Vec::new();
-        if is_whole {
+        if is_complete {
             let listed: HashSet<_> = endpoints
                 .iter()
                 .map(|endpoint| endpoint.id.as_str())
