--- a/crates/admin/src/lib.rs
+++ b/crates/admin/src/lib.rs
@@ -3,8 +3,8 @@
 //! - [`Command`] is a parsed line of the admin protocol.
 //! - [`Drain`] is the drain state of a node, whose clients move to other nodes while it drains; it determines the
 //!   [`ConnectionPolicy`] for client connections.
-//! - [`Metrics`] counts requests. At all times, the number of accepted requests equals the number of ended requests plus
-//!   the number of requests in flight.
+//! - [`Metrics`] counts requests. At all times, the number of accepted requests equals the number of ended requests
+//!   plus the number of requests in flight.
 //!
 //! The crate performs no I/O and reads no clock. Times are milliseconds of any monotonic clock.
 //!
--- a/src/node/admin/client.rs
+++ b/src/node/admin/client.rs
@@ -23,7 +23,7 @@
 /// Why a query has no result.
 #[derive(Debug)]
 pub enum QueryError {
-    /// The node cannot be reached, or its response is incomplete.
+    /// The node cannot be reached, or the connection fails before the end of the response.
     Io(io::Error),
     /// The node rejected the command with this response.
     Rejected(String),
@@ -118,8 +118,8 @@
     ///
     /// # Errors
     ///
-    /// The node does not respond in time, rejects the command (for example, because it takes no part in leases), or sends
-    /// a malformed response.
+    /// The node does not respond in time, rejects the command (for example, because it takes no part in leases), or
+    /// sends a malformed response.
     pub fn send(&'static self, address: SocketAddr) -> Result<QueryResponse, QueryError> {
         let lines = request_lines(address, self.command)?;
         let mut rows: Vec<_> = lines.iter().map(|line| split_fields(line)).collect();
--- a/src/node/admin/config_file.rs
+++ b/src/node/admin/config_file.rs
@@ -1,7 +1,7 @@
 //! The operators' configuration file, which extends the platform's configuration.
 //!
-//! The whole file is parsed and validated before any part of it takes effect. `deploy/silverthread.toml` documents every
-//! key.
+//! The whole file is parsed and validated before any part of it takes effect. `deploy/silverthread.toml` documents
+//! every key.
 //!
 //! - `raw` mirrors the file: it has one type per section, whose fields are named like the keys.
 //! - `bounded_value` has types of values that are checked while they are parsed.
--- a/src/node/admin/config_file/consul_source.rs
+++ b/src/node/admin/config_file/consul_source.rs
@@ -1,5 +1,5 @@
-//! Converts a `[[consul]]` section to the settings of a source: the watched service, the agents, the mapping of instances
-//! to endpoints, and the source's policy.
+//! Converts a `[[consul]]` section to the settings of a source: the watched service, the agents, the mapping of
+//! instances to endpoints, and the source's policy.
 
 use consul::{
     Api, Consistency, FieldSource, KeySource, Lifecycle, Mapping, MetaRule, Query,
--- a/src/node/admin/config_file/error.rs
+++ b/src/node/admin/config_file/error.rs
@@ -16,7 +16,7 @@
     problem: Problem,
 }
 
-/// A place in an operators' file.
+/// The location of a problem in an operators' file.
 #[derive(Debug)]
 struct Location {
     /// The line number, counted from 1.
@@ -60,14 +60,14 @@
         items: &'static str,
         /// The minimum number of items.
         min: usize,
-        /// The most.
+        /// The maximum number of items.
         max: usize,
     },
     /// The file has too many sections of one kind.
     TooManySections {
         /// The kind of thing that a section describes, in the plural.
         subjects: &'static str,
-        /// The most.
+        /// The maximum number of sections.
         max: usize,
     },
     /// Two sources have the same name.
@@ -128,8 +128,8 @@
         }
     }
 
-    /// The line of the problem, counted from 1; `None` if the problem has no location, for example if the file could not
-    /// be read.
+    /// The line of the problem, counted from 1; `None` if the problem has no location, for example if the file could
+    /// not be read.
     #[must_use]
     pub fn line(&self) -> Option<usize> {
         self.location.as_ref().map(|location| location.line)
--- a/src/node/admin/server.rs
+++ b/src/node/admin/server.rs
@@ -37,8 +37,8 @@
 }
 
 impl AdminServer {
-    /// Creates a server for the node of this dispatcher. `options` are those of the node's accept loop, whose drain the server
-    /// starts and cancels; `cluster` is the node's part in the cluster, if it takes part in one.
+    /// Creates a server for the node of this dispatcher. `options` are those of the node's accept loop, whose drain the
+    /// server starts and cancels. `cluster` is the node's membership of a cluster, if it takes part in one.
     #[must_use]
     pub fn new(
         dispatcher: Rc<Dispatcher>,
--- a/src/node/config.rs
+++ b/src/node/config.rs
@@ -28,7 +28,7 @@
 /// Why a configuration cannot be used.
 #[derive(Debug)]
 pub enum ConfigError {
-    /// The environment variable that names the file is not set.
+    /// The environment variable that names the file is not set or is empty.
     NoFile,
     /// The file cannot be read.
     Unreadable {
@@ -79,8 +79,8 @@
     }
 }
 
-/// An endpoint list in the JSON format of the platform's discovery. Its entries are decoded one by one, so that the other
-/// entries remain usable if one is malformed.
+/// An endpoint list in the JSON format of the platform's discovery. Its entries are decoded one by one, so that the
+/// other entries remain usable if one is malformed.
 #[derive(Clone, Debug, Default, Deserialize)]
 pub struct EndpointList {
     /// The version of the list.
@@ -209,7 +209,7 @@
     pub machine_kinds: Names,
     /// Maximum time for establishing a connection to a server.
     pub dial_timeout: Duration,
-    /// Time for which a connection may be idle.
+    /// Maximum time for which a connection may be idle.
     pub idle_timeout: Duration,
     /// The maximum number of requests in flight.
     pub max_in_flight: usize,
--- a/src/node/discovery/endpoint_list/timing/tests.rs
+++ b/src/node/discovery/endpoint_list/timing/tests.rs
@@ -14,7 +14,7 @@
     }
 }
 
-/// Guards the platform's deadline for applying a change, for every setting of the drain grace.
+/// Guards the platform's deadline for applying a change, for drain graces from 0 to 10 minutes.
 #[test]
 fn watch_steps_fit_into_the_propagation_deadline() {
     for drain_grace_ms in [0, 300, 1_000, 1_500, 2_000, 10_000, 600_000] {
--- a/src/node/discovery/updates.rs
+++ b/src/node/discovery/updates.rs
@@ -36,6 +36,7 @@
 struct ListState {
     /// The ids in the list after its latest update.
     ids: RefCell<HashSet<String>>,
+    /// The generation of the latest list.
     generation: Cell<u64>,
     /// Number of times that the generation has decreased.
     epoch: Cell<u64>,
