--- a/crates/measure/src/event_queue.rs
+++ b/crates/measure/src/event_queue.rs
@@ -1,4 +1,4 @@
-//! Events in virtual time, taken in the order of their times.
+//! A queue of events in virtual time, ordered by time.
 
 use std::cmp::{Ordering, Reverse};
 use std::collections::BinaryHeap;
@@ -32,9 +32,9 @@
     }
 }
 
-/// Events that are due, and the virtual time.
+/// Pending events and the virtual time.
 pub struct EventQueue<T> {
-    /// The time of the event that was taken last, in milliseconds.
+    /// Time of the last event taken, in milliseconds.
     pub now_ms: f64,
     next_serial: u64,
     events: BinaryHeap<Reverse<QueuedEvent<T>>>,
@@ -51,7 +51,7 @@
 }
 
 impl<T> EventQueue<T> {
-    /// Adds an event that is due this long after the current time.
+    /// Adds an event that becomes due `after_ms` after the current time.
     pub fn push(&mut self, after_ms: f64, event: T) {
         self.next_serial += 1;
         self.events.push(Reverse(QueuedEvent {
@@ -61,7 +61,8 @@
         }));
     }
 
-    /// Takes the next event and advances the time to it. `None` if there is none until `end_ms`.
+    /// Takes the next event and advances the time to it. `None` if there is none up to and including `end_ms`; a later event
+    /// is dropped, so the queue is not used after that.
     pub fn next_before(&mut self, end_ms: f64) -> Option<T> {
         let Reverse(next) = self.events.pop()?;
         if next.at_ms > end_ms {
--- a/crates/measure/src/parts.rs
+++ b/crates/measure/src/parts.rs
@@ -1,4 +1,4 @@
-//! Runs the parts of a subject in processes of their own. Allocations are counted per process, and threads of one process
+//! Runs the parts of a subject in separate processes. Allocations are counted per process, and threads of one process
 //! would contend for that counter.
 
 use std::collections::BTreeMap;
@@ -12,7 +12,7 @@
 /// Seeds that one process runs.
 pub const SEEDS_PER_PROCESS: u64 = 50;
 
-/// Calls `run` with each number below `count` once, on all cores.
+/// Calls `run` once with each number below `count`, on all cores.
 fn on_all_cores(count: u64, run: impl Fn(u64) + Sync) {
     let next = AtomicU64::new(0);
     let workers = thread::available_parallelism().map_or(1, usize::from);
@@ -29,11 +29,11 @@
     });
 }
 
-/// Runs the parts of a subject in processes, `parts_per_process` in each, and returns what each process printed, in order.
+/// Runs the parts of a subject in processes, `parts_per_process` in each, and returns their outputs in the order of the parts.
 ///
 /// # Panics
 ///
-/// This program cannot be started again.
+/// Panics if this program cannot be started again.
 pub fn run_in_processes(subject: &str, parts: u64, parts_per_process: u64) -> Vec<String> {
     let outputs = Mutex::new(BTreeMap::new());
     let program = std::env::current_exe().expect("the running program has a path");
--- a/crates/measure/src/stable_hash.rs
+++ b/crates/measure/src/stable_hash.rs
@@ -1,4 +1,4 @@
-//! What turns a number into one that all nodes draw alike: its cost and how evenly it shares out, beside kept alternatives.
+//! Cost and evenness of the hash function from which all nodes compute the same assignment, compared with alternatives.
 
 use std::hash::{DefaultHasher, Hasher};
 use std::hint::black_box;
@@ -12,7 +12,7 @@
 const ROUNDS: usize = 9;
 const SHARDS: u64 = 128;
 
-type Mix = fn(u64) -> u64;
+type HashFunction = fn(u64) -> u64;
 
 fn blake3_first(x: u64) -> u64 {
     let hash = blake3::hash(&x.to_le_bytes());
@@ -27,60 +27,60 @@
     hasher.finish()
 }
 
-const WAYS: [(&str, Mix); 4] = [
+const HASH_FUNCTIONS: [(&str, HashFunction); 4] = [
     ("stable_hash::mix", stable_hash::mix),
     ("fastrand", |x| fastrand::Rng::with_seed(x).u64(..)),
     ("std's hasher", std_hasher),
     ("BLAKE3", blake3_first),
 ];
 
-/// Nanoseconds a call.
-fn cost(mix: Mix) -> f64 {
+/// Nanoseconds per call.
+fn call_cost_ns(hash: HashFunction) -> f64 {
     let calls = count(CALLS, 1_000);
     let start = Instant::now();
-    let last = (0..calls as u64).fold(0, |last, x| mix(last ^ x));
+    let last = (0..calls as u64).fold(0, |last, x| hash(last ^ x));
     black_box(last);
     start.elapsed().as_secs_f64() * 1e9 / calls as f64
 }
 
-/// By rendezvous: what the node with the most shards has, as a multiple of the mean.
-fn most(mix: Mix, nodes: usize) -> f64 {
+/// Shards of the node with the most shards under rendezvous hashing, as a multiple of the mean.
+fn peak_share(hash: HashFunction, nodes: usize) -> f64 {
     let ids: Vec<_> = (0..nodes)
         .map(|node| MemberId::of(&format!("n{node}")).0)
         .collect();
     let mut owned = vec![0_u32; nodes];
     for shard in 0..SHARDS {
-        let draw = |node: &usize| mix(ids[*node] ^ mix(shard + 1));
-        if let Some(first) = (0..nodes).max_by_key(draw) {
-            owned[first] += 1;
+        let score = |node: &usize| hash(ids[*node] ^ hash(shard + 1));
+        if let Some(owner) = (0..nodes).max_by_key(score) {
+            owned[owner] += 1;
         }
     }
     f64::from(owned.into_iter().max().unwrap_or(0)) * nodes as f64 / SHARDS as f64
 }
 
-/// Of 64 bits that come out how many change with one that goes in: 32 where it is chance.
-fn changed(mix: Mix) -> f64 {
+/// Mean number of the 64 output bits that change with one input bit: 32 for a random function.
+fn changed_bits(hash: HashFunction) -> f64 {
     let (mut sum, mut pairs) = (0, 0);
     for x in 0..count(2_000, 20) as u64 {
         for bit in 0..64 {
-            sum += (mix(x) ^ mix(x ^ 1 << bit)).count_ones();
+            sum += (hash(x) ^ hash(x ^ 1 << bit)).count_ones();
             pairs += 1;
         }
     }
     f64::from(sum) / f64::from(pairs)
 }
 
-/// Prints the table.
+/// Prints the table of the hash functions.
 pub fn measure() {
-    println!("\n{SHARDS} shards by rendezvous; most: what the fullest node has, times the mean; medians of {ROUNDS} rounds");
+    println!("\n{SHARDS} shards by rendezvous hashing; peak: shards of the node with the most, as a multiple of the mean; medians of {ROUNDS} rounds");
     println!(
         "{:>14} {:>10} {:>14} {:>12} {:>12} {:>12}",
-        "way", "ns a call", "bits changed", "most of 5", "most of 30", "most of 300"
+        "function", "ns/call", "bits changed", "peak of 5", "peak of 30", "peak of 300"
     );
-    for (name, mix) in WAYS {
-        let mut costs: Vec<_> = (0..count(ROUNDS, 1)).map(|_| cost(mix)).collect();
-        let (cost, changed) = (quantile(&mut costs, 0.5), changed(mix));
-        let [few, some, many] = [5, 30, 300].map(|nodes| most(mix, nodes));
+    for (name, hash) in HASH_FUNCTIONS {
+        let mut costs: Vec<_> = (0..count(ROUNDS, 1)).map(|_| call_cost_ns(hash)).collect();
+        let (cost, changed) = (quantile(&mut costs, 0.5), changed_bits(hash));
+        let [few, some, many] = [5, 30, 300].map(|nodes| peak_share(hash, nodes));
         println!("{name:>14} {cost:>10.1} {changed:>14.2} {few:>12.2} {some:>12.2} {many:>12.2}");
     }
 }
