--- a/crates/measure/src/cold.rs
+++ b/crates/measure/src/cold.rs
@@ -1,5 +1,5 @@
-//! What the budget of cold servers costs and spares: the node's own module, many of it, in virtual time, with servers that
-//! queue and warm up; with the budget and told of none, from the same seeds.
+//! Cost and benefit of the request budget for servers in slow start: the balancers of many nodes in virtual time, with
+//! servers that queue requests and warm up; with and without the budget, from the same seeds.
 
 use std::collections::HashMap;
 
@@ -12,118 +12,126 @@
 use crate::event_queue::EventQueue;
 use crate::system::count;
 
-const AIM_MS: f64 = 400.0;
+const LATENCY_OBJECTIVE_MS: f64 = 400.0;
 const DEADLINE_MS: f64 = 700.0;
 const SERVERS: usize = 12;
-/// Of them so many start at once, cold.
-const COLD: usize = 4;
-/// Mean work of a request at a warm server, which does one at a time, and how busy they are before: while four are cold they
-/// can do 0.78 and more of it all.
+/// Number of servers that restart at the same time and are cold afterwards.
+const COLD_SERVERS: usize = 4;
+/// Mean processing time of a request at a warm server, which processes one request at a time.
 const WORK_MS: f64 = 22.0;
-const BUSY: [f64; 3] = [0.6, 0.75, 0.9];
-const WAY_MS: f64 = 1.0;
-const STARTS_MS: f64 = 20_000.0;
-const COLD_FROM: f64 = 0.35;
-const COLD_MS: f64 = 8_000.0;
-const TIP_MULTIPLE: f64 = 3.0;
-const TIP_AFTER_MS: f64 = 1_500.0;
+/// Utilization of the servers before the restart. While four are cold, the capacity is at least 0.78 of the full one.
+const UTILIZATIONS: [f64; 3] = [0.6, 0.75, 0.9];
+/// Network delay of a response.
+const RESPONSE_DELAY_MS: f64 = 1.0;
+const RESTART_MS: f64 = 20_000.0;
+/// Speed of a server that has just started, as a fraction of its full speed.
+const INITIAL_SPEED: f64 = 0.35;
+/// Time until a started server has its full speed.
+const WARM_UP_MS: f64 = 8_000.0;
+const COLLAPSE_MULTIPLE: f64 = 3.0;
+const COLLAPSE_AFTER_MS: f64 = 1_500.0;
 const SEEDS: usize = 5;
 
-enum Due {
+enum Scheduled {
     Arrive(usize),
-    /// An attempt's answer is at its node.
-    Answer {
+    /// The response to an attempt reaches its node.
+    Response {
         node: usize,
         request: u64,
         attempt: usize,
         server: usize,
         sent: f64,
     },
-    /// A request is out of time.
-    Over(usize, u64),
+    /// The deadline of a request is reached.
+    DeadlineReached(usize, u64),
     Timer(usize, u64),
-    /// Servers start anew.
-    Start,
+    /// The cold servers restart.
+    Restart,
 }
 
-struct Open {
+struct OpenRequest {
     arrived: f64,
     attempts: usize,
-    /// The attempt that is out, and when it was sent.
-    out: Option<(usize, f64)>,
+    /// Number of the attempt in flight and the time at which it was sent.
+    in_flight: Option<(usize, f64)>,
 }
 
 struct Node {
     balancer: Balancer,
-    open: HashMap<u64, Open>,
+    open: HashMap<u64, OpenRequest>,
 }
 
 #[derive(Default)]
 struct Server {
-    started: Option<f64>,
-    /// When it is through with what it has, and how much that is.
+    /// Time of the restart, if the server has restarted.
+    restarted_at: Option<f64>,
+    /// Time at which it will have completed all its requests.
     free_at: f64,
-    held: Vec<f64>,
-    sends: Vec<f64>,
+    /// Completion times of the requests in flight.
+    completions: Vec<f64>,
+    /// Arrival times of all requests.
+    arrivals: Vec<f64>,
 }
 
 impl Server {
     fn speed(&self, now: f64) -> f64 {
-        let warmth =
-            |started: f64| COLD_FROM + (1.0 - COLD_FROM) * ((now - started) / COLD_MS).min(1.0);
-        self.started.map_or(1.0, warmth)
+        let warming_speed = |restarted_at: f64| {
+            INITIAL_SPEED + (1.0 - INITIAL_SPEED) * ((now - restarted_at) / WARM_UP_MS).min(1.0)
+        };
+        self.restarted_at.map_or(1.0, warming_speed)
     }
 
-    /// Takes a request; tells when its answer goes out.
-    fn take(&mut self, now: f64, work_ms: f64) -> f64 {
-        self.sends.push(now);
+    /// Adds a request to the queue and returns the time at which its response is sent.
+    fn enqueue(&mut self, now: f64, work_ms: f64) -> f64 {
+        self.arrivals.push(now);
         self.free_at = self.free_at.max(now) + work_ms / self.speed(now);
-        self.held.push(self.free_at);
+        self.completions.push(self.free_at);
         self.free_at
     }
 
     fn in_flight(&mut self, now: f64) -> f64 {
-        self.held.retain(|until| *until > now);
-        self.held.len() as f64
+        self.completions.retain(|completed_at| *completed_at > now);
+        self.completions.len() as f64
     }
 
-    /// The most that it got in the time in which it may fall.
-    fn most(&self) -> usize {
-        let within = |from: &f64| {
-            self.sends
+    /// Maximum number of requests received within the time after which an overloaded server collapses.
+    fn peak_requests(&self) -> usize {
+        let requests_within = |from: &f64| {
+            self.arrivals
                 .iter()
-                .filter(|at| (*from..*from + TIP_AFTER_MS).contains(*at))
+                .filter(|at| (*from..*from + COLLAPSE_AFTER_MS).contains(*at))
                 .count()
         };
-        self.sends.iter().map(within).max().unwrap_or(0)
+        self.arrivals.iter().map(requests_within).max().unwrap_or(0)
     }
 }
 
-/// What a play came to, of the requests that came while servers were cold.
+/// Totals of a run, of the requests that arrived while servers were cold.
 #[derive(Clone, Copy, Default)]
-struct Played {
-    asked: f64,
-    refused: f64,
-    in_aim: f64,
-    /// The most that a cold server got in the time in which it may fall.
-    most: usize,
+struct Totals {
+    requests: f64,
+    rejected: f64,
+    /// Requests served within the latency objective.
+    within_objective: f64,
+    /// Maximum number of requests that a cold server received within the time after which it collapses under overload.
+    peak_requests: usize,
 }
 
-struct World {
-    event_queue: EventQueue<Due>,
+struct ClusterSimulation {
+    event_queue: EventQueue<Scheduled>,
     nodes: Vec<Node>,
     servers: Vec<Server>,
     rng: Rng,
-    mean_gap_ms: f64,
+    mean_interval_ms: f64,
     requests: u64,
-    played: Played,
+    totals: Totals,
 }
 
-impl World {
-    fn new(nodes: usize, busy: f64, with_budget: bool, seed: u64) -> Self {
+impl ClusterSimulation {
+    fn new(nodes: usize, utilization: f64, with_budget: bool, seed: u64) -> Self {
         let node = |me| {
             let mut settings = Settings::new(vec![Class::new(
-                AIM_MS,
+                LATENCY_OBJECTIVE_MS,
                 DEADLINE_MS,
                 Idempotency::Idempotent,
             )]);
@@ -131,172 +139,189 @@
                 settings.nodes,
                 settings.node_index,
                 settings.slow_start_fraction,
-            ) = (nodes, me, COLD_FROM);
-            settings.slow_start_ms = if with_budget { COLD_MS } else { 0.0 };
-            (settings.collapse_multiple, settings.collapse_after_ms) = (TIP_MULTIPLE, TIP_AFTER_MS);
-            let balancer = Balancer::new(settings, seed * 1_000 + me as u64).expect("sound");
+            ) = (nodes, me, INITIAL_SPEED);
+            settings.slow_start_ms = if with_budget { WARM_UP_MS } else { 0.0 };
+            (settings.collapse_multiple, settings.collapse_after_ms) =
+                (COLLAPSE_MULTIPLE, COLLAPSE_AFTER_MS);
+            let balancer =
+                Balancer::new(settings, seed * 1_000 + me as u64).expect("the settings are valid");
             Node {
                 balancer,
                 open: HashMap::new(),
             }
         };
-        let mut world = Self {
+        let mut simulation = Self {
             event_queue: EventQueue::default(),
             nodes: (0..nodes).map(node).collect(),
             servers: (0..SERVERS).map(|_| Server::default()).collect(),
             rng: Rng::with_seed(seed),
-            mean_gap_ms: WORK_MS / busy / SERVERS as f64 * nodes as f64,
+            mean_interval_ms: WORK_MS / utilization / SERVERS as f64 * nodes as f64,
             requests: 0,
-            played: Played::default(),
+            totals: Totals::default(),
         };
-        world.list();
+        simulation.update_server_lists();
         for node in 0..nodes {
-            let first = world.gap();
-            world.event_queue.push(first, Due::Arrive(node));
+            let first = simulation.next_interval_ms();
+            simulation.event_queue.push(first, Scheduled::Arrive(node));
         }
-        world.event_queue.push(STARTS_MS, Due::Start);
-        world
+        simulation.event_queue.push(RESTART_MS, Scheduled::Restart);
+        simulation
     }
 
-    fn gap(&mut self) -> f64 {
-        -self.mean_gap_ms * self.rng.f64().max(1e-9).ln()
+    /// Draws an exponentially distributed time between two arrivals at a node.
+    fn next_interval_ms(&mut self) -> f64 {
+        -self.mean_interval_ms * self.rng.f64().max(1e-9).ln()
     }
 
-    /// All nodes hear of all servers. One that started anew is another.
-    fn list(&mut self) {
+    /// Sends the list of all servers to all nodes. A restarted server has a new identity.
+    fn update_server_lists(&mut self) {
         let entry = |(at, server): (usize, &Server)| ServerEntry {
-            started_at_ms: server.started,
+            started_at_ms: server.restarted_at,
             ..ServerEntry::new(
-                ServerId(at + usize::from(server.started.is_some()) * SERVERS),
+                ServerId(at + usize::from(server.restarted_at.is_some()) * SERVERS),
                 Availability::Ready,
             )
         };
         let entries: Vec<_> = self.servers.iter().enumerate().map(entry).collect();
         for node in 0..self.nodes.len() {
-            self.feed(
+            self.handle_event(
                 node,
                 Event::ServerList(ServerListUpdate::Full(entries.clone())),
             );
         }
     }
 
-    /// Whether a request that came then counts.
-    fn counts(at: f64) -> bool {
-        (STARTS_MS..STARTS_MS + COLD_MS).contains(&at)
+    /// Whether a request that arrived at this time is measured.
+    fn is_measured(arrived: f64) -> bool {
+        (RESTART_MS..RESTART_MS + WARM_UP_MS).contains(&arrived)
     }
 
-    fn play(mut self) -> Played {
-        while let Some(due) = self
+    fn run(mut self) -> Totals {
+        while let Some(scheduled) = self
             .event_queue
-            .next_before(STARTS_MS + COLD_MS + DEADLINE_MS)
+            .next_before(RESTART_MS + WARM_UP_MS + DEADLINE_MS)
         {
             let now = self.event_queue.now_ms;
-            match due {
-                Due::Arrive(node) => {
-                    let after = self.gap();
-                    self.event_queue.push(after, Due::Arrive(node));
+            match scheduled {
+                Scheduled::Arrive(node) => {
+                    let interval_ms = self.next_interval_ms();
+                    self.event_queue.push(interval_ms, Scheduled::Arrive(node));
                     self.requests += 1;
                     let id = self.requests;
-                    self.played.asked += f64::from(u8::from(Self::counts(now)));
+                    self.totals.requests += f64::from(u8::from(Self::is_measured(now)));
                     self.nodes[node].open.insert(
                         id,
-                        Open {
+                        OpenRequest {
                             arrived: now,
                             attempts: 0,
-                            out: None,
+                            in_flight: None,
                         },
                     );
-                    self.event_queue.push(DEADLINE_MS, Due::Over(node, id));
-                    self.feed(
+                    self.event_queue
+                        .push(DEADLINE_MS, Scheduled::DeadlineReached(node, id));
+                    self.handle_event(
                         node,
                         Event::Request(Request::new(RequestId(id), 0, DEADLINE_MS)),
                     );
                 }
-                Due::Timer(node, timer) => self.feed(node, Event::Timer(timer)),
-                Due::Start => {
-                    let cold = SERVERS - COLD;
+                Scheduled::Timer(node, timer) => self.handle_event(node, Event::Timer(timer)),
+                Scheduled::Restart => {
+                    let cold = SERVERS - COLD_SERVERS;
                     self.servers[cold..].iter_mut().for_each(|server| {
                         *server = Server {
-                            started: Some(now),
+                            restarted_at: Some(now),
                             ..Server::default()
                         };
                     });
-                    self.list();
+                    self.update_server_lists();
                 }
-                Due::Answer {
+                Scheduled::Response {
                     node,
                     request,
                     attempt,
                     server,
                     sent,
                 } => {
-                    let report = Some(self.servers[server].in_flight(now)).map(|held| LoadReport {
-                        in_flight: Some(held),
-                        ..LoadReport::default()
-                    });
-                    self.ended(node, request, attempt, sent, AttemptResult::Served, report);
+                    let report =
+                        Some(self.servers[server].in_flight(now)).map(|in_flight| LoadReport {
+                            in_flight: Some(in_flight),
+                            ..LoadReport::default()
+                        });
+                    self.attempt_ended(node, request, attempt, sent, AttemptResult::Served, report);
                 }
-                Due::Over(node, request) => {
-                    let out = self.nodes[node]
+                Scheduled::DeadlineReached(node, request) => {
+                    let in_flight = self.nodes[node]
                         .open
                         .get(&request)
-                        .and_then(|open| open.out);
-                    if let Some((attempt, sent)) = out {
-                        self.ended(node, request, attempt, sent, AttemptResult::TimedOut, None);
+                        .and_then(|open| open.in_flight);
+                    if let Some((attempt, sent)) = in_flight {
+                        self.attempt_ended(
+                            node,
+                            request,
+                            attempt,
+                            sent,
+                            AttemptResult::TimedOut,
+                            None,
+                        );
                     }
                     self.nodes[node].open.remove(&request);
                 }
             }
         }
-        let most = self.servers[SERVERS - COLD..]
+        let peak_requests = self.servers[SERVERS - COLD_SERVERS..]
             .iter()
-            .map(Server::most)
+            .map(Server::peak_requests)
             .max()
             .unwrap_or(0);
-        Played {
-            most,
-            ..self.played
+        Totals {
+            peak_requests,
+            ..self.totals
         }
     }
 
-    fn ended(
+    fn attempt_ended(
         &mut self,
         node: usize,
         request: u64,
         attempt: usize,
         sent: f64,
-        ending: AttemptResult,
+        result: AttemptResult,
         report: Option<LoadReport>,
     ) {
         let now = self.event_queue.now_ms;
         let Some(open) = self.nodes[node].open.get_mut(&request) else {
             return;
         };
-        if open.out.take_if(|(out, _)| *out == attempt).is_none() {
+        if open
+            .in_flight
+            .take_if(|(in_flight, _)| *in_flight == attempt)
+            .is_none()
+        {
             return;
         }
-        let complete = ending == AttemptResult::Served;
+        let complete = result == AttemptResult::Served;
         if complete {
-            let is_good = Self::counts(open.arrived) && now - open.arrived <= AIM_MS;
-            self.played.in_aim += f64::from(u8::from(is_good));
+            let is_timely =
+                Self::is_measured(open.arrived) && now - open.arrived <= LATENCY_OBJECTIVE_MS;
+            self.totals.within_objective += f64::from(u8::from(is_timely));
             self.nodes[node].open.remove(&request);
         }
         let request = RequestId(request);
         let elapsed_ms = now - sent;
-        self.feed(
+        self.handle_event(
             node,
             Event::Outcome(Outcome {
                 request,
                 attempt,
                 elapsed_ms,
-                result: ending,
+                result,
                 complete,
                 report,
             }),
         );
     }
 
-    fn feed(&mut self, node: usize, event: Event) {
+    fn handle_event(&mut self, node: usize, event: Event) {
         let (mut actions, now) = (Vec::new(), self.event_queue.now_ms);
         self.nodes[node].balancer.handle(now, event, &mut actions);
         for action in actions {
@@ -307,27 +332,29 @@
                     };
                     let attempt = open.attempts;
                     open.attempts += 1;
-                    open.out = Some((attempt, now));
+                    open.in_flight = Some((attempt, now));
                     let server = server.0 % SERVERS;
                     let work = -WORK_MS * self.rng.f64().max(1e-9).ln();
-                    let through = self.servers[server].take(now, work);
-                    let answer = Due::Answer {
+                    let completed_at = self.servers[server].enqueue(now, work);
+                    let response = Scheduled::Response {
                         node,
                         request: request.0,
                         attempt,
                         server,
                         sent: now,
                     };
-                    self.event_queue.push(through - now + WAY_MS, answer);
+                    self.event_queue
+                        .push(completed_at - now + RESPONSE_DELAY_MS, response);
                 }
                 Action::Reject { request, .. } | Action::Fail { request } => {
                     if let Some(open) = self.nodes[node].open.remove(&request.0) {
-                        let counts = Self::counts(open.arrived) && open.attempts == 0;
-                        self.played.refused += f64::from(u8::from(counts));
+                        let is_measured = Self::is_measured(open.arrived) && open.attempts == 0;
+                        self.totals.rejected += f64::from(u8::from(is_measured));
                     }
                 }
                 Action::SetTimer { timer, after_ms } => {
-                    self.event_queue.push(after_ms, Due::Timer(node, timer));
+                    self.event_queue
+                        .push(after_ms, Scheduled::Timer(node, timer));
                 }
                 _ => {}
             }
@@ -335,46 +362,47 @@
     }
 }
 
-/// Prints the table.
+/// Prints the table by utilization and number of nodes.
 pub fn measure() {
-    let bears = TIP_MULTIPLE * COLD_FROM * TIP_AFTER_MS / WORK_MS;
+    let sustained_requests = COLLAPSE_MULTIPLE * INITIAL_SPEED * COLLAPSE_AFTER_MS / WORK_MS;
     println!(
-        "\nthe module of each node, {SERVERS} servers of which {COLD} start cold at once; {SEEDS} seeds, the {:.0} s after the start; a cold one falls beyond {:.0} in {:.1} s",
-        COLD_MS / 1e3,
-        bears + 2.0 * bears.sqrt() + 2.0,
-        TIP_AFTER_MS / 1e3,
+        "\nbalancers in virtual time, {SERVERS} servers of which {COLD_SERVERS} restart cold at once; {SEEDS} seeds, the {:.0} s after the restart; a cold server collapses beyond {:.0} requests in {:.1} s",
+        WARM_UP_MS / 1e3,
+        sustained_requests + 2.0 * sustained_requests.sqrt() + 2.0,
+        COLLAPSE_AFTER_MS / 1e3,
     );
     println!(
         "{:>6} {:>6} {:>12} {:>12} {:>12} {:>12} {:>8} {:>10}",
-        "busy %", "nodes", "refused %", "no budget", "in aim %", "no budget", "most", "no budget"
+        "util %", "nodes", "rejected %", "no budget", "in SLO %", "no budget", "peak", "no budget"
     );
-    let cases = BUSY
+    let cases = UTILIZATIONS
         .into_iter()
-        .flat_map(|busy| [2, 5, 20, 30, 300].map(|nodes| (busy, count(nodes, 2))));
-    cases.for_each(|(busy, nodes)| row(busy, nodes));
+        .flat_map(|utilization| [2, 5, 20, 30, 300].map(|nodes| (utilization, count(nodes, 2))));
+    cases.for_each(|(utilization, nodes)| print_row(utilization, nodes));
 }
 
-fn row(busy: f64, nodes: usize) {
+fn print_row(utilization: f64, nodes: usize) {
     let seeds = count(SEEDS, 1) as u64;
-    let all = |with_budget| {
-        let plays = (0..seeds).map(|seed| World::new(nodes, busy, with_budget, seed).play());
-        plays.fold(Played::default(), |sum, one| Played {
-            asked: sum.asked + one.asked,
-            refused: sum.refused + one.refused,
-            in_aim: sum.in_aim + one.in_aim,
-            most: sum.most.max(one.most),
+    let run_all = |with_budget| {
+        let runs = (0..seeds)
+            .map(|seed| ClusterSimulation::new(nodes, utilization, with_budget, seed).run());
+        runs.fold(Totals::default(), |sum, run| Totals {
+            requests: sum.requests + run.requests,
+            rejected: sum.rejected + run.rejected,
+            within_objective: sum.within_objective + run.within_objective,
+            peak_requests: sum.peak_requests.max(run.peak_requests),
         })
     };
-    let (with, without) = (all(true), all(false));
-    let part = |of: f64, played: &Played| of / played.asked.max(1.0) * 100.0;
+    let (with, without) = (run_all(true), run_all(false));
+    let percentage = |count: f64, totals: &Totals| count / totals.requests.max(1.0) * 100.0;
     println!(
         "{:>6.0} {nodes:>6} {:>12.2} {:>12.2} {:>12.2} {:>12.2} {:>8} {:>10}",
-        busy * 100.0,
-        part(with.refused, &with),
-        part(without.refused, &without),
-        part(with.in_aim, &with),
-        part(without.in_aim, &without),
-        with.most,
-        without.most,
+        utilization * 100.0,
+        percentage(with.rejected, &with),
+        percentage(without.rejected, &without),
+        percentage(with.within_objective, &with),
+        percentage(without.within_objective, &without),
+        with.peak_requests,
+        without.peak_requests,
     );
 }
--- a/crates/measure/src/outlier_detection.rs
+++ b/crates/measure/src/outlier_detection.rs
@@ -1,5 +1,5 @@
-//! What word of bad servers does to a fleet: the node's own module, many of it, in virtual time, with servers that are bad in
-//! several ways; with word and without, from the same seeds.
+//! Effect of the nodes' reports about faulty servers: the balancers of many nodes in virtual time, with several kinds of
+//! server faults; with and without outlier detection, from the same seeds.
 
 use std::collections::HashMap;
 
@@ -13,110 +13,126 @@
 use crate::event_queue::EventQueue;
 use crate::system::count;
 
-const AIM_MS: f64 = 200.0;
+const LATENCY_OBJECTIVE_MS: f64 = 200.0;
 const DEADLINE_MS: f64 = 1_000.0;
-const SERVE_MS: f64 = 40.0;
+/// Mean latency of a healthy server.
+const LATENCY_MS: f64 = 40.0;
 const SERVERS: usize = 8;
-/// Little traffic: requests a second of a node.
-const EACH_PER_S: f64 = 1.0;
-const BEGIN_MS: f64 = 20_000.0;
-const END_MS: f64 = 80_000.0;
-const LAST_MS: f64 = 110_000.0;
+/// Requests per second of a node. Low, so that a single node sees few attempts at each server.
+const REQUESTS_PER_S: f64 = 1.0;
+const FAULT_START_MS: f64 = 20_000.0;
+const FAULT_END_MS: f64 = 80_000.0;
+/// End of the simulation.
+const SIMULATION_END_MS: f64 = 110_000.0;
 const SEEDS: usize = 5;
 
-/// The fault that is injected from `BEGIN_MS` to `END_MS`.
+/// The fault that is injected from `FAULT_START_MS` to `FAULT_END_MS`.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum ServerFault {
-    /// One server answers each request with an error.
-    OneBad,
-    /// One is silent.
+    /// One server responds to each request with an error.
+    OneFailing,
+    /// One server does not respond.
     OneSilent,
-    /// One is slow for a third of the nodes.
+    /// One server is slow for a third of the nodes.
     Gray,
-    /// Three of eight cannot be reached.
+    /// Three of eight servers are unreachable.
     ZoneLost,
-    /// All are well; one node says of one server that it fails.
-    Liar,
+    /// All servers are healthy; one node reports failures of one server.
+    FalseReports,
     /// Three nodes cannot reach half of the servers.
-    CutOff,
+    Partition,
 }
 
 const SERVER_FAULTS: [ServerFault; 6] = [
-    ServerFault::OneBad,
+    ServerFault::OneFailing,
     ServerFault::OneSilent,
     ServerFault::Gray,
     ServerFault::ZoneLost,
-    ServerFault::Liar,
-    ServerFault::CutOff,
+    ServerFault::FalseReports,
+    ServerFault::Partition,
 ];
 
 impl ServerFault {
-    /// Which servers are bad: attempts there are spent.
-    fn bad(self) -> usize {
+    /// Number of servers, from the first, that are faulty or falsely reported as faulty. Attempts at them are counted.
+    fn affected_servers(self) -> usize {
         match self {
-            Self::OneBad | Self::OneSilent | Self::Gray | Self::Liar => 1,
+            Self::OneFailing | Self::OneSilent | Self::Gray | Self::FalseReports => 1,
             Self::ZoneLost => 3,
-            Self::CutOff => 0,
+            Self::Partition => 0,
         }
     }
 
-    /// How an attempt ends, and after how long.
-    fn end(self, now: f64, node: usize, server: usize, rng: &mut Rng) -> (AttemptResult, f64) {
-        let served = (AttemptResult::Served, SERVE_MS * (0.5 + rng.f64()));
-        if !(BEGIN_MS..END_MS).contains(&now) {
+    /// Result of an attempt and the time that it takes in milliseconds.
+    fn attempt_result(
+        self,
+        now: f64,
+        node: usize,
+        server: usize,
+        rng: &mut Rng,
+    ) -> (AttemptResult, f64) {
+        let served = (AttemptResult::Served, LATENCY_MS * (0.5 + rng.f64()));
+        if !(FAULT_START_MS..FAULT_END_MS).contains(&now) {
             return served;
         }
         match self {
-            Self::OneBad if server == 0 => (AttemptResult::Error, 2.0),
+            Self::OneFailing if server == 0 => (AttemptResult::Error, 2.0),
             Self::OneSilent if server == 0 => (AttemptResult::TimedOut, DEADLINE_MS),
-            Self::Gray if server == 0 && node % 3 == 0 => (AttemptResult::Served, SERVE_MS * 10.0),
+            Self::Gray if server == 0 && node % 3 == 0 => {
+                (AttemptResult::Served, LATENCY_MS * 10.0)
+            }
             Self::ZoneLost if server < 3 => (AttemptResult::Unreachable, 5.0),
-            Self::CutOff if node < 3 && server % 2 == 0 => (AttemptResult::Unreachable, 5.0),
+            Self::Partition if node < 3 && server % 2 == 0 => (AttemptResult::Unreachable, 5.0),
             _ => served,
         }
     }
 }
 
-enum Due {
+enum Scheduled {
     Arrive(usize),
-    End {
+    AttemptEnd {
         node: usize,
         request: u64,
         attempt: usize,
         server: usize,
         sent: f64,
-        ending: u8,
+        /// Index into `RESULTS`.
+        result: u8,
     },
     Timer(usize, u64),
-    Turn(usize),
+    /// A node's detector checks its timer.
+    DetectorTimer(usize),
 }
 
-const ENDINGS: [AttemptResult; 4] = [
+const RESULTS: [AttemptResult; 4] = [
     AttemptResult::Served,
     AttemptResult::Error,
     AttemptResult::TimedOut,
     AttemptResult::Unreachable,
 ];
 
-/// A request: when it came, its attempts so far, and the one that is out: its number and when it was sent.
-type Open = (f64, usize, Option<(usize, f64)>);
+/// An open request: its arrival time, its number of attempts so far, and the attempt in flight with its number and the time
+/// at which it was sent.
+type OpenRequest = (f64, usize, Option<(usize, f64)>);
 
 struct Node {
     balancer: Balancer,
     detector: OutlierDetector,
-    open: HashMap<u64, Open>,
+    open: HashMap<u64, OpenRequest>,
 }
 
 struct FleetSimulation {
     server_fault: ServerFault,
     with_detection: bool,
-    event_queue: EventQueue<Due>,
+    event_queue: EventQueue<Scheduled>,
     nodes: Vec<Node>,
     rng: Rng,
     requests: u64,
-    good: f64,
-    taken: u64,
-    spent: u64,
+    /// Requests served within the latency objective.
+    within_objective: f64,
+    /// Requests that arrived during the measured period.
+    arrived: u64,
+    /// Attempts at affected servers during the fault.
+    affected_attempts: u64,
 }
 
 fn key(server: usize) -> ServerKey {
@@ -134,12 +150,13 @@
         let keys: Vec<_> = (0..SERVERS).map(key).collect();
         let node = |me| {
             let mut settings = Settings::new(vec![Class::new(
-                AIM_MS,
+                LATENCY_OBJECTIVE_MS,
                 DEADLINE_MS,
                 Idempotency::Idempotent,
             )]);
             (settings.nodes, settings.node_index) = (nodes, me);
-            let mut balancer = Balancer::new(settings, seed * 1_000 + me as u64).expect("sound");
+            let mut balancer =
+                Balancer::new(settings, seed * 1_000 + me as u64).expect("valid settings");
             balancer.handle(
                 0.0,
                 Event::ServerList(ServerListUpdate::Full(entries())),
@@ -156,69 +173,75 @@
                 open: HashMap::new(),
             }
         };
-        let all = (0..nodes).map(node).collect();
-        let (event_queue, requests, good, taken, spent) = (EventQueue::default(), 0, 0.0, 0, 0);
-        let mut world = Self {
+        let all_nodes = (0..nodes).map(node).collect();
+        let (event_queue, requests, within_objective, arrived, affected_attempts) =
+            (EventQueue::default(), 0, 0.0, 0, 0);
+        let mut simulation = Self {
             server_fault,
             with_detection,
             event_queue,
-            nodes: all,
+            nodes: all_nodes,
             rng,
             requests,
-            good,
-            taken,
-            spent,
+            within_objective,
+            arrived,
+            affected_attempts,
         };
         for node in 0..nodes {
-            let first = world.rng.f64() * 1_000.0 / EACH_PER_S;
-            world.event_queue.push(first, Due::Arrive(node));
+            let first = simulation.rng.f64() * 1_000.0 / REQUESTS_PER_S;
+            simulation.event_queue.push(first, Scheduled::Arrive(node));
             if with_detection {
-                world.event_queue.push(first, Due::Turn(node));
+                simulation
+                    .event_queue
+                    .push(first, Scheduled::DetectorTimer(node));
             }
         }
-        world
+        simulation
     }
 
-    fn play(mut self) -> (f64, f64) {
-        while let Some(due) = self.event_queue.next_before(LAST_MS) {
-            match due {
-                Due::Arrive(node) => {
-                    let after = -self.rng.f64().max(1e-9).ln() * 1_000.0 / EACH_PER_S;
-                    self.event_queue.push(after, Due::Arrive(node));
+    /// Runs to the end. Returns the fraction of the requests served within the latency objective, and the attempts at affected
+    /// servers per 1,000 requests.
+    fn run(mut self) -> (f64, f64) {
+        while let Some(scheduled) = self.event_queue.next_before(SIMULATION_END_MS) {
+            match scheduled {
+                Scheduled::Arrive(node) => {
+                    let interval_ms = -self.rng.f64().max(1e-9).ln() * 1_000.0 / REQUESTS_PER_S;
+                    self.event_queue.push(interval_ms, Scheduled::Arrive(node));
                     self.requests += 1;
                     let id = self.requests;
                     self.nodes[node]
                         .open
                         .insert(id, (self.event_queue.now_ms, 0, None));
-                    self.taken += u64::from(self.counts());
-                    self.feed(
+                    self.arrived += u64::from(self.is_measured());
+                    self.handle_event(
                         node,
                         Event::Request(Request::new(RequestId(id), 0, DEADLINE_MS)),
                     );
                 }
-                Due::Timer(node, timer) => self.feed(node, Event::Timer(timer)),
-                Due::End {
+                Scheduled::Timer(node, timer) => self.handle_event(node, Event::Timer(timer)),
+                Scheduled::AttemptEnd {
                     node,
                     request,
                     attempt,
                     server,
                     sent,
-                    ending,
+                    result,
                 } => {
-                    self.end(
+                    self.end_attempt(
                         node,
                         request,
                         attempt,
                         server,
                         sent,
-                        ENDINGS[usize::from(ending)],
+                        RESULTS[usize::from(result)],
                     );
                 }
-                Due::Turn(node) => {
-                    self.event_queue.push(1_000.0, Due::Turn(node));
-                    if self.server_fault == ServerFault::Liar
+                Scheduled::DetectorTimer(node) => {
+                    self.event_queue
+                        .push(1_000.0, Scheduled::DetectorTimer(node));
+                    if self.server_fault == ServerFault::FalseReports
                         && node == 0
-                        && (BEGIN_MS..END_MS).contains(&self.event_queue.now_ms)
+                        && (FAULT_START_MS..FAULT_END_MS).contains(&self.event_queue.now_ms)
                     {
                         self.attempt_ended(node, 0, Some(FailureKind::ErrorResponse));
                     }
@@ -227,14 +250,14 @@
             }
         }
         (
-            self.good / self.taken as f64,
-            self.spent as f64 / self.taken as f64 * 1_000.0,
+            self.within_objective / self.arrived as f64,
+            self.affected_attempts as f64 / self.arrived as f64 * 1_000.0,
         )
     }
 
     /// Whether the current time is within the measured period: from the beginning of the fault until some time after its end.
-    fn counts(&self) -> bool {
-        (BEGIN_MS..LAST_MS - DEADLINE_MS).contains(&self.event_queue.now_ms)
+    fn is_measured(&self) -> bool {
+        (FAULT_START_MS..SIMULATION_END_MS - DEADLINE_MS).contains(&self.event_queue.now_ms)
     }
 
     fn attempt_ended(&mut self, node: usize, server: usize, failure: Option<FailureKind>) {
@@ -261,40 +284,41 @@
                 }
                 outlier_detection::Action::SetWeight { server, weight } => {
                     let server = ServerId(server.0 as usize - 100);
-                    self.feed(node, Event::Hint { server, weight });
+                    self.handle_event(node, Event::Hint { server, weight });
                 }
                 outlier_detection::Action::WakeAt(_) => {}
             }
         }
     }
 
-    fn end(
+    fn end_attempt(
         &mut self,
         node: usize,
         request: u64,
         attempt: usize,
         server: usize,
         sent: f64,
-        ending: AttemptResult,
+        result: AttemptResult,
     ) {
         let Some(open) = self.nodes[node].open.get_mut(&request) else {
             return;
         };
-        if open.2.is_none_or(|(out, ..)| out != attempt) {
+        if open.2.is_none_or(|(in_flight, ..)| in_flight != attempt) {
             return;
         }
         open.2 = None;
-        let arrived = open.0;
-        let is_served = ending == AttemptResult::Served;
+        let arrived_at = open.0;
+        let is_served = result == AttemptResult::Served;
         if is_served {
             self.nodes[node].open.remove(&request);
-            let counts = (BEGIN_MS..LAST_MS - DEADLINE_MS).contains(&arrived);
-            self.good += f64::from(u8::from(
-                counts && self.event_queue.now_ms - arrived <= AIM_MS,
+            let is_measured =
+                (FAULT_START_MS..SIMULATION_END_MS - DEADLINE_MS).contains(&arrived_at);
+            self.within_objective += f64::from(u8::from(
+                is_measured && self.event_queue.now_ms - arrived_at <= LATENCY_OBJECTIVE_MS,
             ));
         }
         if self.with_detection {
-            let failure = match ending {
+            let failure = match result {
                 AttemptResult::Served => None,
                 AttemptResult::TimedOut => Some(FailureKind::TimedOut),
                 AttemptResult::Unreachable => Some(FailureKind::Unreachable),
@@ -310,14 +334,14 @@
             request: RequestId(request),
             attempt,
             elapsed_ms: self.event_queue.now_ms - sent,
-            result: ending,
+            result,
             complete: is_served,
             report,
         };
-        self.feed(node, Event::Outcome(outcome));
+        self.handle_event(node, Event::Outcome(outcome));
     }
 
-    fn feed(&mut self, node: usize, event: Event) {
+    fn handle_event(&mut self, node: usize, event: Event) {
         let mut actions = Vec::new();
         self.nodes[node]
             .balancer
@@ -325,69 +349,76 @@
         for action in actions {
             match action {
                 Action::Send { request, server } => {
-                    let (now, at) = (self.event_queue.now_ms, server.0);
+                    let (now, server) = (self.event_queue.now_ms, server.0);
                     let Some(open) = self.nodes[node].open.get_mut(&request.0) else {
                         continue;
                     };
                     let attempt = open.1;
                     open.1 += 1;
                     open.2 = Some((attempt, now));
-                    let left = open.0 + DEADLINE_MS - now;
-                    let (ending, after) = self.server_fault.end(now, node, at, &mut self.rng);
-                    let (ending, after) = if after > left {
-                        (AttemptResult::TimedOut, left)
+                    let remaining_ms = open.0 + DEADLINE_MS - now;
+                    let (result, elapsed_ms) =
+                        self.server_fault
+                            .attempt_result(now, node, server, &mut self.rng);
+                    let (result, elapsed_ms) = if elapsed_ms > remaining_ms {
+                        (AttemptResult::TimedOut, remaining_ms)
                     } else {
-                        (ending, after)
+                        (result, elapsed_ms)
                     };
-                    self.spent += u64::from(
-                        at < self.server_fault.bad() && (BEGIN_MS..END_MS).contains(&now),
+                    self.affected_attempts += u64::from(
+                        server < self.server_fault.affected_servers()
+                            && (FAULT_START_MS..FAULT_END_MS).contains(&now),
                     );
-                    let ending = ENDINGS.iter().position(|held| *held == ending).unwrap_or(0) as u8;
+                    let result = RESULTS
+                        .iter()
+                        .position(|known| *known == result)
+                        .unwrap_or(0) as u8;
                     self.event_queue.push(
-                        after,
-                        Due::End {
+                        elapsed_ms,
+                        Scheduled::AttemptEnd {
                             node,
                             request: request.0,
                             attempt,
-                            server: at,
+                            server,
                             sent: now,
-                            ending,
+                            result,
                         },
                     );
                 }
                 Action::Cancel { request, attempt } => {
-                    let out = self.nodes[node]
+                    let in_flight = self.nodes[node]
                         .open
                         .get(&request.0)
                         .and_then(|open| open.2);
-                    if let Some((_, sent)) = out.filter(|(number, ..)| *number == attempt) {
-                        self.cancelled(node, request.0, attempt, sent);
+                    if let Some((_, sent)) = in_flight.filter(|(number, ..)| *number == attempt) {
+                        self.confirm_cancellation(node, request.0, attempt, sent);
                     }
                 }
                 Action::Reject { request, .. } | Action::Fail { request } => {
                     self.nodes[node].open.remove(&request.0);
                 }
                 Action::SetTimer { timer, after_ms } => {
-                    self.event_queue.push(after_ms, Due::Timer(node, timer));
+                    self.event_queue
+                        .push(after_ms, Scheduled::Timer(node, timer));
                 }
                 _ => {}
             }
         }
     }
 
-    fn cancelled(&mut self, node: usize, request: u64, attempt: usize, sent: f64) {
+    fn confirm_cancellation(&mut self, node: usize, request: u64, attempt: usize, sent: f64) {
         if let Some(open) = self.nodes[node].open.get_mut(&request) {
             open.2 = None;
         }
         let elapsed_ms = self.event_queue.now_ms - sent;
-        let (request, ending) = (RequestId(request), AttemptResult::Cancelled);
-        self.feed(
+        let (request, result) = (RequestId(request), AttemptResult::Cancelled);
+        self.handle_event(
             node,
             Event::Outcome(Outcome {
                 request,
                 attempt,
                 elapsed_ms,
-                result: ending,
+                result,
                 complete: false,
                 report: None,
             }),
@@ -395,37 +426,32 @@
     }
 }
 
-/// Prints the table.
+/// Prints the table by number of nodes and kind of fault.
 pub fn measure() {
     println!(
-        "\nthe module of each node, {SERVERS} servers, {EACH_PER_S} request a second of a node, a minute of trouble and half a minute after it; {SEEDS} seeds"
+        "\nbalancers in virtual time, {SERVERS} servers, {REQUESTS_PER_S} request/s of each node, a minute with the fault and half a minute after it; affected: attempts at affected servers per 1,000 requests; {SEEDS} seeds"
     );
     println!(
-        "{:>10} {:>6} {:>14} {:>14} {:>16} {:>16} {:>7}",
-        "trouble",
-        "nodes",
-        "in aim alone",
-        "in aim, word",
-        "bad/1000 alone",
-        "bad/1000, word",
-        "ratio"
+        "{:>12} {:>6} {:>14} {:>14} {:>16} {:>16} {:>7}",
+        "fault", "nodes", "SLO, without", "SLO, with", "affected w/out", "affected with", "ratio"
     );
     for nodes in [30, 300] {
         let nodes = count(nodes, 5);
         for server_fault in SERVER_FAULTS {
             let seeds = count(SEEDS, 1) as u64;
             let mean = |with_detection| {
-                let all = (0..seeds).map(|seed| {
-                    FleetSimulation::new(server_fault, with_detection, nodes, seed).play()
+                let runs = (0..seeds).map(|seed| {
+                    FleetSimulation::new(server_fault, with_detection, nodes, seed).run()
                 });
-                let (good, spent) = all.fold((0.0, 0.0), |sum, one| (sum.0 + one.0, sum.1 + one.1));
-                (good / seeds as f64, spent / seeds as f64)
+                let (timely, affected) =
+                    runs.fold((0.0, 0.0), |sum, run| (sum.0 + run.0, sum.1 + run.1));
+                (timely / seeds as f64, affected / seeds as f64)
             };
-            let ((alone, spent), (word, less)) = (mean(false), mean(true));
+            let ((without, affected_without), (with, affected_with)) = (mean(false), mean(true));
             println!(
-                "{:>10} {nodes:>6} {alone:>14.4} {word:>14.4} {spent:>16.1} {less:>16.1} {:>7.2}",
+                "{:>12} {nodes:>6} {without:>14.4} {with:>14.4} {affected_without:>16.1} {affected_with:>16.1} {:>7.2}",
                 format!("{server_fault:?}"),
-                less / spent.max(1e-9),
+                affected_with / affected_without.max(1e-9),
             );
         }
     }
