--- a/crates/measure/src/connections.rs
+++ b/crates/measure/src/connections.rs
@@ -1,4 +1,4 @@
-//! What reusing connections costs: the node beside a plain proxy, in turn.
+//! Cost of reusing connections: the node and a plain reverse proxy, measured in alternating rounds.
 
 use std::io::{BufRead, BufReader};
 use std::net::SocketAddr;
@@ -8,12 +8,12 @@
 
 use testkit::{config, endpoint_list, settings, Discovery, Load, Node, Reply, Server};
 
-use crate::system::{count, cpu, quantile, time};
+use crate::system::{count, cpu_time, duration, quantile};
 
 const SERVERS: usize = 12;
 const CONNECTIONS: [usize; 6] = [1, 8, 64, 200, 256, 512];
 const ROUNDS: usize = 5;
-const ROUND: Duration = Duration::from_secs(2);
+const ROUND_DURATION: Duration = Duration::from_secs(2);
 
 struct Proxy {
     child: Child,
@@ -22,26 +22,26 @@
 
 impl Proxy {
     fn start(servers: &[Server]) -> Self {
-        let own = std::env::current_exe().expect("a program");
+        let program = std::env::current_exe().expect("the running program has a path");
         let addresses = servers.iter().map(|server| server.address.to_string());
-        let mut command = Command::new(own);
+        let mut command = Command::new(program);
         command
             .arg(crate::PLAIN_PROXY)
             .args(addresses)
             .stderr(Stdio::piped());
-        let mut child = command.spawn().expect("it starts");
+        let mut child = command.spawn().expect("start the proxy");
         let mut line = String::new();
-        BufReader::new(child.stderr.take().expect("piped"))
+        BufReader::new(child.stderr.take().expect("standard error is piped"))
             .read_line(&mut line)
-            .expect("a line");
+            .expect("read the first line of the proxy");
         let address = line
             .trim_end()
             .rsplit(' ')
             .next()
-            .and_then(|at| at.parse().ok());
+            .and_then(|address| address.parse().ok());
         Self {
             child,
-            address: address.expect("an address"),
+            address: address.expect("the first line ends with the address"),
         }
     }
 }
@@ -53,74 +53,83 @@
     }
 }
 
-/// Prints the table.
+/// Prints the table by number of client connections.
 pub fn measure() {
     println!(
-        "\n{SERVERS} servers that answer at once; {ROUNDS} rounds of {} s each, in turn; medians",
-        ROUND.as_secs()
+        "\n{SERVERS} servers that respond without delay; {ROUNDS} alternating rounds of {} s each; medians",
+        ROUND_DURATION.as_secs()
     );
     println!(
         "{:<12} {:<18} {:>10} {:>8} {:>8} {:>8}",
         "connections", "", "requests/s", "p50 ms", "p99 ms", "CPU us"
     );
-    let sound: Vec<_> = (0..SERVERS)
+    let servers: Vec<_> = (0..SERVERS)
         .map(|_| Server::start(|_| Reply::ok("rooms: 3\n")).without_recording())
         .collect();
-    let (node, proxy) = (node(&sound), Proxy::start(&sound));
+    let (node, proxy) = (start_node(&servers), Proxy::start(&servers));
     for connections in CONNECTIONS {
         let mut all = [(); 2].map(|()| [(); 4].map(|()| Vec::new()));
         for _ in 0..count(ROUNDS, 1) {
-            let [of_node, of_proxy] = &mut all;
-            round(node.0.address, node.0.process_id(), connections, of_node);
-            round(proxy.address, proxy.child.id(), connections, of_proxy);
+            let [node_figures, proxy_figures] = &mut all;
+            round(
+                node.0.address,
+                node.0.process_id(),
+                connections,
+                node_figures,
+            );
+            round(proxy.address, proxy.child.id(), connections, proxy_figures);
         }
-        let [node, proxy] = all.map(|mut all| all.each_mut().map(|one| quantile(one, 0.5)));
-        for (what, figures) in [("node", node), ("plain proxy", proxy)] {
-            row(connections, what, figures, 0);
+        let [node, proxy] =
+            all.map(|mut figures| figures.each_mut().map(|values| quantile(values, 0.5)));
+        for (subject, figures) in [("node", node), ("plain proxy", proxy)] {
+            row(connections, subject, figures, 0);
         }
         row(
             connections,
             "ratio",
-            [0, 1, 2, 3].map(|at| node[at] / proxy[at]),
+            [0, 1, 2, 3].map(|figure| node[figure] / proxy[figure]),
             3,
         );
     }
 }
 
-/// What a server in ten that brings bytes behind each answer costs the other nine, and sockets of the other kinds.
-pub fn measure_kinds() {
+/// Prints the effect of one server in ten that sends a surplus byte after each response, and the cost of Unix sockets.
+pub fn measure_endpoint_kinds() {
     const CONNECTIONS: usize = 32;
-    let sound = || Server::start(|_| Reply::ok("rooms: 3\n")).without_recording();
+    let start_server = || Server::start(|_| Reply::ok("rooms: 3\n")).without_recording();
     println!(
-        "\nten servers, {CONNECTIONS} connections; {ROUNDS} rounds of {} s each, in turn; medians",
-        ROUND.as_secs()
+        "\nten servers, {CONNECTIONS} connections; {ROUNDS} alternating rounds of {} s each; medians",
+        ROUND_DURATION.as_secs()
     );
     println!(
         "{:<20} {:>10} {:>8} {:>8} {:>8}",
         "", "requests/s", "p50 ms", "p99 ms", "CPU us"
     );
-    let all_sound: Vec<_> = (0..10).map(|_| sound()).collect();
-    let nine: Vec<_> = (0..9).map(|_| sound()).collect();
-    let odd = Server::start(|_| {
-        let after = testkit::response("200 OK", "", "rooms: 3\n");
-        Reply::SendInTwoParts(after, Duration::from_millis(1), b"x".to_vec())
+    let all_correct: Vec<_> = (0..10).map(|_| start_server()).collect();
+    let nine: Vec<_> = (0..9).map(|_| start_server()).collect();
+    let faulty = Server::start(|_| {
+        let response = testkit::response("200 OK", "", "rooms: 3\n");
+        Reply::SendInTwoParts(response, Duration::from_millis(1), b"x".to_vec())
     });
-    let with_odd: Vec<_> = nine.into_iter().chain([odd.without_recording()]).collect();
-    let by_path: Vec<_> = (0..10)
+    let with_faulty: Vec<_> = nine
+        .into_iter()
+        .chain([faulty.without_recording()])
+        .collect();
+    let with_unix_sockets: Vec<_> = (0..10)
         .map(|_| {
-            let mut server = sound();
+            let mut server = start_server();
             server.unix_endpoint = Some(server.add_address(testkit::AddressFamily::Unix));
             server
         })
         .collect();
     let nodes = [
-        ("TCP", &all_sound),
-        ("one odd", &with_odd),
-        ("Unix", &by_path),
+        ("TCP", &all_correct),
+        ("one faulty", &with_faulty),
+        ("Unix", &with_unix_sockets),
     ];
-    let nodes = nodes.map(|(what, servers)| {
+    let nodes = nodes.map(|(subject, servers)| {
         (
-            what,
+            subject,
             Node::start_with_servers(&servers.iter().collect::<Vec<_>>(), 15_000),
             servers,
         )
@@ -128,51 +137,51 @@
     let mut all = [(); 3].map(|()| [(); 4].map(|()| Vec::new()));
     let mut shares = Vec::new();
     for _ in 0..count(ROUNDS, 1) {
-        for ((what, (node, ..), servers), figures) in nodes.iter().zip(&mut all) {
+        for ((subject, (node, ..), servers), figures) in nodes.iter().zip(&mut all) {
             let before: Vec<_> = servers.iter().map(Server::request_count).collect();
             round(node.address, node.process_id(), CONNECTIONS, figures);
-            if *what == "one odd" {
-                let came: Vec<_> = servers
+            if *subject == "one faulty" {
+                let received: Vec<_> = servers
                     .iter()
                     .zip(before)
-                    .map(|(s, before)| s.request_count() - before)
+                    .map(|(server, before)| server.request_count() - before)
                     .collect();
-                let all: usize = came.iter().sum();
-                shares.push(came[9] as f64 / all as f64);
+                let total: usize = received.iter().sum();
+                shares.push(received[9] as f64 / total as f64);
             }
         }
     }
-    let medians = all.map(|mut all| all.each_mut().map(|one| quantile(one, 0.5)));
-    for ((what, ..), figures) in nodes.iter().zip(medians) {
-        kind_row(what, figures, 0);
+    let medians = all.map(|mut figures| figures.each_mut().map(|values| quantile(values, 0.5)));
+    for ((subject, ..), figures) in nodes.iter().zip(medians) {
+        kind_row(subject, figures, 0);
     }
-    for (what, at) in [("one odd / TCP", 1), ("Unix / TCP", 2)] {
+    for (subject, variant) in [("one faulty / TCP", 1), ("Unix / TCP", 2)] {
         kind_row(
-            what,
-            [0, 1, 2, 3].map(|figure| medians[at][figure] / medians[0][figure]),
+            subject,
+            [0, 1, 2, 3].map(|figure| medians[variant][figure] / medians[0][figure]),
             3,
         );
     }
     println!(
-        "share of the requests that the odd one has: {:.3}",
+        "share of the requests that the faulty server received: {:.3}",
         quantile(&mut shares, 0.5)
     );
 }
 
-fn kind_row(what: &str, [rate, p50, p99, cpu]: [f64; 4], digits: usize) {
-    println!("{what:<20} {rate:>10.digits$} {p50:>8.2} {p99:>8.2} {cpu:>8.2}");
+fn kind_row(subject: &str, [rate, p50, p99, cpu]: [f64; 4], digits: usize) {
+    println!("{subject:<20} {rate:>10.digits$} {p50:>8.2} {p99:>8.2} {cpu:>8.2}");
 }
 
-fn row(connections: usize, what: &str, [rate, p50, p99, cpu]: [f64; 4], digits: usize) {
-    println!("{connections:<12} {what:<18} {rate:>10.digits$} {p50:>8.2} {p99:>8.2} {cpu:>8.2}");
+fn row(connections: usize, subject: &str, [rate, p50, p99, cpu]: [f64; 4], digits: usize) {
+    println!("{connections:<12} {subject:<18} {rate:>10.digits$} {p50:>8.2} {p99:>8.2} {cpu:>8.2}");
 }
 
-fn node(servers: &[Server]) -> (Node, Discovery, testkit::Watch) {
+fn start_node(servers: &[Server]) -> (Node, Discovery, testkit::Watch) {
     let discovery = Discovery::start();
     let entries: Vec<_> = servers
         .iter()
         .enumerate()
-        .map(|(at, s)| s.endpoint_entry(&format!("s-{at}"), "ready"))
+        .map(|(at, server)| server.endpoint_entry(&format!("s-{at}"), "ready"))
         .collect();
     let node = Node::start(&config(
         discovery.address,
@@ -184,12 +193,12 @@
 }
 
 fn round(address: SocketAddr, process: u32, connections: usize, figures: &mut [Vec<f64>; 4]) {
-    let (start, before) = (Instant::now(), cpu(process));
+    let (start, before) = (Instant::now(), cpu_time(process));
     let load = Load::start(address, connections, Duration::ZERO);
-    thread::sleep(time(ROUND));
+    thread::sleep(duration(ROUND_DURATION));
     let totals = load.finish();
-    let cpu = (cpu(process) - before).as_secs_f64();
-    assert_eq!(totals.lost, 0, "no request is lost");
+    let cpu = (cpu_time(process) - before).as_secs_f64();
+    assert_eq!(totals.lost, 0, "the node or the proxy lost requests");
     figures[0].push(totals.sent as f64 / start.elapsed().as_secs_f64());
     figures[1].push(totals.latency_quantile(0.5).as_secs_f64() * 1e3);
     figures[2].push(totals.latency_quantile(0.99).as_secs_f64() * 1e3);
--- a/crates/measure/src/detectors.rs
+++ b/crates/measure/src/detectors.rs
@@ -1,6 +1,6 @@
-//! Ways to find out that a node is gone, side by side in one simulation: SWIM with suspicion, the same with Lifeguard's local
-//! health, phi-accrual over heartbeats to all, and the observers of `gossip`. The first three are the published rules in
-//! their plainest form, for comparison alone: all nodes know each other from the start.
+//! Comparison of failure detectors in simulations: SWIM with suspicion, SWIM with Lifeguard's local health, phi accrual over
+//! heartbeats to all nodes, and the observers of `gossip`. The first three implement the published rules in their simplest
+//! form, for comparison only: every node has the full list of nodes from the start.
 
 use std::collections::BTreeMap;
 
@@ -12,15 +12,16 @@
 use crate::system::{count, quantile};
 
 const PERIOD_MS: f64 = 500.0;
-/// All of them are to bear pauses of this.
+/// Pause of a node that every detector has to tolerate.
 const SUSPECT_MS: f64 = 2_500.0;
-/// What a datagram has beside its news, as sealed ones of `gossip` do.
-const HEAD: usize = 48;
+/// Size of a datagram without its updates, the same as that of a sealed datagram of `gossip`.
+const HEADER_BYTES: usize = 48;
 const MAX_UPDATES: usize = 8;
-const HELPERS: usize = 3;
+/// Number of nodes asked for an indirect probe.
+const INDIRECT_PROBES: usize = 3;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Way {
+enum Detector {
     Swim,
     Lifeguard,
     Phi,
@@ -28,86 +29,98 @@
 
 const ALIVE: u8 = 0;
 const SUSPECT: u8 = 1;
-const GONE: u8 = 2;
+const DEAD: u8 = 2;
 
 #[derive(Clone, Debug)]
-struct Known {
+struct Peer {
     state: u8,
     incarnation: u32,
+    /// Time of the last change of the state or incarnation.
     since: f64,
-    accusers: u32,
-    heard: f64,
+    /// Further suspicions of the same incarnation.
+    confirmations: u32,
+    /// Time of the last heartbeat; 0 before the first.
+    last_heartbeat: f64,
     /// Mean and variance of the times between heartbeats.
-    gaps: (f64, f64),
+    intervals: (f64, f64),
 }
 
-/// A node that goes by one of the published ways.
-struct Plain {
-    way: Way,
+/// A node with one of the published detectors.
+struct PublishedDetector {
+    detector: Detector,
     me: NodeId,
     rng: Rng,
-    known: Vec<Known>,
-    order: Vec<NodeId>,
-    next_ms: f64,
-    probing: Option<(NodeId, f64, bool)>,
-    acked: bool,
-    /// For whom it asks, and who wants to know.
-    relays: Vec<(NodeId, NodeId)>,
-    news: BTreeMap<NodeId, u32>,
-    /// Lifeguard's local health: 0 is well.
-    sick: f64,
-    gone: Vec<(f64, NodeId)>,
+    peers: Vec<Peer>,
+    /// Nodes left to probe in this cycle, the next one last.
+    probe_order: Vec<NodeId>,
+    next_period_ms: f64,
+    /// The probed node, the time of the probe, and whether indirect probes were requested.
+    probe: Option<(NodeId, f64, bool)>,
+    is_acknowledged: bool,
+    /// Indirect probes in progress: the probed node and the node that requested the probe.
+    indirect_probes: Vec<(NodeId, NodeId)>,
+    /// Nodes whose state is disseminated, with the number of transmissions so far.
+    updates: BTreeMap<NodeId, u32>,
+    /// Lifeguard's local health score: 0 is healthy.
+    local_health: f64,
+    /// Death verdicts: time and dead node.
+    deaths: Vec<(f64, NodeId)>,
 }
 
-impl Plain {
-    fn new(way: Way, me: NodeId, nodes: usize, seed: u64) -> Self {
+impl PublishedDetector {
+    fn new(detector: Detector, me: NodeId, nodes: usize, seed: u64) -> Self {
         let mut rng = Rng::with_seed(seed ^ (me as u64) << 24);
-        let known = Known {
+        let peer = Peer {
             state: ALIVE,
             incarnation: 0,
             since: 0.0,
-            accusers: 0,
-            heard: 0.0,
-            gaps: (PERIOD_MS, 1e4),
+            confirmations: 0,
+            last_heartbeat: 0.0,
+            intervals: (PERIOD_MS, 1e4),
         };
-        let next_ms = 1e6 + rng.f64() * PERIOD_MS;
+        let next_period_ms = 1e6 + rng.f64() * PERIOD_MS;
         Self {
-            way,
+            detector,
             me,
             rng,
-            known: vec![known; nodes],
-            order: Vec::new(),
-            next_ms,
-            probing: None,
-            acked: true,
-            relays: Vec::new(),
-            news: BTreeMap::new(),
-            sick: 0.0,
-            gone: Vec::new(),
+            peers: vec![peer; nodes],
+            probe_order: Vec::new(),
+            next_period_ms,
+            probe: None,
+            is_acknowledged: true,
+            indirect_probes: Vec::new(),
+            updates: BTreeMap::new(),
+            local_health: 0.0,
+            deaths: Vec::new(),
         }
     }
 
     fn send(&mut self, out: &mut Outbox, to: NodeId, kind: u8, about: NodeId) {
-        let mut bytes = vec![0; HEAD];
+        let mut bytes = vec![0; HEADER_BYTES];
         bytes[0] = kind;
         bytes[1..5].copy_from_slice(&(about as u32).to_le_bytes());
-        if self.way != Way::Phi {
-            let mut news: Vec<_> = self.news.iter().map(|(of, sent)| (*sent, *of)).collect();
-            news.sort_unstable();
-            if self.way == Way::Lifeguard && self.known[to].state == SUSPECT {
-                news.insert(0, (0, to)); // The buddy system: who is suspected is told first.
+        if self.detector != Detector::Phi {
+            let mut updates: Vec<_> = self
+                .updates
+                .iter()
+                .map(|(node, sent)| (*sent, *node))
+                .collect();
+            updates.sort_unstable();
+            if self.detector == Detector::Lifeguard && self.peers[to].state == SUSPECT {
+                updates.insert(0, (0, to)); // Lifeguard's buddy system: a suspect receives the suspicion first.
             }
-            let often = 3 * usize::BITS.saturating_sub(self.known.len().leading_zeros());
-            for (sent, of) in news.into_iter().take(MAX_UPDATES) {
-                let known = &self.known[of];
-                bytes.extend_from_slice(&(of as u32).to_le_bytes());
-                bytes.extend_from_slice(&known.incarnation.to_le_bytes());
-                bytes.push(known.state);
-                // What else the record of a sealed datagram has.
+            let max_transmissions =
+                3 * usize::BITS.saturating_sub(self.peers.len().leading_zeros());
+            for (sent, node) in updates.into_iter().take(MAX_UPDATES) {
+                let peer = &self.peers[node];
+                bytes.extend_from_slice(&(node as u32).to_le_bytes());
+                bytes.extend_from_slice(&peer.incarnation.to_le_bytes());
+                bytes.push(peer.state);
+                // Padding to the size of a record in a sealed datagram.
                 bytes.extend_from_slice(&[0; 9]);
-                if sent + 1 >= often {
-                    self.news.remove(&of);
-                } else if let Some(sent) = self.news.get_mut(&of) {
+                if sent + 1 >= max_transmissions {
+                    self.updates.remove(&node);
+                } else if let Some(sent) = self.updates.get_mut(&node) {
                     *sent += 1;
                 }
             }
@@ -115,129 +128,128 @@
         out.send(to, bytes);
     }
 
-    fn hear(&mut self, now: f64, of: NodeId, incarnation: u32, state: u8) {
-        if of == self.me {
-            if state != ALIVE && incarnation >= self.known[of].incarnation {
-                self.known[of].incarnation = incarnation + 1;
-                self.sick = (self.sick + 1.0).min(8.0);
-                self.news.insert(of, 0);
+    fn apply_update(&mut self, now: f64, node: NodeId, incarnation: u32, state: u8) {
+        if node == self.me {
+            if state != ALIVE && incarnation >= self.peers[node].incarnation {
+                self.peers[node].incarnation = incarnation + 1;
+                self.local_health = (self.local_health + 1.0).min(8.0);
+                self.updates.insert(node, 0);
             }
             return;
         }
-        let known = &mut self.known[of];
-        let is_later = incarnation > known.incarnation
-            || (incarnation == known.incarnation && state > known.state);
-        if is_later {
-            if state == GONE && known.state != GONE {
-                self.gone.push((now, of));
+        let peer = &mut self.peers[node];
+        let is_newer = incarnation > peer.incarnation
+            || (incarnation == peer.incarnation && state > peer.state);
+        if is_newer {
+            if state == DEAD && peer.state != DEAD {
+                self.deaths.push((now, node));
             }
-            (known.state, known.incarnation, known.since, known.accusers) =
+            (peer.state, peer.incarnation, peer.since, peer.confirmations) =
                 (state, incarnation, now, 0);
-            self.news.insert(of, 0);
-        } else if state == SUSPECT && incarnation == known.incarnation && known.state == SUSPECT {
-            known.accusers += 1;
+            self.updates.insert(node, 0);
+        } else if state == SUSPECT && incarnation == peer.incarnation && peer.state == SUSPECT {
+            peer.confirmations += 1;
         }
     }
 
-    fn period(&mut self, now: f64, out: &mut Outbox) {
-        if let Some((of, _, _)) = self.probing.take() {
-            if self.acked {
-                self.sick = (self.sick - 1.0).max(0.0);
+    fn start_period(&mut self, now: f64, out: &mut Outbox) {
+        if let Some((node, _, _)) = self.probe.take() {
+            if self.is_acknowledged {
+                self.local_health = (self.local_health - 1.0).max(0.0);
             } else {
-                self.sick = (self.sick + 1.0).min(8.0);
-                let incarnation = self.known[of].incarnation;
-                if self.known[of].state == ALIVE {
-                    self.hear(now, of, incarnation, SUSPECT);
+                self.local_health = (self.local_health + 1.0).min(8.0);
+                let incarnation = self.peers[node].incarnation;
+                if self.peers[node].state == ALIVE {
+                    self.apply_update(now, node, incarnation, SUSPECT);
                 }
             }
         }
-        let others = self
-            .known
-            .iter()
-            .filter(|known| known.state != GONE)
-            .count() as f64;
-        for of in 0..self.known.len() {
-            let known = &self.known[of];
-            if known.state != SUSPECT {
+        let live_nodes = self.peers.iter().filter(|peer| peer.state != DEAD).count() as f64;
+        for node in 0..self.peers.len() {
+            let peer = &self.peers[node];
+            if peer.state != SUSPECT {
                 continue;
             }
-            // Lifeguard begins with a longer time that shrinks as others agree.
-            let least = SUSPECT_MS;
-            let wait = match self.way {
-                Way::Lifeguard => {
-                    let most = 6.0 * least * others.log10().max(1.0);
-                    let part = (f64::from(known.accusers) + 1.0).ln() / 4_f64.ln();
-                    (most - (most - least) * part).max(least)
+            // Lifeguard starts with a longer suspicion timeout and shortens it with each confirmation.
+            let min_timeout_ms = SUSPECT_MS;
+            let timeout_ms = match self.detector {
+                Detector::Lifeguard => {
+                    let max_timeout_ms = 6.0 * min_timeout_ms * live_nodes.log10().max(1.0);
+                    let fraction = (f64::from(peer.confirmations) + 1.0).ln() / 4_f64.ln();
+                    (max_timeout_ms - (max_timeout_ms - min_timeout_ms) * fraction)
+                        .max(min_timeout_ms)
                 }
-                _ => least,
+                _ => min_timeout_ms,
             };
-            if now - known.since >= wait {
-                let incarnation = known.incarnation;
-                self.hear(now, of, incarnation, GONE);
+            if now - peer.since >= timeout_ms {
+                let incarnation = peer.incarnation;
+                self.apply_update(now, node, incarnation, DEAD);
             }
         }
-        if self.order.is_empty() {
-            self.order = (0..self.known.len()).filter(|of| *of != self.me).collect();
-            self.rng.shuffle(&mut self.order);
+        if self.probe_order.is_empty() {
+            self.probe_order = (0..self.peers.len())
+                .filter(|node| *node != self.me)
+                .collect();
+            self.rng.shuffle(&mut self.probe_order);
         }
-        while let Some(of) = self.order.pop() {
-            if self.known[of].state != GONE {
-                self.acked = false;
-                self.probing = Some((of, now, false));
-                self.send(out, of, 1, of);
+        while let Some(node) = self.probe_order.pop() {
+            if self.peers[node].state != DEAD {
+                self.is_acknowledged = false;
+                self.probe = Some((node, now, false));
+                self.send(out, node, 1, node);
                 break;
             }
         }
     }
 
-    fn beat(&mut self, now: f64, out: &mut Outbox) {
-        for of in (0..self.known.len())
-            .filter(|of| *of != self.me)
+    fn send_heartbeats(&mut self, now: f64, out: &mut Outbox) {
+        for node in (0..self.peers.len())
+            .filter(|node| *node != self.me)
             .collect::<Vec<_>>()
         {
-            self.send(out, of, 1, of);
-            let known = &mut self.known[of];
-            if known.heard == 0.0 {
-                known.heard = now;
+            self.send(out, node, 1, node);
+            let peer = &mut self.peers[node];
+            if peer.last_heartbeat == 0.0 {
+                peer.last_heartbeat = now;
             }
-            // Phi 8 of a normal distribution lies 5.6 deviations above the mean.
-            let limit = known.gaps.0 + 5.6 * known.gaps.1.sqrt().max(100.0) + SUSPECT_MS;
-            let silent = now - known.heard > limit;
-            if silent && known.state != GONE {
-                known.state = GONE;
-                self.gone.push((now, of));
+            // A phi of 8 corresponds to 5.6 standard deviations above the mean of a normal distribution.
+            let limit_ms = peer.intervals.0 + 5.6 * peer.intervals.1.sqrt().max(100.0) + SUSPECT_MS;
+            let is_silent = now - peer.last_heartbeat > limit_ms;
+            if is_silent && peer.state != DEAD {
+                peer.state = DEAD;
+                self.deaths.push((now, node));
             }
         }
     }
 }
 
-impl Process for Plain {
+impl Process for PublishedDetector {
     fn wake(&mut self, now: f64, out: &mut Outbox) {
-        let scale = if self.way == Way::Lifeguard {
-            1.0 + self.sick
+        let scale = if self.detector == Detector::Lifeguard {
+            1.0 + self.local_health
         } else {
             1.0
         };
-        if let (Some((of, at, false)), true) = (self.probing, self.way != Way::Phi) {
-            if !self.acked && now - at >= 0.4 * PERIOD_MS * scale {
-                self.probing = Some((of, at, true));
-                for _ in 0..HELPERS {
-                    let helper = self.rng.usize(..self.known.len());
-                    if helper != self.me && helper != of {
-                        self.send(out, helper, 3, of);
+        if let (Some((node, at, false)), true) = (self.probe, self.detector != Detector::Phi) {
+            if !self.is_acknowledged && now - at >= 0.4 * PERIOD_MS * scale {
+                self.probe = Some((node, at, true));
+                for _ in 0..INDIRECT_PROBES {
+                    let relay = self.rng.usize(..self.peers.len());
+                    if relay != self.me && relay != node {
+                        self.send(out, relay, 3, node);
                     }
                 }
             }
         }
-        if now >= self.next_ms {
-            if self.way == Way::Phi {
-                self.beat(now, out);
+        if now >= self.next_period_ms {
+            if self.detector == Detector::Phi {
+                self.send_heartbeats(now, out);
             } else {
-                self.period(now, out);
+                self.start_period(now, out);
             }
-            self.next_ms = now + PERIOD_MS * scale;
+            self.next_period_ms = now + PERIOD_MS * scale;
         }
-        out.wake_at((now + 0.2 * PERIOD_MS).min(self.next_ms));
+        out.wake_at((now + 0.2 * PERIOD_MS).min(self.next_period_ms));
     }
 
     fn receive(&mut self, now: f64, from: NodeId, bytes: &[u8], out: &mut Outbox) {
@@ -245,37 +257,38 @@
             u32::from_le_bytes([bytes[at], bytes[at + 1], bytes[at + 2], bytes[at + 3]])
         };
         let (kind, about) = (bytes[0], number(1) as NodeId);
-        for at in (HEAD..bytes.len()).step_by(18) {
-            self.hear(now, number(at) as NodeId, number(at + 4), bytes[at + 8]);
+        for at in (HEADER_BYTES..bytes.len()).step_by(18) {
+            self.apply_update(now, number(at) as NodeId, number(at + 4), bytes[at + 8]);
         }
-        match (self.way, kind) {
-            (Way::Phi, _) => {
-                let known = &mut self.known[from];
-                if known.heard > 0.0 {
-                    let gap = now - known.heard;
-                    known.gaps.1 += 0.02 * ((gap - known.gaps.0).powi(2) - known.gaps.1);
-                    known.gaps.0 += 0.02 * (gap - known.gaps.0);
+        match (self.detector, kind) {
+            (Detector::Phi, _) => {
+                let peer = &mut self.peers[from];
+                if peer.last_heartbeat > 0.0 {
+                    let interval = now - peer.last_heartbeat;
+                    peer.intervals.1 +=
+                        0.02 * ((interval - peer.intervals.0).powi(2) - peer.intervals.1);
+                    peer.intervals.0 += 0.02 * (interval - peer.intervals.0);
                 }
-                known.heard = now;
-                known.state = ALIVE;
+                peer.last_heartbeat = now;
+                peer.state = ALIVE;
             }
             (_, 1) => self.send(out, from, 2, self.me),
             (_, 2) => {
-                if self.probing.is_some_and(|(of, ..)| of == about) {
-                    self.acked = true;
+                if self.probe.is_some_and(|(node, ..)| node == about) {
+                    self.is_acknowledged = true;
                 }
-                let (asked, rest) = std::mem::take(&mut self.relays)
+                let (answered, pending) = std::mem::take(&mut self.indirect_probes)
                     .into_iter()
-                    .partition(|(of, _)| *of == about);
-                self.relays = rest;
-                let asked: Vec<(NodeId, NodeId)> = asked;
-                asked
+                    .partition(|(node, _)| *node == about);
+                self.indirect_probes = pending;
+                let answered: Vec<(NodeId, NodeId)> = answered;
+                answered
                     .into_iter()
-                    .for_each(|(_, asker)| self.send(out, asker, 2, about));
+                    .for_each(|(_, requester)| self.send(out, requester, 2, about));
             }
             (_, 3) => {
-                if self.relays.len() < 64 {
-                    self.relays.push((about, from));
+                if self.indirect_probes.len() < 64 {
+                    self.indirect_probes.push((about, from));
                 }
                 self.send(out, about, 1, about);
             }
@@ -284,35 +297,37 @@
     }
 }
 
-/// What one way came to in one size.
+/// Results of one detector at one number of nodes.
 #[derive(Default)]
 struct Row {
+    /// Bytes sent per second and node.
     bytes: f64,
-    detect: [f64; 2],
-    /// An hour of the whole fleet, at 10 and 30 % loss.
-    wrong: [f64; 2],
-    /// Nodes that a deaf one had gone to others.
-    deaf: usize,
-    /// Of two that are deaf to each other: whether either is gone to a third.
-    pair: usize,
+    /// Median and 99.9th percentile of the detection time, in seconds.
+    detection_s: [f64; 2],
+    /// False death verdicts per hour of the whole cluster, at 10 and 30 % loss.
+    false_verdicts: [f64; 2],
+    /// Number of other nodes that are declared dead while one node receives nothing.
+    deaf_node_deaths: usize,
+    /// Number of death verdicts while two nodes receive nothing from each other.
+    pair_deaths: usize,
 }
 
-/// The operations that a trial needs of either kind of simulation.
-trait Play {
-    fn links(&mut self, link: Link);
+/// Operations of a simulated cluster that a trial uses, whichever detector its nodes run.
+trait Cluster {
+    fn set_links(&mut self, link: Link);
     fn cut(&mut self, from: NodeId, to: NodeId);
     fn kill(&mut self, node: NodeId);
     fn run(&mut self, ms: f64);
     fn bytes(&self) -> u64;
     fn now(&self) -> f64;
-    /// By whom, whom, when.
-    fn gone(&self, since: f64) -> Vec<(NodeId, NodeId, f64)>;
+    /// Death verdicts since a time: the judging node, the dead node and the time.
+    fn deaths(&self, since: f64) -> Vec<(NodeId, NodeId, f64)>;
 }
 
-struct SimulatedDetectors(Simulation<Plain>);
+struct SimulatedDetectors(Simulation<PublishedDetector>);
 
-impl Play for SimulatedDetectors {
-    fn links(&mut self, link: Link) {
+impl Cluster for SimulatedDetectors {
+    fn set_links(&mut self, link: Link) {
         self.0.set_default_link(link);
     }
     fn cut(&mut self, from: NodeId, to: NodeId) {
@@ -330,26 +345,28 @@
     fn now(&self) -> f64 {
         self.0.now_ms()
     }
-    fn gone(&self, since: f64) -> Vec<(NodeId, NodeId, f64)> {
-        let of = |by: NodeId| {
-            let gone = self
+    fn deaths(&self, since: f64) -> Vec<(NodeId, NodeId, f64)> {
+        let verdicts_of = |by: NodeId| {
+            let deaths = self
                 .0
                 .process(by)
-                .map(|process| process.gone.clone())
+                .map(|process| process.deaths.clone())
                 .unwrap_or_default();
-            gone.into_iter().map(move |(at, node)| (by, node, at - 1e6))
+            deaths
+                .into_iter()
+                .map(move |(at, node)| (by, node, at - 1e6))
         };
         (0..self.0.len())
-            .flat_map(of)
+            .flat_map(verdicts_of)
             .filter(|(.., at)| *at >= since)
             .collect()
     }
 }
 
-struct Observers(VirtualCluster);
+struct GossipObservers(VirtualCluster);
 
-impl Play for Observers {
-    fn links(&mut self, link: Link) {
+impl Cluster for GossipObservers {
+    fn set_links(&mut self, link: Link) {
         self.0.set_all_links(link);
     }
     fn cut(&mut self, from: NodeId, to: NodeId) {
@@ -367,8 +384,13 @@
     fn now(&self) -> f64 {
         self.0.simulation.now_ms()
     }
-    fn gone(&self, since: f64) -> Vec<(NodeId, NodeId, f64)> {
-        let node = |name: &str| self.0.names.iter().position(|held| held == name);
+    fn deaths(&self, since: f64) -> Vec<(NodeId, NodeId, f64)> {
+        let node = |name: &str| {
+            self.0
+                .names
+                .iter()
+                .position(|known_name| known_name == name)
+        };
         self.0
             .deaths_since(since)
             .into_iter()
@@ -377,152 +399,158 @@
     }
 }
 
-fn started(way: Option<Way>, nodes: usize, seed: u64) -> Box<dyn Play> {
-    let mut play: Box<dyn Play> = match way {
+fn start_cluster(detector: Option<Detector>, nodes: usize, seed: u64) -> Box<dyn Cluster> {
+    let mut cluster: Box<dyn Cluster> = match detector {
         None => {
-            let mut fleet = VirtualCluster::new(seed, nodes);
-            fleet.start_all(1_000.0);
-            Box::new(Observers(fleet))
+            let mut gossip = VirtualCluster::new(seed, nodes);
+            gossip.start_all(1_000.0);
+            Box::new(GossipObservers(gossip))
         }
-        Some(way) => {
+        Some(detector) => {
             let mut simulation = Simulation::new(seed, nodes);
-            (0..nodes).for_each(|node| simulation.start(node, Plain::new(way, node, nodes, seed)));
+            (0..nodes).for_each(|node| {
+                simulation.start(node, PublishedDetector::new(detector, node, nodes, seed));
+            });
             Box::new(SimulatedDetectors(simulation))
         }
     };
-    play.run(if nodes > 1_000 { 60_000.0 } else { 15_000.0 });
-    play
+    cluster.run(if nodes > 1_000 { 60_000.0 } else { 15_000.0 });
+    cluster
 }
 
-fn row(way: Option<Way>, nodes: usize) -> Row {
+fn measure_row(detector: Option<Detector>, nodes: usize) -> Row {
     let mut row = Row::default();
     let kills = count(if nodes > 1_000 { 1 } else { 8 }, 1);
-    let mut times = Vec::new();
+    let mut detection_times = Vec::new();
     for kill in 0..kills {
-        let mut play = started(way, nodes, kill as u64);
-        let (bytes, at) = (play.bytes(), play.now());
-        play.run(10_000.0);
-        row.bytes = (play.bytes() - bytes) as f64 / 10.0 / nodes as f64;
-        play.links(Link {
+        let mut cluster = start_cluster(detector, nodes, kill as u64);
+        let (bytes, at) = (cluster.bytes(), cluster.now());
+        cluster.run(10_000.0);
+        row.bytes = (cluster.bytes() - bytes) as f64 / 10.0 / nodes as f64;
+        cluster.set_links(Link {
             loss: 0.1,
             ..Link::default()
         });
-        let since = play.now().max(at);
-        play.kill(1);
-        play.run(60_000.0);
-        let mut first = BTreeMap::new();
-        for (by, node, at) in play.gone(since) {
+        let since = cluster.now().max(at);
+        cluster.kill(1);
+        cluster.run(60_000.0);
+        let mut first_verdicts = BTreeMap::new();
+        for (by, node, at) in cluster.deaths(since) {
             if node == 1 {
-                first.entry(by).or_insert(at - since);
+                first_verdicts.entry(by).or_insert(at - since);
             }
         }
-        times.extend(first.values().copied());
-        times.extend((first.len()..nodes - 1).map(|_| f64::INFINITY));
+        detection_times.extend(first_verdicts.values().copied());
+        detection_times.extend((first_verdicts.len()..nodes - 1).map(|_| f64::INFINITY));
     }
-    row.detect = [0.5, 0.999].map(|part| quantile(&mut times, part) / 1e3);
+    row.detection_s = [0.5, 0.999].map(|fraction| quantile(&mut detection_times, fraction) / 1e3);
     let minutes = if nodes > 1_000 {
         1.0
     } else {
         count(60, 1) as f64 * if nodes > 100 { 0.1 } else { 1.0 }
     };
-    for (at, loss) in [0.1, 0.3].into_iter().enumerate() {
-        let mut play = started(way, nodes, 77);
-        play.links(Link {
+    for (index, loss) in [0.1, 0.3].into_iter().enumerate() {
+        let mut cluster = start_cluster(detector, nodes, 77);
+        cluster.set_links(Link {
             loss,
             ..Link::default()
         });
-        let since = play.now();
-        play.run(minutes * 60_000.0);
-        // A node that is gone to many is one verdict.
-        let verdicts: std::collections::BTreeSet<_> = play
-            .gone(since)
+        let since = cluster.now();
+        cluster.run(minutes * 60_000.0);
+        // Verdicts of several nodes about the same node within 30 s count once.
+        let verdicts: std::collections::BTreeSet<_> = cluster
+            .deaths(since)
             .into_iter()
             .map(|(_, node, at)| (node, (at / 30_000.0) as u64))
             .collect();
-        row.wrong[at] = verdicts.len() as f64 * 60.0 / minutes;
+        row.false_verdicts[index] = verdicts.len() as f64 * 60.0 / minutes;
     }
-    let mut play = started(way, nodes, 5);
-    let since = play.now();
-    (1..nodes).for_each(|from| play.cut(from, 0));
-    play.run(30_000.0);
-    let deaf: std::collections::BTreeSet<_> = play
-        .gone(since)
+    let mut cluster = start_cluster(detector, nodes, 5);
+    let since = cluster.now();
+    (1..nodes).for_each(|from| cluster.cut(from, 0));
+    cluster.run(30_000.0);
+    let declared_dead: std::collections::BTreeSet<_> = cluster
+        .deaths(since)
         .into_iter()
         .filter(|(by, node, _)| *by != 0 && *node != 0)
         .map(|(_, node, _)| node)
         .collect();
-    row.deaf = deaf.len();
-    let mut play = started(way, nodes, 6);
-    let since = play.now();
-    play.cut(0, 1);
-    play.cut(1, 0);
-    play.run(60_000.0);
-    row.pair = play.gone(since).len();
+    row.deaf_node_deaths = declared_dead.len();
+    let mut cluster = start_cluster(detector, nodes, 6);
+    let since = cluster.now();
+    cluster.cut(0, 1);
+    cluster.cut(1, 0);
+    cluster.run(60_000.0);
+    row.pair_deaths = cluster.deaths(since).len();
     row
 }
 
-const WAYS: [(&str, Option<Way>); 4] = [
-    ("SWIM", Some(Way::Swim)),
-    ("Lifeguard", Some(Way::Lifeguard)),
-    ("phi to all", Some(Way::Phi)),
-    ("observers", None),
+const DETECTORS: [(&str, Option<Detector>); 4] = [
+    ("SWIM", Some(Detector::Swim)),
+    ("Lifeguard", Some(Detector::Lifeguard)),
+    ("phi accrual", Some(Detector::Phi)),
+    ("gossip observers", None),
 ];
 
-/// Prints the table, up to 300 nodes.
+/// Prints the table for up to 300 nodes.
 pub fn measure() {
     table("detectors");
 }
 
-/// The same at 3,000 nodes: takes many minutes.
+/// Prints the table for 3,000 nodes, which takes many minutes.
 pub fn large() {
     table("detectors-large");
 }
 
-/// What a part of a table plays.
-fn plays(subject: &str) -> Vec<(usize, (&'static str, Option<Way>))> {
+/// Parts of a subject: number of nodes and detector with its label.
+fn parts_of(subject: &str) -> Vec<(usize, (&'static str, Option<Detector>))> {
     let sizes: &[usize] = if subject == "detectors" {
         &[4, 30, 300]
     } else {
         &[3_000]
     };
     let sizes = sizes.iter().filter(|nodes| **nodes <= count(3_000, 4));
-    let all = sizes.flat_map(|nodes| WAYS.map(|way| (*nodes, way)));
-    // 18 million heartbeats a second are not played.
-    all.filter(|(nodes, (_, way))| *nodes < 3_000 || *way != Some(Way::Phi))
+    let all_parts = sizes.flat_map(|nodes| DETECTORS.map(|detector| (*nodes, detector)));
+    // Phi accrual at 3,000 nodes would send 18 million heartbeats per second, too many to simulate.
+    all_parts
+        .filter(|(nodes, (_, detector))| *nodes < 3_000 || *detector != Some(Detector::Phi))
         .collect()
 }
 
-/// One row of a table.
-pub fn row_of(subject: &str, part: u64) -> String {
-    let (nodes, (name, way)) = plays(subject)[part as usize];
+/// Measures one part of a subject and returns its row.
+pub fn part_row(subject: &str, part: u64) -> String {
+    let (nodes, (name, detector)) = parts_of(subject)[part as usize];
     let Row {
         bytes,
-        detect: [p50, tail],
-        wrong: [ten, thirty],
-        deaf,
-        pair,
-    } = row(way, nodes);
+        detection_s: [p50, tail],
+        false_verdicts: [ten, thirty],
+        deaf_node_deaths,
+        pair_deaths,
+    } = measure_row(detector, nodes);
     format!(
-        "{name:>18} {nodes:>6} {bytes:>9.0} {p50:>10.2} {tail:>11.2} {ten:>14.1} {thirty:>14.1} {deaf:>10} {pair:>10}"
+        "{name:>18} {nodes:>6} {bytes:>9.0} {p50:>10.2} {tail:>11.2} {ten:>14.1} {thirty:>14.1} {deaf_node_deaths:>10} {pair_deaths:>10}"
     )
 }
 
 fn table(subject: &str) {
-    println!("\nways to find that a node is gone; detection and verdicts at 10 % loss, pauses of {SUSPECT_MS} ms to be borne");
+    println!(
+        "\nfailure detectors that tolerate pauses of {SUSPECT_MS} ms; detection times at 10 % loss"
+    );
     println!(
         "{:>18} {:>6} {:>9} {:>10} {:>11} {:>14} {:>14} {:>10} {:>10}",
-        "way",
+        "detector",
         "nodes",
         "bytes/s",
         "p50 s",
         "p99.9 s",
         "false/h 10 %",
         "false/h 30 %",
-        "deaf: gone",
-        "pair: gone"
+        "deaf: dead",
+        "pair: dead"
     );
-    let said = run_in_processes(subject, plays(subject).len() as u64, 1);
-    said.iter()
-        .filter_map(|said| said.lines().last())
+    let outputs = run_in_processes(subject, parts_of(subject).len() as u64, 1);
+    outputs
+        .iter()
+        .filter_map(|output| output.lines().last())
         .for_each(|row| println!("{row}"));
 }
--- a/crates/measure/src/following.rs
+++ b/crates/measure/src/following.rs
@@ -1,5 +1,4 @@
-//! What following Consul gains and costs: propagation delay, allocations, CPU, memory, and the request
-//! path.
+//! Benefit and cost of endpoint discovery through Consul: propagation delay, allocations, CPU, memory, and the request path.
 
 use std::thread;
 use std::time::{Duration, Instant};
@@ -11,10 +10,10 @@
 use testkit::consul::{Consul, Instance};
 use testkit::{
     config, endpoint_list, settings, wait_until, Discovery, Load, Node, Reply, Server,
-    Watch as Open,
+    Watch as DiscoveryWatch,
 };
 
-use crate::system::{count, cpu, memory_mb, quantile, time};
+use crate::system::{count, cpu_time, duration, memory_mb, quantile};
 use crate::ALLOCATOR;
 
 const CHANGES: usize = 50;
@@ -26,51 +25,55 @@
 const ROUNDS: usize = 15;
 const ROUND_DURATION: Duration = Duration::from_millis(1_500);
 
-/// Prints every measurement.
+/// Prints all measurements of this module.
 pub fn measure() {
     propagation_delay();
     allocations();
     merging();
     many_instances();
-    requests();
+    request_path();
 }
 
-struct Site {
+struct TestSite {
     servers: Vec<Server>,
     consul: Consul,
     node: Node,
-    watch: Open,
+    watch: DiscoveryWatch,
     _discovery: Discovery,
 }
 
-fn name(at: usize) -> String {
-    format!("s-{at}")
+fn instance_name(index: usize) -> String {
+    format!("s-{index}")
 }
 
-fn site(count: usize, with_consul: bool) -> Site {
+fn start_site(count: usize, with_consul: bool) -> TestSite {
     let servers: Vec<_> = (0..count)
         .map(|_| Server::start(|_| Reply::ok("rooms: 3\n")).without_recording())
         .collect();
     let consul = Consul::start();
     consul.stop_recording();
-    for (at, server) in servers.iter().enumerate() {
-        consul.register(Instance::new("holds", &name(at), server.address));
+    for (index, server) in servers.iter().enumerate() {
+        consul.register(Instance::new(
+            "holds",
+            &instance_name(index),
+            server.address,
+        ));
     }
     let discovery = Discovery::start();
     let entries: Vec<_> = servers
         .iter()
         .enumerate()
-        .map(|(at, s)| s.endpoint_entry(&name(at), "ready"))
+        .map(|(index, server)| server.endpoint_entry(&instance_name(index), "ready"))
         .collect();
     let text = config(
         discovery.address,
         &endpoint_list(1, true, &entries),
         &settings(15_000),
     );
-    let file = operators(&consul);
+    let file = operators_file(&consul);
     let node = Node::start_with_operators_file(&text, with_consul.then_some(&file));
     let watch = discovery.watch();
-    Site {
+    TestSite {
         servers,
         consul,
         node,
@@ -79,8 +82,8 @@
     }
 }
 
-fn operators(consul: &Consul) -> String {
-    // One server drains again and again here, which flap damping would keep out.
+fn operators_file(consul: &Consul) -> String {
+    // One server drains repeatedly here; flap damping would keep it out.
     format!(
         "[[consul]]\nname = \"consul\"\nservice = \"holds\"\nagents = [\"{}\"]\n\
          damping = {{ first_s = 0, most_s = 0, half_life_s = 1 }}\n",
@@ -88,32 +91,32 @@
     )
 }
 
-/// From a drain at the source to the last request that the server got.
+/// Time from a drain at the source to the last request that the server received.
 fn propagation_delay() {
     println!("\nfrom a drain to the last request that reached the server ({CHANGES} drains, 16 clients), ms");
     println!("{:<44} {:>8} {:>8}", "", "median", "p99");
-    let list_alone = drains(false, Duration::ZERO);
-    row("roster alone, told at once", list_alone);
-    row(
-        "roster alone, told 3 s late (10 drains)",
-        drains(false, Duration::from_secs(3)),
+    let list_only = drain_delays(false, Duration::ZERO);
+    print_row("endpoint list, sent at once", list_only);
+    print_row(
+        "endpoint list, sent 3 s late (10 drains)",
+        drain_delays(false, Duration::from_secs(3)),
     );
-    row(
-        "Consul beside it, told at once",
-        drains(true, Duration::ZERO),
+    print_row(
+        "with Consul, set in Consul at once",
+        drain_delays(true, Duration::ZERO),
     );
 }
 
-fn row(what: &str, mut times: Vec<f64>) {
+fn print_row(label: &str, mut times: Vec<f64>) {
     println!(
-        "{what:<44} {:>8.2} {:>8.2}",
+        "{label:<44} {:>8.2} {:>8.2}",
         quantile(&mut times, 0.5),
         quantile(&mut times, 0.99)
     );
 }
 
-fn drains(by_consul: bool, delay: Duration) -> Vec<f64> {
-    let mut site = site(2, by_consul);
+fn drain_delays(by_consul: bool, delay: Duration) -> Vec<f64> {
+    let mut site = start_site(2, by_consul);
     let load = Load::start(site.node.address, 16, Duration::ZERO);
     let mut generation = 1;
     let changes = if delay.is_zero() {
@@ -124,10 +127,10 @@
     let mut times = Vec::new();
     for _ in 0..count(changes, 2) {
         let requests = site.servers[1].request_count();
-        wait_until("the server gets requests", || {
+        wait_until("the server receives requests", || {
             site.servers[1].request_count() > requests + 20
         });
-        let mut set_draining = |site: &mut Site, draining: bool| {
+        let mut set_draining = |site: &mut TestSite, draining: bool| {
             if by_consul {
                 site.consul.set_maintenance("s-1", draining);
             } else {
@@ -138,25 +141,34 @@
                     .send(&format!("{}\n", endpoint_list(generation, false, &[entry])));
             }
         };
-        let drained = Instant::now();
-        thread::sleep(time(delay));
+        let drain_time = Instant::now();
+        thread::sleep(duration(delay));
         set_draining(&mut site, true);
         thread::sleep(CHANGE_INTERVAL);
-        let last = site.servers[1].last_request_at().unwrap_or(drained);
-        times.push(last.saturating_duration_since(drained).as_secs_f64() * 1e3);
+        let last_request = site.servers[1].last_request_at().unwrap_or(drain_time);
+        times.push(
+            last_request
+                .saturating_duration_since(drain_time)
+                .as_secs_f64()
+                * 1e3,
+        );
         set_draining(&mut site, false);
         thread::sleep(CHANGE_INTERVAL);
     }
-    assert_eq!(load.finish().lost, 0, "no request is lost");
+    assert_eq!(load.finish().lost, 0, "the node lost requests");
     times
 }
 
-fn body(changed: usize) -> String {
-    let instance = |at: usize| {
-        let status = if at < changed { "warning" } else { "passing" };
+fn health_response(changed: usize) -> String {
+    let instance = |index: usize| {
+        let status = if index < changed {
+            "warning"
+        } else {
+            "passing"
+        };
         format!(
-            r#"{{"Node":{{"ID":"40e4a748-2192-161a-0510-9bf59fe950b5","Node":"n-{at}","Address":"10.0.0.1","Datacenter":"dc1","Meta":{{}}}},"Service":{{"ID":"s-{at}","Service":"holds","Tags":["a","b"],"Meta":{{"zone":"z","kind":"m"}},"Address":"10.0.0.1","Port":{},"Weights":{{"Passing":1,"Warning":1}},"ModifyIndex":7}},"Checks":[{{"Node":"n-{at}","CheckID":"serfHealth","Status":"passing","Output":"Agent alive and reachable"}},{{"CheckID":"service:s-{at}","Status":"{status}","Output":"ok"}}]}}"#,
-            1_000 + at
+            r#"{{"Node":{{"ID":"40e4a748-2192-161a-0510-9bf59fe950b5","Node":"n-{index}","Address":"10.0.0.1","Datacenter":"dc1","Meta":{{}}}},"Service":{{"ID":"s-{index}","Service":"holds","Tags":["a","b"],"Meta":{{"zone":"z","kind":"m"}},"Address":"10.0.0.1","Port":{},"Weights":{{"Passing":1,"Warning":1}},"ModifyIndex":7}},"Checks":[{{"Node":"n-{index}","CheckID":"serfHealth","Status":"passing","Output":"Agent alive and reachable"}},{{"CheckID":"service:s-{index}","Status":"{status}","Output":"ok"}}]}}"#,
+            1_000 + index
         )
     };
     format!(
@@ -165,6 +177,7 @@
     )
 }
 
+/// Feeds the watch a response and returns the number of updated endpoints.
 fn respond(watch: &mut Watch, now_ms: f64, index: u64, body: &str) -> usize {
     let mut actions = Vec::new();
     watch.handle(now_ms, Event::TimerExpired, &mut actions);
@@ -181,83 +194,83 @@
         watch.handle(now_ms, Event::Body(piece), &mut actions);
     }
     watch.handle(now_ms, Event::End, &mut actions);
-    let updated = actions.into_iter().map(|action| match action {
+    let updated_counts = actions.into_iter().map(|action| match action {
         consul::Action::Report(report) => report.updated.len(),
         _ => 0,
     });
-    updated.sum()
+    updated_counts.sum()
 }
 
-/// What parsing a response allocates, and how long it takes.
+/// Allocations and time of parsing a response.
 fn allocations() {
     let mut watch = Watch::new(
         WatchSettings::new(Query::health("holds"), Mapping::default(), 1),
         1,
     );
     println!(
-        "\nreading an answer of {INSTANCES} instances ({} MB)",
-        body(0).len() / 1_000_000
+        "\nparsing a response with {INSTANCES} instances ({} MB)",
+        health_response(0).len() / 1_000_000
     );
     println!(
         "{:<44} {:>12} {:>10} {:>8}",
         "", "bytes alloc.", "allocs", "ms"
     );
-    for (what, changed, now) in [
-        ("the first", 0, 0.0),
+    for (label, changed, now_ms) in [
+        ("first response", 0, 0.0),
         ("nothing changed", 0, 1e6),
         ("one changed", 1, 2e6),
         ("one changed back", 0, 3e6),
-        ("a hundred changed", 100, 4e6),
+        ("one hundred changed", 100, 4e6),
     ] {
-        let body = body(changed);
+        let body = health_response(changed);
         let (before, start) = (ALLOCATOR.stats(), Instant::now());
-        respond(&mut watch, now, now as u64 + 1, &body);
-        let (took, after) = (start.elapsed(), ALLOCATOR.stats() - before);
-        let ms = took.as_secs_f64() * 1e3;
+        respond(&mut watch, now_ms, now_ms as u64 + 1, &body);
+        let (elapsed, allocated) = (start.elapsed(), ALLOCATOR.stats() - before);
+        let ms = elapsed.as_secs_f64() * 1e3;
         println!(
-            "{what:<44} {:>12} {:>10} {ms:>8.2}",
-            after.bytes_allocated, after.allocations
+            "{label:<44} {:>12} {:>10} {ms:>8.2}",
+            allocated.bytes_allocated, allocated.allocations
         );
     }
 }
 
-/// What merging so many endpoints allocates, and how long it takes.
+/// Allocations and time of merging the endpoints of two sources.
 fn merging() {
-    println!("\nmerging {INSTANCES} servers of two sources");
+    println!("\nmerging {INSTANCES} endpoints of two sources");
     println!(
         "{:<44} {:>12} {:>10} {:>8}",
         "", "bytes alloc.", "allocs", "ms"
     );
     let mut view = EndpointView::new(vec![
-        SourcePolicy::authoritative("roster"),
+        SourcePolicy::authoritative("endpoint list"),
         SourcePolicy::advisory("consul"),
     ]);
-    let endpoint = |at: usize| Endpoint {
-        address: Some(([10, 0, 0, 1], 1_000 + at as u16).into()),
-        ..Endpoint::new(name(at))
+    let endpoint = |index: usize| Endpoint {
+        address: Some(([10, 0, 0, 1], 1_000 + index as u16).into()),
+        ..Endpoint::new(instance_name(index))
     };
-    let assertion = |at: usize, lifecycle, version| Assertion {
-        key: name(at),
+    let assertion = |index: usize, lifecycle, version| Assertion {
+        key: instance_name(index),
         lifecycle,
         version,
-        endpoint: Some(endpoint(at)),
+        endpoint: Some(endpoint(index)),
     };
     let ready = || {
         (0..INSTANCES)
-            .map(|at| assertion(at, Lifecycle::Ready, 1))
+            .map(|index| assertion(index, Lifecycle::Ready, 1))
             .collect()
     };
-    for (now, what, source, assertions) in [
-        (0.0, "the first words of the roster", Some(0), ready()),
-        (1.0, "the first words of Consul", Some(1), ready()),
+    for (now_ms, label, source, assertions) in [
+        (0.0, "first update of the endpoint list", Some(0), ready()),
+        (1.0, "first update of Consul", Some(1), ready()),
         (
             2.0,
-            "one word",
+            "one changed endpoint",
             Some(1),
             vec![assertion(7, Lifecycle::Draining, 2)],
         ),
-        (3.0, "Consul is out of touch", None, vec![]),
-        (4.0, "and in touch again", Some(1), vec![]),
+        (3.0, "Consul unreachable", None, vec![]),
+        (4.0, "Consul reachable again", Some(1), vec![]),
     ] {
         let update = SourceUpdate {
             freshness: Freshness::Current,
@@ -270,17 +283,17 @@
             None => endpoint_discovery::Event::SourceLost { source: 1 },
         };
         let (before, start, mut actions) = (ALLOCATOR.stats(), Instant::now(), Vec::new());
-        view.handle(now, event, &mut actions);
-        let (took, after) = (start.elapsed(), ALLOCATOR.stats() - before);
-        let ms = took.as_secs_f64() * 1e3;
+        view.handle(now_ms, event, &mut actions);
+        let (elapsed, allocated) = (start.elapsed(), ALLOCATOR.stats() - before);
+        let ms = elapsed.as_secs_f64() * 1e3;
         println!(
-            "{what:<44} {:>12} {:>10} {ms:>8.2}",
-            after.bytes_allocated, after.allocations
+            "{label:<44} {:>12} {:>10} {ms:>8.2}",
+            allocated.bytes_allocated, allocated.allocations
         );
     }
 }
 
-/// A node that follows many instances while they change.
+/// CPU and memory of a node that follows many instances while they change.
 fn many_instances() {
     println!(
         "\nfollowing {INSTANCES} instances for {} s",
@@ -288,95 +301,100 @@
     );
     println!(
         "{:<44} {:>8} {:>10} {:>12}",
-        "", "CPU %", "memory MB", "answers/s"
+        "", "CPU %", "memory MB", "responses/s"
     );
     let unused = std::net::SocketAddr::from(([127, 0, 0, 1], 9));
-    for (what, with_consul, changes) in [
-        ("not followed", false, 0),
-        ("followed, nothing changes", true, 0),
-        ("followed, 100 changes a second", true, CHANGES_PER_S),
+    for (label, with_consul, changes) in [
+        ("without Consul", false, 0),
+        ("with Consul, no changes", true, 0),
+        ("with Consul, 100 changes/s", true, CHANGES_PER_S),
     ] {
-        let site = site(2, with_consul);
+        let site = start_site(2, with_consul);
         site.consul.change(|catalog| {
-            for at in 2..INSTANCES {
-                catalog.put(Instance::new("holds", &name(at), unused));
+            for index in 2..INSTANCES {
+                catalog.put(Instance::new("holds", &instance_name(index), unused));
             }
         });
-        thread::sleep(time(Duration::from_secs(2)));
+        thread::sleep(duration(Duration::from_secs(2)));
         let (start, cpu_before, queries_before) = (
             Instant::now(),
-            cpu(site.node.process_id()),
+            cpu_time(site.node.process_id()),
             site.consul.query_count(),
         );
-        let mut done = 0;
-        while start.elapsed() < time(FOLLOW_DURATION) {
+        let mut changes_made = 0;
+        while start.elapsed() < duration(FOLLOW_DURATION) {
             if changes > 0 {
-                let status = if done % 2 == 0 { "warning" } else { "passing" };
+                let status = if changes_made % 2 == 0 {
+                    "warning"
+                } else {
+                    "passing"
+                };
                 site.consul
-                    .set_status(&name(2 + done % (INSTANCES - 2)), status);
-                done += 1;
-                let due = Duration::from_secs_f64(done as f64 / changes as f64);
-                thread::sleep(due.saturating_sub(start.elapsed()));
+                    .set_status(&instance_name(2 + changes_made % (INSTANCES - 2)), status);
+                changes_made += 1;
+                let next_change = Duration::from_secs_f64(changes_made as f64 / changes as f64);
+                thread::sleep(next_change.saturating_sub(start.elapsed()));
             } else {
                 thread::sleep(Duration::from_millis(100));
             }
         }
-        let share = (cpu(site.node.process_id()) - cpu_before).as_secs_f64()
+        let cpu_share = (cpu_time(site.node.process_id()) - cpu_before).as_secs_f64()
             / start.elapsed().as_secs_f64();
         let responses =
             (site.consul.query_count() - queries_before) as f64 / start.elapsed().as_secs_f64();
         println!(
-            "{what:<44} {:>8.1} {:>10.1} {responses:>12.1}",
-            share * 100.0,
+            "{label:<44} {:>8.1} {:>10.1} {responses:>12.1}",
+            cpu_share * 100.0,
             memory_mb(site.node.process_id())
         );
     }
 }
 
-/// The figures of each node of a round.
+/// Figures of the nodes of a round: requests per second, median and 99th percentile of the latency in milliseconds, and
+/// CPU time per request in microseconds.
 type Round = [[f64; 4]; 3];
-/// One figure of a round, computed from those of its nodes.
-type Of<'a> = &'a dyn Fn(&Round, usize) -> f64;
+/// Computes a value of a round from one of the figures of its nodes.
+type RoundValue<'a> = &'a dyn Fn(&Round, usize) -> f64;
 
-/// What it costs a request. Two processes of one program differ by some percent for as long as they live: so each round
-/// starts new ones, in another order, and compares two identical ones beside the pair in question.
-pub fn requests() {
+/// Cost of following Consul for a request. Two processes of the same program differ by a few percent throughout their
+/// lifetime. Each round therefore starts new processes in a different order, and compares two identical nodes as well.
+pub fn request_path() {
     println!(
-        "\na request's path, {ROUNDS} rounds of fresh nodes, {} s each, 8 clients, 4 servers",
+        "\nrequest path, {ROUNDS} rounds of newly started nodes, {} s each, 8 clients, 4 servers",
         ROUND_DURATION.as_secs_f64()
     );
     println!(
         "{:<44} {:>10} {:>8} {:>8} {:>10}",
         "", "requests/s", "p50 ms", "p99 ms", "CPU us"
     );
-    let kinds = [false, true, false];
+    let with_consul = [false, true, false];
     let mut rounds = Vec::new();
     for round in 0..count(ROUNDS, 1) {
         let mut figures: Round = [[0.0; 4]; 3];
-        for at in (0..kinds.len()).map(|at| (at + round) % kinds.len()) {
-            figures[at] = path(&site(4, kinds[at]));
+        for index in (0..with_consul.len()).map(|index| (index + round) % with_consul.len()) {
+            figures[index] = measure_requests(&start_site(4, with_consul[index]));
         }
         rounds.push(figures);
     }
-    let median = |of: Of<'_>, part: f64| {
+    let row_figures = |value_of: RoundValue<'_>, fraction: f64| {
         [0, 1, 2, 3].map(|figure| {
             quantile(
                 &mut rounds
                     .iter()
-                    .map(|round| of(round, figure))
+                    .map(|round| value_of(round, figure))
                     .collect::<Vec<_>>(),
-                part,
+                fraction,
             )
         })
     };
-    let rows: [(&str, Of<'_>, f64); 8] = [
+    let rows: [(&str, RoundValue<'_>, f64); 8] = [
         (
-            "without the file, median",
+            "without Consul, median",
             &|round, figure| round[0][figure],
             0.5,
         ),
         (
-            "Consul is followed, median",
+            "with Consul, median",
             &|round, figure| round[1][figure],
             0.5,
         ),
@@ -411,21 +429,22 @@
             0.75,
         ),
     ];
-    for (nth, (what, of, part)) in rows.into_iter().enumerate() {
-        let [rate, p50, p99, cpu] = median(of, part);
-        let digits = if nth < 2 { 0 } else { 3 };
-        println!("{what:<44} {rate:>10.digits$} {p50:>8.3} {p99:>8.3} {cpu:>10.3}");
+    for (index, (label, value_of, fraction)) in rows.into_iter().enumerate() {
+        let [rate, p50, p99, cpu] = row_figures(value_of, fraction);
+        let digits = if index < 2 { 0 } else { 3 };
+        println!("{label:<44} {rate:>10.digits$} {p50:>8.3} {p99:>8.3} {cpu:>10.3}");
     }
 }
 
-fn path(site: &Site) -> [f64; 4] {
-    let (start, before) = (Instant::now(), cpu(site.node.process_id()));
+fn measure_requests(site: &TestSite) -> [f64; 4] {
+    let (start, before) = (Instant::now(), cpu_time(site.node.process_id()));
     let load = Load::start(site.node.address, 8, Duration::ZERO);
-    thread::sleep(time(ROUND_DURATION));
+    thread::sleep(duration(ROUND_DURATION));
     let totals = load.finish();
-    let cpu = (cpu(site.node.process_id()) - before).as_secs_f64();
-    assert_eq!(totals.lost, 0, "no request is lost");
-    let [p50, p99] = [0.5, 0.99].map(|part| totals.latency_quantile(part).as_secs_f64() * 1e3);
+    let cpu = (cpu_time(site.node.process_id()) - before).as_secs_f64();
+    assert_eq!(totals.lost, 0, "the node lost requests");
+    let [p50, p99] =
+        [0.5, 0.99].map(|fraction| totals.latency_quantile(fraction).as_secs_f64() * 1e3);
     [
         totals.sent as f64 / start.elapsed().as_secs_f64(),
         p50,
--- a/crates/measure/src/owners.rs
+++ b/crates/measure/src/owners.rs
@@ -1,5 +1,5 @@
-//! Leases: random faults in virtual time, bounded searches, message costs, and owners that are stopped,
-//! killed and partitioned as processes.
+//! Leases: random faults in virtual time, bounded searches, message costs, and processes of owners that are stopped,
+//! killed and partitioned.
 
 use std::time::{Duration, Instant};
 
@@ -10,15 +10,15 @@
 use testkit::{Fault, Fleet, Load, Register};
 
 use crate::parts::{run_in_processes, SEEDS_PER_PROCESS};
-use crate::system::{count, played_for, quantile, time};
+use crate::system::{configured_duration, count, duration, quantile};
 
 const SEEDS: usize = 100_000;
 const SHARDS: usize = 64;
-/// States that fit the memory of the machine.
+/// Maximum number of states of a search, bounded by the memory of the machine.
 const MAX_STATES: usize = 12_000_000;
 const THREADS: usize = 6;
 
-/// The searches without an injected fault: whether they begin with an owner, and how deep they go.
+/// The searches without an injected fault: whether they begin with an owner, and their depth.
 const SEARCHES: [(bool, SearchDepth); 8] = [
     (false, [10, 0, 0, 0]),
     (false, [5, 1, 0, 0]),
@@ -32,56 +32,61 @@
 
 /// The first word of a line for a seed without a violation; the counts of acquired shards and of rejected
 /// effects follow.
-const PASSED: &str = "held";
+const PASSED: &str = "passed";
 
-/// One seed.
-pub fn trial_of(seed: u64) -> String {
+/// Runs one seed and returns its line.
+pub fn trial_row(seed: u64) -> String {
     match run_trial(seed, InjectedFault::None) {
         Ok(outcome) => format!("{PASSED} {} {}", outcome.acquired, outcome.rejected_effects),
         Err(error) => error.to_string(),
     }
 }
 
-/// Random faults, in virtual time.
-pub fn drawn() {
+/// Random faults in virtual time.
+pub fn random_faults() {
     let seeds = count(SEEDS, 4) as u64;
     let start = Instant::now();
-    let said = run_in_processes("owners-drawn", seeds, SEEDS_PER_PROCESS);
-    let lines = || said.iter().flat_map(|said| said.lines());
-    let sum = |at: usize| {
-        let held = lines().filter(|line| line.starts_with(PASSED));
-        held.filter_map(|line| line.split(' ').nth(at)?.parse::<u64>().ok())
+    let outputs = run_in_processes("owners-drawn", seeds, SEEDS_PER_PROCESS);
+    let lines = || outputs.iter().flat_map(|output| output.lines());
+    let sum = |field: usize| {
+        let passed = lines().filter(|line| line.starts_with(PASSED));
+        passed
+            .filter_map(|line| line.split(' ').nth(field)?.parse::<u64>().ok())
             .sum::<u64>()
     };
-    let held = lines().filter(|line| line.starts_with(PASSED)).count();
+    let passed = lines().filter(|line| line.starts_with(PASSED)).count();
     let failed: Vec<_> = lines().filter(|line| line.starts_with("seed ")).collect();
     println!(
-        "\n{seeds} seeds of drawn troubles, 5 to 8 nodes (one in sixteen 15 to 30), 3 or 5 keepers; {:.0?}",
+        "\n{seeds} seeds of random faults, 5 to 8 nodes (one in sixteen 15 to 30), 3 or 5 acceptors; {:.0?}",
         start.elapsed()
     );
     println!(
-        "shards won {} times; effects of old owners tried and refused: {}",
+        "shards acquired {} times; effects of former owners rejected: {}",
         sum(1),
         sum(2)
     );
-    println!("went well: {held}; failed: {}", failed.len());
+    println!("passed: {passed}; failed: {}", failed.len());
     failed.iter().take(10).for_each(|line| println!("  {line}"));
 }
 
-/// Every order of events within bounds, and injected faults that have to be found: see `testkit::lease_model`.
+/// Searches of all event orders within bounds, and of injected faults that have to be found: see `testkit::lease_model`.
 pub fn model() {
-    let most = count(MAX_STATES, 20_000);
+    let max_states = count(MAX_STATES, 20_000);
     println!(
-        "\nthree keepers, two that ask; steps of a fifth of a lease; at most {most} states each"
+        "\nthree acceptors, two requesters; steps of a fifth of a lease; at most {max_states} states each"
     );
-    println!("bounds: begins with an owner; steps, words held back or doubled, restarts, gifts");
-    let all = SEARCHES.map(|(is_owned, bounds)| (InjectedFault::None, is_owned, bounds));
-    for (injected_fault, is_owned, bounds) in all.into_iter().chain(INJECTED_FAULTS) {
-        let found = search(Bounds::of(injected_fault, is_owned, bounds), most, THREADS);
+    println!("bounds: begins with an owner; steps, messages held back or duplicated, restarts, transfers");
+    let searches = SEARCHES.map(|(is_owned, bounds)| (InjectedFault::None, is_owned, bounds));
+    for (injected_fault, is_owned, bounds) in searches.into_iter().chain(INJECTED_FAULTS) {
+        let found = search(
+            Bounds::of(injected_fault, is_owned, bounds),
+            max_states,
+            THREADS,
+        );
         let extent = if found.is_exhaustive {
-            "all"
+            "exhaustive"
         } else {
-            "in part"
+            "partial"
         };
         let Search {
             states,
@@ -89,27 +94,26 @@
             changed_owners,
             ..
         } = found;
-        println!("{injected_fault:?} {is_owned} {bounds:?}: {states} states, {extent}, {depth} deep, hands changed: {changed_owners}");
+        println!("{injected_fault:?} {is_owned} {bounds:?}: {states} states, {extent}, depth {depth}, owner changes: {changed_owners}");
         if let Some(found) = found.violation {
             println!("  {}: {}", found.violation, found.path.join(", "));
         }
     }
 }
 
-/// The cost of lease messages by the number of nodes, with 64 shards and five acceptors: a minute in steady
-/// state.
+/// Cost of lease messages by the number of nodes, with 64 shards and five acceptors, in a minute of steady state.
 pub fn sizes() {
     println!(
-        "\n{SHARDS} shards, 5 keepers, a minute of virtual time; words with 16 bytes of a seal's stand-in"
+        "\n{SHARDS} shards, 5 acceptors, a minute of virtual time; messages include 16 bytes in place of the seal"
     );
     println!(
         "{:>6} {:>16} {:>16} {:>16} {:>16} {:>20}",
         "nodes",
-        "keeper words/s",
-        "keeper bytes/s",
-        "other words/s",
+        "acceptor msgs/s",
+        "acceptor bytes/s",
+        "other msgs/s",
         "other bytes/s",
-        "us cpu/s a node"
+        "CPU us/s per node"
     );
     for nodes in [5, 30, 300] {
         let nodes = count(nodes, 5);
@@ -123,23 +127,24 @@
                 .map(|node| fleet.simulation.sent_by(node))
                 .collect::<Vec<_>>()
         };
-        let (before, start, long) = (sent(&fleet), Instant::now(), count(60, 1) as f64);
-        fleet.run(long * 1e3);
-        let cpu = start.elapsed().as_secs_f64() * 1e6 / long / nodes as f64;
+        let (before, start, seconds) = (sent(&fleet), Instant::now(), count(60, 1) as f64);
+        fleet.run(seconds * 1e3);
+        let cpu_us = start.elapsed().as_secs_f64() * 1e6 / seconds / nodes as f64;
         let after = sent(&fleet);
-        let mean = |of: std::ops::Range<usize>, what: fn(&Traffic) -> u64| {
-            let count = of.len().max(1) as f64;
-            of.map(|node| what(&after[node]) - what(&before[node]))
+        let mean = |node_range: std::ops::Range<usize>, figure: fn(&Traffic) -> u64| {
+            let count = node_range.len().max(1) as f64;
+            node_range
+                .map(|node| figure(&after[node]) - figure(&before[node]))
                 .sum::<u64>() as f64
                 / count
-                / long
+                / seconds
         };
         println!(
-            "{nodes:>6} {:>16.1} {:>16.0} {:>16.1} {:>16.0} {cpu:>20.0}",
-            mean(0..5, |sent| sent.datagrams),
-            mean(0..5, |sent| sent.bytes),
-            mean(5..nodes, |sent| sent.datagrams),
-            mean(5..nodes, |sent| sent.bytes),
+            "{nodes:>6} {:>16.1} {:>16.0} {:>16.1} {:>16.0} {cpu_us:>20.0}",
+            mean(0..5, |traffic| traffic.datagrams),
+            mean(0..5, |traffic| traffic.bytes),
+            mean(5..nodes, |traffic| traffic.datagrams),
+            mean(5..nodes, |traffic| traffic.bytes),
         );
     }
 }
@@ -147,26 +152,29 @@
 /// Owners that are stopped, killed and partitioned, while six nodes serve requests.
 pub fn processes() {
     for nodes in [9, 30] {
-        play(count(nodes, 4), played_for(Duration::from_secs(600)));
+        run_processes(
+            count(nodes, 4),
+            configured_duration(Duration::from_secs(600)),
+        );
     }
 }
 
-fn play(nodes: usize, long: Duration) {
+fn run_processes(nodes: usize, run_duration: Duration) {
     const SERVING: usize = 6;
-    const PATIENCE: Duration = Duration::from_secs(30);
+    const TAKEOVER_TIMEOUT: Duration = Duration::from_secs(30);
     let register = Register::start();
-    let keepers = if nodes >= 9 {
+    let acceptors = if nodes >= 9 {
         "\"n0\", \"n6\", \"n7\", \"n8\", \"n1\""
     } else {
         "\"n0\", \"n1\", \"n2\""
     };
-    let keeping = format!(
-        "[leases]\nkeepers = [{keepers}]\nfleet_log = \"{}\"\n",
+    let lease_settings = format!(
+        "[leases]\nkeepers = [{acceptors}]\nfleet_log = \"{}\"\n",
         register.address
     );
-    let mut fleet = Fleet::start(nodes, 3, &keeping);
+    let mut fleet = Fleet::start(nodes, 3, &lease_settings);
     fleet.agree_within(Duration::from_secs(60));
-    fleet.wait_for("all is owned", Duration::from_secs(60), |fleet| {
+    fleet.wait_for("all shards are owned", Duration::from_secs(60), |fleet| {
         fleet.all_owned(SHARDS)
     });
     let serving = SERVING.min(nodes - 1);
@@ -174,35 +182,37 @@
         .map(|node| Load::start(fleet.node(node).address, 1, Duration::from_millis(20)))
         .collect();
     let (start, mut rng, mut rounds) = (Instant::now(), fastrand::Rng::with_seed(3), 0);
-    let (mut stopped, mut killed, mut cut) = (Vec::new(), Vec::new(), Vec::new());
-    while start.elapsed() < long {
+    let (mut stopped, mut killed, mut partitioned) = (Vec::new(), Vec::new(), Vec::new());
+    while start.elapsed() < run_duration {
         rounds += 1;
-        // Who serves is stopped and cut off, but not killed, so that every request can have its answer.
+        // Serving nodes are stopped and partitioned, but not killed, so that every request can be answered.
         let kind = rng.u32(..3);
         let node = if kind == 1 {
             rng.usize(serving..nodes)
         } else {
             rng.usize(..nodes)
         };
-        // Half of those that are stopped are the one that acts, else hardly any would have a line on its way.
-        let acting = register
+        // Half of the stopped nodes are the one that wrote last: of other nodes, hardly any would have a line in flight.
+        let last_writer = register
             .last()
-            .and_then(|line| (0..nodes).find(|at| fleet.name(*at) == line.node));
-        let node = acting.filter(|_| kind == 0 && rng.bool()).unwrap_or(node);
-        let own = fleet.owners(node).iter().position(|(_, left)| *left > 0);
+            .and_then(|line| (0..nodes).find(|node| fleet.name(*node) == line.node));
+        let node = last_writer
+            .filter(|_| kind == 0 && rng.bool())
+            .unwrap_or(node);
+        let owned_shard = fleet.owners(node).iter().position(|(_, left)| *left > 0);
         if kind == 0 {
-            // What it says just before it is stopped arrives after its successor has acted.
-            register.delay(fleet.name(node), time(Duration::from_secs(6)));
-            fleet.wait(time(Duration::from_millis(1_200)));
+            // Lines written just before the stop arrive after its successor has written.
+            register.delay(fleet.name(node), duration(Duration::from_secs(6)));
+            fleet.wait(duration(Duration::from_millis(1_200)));
         }
-        let from = Instant::now();
+        let fault_start = Instant::now();
         match kind {
             0 => fleet.pause(node),
             1 => fleet.kill(node),
             _ => {
-                let is_deaf = rng.bool();
+                let cut_inbound = rng.bool();
                 for other in (0..nodes).filter(|other| *other != node) {
-                    let (from, to) = if is_deaf {
+                    let (from, to) = if cut_inbound {
                         (other, node)
                     } else {
                         (node, other)
@@ -211,16 +221,19 @@
                 }
             }
         }
-        if let Some(shard) = own {
-            fleet.wait_for("another owns it", PATIENCE, |fleet| {
-                match fleet.owner(shard) {
+        if let Some(shard) = owned_shard {
+            fleet.wait_for(
+                "another node owns the shard",
+                TAKEOVER_TIMEOUT,
+                |fleet| match fleet.owner(shard) {
                     Ok(owner) if owner != node => Ok(()),
                     other => Err(format!("{other:?}")),
-                }
-            });
-            [&mut stopped, &mut killed, &mut cut][kind as usize].push(from.elapsed().as_secs_f64());
+                },
+            );
+            [&mut stopped, &mut killed, &mut partitioned][kind as usize]
+                .push(fault_start.elapsed().as_secs_f64());
         }
-        fleet.wait(time(Duration::from_millis(rng.u64(..3_000))));
+        fleet.wait(duration(Duration::from_millis(rng.u64(..3_000))));
         match kind {
             0 => {
                 register.delay(fleet.name(node), Duration::ZERO);
@@ -229,41 +242,43 @@
             1 => fleet.start_node(node),
             _ => fleet.apply(&Fault::HealAll),
         }
-        fleet.wait(time(Duration::from_secs(1)));
-        fleet.wait_for("all is owned", PATIENCE, |fleet| fleet.all_owned(SHARDS));
+        fleet.wait(duration(Duration::from_secs(1)));
+        fleet.wait_for("all shards are owned", TAKEOVER_TIMEOUT, |fleet| {
+            fleet.all_owned(SHARDS)
+        });
     }
     let totals: Vec<_> = loads.into_iter().map(Load::finish).collect();
     let sent: u64 = totals.iter().map(|totals| totals.sent).sum();
     let lost: u64 = totals.iter().map(|totals| totals.lost).sum();
     println!(
-        "\n{nodes} processes, {SHARDS} shards, {rounds} owners in trouble, {:.0?}",
+        "\n{nodes} processes, {SHARDS} shards, {rounds} stopped, killed or partitioned nodes, {:.0?}",
         start.elapsed()
     );
     for (name, mut times) in [
         ("stopped", stopped),
         ("killed", killed),
-        ("cut one way", cut),
+        ("one-way cut", partitioned),
     ] {
         if !times.is_empty() {
             let n = times.len();
-            let [p50, p99, most] = [0.5, 0.99, 1.0].map(|part| quantile(&mut times, part));
+            let [p50, p99, max] = [0.5, 0.99, 1.0].map(|fraction| quantile(&mut times, fraction));
             println!(
-                "{name:>12}: {n} times, another acts after s: p50 {p50:.2}, p99 {p99:.2}, most {most:.2}"
+                "{name:>12}: {n} times, takeover after s: p50 {p50:.2}, p99 {p99:.2}, max {max:.2}"
             );
         }
     }
     let log = register.log();
-    let refused = register.rejected();
+    let rejected = register.rejected();
     println!(
-        "lines taken: {}; tried by old owners and refused: {refused}",
-        log.len() - refused
+        "lines accepted: {}; lines of former owners rejected: {rejected}",
+        log.len() - rejected
     );
     println!(
-        "wrongly taken: {}",
+        "violation among the accepted lines: {}",
         register.violation().unwrap_or_else(|| "none".into())
     );
     println!(
-        "requests: {sent} sent, {lost} lost; the server had {}",
+        "requests: {sent} sent, {lost} lost; the server received {}",
         fleet.server.request_count()
     );
 }
--- a/crates/measure/src/system.rs
+++ b/crates/measure/src/system.rs
@@ -1,12 +1,12 @@
-//! What the system tells of a process, and of itself.
+//! Figures of the operating system about the machine and a process, quantiles, and the length of a measurement.
 
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::time::Duration;
 
-/// Ticks a second in `/proc/PID/stat`: the same on every Linux that Rust runs on.
-const TICKS: f64 = 100.0;
+/// Clock ticks per second in `/proc/PID/stat`: the same on every Linux that Rust supports.
+const TICKS_PER_S: f64 = 100.0;
 
-/// Prints the machine.
+/// Prints the number of cores and the processor model of the machine.
 pub fn describe() {
     let info = std::fs::read_to_string("/proc/cpuinfo").unwrap_or_default();
     let model = info
@@ -20,22 +20,22 @@
     );
 }
 
-/// The processor time that a process has used.
+/// Processor time used by a process so far.
 #[must_use]
-pub fn cpu(process: u32) -> Duration {
+pub fn cpu_time(process: u32) -> Duration {
     let stat = std::fs::read_to_string(format!("/proc/{process}/stat")).unwrap_or_default();
-    // The name stands in brackets and may hold spaces; user and system time are the 12th and 13th behind it.
-    let behind = stat.rsplit_once(')').map_or("", |(_, behind)| behind);
-    let ticks: f64 = behind
+    // The process name is parenthesized and may contain spaces; user and system time are the 12th and 13th fields after it.
+    let fields = stat.rsplit_once(')').map_or("", |(_, fields)| fields);
+    let ticks: f64 = fields
         .split_whitespace()
         .skip(11)
         .take(2)
         .filter_map(|n| n.parse::<f64>().ok())
         .sum();
-    Duration::from_secs_f64(ticks / TICKS)
+    Duration::from_secs_f64(ticks / TICKS_PER_S)
 }
 
-/// The memory that a process holds, in MB.
+/// Resident memory of a process, in MB.
 #[must_use]
 pub fn memory_mb(process: u32) -> f64 {
     let status = std::fs::read_to_string(format!("/proc/{process}/status")).unwrap_or_default();
@@ -50,31 +50,31 @@
         / 1024.0
 }
 
-/// The figure at a part of the way through all, in their order.
+/// The value at a fraction of the sorted values, for example 0.5 for the median; NaN without values. Sorts the values.
 #[must_use]
-pub fn quantile(figures: &mut [f64], part: f64) -> f64 {
-    figures.sort_by(f64::total_cmp);
-    figures
-        .get(((figures.len().saturating_sub(1)) as f64 * part) as usize)
+pub fn quantile(values: &mut [f64], fraction: f64) -> f64 {
+    values.sort_by(f64::total_cmp);
+    values
+        .get(((values.len().saturating_sub(1)) as f64 * fraction) as usize)
         .copied()
         .unwrap_or(f64::NAN)
 }
 
 static BRIEF: AtomicBool = AtomicBool::new(false);
-/// How long a moment is: some requests are answered in it on any machine.
-const MOMENT: Duration = Duration::from_millis(150);
+/// Duration of a shortened measurement: enough for some responses on any machine.
+const BRIEF_DURATION: Duration = Duration::from_millis(150);
 
-/// From now on everything is played for a moment only: to see that it still runs, not for its figures.
-pub fn be_brief() {
+/// Shortens all measurements from now on, to check that they run; their figures are meaningless.
+pub fn set_brief() {
     BRIEF.store(true, Ordering::Relaxed);
 }
 
-/// Whether everything is played for a moment only.
+/// Whether measurements are shortened.
 pub fn is_brief() -> bool {
     BRIEF.load(Ordering::Relaxed)
 }
 
-/// So many rounds, requests or changes; few where it is to be brief.
+/// Number of rounds, requests or the like: `wanted`, but at most `brief` in a shortened measurement.
 pub fn count(wanted: usize, brief: usize) -> usize {
     if is_brief() {
         wanted.min(brief)
@@ -83,25 +83,25 @@
     }
 }
 
-/// So long; a moment where it is to be brief.
-pub fn time(wanted: Duration) -> Duration {
+/// Duration of a step: `wanted`, but at most `BRIEF_DURATION` in a shortened measurement.
+pub fn duration(wanted: Duration) -> Duration {
     if is_brief() {
-        wanted.min(MOMENT)
+        wanted.min(BRIEF_DURATION)
     } else {
         wanted
     }
 }
 
-static SECONDS: std::sync::OnceLock<u64> = std::sync::OnceLock::new();
+static CONFIGURED_S: std::sync::OnceLock<u64> = std::sync::OnceLock::new();
 
-/// Subjects that play for a time play for this one.
-pub fn play_for(seconds: u64) {
-    let _ = SECONDS.set(seconds); // Set once, at the start.
+/// Sets the duration of the subjects whose duration can be configured, in seconds.
+pub fn set_duration(seconds: u64) {
+    let _ = CONFIGURED_S.set(seconds); // Called at most once, at the start.
 }
 
-/// For how long such a subject plays: what was asked for, or this.
-pub fn played_for(otherwise: Duration) -> Duration {
-    SECONDS
+/// Configured duration of such a subject, or the default, which a shortened measurement reduces.
+pub fn configured_duration(default: Duration) -> Duration {
+    CONFIGURED_S
         .get()
-        .map_or(time(otherwise), |seconds| Duration::from_secs(*seconds))
+        .map_or(duration(default), |seconds| Duration::from_secs(*seconds))
 }
