--- a/crates/gossip/src/anti_entropy.rs
+++ b/crates/gossip/src/anti_entropy.rs
@@ -12,12 +12,12 @@
 /// datagrams per second.
 const SYNC_BURST: f64 = 8.0;
 const SYNCS_PER_S: f64 = 3.0;
-/// Minimum interval between two death notices to one sender that is dead in this node's table, in
-/// milliseconds. Without the limit, two nodes whose tables list each other as dead would answer
-/// each other endlessly.
+/// Minimum interval between two notifications of one sender that is dead or has left in this node's
+/// table, in milliseconds. Without the limit, two nodes whose tables list each other as dead would
+/// answer each other endlessly.
 const DEATH_NOTICE_INTERVAL_MS: f64 = 200.0;
-/// Minimum interval between two transmissions of all death notices to a dead sender, whichever it
-/// is, in milliseconds, and the maximum number of datagrams in each.
+/// Minimum interval between two transmissions of all death notices, over all receivers together, in
+/// milliseconds, and the maximum number of datagrams in each transmission.
 const DEATH_SYNC_INTERVAL_MS: f64 = 1_000.0;
 const MAX_DEATH_SYNC_DATAGRAMS: usize = 6;
 
@@ -66,9 +66,10 @@
         self.send(from, &records);
     }
 
-    /// Answers a datagram of a node that is dead in this node's table. Notifies the sender, so that
-    /// it can refute its death, and sends it all death notices: after a partition, other nodes on
-    /// the sender's side are likely to be listed as dead, too.
+    /// Answers a datagram of a node that is dead or has left in this node's table. Notifies the
+    /// sender, so that it can refute this, and sends it the notices of all deaths, as far as they
+    /// fit in [`MAX_DEATH_SYNC_DATAGRAMS`]: after a partition, other nodes on the sender's side are
+    /// likely to be listed as dead, too.
     pub(crate) fn notify_dead_sender(&mut self, from: PeerId) {
         let now_ms = self.now_ms;
         let Some(peer) = self.peers.get_mut(&from) else {
@@ -81,7 +82,7 @@
             return;
         }
         peer.last_death_notice_ms = Some(now_ms);
-        self.send(from, &[]); // `write_datagram` adds the death notice of a dead receiver.
+        self.send(from, &[]); // `write_datagram` adds the receiver's own record.
         if now_ms - self.anti_entropy.last_death_sync_ms < DEATH_SYNC_INTERVAL_MS {
             return;
         }
--- a/crates/gossip/src/dissemination.rs
+++ b/crates/gossip/src/dissemination.rs
@@ -184,7 +184,7 @@
         self.dissemination.pending_deaths.push(member);
         self.table.enqueue_update(member);
         if let Some(peer) = peer {
-            // Forwards the notice to the node itself, so that it can refute it at once.
+            // Forwards the notice to the reported node, so that it can refute its death at once.
             let probe = Record::Probe {
                 ack_requested: true,
                 to_observer: false,
--- a/crates/gossip/src/event.rs
+++ b/crates/gossip/src/event.rs
@@ -192,12 +192,12 @@
                  counted"
             ),
             Self::DeclaredDead { by } => {
-                write!(f, "this node was declared dead, reported by {by}")
+                write!(f, "{by} reported that this node is dead or has left")
             }
             Self::Refuted { incarnation } => {
                 write!(
                     f,
-                    "this node refutes its death as incarnation {incarnation}"
+                    "this node refuted its death with incarnation {incarnation}"
                 )
             }
             Self::NameConflict {
--- a/crates/gossip/src/join.rs
+++ b/crates/gossip/src/join.rs
@@ -16,9 +16,9 @@
 use crate::reject_reason::RejectReason;
 use crate::wire::{Datagram, Header, Record};
 
-/// Maximum number of new addresses that are contacted in one tick. 300 nodes are contacted within
-/// some seconds, with at most a few hundred datagrams per second. Also the number of random nodes
-/// that are notified when this node leaves.
+/// Maximum number of new addresses that are contacted in one tick. At the default probe interval
+/// this allows 64 contacts per second, so that 300 nodes are contacted within a few seconds. Also
+/// the maximum number of random nodes that are notified when this node leaves.
 const MAX_CONTACTS_PER_TICK: usize = 16;
 /// Number of initial contacts of a new address, and the interval between them in milliseconds.
 /// After them the address is contacted in rotation with all addresses without a live node.
@@ -251,8 +251,8 @@
         }
     }
 
-    /// Contacts new addresses, and periodically the others, so that restarted nodes and repaired
-    /// links are detected.
+    /// Contacts new addresses, and periodically all other addresses, so that restarted nodes and
+    /// repaired links are detected.
     pub(crate) fn contact_peers(&mut self) {
         let mut addresses = self.new_addresses();
         if self.is_every_nth_probe(1) {
@@ -286,8 +286,9 @@
         }
     }
 
-    /// Addresses that are due for one of their initial contacts; if there are more than
-    /// [`MAX_CONTACTS_PER_TICK`], that many random draws from them.
+    /// Addresses that are due for one of their initial contacts. If there are more than
+    /// [`MAX_CONTACTS_PER_TICK`], the result has this number of random draws from them, with
+    /// replacement.
     fn new_addresses(&mut self) -> Vec<PeerId> {
         if !self.discovery.has_new_addresses {
             return Vec::new();
--- a/crates/gossip/src/local_health.rs
+++ b/crates/gossip/src/local_health.rs
@@ -8,11 +8,10 @@
 use crate::node::Gossip;
 use crate::own_status::OwnStatus;
 
-/// Maximum age, in probe intervals, of the last datagram from a subject that counts as received
-/// from.
+/// Maximum age, in probe intervals, of the last datagram from a subject that counts as healthy.
 const RECEIVED_WINDOW_IN_PROBES: f64 = 5.0;
-/// Maximum age, in probe intervals, of the last ack of an observer that counts as acknowledging. It
-/// is longer because only every second probe requests an ack.
+/// Maximum age, in probe intervals, of the last ack of an observer that counts as healthy. It is
+/// longer because only every second probe requests an ack.
 const ACK_WINDOW_IN_PROBES: f64 = 8.0;
 /// A node is well if it receives from more than this fraction of its subjects, and is acknowledged
 /// by more than this fraction of its observers.
--- a/crates/gossip/src/metrics.rs
+++ b/crates/gossip/src/metrics.rs
@@ -18,7 +18,7 @@
     }
 }
 
-/// Counts since the process started.
+/// Counters of one node's gossip since its process started.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Metrics {
     /// Accepted datagrams.
--- a/crates/gossip/src/observer_rings.rs
+++ b/crates/gossip/src/observer_rings.rs
@@ -45,8 +45,8 @@
     }
 
     /// The observers of `subject`, sorted: its successor on each ring, or in clusters of up to
-    /// [`MAX_NODES_WITH_DISTINCT_OBSERVERS`] the first one that is not an observer yet. The subject
-    /// itself need not be on the rings.
+    /// [`MAX_NODES_WITH_DISTINCT_OBSERVERS`] the first successor that is not an observer yet. The
+    /// subject itself need not be on the rings.
     #[must_use]
     pub fn observers(&self, subject: MemberId) -> Vec<MemberId> {
         let mut observers = Vec::with_capacity(self.rings.len());
--- a/crates/gossip/src/own_status.rs
+++ b/crates/gossip/src/own_status.rs
@@ -69,8 +69,8 @@
         }
     }
 
-    /// Whether this process takes part in failure detection, as it also does while it is declared
-    /// dead.
+    /// Whether this process takes part in failure detection. It continues to do so while it is
+    /// declared dead.
     pub fn is_member(&self) -> bool {
         matches!(
             self.status,
--- a/crates/gossip/src/reject_reason.rs
+++ b/crates/gossip/src/reject_reason.rs
@@ -1,4 +1,4 @@
-//! Reasons for which datagrams and nodes are rejected, and the metrics that count them.
+//! Reasons for which datagrams and nodes are rejected, and the names of their metrics.
 
 /// The reason for which a datagram or a node was rejected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
@@ -40,8 +40,8 @@
         Self::TableFull,
     ];
 
-    /// The last part of the metric's name. It is external, and does not follow the name of the
-    /// variant.
+    /// The last part of the name of the metric that counts this reason. It is external, and does not
+    /// follow the name of the variant.
     #[must_use]
     pub fn metric_name(self) -> &'static str {
         match self {
--- a/crates/gossip/src/suspicion/tests.rs
+++ b/crates/gossip/src/suspicion/tests.rs
@@ -15,15 +15,15 @@
     assert!(is_confirmed(2, 0, 2) && is_confirmed(3, 0, 4));
     assert!(
         !is_confirmed(5, 2, 7),
-        "two of seven voters can reach the node"
+        "a death must not be confirmed if two of seven voters can reach the node"
     );
     assert!(
         !is_confirmed(4, 0, 7),
-        "three of seven voters have not answered"
+        "a death must not be confirmed if three of seven voters have not answered"
     );
     assert!(
         !is_confirmed(3, 1, 4),
-        "one of four voters can reach the node"
+        "a death must not be confirmed if one of four voters can reach the node"
     );
     let own_vote = VoteCount {
         unreachable: 1,
@@ -31,7 +31,7 @@
     };
     assert!(
         !is_confirmed(1, 0, 1) && !is_death_confirmed(own_vote, 1, 1e9, 2_500.0),
-        "a single vote never confirms a death"
+        "a single vote must never confirm a death"
     );
     let two_votes = VoteCount {
         unreachable: 2,
@@ -39,6 +39,6 @@
     };
     assert!(
         is_death_confirmed(two_votes, 7, 5_000.0, 2_500.0),
-        "two unanimous votes confirm a death after twice the suspicion timeout"
+        "two unanimous votes must confirm a death after twice the suspicion timeout"
     );
 }
--- a/crates/gossip/src/tests.rs
+++ b/crates/gossip/src/tests.rs
@@ -149,25 +149,25 @@
     assert_eq!(
         node.rejected(RejectReason::TableFull),
         502,
-        "500 reports and two more are rejected, as this node and the peer take two entries"
+        "502 of the reported nodes must be rejected, as this node and the peer take two entries"
     );
     let logged = node
         .log
         .iter()
         .filter(|event| **event == LogEvent::TableFull);
-    assert_eq!(logged.count(), 1, "the full table is logged once");
+    assert_eq!(logged.count(), 1, "the full table must be logged once");
     node.introduce(1);
     assert_eq!(
         node.state("p1"),
         None,
-        "a node that introduces itself to a full table is rejected"
+        "a node that introduces itself to a full table must be rejected"
     );
     node.receive(0, &[left("n3", 1)]);
     node.receive(1, &[hello(1, PEER_INCARNATION)]);
     assert_eq!(
         (node.state("p1"), node.state("n3")),
         (Some(State::Alive), None),
-        "a new node replaces the one that has left"
+        "a new node must replace the one that has left"
     );
     assert_eq!(node.gossip.members().count(), MAX_MEMBERS);
 }
@@ -191,15 +191,15 @@
     assert_eq!(
         node.state("p1"),
         Some(State::Left),
-        "a datagram of the incarnation that has left does not make it alive"
+        "a datagram of the incarnation that has left must not change the state"
     );
     node.run(HOUR_MS + 120_000.0);
-    assert_eq!(node.state("p1"), None, "the member entry has expired");
+    assert_eq!(node.state("p1"), None, "the member entry must have expired");
     node.receive_with_sequence(1, 1, &[hello(1, PEER_INCARNATION)]);
     assert_eq!(
         node.rejected(RejectReason::Replayed),
         1,
-        "a datagram from before the expiry is rejected as replayed"
+        "a datagram from before the expiry must be rejected as replayed"
     );
     assert_eq!(node.state("p1"), None);
     node.receive(1, &[hello(1, PEER_INCARNATION + 1)]);
@@ -220,7 +220,7 @@
     assert_eq!(
         (node.state("other"), node.state("p0")),
         (None, Some(State::Alive)),
-        "records with too high incarnations are skipped"
+        "records with too high incarnations must be skipped"
     );
     assert_eq!(node.own_incarnation(), OWN_INCARNATION);
     for _ in 0..20 {
@@ -256,7 +256,7 @@
     assert_eq!(
         node.state("p3"),
         Some(State::Suspect),
-        "without votes the death is not confirmed"
+        "without votes the death must not be confirmed"
     );
     let vote = Record::Vote {
         member: suspect,
--- a/crates/gossip/src/transport.rs
+++ b/crates/gossip/src/transport.rs
@@ -10,8 +10,8 @@
 use crate::wire::{open_datagram, Datagram, DatagramWriter, Header, Record};
 
 /// Minimum interval between two answers to datagrams from one address that are addressed to another
-/// process, in milliseconds. An answer is not longer than the datagram that it answers, so replayed
-/// datagrams are not amplified.
+/// process, in milliseconds. It bounds the answers that replayed datagrams can cause to 20 per
+/// second and address.
 const REDIRECT_INTERVAL_MS: f64 = 50.0;
 
 /// The sender of an accepted datagram.
@@ -252,7 +252,8 @@
 
     /// Sends as many of `records` as fit, and fills the remaining space with queued updates. An
     /// introduction includes this node's hello, and a datagram to a node that is dead or has left
-    /// in this node's table includes the record of that. Returns how many of `records` were sent.
+    /// in this node's table includes the record of its death or leave. Returns how many of
+    /// `records` were sent.
     fn write_datagram(
         &mut self,
         to: PeerId,
--- a/crates/gossip/src/wire.rs
+++ b/crates/gossip/src/wire.rs
@@ -5,7 +5,7 @@
 //! | bytes | field |
 //! | --- | --- |
 //! | 1 | version, 1 |
-//! | 4 | cluster: the first four bytes of the hash of its name |
+//! | 4 | cluster tag: the first four bytes of the hash of the cluster's name |
 //! | 8 | process id of the sender |
 //! | 8 | process id of the receiver; 0 if unknown to the sender |
 //! | 4 | sequence number, incremented with each datagram from this process to this receiver |
@@ -32,7 +32,8 @@
 /// Maximum length of a datagram, in bytes. The platform voids a run in which a longer one is sent.
 pub const MAX_DATAGRAM_BYTES: usize = 256;
 /// Maximum length of a payload of another subsystem, in bytes. It fits in a datagram along with the
-/// header, the seal and the mandatory records.
+/// header, the seal and either a death notice or a hello with a name of up to 23 bytes; if it does
+/// not fit, it is not sent.
 pub const MAX_PAYLOAD_BYTES: usize = 180;
 /// Number of buckets into which the member table is divided for anti-entropy. With 300 nodes, each
 /// bucket has about twenty.
@@ -41,14 +42,14 @@
 pub const DEATH_AGE_UNIT_MS: f64 = 250.0;
 
 /// The highest incarnation that is decoded, so that any incarnation can be incremented.
-/// Incarnations start at the Unix time in milliseconds, which is about a millionth of it.
+/// Incarnations start at the Unix time in milliseconds, which is less than a millionth of it.
 const MAX_INCARNATION: u64 = 1 << 62;
 
 const VERSION: u8 = 1;
 const CLUSTER_TAG_BYTES: usize = 4;
 const HEADER_BYTES: usize = 1 + CLUSTER_TAG_BYTES + 8 + 8 + 4;
 
-/// The header of a datagram, without version and cluster.
+/// The header of a datagram, without the version and the cluster tag.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Header {
     /// Process id of the sender.
--- a/crates/gossip/src/wire/golden_tests.rs
+++ b/crates/gossip/src/wire/golden_tests.rs
@@ -115,7 +115,7 @@
 
 /// These names are the last parts of the metrics `edge_router.fleet_refused.*`.
 #[test]
-fn rejection_metric_names_are_the_recorded_ones() {
+fn rejection_metric_names_and_order_are_stable() {
     let positions: Vec<_> = RejectReason::ALL
         .iter()
         .map(|reason| *reason as usize)
@@ -143,7 +143,7 @@
 
 /// `MEMBERS` and `members --json` show these names, and `edge_router.fleet_health` these numbers.
 #[test]
-fn state_and_health_names_are_the_recorded_ones() {
+fn state_and_health_values_are_stable() {
     use crate::member::{Health, State};
     let states = [State::Alive, State::Suspect, State::Dead, State::Left];
     assert_eq!(
--- a/crates/gossip/src/wire/record.rs
+++ b/crates/gossip/src/wire/record.rs
@@ -5,7 +5,7 @@
 use super::{DIGEST_BUCKETS, MAX_INCARNATION, MAX_PAYLOAD_BYTES};
 use crate::member_id::{is_valid_node_name, MemberId};
 
-/// Length of the kind and length of a record, in bytes.
+/// Length of the kind and length fields of a record, in bytes.
 const RECORD_HEADER_BYTES: usize = 2;
 
 /// A report that a node was declared dead.
--- a/crates/gossip/tests/scenarios/hostile_input.rs
+++ b/crates/gossip/tests/scenarios/hostile_input.rs
@@ -29,7 +29,7 @@
         [0, 1, 3, 4]
             .iter()
             .all(|viewer| cluster.state(*viewer, 2) == Some(State::Dead)),
-        "replayed datagrams do not make the killed node alive"
+        "every view must still list the killed node as dead after replayed datagrams"
     );
     let rejected = |viewer: usize| {
         cluster
@@ -42,7 +42,7 @@
             .map(|viewer| rejected(*viewer))
             .sum::<u64>()
             > 20,
-        "more than 20 replayed datagrams are rejected"
+        "more than 20 replayed datagrams must be rejected"
     );
 }
 
--- a/crates/gossip/tests/scenarios/links.rs
+++ b/crates/gossip/tests/scenarios/links.rs
@@ -81,31 +81,35 @@
         assert_eq!(
             faulty_link.burst.probability > 0.0,
             faults.lost > 100,
-            "{faulty_link:?}: {faults:?}"
+            "more than 100 datagrams must be lost if and only if the link has bursts: \
+             {faulty_link:?}, {faults:?}"
         );
         assert_eq!(
             faulty_link.duplication > 0.0,
             faults.duplicated > 100,
-            "{faulty_link:?}: {faults:?}"
+            "more than 100 datagrams must be duplicated if and only if the link duplicates: \
+             {faulty_link:?}, {faults:?}"
         );
         assert_eq!(
             faulty_link.corruption > 0.0,
             faults.corrupted > 100,
-            "{faulty_link:?}: {faults:?}"
+            "more than 100 datagrams must be corrupted if and only if the link corrupts: \
+             {faulty_link:?}, {faults:?}"
         );
         assert_eq!(
             faulty_link.replay > 0.0,
             faults.replayed > 100,
-            "{faulty_link:?}: {faults:?}"
+            "more than 100 datagrams must be replayed if and only if the link replays: \
+             {faulty_link:?}, {faults:?}"
         );
         let rejected = |reason| cluster.metrics(0).rejected_for(reason);
         assert!(
             faulty_link.corruption == 0.0 || rejected(RejectReason::BadSeal) > 10,
-            "more than 10 corrupted datagrams are rejected"
+            "more than 10 corrupted datagrams must be rejected"
         );
         assert!(
             faulty_link.duplication == 0.0 || rejected(RejectReason::Replayed) > 100,
-            "more than 100 duplicates are rejected"
+            "more than 100 duplicates must be rejected"
         );
         cluster.heal();
         cluster.agree_within(CONVERGENCE_MS);
--- a/crates/gossip/tests/scenarios/partitions.rs
+++ b/crates/gossip/tests/scenarios/partitions.rs
@@ -17,7 +17,7 @@
 }
 
 #[test]
-fn node_that_receives_nothing_declares_nobody_dead() {
+fn node_that_receives_nothing_declares_none_dead() {
     for (seed, nodes) in [(1, 4), (2, 7), (3, 20)] {
         let mut cluster = VirtualCluster::started(seed, nodes);
         let since_ms = cluster.simulation.now_ms();
@@ -27,7 +27,7 @@
         assert_eq!(cluster.health(0), Health::Isolated);
         assert!(
             (1..nodes).all(|viewer| cluster.state(viewer, 0) == Some(State::Alive)),
-            "n0 stays alive in the other views, as its probes are received"
+            "n0 must stay alive in the other views, as its probes are received"
         );
         cluster.heal();
         cluster.agree_within(CONVERGENCE_MS);
@@ -57,7 +57,7 @@
             .all(|(_, _, name)| name == "n0"));
         assert!(
             (1..nodes).all(|viewer| cluster.state(viewer, 0) == Some(State::Dead)),
-            "n0 stays dead while it cannot send"
+            "n0 must stay dead while it cannot send"
         );
         cluster.heal();
         cluster.agree_within(CONVERGENCE_MS);
--- a/crates/gossip/tests/scenarios/pauses.rs
+++ b/crates/gossip/tests/scenarios/pauses.rs
@@ -139,7 +139,7 @@
         );
         assert!(
             ms > SUSPICION_TIMEOUT_MS || deaths.is_empty(),
-            "a pause of {ms} ms is tolerated: {deaths:?}"
+            "a pause of {ms} ms must be tolerated: {deaths:?}"
         );
     }
 }
--- a/crates/gossip/tests/scenarios/restarts.rs
+++ b/crates/gossip/tests/scenarios/restarts.rs
@@ -31,7 +31,7 @@
         cluster.run(500.0);
         assert!(
             (1..nodes).all(|viewer| cluster.state(viewer, 0) == Some(State::Left)),
-            "n0 has left in all views"
+            "n0 must have left in all views"
         );
     }
 }
@@ -120,6 +120,6 @@
         .all(|(_, _, name)| name == "n1"));
     assert!(
         cluster.deaths_since(since_ms + 20_000.0).is_empty(),
-        "no node is declared dead once the conflict is resolved"
+        "no node may be declared dead once the conflict is resolved"
     );
 }
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -113,7 +113,11 @@
         fleet.quorum_verdicts()
     );
     wait_for_log(&mut fleet, 0, "this process was paused");
-    wait_for_log(&mut fleet, 0, "this node refutes its death as incarnation");
+    wait_for_log(
+        &mut fleet,
+        0,
+        "this node refuted its death with incarnation",
+    );
 }
 
 #[test]
@@ -146,7 +150,7 @@
             node != 0 || fleet.members(0).own_state == "gone"
         })
     });
-    wait_for_log(&mut fleet, 0, "this node was declared dead");
+    wait_for_log(&mut fleet, 0, "reported that this node is dead or has left");
     fleet.apply(&Fault::HealAll);
     fleet.agree_within(TIMEOUT);
     assert_eq!(deaths_except(&fleet, 0), []);
