--- a/crates/flow-control/src/transfer_rate.rs
+++ b/crates/flow-control/src/transfer_rate.rs
@@ -1,7 +1,8 @@
 //! Minimum transfer rates: the time by which a peer must have transferred more data.
 //!
 //! Owns the minimum rates of uploads and streamed bodies and the stall timeout of responses. Invariant:
-//! a peer that keeps to the minimum rate never reaches its deadline, however its data is split.
+//! a peer whose data arrives at the minimum rate or faster never reaches its deadline, provided that no
+//! chunk takes longer than the grace period at the minimum rate.
 
 /// Minimum rate of a request body that a client uploads: three quarters of the rate of the slowest
 /// clients.
--- a/crates/flow-control/src/transfer_rate/tests.rs
+++ b/crates/flow-control/src/transfer_rate/tests.rs
@@ -16,7 +16,8 @@
 }
 
 proptest! {
-    /// A peer at the minimum rate never reaches its deadline, however its data is split; a slower peer does.
+    /// After each chunk from a peer at the minimum rate, the deadline is the whole grace period ahead, however the
+    /// data is split. A slower peer reaches its deadline.
     #[test]
     fn peer_at_minimum_rate_never_reaches_its_deadline(
         chunks in proptest::collection::vec(1..100_000_usize, 1..100),
--- a/src/node/downstream/body_stream.rs
+++ b/src/node/downstream/body_stream.rs
@@ -21,7 +21,7 @@
 /// Number of chunks buffered between sender and receiver: one is written while the next is read.
 const CHANNEL_CAPACITY: usize = 1;
 
-/// Maximum time to wait until the receiver has room for the end of a body.
+/// Maximum time to wait until the receiver has room for the end marker of a body.
 const FINISH_TIMEOUT: Duration = Duration::from_secs(5);
 
 /// Why a body could not be streamed to its end.
--- a/src/node/downstream/connection_table.rs
+++ b/src/node/downstream/connection_table.rs
@@ -22,11 +22,11 @@
 
 /// Interval at which timeouts and free slots are checked.
 const CHECK_INTERVAL: Duration = Duration::from_millis(100);
-/// How long a new connection waits for a free slot before another connection is evicted.
+/// Interval at which a new connection that is waiting for a free slot tries again to evict another connection.
 const EVICTION_RETRY_INTERVAL: Duration = Duration::from_millis(5);
 
-/// Fraction of the table's size, as numerator and denominator, that clients can occupy with connections for requests. The
-/// table's size is half of the node's descriptors.
+/// Share of the table, as (numerator, denominator), that clients are assumed to occupy at most with connections that carry
+/// requests. The table has room for half as many connections as the node has file descriptors.
 const CLIENT_SHARE: (usize, usize) = (2, 3);
 /// One in this many of the connections that clients can occupy is kept free for the next request. This is several times the
 /// number of requests and responses in transit at a time. Free connections are needed because clients get no further
@@ -141,8 +141,8 @@
     /// in a response loses no request.
     ///
     /// Clients that send one request and keep their connection open would together occupy all connections that clients can
-    /// have, and leave none for other clients. If a new connection is waiting for a slot, the first caller closes its
-    /// connection; later callers do so only if the new connection is still waiting at its next attempt.
+    /// have, and leave none for other clients. While a new connection is waiting for a slot, each of its attempts to evict
+    /// another connection makes the next call return `true`, so that one response per attempt closes its connection.
     #[must_use]
     pub fn should_close_after_response(&self, connection: &TrackedConnection) -> bool {
         if self.is_retaining.get() {
--- a/src/node/downstream/connection_table/eviction.rs
+++ b/src/node/downstream/connection_table/eviction.rs
@@ -18,7 +18,8 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum Rank {
     Lingering,
-    /// No bytes have been received since the accept, or a head has been received in part and has stalled.
+    /// No bytes have been received within [`REQUEST_ARRIVAL_TIME`] of the accept, or a head has been received in part and
+    /// has stalled.
     Stalled,
     IdleAfterFirstRequest,
     IdleAfterReuse,
--- a/src/node/downstream/connection_table/tracked_connection.rs
+++ b/src/node/downstream/connection_table/tracked_connection.rs
@@ -17,7 +17,7 @@
 /// [`ConnectionPolicy::CloseIdle`], and a new connection without received bytes has stalled after it.
 pub(super) const REQUEST_ARRIVAL_TIME: Duration = Duration::from_millis(100);
 
-/// What happens on a connection at present.
+/// Current activity of a connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Stage {
     /// The connection has been accepted and no bytes have been received.
--- a/src/node/downstream/server.rs
+++ b/src/node/downstream/server.rs
@@ -1,4 +1,4 @@
-//! The server for clients: accepts connections, spawns a task for each, and returns once all of them are closed. Owns the
+//! The server that accepts client connections: spawns a task for each, and returns once all of them are closed. Owns the
 //! state that the connections share: the connection table, the memory budget of uploads and the ids of the requests in
 //! progress.
 
@@ -30,7 +30,7 @@
 /// Pause after a connection could not be accepted, for example because the process has no free descriptors.
 pub const ACCEPT_RETRY_INTERVAL: Duration = Duration::from_millis(10);
 
-/// Options of the server for clients.
+/// Options of the server that accepts client connections.
 #[derive(Clone)]
 pub struct ServerOptions {
     /// Receiver of the phase of the node's shutdown.
@@ -60,7 +60,7 @@
     }
 }
 
-/// State that all connections of clients share.
+/// State that all client connections share.
 pub(super) struct ServerState {
     pub(super) dispatcher: Rc<Dispatcher>,
     pub(super) options: ServerOptions,
--- a/src/node/downstream/shutdown.rs
+++ b/src/node/downstream/shutdown.rs
@@ -55,7 +55,7 @@
     }
 }
 
-/// What a connection does when the connection table requests its close.
+/// How a connection is handled when the connection table requests its close.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum CloseMode {
     /// Keeps the connection open: a request is in progress or has just arrived.
