--- a/crates/pool/src/idle_timeout.rs
+++ b/crates/pool/src/idle_timeout.rs
@@ -13,7 +13,8 @@
 const MIN_PEER_TIMEOUT_MS: f64 = 200.0;
 /// Fraction of the peer's timeout after which the pool closes an idle connection.
 const EXPIRY_FRACTION: f64 = 0.8;
-/// Growth factor of the estimated timeout per minute, because the close may have had another reason.
+/// Growth factor of the estimated timeout per minute, because the close that it was estimated from may have had
+/// another reason than the peer's idle timeout.
 const GROWTH_PER_MINUTE: f64 = 1.1;
 const MS_PER_MINUTE: f64 = 60_000.0;
 
--- a/crates/pool/src/server.rs
+++ b/crates/pool/src/server.rs
@@ -69,8 +69,9 @@
 #[derive(Clone, Debug)]
 pub(crate) struct PendingCheckout {
     pub checkout: CheckoutId,
-    /// Time at which it fails unless a race runs for it, in milliseconds.
+    /// Time from which the checkout fails unless it has a dial race, in milliseconds.
     pub deadline_ms: f64,
+    /// Whether a dial race is assigned to the checkout.
     pub has_race: bool,
     /// Routes that its connection must not use.
     pub avoid: Vec<RouteId>,
@@ -374,8 +375,8 @@
         if !is_throttled {
             return f64::INFINITY;
         }
-        let missing = (1.0 - self.dial_tokens.tokens).max(MIN_MISSING_TOKENS);
-        now_ms + missing * MS_PER_S / dials_per_s.max(MIN_SLOW_START_DIALS_PER_S)
+        let missing_tokens = (1.0 - self.dial_tokens.tokens).max(MIN_MISSING_TOKENS);
+        now_ms + missing_tokens * MS_PER_S / dials_per_s.max(MIN_SLOW_START_DIALS_PER_S)
     }
 }
 
--- a/crates/pool/tests/dial_races.rs
+++ b/crates/pool/tests/dial_races.rs
@@ -250,7 +250,7 @@
     assert_eq!(
         harness.dialing(),
         [V6, V4, V4],
-        "the race that tests it must go on after the short stagger"
+        "the race that tests the failed address must dial the next address after the short stagger"
     );
     harness.finish_dial(V4, true);
     harness.finish_dial(V6, true);
--- a/src/node/dispatcher/timers.rs
+++ b/src/node/dispatcher/timers.rs
@@ -16,8 +16,8 @@
 
 /// Maximum duration of a balancer timer; longer ones are shortened to it.
 const MAX_TIMER: Duration = Duration::from_secs(71 * 60);
-/// Lateness from which on wake-ups are logged at the next maintenance, because responses are delayed by as much.
-const REPORTED_LATENESS: Duration = Duration::from_millis(20);
+/// Minimum lateness of a wake-up that is logged at the next maintenance, because responses are delayed by as much.
+const MIN_REPORTED_LATENESS: Duration = Duration::from_millis(20);
 /// Interval at which expired idle connections are closed and the lateness of wake-ups is checked.
 const MAINTENANCE_INTERVAL: Duration = Duration::from_secs(1);
 
@@ -109,7 +109,7 @@
         loop {
             ticks.tick().await;
             self.servers.close_expired();
-            if self.timers.max_lateness.get() >= REPORTED_LATENESS {
+            if self.timers.max_lateness.get() >= MIN_REPORTED_LATENESS {
                 self.report_lateness();
             }
         }
--- a/src/node/upstream/response.rs
+++ b/src/node/upstream/response.rs
@@ -38,8 +38,8 @@
     status.is_client_error() && !server_state_statuses.contains(&status)
 }
 
-/// Decodes a `Srv-Load` header. A malformed header, and a field without `=`, is logged and ignored. A value that is
-/// not a finite non-negative number counts as absent.
+/// Decodes a `Srv-Load` header. Returns `None` and logs the error if the header is malformed. A field without `=` is
+/// logged and skipped. A value that is not a finite non-negative number counts as absent.
 #[must_use]
 pub fn decode_load_report(value: &HeaderValue) -> Option<LoadReport> {
     let text = value
