--- a/crates/consul/src/watch/event.rs
+++ b/crates/consul/src/watch/event.rs
@@ -28,7 +28,7 @@
     ConnectionFailed(String),
 }
 
-/// Reason for which the body of a response is rejected.
+/// The reason why the body of a response is rejected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ResponseError {
     /// The body is not a complete JSON array.
@@ -102,7 +102,7 @@
                 "{count} instances do not identify an endpoint; check `id` in the operators' file"
             ),
             Self::InvalidIndex => f.write_str(
-                "the index is missing, decreased or did not change with the content; changes are deferred until confirmed",
+                "X-Consul-Index is missing, decreased or did not change with the content; changes are deferred until confirmed",
             ),
         }
     }
--- a/crates/endpoint-discovery/src/merge.rs
+++ b/crates/endpoint-discovery/src/merge.rs
@@ -1,7 +1,7 @@
 //! The merge table: combines the assertions of all sources about one endpoint into an outcome.
 //!
 //! `docs/endpoint-discovery/design.md` shows it as a table; `tests/merge_table.rs` checks the code
-//! against it, cell by cell.
+//! against it, entry by entry.
 
 use crate::endpoint::Lifecycle;
 
@@ -12,7 +12,8 @@
     Live,
     /// The source is unreachable or responds with outdated data: its last assertions are retained.
     Stale,
-    /// The source has been stale for longer than its assertions are retained.
+    /// The source has been stale for longer than the policy permits: its removals lapse, while its
+    /// listings and drains remain in effect.
     Expired,
 }
 
@@ -32,17 +33,18 @@
 /// The outcome of all sources' assertions about an endpoint.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum MergeOutcome {
-    /// It accepts requests.
+    /// The endpoint may get new requests.
     Ready,
-    /// It gets no new requests.
+    /// The endpoint gets no new requests.
     Draining,
-    /// A source's assertion removes it.
+    /// A source's assertion removes the endpoint.
     Removed {
-        /// Whether a source that has not expired asserts that it is ready, and no source drains it.
+        /// Whether a source that has not expired asserts that the endpoint is ready, and no source
+        /// drains it.
         /// Disputed endpoints are used as the last resort if no endpoint is ready.
         disputed: bool,
     },
-    /// No source that may add endpoints lists it.
+    /// No source that may add endpoints lists the endpoint.
     Unlisted,
 }
 
--- a/crates/endpoint-discovery/src/source/pending.rs
+++ b/crates/endpoint-discovery/src/source/pending.rs
@@ -19,11 +19,14 @@
     OnceConfirmed,
 }
 
-/// Counts of the removals within the panic window, including the pending ones.
-struct RemovalCount {
-    /// Number of removed endpoints.
+/// Numbers of endpoints from which the share of removed endpoints is calculated.
+struct RemovalShare {
+    /// Number of endpoints that were removed within the panic window without a drain before, and of
+    /// those whose removal is pending.
     removed: usize,
-    /// Number of endpoints that the source had before these removals.
+    /// Number of endpoints that are ready, that were removed within the panic window without a drain
+    /// before, or that have a pending removal and no effective lifecycle yet. Draining endpoints are
+    /// not included.
     total: usize,
 }
 
@@ -103,7 +106,7 @@
         }
         self.is_mass_removal_reported = is_deferred;
         let source = self.policy.name.clone();
-        let RemovalCount { removed, total } = self.count_removals();
+        let RemovalShare { removed, total } = self.removal_share();
         log_events.push(if is_deferred {
             LogEvent::MassRemovalDeferred {
                 source,
@@ -146,14 +149,14 @@
             .filter(|record| record.has_pending_removal())
     }
 
-    fn count_removals(&self) -> RemovalCount {
+    fn removal_share(&self) -> RemovalShare {
         let pending = self.pending_removals().count();
         let without_effect = self
             .pending_removals()
             .filter(|record| record.effective.is_none())
             .count();
         let removed = self.recent_removals.len();
-        RemovalCount {
+        RemovalShare {
             removed: removed + pending,
             total: self.ready_count + removed + without_effect,
         }
@@ -162,7 +165,7 @@
     /// Whether the removals within the window exceed the panic threshold. Guards against a source
     /// that lost its data, or whose health checks all fail for a reason unrelated to the servers.
     fn is_mass_removal(&self) -> bool {
-        let RemovalCount { removed, total } = self.count_removals();
+        let RemovalShare { removed, total } = self.removal_share();
         self.pending_removals().count() > 0
             && removed as f64 > self.policy.panic_share * total as f64
     }
--- a/crates/endpoint-discovery/tests/merge_table.rs
+++ b/crates/endpoint-discovery/tests/merge_table.rs
@@ -1,4 +1,4 @@
-//! The merge table of `docs/endpoint-discovery/design.md`, cell by cell.
+//! The merge table of `docs/endpoint-discovery/design.md`, entry by entry.
 
 use endpoint_discovery::{merge, EffectiveAssertion, Lifecycle, MergeOutcome, SourceStatus};
 
@@ -148,21 +148,21 @@
     };
     for lifecycle in LIFECYCLES.into_iter().flatten() {
         for may_add_endpoints in [false, true] {
-            let all = [
+            let assertions = [
                 assertion(Lifecycle::Ready, true),
                 assertion(Lifecycle::Draining, false),
                 assertion(lifecycle, may_add_endpoints),
             ];
             assert_ne!(
-                merge(&all),
+                merge(&assertions),
                 MergeOutcome::Ready,
                 "third source asserts {lifecycle:?}"
             );
-            let all = [
+            let assertions = [
                 assertion(Lifecycle::Ready, false),
                 assertion(lifecycle, false),
             ];
-            assert_eq!(merge(&all), MergeOutcome::Unlisted);
+            assert_eq!(merge(&assertions), MergeOutcome::Unlisted);
         }
     }
     assert_eq!(merge(&[]), MergeOutcome::Unlisted);
