--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -1,4 +1,4 @@
-//! Clusters of several processes of the program, with faults in the network between them.
+//! Membership of clusters of several node processes, with faults injected into the network between them.
 
 use std::net::UdpSocket;
 use std::time::Duration;
@@ -7,9 +7,9 @@
     config, endpoint_list, settings, wait_until, Discovery, Fault, Fleet, Link, Load, Node,
 };
 
-/// Short timings, so that a test of several cases takes seconds.
-const TIMES: &str = "probe_ms = 200\nsuspect_ms = 1000\n";
-/// How long a test waits for what must happen; a busy machine may need most of it.
+/// Probe interval and suspicion timeout, short enough that a test of several cases takes seconds.
+const MEMBERSHIP_SETTINGS: &str = "probe_ms = 200\nsuspect_ms = 1000\n";
+/// Time limit for an expected condition; a busy machine may need most of it.
 const TIMEOUT: Duration = Duration::from_secs(30);
 
 fn ms(ms: u64) -> Duration {
@@ -17,15 +17,15 @@
 }
 
 fn started_cluster(nodes: usize, seed: u64) -> Fleet {
-    let mut fleet = Fleet::start(nodes, seed, TIMES);
+    let mut fleet = Fleet::start(nodes, seed, MEMBERSHIP_SETTINGS);
     fleet.agree_within(TIMEOUT);
-    fleet.wait_for("all nodes are well", TIMEOUT, |fleet| {
+    fleet.wait_for("all nodes report the health `well`", TIMEOUT, |fleet| {
         at_all_nodes(fleet, |fleet, node| fleet.members(node).health == "well")
     });
     fleet
 }
 
-/// Whether a condition holds at all running nodes; the error lists those at which it does not.
+/// Checks that a condition holds at all running nodes; the error lists the nodes at which it does not.
 fn at_all_nodes(fleet: &Fleet, condition: impl Fn(&Fleet, usize) -> bool) -> Result<(), String> {
     let failing: Vec<_> = (0..fleet.len())
         .filter(|node| fleet.is_up(*node) && !condition(fleet, *node))
@@ -33,20 +33,20 @@
     if failing.is_empty() {
         Ok(())
     } else {
-        Err(format!("not at nodes {failing:?}"))
+        Err(format!("the condition does not hold at nodes {failing:?}"))
     }
 }
 
 /// Waits until all other running nodes report a node in this state.
 fn wait_for_state(fleet: &mut Fleet, node: usize, state: &str) {
     fleet.wait_for(&format!("n{node} is {state}"), TIMEOUT, |fleet| {
-        at_all_nodes(fleet, |fleet, of| {
-            of == node || fleet.members(of).state(&format!("n{node}")) == state
+        at_all_nodes(fleet, |fleet, observer| {
+            observer == node || fleet.members(observer).state(&format!("n{node}")) == state
         })
     });
 }
 
-/// Waits until a node's log contains a text.
+/// Waits until a line of a node's log contains a text.
 fn wait_for_log(fleet: &mut Fleet, node: usize, text: &str) {
     fleet.wait_for(text, TIMEOUT, |fleet| {
         let log = fleet.log(node);
@@ -58,7 +58,7 @@
     });
 }
 
-/// Which nodes but one were declared dead, and by which.
+/// Death reports about all nodes except one, each as the reporting node and the name of the dead one.
 fn deaths_except(fleet: &Fleet, node: usize) -> Vec<(usize, String)> {
     fleet
         .gone_reports()
@@ -68,7 +68,7 @@
 }
 
 #[test]
-fn kill_leave_and_restart_are_detected_by_all() {
+fn crashed_left_and_restarted_nodes_are_detected_by_all() {
     let mut fleet = started_cluster(5, 1);
     fleet.kill(2);
     wait_for_state(&mut fleet, 2, "gone");
@@ -79,13 +79,21 @@
     fleet.start_node(4);
     fleet.agree_within(TIMEOUT);
     assert_eq!(deaths_except(&fleet, 2), []);
-    // The logs are parsed, so that the absence of deaths in other tests means something.
-    assert!(fleet.gone_reports().iter().any(|(_, name)| name == "n2"));
-    assert!(fleet.quorum_verdicts().iter().any(|(_, name)| name == "n2"));
+    // The parser of the logs finds a real death: otherwise the tests that expect no deaths would prove nothing.
+    assert!(
+        fleet.gone_reports().iter().any(|(_, name)| name == "n2"),
+        "the logs report the death of n2: {:?}",
+        fleet.gone_reports()
+    );
+    assert!(
+        fleet.quorum_verdicts().iter().any(|(_, name)| name == "n2"),
+        "a quorum declares n2 dead: {:?}",
+        fleet.quorum_verdicts()
+    );
 }
 
 #[test]
-fn short_pauses_are_tolerated_and_resumed_nodes_refute_their_death() {
+fn short_pauses_are_tolerated_and_resumed_nodes_refute_death() {
     let mut fleet = started_cluster(7, 2);
     for node in [0, 3, 0] {
         fleet.apply(&Fault::Pause { node, ms: 300.0 });
@@ -95,9 +103,9 @@
     assert_eq!(
         fleet.gone_reports(),
         [],
-        "a pause below the suspicion timeout never causes a death"
+        "pauses below the suspicion timeout cause no death"
     );
-    // A third of the cluster at the same moment, for far longer.
+    // Two of the seven nodes are paused at the same time, for longer than the suspicion timeout.
     fleet.pause(0);
     fleet.pause(1);
     wait_for_state(&mut fleet, 0, "gone");
@@ -109,7 +117,7 @@
     let is_wrong = |(by, name): &(usize, String)| *by < 2 || !["n0", "n1"].contains(&name.as_str());
     assert!(
         !fleet.quorum_verdicts().iter().any(is_wrong),
-        "a resumed node declares nobody dead: {:?}",
+        "only n0 and n1 are declared dead, and only by the other nodes: {:?}",
         fleet.quorum_verdicts()
     );
     wait_for_log(&mut fleet, 0, "this process was paused");
@@ -117,11 +125,11 @@
 }
 
 #[test]
-fn one_way_partitions_kill_only_the_node_that_cannot_send() {
+fn one_way_partitions_cause_death_only_of_a_node_unable_to_send() {
     let mut fleet = started_cluster(6, 3);
-    // n0 receives nothing: nobody is declared dead, and n0 reports that it is isolated.
+    // n0 receives nothing: no node is declared dead, and n0 reports that it is isolated.
     (1..6).for_each(|from| fleet.apply(&Fault::Cut { from, to: 0 }));
-    fleet.wait_for("n0 notices", TIMEOUT, |fleet| {
+    fleet.wait_for("n0 reports that it is isolated", TIMEOUT, |fleet| {
         at_all_nodes(fleet, |fleet, node| {
             node != 0 || fleet.members(0).health == "isolated"
         })
@@ -130,7 +138,7 @@
     assert_eq!(fleet.gone_reports(), []);
     fleet.apply(&Fault::HealAll);
     fleet.agree_within(TIMEOUT);
-    // Two receive nothing from each other, and one nothing from another.
+    // n1 and n2 receive nothing from each other, and n4 receives nothing from n3.
     fleet.apply(&Fault::Cut { from: 1, to: 2 });
     fleet.apply(&Fault::Cut { from: 2, to: 1 });
     fleet.apply(&Fault::Cut { from: 3, to: 4 });
@@ -138,10 +146,10 @@
     assert_eq!(fleet.gone_reports(), []);
     fleet.apply(&Fault::HealAll);
     fleet.agree_within(TIMEOUT);
-    // n0 cannot send: it is dead to all, and is notified of that.
+    // n0 cannot send: all others declare it dead, and it receives their death notice.
     (1..6).for_each(|to| fleet.apply(&Fault::Cut { from: 0, to }));
     wait_for_state(&mut fleet, 0, "gone");
-    fleet.wait_for("n0 notices", TIMEOUT, |fleet| {
+    fleet.wait_for("n0 reports its own state as `gone`", TIMEOUT, |fleet| {
         at_all_nodes(fleet, |fleet, node| {
             node != 0 || fleet.members(0).own_state == "gone"
         })
@@ -152,15 +160,15 @@
     assert_eq!(deaths_except(&fleet, 0), []);
     assert!(
         fleet.relay_totals().faults.cut > 100,
-        "{:?}",
+        "the partitions dropped more than 100 datagrams: {:?}",
         fleet.relay_totals()
     );
 }
 
-/// Each node receives nothing from the one before; only a ring of one-way links is left; half receives nothing from the
-/// other half.
+/// Three partitions in turn: each node receives nothing from its predecessor; only one-way links from each node to the
+/// second after it are left; one half of the cluster receives nothing from the other half.
 #[test]
-fn asymmetric_partitions_kill_no_reachable_node() {
+fn asymmetric_partitions_cause_no_death_of_reachable_nodes() {
     let mut fleet = started_cluster(6, 11);
     (0..6).for_each(|node| {
         fleet.apply(&Fault::Cut {
@@ -169,16 +177,24 @@
         });
     });
     fleet.wait(ms(4_000));
-    assert_eq!(fleet.gone_reports(), [], "each is partitioned from one");
-    let others = (0..6).flat_map(|from| (0..6).map(move |to| (from, to)));
-    for (from, to) in others.filter(|(from, to)| from != to && *to != (from + 2) % 6) {
+    assert_eq!(
+        fleet.gone_reports(),
+        [],
+        "a cut from one predecessor causes no death"
+    );
+    let pairs = (0..6).flat_map(|from| (0..6).map(move |to| (from, to)));
+    for (from, to) in pairs.filter(|(from, to)| from != to && *to != (from + 2) % 6) {
         fleet.apply(&Fault::Cut { from, to });
     }
     fleet.wait(ms(4_000));
-    assert_eq!(fleet.gone_reports(), [], "no probe can be acknowledged");
+    assert_eq!(
+        fleet.gone_reports(),
+        [],
+        "no node is declared dead while no probe can be acknowledged"
+    );
     fleet.apply(&Fault::HealAll);
     fleet.agree_within(TIMEOUT);
-    // The other half may be declared dead, but the views settle, and agree after the partition has healed.
+    // The half that cannot send may be declared dead, but the views become stable, and agree after the partition heals.
     for from in 3..6 {
         (0..3).for_each(|to| fleet.apply(&Fault::Cut { from, to }));
     }
@@ -188,20 +204,20 @@
     assert_eq!(
         fleet.gone_reports().len(),
         before,
-        "no node flaps: {:?}",
+        "no more deaths are reported after the views became stable: {:?}",
         fleet.gone_reports()
     );
     fleet.apply(&Fault::HealAll);
     fleet.agree_within(TIMEOUT);
     assert!(
         fleet.relay_totals().faults.cut > 100,
-        "{:?}",
+        "the partitions dropped more than 100 datagrams: {:?}",
         fleet.relay_totals()
     );
 }
 
 #[test]
-fn repeated_restarts_and_mass_kill_are_tolerated() {
+fn repeated_restarts_and_mass_crash_are_tolerated() {
     let mut fleet = started_cluster(9, 12);
     for round in 0..6 {
         fleet.kill(2);
@@ -218,7 +234,7 @@
     assert_eq!(
         deaths_except(&fleet, 2),
         [],
-        "restarts of one node and short pauses of all kill no other"
+        "restarts of n2 and short pauses of all nodes cause no other death"
     );
     (3..9).for_each(|node| fleet.kill(node));
     fleet.agree_within(TIMEOUT);
@@ -240,39 +256,45 @@
     fleet.agree_within(TIMEOUT);
     assert!(
         fleet.relay_totals().faults.cut > 100 && !fleet.gone_reports().is_empty(),
-        "{:?}",
+        "the partitions dropped more than 100 datagrams and caused deaths: {:?}",
         fleet.relay_totals()
     );
 }
 
 #[test]
 fn wrong_key_and_other_cluster_are_rejected_and_counted() {
-    let mut fleet = Fleet::prepare(5, 14, TIMES);
+    let mut fleet = Fleet::prepare(5, 14, MEMBERSHIP_SETTINGS);
     let other = fleet.key_file().with_file_name("other");
-    std::fs::write(&other, "another key that some share").expect("a file");
+    std::fs::write(&other, "another key that some share").expect("write the other key file");
     std::fs::set_permissions(&other, std::os::unix::fs::PermissionsExt::from_mode(0o600))
-        .expect("a file");
+        .expect("restrict the other key file to its owner");
     let wrong_key = fleet.operators_file(3).replace("/key\"", "/other\"");
     let other_cluster = fleet.operators_file(4).replace("\"holds\"", "\"stays\"");
-    assert!(wrong_key != fleet.operators_file(3) && other_cluster != fleet.operators_file(4));
+    assert!(
+        wrong_key != fleet.operators_file(3) && other_cluster != fleet.operators_file(4),
+        "both operators' files were changed"
+    );
     fleet.set_operators_file(3, &wrong_key);
     fleet.set_operators_file(4, &other_cluster);
     (0..5).for_each(|node| fleet.start_node(node));
-    fleet.wait_for("the three find each other", TIMEOUT, |fleet| {
-        at_all_nodes(fleet, |fleet, of| {
-            of > 2 || fleet.members(of).health == "well"
+    fleet.wait_for("n0, n1 and n2 report the health `well`", TIMEOUT, |fleet| {
+        at_all_nodes(fleet, |fleet, node| {
+            node > 2 || fleet.members(node).health == "well"
         })
     });
     fleet.wait(ms(2_000));
-    for of in 0..3 {
-        let names: Vec<_> = fleet.members(of).other_members.into_keys().collect();
-        let wanted: Vec<_> = (0..3)
-            .filter(|node| *node != of)
+    for observer in 0..3 {
+        let names: Vec<_> = fleet.members(observer).other_members.into_keys().collect();
+        let expected: Vec<_> = (0..3)
+            .filter(|node| *node != observer)
             .map(|node| format!("n{node}"))
             .collect();
-        assert_eq!(names, wanted);
-        let metric = |name: &str| fleet.node(of).metric(name);
-        assert!(metric("fleet_refused.seal") > 0 && metric("fleet_refused.fleet") > 0);
+        assert_eq!(names, expected, "members known to n{observer}");
+        let metric = |name: &str| fleet.node(observer).metric(name);
+        assert!(
+            metric("fleet_refused.seal") > 0 && metric("fleet_refused.fleet") > 0,
+            "n{observer} counts datagrams with a wrong key and from another cluster"
+        );
     }
     assert_eq!(fleet.gone_reports(), []);
 }
@@ -290,15 +312,15 @@
             "each side considers exactly its own nodes alive",
             TIMEOUT,
             |fleet| {
-                at_all_nodes(fleet, |fleet, of| {
-                    let view = fleet.members(of);
-                    let alone = (0..8).filter(|node| side(*node) == side(of)).count() == 1;
-                    if alone {
+                at_all_nodes(fleet, |fleet, observer| {
+                    let view = fleet.members(observer);
+                    let is_alone = (0..8).filter(|node| side(*node) == side(observer)).count() == 1;
+                    if is_alone {
                         return view.health == "isolated";
                     }
-                    (0..8).filter(|node| *node != of).all(|node| {
+                    (0..8).filter(|node| *node != observer).all(|node| {
                         let state = view.state(&format!("n{node}"));
-                        if side(node) == side(of) {
+                        if side(node) == side(observer) {
                             state == "alive"
                         } else {
                             state == "gone"
@@ -343,14 +365,17 @@
             .min(faults.corrupted)
             .min(faults.replayed)
             > 20,
-        "{faults:?}"
+        "each kind of fault occurred more than 20 times: {faults:?}"
     );
     let metric = |name: &str| {
         (0..6)
             .map(|node| fleet.node(node).metric(name))
             .sum::<u64>()
     };
-    assert!(metric("fleet_refused.seal") > 0 && metric("fleet_refused.replayed") > 0);
+    assert!(
+        metric("fleet_refused.seal") > 0 && metric("fleet_refused.replayed") > 0,
+        "corrupted and replayed datagrams are counted"
+    );
     fleet.kill(1);
     fleet.apply(&Fault::AllLinks {
         link: Link {
@@ -365,13 +390,13 @@
 }
 
 #[test]
-fn two_processes_with_one_name_log_conflict_and_affect_no_other() {
-    let mut fleet = Fleet::prepare(5, 6, TIMES);
+fn processes_sharing_a_name_log_conflict_and_affect_no_other() {
+    let mut fleet = Fleet::prepare(5, 6, MEMBERSHIP_SETTINGS);
     fleet.rename(4, "n0");
     (0..4).for_each(|node| fleet.start_node(node));
     fleet.wait(ms(12_000));
     fleet.start_node(4);
-    fleet.wait_for("both processes log it", TIMEOUT, |fleet| {
+    fleet.wait_for("both processes log the name conflict", TIMEOUT, |fleet| {
         let has_logged = |node| {
             fleet
                 .log(node)
@@ -381,29 +406,33 @@
         if has_logged(0) && has_logged(4) {
             Ok(())
         } else {
-            Err(format!("{} {}", has_logged(0), has_logged(4)))
+            Err(format!(
+                "logged by process 0: {}, by process 4: {}",
+                has_logged(0),
+                has_logged(4)
+            ))
         }
     });
     fleet.wait(ms(3_000));
-    for of in 1..4 {
-        let view = fleet.members(of);
+    for observer in 1..4 {
+        let view = fleet.members(observer);
         assert!(
             (0..4)
-                .filter(|node| *node != of)
+                .filter(|node| *node != observer)
                 .all(|node| view.state(&format!("n{node}")) == "alive"),
-            "{view:?}"
+            "n{observer} considers all others alive: {view:?}"
         );
     }
     assert_eq!(deaths_except(&fleet, 0), []);
 }
 
-/// Guards requests while unknown senders flood the socket.
+/// Client requests must not fail while an unknown sender floods the UDP socket of the membership protocol.
 #[test]
-fn garbage_and_floods_are_counted_and_requests_are_served() {
+fn invalid_datagram_flood_is_counted_and_requests_are_served() {
     let fleet = started_cluster(3, 7);
     let load = Load::start(fleet.node(0).address, 4, ms(2));
-    let at = fleet.gossip_address(0);
-    let socket = UdpSocket::bind("127.0.0.1:0").expect("a port");
+    let gossip_address = fleet.gossip_address(0);
+    let socket = UdpSocket::bind("127.0.0.1:0").expect("bind a loopback socket");
     for round in 0..20_000_u32 {
         let bytes = vec![
             round as u8;
@@ -413,23 +442,32 @@
                 round as usize % 300
             }
         ];
-        let _ = socket.send_to(&bytes, at);
+        let _ = socket.send_to(&bytes, gossip_address);
     }
     std::thread::sleep(ms(2_000));
     let totals = load.finish();
     assert!(
         totals.lost == 0 && totals.with_status(200) == totals.sent,
-        "{:?}",
+        "all requests are served: {} lost, responses {:?}",
+        totals.lost,
         totals.responses
     );
     let metric = |name: &str| fleet.node(0).metric(name);
-    assert!(metric("fleet_refused.stranger") > 100 && metric("fleet_refused.flood") > 0);
-    assert_eq!(fleet.members(0).other_members.len(), 2);
+    assert!(
+        metric("fleet_refused.stranger") > 100 && metric("fleet_refused.flood") > 0,
+        "datagrams of unknown senders are counted and rate-limited"
+    );
+    assert_eq!(
+        fleet.members(0).other_members.len(),
+        2,
+        "the unknown sender is not a member"
+    );
 }
 
-fn udp_sockets(process: u32) -> usize {
-    let own: Vec<_> = std::fs::read_dir(format!("/proc/{process}/fd"))
-        .expect("it runs")
+/// Number of UDP sockets that a process holds open.
+fn udp_socket_count(process_id: u32) -> usize {
+    let own_inodes: Vec<_> = std::fs::read_dir(format!("/proc/{process_id}/fd"))
+        .expect("list the descriptors of the running process")
         .filter_map(|entry| std::fs::read_link(entry.ok()?.path()).ok())
         .filter_map(|link| {
             Some(
@@ -441,14 +479,15 @@
         })
         .collect();
     let tables = ["udp", "udp6"].map(|table| {
-        std::fs::read_to_string(format!("/proc/{process}/net/{table}")).expect("a table")
+        std::fs::read_to_string(format!("/proc/{process_id}/net/{table}"))
+            .expect("read the process's socket table")
     });
     let lines = tables.iter().flat_map(|table| table.lines().skip(1));
     lines
         .filter(|line| {
             line.split_whitespace()
                 .nth(9)
-                .is_some_and(|inode| own.iter().any(|held| held == inode))
+                .is_some_and(|inode| own_inodes.iter().any(|own| own == inode))
         })
         .count()
 }
@@ -457,39 +496,46 @@
 fn members_command_prints_table_and_json() {
     let fleet = started_cluster(3, 9);
     let run_members = |arguments: &[&str]| {
-        let at = fleet.node(0).admin_address().to_string();
+        let admin_address = fleet.node(0).admin_address().to_string();
         let output = testkit::program_command()
-            .args(["members", "--at", &at])
+            .args(["members", "--at", &admin_address])
             .args(arguments)
             .output()
-            .expect("it starts");
-        assert!(output.status.success(), "{output:?}");
-        String::from_utf8(output.stdout).expect("text")
+            .expect("run the program");
+        assert!(output.status.success(), "`members` succeeds: {output:?}");
+        String::from_utf8(output.stdout).expect("the output is UTF-8")
     };
     let table = run_members(&[]);
-    assert!(table.starts_with("n0 is well, incarnation "), "{table}");
+    assert!(
+        table.starts_with("n0 is well, incarnation "),
+        "the table starts with the node's own state: {table}"
+    );
     assert_eq!(
         table
             .lines()
             .filter(|line| line.contains(" alive "))
             .count(),
         2,
-        "{table}"
+        "both other members are alive: {table}"
     );
-    let json: serde_json::Value = serde_json::from_str(&run_members(&["--json"])).expect("JSON");
+    let json: serde_json::Value =
+        serde_json::from_str(&run_members(&["--json"])).expect("the output is JSON");
     assert_eq!(json["self"]["name"], "n0");
     assert_eq!(json["members"][1]["name"], "n2");
-    assert!(json["members"][1]["heard_ms"].is_u64(), "{json}");
+    assert!(
+        json["members"][1]["heard_ms"].is_u64(),
+        "`heard_ms` is a count of milliseconds: {json}"
+    );
     let node = Node::start(&fleet.config(0).replace("\"peers\":true", "\"peers\":false"));
-    let at = node.admin_address().to_string();
+    let admin_address = node.admin_address().to_string();
     let output = testkit::program_command()
-        .args(["members", "--at", &at])
+        .args(["members", "--at", &admin_address])
         .output()
-        .expect("it starts");
+        .expect("run the program");
     assert_eq!(
         output.status.code(),
         Some(1),
-        "there is no cluster: {output:?}"
+        "`members` fails at a node without a cluster: {output:?}"
     );
 }
 
@@ -497,31 +543,32 @@
 #[test]
 fn reload_changes_peers_and_timings() {
     let mut fleet = started_cluster(4, 10);
-    let before = fleet.members(0).incarnation;
-    let text = fleet
+    let first_incarnation = fleet.members(0).incarnation;
+    let faster_probes = fleet
         .operators_file(0)
         .replace("probe_ms = 200", "probe_ms = 100");
     fleet
         .node(0)
-        .reload_operators_file(&format!("{text}peers = []\n"));
-    // It neither sends nor receives any more; the others declare it dead.
+        .reload_operators_file(&format!("{faster_probes}peers = []\n"));
+    // Without peers n0 neither sends nor receives, so the others declare it dead.
     wait_for_state(&mut fleet, 0, "gone");
-    fleet.node(0).reload_operators_file(&text);
+    fleet.node(0).reload_operators_file(&faster_probes);
     fleet.agree_within(TIMEOUT);
     assert!(
-        fleet.members(0).incarnation > before,
-        "it has refuted its death"
+        fleet.members(0).incarnation > first_incarnation,
+        "n0 has refuted its death with a higher incarnation"
     );
     assert!(
         !fleet.log(1).iter().any(|line| line.contains("n0 is left")),
-        "it has not left"
+        "n0 has not announced that it leaves"
     );
 }
 
-/// Guards the platform's permission: without it no datagram is sent and no socket is opened.
+/// The membership protocol needs the platform's permission and a section in the operators' file: without either, no
+/// socket is opened and no datagram is sent.
 #[test]
 fn no_socket_is_opened_unless_configured_and_allowed() {
-    let fleet = Fleet::prepare(2, 8, TIMES);
+    let fleet = Fleet::prepare(2, 8, MEMBERSHIP_SETTINGS);
     let allowed = fleet.config(0);
     let forbidden = allowed.replace("\"peers\":true", "\"peers\":false");
     let configured = format!(
@@ -529,23 +576,37 @@
         fleet.key_file().display()
     );
     let node = Node::start_with_operators_file(&forbidden, Some(&configured));
-    assert_eq!(udp_sockets(node.process_id()), 0);
-    wait_until("it is logged", || {
+    assert_eq!(
+        udp_socket_count(node.process_id()),
+        0,
+        "not allowed by the platform"
+    );
+    wait_until("the node logs that [instances] stays off", || {
         node.log()
             .iter()
             .any(|line| line.contains("[instances] stays off"))
     });
-    assert!(node.admin_command("MEMBERS\n").starts_with("400 "));
-    assert!(!node.admin_command("STATS\n").contains("fleet"));
+    assert!(
+        node.admin_command("MEMBERS\n").starts_with("400 "),
+        "MEMBERS is rejected"
+    );
+    assert!(
+        !node.admin_command("STATS\n").contains("fleet"),
+        "STATS has no metrics of the cluster"
+    );
     drop(node);
     let node = Node::start(&allowed);
-    assert_eq!(udp_sockets(node.process_id()), 0, "it is not configured");
+    assert_eq!(
+        udp_socket_count(node.process_id()),
+        0,
+        "not configured by the operators"
+    );
     drop(node);
     let node = Node::start_with_operators_file(&allowed, Some(&configured));
     assert_eq!(
-        udp_sockets(node.process_id()),
+        udp_socket_count(node.process_id()),
         1,
-        "the count finds a socket"
+        "an allowed and configured node opens one socket"
     );
     drop(node);
     let discovery = Discovery::start();
@@ -557,11 +618,15 @@
         ),
         Some(""),
     );
-    assert_eq!(udp_sockets(node.process_id()), 0);
-    assert_eq!(fleet.relay_totals().datagrams, 0);
+    assert_eq!(
+        udp_socket_count(node.process_id()),
+        0,
+        "neither allowed nor configured"
+    );
+    assert_eq!(fleet.relay_totals().datagrams, 0, "no node sent a datagram");
 }
 
-/// Guards the names that scripts and dashboards read.
+/// Scripts and dashboards read these names: a changed name would break them.
 #[test]
 fn metrics_and_member_fields_keep_their_recorded_names() {
     let fleet = started_cluster(2, 11);
@@ -570,8 +635,12 @@
         .lines()
         .filter_map(|line| line.strip_prefix("edge_router.fleet_"))
         .map(|line| {
-            let (name, value) = line.split_once(':').expect("a value after the name");
-            let (_, kind) = value.split_once('|').expect("a kind after the value");
+            let (name, value) = line
+                .split_once(':')
+                .expect("a metric line is `name:value|kind`");
+            let (_, kind) = value
+                .split_once('|')
+                .expect("a metric line is `name:value|kind`");
             format!("{name}|{kind}")
         })
         .collect();
@@ -615,12 +684,13 @@
         .args(["members", "--json", "--at"])
         .arg(fleet.node(0).admin_address().to_string())
         .output()
-        .expect("the program starts");
-    let json: serde_json::Value = serde_json::from_slice(&output.stdout).expect("JSON");
+        .expect("run the program");
+    let json: serde_json::Value =
+        serde_json::from_slice(&output.stdout).expect("the output is JSON");
     let keys = |value: &serde_json::Value| -> Vec<String> {
         value
             .as_object()
-            .expect("an object")
+            .expect("the value is a JSON object")
             .keys()
             .cloned()
             .collect()
