--- a/tests/lease_processes.rs
+++ b/tests/lease_processes.rs
@@ -1,4 +1,4 @@
-//! Leases among several processes of the program: one owner at a time, whatever faults occur.
+//! Leases among several node processes: each shard has at most one owner at a time, whatever faults occur.
 
 use std::path::Path;
 use std::time::{Duration, Instant};
@@ -8,75 +8,81 @@
     program_command, wait_until, write_temp_file, Fault, Fleet, Link, Load, Node, Register,
 };
 
-/// Short times, so that a test of several cases takes seconds.
-const TIMES: &str = "probe_ms = 200\nsuspect_ms = 1000\n";
+/// Probe interval and suspicion timeout, short enough that a test of several cases takes seconds.
+const MEMBERSHIP_SETTINGS: &str = "probe_ms = 200\nsuspect_ms = 1000\n";
 const LEASE_MS: u64 = 1_000;
 const SHARDS: usize = 8;
-/// Long enough for anything that has to happen, on a busy machine.
-const PATIENCE: Duration = Duration::from_secs(30);
+/// Time limit for an expected condition; a busy machine may need most of it.
+const TIMEOUT: Duration = Duration::from_secs(30);
 
 fn ms(ms: u64) -> Duration {
     Duration::from_millis(ms)
 }
 
-/// The operators' file: the first three nodes are acceptors.
+/// The `[leases]` section of the operators' file, after the membership settings: the first three nodes are acceptors.
 fn lease_section(register: &Register) -> String {
-    let keepers = "keepers = [\"n0\", \"n1\", \"n2\"]";
-    let at = register.address;
-    format!("{TIMES}[leases]\n{keepers}\nlease_ms = {LEASE_MS}\nshards = {SHARDS}\nfleet_log = \"{at}\"\n")
+    let acceptors = "keepers = [\"n0\", \"n1\", \"n2\"]";
+    let fleet_log = register.address;
+    format!("{MEMBERSHIP_SETTINGS}[leases]\n{acceptors}\nlease_ms = {LEASE_MS}\nshards = {SHARDS}\nfleet_log = \"{fleet_log}\"\n")
 }
 
-/// So many nodes, the first three of which are acceptors, and a register.
+/// Starts a register and this number of nodes, the first three of which are acceptors.
 fn start_fleet(nodes: usize, seed: u64) -> (Register, Fleet) {
     let register = Register::start();
     let mut fleet = Fleet::start(nodes, seed, &lease_section(&register));
-    wait_until_settled(&mut fleet, &register);
+    wait_until_agreed_and_owned(&mut fleet, &register);
     (register, fleet)
 }
 
-/// Waits until all nodes agree and all shards are owned; the register accepted no line of a former
-/// owner.
-fn wait_until_settled(fleet: &mut Fleet, register: &Register) {
-    fleet.agree_within(PATIENCE);
+/// Waits until all nodes agree on the members and all shards are owned; checks that the register accepted no line of a
+/// former owner.
+fn wait_until_agreed_and_owned(fleet: &mut Fleet, register: &Register) {
+    fleet.agree_within(TIMEOUT);
     wait_until_all_owned(fleet);
     assert_eq!(register.violation(), None);
 }
 
 /// Waits until exactly one node reports that it owns each shard.
 fn wait_until_all_owned(fleet: &mut Fleet) {
-    fleet.wait_for("all is owned", PATIENCE, |fleet| fleet.all_owned(SHARDS));
+    fleet.wait_for("each shard has exactly one owner", TIMEOUT, |fleet| {
+        fleet.all_owned(SHARDS)
+    });
 }
 
-/// Waits until the register accepts a line of a wanted node, and returns that node.
+/// Waits until the register accepts a new line from a node that meets the condition, and returns that node.
 fn wait_for_append(
     fleet: &mut Fleet,
     register: &Register,
-    is_wanted: impl Fn(usize) -> bool,
+    is_expected: impl Fn(usize) -> bool,
 ) -> usize {
-    let before = register.log().len();
-    let mut by = 0;
-    fleet.wait_for("a line is accepted", PATIENCE, |fleet| {
-        let log = register.log();
-        let of = |name: &str| (0..fleet.len()).find(|node| fleet.name(*node) == name);
-        let acted: Vec<_> = log[before..]
-            .iter()
-            .filter(|effect| effect.is_accepted)
-            .filter_map(|effect| of(&effect.node))
-            .collect();
-        by = acted
-            .iter()
-            .copied()
-            .find(|node| is_wanted(*node))
-            .ok_or_else(|| format!("{acted:?}"))?;
-        Ok(())
-    });
-    by
+    let earlier_lines = register.log().len();
+    let mut writer = 0;
+    fleet.wait_for(
+        "the register accepts a line of an expected node",
+        TIMEOUT,
+        |fleet| {
+            let log = register.log();
+            let node_of = |name: &str| (0..fleet.len()).find(|node| fleet.name(*node) == name);
+            let writers: Vec<_> = log[earlier_lines..]
+                .iter()
+                .filter(|effect| effect.is_accepted)
+                .filter_map(|effect| node_of(&effect.node))
+                .collect();
+            writer = writers
+                .iter()
+                .copied()
+                .find(|node| is_expected(*node))
+                .ok_or_else(|| format!("lines of nodes {writers:?} only"))?;
+            Ok(())
+        },
+    );
+    writer
 }
 
 #[test]
-fn stopped_owner_is_replaced_and_harmless_when_resumed() {
+fn paused_owner_is_replaced_and_violates_nothing_when_resumed() {
     let (register, mut fleet) = start_fleet(5, 1);
-    // Several times, at different phases of its lease.
+    // The owner is stopped four times, at different phases of its lease.
     for round in 0..4_u64 {
         let owner = wait_for_append(&mut fleet, &register, |_| true);
         fleet.wait(ms(130 * round));
@@ -85,11 +91,11 @@
         assert_ne!(next, owner);
         fleet.resume(owner);
         fleet.wait(ms(500));
-        wait_until_settled(&mut fleet, &register);
+        wait_until_agreed_and_owned(&mut fleet, &register);
     }
 }
 
-/// Its line was sent while it owned the shard, and arrives after its successor has appended one.
+/// An owner sends a line while it owns the shard; the line arrives after its successor has appended one.
 #[test]
 fn delayed_line_of_a_former_owner_is_rejected() {
     let (register, mut fleet) = start_fleet(5, 9);
@@ -98,23 +104,27 @@
     fleet.wait(ms(1_500));
     fleet.pause(owner);
     wait_for_append(&mut fleet, &register, |node| node != owner);
-    fleet.wait_for("it is refused", PATIENCE, |_| match register.rejected() {
-        0 => Err(format!("{:?}", register.log().last())),
-        _ => Ok(()),
-    });
+    fleet.wait_for(
+        "the register rejects the line",
+        TIMEOUT,
+        |_| match register.rejected() {
+            0 => Err(format!("{:?}", register.log().last())),
+            _ => Ok(()),
+        },
+    );
     fleet.resume(owner);
     wait_until_all_owned(&mut fleet);
     assert_eq!(register.violation(), None);
 }
 
 #[test]
-fn killed_owner_is_replaced_and_leaving_owner_transfers() {
+fn crashed_owner_is_replaced_and_leaving_owner_transfers() {
     let (register, mut fleet) = start_fleet(5, 2);
     let owner = wait_for_append(&mut fleet, &register, |_| true);
     fleet.kill(owner);
     wait_for_append(&mut fleet, &register, |node| node != owner);
     fleet.start_node(owner);
-    wait_until_settled(&mut fleet, &register);
+    wait_until_agreed_and_owned(&mut fleet, &register);
     let owner = wait_for_append(&mut fleet, &register, |_| true);
     fleet.terminate(owner);
     wait_for_append(&mut fleet, &register, |node| node != owner);
@@ -126,7 +136,10 @@
             .filter(|line| line.contains("transferred to"))
             .count()
     };
-    assert!(transfers(&fleet) > 0, "it transfers what it owns");
+    assert!(
+        transfers(&fleet) > 0,
+        "the leaving node transfers the shards that it owns"
+    );
     assert_eq!(register.violation(), None);
 }
 
@@ -145,7 +158,7 @@
         }
         wait_for_append(&mut fleet, &register, |node| node != owner);
         fleet.apply(&Fault::HealAll);
-        wait_until_settled(&mut fleet, &register);
+        wait_until_agreed_and_owned(&mut fleet, &register);
     }
 }
 
@@ -153,16 +166,26 @@
 fn simultaneous_restart_continues_above_earlier_tokens() {
     let (register, mut fleet) = start_fleet(3, 4);
     wait_for_append(&mut fleet, &register, |_| true);
-    let before = register.last().expect("a line").token;
+    let token_before = register
+        .last()
+        .expect("the register has accepted a line")
+        .token;
     (0..3).for_each(|node| fleet.kill(node));
     (0..3).for_each(|node| fleet.start_node(node));
     wait_for_append(&mut fleet, &register, |_| true);
-    assert!(register.last().expect("a line").token > before);
+    assert!(
+        register
+            .last()
+            .expect("the register has accepted a line")
+            .token
+            > token_before,
+        "tokens continue above those granted before the restart"
+    );
     assert_eq!(register.violation(), None);
 }
 
 #[test]
-fn random_faults_lose_no_requests_and_make_no_two_owners() {
+fn random_faults_lose_no_request_and_cause_no_second_owner() {
     let (register, mut fleet) = start_fleet(6, 5);
     let load = Load::start(fleet.node(0).address, 1, ms(20));
     let mut rng = fastrand::Rng::with_seed(5);
@@ -177,7 +200,7 @@
                 fleet.kill(node);
                 fleet.start_node(node);
             }
-            2 => fleet.partition(|at| usize::from(at == node)),
+            2 => fleet.partition(|other| usize::from(other == node)),
             _ => fleet.apply(&Fault::Cut {
                 from: node,
                 to: (node + 1) % 6,
@@ -187,23 +210,23 @@
         fleet.apply(&Fault::HealAll);
     }
     fleet.wait(ms(3_000));
-    wait_until_settled(&mut fleet, &register);
+    wait_until_agreed_and_owned(&mut fleet, &register);
     wait_for_append(&mut fleet, &register, |_| true);
     assert_eq!(register.violation(), None);
     let totals = load.finish();
     assert_eq!(
         (totals.lost, totals.with_status(200)),
         (0, totals.sent),
-        "requests are served"
+        "no request is lost and all are served"
     );
     assert_eq!(
         fleet.server.request_count() as u64,
         totals.sent,
-        "each once"
+        "each request reaches the server once"
     );
     assert!(
         fleet.relay_totals().max_datagram_bytes <= 256,
-        "{} bytes",
+        "a datagram has at most 256 bytes, got {}",
         fleet.relay_totals().max_datagram_bytes
     );
 }
@@ -211,47 +234,65 @@
 #[test]
 fn transfer_and_configuration_mismatch_are_reported() {
     let (register, mut fleet) = start_fleet(4, 6);
-    let owner = fleet.owner(0).expect("one");
-    let to = (owner + 1) % 4;
-    let call = |fleet: &Fleet, node: usize, line: &str| fleet.node(node).admin_command(line);
-    assert!(call(&fleet, to, &format!("GIVE 0 n{owner}\n"))
-        .starts_with("400 shard 0 is not owned here"));
-    assert!(call(&fleet, owner, "GIVE 0 nobody\n").starts_with("400 nobody is no other node"));
+    let owner = fleet.owner(0).expect("shard 0 has an owner");
+    let receiver = (owner + 1) % 4;
+    let send = |fleet: &Fleet, node: usize, line: &str| fleet.node(node).admin_command(line);
+    assert!(
+        send(&fleet, receiver, &format!("GIVE 0 n{owner}\n"))
+            .starts_with("400 shard 0 is not owned here"),
+        "a node that is not the owner rejects the transfer"
+    );
+    assert!(
+        send(&fleet, owner, "GIVE 0 nobody\n").starts_with("400 nobody is no other node"),
+        "a transfer to an unknown node is rejected"
+    );
     assert_eq!(
-        call(&fleet, owner, &format!("GIVE 0 n{to}\n")),
+        send(&fleet, owner, &format!("GIVE 0 n{receiver}\n")),
         "200 given\n"
     );
-    fleet.wait_for("it has it", PATIENCE, |fleet| match fleet.owner(0) {
-        Ok(node) if node == to => Ok(()),
-        other => Err(format!("{other:?}")),
+    fleet.wait_for("the receiver owns shard 0", TIMEOUT, |fleet| {
+        match fleet.owner(0) {
+            Ok(node) if node == receiver => Ok(()),
+            other => Err(format!("{other:?}")),
+        }
     });
-    let text = call(&fleet, 3, "OWNERS\n");
+    let owners = send(&fleet, 3, "OWNERS\n");
+    assert!(
+        owners.starts_with("self n3 no 1\n") && owners.ends_with("EOF\n"),
+        "n3 reports that it is not an acceptor: {owners}"
+    );
+    assert!(
+        send(&fleet, 0, "OWNERS\n").starts_with("self n0 grants 1\n"),
+        "the acceptor n0 reports that it grants leases"
+    );
     assert!(
-        text.starts_with("self n3 no 1\n") && text.ends_with("EOF\n"),
-        "{text}"
+        send(&fleet, 0, "STATS\n").contains("edge_router.lease_grants:"),
+        "STATS lists the lease metrics"
     );
-    assert!(call(&fleet, 0, "OWNERS\n").starts_with("self n0 grants 1\n"));
-    assert!(call(&fleet, 0, "STATS\n").contains("edge_router.lease_grants:"));
-    // A node with another configuration is granted nothing, and logs that.
-    let other = fleet
+    // A node with another configuration number is granted no lease, and logs the mismatch.
+    let mismatched = fleet
         .operators_file(3)
         .replace("[leases]", "[leases]\nset = 2");
     fleet.kill(3);
-    fleet.set_operators_file(3, &other);
+    fleet.set_operators_file(3, &mismatched);
     fleet.start_node(3);
-    fleet.wait_for("it is logged", PATIENCE, |fleet| {
+    fleet.wait_for("n3 logs the mismatch", TIMEOUT, |fleet| {
         let log = fleet.log(3);
         log.iter()
             .any(|line| line.contains("its set is 1 and this node's 2"))
             .then_some(())
             .ok_or(log.join("\n"))
     });
-    assert!(fleet.owners(3).iter().all(|(_, left)| *left == 0));
+    assert!(
+        fleet.owners(3).iter().all(|(_, left)| *left == 0),
+        "n3 holds no lease: {:?}",
+        fleet.owners(3)
+    );
     wait_until_all_owned(&mut fleet);
     assert_eq!(register.violation(), None);
 }
 
-/// The external forms of this part: scripts read them, so they are those of version 45ea4e8.
+/// Scripts read these forms of the lease commands and metrics, so they stay those of version 45ea4e8.
 #[test]
 fn admin_responses_and_metrics_keep_their_recorded_form() {
     const METRICS: [(&str, &str); 11] = [
@@ -274,10 +315,14 @@
     assert_eq!((lines[0], lines[SHARDS + 1]), ("self n0 grants 1", "EOF"));
     for (shard, line) in lines[1..=SHARDS].iter().enumerate() {
         let fields: Vec<_> = line.split(' ').collect();
-        let [of, owner, numbers @ ..] = &fields[..] else {
-            panic!("{line}");
+        let [listed_shard, owner, numbers @ ..] = &fields[..] else {
+            panic!("expected a shard, its owner and numbers, got `{line}`");
         };
-        assert_eq!((of.to_owned(), numbers.len()), (&*shard.to_string(), 3));
+        assert_eq!(
+            (listed_shard.to_owned(), numbers.len()),
+            (&*shard.to_string(), 3),
+            "{line}"
+        );
         assert!(["n0", "n1", "n2", "-"].contains(owner), "{line}");
         assert!(
             numbers.iter().all(|number| number.parse::<u64>().is_ok()),
@@ -292,12 +337,12 @@
         .map(|(name, value)| (name, value.split('|').nth(1).unwrap_or_default()))
         .collect();
     assert_eq!(metrics, METRICS);
-    let answers = ["GIVE 0 nobody\n", "GIVE 200 n1\n"].map(|call| {
-        let node = fleet.owner(0).expect("one");
-        fleet.node(node).admin_command(call)
+    let responses = ["GIVE 0 nobody\n", "GIVE 200 n1\n"].map(|command| {
+        let node = fleet.owner(0).expect("shard 0 has an owner");
+        fleet.node(node).admin_command(command)
     });
     assert_eq!(
-        answers,
+        responses,
         [
             "400 nobody is no other node that is there\n",
             "400 shard 200 is not owned here\n"
@@ -305,35 +350,41 @@
     );
 }
 
-/// The acceptors change from `n0 n1 n2` to `n0 n1 n3` by SIGHUP at one of five nodes after another,
-/// and a node crashes meanwhile; then the former acceptor and another one end, and the new
-/// configuration goes on.
+/// The acceptors change from `n0 n1 n2` to `n0 n1 n3` by SIGHUP at five nodes one after another, and a node crashes
+/// meanwhile; then the former acceptor n2 and the acceptor n0 are killed, and the new configuration keeps granting leases.
 #[test]
 fn reconfiguration_by_reload_settles_and_keeps_one_owner() {
     let (register, mut fleet) = start_fleet(5, 10);
-    let old = "keepers = [\"n0\", \"n1\", \"n2\"]";
-    let new = |before: &str| format!("set = 2\nkeepers = [\"n0\", \"n1\", \"n3\"]\n{before}");
-    let text = |fleet: &Fleet, before| fleet.operators_file(0).replace(old, &new(before));
-    let next = text(&fleet, "before = [\"n0\", \"n1\", \"n2\"]");
-    let wrong = text(&fleet, "");
-    fleet.node(4).reload_operators_file(&wrong);
-    fleet.wait_for("it refuses", PATIENCE, |fleet| {
-        logged(fleet, 4, "reconfiguration rejected: `before` must")
-    });
+    let old_acceptors = "keepers = [\"n0\", \"n1\", \"n2\"]";
+    let new_acceptors =
+        |before: &str| format!("set = 2\nkeepers = [\"n0\", \"n1\", \"n3\"]\n{before}");
+    let file_with = |fleet: &Fleet, before| {
+        fleet
+            .operators_file(0)
+            .replace(old_acceptors, &new_acceptors(before))
+    };
+    let next = file_with(&fleet, "before = [\"n0\", \"n1\", \"n2\"]");
+    let without_before = file_with(&fleet, "");
+    fleet.node(4).reload_operators_file(&without_before);
+    fleet.wait_for(
+        "n4 rejects a reconfiguration without `before`",
+        TIMEOUT,
+        |fleet| check_log(fleet, 4, "reconfiguration rejected: `before` must"),
+    );
     for node in [3, 0, 4, 2, 1] {
         fleet.set_operators_file(node, &next);
         fleet.node(node).reload_operators_file(&next);
         if node == 4 {
-            // It crashes after it has read its file.
+            // n0 crashes after it has reloaded its file.
             fleet.kill(0);
             fleet.start_node(0);
         }
         fleet.wait(ms(300));
     }
     for node in 0..5 {
-        fleet.wait_for("the new configuration settles", PATIENCE, |fleet| {
-            let text = fleet.node(node).admin_command("OWNERS\n");
-            let head = text.lines().next().unwrap_or_default().to_owned();
+        fleet.wait_for("each node reports configuration 2", TIMEOUT, |fleet| {
+            let owners = fleet.node(node).admin_command("OWNERS\n");
+            let head = owners.lines().next().unwrap_or_default().to_owned();
             if head.ends_with(" 2") {
                 Ok(())
             } else {
@@ -349,62 +400,83 @@
     assert_eq!(register.violation(), None);
 }
 
-fn logged(fleet: &Fleet, node: usize, what: &str) -> Result<(), String> {
+/// Checks that a line of a node's log contains a text; the error is the whole log.
+fn check_log(fleet: &Fleet, node: usize, text: &str) -> Result<(), String> {
     let log = fleet.log(node);
-    if log.iter().any(|line| line.contains(what)) {
+    if log.iter().any(|line| line.contains(text)) {
         Ok(())
     } else {
         Err(log.join("\n"))
     }
 }
 
-/// Tokens are reserved on disk before they are granted; a fence file of another node or a truncated
-/// one is rejected.
+/// Tokens are reserved on disk before they are granted; a fence file of another node and a truncated one are rejected.
 #[test]
 fn acceptor_reserves_tokens_on_disk_before_granting() {
     let register = Register::start();
-    let folder = tempfile::tempdir().expect("a folder");
-    let file = folder.path().join("fences");
+    let folder = tempfile::tempdir().expect("create a temporary folder");
+    let fence_file = folder.path().join("fences");
     let mut fleet = Fleet::prepare(3, 11, &lease_section(&register));
     let with_file = format!(
         "{}fence_file = \"{}\"\n",
         fleet.operators_file(0),
-        file.display()
+        fence_file.display()
     );
     fleet.set_operators_file(0, &with_file);
     (0..3).for_each(|node| fleet.start_node(node));
     wait_until_all_owned(&mut fleet);
     let first = wait_for_append(&mut fleet, &register, |_| true);
     let reserved = || {
-        let text = std::fs::read_to_string(&file).expect("written");
-        lease::decode_fence_file("n0", &text).expect("valid").0
+        let text = std::fs::read_to_string(&fence_file).expect("read the fence file");
+        lease::decode_fence_file("n0", &text)
+            .expect("the fence file is valid")
+            .0
     };
-    let last = register.last().expect("one").token;
+    let last = register
+        .last()
+        .expect("the register has accepted a line")
+        .token;
     assert!(
         reserved() > last,
-        "{first}: {last} is within what was reserved"
+        "token {last} of n{first} is below the {} reserved on disk",
+        reserved()
     );
-    // What it finds reserved at its start may have been granted, whatever its clock says.
-    let far = lease::FencingToken(u64::MAX / 2);
+    // An acceptor that restarts must assume that all tokens reserved on disk were granted, whatever its clock says.
+    let reserved_before_start = lease::FencingToken(u64::MAX / 2);
     fleet.kill(0);
-    std::fs::write(&file, lease::encode_fence_file("n0", far)).expect("written");
+    std::fs::write(
+        &fence_file,
+        lease::encode_fence_file("n0", reserved_before_start),
+    )
+    .expect("write the fence file");
     fleet.start_node(0);
-    fleet.wait_for("a later number", PATIENCE, |_| {
-        let last = register.last().expect("one");
-        if last.token > far.0 {
-            Ok(())
-        } else {
-            Err(format!("{last:?}"))
-        }
-    });
-    assert!(reserved() > register.last().expect("one").token);
+    fleet.wait_for(
+        "a token above those reserved before the start",
+        TIMEOUT,
+        |_| {
+            let last = register.last().expect("the register has accepted a line");
+            if last.token > reserved_before_start.0 {
+                Ok(())
+            } else {
+                Err(format!("{last:?}"))
+            }
+        },
+    );
+    assert!(
+        reserved()
+            > register
+                .last()
+                .expect("the register has accepted a line")
+                .token,
+        "the token of the last line was reserved on disk"
+    );
     fleet.kill(0);
-    let text = lease::encode_fence_file("n1", far);
-    for (wrong, why) in [
-        (&text[..], "the file was written by another node"),
-        (&text[..40], "the file is truncated"),
+    let of_other_node = lease::encode_fence_file("n1", reserved_before_start);
+    for (invalid, reason) in [
+        (&of_other_node[..], "the file was written by another node"),
+        (&of_other_node[..40], "the file is truncated"),
     ] {
-        std::fs::write(&file, wrong).expect("written");
+        std::fs::write(&fence_file, invalid).expect("write the fence file");
         let (config, operators) = (
             write_temp_file(&fleet.config(0)),
             write_temp_file(&with_file),
@@ -414,43 +486,49 @@
             .env("ROUTER_CONFIG", &config)
             .arg("--config")
             .arg(&operators);
-        let output = command.output().expect("it starts");
+        let output = command.output().expect("run the program");
         let log = String::from_utf8_lossy(&output.stderr);
         assert!(
-            output.status.code() == Some(1) && log.contains(why),
-            "{log}"
+            output.status.code() == Some(1) && log.contains(reason),
+            "the program exits with 1 and logs `{reason}`: {log}"
         );
     }
     assert_eq!(register.violation(), None);
 }
 
-/// Line numbers continue where the owner before stopped, as it published each of them.
+/// An owner publishes the number of each line that it appends, so its successor continues where it stopped.
 #[test]
 fn successor_continues_after_the_published_effect() {
     let (register, mut fleet) = start_fleet(4, 13);
     let owner = wait_for_append(&mut fleet, &register, |_| true);
     fleet.wait(ms(2_500));
     fleet.kill(owner);
-    let before = register.last().expect("one").number;
+    let number_before = register
+        .last()
+        .expect("the register has accepted a line")
+        .number;
     wait_for_append(&mut fleet, &register, |node| node != owner);
-    let after = register
+    let first_of_successor = register
         .log()
         .into_iter()
         .find(|line| line.node != fleet.name(owner))
-        .expect("another's");
+        .expect("another node has appended a line");
     assert!(
-        after.number >= before && before > 2,
-        "{} after {before}",
-        after.number
+        first_of_successor.number >= number_before && number_before > 2,
+        "the successor starts with number {} after {number_before}",
+        first_of_successor.number
     );
     let node = (owner + 1) % 4;
-    assert!(fleet.node(node).metric("lease_effects") > 2);
+    assert!(
+        fleet.node(node).metric("lease_effects") > 2,
+        "n{node} has counted the effects that it learned of"
+    );
     assert_eq!(register.violation(), None);
 }
 
-/// An acceptor restarts several times, then a majority is stopped: without one no node acts.
+/// An acceptor restarts several times; then a majority of the acceptors is paused, and no node may append a line.
 #[test]
-fn stopped_acceptor_majority_leaves_no_owner() {
+fn paused_acceptor_majority_leaves_no_owner() {
     let (register, mut fleet) = start_fleet(5, 14);
     for _ in 0..4 {
         fleet.kill(1);
@@ -459,27 +537,31 @@
         fleet.wait(ms(600));
     }
     wait_for_append(&mut fleet, &register, |_| true);
-    fleet.agree_within(PATIENCE);
+    fleet.agree_within(TIMEOUT);
     fleet.pause(0);
     fleet.pause(1);
-    let stopped = Instant::now();
+    let paused_at = Instant::now();
     fleet.wait(ms(5 * LEASE_MS));
-    let woken = Instant::now();
+    let resumed_at = Instant::now();
     fleet.resume(0);
     fleet.resume(1);
-    // Leases from before expire within their length; twice that for a busy machine.
+    // Leases granted before the pause expire within their length; the factor 2 allows for a busy machine.
     let lines = register.log();
-    let without = lines
+    let without_majority = lines
         .iter()
-        .filter(|line| line.at > stopped + ms(2 * LEASE_MS) && line.at < woken);
-    assert_eq!(without.count(), 0, "without a majority there is no owner");
+        .filter(|line| line.at > paused_at + ms(2 * LEASE_MS) && line.at < resumed_at);
+    assert_eq!(
+        without_majority.count(),
+        0,
+        "no line is appended without a majority of acceptors"
+    );
     wait_for_append(&mut fleet, &register, |_| true);
     wait_until_all_owned(&mut fleet);
     assert_eq!(register.violation(), None);
 }
 
 #[test]
-fn thirty_percent_message_loss_makes_no_two_owners() {
+fn thirty_percent_message_loss_causes_no_second_owner() {
     let (register, mut fleet) = start_fleet(5, 15);
     fleet.apply(&Fault::AllLinks {
         link: Link {
@@ -495,27 +577,27 @@
     wait_until_all_owned(&mut fleet);
     assert!(
         fleet.relay_totals().faults.lost > 100,
-        "some were lost: {:?}",
+        "more than 100 datagrams were lost: {:?}",
         fleet.relay_totals()
     );
     assert_eq!(register.violation(), None);
 }
 
-/// All nodes, acceptors among them, one after another.
+/// All nodes, acceptors among them, are restarted one after another, and others append lines meanwhile.
 #[test]
 fn rolling_restart_keeps_appending_lines() {
     let (register, mut fleet) = start_fleet(5, 16);
     for node in 0..5 {
         fleet.terminate(node);
-        wait_for_append(&mut fleet, &register, |by| by != node);
+        wait_for_append(&mut fleet, &register, |writer| writer != node);
         fleet.start_node(node);
-        fleet.agree_within(PATIENCE);
+        fleet.agree_within(TIMEOUT);
     }
     wait_until_all_owned(&mut fleet);
     assert_eq!(register.violation(), None);
 }
 
-/// Tells a node to transfer all that it owns to another.
+/// Commands a node to transfer all shards that it owns to another.
 fn transfer_all(fleet: &Fleet, from: usize, to: usize) {
     let owned = fleet
         .owners(from)
@@ -523,20 +605,20 @@
         .enumerate()
         .filter(|(_, (_, left))| *left > 0);
     for (shard, _) in owned {
-        // It may have lost the shard since.
-        let answer = fleet
+        // The node may have lost the shard since it was listed.
+        let response = fleet
             .node(from)
             .admin_command(&format!("GIVE {shard} n{to}\n"));
         assert!(
-            answer == "200 given\n" || answer.contains("is not owned here"),
-            "{answer}"
+            response == "200 given\n" || response.contains("is not owned here"),
+            "response to GIVE {shard} n{to}: {response}"
         );
     }
 }
 
-/// An owner is stopped while it transfers all its shards, and resumes long after.
+/// An owner is paused while it transfers all its shards, and resumes after its leases have expired.
 #[test]
-fn owner_stopped_during_transfer_is_harmless_when_resumed() {
+fn owner_paused_in_transfer_violates_nothing_when_resumed() {
     let (register, mut fleet) = start_fleet(5, 17);
     for round in 0..3 {
         let owner = wait_for_append(&mut fleet, &register, |_| true);
@@ -547,45 +629,45 @@
         wait_for_append(&mut fleet, &register, |node| node != owner);
         fleet.wait(ms(2 * LEASE_MS));
         fleet.resume(owner);
-        wait_until_settled(&mut fleet, &register);
+        wait_until_agreed_and_owned(&mut fleet, &register);
     }
 }
 
-/// Partitioned from one of three acceptors an owner keeps its shard, from two it does not.
+/// An owner that is partitioned from one of three acceptors keeps its shard; partitioned from two, it loses it.
 #[test]
 fn owner_needs_a_majority_of_acceptors_and_no_more() {
     let (register, mut fleet) = start_fleet(5, 18);
-    // An owner that is no acceptor.
+    // Shards are transferred until the owner is not an acceptor.
     let mut owner = wait_for_append(&mut fleet, &register, |_| true);
     while owner < 3 {
         transfer_all(&fleet, owner, 4);
         owner = wait_for_append(&mut fleet, &register, |node| node != owner);
     }
-    let cut = |fleet: &mut Fleet, keeper: usize| {
+    let cut = |fleet: &mut Fleet, acceptor: usize| {
         fleet.apply(&Fault::Cut {
             from: owner,
-            to: keeper,
+            to: acceptor,
         });
         fleet.apply(&Fault::Cut {
-            from: keeper,
+            from: acceptor,
             to: owner,
         });
     };
-    // It is also the preferred node, so the shard is not moved back meanwhile.
+    // The owner is also the preferred node of its shard, so the shard is not moved back meanwhile.
     cut(&mut fleet, 0);
     fleet.wait(ms(3 * LEASE_MS));
     assert_eq!(
         wait_for_append(&mut fleet, &register, |_| true),
         owner,
-        "two of three are enough"
+        "two of three acceptors are enough"
     );
     cut(&mut fleet, 1);
     wait_for_append(&mut fleet, &register, |node| node != owner);
     fleet.apply(&Fault::HealAll);
-    wait_until_settled(&mut fleet, &register);
+    wait_until_agreed_and_owned(&mut fleet, &register);
 }
 
-/// An acceptor whose disk cannot be written grants nothing new and logs that; the others go on.
+/// An acceptor that cannot write its fence file grants no leases and logs that; the other acceptors keep granting.
 #[test]
 fn acceptor_with_failed_disk_grants_nothing_and_logs_it() {
     let register = Register::start();
@@ -597,10 +679,16 @@
     fleet.set_operators_file(0, &with_file);
     (0..3).for_each(|node| fleet.start_node(node));
     wait_until_all_owned(&mut fleet);
-    fleet.wait_for("it is logged", PATIENCE, |fleet| {
-        logged(fleet, 0, "the fence file cannot be written")
-    });
-    assert_eq!(fleet.node(0).metric("lease_grants"), 0);
+    fleet.wait_for(
+        "n0 logs that it cannot write the fence file",
+        TIMEOUT,
+        |fleet| check_log(fleet, 0, "the fence file cannot be written"),
+    );
+    assert_eq!(
+        fleet.node(0).metric("lease_grants"),
+        0,
+        "n0 grants no lease"
+    );
     wait_for_append(&mut fleet, &register, |_| true);
     // The other two acceptors are a majority.
     fleet.kill(2);
@@ -610,23 +698,27 @@
 }
 
 #[test]
-fn two_processes_of_one_name_never_both_act() {
+fn processes_sharing_a_name_never_own_one_shard_together() {
     let (register, mut fleet) = start_fleet(5, 7);
     wait_for_append(&mut fleet, &register, |_| true);
     fleet.kill(4);
     fleet.rename(4, "n3");
     fleet.start_node(4);
-    fleet.wait_for("one process stops", PATIENCE, |fleet| {
-        let logged = |node| {
-            fleet
-                .log(node)
-                .iter()
-                .any(|line| line.contains("takes no part any more"))
-        };
-        (logged(3) || logged(4))
-            .then_some(())
-            .ok_or_else(|| "neither".into())
-    });
+    fleet.wait_for(
+        "one process logs that it takes no part any more",
+        TIMEOUT,
+        |fleet| {
+            let has_stopped = |node| {
+                fleet
+                    .log(node)
+                    .iter()
+                    .any(|line| line.contains("takes no part any more"))
+            };
+            (has_stopped(3) || has_stopped(4))
+                .then_some(())
+                .ok_or_else(|| "neither process has logged it".into())
+        },
+    );
     fleet.wait(ms(3_000));
     wait_for_append(&mut fleet, &register, |_| true);
     assert_eq!(register.violation(), None);
@@ -642,37 +734,45 @@
     let fleet = Fleet::prepare(3, 8, &lease_section);
     let forbidden = fleet.config(0).replace("\"peers\":true", "\"peers\":false");
     let node = Node::start_with_operators_file(&forbidden, Some(fleet.operators_file(0)));
-    wait_until("it is logged", || {
+    wait_until("the node logs that [instances] stays off", || {
         node.log()
             .iter()
             .any(|line| line.contains("[instances] stays off"))
     });
-    assert!(node
-        .admin_command("OWNERS\n")
-        .starts_with("400 this node takes no part"));
-    assert!(node
-        .admin_command("GIVE 0 n1\n")
-        .starts_with("400 this node takes no part"));
+    assert!(
+        node.admin_command("OWNERS\n")
+            .starts_with("400 this node takes no part"),
+        "OWNERS is rejected"
+    );
+    assert!(
+        node.admin_command("GIVE 0 n1\n")
+            .starts_with("400 this node takes no part"),
+        "GIVE is rejected"
+    );
     std::thread::sleep(ms(1_500));
-    assert_eq!(register.log(), []);
+    assert_eq!(register.log(), [], "no node has appended a line");
 }
 
 #[test]
-fn invalid_lease_section_is_rejected_by_line_and_key() {
+fn invalid_lease_section_is_rejected_with_line_and_reason() {
     let instances = "[instances]\nfleet = \"holds\"\nkey_file = \"key\"\n";
-    let read = |text: &str| OperatorConfig::parse(Path::new("file"), text);
-    let three = "keepers = [\"a\", \"b\", \"c\"]\n";
-    let operators = read(&format!("{instances}[leases]\n{three}")).expect("valid");
+    let parse = |text: &str| OperatorConfig::parse(Path::new("file"), text);
+    let three_acceptors = "keepers = [\"a\", \"b\", \"c\"]\n";
+    let operator_config =
+        parse(&format!("{instances}[leases]\n{three_acceptors}")).expect("the section is valid");
     assert!(
-        operators
+        operator_config
             .summary()
             .iter()
             .any(|line| line.contains("granted by acceptors a, b, c")),
-        "{:?}",
-        operators.summary()
+        "the summary names the acceptors: {:?}",
+        operator_config.summary()
     );
-    let wrong = [
-        (format!("[leases]\n{three}"), "leases need [instances]"),
+    let invalid_sections = [
+        (
+            format!("[leases]\n{three_acceptors}"),
+            "leases need [instances]",
+        ),
         (
             format!("{instances}[leases]\nkeepers = [\"a\", \"b\"]\n"),
             "expected 3, 5 or 7",
@@ -686,23 +786,23 @@
             "cannot be a node's name",
         ),
         (
-            format!("{instances}[leases]\n{three}shards = 0\n"),
+            format!("{instances}[leases]\n{three_acceptors}shards = 0\n"),
             "1 to 128",
         ),
         (
-            format!("{instances}[leases]\n{three}before = [\"a\", \"b\", \"d\"]\n"),
+            format!("{instances}[leases]\n{three_acceptors}before = [\"a\", \"b\", \"d\"]\n"),
             "`set` must be 2 or more",
         ),
         (
-            format!("{instances}[leases]\n{three}set = 2\nbefore = [\"a\"]\n"),
+            format!("{instances}[leases]\n{three_acceptors}set = 2\nbefore = [\"a\"]\n"),
             "expected 3, 5 or 7",
         ),
         (
-            format!("{instances}[leases]\n{three}lease_ms = 5\n"),
+            format!("{instances}[leases]\n{three_acceptors}lease_ms = 5\n"),
             "300 to 10000 ms",
         ),
         (
-            format!("{instances}[leases]\n{three}drift = nan\n"),
+            format!("{instances}[leases]\n{three_acceptors}drift = nan\n"),
             "`drift` must be 0 to 0.1",
         ),
         (
@@ -710,15 +810,15 @@
             "missing field `keepers`",
         ),
         (
-            format!("{instances}[leases]\n{three}keeper = 1\n"),
+            format!("{instances}[leases]\n{three_acceptors}keeper = 1\n"),
             "unknown field `keeper`",
         ),
     ];
-    for (text, why) in wrong {
-        let error = read(&text).expect_err("it makes no sense");
+    for (text, reason) in invalid_sections {
+        let error = parse(&text).expect_err("the section is invalid");
         assert!(
-            error.to_string().contains(why) && error.line().is_some(),
-            "{error}, not {why}"
+            error.to_string().contains(reason) && error.line().is_some(),
+            "expected `{reason}` with its line, got: {error}"
         );
     }
 }
