--- a/tests/consul.rs
+++ b/tests/consul.rs
@@ -1,5 +1,4 @@
-//! The node with an endpoint list and Consul, over loopback: agents that lag, respond wrongly, or
-//! become unreachable.
+//! A node with an endpoint list and Consul, over loopback: agents that lag, send invalid responses, or become unreachable.
 
 use std::collections::HashMap;
 use std::time::{Duration, Instant};
@@ -8,11 +7,11 @@
 use testkit::link::{Fault as LinkFault, Link, Plan};
 use testkit::*;
 
-/// A server must get no request this long after it has begun to drain.
+/// Time after the start of a drain from which the server must get no request.
 const DRAIN_DEADLINE: Duration = Duration::from_secs(2);
 
-/// A node with its servers, its discovery and Consul.
-struct Site {
+/// A node with its servers, its endpoint discovery and a Consul agent.
+struct TestEnvironment {
     servers: Vec<Server>,
     consul: Consul,
     node: Node,
@@ -21,19 +20,20 @@
     generation: u64,
 }
 
-fn operators_file(consul: &Consul, more: &str) -> String {
+fn operators_file(consul: &Consul, extra_keys: &str) -> String {
     format!(
-        "[[consul]]\nname = \"consul\"\nservice = \"holds\"\nagents = [\"{}\"]\nwait_s = 2\n{more}\n",
+        "[[consul]]\nname = \"consul\"\nservice = \"holds\"\nagents = [\"{}\"]\nwait_s = 2\n{extra_keys}\n",
         consul.address
     )
 }
 
-fn name(at: usize) -> String {
-    format!("s-{at}")
+/// Id of the server with this index.
+fn server_id(index: usize) -> String {
+    format!("s-{index}")
 }
 
 fn start_servers(count: usize) -> Vec<Server> {
-    // A response takes a while, so that simultaneous requests are spread.
+    // A response takes 5 ms, so that simultaneous requests are spread over the servers.
     let reply = |_: &Message| {
         Reply::SendInTwoParts(
             Vec::new(),
@@ -47,8 +47,8 @@
 /// A Consul agent with an instance for each server.
 fn start_consul(servers: &[Server]) -> Consul {
     let consul = Consul::start();
-    for (at, server) in servers.iter().enumerate() {
-        consul.register(Instance::new("holds", &name(at), server.address));
+    for (index, server) in servers.iter().enumerate() {
+        consul.register(Instance::new("holds", &server_id(index), server.address));
     }
     consul
 }
@@ -57,20 +57,21 @@
     servers
         .iter()
         .enumerate()
-        .map(|(at, server)| server.endpoint_entry(&name(at), lifecycle(at)))
+        .map(|(index, server)| server.endpoint_entry(&server_id(index), lifecycle(index)))
         .collect()
 }
 
-impl Site {
-    fn new(count: usize, more: &str) -> Self {
+impl TestEnvironment {
+    fn new(count: usize, extra_keys: &str) -> Self {
         let servers = start_servers(count);
         let consul = start_consul(&servers);
         let discovery = Discovery::start();
         let known = endpoint_list(1, true, &entries(&servers, |_| "ready"));
         let config = config(discovery.address, &known, &settings(15_000));
-        let node = Node::start_with_operators_file(&config, Some(&operators_file(&consul, more)));
+        let node =
+            Node::start_with_operators_file(&config, Some(&operators_file(&consul, extra_keys)));
         let watch = discovery.watch();
-        let site = Self {
+        let env = Self {
             servers,
             consul,
             node,
@@ -79,38 +80,41 @@
             generation: 1,
         };
         wait_until("Consul has responded", || {
-            !site.consul.responses().is_empty()
+            !env.consul.responses().is_empty()
         });
-        site
+        env
     }
 
-    /// Sends a change of the endpoint list.
-    fn update_list(&mut self, at: usize, lifecycle: &str) {
+    /// Sends an update of the endpoint list that sets a server's lifecycle.
+    fn update_list(&mut self, index: usize, lifecycle: &str) {
         self.generation += 1;
-        let entry = self.servers[at].endpoint_entry(&name(at), lifecycle);
+        let entry = self.servers[index].endpoint_entry(&server_id(index), lifecycle);
         self.watch.send(&format!(
             "{}\n",
             endpoint_list(self.generation, false, &[entry])
         ));
     }
 
-    /// Waits until Consul has responded with an instance in maintenance mode, or not in it.
-    fn wait_for_response(&self, at: usize, draining: bool) {
-        let name = name(at);
-        wait_until("Consul responds", || {
-            let responses = self.consul.responses();
-            let last = responses.last().expect("a response");
-            (if draining {
-                &last.draining
-            } else {
-                &last.not_draining
-            })
-            .contains(&name)
-        });
+    /// Waits until Consul's last response lists an instance as draining or as not draining.
+    fn wait_for_response(&self, index: usize, is_draining: bool) {
+        let id = server_id(index);
+        wait_until(
+            "Consul's last response has the expected drain state of the instance",
+            || {
+                let responses = self.consul.responses();
+                let last = responses.last().expect("Consul has responded");
+                (if is_draining {
+                    &last.draining
+                } else {
+                    &last.not_draining
+                })
+                .contains(&id)
+            },
+        );
     }
 
-    /// Sends so many simultaneous requests; returns the servers that got any. One at a time could all go to the
-    /// fastest server.
+    /// Sends this number of simultaneous requests; returns the indexes of the servers that got any. Requests sent one
+    /// after another could all go to the fastest server.
     fn servers_used_by(&self, count: usize) -> Vec<usize> {
         let before: Vec<_> = self
             .servers
@@ -119,15 +123,16 @@
             .collect();
         std::thread::scope(|scope| {
             for _ in 0..count {
-                static NEXT: std::sync::atomic::AtomicUsize =
+                static NEXT_ID: std::sync::atomic::AtomicUsize =
                     std::sync::atomic::AtomicUsize::new(0);
-                let id = NEXT.fetch_add(1, std::sync::atomic::Ordering::Relaxed);
+                let id = NEXT_ID.fetch_add(1, std::sync::atomic::Ordering::Relaxed);
                 let node = &self.node;
                 scope.spawn(move || {
                     assert_eq!(
                         node.request_until_accepted(&read_request(&format!("a{id:x}"), "15000m"))
                             .status(),
-                        200
+                        200,
+                        "request a{id:x}"
                     );
                 });
             }
@@ -138,7 +143,7 @@
             .zip(after)
             .enumerate()
             .filter(|(_, (before, after))| after > before)
-            .map(|(at, _)| at)
+            .map(|(index, _)| index)
             .collect()
     }
 
@@ -151,37 +156,37 @@
 }
 
 #[test]
-fn drain_known_to_consul_alone_is_ended_by_consul_alone() {
-    let mut site = Site::new(3, "");
-    site.wait_until_used(&[0, 1, 2]);
-    site.consul.set_maintenance("s-1", true);
-    site.wait_until_used(&[0, 2]);
-    site.update_list(1, "ready");
+fn drain_reported_only_by_consul_is_ended_only_by_consul() {
+    let mut env = TestEnvironment::new(3, "");
+    env.wait_until_used(&[0, 1, 2]);
+    env.consul.set_maintenance("s-1", true);
+    env.wait_until_used(&[0, 2]);
+    env.update_list(1, "ready");
     assert!(
-        !site.servers_used_by(12).contains(&1),
+        !env.servers_used_by(12).contains(&1),
         "the endpoint list does not end Consul's drain"
     );
-    site.consul.set_maintenance("s-1", false);
-    site.wait_until_used(&[0, 1, 2]);
-    site.update_list(2, "draining");
-    site.wait_until_used(&[0, 1]);
+    env.consul.set_maintenance("s-1", false);
+    env.wait_until_used(&[0, 1, 2]);
+    env.update_list(2, "draining");
+    env.wait_until_used(&[0, 1]);
 }
 
 #[test]
-fn failing_check_removes_one_server_and_mass_removal_none() {
-    let site = Site::new(3, "");
-    site.consul.set_status("s-0", "critical");
-    site.wait_until_used(&[1, 2]);
-    site.consul.deregister_all();
-    wait_until("Consul responds", || {
-        site.consul
+fn failing_check_removes_a_server_and_mass_removal_none() {
+    let env = TestEnvironment::new(3, "");
+    env.consul.set_status("s-0", "critical");
+    env.wait_until_used(&[1, 2]);
+    env.consul.deregister_all();
+    wait_until("Consul responds without instances", || {
+        env.consul
             .responses()
             .last()
             .is_some_and(|response| response.not_draining.is_empty())
     });
-    site.wait_until_used(&[1, 2]);
-    wait_until("it is logged", || {
-        site.node
+    env.wait_until_used(&[1, 2]);
+    wait_until("the node logs the mass removal", || {
+        env.node
             .log()
             .iter()
             .any(|line| line.contains("removes 3 of 3 endpoints at once"))
@@ -189,25 +194,28 @@
 }
 
 #[test]
-fn server_known_to_consul_alone_is_used_only_if_allowed() {
-    for (more, used) in [("", &[0, 1][..]), ("names_servers = true", &[0, 1, 2])] {
-        let mut site = Site::new(2, more);
-        site.servers.push(Server::start(|_| Reply::ok("yes")));
-        site.consul
-            .register(Instance::new("holds", "s-2", site.servers[2].address));
-        site.wait_for_response(2, false);
+fn server_listed_only_by_consul_is_used_only_if_allowed() {
+    for (extra_keys, used) in [("", &[0, 1][..]), ("names_servers = true", &[0, 1, 2])] {
+        let mut env = TestEnvironment::new(2, extra_keys);
+        env.servers.push(Server::start(|_| Reply::ok("yes")));
+        env.consul
+            .register(Instance::new("holds", "s-2", env.servers[2].address));
+        env.wait_for_response(2, false);
         if used.len() == 3 {
-            site.wait_until_used(used);
+            env.wait_until_used(used);
         } else {
-            assert!(!site.servers_used_by(20).contains(&2));
+            assert!(
+                !env.servers_used_by(20).contains(&2),
+                "a server known to Consul alone is not used"
+            );
         }
     }
 }
 
-/// Guards against a node that rejects requests, or logs incessantly, if Consul was never reachable.
+/// A node must neither reject requests nor log repeatedly if Consul was never reachable.
 #[test]
 fn unreachable_consul_does_not_reduce_the_served_share() {
-    let shares: Vec<f64> = [None, Some(Unreachable::reserve())]
+    let served_fractions: Vec<f64> = [None, Some(Unreachable::reserve())]
         .iter()
         .map(|agent| {
             let servers = start_servers(3);
@@ -228,23 +236,30 @@
             assert_eq!(
                 (totals.lost, totals.sent > 100),
                 (0, true),
-                "{:?}",
+                "no request is lost and more than 100 are sent: {:?}",
                 totals.responses
             );
-            assert!(node.log().len() < 10, "{:?}", node.log());
+            assert!(
+                node.log().len() < 10,
+                "the node logs fewer than 10 lines: {:?}",
+                node.log()
+            );
             totals.served_fraction()
         })
         .collect();
-    assert!(shares.iter().all(|share| *share > 0.99), "{shares:?}");
+    assert!(
+        served_fractions.iter().all(|fraction| *fraction > 0.99),
+        "more than 99 % are served without and with Consul: {served_fractions:?}"
+    );
 }
 
 #[test]
 fn faulty_responses_lose_no_request_and_end_no_drain() {
-    let site = Site::new(3, "");
-    site.consul.set_maintenance("s-1", true);
-    site.wait_until_used(&[0, 2]);
-    let older = site.consul.catalog();
-    let load = Load::start(site.node.address, 2, Duration::from_millis(1));
+    let env = TestEnvironment::new(3, "");
+    env.consul.set_maintenance("s-1", true);
+    env.wait_until_used(&[0, 2]);
+    let older_catalog = env.consul.catalog();
+    let load = Load::start(env.node.address, 2, Duration::from_millis(1));
     for fault in [
         Fault::Status(500),
         Fault::Status(429),
@@ -263,36 +278,50 @@
         Fault::Cached(60),
         Fault::Immediate,
     ] {
-        let queries = site.consul.queries().len();
-        site.consul.set_fault(fault.clone());
-        // A change lets the agent respond to the blocking query, with the fault.
-        site.consul.set_status("s-2", "passing");
+        let queries = env.consul.queries().len();
+        env.consul.set_fault(fault.clone());
+        // A change of the catalog makes the agent respond to the blocking query, with the fault.
+        env.consul.set_status("s-2", "passing");
         wait_until("the agent is queried again", || {
-            site.consul.queries().len() > queries
+            env.consul.queries().len() > queries
         });
-        assert!(!site.servers_used_by(6).contains(&1), "{fault:?}");
+        assert!(
+            !env.servers_used_by(6).contains(&1),
+            "{fault:?} ends no drain"
+        );
         // A valid response ends the backoff.
-        site.consul.set_fault(Fault::None);
-        let responses = site.consul.responses().len();
-        site.consul.set_status("s-2", "passing");
+        env.consul.set_fault(Fault::None);
+        let responses = env.consul.responses().len();
+        env.consul.set_status("s-2", "passing");
         wait_until("the agent responds again", || {
-            site.consul.responses().len() > responses
+            env.consul.responses().len() > responses
         });
     }
-    site.consul.restore(older.at_index(3));
-    site.consul.set_unreachable(true);
-    assert!(!site.servers_used_by(6).contains(&1));
-    site.consul.set_unreachable(false);
+    env.consul.restore(older_catalog.at_index(3));
+    env.consul.set_unreachable(true);
+    assert!(
+        !env.servers_used_by(6).contains(&1),
+        "an older catalog and an unreachable agent end no drain"
+    );
+    env.consul.set_unreachable(false);
     let totals = load.finish();
-    assert_eq!(totals.lost, 0);
-    assert!(totals.served_fraction() > 0.99, "{:?}", totals.responses);
-    let log = site.node.log();
-    assert!(log.len() < 120, "{} lines", log.len());
+    assert_eq!(totals.lost, 0, "no request is lost");
+    assert!(
+        totals.served_fraction() > 0.99,
+        "more than 99 % are served: {:?}",
+        totals.responses
+    );
+    let log = env.node.log();
+    assert!(
+        log.len() < 120,
+        "the node logs fewer than 120 lines, got {}",
+        log.len()
+    );
 }
 
 /// Two agents with different data respond in turn.
 #[test]
-fn agent_that_lags_behind_another_ends_no_drain() {
+fn agent_lagging_behind_another_ends_no_drain() {
     let servers = start_servers(3);
     let (ahead, behind) = (start_consul(&servers), start_consul(&servers));
     ahead.set_maintenance("s-1", true);
@@ -303,7 +332,7 @@
         "[[consul]]\nname = \"c\"\nservice = \"holds\"\nagents = [\"{}\", \"{}\"]\nwait_s = 1\n",
         ahead.address, behind.address
     );
-    let site = Site {
+    let env = TestEnvironment {
         node: Node::start_with_operators_file(&config, Some(&operators)),
         watch: discovery.watch(),
         consul: ahead.clone(),
@@ -311,9 +340,9 @@
         discovery,
         generation: 1,
     };
-    site.wait_until_used(&[0, 2]);
-    for turn in 0..6 {
-        let (unreachable, reachable) = if turn % 2 == 0 {
+    env.wait_until_used(&[0, 2]);
+    for round in 0..6 {
+        let (unreachable, reachable) = if round % 2 == 0 {
             (&ahead, &behind)
         } else {
             (&behind, &ahead)
@@ -324,11 +353,14 @@
         wait_until("the other agent responds", || {
             reachable.responses().len() > responses
         });
-        assert!(!site.servers_used_by(6).contains(&1), "turn {turn}");
+        assert!(
+            !env.servers_used_by(6).contains(&1),
+            "the agent that responds in round {round} ends no drain"
+        );
     }
 }
 
-/// The link to the agent cuts, delays and repeats bytes at every position of its responses.
+/// The link to the agent cuts, delays or repeats bytes of its responses, at a later position on each faulty connection.
 #[test]
 fn faulty_link_to_an_agent_loses_no_request_and_ends_no_drain() {
     let servers = start_servers(3);
@@ -351,35 +383,42 @@
     let discovery = Discovery::start();
     let known = endpoint_list(1, true, &entries(&servers, |_| "ready"));
     let config = config(discovery.address, &known, &settings(15_000));
-    let file =
+    let operators =
         operators_file(&consul, "").replace(&consul.address.to_string(), &link.address.to_string());
-    let site = Site {
-        node: Node::start_with_operators_file(&config, Some(&file)),
+    let env = TestEnvironment {
+        node: Node::start_with_operators_file(&config, Some(&operators)),
         watch: discovery.watch(),
         consul,
         servers,
         discovery,
         generation: 1,
     };
-    site.wait_until_used(&[0, 2]);
-    let load = Load::start(site.node.address, 2, Duration::from_millis(1));
+    env.wait_until_used(&[0, 2]);
+    let load = Load::start(env.node.address, 2, Duration::from_millis(1));
     for _ in 0..8 {
         let before = link.connections();
         link.cut_all();
         wait_until("the node connects again", || link.connections() > before);
-        site.consul.set_status("s-0", "passing");
-        assert!(!site.servers_used_by(6).contains(&1));
+        env.consul.set_status("s-0", "passing");
+        assert!(
+            !env.servers_used_by(6).contains(&1),
+            "a faulty connection ends no drain"
+        );
     }
-    wait_until("a connection has no fault", || {
+    wait_until("the last connection has no fault", || {
         link.cut_all();
         std::thread::sleep(Duration::from_millis(300));
         link.connections() % 2 == 0
     });
-    site.consul.set_maintenance("s-1", false);
-    site.wait_until_used(&[0, 1, 2]);
+    env.consul.set_maintenance("s-1", false);
+    env.wait_until_used(&[0, 1, 2]);
     let totals = load.finish();
-    assert_eq!(totals.lost, 0);
-    assert!(totals.served_fraction() > 0.99, "{:?}", totals.responses);
+    assert_eq!(totals.lost, 0, "no request is lost");
+    assert!(
+        totals.served_fraction() > 0.99,
+        "more than 99 % are served: {:?}",
+        totals.responses
+    );
 }
 
 #[test]
@@ -387,15 +426,16 @@
     let servers = start_servers(2);
     let consul = start_consul(&servers);
     consul.require_token("c0ffee-first");
-    let file = write_temp_file("c0ffee-first\n");
+    let token_file = write_temp_file("c0ffee-first\n");
     let discovery = Discovery::start();
     let config = config(
         discovery.address,
         &endpoint_list(1, true, &entries(&servers, |_| "ready")),
         &settings(15_000),
     );
-    let more = format!("token_file = {file:?}");
-    let node = Node::start_with_operators_file(&config, Some(&operators_file(&consul, &more)));
+    let extra_keys = format!("token_file = {token_file:?}");
+    let node =
+        Node::start_with_operators_file(&config, Some(&operators_file(&consul, &extra_keys)));
     wait_until("the token is accepted", || !consul.responses().is_empty());
     consul.require_token("c0ffee-second");
     wait_until("the rejection is logged", || {
@@ -403,37 +443,37 @@
             .iter()
             .any(|line| line.contains("rejected the token"))
     });
-    std::fs::write(&file, "c0ffee-second").expect("the test's own file");
+    std::fs::write(&token_file, "c0ffee-second").expect("write the token file");
     let before = consul.responses().len();
     wait_until("the new token is accepted", || {
         consul.responses().len() > before
     });
     assert!(
         !node.log().iter().any(|line| line.contains("c0ffee")),
-        "{:?}",
+        "no token is logged: {:?}",
         node.log()
     );
-    std::fs::remove_file(file).expect("the test's own file");
+    std::fs::remove_file(token_file).expect("remove the token file");
 }
 
 #[test]
-fn consul_source_is_turned_off_and_on_by_a_reload() {
-    let site = Site::new(2, "");
-    site.consul.set_maintenance("s-1", true);
-    site.wait_until_used(&[0]);
-    site.node.reload_operators_file("[membership]\n");
-    site.wait_until_used(&[0, 1]);
-    site.node.reload_operators_file("nonsense = 1\n");
+fn reload_turns_consul_source_off_and_on() {
+    let env = TestEnvironment::new(2, "");
+    env.consul.set_maintenance("s-1", true);
+    env.wait_until_used(&[0]);
+    env.node.reload_operators_file("[membership]\n");
+    env.wait_until_used(&[0, 1]);
+    env.node.reload_operators_file("nonsense = 1\n");
     wait_until("the invalid file is logged", || {
-        site.node
+        env.node
             .log()
             .iter()
             .any(|line| line.contains("the operators' file is not used"))
     });
-    site.wait_until_used(&[0, 1]);
-    site.node
-        .reload_operators_file(&operators_file(&site.consul, ""));
-    site.wait_until_used(&[0]);
+    env.wait_until_used(&[0, 1]);
+    env.node
+        .reload_operators_file(&operators_file(&env.consul, ""));
+    env.wait_until_used(&[0]);
 }
 
 /// The platform starts the node without an operators' file.
@@ -443,24 +483,25 @@
     let consul = start_consul(&servers);
     consul.set_maintenance("s-1", true);
     let (node, _discovery, _watch) = Node::start_with_servers(&[&servers[0], &servers[1]], 15_000);
-    let mut sent = 0;
+    let mut sent_requests = 0;
     wait_until("both servers are used", || {
-        sent += 1;
+        sent_requests += 1;
         assert_eq!(
-            node.request_until_accepted(&read_request(&format!("r{sent}"), "15000m"))
+            node.request_until_accepted(&read_request(&format!("r{sent_requests}"), "15000m"))
                 .status(),
-            200
+            200,
+            "request r{sent_requests}"
         );
         servers.iter().all(|server| !server.requests().is_empty())
     });
-    assert!(consul.queries().is_empty());
+    assert!(consul.queries().is_empty(), "the agent got no query");
 }
 
-/// From when to when a server must get no request.
+/// Time span in which a server drains; it must get no request from [`DRAIN_DEADLINE`] after the start on.
 struct DrainSpan {
     server: usize,
     since: Instant,
-    /// `None`: to the end of the run.
+    /// End of the drain; `None` if it lasts to the end of the run.
     until: Option<Instant>,
 }
 
@@ -470,37 +511,35 @@
     const STEPS: usize = 400;
     const STEP: Duration = Duration::from_millis(25);
     const SERVERS: usize = 8;
-    let mut random = fastrand::Rng::with_seed(0x5eed);
-    let mut site = Site::new(SERVERS, "confirm_s = 600");
-    let load = Load::start(site.node.address, 4, Duration::from_millis(2));
+    let mut rng = fastrand::Rng::with_seed(0x5eed);
+    let mut env = TestEnvironment::new(SERVERS, "confirm_s = 600");
+    let load = Load::start(env.node.address, 4, Duration::from_millis(2));
     let mut list_drains: HashMap<usize, Instant> = HashMap::new();
-    let mut spans: Vec<DrainSpan> = Vec::new();
-    let mut snapshots = vec![site.consul.catalog()];
+    let mut drain_spans: Vec<DrainSpan> = Vec::new();
+    let mut snapshots = vec![env.consul.catalog()];
     for _ in 0..STEPS {
-        // Two servers are never drained, so that there is always one to use.
-        let at = random.usize(2..SERVERS);
-        match random.u8(..20) {
-            0..=3 => site.consul.set_maintenance(&name(at), true),
-            4 => site.consul.set_maintenance(&name(at), false),
-            5 => site
-                .consul
-                .set_status(&name(random.usize(..SERVERS)), "critical"),
-            6 | 7 => site.consul.set_status(&name(at), "passing"),
-            8 => site.consul.deregister(&name(at)),
-            9 => site
+        // Servers 0 and 1 are never drained, so that there is always one to use.
+        let index = rng.usize(2..SERVERS);
+        match rng.u8(..20) {
+            0..=3 => env.consul.set_maintenance(&server_id(index), true),
+            4 => env.consul.set_maintenance(&server_id(index), false),
+            5 => env
                 .consul
-                .register(Instance::new("holds", &name(at), site.servers[at].address)),
-            10 => site
+                .set_status(&server_id(rng.usize(..SERVERS)), "critical"),
+            6 | 7 => env.consul.set_status(&server_id(index), "passing"),
+            8 => env.consul.deregister(&server_id(index)),
+            9 => env.consul.register(Instance::new(
+                "holds",
+                &server_id(index),
+                env.servers[index].address,
+            )),
+            10 => env.consul.set_lag(Duration::from_millis(rng.u64(..300))),
+            11 => snapshots.push(env.consul.catalog()),
+            12 => env
                 .consul
-                .set_lag(Duration::from_millis(random.u64(..300))),
-            11 => snapshots.push(site.consul.catalog()),
-            12 => site
-                .consul
-                .restore(random.choice(&snapshots).expect("one").clone()),
-            13 => site.consul.set_unreachable(random.bool()),
-            14 => site
-                .consul
-                .set_fault(Fault::Truncate(random.usize(..2_000))),
+                .restore(rng.choice(&snapshots).expect("not empty").clone()),
+            13 => env.consul.set_unreachable(rng.bool()),
+            14 => env.consul.set_fault(Fault::Truncate(rng.usize(..2_000))),
             15 => {
                 let faults = [
                     Fault::Status(500),
@@ -508,94 +547,94 @@
                     Fault::Body("[]".into()),
                     Fault::Immediate,
                 ];
-                site.consul.set_fault(random.choice(faults).expect("one"));
+                env.consul.set_fault(rng.choice(faults).expect("not empty"));
             }
-            16 | 17 => site.consul.set_fault(Fault::None),
+            16 | 17 => env.consul.set_fault(Fault::None),
             18 => {
-                site.update_list(at, "draining");
+                env.update_list(index, "draining");
                 let since = Instant::now();
-                list_drains.entry(at).or_insert(since);
+                list_drains.entry(index).or_insert(since);
             }
             _ => {
-                // The drain ends before the list is sent.
-                if let Some(since) = list_drains.remove(&at) {
-                    spans.push(DrainSpan {
-                        server: at,
+                // The drain counts as ended before the list is sent: the server may get requests from then on.
+                if let Some(since) = list_drains.remove(&index) {
+                    drain_spans.push(DrainSpan {
+                        server: index,
                         since,
                         until: Some(Instant::now()),
                     });
                 }
-                site.update_list(at, "ready");
+                env.update_list(index, "ready");
             }
         }
         std::thread::sleep(STEP);
     }
-    // Servers that drain now stay drained while Consul is unreachable.
-    site.consul.set_unreachable(true);
+    // Servers that drain at this point stay drained while Consul is unreachable.
+    env.consul.set_unreachable(true);
     std::thread::sleep(DRAIN_DEADLINE + Duration::from_millis(500));
     let totals = load.finish();
-    assert_eq!(totals.lost, 0, "{:?}", totals.responses);
+    assert_eq!(totals.lost, 0, "no request is lost: {:?}", totals.responses);
     assert!(
         totals.sent > 1_000 && totals.served_fraction() > 0.98,
-        "{:?}",
+        "of more than 1000 requests more than 98 % are served: {:?}",
         totals.responses
     );
-    spans.extend(list_drains.into_iter().map(|(server, since)| DrainSpan {
+    drain_spans.extend(list_drains.into_iter().map(|(server, since)| DrainSpan {
         server,
         since,
         until: None,
     }));
-    spans.extend(consul_drains(&site));
-    let long = spans.iter().filter(|span| {
+    drain_spans.extend(consul_drains(&env));
+    let long_drains = drain_spans.iter().filter(|span| {
         let until = span.until.unwrap_or_else(Instant::now);
         until.duration_since(span.since) > DRAIN_DEADLINE + Duration::from_millis(100)
     });
     assert!(
-        long.count() >= 5,
-        "the run must contain drains that outlast the deadline"
+        long_drains.count() >= 5,
+        "the run contains at least 5 drains that outlast the deadline"
     );
     for DrainSpan {
         server,
         since,
         until,
-    } in spans
+    } in drain_spans
     {
-        let late = site.servers[server].arrivals().into_iter().find(|arrival| {
+        let late = env.servers[server].arrivals().into_iter().find(|arrival| {
             *arrival > since + DRAIN_DEADLINE && until.is_none_or(|until| *arrival < until)
         });
         assert!(
             late.is_none(),
-            "server {server} drained for {:?}",
-            late.map(|late| late - since)
+            "server {server} got a request after draining for {:?}",
+            late.map(|arrival| arrival - since)
         );
     }
-    drop(site.discovery);
+    drop(env.discovery);
 }
 
-/// From when to when servers drained by Consul: until a complete response of a later index does not drain them. A response
-/// of an earlier index is not newer.
-fn consul_drains(site: &Site) -> Vec<DrainSpan> {
+/// Time spans in which Consul drains servers. A span ends when the agent starts a response with a higher index that does
+/// not drain the server; a response with a lower or equal index is not newer and does not end it.
+fn consul_drains(env: &TestEnvironment) -> Vec<DrainSpan> {
     let mut spans = Vec::new();
-    for at in 0..site.servers.len() {
-        let (name, mut open) = (name(at), None::<(Instant, u64)>);
-        for response in site.consul.responses() {
-            if response.draining.contains(&name) {
-                let since = open.map_or(response.completed_at, |(since, _)| since);
-                open = Some((since, response.index));
-            } else if let Some((since, index)) = open {
-                // A later version lists it without maintenance mode, or not at all: either is newer.
-                if response.index > index {
+    for index in 0..env.servers.len() {
+        let (id, mut open_drain) = (server_id(index), None::<(Instant, u64)>);
+        for response in env.consul.responses() {
+            if response.draining.contains(&id) {
+                let since = open_drain.map_or(response.completed_at, |(since, _)| since);
+                open_drain = Some((since, response.index));
+            } else if let Some((since, drain_index)) = open_drain {
+                // A newer response lists the server as not draining, or does not list it: either ends the drain.
+                if response.index > drain_index {
                     spans.push(DrainSpan {
-                        server: at,
+                        server: index,
                         since,
                         until: Some(response.started_at),
                     });
-                    open = None;
+                    open_drain = None;
                 }
             }
         }
-        spans.extend(open.map(|(since, _)| DrainSpan {
-            server: at,
+        spans.extend(open_drain.map(|(since, _)| DrainSpan {
+            server: index,
             since,
             until: None,
         }));
