--- a/tests/admin_interface.rs
+++ b/tests/admin_interface.rs
@@ -12,13 +12,15 @@
     config, endpoint_list, program_command, settings, write_temp_file, Discovery, Fleet, Node,
 };
 
-/// Every key of the operators' file, each with a value that is neither its default nor another key's.
-const EVERY_KEY: &str = include_str!("operators/every_key.toml");
+/// An operators' file with every key; each value differs from the key's default and from the values of other keys.
+const FILE_WITH_EVERY_KEY: &str = include_str!("operators/every_key.toml");
 
+/// Membership, lease and outlier-detection sections with short timings.
 const CLUSTER: &str =
     "probe_ms = 200\nsuspect_ms = 1000\n[leases]\nkeepers = [\"n0\", \"n1\", \"n2\"]\n\
     shards = 2\n[word]\n";
 
+/// The response to STATS of a node without a cluster and without requests.
 const STATS_WITHOUT_CLUSTER: &str = "edge_router.served.read:0|c\n\
      edge_router.refused.read:0|c\n\
      edge_router.failed.read:0|c\n\
@@ -36,7 +38,7 @@
      edge_router.servers_excluded:0|g\n\
      EOF\n";
 
-/// The metrics that a node of a cluster adds, with their values masked.
+/// The metrics that a node of a cluster adds to the response to STATS, with their values masked.
 const CLUSTER_STATS: &str = "edge_router.fleet_members.alive:#|g\n\
      edge_router.fleet_members.suspect:#|g\n\
      edge_router.fleet_members.gone:#|g\n\
@@ -77,6 +79,7 @@
      edge_router.word_panics:#|c\n\
      EOF\n";
 
+/// Starts a node with an admin address and no servers.
 fn node_with_admin_address() -> (Node, Discovery) {
     let discovery = Discovery::start();
     let text = config(
@@ -88,34 +91,43 @@
     (Node::start(&text), discovery)
 }
 
-/// A node that answers one request with this text; and the request.
+/// Starts a fake node that answers one command with this text; returns its address and a handle to the received command.
 fn fake_node(response: &str) -> (String, thread::JoinHandle<String>) {
-    let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
-    let address = listener.local_addr().expect("an address").to_string();
+    let listener = TcpListener::bind("127.0.0.1:0").expect("bind a loopback socket");
+    let address = listener
+        .local_addr()
+        .expect("read the bound address")
+        .to_string();
     let response = response.to_owned();
     let request = thread::spawn(move || {
-        let (mut stream, _) = listener.accept().expect("a client");
+        let (mut stream, _) = listener.accept().expect("accept the client");
         let mut request = [0; 64];
-        let length = stream.read(&mut request).expect("a request");
-        stream.write_all(response.as_bytes()).expect("a client");
+        let length = stream.read(&mut request).expect("read the command");
+        stream
+            .write_all(response.as_bytes())
+            .expect("send the response");
         String::from_utf8_lossy(&request[..length]).into_owned()
     });
     (address, request)
 }
 
-/// Runs a subcommand against a node that answers with `response`.
+/// Runs a subcommand against a fake node that answers with `response`; returns the command that the node received and the
+/// output of the program.
 fn run_against(response: &str, subcommand: &str, options: &[&str]) -> (String, Output) {
     let (address, request) = fake_node(response);
     let output = program_command()
         .args([subcommand, "--at", &address])
         .args(options)
         .output()
-        .expect("it starts");
-    (request.join().expect("one request"), output)
+        .expect("run the program");
+    (
+        request.join().expect("the fake node received a command"),
+        output,
+    )
 }
 
 fn stdout(output: &Output) -> &str {
-    std::str::from_utf8(&output.stdout).expect("text")
+    std::str::from_utf8(&output.stdout).expect("the output is UTF-8")
 }
 
 /// Replaces each run of digits by `#`.
@@ -132,7 +144,7 @@
 }
 
 #[test]
-fn admin_commands_without_cluster_answer_with_these_bytes() {
+fn admin_commands_without_cluster_give_recorded_bytes() {
     let (node, _discovery) = node_with_admin_address();
     for (command, response) in [
         ("READY\n", "200 ready\n"),
@@ -162,7 +174,7 @@
 }
 
 #[test]
-fn admin_commands_in_a_cluster_answer_in_these_forms() {
+fn admin_commands_in_a_cluster_give_recorded_forms() {
     let mut fleet = Fleet::start(3, 11, CLUSTER);
     fleet.agree_within(std::time::Duration::from_secs(60));
     let node = fleet.node(0);
@@ -174,10 +186,10 @@
         "self n# well # alive\nn# alive # # # #.#.#.#:#\nn# alive # # # #.#.#.#:#\nEOF\n"
     );
     let owners = mask_numbers(&node.admin_command("OWNERS\n"));
-    let free = "# - # # #\n";
+    let unowned = "# - # # #\n";
     let owned = "# n# # # #\n";
     assert_eq!(
-        owners.replace(free, owned),
+        owners.replace(unowned, owned),
         format!("self n# grants #\n{owned}{owned}EOF\n")
     );
     assert_eq!(node.admin_command("HINTS\n"), "self n0 0\nEOF\n");
@@ -188,7 +200,7 @@
     let stats = mask_numbers(&node.admin_command("STATS\n"));
     let cluster_stats = stats.split_once("servers_excluded:#|g\n");
     assert_eq!(cluster_stats.map(|(_, rest)| rest), Some(CLUSTER_STATS));
-    testkit::wait_until("an owner hands its shard over", || {
+    testkit::wait_until("an owner transfers its shard", || {
         (0..3).any(|owner| {
             let receiver = (owner + 1) % 3;
             fleet
@@ -200,7 +212,7 @@
 }
 
 #[test]
-fn members_command_prints_this_table_and_json() {
+fn members_command_prints_recorded_table_and_json() {
     let response = "self n0 healthy 17 alive\nn1 alive 3 12 40 127.0.0.1:7946\n\
         n-22 suspect 4 1200 - 127.0.0.1:7947\nEOF\n";
     let (request, output) = run_against(response, "members", &[]);
@@ -228,7 +240,7 @@
 }
 
 #[test]
-fn owners_command_prints_this_table_and_json() {
+fn owners_command_prints_recorded_table_and_json() {
     let response = "self n0 yes 2\n0 n1 77 1500 20\n1 - 0 - -\nEOF\n";
     let (request, output) = run_against(response, "owners", &[]);
     assert_eq!(
@@ -254,7 +266,7 @@
 }
 
 #[test]
-fn hints_command_prints_this_table_and_json() {
+fn hints_command_prints_recorded_table_and_json() {
     let response = "self n0 1\ns-3 unreachable 4 1500 0.05\nEOF\n";
     let (request, output) = run_against(response, "hints", &[]);
     assert_eq!(
@@ -279,7 +291,7 @@
 }
 
 #[test]
-fn commands_against_a_node_that_cannot_answer_exit_with_1() {
+fn command_with_invalid_or_no_response_exits_with_1() {
     for response in [
         "400 this node looks for no others\n",
         "",
@@ -291,22 +303,28 @@
     ] {
         let (_, output) = run_against(response, "members", &[]);
         assert_eq!(output.status.code(), Some(1), "{response:?}");
-        assert!(output.stdout.is_empty(), "{response:?}");
-        let lines = String::from_utf8_lossy(&output.stderr).lines().count();
-        assert_eq!(lines, 1, "{response:?}");
+        assert!(
+            output.stdout.is_empty(),
+            "nothing is printed for {response:?}"
+        );
+        let error_lines = String::from_utf8_lossy(&output.stderr).lines().count();
+        assert_eq!(error_lines, 1, "{response:?}");
     }
-    let closed = TcpListener::bind("127.0.0.1:0").expect("a port");
-    let address = closed.local_addr().expect("an address").to_string();
+    let closed = TcpListener::bind("127.0.0.1:0").expect("bind a loopback socket");
+    let address = closed
+        .local_addr()
+        .expect("read the bound address")
+        .to_string();
     drop(closed);
     let output = program_command().args(["hints", "--at", &address]).output();
-    let output = output.expect("it starts");
-    assert_eq!(output.status.code(), Some(1));
+    let output = output.expect("run the program");
+    assert_eq!(output.status.code(), Some(1), "the port is closed");
 }
 
 #[test]
-fn node_that_cannot_start_exits_with_these_codes() {
-    let output = program_command().output().expect("it starts");
-    assert_eq!(output.status.code(), Some(1), "no ROUTER_CONFIG");
+fn node_with_missing_settings_exits_with_recorded_codes() {
+    let output = program_command().output().expect("run the program");
+    assert_eq!(output.status.code(), Some(1), "ROUTER_CONFIG is not set");
     let fleet = Fleet::prepare(1, 12, "probe_ms = 200\nsuspect_ms = 1000\n");
     let without_peers = fleet
         .config(0)
@@ -317,17 +335,20 @@
         .arg("--config")
         .arg(&files[1])
         .output()
-        .expect("it starts");
+        .expect("run the program");
     for file in files {
-        std::fs::remove_file(file).expect("the test's own");
+        std::fs::remove_file(file).expect("remove the temporary file");
     }
     let error = String::from_utf8_lossy(&output.stderr).into_owned();
     assert_eq!(output.status.code(), Some(2), "{error}");
-    assert!(error.contains("`listen`"), "{error}");
+    assert!(
+        error.contains("`listen`"),
+        "the error names the key `listen`: {error}"
+    );
 }
 
-/// Names of values that are the same in the file.
-const KEPT_NAMES: [&str; 10] = [
+/// Words of a debug form that are values of the operators' file, not names of types or fields.
+const VALUE_NAMES: [&str; 10] = [
     "true",
     "false",
     "None",
@@ -340,13 +361,17 @@
     "Gone",
 ];
 
-/// Numbers, strings, booleans and named choices of a value's debug form, in order: these have to stay when types and fields are renamed.
+/// Numbers, strings, booleans and enum values in a debug form, in order. They stay the same when types and fields are
+/// renamed.
 fn literals(debug: &str) -> Vec<String> {
     let mut literals = Vec::new();
     let mut rest = debug;
     while let Some(first) = rest.chars().next() {
         let length = if first == '"' {
-            rest[1..].find('"').expect("a closing quote") + 2
+            rest[1..]
+                .find('"')
+                .expect("a string in a debug form has a closing quote")
+                + 2
         } else if first.is_ascii_alphanumeric() || "_.:-".contains(first) {
             rest.find(|c: char| !c.is_ascii_alphanumeric() && !"_.:-".contains(c))
                 .unwrap_or(rest.len())
@@ -356,7 +381,7 @@
         };
         let (token, after) = rest.split_at(length);
         let is_literal = token.starts_with(['"', '1', '2', '3', '4', '5', '6', '7', '8', '9', '0'])
-            || KEPT_NAMES.contains(&token);
+            || VALUE_NAMES.contains(&token);
         if is_literal {
             literals.push(token.to_owned());
         }
@@ -366,8 +391,9 @@
 }
 
 #[test]
-fn operators_file_with_every_key_has_these_values() {
-    let parsed = OperatorConfig::parse(Path::new("file"), EVERY_KEY).expect("sound");
+fn operators_file_with_every_key_has_recorded_values() {
+    let parsed =
+        OperatorConfig::parse(Path::new("file"), FILE_WITH_EVERY_KEY).expect("the file is valid");
     let parsed = literals(&format!("{parsed:?}")).join(" ");
     let expected = concat!(
         r#""roster" true 0.41 11000.0 false 31000.0 false None "dc2" true 0.53 12000.0 true 33000.0 true "#,
@@ -385,18 +411,19 @@
 }
 
 #[test]
-fn operators_file_with_every_key_has_this_summary() {
-    let parsed = OperatorConfig::parse(Path::new("file"), EVERY_KEY).expect("sound");
+fn operators_file_with_every_key_has_recorded_summary() {
+    let parsed =
+        OperatorConfig::parse(Path::new("file"), FILE_WITH_EVERY_KEY).expect("the file is valid");
     assert_eq!(parsed.summary(), ["consul \"dc2\": service \"stays\" through 2 agents, names servers", "consul \"by-address\": service \"by-address\" through 1 agents, advises on the roster's servers", "2 addresses of 1 servers", "cluster \"stays\": 2 peers, probed every 501 ms", "leases of 65 shards, granted by acceptors k0, k1, k2 (set 5), 2504 ms long", "outlier detection: 4 nodes have to report a server, reports every 1001 ms"]);
     assert!(OperatorConfig::default().summary().is_empty());
     let empty = write_temp_file("");
     let output = program_command().arg("check").arg(&empty).output();
-    let output = output.expect("it starts");
+    let output = output.expect("run the program");
     assert_eq!(stdout(&output), format!("{}: valid\n", empty.display()));
-    std::fs::remove_file(empty).expect("the test's own");
+    std::fs::remove_file(empty).expect("remove the temporary file");
 }
 
-/// A section of each kind that is sound but for the keys that a test replaces in it.
+/// A valid section of each kind; a test replaces a key to make one invalid.
 const SECTIONS: &str = "[instances]\nfleet = \"holds\"\nkey_file = \"key\"\n\
     [leases]\nkeepers = [\"a\", \"b\", \"c\"]\n\
     [word]\nreporters = 3\n\
@@ -404,8 +431,11 @@
     [[server]]\nid = \"s-0\"\naddresses = [{ address = \"[::1]:80\" }]\n";
 
 #[test]
-fn wrong_value_is_reported_with_line_and_key() {
-    assert!(OperatorConfig::parse(Path::new("file"), SECTIONS).is_ok());
+fn invalid_value_is_reported_with_line_and_key() {
+    assert!(
+        OperatorConfig::parse(Path::new("file"), SECTIONS).is_ok(),
+        "the sections are valid before a replacement"
+    );
     let long_name = format!("\"{}\"", "x".repeat(65));
     let many_peers = format!("\"holds\"\npeers = [{}]", "\"127.0.0.1:1\", ".repeat(4_097));
     let many_agents = format!("[{}]", "\"127.0.0.1:1\", ".repeat(17));
@@ -448,30 +478,38 @@
         ("[instances]\nfleet = \"holds\"\nkey_file = \"key\"\n[leases]\nkeepers = [\"a\", \"b\", \"c\"]\n", "", 1, "word"),
     ] {
         let text = SECTIONS.replacen(old, new, 1);
-        assert_ne!(text, SECTIONS);
-        let error = OperatorConfig::parse(Path::new("file"), &text).expect_err("a wrong value");
+        assert_ne!(text, SECTIONS, "`{old}` is replaced");
+        let error = OperatorConfig::parse(Path::new("file"), &text).expect_err("the value is invalid");
         assert_eq!((error.line(), error.key()), (Some(line), Some(key)), "{text}");
-        let place = format!("file, line {line}, key `{key}`: ");
-        assert!(error.to_string().starts_with(&place), "{error}");
+        let location = format!("file, line {line}, key `{key}`: ");
+        assert!(error.to_string().starts_with(&location), "expected `{location}`, got: {error}");
     }
 }
 
 #[test]
 fn too_many_sections_are_reported_with_line_and_key() {
-    let source =
-        |at| format!("[[consul]]\nname = \"c{at}\"\nservice = \"s\"\nagents = [\"127.0.0.1:1\"]\n");
-    let server = |at: usize| {
-        let (high, low) = (at / 256, at % 256);
+    let consul_section = |index| {
+        format!("[[consul]]\nname = \"c{index}\"\nservice = \"s\"\nagents = [\"127.0.0.1:1\"]\n")
+    };
+    let server_section = |index: usize| {
+        let (high, low) = (index / 256, index % 256);
         format!(
-            "[[server]]\nid = \"s{at}\"\naddresses = [{{ address = \"10.0.{high}.{low}:80\" }}]\n"
+            "[[server]]\nid = \"s{index}\"\naddresses = [{{ address = \"10.0.{high}.{low}:80\" }}]\n"
         )
     };
-    let sources: String = (0..17).map(source).collect();
-    let servers: String = (0..16_385).map(server).collect();
-    for (text, line, key) in [(sources, 66, "name"), (servers, 49_154, "id")] {
-        let error = OperatorConfig::parse(Path::new("file"), &text).expect_err("too many");
+    let consul_sections: String = (0..17).map(consul_section).collect();
+    let server_sections: String = (0..16_385).map(server_section).collect();
+    for (text, line, key) in [
+        (consul_sections, 66, "name"),
+        (server_sections, 49_154, "id"),
+    ] {
+        let error = OperatorConfig::parse(Path::new("file"), &text)
+            .expect_err("the number of sections is above the limit");
         assert_eq!((error.line(), error.key()), (Some(line), Some(key)));
         let within_limit: Vec<_> = text.lines().take(line - 2).collect();
-        assert!(OperatorConfig::parse(Path::new("file"), &within_limit.join("\n")).is_ok());
+        assert!(
+            OperatorConfig::parse(Path::new("file"), &within_limit.join("\n")).is_ok(),
+            "`{key}`: one section fewer is valid"
+        );
     }
 }
