--- a/tests/operations.rs
+++ b/tests/operations.rs
@@ -1,4 +1,4 @@
-//! The node as operators run it: admin commands, a drain, and the replacement of its process.
+//! Operation of a node: admin commands, metrics, drain, shutdown, and replacement of its process.
 
 use std::io::{Read, Write};
 use std::net::{TcpListener, TcpStream};
@@ -8,9 +8,10 @@
 
 use testkit::*;
 
+/// A readiness request of a client.
 const UP: &str = "GET /up HTTP/1.1\r\nHost: a\r\n\r\n";
 
-/// A node with an admin address.
+/// Starts a node with an admin address and these servers.
 fn node_with_admin_address(servers: &[&Server]) -> (Node, Discovery) {
     let discovery = Discovery::start();
     (
@@ -23,7 +24,7 @@
     let entries: Vec<_> = servers
         .iter()
         .enumerate()
-        .map(|(i, server)| server.endpoint_entry(&format!("s-{i}"), "ready"))
+        .map(|(index, server)| server.endpoint_entry(&format!("s-{index}"), "ready"))
         .collect();
     let text = config(
         discovery.address,
@@ -45,30 +46,33 @@
 }
 
 #[test]
-fn admin_command_gets_one_response_and_unknown_commands_get_400() {
+fn known_admin_commands_succeed_and_unknown_ones_get_400() {
     let (node, _discovery) = node_with_admin_address(&[]);
     assert!(node.admin_command("READY\n").starts_with("200"));
     assert!(node.admin_command("READY\r\n").starts_with("200"));
-    for wrong in ["ready\n", "HELP\n", "\n", "\0\n", &"x".repeat(100_000)] {
-        let mut stream = TcpStream::connect(node.admin_address()).expect("it listens");
-        let _ = stream.write_all(wrong.as_bytes());
-        let mut answer = [0; 4];
-        stream.read_exact(&mut answer).expect("an answer");
-        assert_eq!(&answer, b"400 ", "{wrong:.20}");
+    for unknown in ["ready\n", "HELP\n", "\n", "\0\n", &"x".repeat(100_000)] {
+        let mut stream =
+            TcpStream::connect(node.admin_address()).expect("connect to the admin server");
+        let _ = stream.write_all(unknown.as_bytes());
+        let mut status = [0; 4];
+        stream
+            .read_exact(&mut status)
+            .expect("read the status of the response");
+        assert_eq!(&status, b"400 ", "{unknown:.20}");
     }
     assert!(node.admin_command("STATS\n").ends_with("\nEOF\n"));
 }
 
-/// Some clients send nothing, some only part of a command.
+/// Some admin clients send nothing, others only part of a command.
 #[test]
 fn unfinished_admin_connections_do_not_block_others() {
     let (node, _discovery) = node_with_admin_address(&[]);
     let address = node.admin_address();
     let idle: Vec<_> = (0..100)
-        .map(|_| TcpStream::connect(address).expect("it listens"))
+        .map(|_| TcpStream::connect(address).expect("connect to the admin server"))
         .collect();
     for mut stream in idle.iter().take(10) {
-        stream.write_all(b"REA").expect("an open connection");
+        stream.write_all(b"REA").expect("the connection is open");
     }
     assert!(node.admin_command("READY\n").starts_with("200"));
     assert_eq!(node.request(UP).status(), 200);
@@ -81,9 +85,9 @@
         _ => Reply::ok("yes"),
     });
     let (node, _discovery) = node_with_admin_address(&[&server]);
-    for at in 0..20 {
+    for id in 0..20 {
         assert_eq!(
-            node.request(&read_request(&at.to_string(), "15000m"))
+            node.request(&read_request(&id.to_string(), "15000m"))
                 .status(),
             200
         );
@@ -108,29 +112,37 @@
     );
 }
 
-/// Of a request whose client has left, and one whose server does not respond yet.
+/// One request ends when its client closes the connection, the other when its server responds.
 #[test]
 fn in_flight_metric_counts_requests_until_they_end() {
     let (gate, server) = gated_server();
     let (node, _discovery) = node_with_admin_address(&[&server]);
     let mut clients: Vec<_> = (0..2).map(|_| node.connect()).collect();
-    for (at, client) in clients.iter_mut().enumerate() {
-        client.send(&read_request(&at.to_string(), "60000m"));
+    for (id, client) in clients.iter_mut().enumerate() {
+        client.send(&read_request(&id.to_string(), "60000m"));
     }
-    wait_until("both are sent", || node.metric("attempts.read") == 2);
+    wait_until("both requests are sent to the server", || {
+        node.metric("attempts.read") == 2
+    });
     assert_eq!(node.metric("in_flight"), 2);
     drop(clients.pop());
-    wait_until("the closed client is noticed", || {
+    wait_until("the request of the closed client ends", || {
         node.metric("in_flight") == 1
     });
     gate.store(true, Ordering::SeqCst);
-    assert_eq!(clients[0].read_response().expect("an answer").status(), 200);
-    wait_until("all have ended", || node.metric("in_flight") == 0);
+    assert_eq!(
+        clients[0]
+            .read_response()
+            .expect("read the response")
+            .status(),
+        200
+    );
+    wait_until("all requests have ended", || node.metric("in_flight") == 0);
     assert_eq!(node.metric("served.read"), 1);
 }
 
-/// Guards the course of a drain: not ready at once, service for clients that still send requests, an end to every idle
-/// connection, and readiness again.
+/// From the DRAIN command on the node reports that it is not ready, closes idle connections, and serves requests that
+/// still arrive; UNDRAIN makes it ready again.
 #[test]
 fn drain_closes_connections_until_undrain() {
     let (gate, server) = gated_server();
@@ -139,27 +151,32 @@
     busy.send(&read_request("busy", "60000m"));
     let mut idle = node.connect();
     idle.send(UP);
-    assert_eq!(idle.read_response().expect("an answer").status(), 200);
+    assert_eq!(
+        idle.read_response().expect("read the response").status(),
+        200
+    );
     let mut silent = node.connect();
-    wait_until("its request is sent", || node.metric("attempts.read") == 1);
+    wait_until("the request is sent to the server", || {
+        node.metric("attempts.read") == 1
+    });
     assert!(node.admin_command("DRAIN\n").starts_with("200"));
-    let start = Instant::now();
+    let drain_start = Instant::now();
     assert_ne!(node.request(UP).status(), 200);
     assert!(
         node.admin_command("READY\n").starts_with("200"),
-        "the process serves"
+        "READY stays 200: the process still serves requests"
     );
     assert!(
         idle.is_closed() && silent.is_closed(),
-        "no request is in flight on them"
+        "connections without a request in flight are closed"
     );
     assert!(
-        start.elapsed() < Duration::from_millis(1_900),
-        "{:?}",
-        start.elapsed()
+        drain_start.elapsed() < Duration::from_millis(1_900),
+        "idle connections are closed within 1.9 s, took {:?}",
+        drain_start.elapsed()
     );
     gate.store(true, Ordering::SeqCst);
-    let served = busy.read_response().expect("an answer");
+    let served = busy.read_response().expect("read the response");
     assert_eq!(
         (served.status(), served.header("connection")),
         (200, Some("close"))
@@ -176,42 +193,42 @@
     assert_eq!((kept.status(), kept.header("connection")), (200, None));
 }
 
-/// While one process of a node replaces another each request has its response, on new and on kept connections, and the
-/// first process ends by itself.
+/// While one process of a node replaces another, each request gets a response, on new and on kept connections, and the
+/// replaced process exits by itself.
 #[test]
 fn process_replacement_rejects_no_client() {
     let server = Server::start(|_| Reply::ok("yes")).without_recording();
     let discovery = Discovery::start();
     let text = config_with_admin_address(&discovery, &[&server]);
-    let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
-    let address = listener.local_addr().expect("an address");
+    let listener = TcpListener::bind("127.0.0.1:0").expect("bind a loopback socket");
+    let address = listener.local_addr().expect("read the bound address");
     let mut node = Node::start_on(&text, &listener);
     let stop = Arc::<AtomicBool>::default();
     let clients: Vec<_> = (0..4)
         .map(|number| {
             let stop = Arc::clone(&stop);
             std::thread::spawn(move || {
-                let (mut asked, mut kept) = (0, None);
+                let (mut sent, mut kept) = (0, None);
                 while !stop.load(Ordering::SeqCst) {
-                    asked += 1;
+                    sent += 1;
                     let mut client = kept.take().unwrap_or_else(|| Client::connect(address));
-                    client.send(&read_request(&format!("{number}-{asked}"), "15000m"));
-                    let answer = client.read_response().expect("an answer");
+                    client.send(&read_request(&format!("{number}-{sent}"), "15000m"));
+                    let response = client.read_response().expect("read the response");
                     assert!(
-                        [200, 503].contains(&answer.status()),
-                        "{}",
-                        answer.start_line
+                        [200, 503].contains(&response.status()),
+                        "expected status 200 or 503, got `{}`",
+                        response.start_line
                     );
-                    let ends = answer.header("connection") == Some("close");
-                    kept = Some(client).filter(|_| !ends && number % 2 == 0);
+                    let closes = response.header("connection") == Some("close");
+                    kept = Some(client).filter(|_| !closes && number % 2 == 0);
                 }
-                asked
+                sent
             })
         })
         .collect();
     for _ in 0..2 {
         let next = Node::start_on(&text, &listener);
-        wait_until("it is ready", || {
+        wait_until("the next process is ready", || {
             next.admin_command("READY\n").starts_with("200")
         });
         node.terminate();
@@ -219,34 +236,41 @@
         node = next;
     }
     stop.store(true, Ordering::SeqCst);
-    let asked: usize = clients
+    let sent: usize = clients
         .into_iter()
-        .map(|client| client.join().expect("all were answered"))
+        .map(|client| {
+            client
+                .join()
+                .expect("the client got a response to each request")
+        })
         .sum();
-    assert!(asked > 100, "{asked}");
+    assert!(
+        sent > 100,
+        "the clients sent more than 100 requests, got {sent}"
+    );
 }
 
 #[test]
-fn descriptor_that_is_not_a_listening_socket_is_an_error() {
-    let path = write_temp_file(&config_with_admin_address(&Discovery::start(), &[]));
-    for wrong in ["99", "1", "three", "-1"] {
+fn descriptor_other_than_a_listening_socket_exits_with_1() {
+    let config_file = write_temp_file(&config_with_admin_address(&Discovery::start(), &[]));
+    for invalid in ["99", "1", "three", "-1"] {
         let output = program_command()
-            .env("ROUTER_CONFIG", &path)
-            .env("ROUTER_LISTEN_FD", wrong)
+            .env("ROUTER_CONFIG", &config_file)
+            .env("ROUTER_LISTEN_FD", invalid)
             .output();
-        let output = output.expect("it starts");
-        let log = String::from_utf8(output.stderr).expect("text");
+        let output = output.expect("run the program");
+        let log = String::from_utf8(output.stderr).expect("the log is UTF-8");
         assert_eq!(
             (output.status.code(), log.lines().count()),
             (Some(1), 1),
-            "{wrong}: {log}"
+            "{invalid}: {log}"
         );
     }
-    std::fs::remove_file(path).expect("a file");
+    std::fs::remove_file(config_file).expect("remove the configuration file");
 }
 
-/// Guards against a front proxy that takes a process which shuts down for ready, and against draining servers that no
-/// metric shows.
+/// A process that shuts down must report that it is not ready, or a front proxy keeps sending to it; draining servers must
+/// appear in a metric.
 #[test]
 fn ready_and_metrics_reflect_shutdown_and_draining_servers() {
     let (gate, server) = gated_server();
@@ -272,12 +296,17 @@
     );
     let mut client = node.connect();
     client.send(&read_request("a", "60000m"));
-    wait_until("it is sent", || node.metric("attempts.read") == 1);
+    wait_until("the request is sent to the server", || {
+        node.metric("attempts.read") == 1
+    });
     node.terminate();
-    wait_until("it shuts down", || {
+    wait_until("READY answers 400 during the shutdown", || {
         node.admin_command("READY\n").starts_with("400")
     });
     gate.store(true, Ordering::SeqCst);
-    assert_eq!(client.read_response().expect("an answer").status(), 200);
+    assert_eq!(
+        client.read_response().expect("read the response").status(),
+        200
+    );
     assert_eq!(node.wait().code(), Some(0));
 }
