--- a/tests/operators.rs
+++ b/tests/operators.rs
@@ -1,43 +1,49 @@
-//! The operators' file and the command line, by running the program.
+//! Checks of the operators' file and of the command line, by running the program.
 
 use std::process::Output;
 
 use testkit::{program_command, write_temp_file};
 
-fn check(text: &str) -> Output {
+/// Runs `check` on an operators' file with this text.
+fn run_check(text: &str) -> Output {
     let file = write_temp_file(text);
     let output = program_command()
         .arg("check")
         .arg(&file)
         .output()
-        .expect("it starts");
-    std::fs::remove_file(file).expect("the test's own");
+        .expect("run the program");
+    std::fs::remove_file(file).expect("remove the temporary file");
     output
 }
 
-/// A key file, in a folder that goes with the process.
+/// Writes a key file with this mode to the temporary directory.
 fn key_file(key: &str, mode: u32) -> std::path::PathBuf {
     use std::os::unix::fs::PermissionsExt;
     let file = write_temp_file(key);
-    std::fs::set_permissions(&file, std::fs::Permissions::from_mode(mode)).expect("the test's own");
+    std::fs::set_permissions(&file, std::fs::Permissions::from_mode(mode))
+        .expect("set the mode of the key file");
     file
 }
 
 fn text(bytes: &[u8]) -> &str {
-    std::str::from_utf8(bytes).expect("text")
+    std::str::from_utf8(bytes).expect("the output is UTF-8")
 }
 
+/// A valid `[[consul]]` section of four lines.
 const CONSUL: &str =
     "[[consul]]\nname = \"c\"\nservice = \"holds\"\nagents = [\"127.0.0.1:8500\"]\n";
 
-/// The line without its comment sign if it shows a key, a section, or a part of a value.
+/// The line without its leading `# ` if the rest is a key, a section, or part of a value.
 fn uncommented(line: &str) -> &str {
-    let key = line.strip_prefix("# ").unwrap_or(line);
-    let is_key = key.starts_with(['[', ']'])
-        || key.trim_start().starts_with("{ address")
-        || key.split(" = ").next().is_some_and(|k| !k.contains(' '));
-    if is_key && key.contains(['=', '[', ']']) {
-        key
+    let content = line.strip_prefix("# ").unwrap_or(line);
+    let is_toml = content.starts_with(['[', ']'])
+        || content.trim_start().starts_with("{ address")
+        || content
+            .split(" = ")
+            .next()
+            .is_some_and(|key| !key.contains(' '));
+    if is_toml && content.contains(['=', '[', ']']) {
+        content
     } else {
         line
     }
@@ -45,19 +51,22 @@
 
 #[test]
 fn shipped_file_is_valid_with_and_without_its_commented_keys() {
-    let shipped = include_str!("../deploy/silverthread.toml");
-    let output = check(shipped);
+    let shipped_file = include_str!("../deploy/silverthread.toml");
+    let output = run_check(shipped_file);
     assert!(output.status.success(), "{}", text(&output.stderr));
-    let opened: String = shipped
+    let uncommented_file: String = shipped_file
         .lines()
         .flat_map(|line| [uncommented(line), "\n"])
         .collect();
     let key = key_file("sixteen bytes and more", 0o600);
-    let opened = opened.replace("/run/secrets/fleet", key.to_str().expect("text"));
-    let output = check(&opened);
+    let uncommented_file = uncommented_file.replace(
+        "/run/secrets/fleet",
+        key.to_str().expect("the path is UTF-8"),
+    );
+    let output = run_check(&uncommented_file);
     assert!(
         output.status.success(),
-        "{}\n{opened}",
+        "{}\n{uncommented_file}",
         text(&output.stderr)
     );
     assert!(
@@ -69,8 +78,8 @@
 }
 
 #[test]
-fn wrong_value_is_reported_with_line_and_key() {
-    let more = |line: &str| format!("{CONSUL}{line}\n");
+fn invalid_value_is_reported_with_line_and_key() {
+    let consul = |line: &str| format!("{CONSUL}{line}\n");
     let server = |address: &str| {
         format!("[[server]]\nid = \"s-0\"\naddresses = [{{address = \"{address}\"}}]\n")
     };
@@ -82,22 +91,22 @@
             "panic_share",
         ),
         ("[consuls]\n".to_owned(), 1, "consuls"),
-        (more("waits = 3"), 5, "waits"),
-        (more("wait_s = 0"), 5, "wait_s"),
-        (more("wait_s = \"long\""), 5, "wait_s"),
-        (more("wait_s = 1.5"), 5, "wait_s"),
-        (more("weight = \"5\""), 5, "weight"),
-        (more("api = \"agent\""), 5, "api"),
-        (more("id = \"tags:x\""), 5, "id"),
-        (more("zone = \"zone\""), 5, "zone"),
+        (consul("waits = 3"), 5, "waits"),
+        (consul("wait_s = 0"), 5, "wait_s"),
+        (consul("wait_s = \"long\""), 5, "wait_s"),
+        (consul("wait_s = 1.5"), 5, "wait_s"),
+        (consul("weight = \"5\""), 5, "weight"),
+        (consul("api = \"agent\""), 5, "api"),
+        (consul("id = \"tags:x\""), 5, "id"),
+        (consul("zone = \"zone\""), 5, "zone"),
         (
-            more("id = \"address\"\nnames_servers = true"),
+            consul("id = \"address\"\nnames_servers = true"),
             6,
             "names_servers",
         ),
-        (more("[consul.states]\npassing = \"up\""), 6, "passing"),
+        (consul("[consul.states]\npassing = \"up\""), 6, "passing"),
         (
-            more("[consul.damping]\nfirst_s = 1\nmost_s = -1\nhalf_life_s = 1"),
+            consul("[consul.damping]\nfirst_s = 1\nmost_s = -1\nhalf_life_s = 1"),
             7,
             "most_s",
         ),
@@ -157,7 +166,7 @@
             "addresses",
         ),
     ] {
-        let output = check(&file);
+        let output = run_check(&file);
         let error = text(&output.stderr).trim_end();
         assert_eq!(output.status.code(), Some(2), "{file}\n{error}");
         assert!(error.contains(&format!(", line {line}")), "{file}\n{error}");
@@ -165,12 +174,12 @@
             error.contains(&format!("key `{key}`")) || key.is_empty(),
             "{file}\n{error}"
         );
-        assert!(!error.contains('\n'), "one line: {error}");
+        assert!(!error.contains('\n'), "the error has one line: {error}");
     }
 }
 
 #[test]
-fn unreadable_file_exits_with_2_before_anything_starts() {
+fn unreadable_file_or_unknown_flag_exits_with_2() {
     for arguments in [
         &["--config", "/nowhere/at/all.toml"][..],
         &["check", "/nowhere/at/all.toml"],
@@ -179,27 +188,38 @@
         let output = program_command()
             .args(arguments)
             .output()
-            .expect("it starts");
+            .expect("run the program");
         assert_eq!(output.status.code(), Some(2), "{arguments:?}");
-        assert!(!output.stderr.is_empty() && output.stdout.is_empty());
+        assert!(
+            !output.stderr.is_empty() && output.stdout.is_empty(),
+            "only an error is printed for {arguments:?}"
+        );
     }
-    let endless = program_command()
+    let endless_file = program_command()
         .args(["check", "/dev/zero"])
         .output()
-        .expect("it starts");
-    assert_eq!(endless.status.code(), Some(2), "an endless file");
+        .expect("run the program");
+    assert_eq!(
+        endless_file.status.code(),
+        Some(2),
+        "an endless file is rejected"
+    );
     let file = write_temp_file("[[consul]]\n");
     let output = program_command()
         .env("SILVERTHREAD_CONFIG", &file)
         .output()
-        .expect("it starts");
-    std::fs::remove_file(file).expect("the test's own");
-    assert_eq!(output.status.code(), Some(2), "by the variable, too");
+        .expect("run the program");
+    std::fs::remove_file(file).expect("remove the temporary file");
+    assert_eq!(
+        output.status.code(),
+        Some(2),
+        "an invalid file named by SILVERTHREAD_CONFIG is rejected"
+    );
 }
 
 #[test]
-fn program_without_arguments_and_variables_fails() {
-    let output = program_command().output().expect("it starts");
+fn program_without_arguments_and_variables_exits_with_1() {
+    let output = program_command().output().expect("run the program");
     assert_eq!(output.status.code(), Some(1));
     assert_eq!(
         text(&output.stderr),
@@ -208,49 +228,52 @@
 }
 
 #[test]
-fn wrong_instances_section_is_reported_with_line_and_key() {
+fn invalid_instances_section_is_reported_with_line_and_key() {
     let valid = key_file("sixteen bytes and more", 0o600);
-    let open = key_file("sixteen bytes and more", 0o640);
-    let short = key_file("  only fifteen b  \n", 0o600);
-    let file = |key: &std::path::Path, more: &str| {
+    let group_readable = key_file("sixteen bytes and more", 0o640);
+    let too_short = key_file("  only fifteen b  \n", 0o600);
+    let file_with = |key: &std::path::Path, extra_keys: &str| {
         format!(
-            "[instances]\nfleet = \"holds\"\nkey_file = {:?}\n{more}\n",
-            key.to_str().expect("text")
+            "[instances]\nfleet = \"holds\"\nkey_file = {:?}\n{extra_keys}\n",
+            key.to_str().expect("the path is UTF-8")
         )
     };
-    for (text_of, line, key) in [
+    for (file, line, key) in [
         (
             "[instances]\nfleet = \"holds\"\n".to_owned(),
             1,
             "instances",
         ),
         (
-            file(std::path::Path::new("/nowhere/at/all"), ""),
+            file_with(std::path::Path::new("/nowhere/at/all"), ""),
             3,
             "key_file",
         ),
-        (file(&open, ""), 3, "key_file"),
-        (file(&short, ""), 3, "key_file"),
-        (file(&valid, "name = \"two words\""), 4, "name"),
-        (file(&valid, "listen = \"localhost:1\""), 4, "listen"),
-        (file(&valid, "probe_ms = 1"), 4, "probe_ms"),
+        (file_with(&group_readable, ""), 3, "key_file"),
+        (file_with(&too_short, ""), 3, "key_file"),
+        (file_with(&valid, "name = \"two words\""), 4, "name"),
+        (file_with(&valid, "listen = \"localhost:1\""), 4, "listen"),
+        (file_with(&valid, "probe_ms = 1"), 4, "probe_ms"),
         (
-            file(&valid, "probe_ms = 1000\nsuspect_ms = 2000"),
+            file_with(&valid, "probe_ms = 1000\nsuspect_ms = 2000"),
             5,
             "suspect_ms",
         ),
-        (file(&valid, "gossip = true"), 4, "gossip"),
+        (file_with(&valid, "gossip = true"), 4, "gossip"),
     ] {
-        let output = check(&text_of);
+        let output = run_check(&file);
         let error = text(&output.stderr);
-        assert_eq!(output.status.code(), Some(2), "{text_of}: {error}");
+        assert_eq!(output.status.code(), Some(2), "{file}: {error}");
         assert!(
             error.contains(&format!("line {line}, key `{key}`")),
-            "{text_of}: {error}"
+            "{file}: {error}"
         );
     }
-    assert!(check(&file(&valid, "")).status.success());
-    for file in [valid, open, short] {
-        std::fs::remove_file(file).expect("the test's own");
+    assert!(
+        run_check(&file_with(&valid, "")).status.success(),
+        "the section without extra keys is valid"
+    );
+    for file in [valid, group_readable, too_short] {
+        std::fs::remove_file(file).expect("remove the temporary file");
     }
 }
