--- a/tests/wire.rs
+++ b/tests/wire.rs
@@ -1,28 +1,32 @@
-//! The simulator's line protocol, by batches of literal lines through the adapter's program.
+//! The line protocol of the simulator: batches of literal lines sent to the adapter program.
 
 use std::io::Write;
 use std::process::{Command, Output, Stdio};
 
+/// A BOOT message for the instance `node-1`.
 const BOOT: &str = r#"BOOT node=node-1 seed=7 facts={"classes": [{"deadline_ms": 800.0, "promise_ms": 400.0, "effect": "retryable", "name": "a"}], "n_instances": 1, "stats": {"fields": ["waiting", "active"], "source": "inline"}}"#;
 
+/// Runs the adapter with this input until it exits.
 fn run_adapter(input: &str) -> Output {
     let mut child = Command::new(env!("CARGO_BIN_EXE_silverthread-simulator-adapter"))
         .stdin(Stdio::piped())
         .stdout(Stdio::piped())
         .stderr(Stdio::piped())
         .spawn()
-        .expect("the binary starts");
-    // An adapter that ends early closes its input; what it printed before that is what is tested.
+        .expect("start the adapter");
+    // An adapter that exits early closes its input, so a failed write is not an error: the tests check its output.
     let _ = child
         .stdin
         .take()
-        .expect("piped")
+        .expect("the standard input is piped")
         .write_all(input.as_bytes());
-    child.wait_with_output().expect("the binary ends")
+    child
+        .wait_with_output()
+        .expect("wait for the adapter to exit")
 }
 
 fn text(bytes: &[u8]) -> &str {
-    std::str::from_utf8(bytes).expect("text")
+    std::str::from_utf8(bytes).expect("the output is UTF-8")
 }
 
 #[test]
@@ -33,7 +37,7 @@
 }
 
 #[test]
-fn request_is_sent_and_its_answer_ends_it() {
+fn request_is_placed_and_its_response_ends_it() {
     let input = format!(
         "CLOCK wall_ms=1.0\n{BOOT}\nCENSUS roster_id=0 hosts=1\nM availability=2 server=10.0.0.1:80\n\
          REGISTRY node=node-1 mode=2 roster_id=0 epoch=1\nEOB\n\n\
@@ -48,18 +52,20 @@
     );
 }
 
+/// A list of two servers, and its registration at `node-1`.
 const LIST: &str =
     "CENSUS roster_id=0 hosts=2\nM availability=2 block=0 units=1 type=0 site=0 server=10.0.0.1:80\n\
                     M availability=2 launched_ms=6100.0 block=0 units=1.5 type=0 site=1 server=10.0.0.2:80\n\
                     REGISTRY node=node-1 mode=2 roster_id=0 epoch=1\n";
 
+/// The first batch: the instance `node-1` starts and gets its list of servers.
 fn start_lines() -> String {
     format!("CLOCK wall_ms=1.0\n{BOOT}\n{LIST}EOB\n\n")
 }
 
-/// Every event in one script, and the actions that they lead to.
+/// Sends events of every type and checks the actions that they lead to.
 #[test]
-fn every_event_is_parsed_and_every_action_printed() {
+fn events_of_every_type_are_parsed_and_actions_printed() {
     let boot = BOOT.replace(
         "\"n_instances\"",
         "\"discovery\": \"subscribe\", \"n_instances\"",
@@ -117,9 +123,9 @@
     );
 }
 
-/// A list number is resolved at the event's place in the batch, not at the end of the batch.
+/// A list number refers to the list that was last sent under it before the event, not to the last one in the batch.
 #[test]
-fn list_number_reused_within_a_batch_means_the_latest_list() {
+fn reused_list_number_refers_to_the_list_sent_before_the_event() {
     let second = BOOT.replace("node-1", "node-2");
     let input = format!(
         "CLOCK wall_ms=1.0\n{BOOT}\nCENSUS roster_id=0 hosts=1\nM availability=2 server=10.0.0.1:80\n\
@@ -134,14 +140,14 @@
     );
 }
 
-/// The input of a script for some instances, numbered as they are named.
-fn script_of(nodes: &[u32]) -> String {
+/// An input of 200 steps for these instances, where `node-N` has the number N.
+fn input_for(nodes: &[u32]) -> String {
     let mut input = String::from("CLOCK wall_ms=1.0\n");
     for n in nodes {
         let boot = BOOT
             .replace("node-1", &format!("node-{n}"))
             .replace("seed=7", &format!("seed={n}"));
-        // Each instance learns the servers in another order.
+        // The instances get the servers in different orders.
         let (first, second) = if *n == 1 { (1, 9) } else { (9, 1) };
         let lines = [
             boot,
@@ -154,13 +160,13 @@
     }
     input += "EOB\n\n";
     for step in 0..200 {
-        input += &batch_of(nodes, step);
+        input += &batch_for(nodes, step);
     }
     input
 }
 
-/// One batch of [`script_of`]: a request for each instance, and the end of an earlier one.
-fn batch_of(nodes: &[u32], step: u32) -> String {
+/// One batch of [`input_for`]: a request for each instance, and the end of an earlier one.
+fn batch_for(nodes: &[u32], step: u32) -> String {
     let mut lines = vec![format!("CLOCK wall_ms={}.0", 10 + step * 10)];
     for n in nodes {
         let txn = 1_000 * n + step;
@@ -178,28 +184,33 @@
     lines.join("\n") + "\nEOB\n\n"
 }
 
-/// The actions of one instance.
+/// The lines of an output that are actions of one instance.
 fn actions_of(output: &str, node: u32) -> Vec<String> {
     let name = format!("node=node-{node} ");
     let lines = output.lines().filter(|line| line.contains(&name));
     lines.map(str::to_owned).collect()
 }
 
-/// A script of two instances, and of each alone: what one does must not depend on others in its process.
+/// Runs two instances in one process, then each in a process of its own: the actions of an instance must not depend on the
+/// other instances in its process.
 #[test]
-fn instances_act_alike_in_one_process_and_alone() {
-    let run = |nodes: &[u32]| text(&run_adapter(&script_of(nodes)).stdout).to_owned();
+fn instance_actions_do_not_depend_on_others_in_the_process() {
+    let run = |nodes: &[u32]| text(&run_adapter(&input_for(nodes)).stdout).to_owned();
     let together = run(&[1, 2]);
     for node in [1, 2] {
         let alone = actions_of(&run(&[node]), node);
-        assert!(alone.len() >= 200, "{} actions", alone.len());
+        assert!(
+            alone.len() >= 200,
+            "expected at least 200 actions, got {}",
+            alone.len()
+        );
         assert_eq!(actions_of(&together, node), alone);
     }
 }
 
-/// The error is one line that says where and what.
+/// The error is a single line with the number of the input line and the cause.
 #[test]
-fn malformed_line_ends_the_adapter_with_one_error() {
+fn malformed_line_ends_the_adapter_with_a_one_line_error() {
     let cases = [
         (
             "CALL node=node-1 grade=0 budget_ms=800.0",
@@ -284,7 +295,7 @@
     assert_eq!(
         text(&output.stderr).lines().count(),
         1,
-        "each kind of message is reported once"
+        "each unknown message type is reported once"
     );
 }
 
@@ -298,13 +309,13 @@
     assert_eq!(
         text(&output.stdout),
         "NEXT\n",
-        "nothing is answered for an unfinished batch"
+        "an unfinished batch gets no response"
     );
 }
 
-/// A missing setting keeps a default that allows least; an unknown one is ignored.
+/// A missing setting has its most restrictive default; an unknown one is ignored.
 #[test]
-fn settings_missing_or_unknown_keep_safe_defaults() {
+fn missing_and_unknown_settings_have_restrictive_defaults() {
     let boot = r#"BOOT node=node-1 seed=7 facts={"classes": [{"deadline_ms": 800.0, "tone": 3}], "news": {"a": []}}"#;
     let input = format!(
         "CLOCK wall_ms=1.0\n{boot}\n{LIST}CALL node=node-1 txn=5 grade=0 budget_ms=800.0\nEOB\n\n\
@@ -312,27 +323,28 @@
     );
     let output = run_adapter(&input);
     assert!(output.status.success());
-    let failed = "REPORT_FAILURE node=node-1 txn=5\nNEXT\n";
+    let expected_end = "REPORT_FAILURE node=node-1 txn=5\nNEXT\n";
     assert!(
-        text(&output.stdout).ends_with(failed),
+        text(&output.stdout).ends_with(expected_end),
         "{}",
         text(&output.stdout)
     );
 }
 
-/// Where health checks are free, a request waits for the reports of the polled servers, and an overdue attempt
-/// whose server holds no request is cancelled and its idle connections closed.
+/// Where the settings allow probes and cancellation, a request waits for the load reports of the probed servers, and an
+/// overdue attempt at a server that reports no requests is cancelled and the idle connections to that server are
+/// closed.
 #[test]
 fn health_checks_and_closed_connections_are_printed() {
     let boot = BOOT.replace(
         "\"n_instances\"",
         "\"allowed\": {\"probes\": true, \"cancel\": true}, \"n_instances\"",
     );
-    let one = "CENSUS roster_id=0 hosts=1\nM availability=2 server=10.0.0.1:80\n\
+    let one_server = "CENSUS roster_id=0 hosts=1\nM availability=2 server=10.0.0.1:80\n\
                REGISTRY node=node-1 mode=2 roster_id=0 epoch=1\n";
     let health = "HEALTH node=node-1 rtt_ms=1.0 ending=S server=10.0.0.1:80 server_stats=0,0\n";
     let input = format!(
-        "CLOCK wall_ms=1.0\n{boot}\n{one}CALL node=node-1 txn=5 grade=0 budget_ms=800.0\nEOB\n\n\
+        "CLOCK wall_ms=1.0\n{boot}\n{one_server}CALL node=node-1 txn=5 grade=0 budget_ms=800.0\nEOB\n\n\
          CLOCK wall_ms=2.0\n{health}EOB\n\n\
          CLOCK wall_ms=42.0\nENDED node=node-1 txn=5 rtt_ms=40.0 server=10.0.0.1:80 try=0 complete=1 ending=S\n\
          CALL node=node-1 txn=6 grade=0 budget_ms=800.0\nEOB\n\nCLOCK wall_ms=43.0\n{health}EOB\n\n\
@@ -358,14 +370,14 @@
     );
 }
 
-/// Golden: a transcript with every kind of line in and, but for `INTERNAL_ERROR` which only a fault of the program leads
-/// to, every kind of line out. The reply was recorded from the adapter and stays as it is, byte for byte.
+/// Golden test: the input has every message type, the output every one except `INTERNAL_ERROR`, which only a panic of the
+/// program causes. The output was recorded from the adapter and must stay the same, byte for byte.
 #[test]
-fn recorded_transcript_gives_the_recorded_reply() {
+fn recorded_input_gives_the_recorded_output() {
     let output = run_adapter(include_str!("golden/simulator-input.txt"));
     assert!(output.status.success());
     let recorded = include_str!("golden/simulator-output.txt");
-    for kind in [
+    for message_type in [
         "NEXT",
         "PLACE",
         "SOUND_OUT",
@@ -377,10 +389,10 @@
         "SCHEDULE",
         "NOTE_DOWN",
     ] {
-        let recorded_once = recorded
+        let is_recorded = recorded
             .lines()
-            .any(|line| line.split(' ').next() == Some(kind));
-        assert!(recorded_once, "{kind} is not in the recorded reply");
+            .any(|line| line.split(' ').next() == Some(message_type));
+        assert!(is_recorded, "the recorded output contains {message_type}");
     }
     assert_eq!(text(&output.stdout), recorded);
 }
