--- a/tests/node.rs
+++ b/tests/node.rs
@@ -1,4 +1,4 @@
-//! The node as its clients, its servers, discovery and the platform see it, over loopback sockets.
+//! End-to-end tests of a node: its clients, servers, discovery and configuration, over loopback sockets.
 
 use std::fmt::Write as _;
 use std::future::Future;
@@ -28,9 +28,9 @@
         ))
     });
     let (node, _discovery, _watch) = Node::start_with_servers(&[&server], 15_000);
-    let served = node.request(&post_request("r1", "hold", KEY, "a guest"));
+    let response = node.request(&post_request("r1", "hold", KEY, "a guest"));
     assert_eq!(
-        (served.status(), served.body.as_slice()),
+        (response.status(), response.body.as_slice()),
         (200, b"rooms: 3\n".as_slice())
     );
     let requests = server.requests();
@@ -39,13 +39,16 @@
     assert_eq!(requests[0].body, b"a guest");
     assert_eq!(requests[0].header("req-id"), Some("r1"));
     assert_eq!(requests[0].header("idempotency-key"), Some("5c0f"));
-    let left = requests[0]
+    let remaining = requests[0]
         .header("req-deadline")
         .and_then(|d| d.strip_suffix('u'));
-    let left: u64 = left.expect("microseconds").parse().expect("a number");
+    let remaining: u64 = remaining
+        .expect("a deadline in microseconds")
+        .parse()
+        .expect("parse the number");
     assert!(
-        left > 0 && left < 15_000_000,
-        "the time that is left goes on: {left}"
+        remaining > 0 && remaining < 15_000_000,
+        "forwarded deadline is not the remaining time: {remaining} us"
     );
 }
 
@@ -70,7 +73,7 @@
     let mut served = 0;
     wait_until("three requests are served", || {
         client.send(&read_request("a", "15000m"));
-        served += usize::from(client.read_response().expect("an answer").status() == 200);
+        served += usize::from(client.read_response().expect("read the response").status() == 200);
         served == 3
     });
     assert_eq!(
@@ -121,7 +124,7 @@
     assert_eq!(
         node.request(&read_request("b", "15000m")).status(),
         200,
-        "it serves on"
+        "a valid request is served after the invalid ones"
     );
 }
 
@@ -129,11 +132,12 @@
 fn body_of_64_kib_is_forwarded_whole() {
     let server = Server::start(|request| Reply::ok(&"y".repeat(request.body.len())));
     let (node, _discovery, _watch) = Node::start_with_servers(&[&server], 15_000);
-    let served = node.request(&post_request("a", "pay", "", &"x".repeat(64 * 1024)));
-    assert_eq!((served.status(), served.body.len()), (200, 64 * 1024));
+    let response = node.request(&post_request("a", "pay", "", &"x".repeat(64 * 1024)));
+    assert_eq!((response.status(), response.body.len()), (200, 64 * 1024));
 }
 
-/// Guards against a request that is taken to have run where it has not: an unsafe one would be lost.
+/// Guards against treating a declined request as one that may have run: a non-idempotent one would fail without a
+/// retry.
 #[test]
 fn declined_request_is_retried_even_if_not_idempotent() {
     let seen = AtomicUsize::new(0);
@@ -177,8 +181,8 @@
     assert_eq!(server.requests().len(), 8);
 }
 
-/// Guards against a second effect: what broke after the last byte may have run, and an unsafe request is then
-/// neither sent again nor called refused.
+/// Guards against executing a request twice: one whose attempt failed after its last byte was sent may have run, so a
+/// non-idempotent one is neither retried nor reported as rejected.
 #[test]
 fn non_idempotent_request_that_may_have_run_is_not_retried() {
     for reply in [
@@ -197,7 +201,7 @@
 }
 
 #[test]
-fn undeclined_503_counts_as_may_have_run_and_is_not_retried() {
+fn non_idempotent_request_with_undeclined_503_is_not_retried() {
     let server = Server::start(|_| Reply::Send(response("503 Service Unavailable", "", "")));
     let (node, _discovery, _watch) = Node::start_with_servers(&[&server], 15_000);
     assert_eq!(
@@ -222,26 +226,26 @@
     }
 }
 
-/// Guards against answers that are taken for spoilt because they are large, and asked for again from others in vain.
+/// Guards against treating a large response as malformed and retrying its request on other servers in vain.
 #[test]
 fn large_response_is_forwarded_whole() {
     let body = (0..60_000).fold(String::new(), |mut body, n| {
-        write!(body, "{n:06} ").expect("a string takes all");
+        write!(body, "{n:06} ").expect("write to a string");
         body
     });
     let reply = response("200 OK", "", &body);
     let server = Server::start(move |_| Reply::Send(reply.clone()));
     let (node, _discovery, _watch) = Node::start_with_servers(&[&server], 15_000);
     for n in 0..3 {
-        let served = node.request_until_accepted(&read_request(&n.to_string(), "15000m"));
-        assert_eq!(served.status(), 200);
+        let response = node.request_until_accepted(&read_request(&n.to_string(), "15000m"));
+        assert_eq!(response.status(), 200);
         assert!(
-            served.body == body.as_bytes(),
-            "{} bytes, and not the same",
-            served.body.len()
+            response.body == body.as_bytes(),
+            "the body differs from the one sent; got {} bytes",
+            response.body.len()
         );
     }
-    assert_eq!(server.requests().len(), 3, "each is asked for once");
+    assert_eq!(server.requests().len(), 3, "each request is sent once");
 }
 
 #[test]
@@ -265,8 +269,8 @@
     }
 }
 
-/// Guards against a request on a connection that its server has closed: it would end as a reset, which an
-/// unsafe request does not survive.
+/// Guards against sending a request on a connection that its server has closed: the attempt would end in a reset, after
+/// which a non-idempotent request cannot be retried.
 #[test]
 fn connection_closed_by_server_is_not_reused() {
     let server = Server::start(|_| Reply::SendAndClose(response("200 OK", "", "yes")));
@@ -277,12 +281,14 @@
                 .status(),
             200
         );
-        wait_until("the server has closed", || server.closed_connections() == n);
+        wait_until("the server closes the connection", || {
+            server.closed_connections() == n
+        });
     }
     assert_eq!(server.requests().len(), 5);
 }
 
-/// Guards against a request that is held past its time by a server that took it and fell silent.
+/// Guards against a request that stays open past its deadline because its server accepted it and does not respond.
 #[test]
 fn request_to_silent_server_fails_at_its_deadline() {
     let server = Server::start(|_| Reply::NoResponse);
@@ -293,13 +299,13 @@
         .status();
     assert!(
         (500..600).contains(&status) && status != 503,
-        "it may have run: {status}"
+        "expected a 5xx status other than 503, since the request may have run; got {status}"
     );
     assert!(
         start.elapsed() >= Duration::from_millis(600),
-        "it was given its time"
+        "the request failed before its deadline"
     );
-    wait_until("its connection is closed", || {
+    wait_until("the connection to the server is closed", || {
         server.closed_connections() == 1
     });
 }
@@ -310,41 +316,44 @@
     let (node, _discovery, _watch) = Node::start_with_servers(&[&server], 15_000);
     let mut client = node.connect();
     client.send(&read_request("a", "15000m"));
-    wait_until("it was sent", || server.requests().len() == 1);
+    wait_until("the request is sent", || server.requests().len() == 1);
     drop(client);
-    wait_until("its connection is closed", || {
+    wait_until("the connection to the server is closed", || {
         server.closed_connections() == 1
     });
 }
 
-/// Guards against clients that wait in the system's queue while others keep connections they do not use.
+/// Guards against clients that wait in the kernel's backlog while others hold idle connections.
 #[test]
 fn idle_client_connections_are_evicted_for_new_ones() {
     let discovery = Discovery::start();
-    let small = config(
+    let few_sockets = config(
         discovery.address,
         &endpoint_list(1, true, &[]),
         &settings(15_000),
     )
     .replace("1024", "8");
-    let node = Node::start(&small);
-    let mut kept = Vec::new();
+    let node = Node::start(&few_sockets);
+    let mut clients = Vec::new();
     for _ in 0..12 {
         let mut client = node.connect();
         client.send("GET /up HTTP/1.1\r\nHost: a\r\n\r\n");
-        assert_eq!(client.read_response().expect("an answer").status(), 200);
-        kept.push(client);
+        assert_eq!(
+            client.read_response().expect("read the response").status(),
+            200
+        );
+        clients.push(client);
     }
 }
 
 #[test]
 fn incomplete_body_times_out_with_408() {
     let (node, _discovery, _watch) = Node::start_with_servers(&[], 300);
-    let whole = post_request("a", "pay", "", "xx");
-    assert_eq!(node.request(&whole[..whole.len() - 1]).status(), 408);
+    let request = post_request("a", "pay", "", "xx");
+    assert_eq!(node.request(&request[..request.len() - 1]).status(), 408);
 }
 
-/// Guards against clients that are sent away with no word of when there may be room.
+/// Guards against rejections that do not tell the client when to retry.
 #[test]
 fn rejection_for_lack_of_capacity_has_retry_after() {
     let slow = Server::start(|_| {
@@ -352,25 +361,31 @@
         Reply::ok("slow")
     });
     let discovery = Discovery::start();
-    let aims = settings(15_000).replace("\"promise_ms\":15000.0", "\"promise_ms\":300.0");
-    let many_nodes = aims.replace("\"n_instances\":1", "\"n_instances\":600");
+    let settings = settings(15_000).replace("\"promise_ms\":15000.0", "\"promise_ms\":300.0");
+    let many_nodes = settings.replace("\"n_instances\":1", "\"n_instances\":600");
     let known = endpoint_list(1, true, &[slow.endpoint_entry("s-0", "ready")]);
     let node = Node::start(&config(discovery.address, &known, &many_nodes));
-    let mut refused = None;
-    wait_until("a request is refused", || {
-        let answer = node.request(&read_request("a", "15000m"));
-        refused = Some(answer).filter(|answer| answer.status() == 503);
-        refused.is_some()
+    let mut rejection = None;
+    wait_until("a request is rejected", || {
+        let response = node.request(&read_request("a", "15000m"));
+        rejection = Some(response).filter(|response| response.status() == 503);
+        rejection.is_some()
     });
-    let wait = refused
+    let retry_after = rejection
         .as_ref()
-        .and_then(|answer| answer.header("retry-after"));
-    let wait: f64 = wait.expect("a time").parse().expect("seconds");
-    assert!(wait > 0.0 && wait < 15.0, "{wait}");
+        .and_then(|response| response.header("retry-after"));
+    let retry_after: f64 = retry_after
+        .expect("a Retry-After header")
+        .parse()
+        .expect("a number of seconds");
+    assert!(
+        retry_after > 0.0 && retry_after < 15.0,
+        "Retry-After: {retry_after} s"
+    );
 }
 
-/// Guards against refusals beside a far server: its answers take most of what a request may wait for, and it has
-/// room for more than one all the same.
+/// Guards against rejections where only a server with a high latency is available: its responses take most of the
+/// latency objective, but it can serve more than one request at a time.
 #[test]
 fn server_with_high_latency_gets_concurrent_requests() {
     let seen = Arc::new(AtomicUsize::new(0));
@@ -378,7 +393,7 @@
     let server = Server::start(move |_| {
         match counted.fetch_add(1, Ordering::SeqCst) {
             0 => std::thread::sleep(Duration::from_millis(2_600)),
-            _ => wait_until("two are there at a time", || {
+            _ => wait_until("two requests are at the server at once", || {
                 counted.load(Ordering::SeqCst) == 3
             }),
         }
@@ -390,12 +405,20 @@
     });
     let (node, _discovery, _watch) = Node::start_with_servers(&[&server], 10_000);
     assert_eq!(node.request(&read_request("a", "10000m")).status(), 200);
-    let (mut one, mut other) = (node.connect(), node.connect());
-    one.send(&read_request("b", "10000m"));
-    wait_until("the first is there", || seen.load(Ordering::SeqCst) == 2);
-    other.send(&read_request("c", "10000m"));
-    assert_eq!(other.read_response().expect("an answer").status(), 200);
-    assert_eq!(one.read_response().expect("an answer").status(), 200);
+    let (mut first, mut second) = (node.connect(), node.connect());
+    first.send(&read_request("b", "10000m"));
+    wait_until("the first request reaches the server", || {
+        seen.load(Ordering::SeqCst) == 2
+    });
+    second.send(&read_request("c", "10000m"));
+    assert_eq!(
+        second.read_response().expect("read the response").status(),
+        200
+    );
+    assert_eq!(
+        first.read_response().expect("read the response").status(),
+        200
+    );
 }
 
 #[test]
@@ -435,17 +458,17 @@
         node.request(&read_request(&format!("r{n}"), "15000m")).body == b"new"
     });
     for n in 0..10 {
-        let served = node.request_until_accepted(&read_request(&format!("s{n}"), "15000m"));
+        let response = node.request_until_accepted(&read_request(&format!("s{n}"), "15000m"));
         assert_eq!(
-            (served.status(), served.body.as_slice()),
+            (response.status(), response.body.as_slice()),
             (200, b"new".as_slice()),
-            "nothing goes to one that drains"
+            "no request goes to the draining server"
         );
     }
 }
 
-/// Guards against a clock near zero: to the balancer a server that was never heard of was last heard of at zero,
-/// and for the first seconds it refused requests that such a server could have taken.
+/// Guards against a clock that starts near zero: a server without any report counted as last reported at time zero, and
+/// in its first seconds the node rejected requests that such a server could have served.
 #[test]
 fn new_node_uses_servers_without_any_report_yet() {
     let slow = Server::start(|_| {
@@ -454,17 +477,17 @@
     });
     let idle = Server::start(|_| Reply::ok("idle"));
     let discovery = Discovery::start();
-    let aims = settings(15_000).replace("\"promise_ms\":15000.0", "\"promise_ms\":1000.0");
-    let many_nodes = aims.replace("\"n_instances\":1", "\"n_instances\":60");
+    let settings = settings(15_000).replace("\"promise_ms\":15000.0", "\"promise_ms\":1000.0");
+    let many_nodes = settings.replace("\"n_instances\":1", "\"n_instances\":60");
     let known = endpoint_list(1, true, &[slow.endpoint_entry("s-0", "ready")]);
     let node = Node::start(&config(discovery.address, &known, &many_nodes));
-    // Requests come often, and the one server that answers takes most of their aim.
+    // Requests are frequent, and the only server's latency exceeds the objective.
     for n in 1..=60 {
         let mut client = node.connect();
         client.send(&read_request(&format!("gone-{n}"), "15000m"));
-        wait_until("it was sent", || slow.requests().len() == n);
+        wait_until("the request is sent", || slow.requests().len() == n);
     }
-    wait_until("their attempts are given up", || {
+    wait_until("their attempts are cancelled", || {
         slow.closed_connections() == 60
     });
     assert_eq!(node.request(&read_request("a", "15000m")).body, b"slow");
@@ -473,7 +496,7 @@
         slow.endpoint_entry("s-0", "ready"),
         idle.endpoint_entry("s-1", "ready"),
     ];
-    // Nothing is asked between, so that the change is what the node goes by.
+    // No request is sent in between, so that only the change of the list makes the node use the new server.
     watch.send(&format!("{}\n", endpoint_list(2, true, &both)));
     watch.send("\n");
     std::thread::sleep(Duration::from_millis(300));
@@ -508,13 +531,13 @@
     );
 }
 
-/// Guards against a server that gets what was meant for the one before it at its address: the list tells of the new
-/// one before it tells that the old one is gone.
+/// Guards against sending a request to a new server over a connection to the previous server at its address: the list
+/// names the new server before it removes the old one.
 #[test]
 fn new_server_at_a_reused_address_gets_new_connections() {
     let server = Server::start(|_| Reply::ok("yes"));
     if server.unix_endpoint.is_some() {
-        return; // The operators name the path, and no list moves a server away from it.
+        return; // The operators' file sets the socket path, and the endpoint list cannot reassign it.
     }
     let (node, _discovery, mut watch) = Node::start_with_servers(&[&server], 15_000);
     assert_eq!(node.request(&read_request("a", "15000m")).status(), 200);
@@ -526,7 +549,7 @@
         "{}\n",
         endpoint_list(2, false, &[server.endpoint_entry("s-new", "ready")])
     ));
-    wait_until("the old one's connection is closed", || {
+    wait_until("the connection to the old server is closed", || {
         server.closed_connections() == 1
     });
     assert_eq!(
@@ -534,7 +557,7 @@
             .status(),
         200
     );
-    // What is said of the old one later is said of one that is not there.
+    // Later changes to the old server concern a server that no longer exists.
     watch.send(&format!(
         "{}\n",
         endpoint_list(3, false, &[server.endpoint_entry("s-0", "draining")])
@@ -560,7 +583,7 @@
     watch.send(&format!("{}\n", endpoint_list(5, false, &[])));
     drop(watch);
     let mut watch = discovery.watch();
-    // What was written may have been lost with the connection.
+    // The node may not have received the last line before the connection closed.
     assert!(
         watch.request_line.contains("from=5") || watch.request_line.contains("from=1"),
         "{}",
@@ -570,13 +593,13 @@
     let watch = discovery.watch();
     assert!(
         !watch.request_line.contains("from="),
-        "the whole list is asked for: {}",
+        "expected a request for the whole list; got {}",
         watch.request_line
     );
     assert_eq!(
         node.request(&read_request("a", "15000m")).status(),
         200,
-        "the list held stands"
+        "the previous list stays in use"
     );
 }
 
@@ -588,52 +611,54 @@
     assert!(discovery.watch().request_line.contains("from=1"));
 }
 
-/// A server that answers nothing until its gate is opened by storing one.
-fn gated() -> (Arc<AtomicUsize>, Server) {
-    let go = Arc::new(AtomicUsize::new(0));
-    let gate = Arc::clone(&go);
+/// A server that responds to no request until 1 is stored in the returned gate.
+fn gated_server() -> (Arc<AtomicUsize>, Server) {
+    let gate = Arc::new(AtomicUsize::new(0));
+    let server_gate = Arc::clone(&gate);
     let server = Server::start(move |_| {
-        wait_until("the gate opens", || gate.load(Ordering::SeqCst) == 1);
+        wait_until("the gate opens", || server_gate.load(Ordering::SeqCst) == 1);
         Reply::ok("yes")
     });
-    (go, server)
+    (gate, server)
 }
 
-/// Guards against requests lost at a planned restart.
+/// Guards against requests that are lost in a planned restart.
 #[test]
 fn sigterm_ends_the_process_once_all_requests_are_answered() {
-    let (go, server) = gated();
+    let (gate, server) = gated_server();
     let (mut node, _discovery, _watch) = Node::start_with_servers(&[&server], 15_000);
-    let (mut held, mut between) = (node.connect(), node.connect());
-    between.send("GET /up HTTP/1.1\r\nHost: a\r\n\r\n");
-    assert_eq!(between.read_response().expect("an answer").status(), 200);
-    held.send(&read_request("a", "15000m"));
-    wait_until("it waits", || server.accepted_connections() == 1);
-    node.terminate();
-    assert!(
-        between.is_closed(),
-        "a connection between requests is closed"
+    let (mut pending, mut idle) = (node.connect(), node.connect());
+    idle.send("GET /up HTTP/1.1\r\nHost: a\r\n\r\n");
+    assert_eq!(
+        idle.read_response().expect("read the response").status(),
+        200
     );
-    go.store(1, Ordering::SeqCst);
-    let served = held.read_response().expect("what was held is answered");
+    pending.send(&read_request("a", "15000m"));
+    wait_until("the request reaches the server", || {
+        server.accepted_connections() == 1
+    });
+    node.terminate();
+    assert!(idle.is_closed(), "the idle connection is closed");
+    gate.store(1, Ordering::SeqCst);
+    let response = pending.read_response().expect("read the pending response");
     assert_eq!(
-        (served.status(), served.header("connection")),
+        (response.status(), response.header("connection")),
         (200, Some("close"))
     );
-    assert!(held.is_closed());
+    assert!(pending.is_closed());
     assert_eq!(node.wait().code(), Some(0));
 }
 
-/// Runs a test on one thread, as a node runs.
+/// Runs a test on a single-threaded runtime, like the one of a node.
 fn run_locally(test: impl Future<Output = ()>) {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .build()
-        .expect("a runtime");
+        .expect("build the runtime");
     tokio::task::LocalSet::new().block_on(&runtime, test);
 }
 
-/// A node in the test's own process, whose phases the test sets.
+/// A node within the test process; the test sets its phase.
 struct LocalNode {
     address: SocketAddr,
     phase: watch::Sender<Phase>,
@@ -646,8 +671,8 @@
         let dispatcher = Dispatcher::start(&config).expect("valid settings");
         let listener = tokio::net::TcpListener::bind("127.0.0.1:0")
             .await
-            .expect("a port");
-        let address = listener.local_addr().expect("an address");
+            .expect("bind a loopback socket");
+        let address = listener.local_addr().expect("read the local address");
         let (phase, phases) = watch::channel(Phase::Serving);
         let options = ServerOptions::for_unshared_listener(phases, max_connections);
         Self {
@@ -658,14 +683,14 @@
     }
 }
 
-/// Guards against requests lost between SIGTERM and the moment at which the front notices: new connections come
-/// until then, and what they carry is taken and answered; and against clients that are sent away from the one node
-/// that is there. The phases are set by hand, so that no clock decides.
+/// Guards against requests that are lost between SIGTERM and the moment at which the platform stops routing to the
+/// node: until then it accepts new connections and answers their requests. Guards also against disconnecting clients
+/// that have no other node to use. The test sets the phases itself, so that it does not depend on a clock.
 #[test]
 fn draining_node_accepts_and_keeps_connections_until_shutdown() {
-    let nowhere = Unreachable::reserve();
+    let unreachable = Unreachable::reserve();
     let text = config(
-        nowhere.address,
+        unreachable.address,
         &endpoint_list(1, true, &[]),
         &settings(15_000),
     );
@@ -675,56 +700,57 @@
             phase,
             serving,
         } = LocalNode::start(&text, 16).await;
-        let by = Instant::now() + WAIT_TIMEOUT;
-        phase.send_replace(Phase::Draining(by));
+        let deadline = Instant::now() + WAIT_TIMEOUT;
+        phase.send_replace(Phase::Draining(deadline));
         let mut client = tokio::net::TcpStream::connect(address)
             .await
-            .expect("it still listens");
-        // Whoever has a connection keeps it: there may be nobody else yet.
+            .expect("connect to the draining node");
+        // Connections stay open: there may be no other node yet.
         for _ in 0..3 {
-            let answer = ask(&mut client, "GET /up HTTP/1.1\r\nHost: a\r\n\r\n").await;
+            let response =
+                send_and_read_head(&mut client, "GET /up HTTP/1.1\r\nHost: a\r\n\r\n").await;
             assert!(
-                answer.starts_with("HTTP/1.1 200 OK") && !answer.contains("close"),
-                "{answer}"
+                response.starts_with("HTTP/1.1 200 OK") && !response.contains("close"),
+                "{response}"
             );
         }
-        phase.send_replace(Phase::ShuttingDown(by));
+        phase.send_replace(Phase::ShuttingDown(deadline));
         assert!(
             client.read_u8().await.is_err(),
-            "between requests it is closed in the end"
+            "the idle connection is closed at shutdown"
         );
         tokio::time::timeout(WAIT_TIMEOUT, serving)
             .await
-            .expect("it ends")
-            .expect("in order");
+            .expect("the node ends in time")
+            .expect("join the task of the node");
     });
 }
 
-/// Sends a request and reads the head of its answer.
-async fn ask(client: &mut tokio::net::TcpStream, request: &str) -> String {
+/// Sends a request and reads the head of its response.
+async fn send_and_read_head(client: &mut tokio::net::TcpStream, request: &str) -> String {
     client
         .write_all(request.as_bytes())
         .await
-        .expect("an open connection");
-    head(client).await
+        .expect("write to the connection");
+    read_head(client).await
 }
 
-async fn head(client: &mut tokio::net::TcpStream) -> String {
+async fn read_head(client: &mut tokio::net::TcpStream) -> String {
     let mut head = String::new();
     while !head.ends_with("\r\n\r\n") {
         let byte = tokio::time::timeout(WAIT_TIMEOUT, client.read_u8())
             .await
-            .expect("an answer in time");
-        head.push(char::from(byte.expect("an answer")));
+            .expect("the head arrives in time");
+        head.push(char::from(byte.expect("read a byte of the head")));
     }
     head
 }
 
-/// Guards against clients that give up a node which hands over because each connection that they have to it is in use:
-/// it gets no further ones. Some are kept free, by refusals at once, and those say when to come back.
+/// Guards against clients that cannot reach a draining node because all their connections to it are in use and it gets
+/// no new ones. The node keeps some connections free by rejecting requests immediately, with Retry-After.
 #[test]
 fn draining_node_rejects_requests_to_keep_connections_free() {
-    let (go, server) = gated();
+    let (gate, server) = gated_server();
     let known = endpoint_list(1, true, &[server.endpoint_entry("s-0", "ready")]);
     let text = config(Unreachable::reserve().address, &known, &settings(60_000));
     run_locally(async {
@@ -733,79 +759,86 @@
         for _ in 0..12 {
             let mut client = tokio::net::TcpStream::connect(address)
                 .await
-                .expect("it listens");
-            assert!(ask(&mut client, "GET /up HTTP/1.1\r\nHost: a\r\n\r\n")
-                .await
-                .contains("200 OK"));
+                .expect("connect to the node");
+            assert!(
+                send_and_read_head(&mut client, "GET /up HTTP/1.1\r\nHost: a\r\n\r\n")
+                    .await
+                    .contains("200 OK")
+            );
             clients.push(client);
         }
         phase.send_replace(Phase::Draining(Instant::now() + 3 * WAIT_TIMEOUT));
-        let mut held = clients.split_off(2);
-        for (at, client) in held.iter_mut().enumerate() {
+        let mut pending = clients.split_off(2);
+        for (index, client) in pending.iter_mut().enumerate() {
             client
-                .write_all(read_request(&at.to_string(), "60000m").as_bytes())
+                .write_all(read_request(&index.to_string(), "60000m").as_bytes())
                 .await
-                .expect("an open connection");
+                .expect("write to the connection");
             let start = Instant::now();
-            while server.requests().len() <= at {
-                assert!(start.elapsed() < WAIT_TIMEOUT, "request {at} was not taken");
+            while server.requests().len() <= index {
+                assert!(
+                    start.elapsed() < WAIT_TIMEOUT,
+                    "request {index} did not reach the server"
+                );
                 tokio::time::sleep(Duration::from_millis(2)).await;
             }
         }
-        let refused = ask(&mut clients[0], &read_request("more", "60000m"))
+        let rejection = send_and_read_head(&mut clients[0], &read_request("more", "60000m"))
             .await
             .to_ascii_lowercase();
         assert!(
-            refused.contains("503") && refused.contains("retry-after: 0."),
-            "{refused}"
+            rejection.contains("503") && rejection.contains("retry-after: 0."),
+            "expected 503 with Retry-After below 1 s; got {rejection}"
         );
         assert!(
-            !refused.contains("connection: close"),
-            "its client keeps the connection: {refused}"
+            !rejection.contains("connection: close"),
+            "the client must be able to keep the connection: {rejection}"
         );
-        go.store(1, Ordering::SeqCst);
-        for client in &mut held {
+        gate.store(1, Ordering::SeqCst);
+        for client in &mut pending {
             assert!(
-                head(client).await.contains("200 OK"),
-                "what was taken is served"
+                read_head(client).await.contains("200 OK"),
+                "an accepted request is served"
             );
         }
     });
 }
 
-/// Guards against clients that are sent away while a node hands over: they get no further connections to it.
+/// Guards against closing idle connections of a draining node: their clients get no new connections to it.
 #[test]
 fn draining_node_closes_no_idle_connection() {
-    let nowhere = Unreachable::reserve();
+    let unreachable = Unreachable::reserve();
     let text = config(
-        nowhere.address,
+        unreachable.address,
         &endpoint_list(1, true, &[]),
         &settings(15_000),
     );
     run_locally(async {
         let LocalNode { address, phase, .. } = LocalNode::start(&text, 8).await;
-        tokio::task::yield_now().await; // It has begun to listen for phases.
+        tokio::task::yield_now().await; // Lets the node subscribe to its phases.
         phase.send_replace(Phase::Draining(Instant::now() + 3 * WAIT_TIMEOUT));
         let mut clients = Vec::new();
         for _ in 0..2 {
-            // As many as there are places, and more than may stand idle while a node serves.
+            // All connection slots, which is more than may be idle in the serving phase.
             while clients.len() < 8 {
                 clients.push(
                     tokio::net::TcpStream::connect(address)
                         .await
-                        .expect("it listens"),
+                        .expect("connect to the node"),
                 );
             }
             for client in &mut clients {
-                assert!(ask(client, "GET /up HTTP/1.1\r\nHost: a\r\n\r\n")
-                    .await
-                    .contains("200 OK"));
+                assert!(
+                    send_and_read_head(client, "GET /up HTTP/1.1\r\nHost: a\r\n\r\n")
+                        .await
+                        .contains("200 OK")
+                );
             }
         }
     });
 }
 
-/// Guards against SIGHUP ending the process, and against a node that stays with a discovery of the past.
+/// Guards against a SIGHUP that ends the process, and against a node that stays with the previous discovery endpoint.
 #[test]
 fn sighup_moves_the_watch_to_the_newly_configured_discovery() {
     let servers: Vec<_> = (0..3)
@@ -813,7 +846,7 @@
         .collect();
     let (node, old, mut watch) = Node::start_with_servers(&[&servers[0]], 15_000);
     watch.send(&format!("{}\n", endpoint_list(70, false, &[])));
-    let mut left = vec![(old, watch)];
+    let mut watches = vec![(old, watch)];
     for n in [1, 2, 0] {
         let discovery = Discovery::start();
         let text = config(
@@ -825,7 +858,7 @@
         let mut watch = discovery.watch();
         assert!(
             !watch.request_line.contains("from="),
-            "its versions are its own: {}",
+            "a generation of another discovery was sent: {}",
             watch.request_line
         );
         let id = format!("s-{n}");
@@ -833,26 +866,26 @@
             "{}\n",
             endpoint_list(3, true, &[servers[n].endpoint_entry(&id, "ready")])
         ));
-        wait_until("requests go to the server that it names", || {
+        wait_until("requests go to the server of the new list", || {
             node.request(&read_request("a", "15000m")).body == n.to_string().as_bytes()
         });
-        let (_, before) = left.last_mut().expect("one");
-        assert!(before.is_closed(), "the one before is left");
-        left.push((discovery, watch));
-        // A broken file changes nothing, whatever is wrong with it.
-        for broken in [
+        let (_, previous) = watches.last_mut().expect("at least one watch");
+        assert!(previous.is_closed(), "the previous watch is closed");
+        watches.push((discovery, watch));
+        // An invalid file changes nothing, whatever is wrong with it.
+        for invalid in [
             "{".to_owned(),
             text.replace("\"0f\"", "7"),
             text.replace("127.0.0.1:0", "here"),
         ] {
-            node.reload(&broken);
+            node.reload(&invalid);
             assert_eq!(
                 node.request_until_accepted(&read_request("b", "15000m"))
                     .body,
                 n.to_string().as_bytes()
             );
         }
-        let (_, watch) = left.last_mut().expect("one");
+        let (_, watch) = watches.last_mut().expect("at least one watch");
         watch.send(&format!(
             "{}\n",
             endpoint_list(4, true, &[servers[n].endpoint_entry(&id, "ready")])
@@ -860,7 +893,7 @@
     }
 }
 
-/// Guards against changes that are taken as following on a list which they know nothing of.
+/// Guards against applying changes to a list of another generation than the one they are based on.
 #[test]
 fn generation_that_goes_back_triggers_a_full_list_request() {
     let server = Server::start(|_| Reply::ok("yes"));
@@ -873,11 +906,11 @@
 #[test]
 fn invalid_configuration_ends_the_process_with_one_line() {
     let good = config(
-        "127.0.0.1:1".parse().expect("an address"),
+        "127.0.0.1:1".parse().expect("a valid address"),
         &endpoint_list(1, true, &[]),
         &settings(1_000),
     );
-    let broken = [
+    let invalid = [
         "{".to_owned(),
         "[]".to_owned(),
         good.replace("\"127.0.0.1:0\"", "\"here\""),
@@ -886,23 +919,23 @@
         good.replace("\"max_attempts\":3", "\"max_attempts\":0"),
         good.replace("60000.0}", "\"long\"}"),
     ];
-    for text in broken {
+    for text in invalid {
         assert_ne!(text, good);
         let path = write_temp_file(&text);
-        ends_with_one_line(program_command().env("ROUTER_CONFIG", &path));
-        std::fs::remove_file(path).expect("a file");
+        assert_fails_with_one_line(program_command().env("ROUTER_CONFIG", &path));
+        std::fs::remove_file(path).expect("remove the file");
     }
-    ends_with_one_line(&mut program_command());
-    ends_with_one_line(program_command().env("ROUTER_CONFIG", "/nowhere/at/all"));
+    assert_fails_with_one_line(&mut program_command());
+    assert_fails_with_one_line(program_command().env("ROUTER_CONFIG", "/nowhere/at/all"));
 }
 
-fn ends_with_one_line(command: &mut std::process::Command) {
+fn assert_fails_with_one_line(command: &mut std::process::Command) {
     let output = command
         .stdout(Stdio::piped())
         .stderr(Stdio::piped())
         .output()
-        .expect("it starts");
-    let log = String::from_utf8(output.stderr).expect("text");
+        .expect("run the program");
+    let log = String::from_utf8(output.stderr).expect("UTF-8 text");
     assert_eq!(output.status.code(), Some(1), "{log}");
     assert!(
         log.starts_with("silverthread: ") && log.lines().count() == 1,
