--- a/tests/close_range.rs
+++ b/tests/close_range.rs
@@ -1,9 +1,9 @@
-//! Races between two events: a shutdown, a client that leaves, a connection that closes, each at the worst moment. The order
-//! is forced by peers that wait for one event before they cause the other.
+//! Races of a request with a shutdown, a client that disconnects or a connection that closes. The tests force the order
+//! of the two events: a peer waits for one before it causes the other.
 
 #![allow(
     clippy::needless_for_each,
-    reason = "this file is still to be rewritten: docs/ROADMAP.md, Readability"
+    reason = "short loop bodies stand at the end of their iterator chain"
 )]
 
 use std::io::{Read, Write};
@@ -18,12 +18,12 @@
 use testkit::*;
 use tokio::sync::watch;
 
-/// The longest that a node may take from SIGTERM to its last answer, where a class's deadline is 3 s or more: SIGKILL
-/// may come then.
+/// Maximum time from SIGTERM to the last response, for classes with a deadline of 3 s or more: SIGKILL may follow after
+/// it.
 const MAX_EXIT_TIME: Duration = Duration::from_millis(3_700);
 
-/// A node may not exit with unanswered requests that arrived before SIGTERM, even if their clients would wait for longer
-/// than the node may live.
+/// Guards against a node that exits before it has answered the requests that arrived before SIGTERM, even if their
+/// deadlines are later than its exit.
 #[test]
 fn requests_accepted_before_sigterm_are_answered_before_exit() {
     let server = Server::start(|_| Reply::NoResponse);
@@ -37,62 +37,76 @@
     for (client, request) in clients.iter_mut().zip(&requests) {
         client.send(request);
     }
-    wait_until("all are out", || server.requests().len() == 3);
-    let told = Instant::now();
+    wait_until("all requests are sent", || server.requests().len() == 3);
+    let terminated_at = Instant::now();
     node.terminate();
-    let answers: Vec<_> = clients
+    let responses: Vec<_> = clients
         .iter_mut()
-        .map(|client| client.read_response().expect("a whole answer"))
+        .map(|client| client.read_response().expect("read the whole response"))
         .collect();
-    assert!(told.elapsed() < MAX_EXIT_TIME, "{:?}", told.elapsed());
+    assert!(
+        terminated_at.elapsed() < MAX_EXIT_TIME,
+        "took {:?}",
+        terminated_at.elapsed()
+    );
     assert_eq!(
-        answers[2].status(),
+        responses[2].status(),
         502,
-        "an unsafe request that may have run has failed"
+        "a non-idempotent request that may have run fails"
     );
     assert!(clients.iter_mut().all(Client::is_closed_without_reset));
     assert_eq!(node.wait().code(), Some(0));
-    assert_eq!(server.requests().len(), 3, "nothing was sent again so late");
+    assert_eq!(
+        server.requests().len(),
+        3,
+        "no request is retried during shutdown"
+    );
 }
 
-/// More than is read ahead on a connection with a request in progress, and less than the kernel buffers.
-const FLOOD_BYTES: usize = 100 * 1024;
+/// Length of pipelined data, in bytes: more than the node reads ahead on a connection with a request in progress, and
+/// less than the kernel buffers.
+const PIPELINED_BYTES: usize = 100 * 1024;
 
-/// No attempt may go on for a client that has left. One that sent more than its request must be detected while that is
-/// served, though nobody reads what it sent. Its attempt is cancelled, which the server sees.
+/// Guards against an attempt that continues after its client has disconnected. The node must detect this while the
+/// request is served, even if the client has sent more than its request and the node does not read it. The attempt is
+/// cancelled, and the server sees its connection close.
 #[test]
 fn client_with_pipelined_bytes_is_detected_as_gone() {
     let next = read_request("next", "15000m");
-    let more = [
+    let pipelined = [
         String::new(),
         next.clone(),
         next[..next.len() / 2].to_owned(),
-        next.repeat(FLOOD_BYTES / next.len()),
+        next.repeat(PIPELINED_BYTES / next.len()),
     ];
-    for (more, half_closes) in more.iter().flat_map(|more| [(more, false), (more, true)]) {
+    for (extra, half_closes) in pipelined
+        .iter()
+        .flat_map(|extra| [(extra, false), (extra, true)])
+    {
         let server = Server::start(|_| Reply::NoResponse);
-        // Its time is longer than anything here is waited for.
+        // The deadline is longer than any wait of this test.
         let (node, _discovery, _watch) = Node::start_with_servers(&[&server], 600_000);
         let mut client = node.connect();
-        client.send(&format!("{}{more}", read_request("first", "600000m")));
-        wait_until("its attempt is out", || server.requests().len() == 1);
+        client.send(&format!("{}{extra}", read_request("first", "600000m")));
+        wait_until("the attempt is sent", || server.requests().len() == 1);
         assert_eq!(server.closed_connections(), 0);
-        // One that ends its sending has gone, too: the page knows no other way to leave.
-        let held = half_closes.then(|| client.shutdown_write());
-        let held = held.map(|()| client);
-        wait_until("its attempt is given up", || {
+        // A half-close also counts as a disconnection: the protocol defines no other way for a client to leave.
+        let half_closed = half_closes.then(|| client.shutdown_write());
+        let half_closed = half_closed.map(|()| client);
+        wait_until("the attempt is cancelled", || {
             server.closed_connections() == 1
         });
-        drop(held);
+        drop(half_closed);
         assert_eq!(
             server.requests().len(),
             1,
-            "nothing else was sent on for it"
+            "no pipelined request is forwarded"
         );
     }
 }
 
-/// What was read ahead of a response is served after it, completely and once, wherever its segments end.
+/// Requests read before the previous response is sent are served after it, completely and once, wherever their segments
+/// end.
 #[test]
 fn pipelined_requests_are_served_after_the_response() {
     let server = Server::start(|_| Reply::ok("yes"));
@@ -113,7 +127,7 @@
             &second[..cut]
         ));
         assert_eq!(
-            client.read_response().expect("an answer").status(),
+            client.read_response().expect("read the response").status(),
             200,
             "cut at {cut}"
         );
@@ -124,7 +138,7 @@
         ));
         for _ in 0..2 {
             assert_eq!(
-                client.read_response().expect("an answer").status(),
+                client.read_response().expect("read the response").status(),
                 200,
                 "cut at {cut}"
             );
@@ -133,8 +147,8 @@
     assert_eq!(server.requests().len(), 18);
 }
 
-/// A node in this thread. Its event loop runs only in [`Self::run_event_loop`], so that bytes of a client and a shutdown can
-/// arrive in the same turn of it, in either order.
+/// A node in the thread of the test. Its event loop runs only in [`Self::run_event_loop`], so that bytes of a client
+/// and a shutdown can arrive in the same iteration of the loop, in either order.
 struct InProcessNode {
     runtime: tokio::runtime::Runtime,
     local: tokio::task::LocalSet,
@@ -146,29 +160,31 @@
 
 impl InProcessNode {
     fn start() -> Self {
-        Self::with(Server::start(|_| Reply::ok("yes")))
+        Self::with_server(Server::start(|_| Reply::ok("yes")))
     }
 
-    fn with(server: Server) -> Self {
+    fn with_server(server: Server) -> Self {
         let known = endpoint_list(1, true, &[server.endpoint_entry("s-0", "ready")]);
         let text = config(Unreachable::reserve().address, &known, &settings(60_000));
         let runtime = tokio::runtime::Builder::new_current_thread()
             .enable_all()
             .build()
-            .expect("a runtime");
+            .expect("build the runtime");
         let local = tokio::task::LocalSet::new();
         let (phase, phases) = watch::channel(Phase::Serving);
         let (address, serving) = local.block_on(&runtime, async {
-            let driver = Dispatcher::start(&Config::parse(&text).expect("sound")).expect("sound");
+            let dispatcher =
+                Dispatcher::start(&Config::parse(&text).expect("a valid configuration"))
+                    .expect("valid settings");
             let listener = tokio::net::TcpListener::bind("127.0.0.1:0")
                 .await
-                .expect("a port");
-            let address = listener.local_addr().expect("an address");
+                .expect("bind a loopback socket");
+            let address = listener.local_addr().expect("read the local address");
             (
                 address,
                 tokio::task::spawn_local(serve(
                     listener,
-                    driver,
+                    dispatcher,
                     ServerOptions::for_unshared_listener(phases, 64),
                 )),
             )
@@ -191,51 +207,55 @@
     }
 
     /// Runs the event loop until the condition holds.
-    fn run_until(&self, what: &str, mut so: impl FnMut() -> bool) {
+    fn run_until(&self, condition_name: &str, mut condition: impl FnMut() -> bool) {
         let since = Instant::now();
-        while !so() {
-            assert!(since.elapsed() < WAIT_TIMEOUT, "{what}");
+        while !condition() {
+            assert!(
+                since.elapsed() < WAIT_TIMEOUT,
+                "timed out waiting: {condition_name}"
+            );
             self.run_event_loop(1);
         }
     }
 
     fn connect(&self) -> TcpStream {
-        let stream = TcpStream::connect(self.address).expect("it listens");
-        stream.set_nonblocking(true).expect("a socket");
-        stream.set_nodelay(true).expect("a socket");
+        let stream = TcpStream::connect(self.address).expect("connect to the node");
+        stream.set_nonblocking(true).expect("configure the socket");
+        stream.set_nodelay(true).expect("configure the socket");
         stream
     }
 
-    /// What a client reads up to the end of the connection, and whether that end is graceful.
+    /// Reads from a client until its connection ends; returns the text and whether the connection was closed
+    /// gracefully.
     fn read_to_end(&self, client: &mut TcpStream) -> (String, bool) {
-        let (mut read, mut ended) = (Vec::new(), None);
+        let (mut received, mut graceful_end) = (Vec::new(), None);
         self.run_until("the connection ends", || {
-            let mut piece = [0; 4096];
-            match client.read(&mut piece) {
-                Ok(0) => ended = Some(true),
-                Ok(n) => read.extend_from_slice(&piece[..n]),
+            let mut buffer = [0; 4096];
+            match client.read(&mut buffer) {
+                Ok(0) => graceful_end = Some(true),
+                Ok(n) => received.extend_from_slice(&buffer[..n]),
                 Err(error) if error.kind() == std::io::ErrorKind::WouldBlock => {}
-                Err(_) => ended = Some(false),
+                Err(_) => graceful_end = Some(false),
             }
-            ended.is_some()
+            graceful_end.is_some()
         });
         (
-            String::from_utf8(read).expect("text"),
-            ended.expect("ended"),
+            String::from_utf8(received).expect("UTF-8 text"),
+            graceful_end.expect("the loop above has set it"),
         )
     }
 
-    /// Polls the readiness endpoint and reads the response: the connection is idle then.
+    /// Requests the readiness endpoint and reads the response, after which the connection is idle.
     fn make_idle(&self, client: &mut TcpStream) {
         client
             .write_all(b"GET /up HTTP/1.1\r\nHost: a\r\n\r\n")
-            .expect("an open connection");
-        let mut read = Vec::new();
-        self.run_until("it is up", || {
-            let mut piece = [0; 4096];
-            let came = client.read(&mut piece).unwrap_or(0);
-            read.extend_from_slice(&piece[..came]);
-            read.ends_with(b"\r\n\r\n")
+            .expect("write to the connection");
+        let mut received = Vec::new();
+        self.run_until("the readiness endpoint responds", || {
+            let mut buffer = [0; 4096];
+            let bytes = client.read(&mut buffer).unwrap_or(0);
+            received.extend_from_slice(&buffer[..bytes]);
+            received.ends_with(b"\r\n\r\n")
         });
     }
 
@@ -245,74 +265,75 @@
     }
 }
 
-/// A request that arrives in the same turn of the event loop as the shutdown has been accepted: it is answered
-/// completely, on an idle connection and on a silent one, whichever the event loop handles first.
+/// Guards against dropping a request that arrives in the same iteration of the event loop as the shutdown: it is
+/// answered completely, on an idle connection and on a new one, whichever event the loop handles first.
 #[test]
-fn request_in_turn_of_shutdown_is_answered() {
+fn request_in_same_loop_iteration_as_shutdown_is_answered() {
     let request = read_request("crossing", "15000m");
-    for rested in [true, false] {
-        for ahead in [0, 1, request.len() / 2, request.len() - 1, request.len()] {
+    for is_idle in [true, false] {
+        for bytes_ahead in [0, 1, request.len() / 2, request.len() - 1, request.len()] {
             let node = InProcessNode::start();
             let mut client = node.connect();
-            if rested {
+            if is_idle {
                 node.make_idle(&mut client);
             } else {
                 node.run_event_loop(5);
             }
-            // The part ahead has been read by the event loop, if there is one; the rest lies in the socket.
+            // The event loop reads the first part, if there is one; the rest stays in the socket buffer.
             client
-                .write_all(&request.as_bytes()[..ahead])
-                .expect("an open connection");
-            if (1..request.len()).contains(&ahead) {
+                .write_all(&request.as_bytes()[..bytes_ahead])
+                .expect("write to the connection");
+            if (1..request.len()).contains(&bytes_ahead) {
                 node.run_event_loop(5);
             }
             client
-                .write_all(&request.as_bytes()[ahead..])
-                .expect("an open connection");
+                .write_all(&request.as_bytes()[bytes_ahead..])
+                .expect("write to the connection");
             node.shut_down();
-            let (answer, in_order) = node.read_to_end(&mut client);
-            let case = format!("rested: {rested}, {ahead} bytes ahead");
+            let (response, is_graceful) = node.read_to_end(&mut client);
+            let case = format!("idle: {is_idle}, {bytes_ahead} bytes sent ahead");
             assert!(
-                answer.starts_with("HTTP/1.1 200 OK") && answer.ends_with("yes"),
-                "{case}: {answer:?}"
+                response.starts_with("HTTP/1.1 200 OK") && response.ends_with("yes"),
+                "{case}: {response:?}"
             );
             assert!(
-                answer.to_ascii_lowercase().contains("connection: close"),
+                response.to_ascii_lowercase().contains("connection: close"),
                 "{case}"
             );
-            assert!(in_order, "{case}");
+            assert!(is_graceful, "{case}");
             assert_eq!(node.server.requests().len(), 1, "{case}");
             drop(client);
-            node.run_until("the node ends", || node.serving.is_finished());
+            node.run_until("the node shuts down", || node.serving.is_finished());
         }
     }
 }
 
-/// A connection that waits in the kernel's backlog with its request, and a body of which a part is yet to arrive.
+/// Guards against dropping, at shutdown, a request on a connection in the kernel's backlog or one whose body has not
+/// arrived completely.
 #[test]
-fn backlogged_connection_and_slow_upload_are_answered_at_shutdown() {
+fn backlogged_and_slow_requests_are_answered_at_shutdown() {
     let node = InProcessNode::start();
-    let whole = post_request("slow", "hold", "Idempotency-Key: 5c0f\r\n", "five rooms");
+    let request = post_request("slow", "hold", "Idempotency-Key: 5c0f\r\n", "five rooms");
     let mut slow = node.connect();
-    slow.write_all(&whole.as_bytes()[..whole.len() - 5])
-        .expect("an open connection");
+    slow.write_all(&request.as_bytes()[..request.len() - 5])
+        .expect("write to the connection");
     node.run_event_loop(5);
     let mut queued = node.connect();
     queued
         .write_all(read_request("queued", "15000m").as_bytes())
-        .expect("an open connection");
+        .expect("write to the connection");
     node.shut_down();
-    let (answer, in_order) = node.read_to_end(&mut queued);
+    let (response, is_graceful) = node.read_to_end(&mut queued);
     assert!(
-        answer.starts_with("HTTP/1.1 200 OK") && in_order,
-        "{answer:?}"
+        response.starts_with("HTTP/1.1 200 OK") && is_graceful,
+        "{response:?}"
     );
-    slow.write_all(&whole.as_bytes()[whole.len() - 5..])
-        .expect("an open connection");
-    let (answer, in_order) = node.read_to_end(&mut slow);
+    slow.write_all(&request.as_bytes()[request.len() - 5..])
+        .expect("write to the connection");
+    let (response, is_graceful) = node.read_to_end(&mut slow);
     assert!(
-        answer.starts_with("HTTP/1.1 200 OK") && in_order,
-        "{answer:?}"
+        response.starts_with("HTTP/1.1 200 OK") && is_graceful,
+        "{response:?}"
     );
     let ids: Vec<_> = node
         .server
@@ -323,112 +344,118 @@
     assert_eq!(ids, ["queued", "slow"]);
 }
 
-/// Requests that are accepted just before the shutdown are answered by its deadline, on an old and on a new connection,
-/// whatever deadlines their clients set. The server does not respond.
+/// Requests accepted just before the shutdown are answered by the shutdown deadline, on an existing and on a new
+/// connection, whatever their own deadlines. The server does not respond.
 #[test]
-fn request_accepted_just_before_shutdown_deadline_is_answered_by_it() {
-    const LEFT: Duration = Duration::from_millis(300);
-    let node = InProcessNode::with(Server::start(|_| Reply::NoResponse));
+fn request_before_shutdown_deadline_is_answered_by_it() {
+    const TIME_TO_DEADLINE: Duration = Duration::from_millis(300);
+    let node = InProcessNode::with_server(Server::start(|_| Reply::NoResponse));
     let mut clients = [node.connect(), node.connect(), node.connect()];
     node.make_idle(&mut clients[0]);
-    let by = Instant::now() + LEFT;
-    node.phase.send_replace(Phase::Draining(by));
+    let deadline = Instant::now() + TIME_TO_DEADLINE;
+    node.phase.send_replace(Phase::Draining(deadline));
     clients[0]
         .write_all(post_request("kept", "pay", "", "x").as_bytes())
-        .expect("an open connection");
+        .expect("write to the connection");
     node.run_event_loop(5);
     clients[1]
         .write_all(post_request("new", "pay", "", "x").as_bytes())
-        .expect("an open connection");
-    node.phase.send_replace(Phase::ShuttingDown(by));
-    // And one that comes in the last tenth of what is left.
+        .expect("write to the connection");
+    node.phase.send_replace(Phase::ShuttingDown(deadline));
+    // The third request completes in the last tenth of the time before the deadline.
     clients[2]
         .write_all(read_request("last", "15000m").split_at(20).0.as_bytes())
-        .expect("an open connection");
-    node.run_until("the end is near", || Instant::now() + LEFT / 10 > by);
+        .expect("write to the connection");
+    node.run_until("a tenth of the time before the deadline remains", || {
+        Instant::now() + TIME_TO_DEADLINE / 10 > deadline
+    });
     clients[2]
         .write_all(read_request("last", "15000m").split_at(20).1.as_bytes())
-        .expect("an open connection");
-    let answers = clients.each_mut().map(|client| node.read_to_end(client));
+        .expect("write to the connection");
+    let responses = clients.each_mut().map(|client| node.read_to_end(client));
     assert!(
-        Instant::now() < by + LEFT,
-        "they come by the end, on a machine that is busy too"
+        Instant::now() < deadline + TIME_TO_DEADLINE,
+        "responses arrived long after the deadline"
     );
-    for ((answer, in_order), status) in answers.iter().zip(["502", "502", "503"]) {
+    for ((response, is_graceful), status) in responses.iter().zip(["502", "502", "503"]) {
         assert!(
-            answer.starts_with(&format!("HTTP/1.1 {status}")) && *in_order,
-            "{answer:?}"
+            response.starts_with(&format!("HTTP/1.1 {status}")) && *is_graceful,
+            "{response:?}"
         );
     }
-    node.run_until("the node ends", || node.serving.is_finished());
+    node.run_until("the node shuts down", || node.serving.is_finished());
 }
 
-/// Longer than a client may take over a head, or be idle.
+/// Time longer than the timeouts for a request head and for an idle connection.
 const LONGER_THAN_ANY_TIMEOUT: Duration = Duration::from_secs(11);
-/// Longer than the interval between two checks of the timeouts.
+/// Time longer than the interval between two checks of the timeouts.
 const ONE_CHECK_INTERVAL: Duration = Duration::from_millis(150);
-/// Turns of the event loop that are tried as the one in which the bytes arrive; the timeout is in the first or second.
-const MAX_TURNS: usize = 12;
+/// Number of event loop iterations tried as the one in which the bytes arrive; the timeout is handled in the first or
+/// second.
+const MAX_ITERATIONS: usize = 12;
 
-/// A client whose bytes arrive in the same turn as the timeout of its connection, before or after the event loop has
-/// polled the socket: whoever wrote on an open connection is answered. Time is paused but for two steps, so that every
-/// turn in which the bytes can arrive is tried.
+/// Guards against closing a connection at its timeout when its client's bytes arrive in the same iteration, before or
+/// after the event loop has polled the socket: a request written on an open connection is answered. Time is paused
+/// except for two steps, so that every iteration in which the bytes can arrive is tried.
 #[test]
-fn request_in_turn_of_connection_timeout_is_answered() {
+fn request_in_same_loop_iteration_as_timeout_is_answered() {
     let request = read_request("crossing", "15000m");
-    for (rested, ahead) in [(false, 0), (false, request.len() / 2), (true, 0)] {
-        let (mut open, mut ended) = (0, 0);
-        for turns in 0..MAX_TURNS {
-            // The client has to see at once whether the node has closed the connection.
-            let _no_process_starts = pause_process_starts();
+    for (is_idle, bytes_ahead) in [(false, 0), (false, request.len() / 2), (true, 0)] {
+        let (mut open_cases, mut closed_cases) = (0, 0);
+        for iterations in 0..MAX_ITERATIONS {
+            // A process started meanwhile could inherit the socket and delay the end of the connection for the client.
+            let _process_starts_paused = pause_process_starts();
             let node = InProcessNode::start();
             let mut client = node.connect();
-            if rested {
+            if is_idle {
                 node.make_idle(&mut client);
             }
             client
-                .write_all(&request.as_bytes()[..ahead])
-                .expect("an open connection");
+                .write_all(&request.as_bytes()[..bytes_ahead])
+                .expect("write to the connection");
             node.run_event_loop(5);
             let was_open = node.local.block_on(&node.runtime, async {
                 tokio::time::pause();
-                // The look that is due by now is of the time before; the one after it finds the time over.
+                // The check that is due now still uses the time before the step; the next one finds the timeout
+                // expired.
                 tokio::time::advance(LONGER_THAN_ANY_TIMEOUT).await;
-                for _ in 0..MAX_TURNS {
+                for _ in 0..MAX_ITERATIONS {
                     tokio::task::yield_now().await;
                 }
                 tokio::time::advance(ONE_CHECK_INTERVAL).await;
-                for _ in 0..turns {
+                for _ in 0..iterations {
                     tokio::task::yield_now().await;
                 }
-                // One thread: what the node has ended by now is seen here, and nothing happens until the bytes are there.
+                // The node runs in this thread: a connection that it has closed shows here, and it does nothing until
+                // the bytes are written.
                 let was_open =
                     matches!(client.peek(&mut [0; 1]), Err(e) if e.kind() == std::io::ErrorKind::WouldBlock);
-                let _ = client.write_all(&request.as_bytes()[ahead..]);
+                let _ = client.write_all(&request.as_bytes()[bytes_ahead..]);
                 tokio::time::resume();
                 was_open
             });
-            let (answer, in_order) = node.read_to_end(&mut client);
-            let case = format!("rested: {rested}, {ahead} bytes ahead, {turns} turns");
+            let (response, is_graceful) = node.read_to_end(&mut client);
+            let case =
+                format!("idle: {is_idle}, {bytes_ahead} bytes sent ahead, {iterations} iterations");
             if was_open {
-                open += 1;
+                open_cases += 1;
                 assert!(
-                    answer.starts_with("HTTP/1.1 200 OK") && answer.ends_with("yes"),
-                    "{case}: {answer:?}"
+                    response.starts_with("HTTP/1.1 200 OK") && response.ends_with("yes"),
+                    "{case}: {response:?}"
                 );
             } else {
-                ended += 1;
-                assert!(answer.is_empty() || !in_order, "{case}: {answer:?}");
+                closed_cases += 1;
+                assert!(response.is_empty() || !is_graceful, "{case}: {response:?}");
             }
         }
         assert!(
-            open > 0 && ended > 0,
-            "both orders were met: {open}, {ended}"
+            open_cases > 0 && closed_cases > 0,
+            "both orders must occur: {open_cases} open, {closed_cases} closed"
         );
     }
 }
 
-/// A request of which a part had arrived when the node shut down.
+/// Guards against dropping a request of which only a part has arrived when the node shuts down.
 #[test]
 fn partial_head_at_shutdown_may_complete_and_is_answered() {
     let request = read_request("half", "15000m");
@@ -438,25 +465,25 @@
         node.make_idle(&mut client);
         client
             .write_all(&request.as_bytes()[..cut])
-            .expect("an open connection");
+            .expect("write to the connection");
         node.run_event_loop(5);
         node.shut_down();
         node.run_event_loop(20);
         client
             .write_all(&request.as_bytes()[cut..])
-            .expect("an open connection");
-        let (answer, in_order) = node.read_to_end(&mut client);
+            .expect("write to the connection");
+        let (response, is_graceful) = node.read_to_end(&mut client);
         assert!(
-            answer.starts_with("HTTP/1.1 200 OK") && in_order,
-            "cut at {cut}: {answer:?}"
+            response.starts_with("HTTP/1.1 200 OK") && is_graceful,
+            "cut at {cut}: {response:?}"
         );
     }
 }
 
-/// A request that arrives after the shutdown is not forwarded, and a client whose bytes cross the close gets no reset:
-/// the node reads on for a while, and discards what arrives.
+/// Guards against forwarding a request that arrives after the shutdown, and against resetting a connection whose client
+/// sends while the node closes it: the node continues to read for a while and discards the bytes.
 #[test]
-fn bytes_after_last_response_are_discarded_and_close_is_graceful() {
+fn bytes_after_shutdown_are_discarded_and_close_is_graceful() {
     let node = InProcessNode::start();
     let mut clients: Vec<_> = (0..4).map(|_| node.connect()).collect();
     clients[..2]
@@ -464,84 +491,99 @@
         .for_each(|client| node.make_idle(client));
     node.run_event_loop(5);
     node.shut_down();
-    for (at, client) in clients.iter_mut().enumerate() {
-        let (read, in_order) = node.read_to_end(client);
+    for (index, client) in clients.iter_mut().enumerate() {
+        let (received, is_graceful) = node.read_to_end(client);
         assert!(
-            read.is_empty() && in_order,
-            "client {at} is told of the end: {read:?}"
+            received.is_empty() && is_graceful,
+            "client {index} got no graceful close; received {received:?}"
         );
-        // The end has come, and the client has asked before it saw that; a second time it gets a reset where the node is
-        // not there any more.
+        // The client sends a request before it notices the close. If the node no longer reads, the first write causes a
+        // reset and the second one fails.
         for _ in 0..2 {
             let request = post_request("behind", "pay", "", "x");
             client
                 .write_all(request.as_bytes())
-                .expect("it still reads");
+                .expect("the node still reads");
             node.run_event_loop(5);
         }
-        assert!(node.read_to_end(client).1, "client {at}");
+        assert!(
+            node.read_to_end(client).1,
+            "connection of client {index} was reset"
+        );
     }
     clients.clear();
-    node.run_until("the node ends", || node.serving.is_finished());
-    assert!(node.server.requests().is_empty(), "none was sent on");
+    node.run_until("the node shuts down", || node.serving.is_finished());
+    assert!(
+        node.server.requests().is_empty(),
+        "no request is forwarded after the shutdown"
+    );
 }
 
-/// A server to which connecting takes long: its backlog is full, so that the kernel drops the first SYN, which is
-/// retransmitted a second later.
+/// A server to which connecting is slow: its backlog is full, so the kernel drops the first SYN, which is retransmitted
+/// a second later.
 struct SlowToConnectServer {
     listener: socket2::Socket,
     address: std::net::SocketAddr,
-    _first: TcpStream,
+    _backlog_filler: TcpStream,
 }
 
 impl SlowToConnectServer {
     fn start() -> Self {
         let listener = socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None)
-            .expect("a socket");
+            .expect("create a socket");
         let any = std::net::SocketAddr::from(([127, 0, 0, 1], 0));
-        listener.bind(&any.into()).expect("a port");
-        listener.listen(0).expect("it listens");
+        listener.bind(&any.into()).expect("bind a loopback socket");
+        listener.listen(0).expect("listen on the socket");
         let address = listener
             .local_addr()
-            .expect("an address")
+            .expect("read the local address")
             .as_socket()
-            .expect("of IPv4");
+            .expect("an IPv4 address");
         Self {
-            _first: TcpStream::connect(address).expect("there is room for one"),
+            _backlog_filler: TcpStream::connect(address).expect("the backlog holds one connection"),
             listener,
             address,
         }
     }
 
-    /// Frees the backlog, and returns what is received on the connection that is established then; `None` without one.
+    /// Frees the backlog and returns the bytes received on the next connection; `None` if none is established.
     fn accept_and_read(self) -> Option<Vec<u8>> {
-        self.listener.set_nonblocking(true).expect("a socket");
-        let mut came = Vec::new();
+        self.listener
+            .set_nonblocking(true)
+            .expect("configure the socket");
+        let mut connections = Vec::new();
         let since = Instant::now();
-        while came.len() < 2 && since.elapsed() < Duration::from_secs(4) {
-            came.extend(self.listener.accept().ok());
+        while connections.len() < 2 && since.elapsed() < Duration::from_secs(4) {
+            connections.extend(self.listener.accept().ok());
             std::thread::sleep(Duration::from_millis(1));
         }
-        let (connection, _) = came.into_iter().nth(1)?;
-        connection.set_nonblocking(false).expect("a socket");
+        let (connection, _) = connections.into_iter().nth(1)?;
+        connection
+            .set_nonblocking(false)
+            .expect("configure the socket");
         connection
             .set_read_timeout(Some(Duration::from_millis(500)))
-            .expect("a socket");
+            .expect("configure the socket");
         let (mut stream, mut read) = (TcpStream::from(connection), [0; 4096]);
         let bytes = stream.read(&mut read).unwrap_or(0);
         Some(read[..bytes].to_vec())
     }
 }
 
-/// Long enough for a node to react, on a machine that is not busy; where it is, the race is tried again.
+/// Time within which a node reacts on an idle machine; on a busy one the tests repeat the race.
 const REACTION_TIME: Duration = Duration::from_millis(200);
 
-/// The client leaves while the connection to the server is being established, with settings that allow no cancellation.
+/// Guards against sending an attempt whose client disconnected while the connection to the server was being
+/// established, with cancellation disabled in the settings.
 #[test]
 fn attempt_for_client_that_left_during_connect_is_not_sent() {
-    let crossed = (0..5).find_map(|_| {
-        let late = SlowToConnectServer::start();
-        let known = endpoint_list(1, true, &[endpoint_entry("s-0", late.address, "ready")]);
+    let outcome = (0..5).find_map(|_| {
+        let slow_server = SlowToConnectServer::start();
+        let known = endpoint_list(
+            1,
+            true,
+            &[endpoint_entry("s-0", slow_server.address, "ready")],
+        );
         let text = settings(600_000).replace("\"cancel\":true", "\"cancel\":false");
         let node = Node::start(&config(Unreachable::reserve().address, &known, &text));
         let mut client = node.connect();
@@ -549,26 +591,26 @@
         std::thread::sleep(REACTION_TIME);
         drop(client);
         std::thread::sleep(REACTION_TIME);
-        late.accept_and_read()
+        slow_server.accept_and_read()
     });
     assert_eq!(
-        crossed.map(|bytes| String::from_utf8_lossy(&bytes).into_owned()),
+        outcome.map(|bytes| String::from_utf8_lossy(&bytes).into_owned()),
         Some(String::new())
     );
 }
 
-/// A request must not be executed twice: a retry is within the window when it is decided on, and its connection is
-/// established after the window's end.
+/// Guards against executing a request twice: its retry is decided within the deduplication window, but the connection
+/// for it is established after the window has ended.
 #[test]
 fn retry_after_deduplication_window_is_not_sent() {
-    let crossed = (0..5).find_map(|_| {
-        let closes = Server::start(|_| {
+    let outcome = (0..5).find_map(|_| {
+        let closing_server = Server::start(|_| {
             std::thread::sleep(REACTION_TIME);
             Reply::Close
         });
-        let late = SlowToConnectServer::start();
+        let slow_server = SlowToConnectServer::start();
         let discovery = Discovery::start();
-        let known = endpoint_list(1, true, &[closes.endpoint_entry("s-0", "ready")]);
+        let known = endpoint_list(1, true, &[closing_server.endpoint_entry("s-0", "ready")]);
         let text =
             settings(15_000).replace("\"dedup_window_ms\":60000.0", "\"dedup_window_ms\":900.0");
         let node = Node::start(&config(discovery.address, &known, &text));
@@ -580,329 +622,364 @@
             "Idempotency-Key: 5c0f\r\n",
             "x",
         ));
-        wait_until("the first attempt is out", || closes.requests().len() == 1);
+        wait_until("the first attempt is sent", || {
+            closing_server.requests().len() == 1
+        });
         watch.send(
-            &(endpoint_list(2, false, &[endpoint_entry("s-1", late.address, "ready")]) + "\n"),
+            &(endpoint_list(
+                2,
+                false,
+                &[endpoint_entry("s-1", slow_server.address, "ready")],
+            ) + "\n"),
         );
         std::thread::sleep(2 * REACTION_TIME);
-        late.accept_and_read()
-            .map(|bytes| (bytes, client.read_response().expect("an answer").status()))
+        slow_server.accept_and_read().map(|bytes| {
+            (
+                bytes,
+                client.read_response().expect("read the response").status(),
+            )
+        })
     });
-    let (bytes, status) = crossed.expect("the repeat was on its way");
+    let (bytes, status) = outcome.expect("the retry connects in one of the runs");
     assert_eq!(
         (String::from_utf8_lossy(&bytes).into_owned(), status),
         (String::new(), 503)
     );
 }
 
-/// A server that answers each request with a prefix of a response, and resets the connection; `cuts` is the range of
-/// lengths, one connection after the other.
+/// A server that answers each request with a prefix of a response and resets the connection; `cuts` is the range of
+/// prefix lengths, one for each connection.
 fn server_that_resets_within_response(
-    answer: &'static [u8],
+    response: &'static [u8],
     cuts: std::ops::RangeInclusive<usize>,
 ) -> std::net::SocketAddr {
-    let listener = std::net::TcpListener::bind("127.0.0.1:0").expect("a port");
-    let address = listener.local_addr().expect("an address");
+    let listener = std::net::TcpListener::bind("127.0.0.1:0").expect("bind a loopback socket");
+    let address = listener.local_addr().expect("read the local address");
     std::thread::spawn(move || {
         for cut in cuts {
             let Ok((mut stream, _)) = listener.accept() else {
                 return;
             };
-            let request = Message::read(&mut std::io::BufReader::new(&stream)).expect("a request");
+            let request =
+                Message::read(&mut std::io::BufReader::new(&stream)).expect("read the request");
             stream
-                .write_all(&answer[..cut])
-                .expect("an open connection");
+                .write_all(&response[..cut])
+                .expect("write to the connection");
             let _ = socket2::SockRef::from(&stream).set_linger(Some(Duration::ZERO));
             assert_eq!(
                 request.header("req-id"),
                 Some(format!("cut-{cut}").as_str()),
-                "one attempt each"
+                "expected one attempt for each request"
             );
         }
     });
     address
 }
 
-/// A response of unknown length whose connection is reset is not complete, at whichever byte; one that is complete by its
-/// length is not discarded for a reset after it. Each request is non-idempotent, so the server receives each once.
+/// Guards against treating a response of unknown length as complete when its connection is reset at any byte, and
+/// against discarding one that is complete by its length because of a reset after it. Each request is non-idempotent,
+/// so the server receives it once.
 #[test]
 fn response_reset_at_any_byte_is_not_complete() {
     const WITHOUT_LENGTH: &[u8] = b"HTTP/1.1 200 OK\r\nConnection: close\r\n\r\nfive rooms";
     const WITH_LENGTH: &[u8] = b"HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\nfive rooms";
     const CHUNKED: &[u8] =
         b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\na\r\nfive rooms\r\n0\r\n\r\n";
-    for (answer, ends) in [
+    for (response, declares_its_end) in [
         (WITHOUT_LENGTH, false),
         (WITH_LENGTH, true),
         (CHUNKED, true),
     ] {
-        let address = server_that_resets_within_response(answer, 0..=answer.len());
+        let address = server_that_resets_within_response(response, 0..=response.len());
         let known = endpoint_list(1, true, &[endpoint_entry("s-0", address, "ready")]);
         let node = Node::start(&config(
             Unreachable::reserve().address,
             &known,
             &settings(15_000),
         ));
-        for cut in 0..=answer.len() {
-            let got = node.request(&post_request(&format!("cut-{cut}"), "pay", "", "x"));
-            let is_whole = ends && cut == answer.len();
+        for cut in 0..=response.len() {
+            let forwarded = node.request(&post_request(&format!("cut-{cut}"), "pay", "", "x"));
+            let is_complete = declares_its_end && cut == response.len();
             assert_eq!(
-                got.status() == 200,
-                is_whole,
+                forwarded.status() == 200,
+                is_complete,
                 "cut at {cut} of {:?}",
-                String::from_utf8_lossy(answer)
+                String::from_utf8_lossy(response)
             );
-            assert!(!is_whole || got.body == b"five rooms");
+            assert!(!is_complete || forwarded.body == b"five rooms");
         }
     }
 }
 
-/// Crowds of silent clients that connect as fast as they can, how many connections each holds (many times the places that
-/// there are), and for how long it tries one.
-const CROWDS: usize = 4;
-const HELD: usize = 400;
-const CONNECTS_WITHIN: Duration = Duration::from_millis(100);
+/// Number of threads that open connections without a pause.
+const CONNECTING_THREADS: usize = 4;
+/// Number of connections that each thread keeps open: many times the number of slots.
+const CONNECTIONS_PER_THREAD: usize = 400;
+/// Timeout of one connection attempt.
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(100);
 
-/// Silent clients connect continuously, far more than there are slots, and some nearly always wait to be accepted when
-/// the node is to stop accepting.
+/// Guards against a shutdown that waits for an empty backlog: far more silent clients than slots connect continuously,
+/// so that some nearly always wait to be accepted.
 #[test]
 fn continuous_new_connections_do_not_delay_shutdown() {
     let node = InProcessNode::start();
-    let (address, ends) = (node.address, Arc::new(AtomicBool::new(false)));
-    let crowd: Vec<_> = (0..CROWDS)
+    let (address, stop) = (node.address, Arc::new(AtomicBool::new(false)));
+    let threads: Vec<_> = (0..CONNECTING_THREADS)
         .map(|_| {
-            let ends = Arc::clone(&ends);
+            let stop = Arc::clone(&stop);
             std::thread::spawn(move || {
                 let mut held = std::collections::VecDeque::new();
-                while !ends.load(Ordering::SeqCst) {
-                    held.extend(TcpStream::connect_timeout(&address, CONNECTS_WITHIN));
-                    if held.len() > HELD {
+                while !stop.load(Ordering::SeqCst) {
+                    held.extend(TcpStream::connect_timeout(&address, CONNECT_TIMEOUT));
+                    if held.len() > CONNECTIONS_PER_THREAD {
                         held.pop_front();
                     }
                 }
             })
         })
         .collect();
-    // The places are all taken, and the queue of the system is never empty from here on.
+    // From here on all slots are in use, and the kernel's backlog is never empty.
     node.run_event_loop(500);
-    let told = Instant::now();
-    node.phase
-        .send_replace(Phase::ShuttingDown(told + Duration::from_millis(500)));
-    node.run_until("the node ends", || node.serving.is_finished());
-    let took = told.elapsed();
-    ends.store(true, Ordering::SeqCst);
-    crowd
+    let terminated_at = Instant::now();
+    node.phase.send_replace(Phase::ShuttingDown(
+        terminated_at + Duration::from_millis(500),
+    ));
+    node.run_until("the node shuts down", || node.serving.is_finished());
+    let elapsed = terminated_at.elapsed();
+    stop.store(true, Ordering::SeqCst);
+    threads
         .into_iter()
-        .for_each(|thread| thread.join().expect("it ends"));
-    assert!(took < Duration::from_secs(3), "{took:?}");
+        .for_each(|thread| thread.join().expect("join the connecting thread"));
+    assert!(elapsed < Duration::from_secs(3), "took {elapsed:?}");
 }
 
-/// A client sends only a part of a request, wherever that ends, and closes gracefully or with a reset.
+/// Guards against forwarding a request whose client sends only a part of it and closes gracefully or with a reset.
 #[test]
 fn request_truncated_at_any_byte_is_not_forwarded() {
     let server = Server::start(|_| Reply::ok("yes"));
     let (node, _discovery, _watch) = Node::start_with_servers(&[&server], 15_000);
-    let whole = post_request("cut", "pay", "", "five rooms");
+    let request = post_request("cut", "pay", "", "five rooms");
     for is_reset in [false, true] {
-        for cut in 0..whole.len() {
-            let mut stream = TcpStream::connect(node.address).expect("it listens");
+        for cut in 0..request.len() {
+            let mut stream = TcpStream::connect(node.address).expect("connect to the node");
             stream
-                .write_all(&whole.as_bytes()[..cut])
-                .expect("an open connection");
+                .write_all(&request.as_bytes()[..cut])
+                .expect("write to the connection");
             if is_reset {
                 socket2::SockRef::from(&stream)
                     .set_linger(Some(Duration::ZERO))
-                    .expect("a socket");
+                    .expect("configure the socket");
             }
         }
     }
-    // Whatever was taken of these has been dealt with once one that came later has been served.
+    // All truncated requests have been handled once a later request has been served.
     assert_eq!(
         node.request(&post_request("last", "pay", "", "x")).status(),
         200
     );
-    let seen: Vec<_> = server
+    let start_lines: Vec<_> = server
         .requests()
         .iter()
         .map(|request| request.start_line.clone())
         .collect();
-    assert_eq!(seen.len(), 1, "{seen:?}");
+    assert_eq!(
+        start_lines.len(),
+        1,
+        "expected only the last request; got {start_lines:?}"
+    );
 }
 
-/// The id in what a server has received of a request, if it is complete.
-fn request_id_in(came: &[u8]) -> Option<String> {
-    let text = String::from_utf8_lossy(came);
+/// The request id in the bytes that a server has received, if they contain all of it.
+fn request_id_in(received: &[u8]) -> Option<String> {
+    let text = String::from_utf8_lossy(received);
     let (_, rest) = text.split_once("req-id: ")?;
     rest.split_once("\r\n").map(|(id, _)| id.to_owned())
 }
 
-/// A request must not be executed twice: a server reads a request up to any of its bytes and resets, beside a healthy
-/// server. What the first received completely the other must never receive; the servers' own records decide.
+/// Guards against executing a request twice. One server reads a request up to any of its bytes and resets the
+/// connection; a healthy server must not receive a request that the first received completely. The servers' own records
+/// decide.
 #[test]
 fn completely_written_request_is_not_sent_to_another_server() {
     const BODY: &str = "five rooms";
-    let listener = std::net::TcpListener::bind("127.0.0.1:0").expect("a port");
-    let address = listener.local_addr().expect("an address");
-    let (tell, told) = std::sync::mpsc::channel();
+    let listener = std::net::TcpListener::bind("127.0.0.1:0").expect("bind a loopback socket");
+    let address = listener.local_addr().expect("read the local address");
+    let (report_sender, reports) = std::sync::mpsc::channel();
     std::thread::spawn(move || {
         for cut in 0.. {
             let Ok((mut stream, _)) = listener.accept() else {
                 return;
             };
-            let mut came = [0; 4096];
-            // All of it lies there before any of it is read.
-            wait_until("it has come whole", || {
+            let mut received = [0; 4096];
+            // The whole request is in the socket buffer before any of it is read.
+            wait_until("the whole request arrives", || {
                 stream
-                    .peek(&mut came)
-                    .is_ok_and(|bytes| came[..bytes].ends_with(BODY.as_bytes()))
+                    .peek(&mut received)
+                    .is_ok_and(|bytes| received[..bytes].ends_with(BODY.as_bytes()))
             });
-            let whole = stream.peek(&mut came).expect("an open connection");
-            let id = request_id_in(&came[..whole]).expect("an id");
+            let length = stream.peek(&mut received).expect("peek at the request");
+            let id = request_id_in(&received[..length]).expect("the request has an id");
             stream
-                .read_exact(&mut came[..cut % (whole + 1)])
-                .expect("it is there");
+                .read_exact(&mut received[..cut % (length + 1)])
+                .expect("read the bytes in the socket buffer");
             let _ = socket2::SockRef::from(&stream).set_linger(Some(Duration::ZERO));
-            if tell.send((id, cut >= whole)).is_err() {
+            if report_sender.send((id, cut >= length)).is_err() {
                 return;
             }
         }
     });
-    let other = Server::start(|_| Reply::ok("yes"));
+    let healthy_server = Server::start(|_| Reply::ok("yes"));
     let known = endpoint_list(
         1,
         true,
         &[
             endpoint_entry("s-0", address, "ready"),
-            other.endpoint_entry("s-1", "ready"),
+            healthy_server.endpoint_entry("s-1", "ready"),
         ],
     );
-    // A server that resets twice in a row is left alone for two aims.
+    // A server that resets twice in a row gets no requests for twice the latency objective.
     let node = Node::start(&config(
         Unreachable::reserve().address,
         &known,
         &settings_with_latency_objective(20, 15_000),
     ));
-    let (mut had, mut all_cut, mut asked, since) = (Vec::new(), false, 0, Instant::now());
+    let (mut received_ids, mut all_cut, mut request_count, since) =
+        (Vec::new(), false, 0, Instant::now());
     while !all_cut {
         assert!(
             since.elapsed() < 3 * WAIT_TIMEOUT,
-            "{} of its bytes were tried",
-            had.len()
+            "timed out after {} requests to the resetting server",
+            received_ids.len()
         );
-        let answer = node.request(&post_request(&format!("once-{asked}"), "pay", "", BODY));
-        asked += 1;
-        for (id, is_last) in told.try_iter() {
-            assert_ne!(answer.status(), 200, "{id} had run");
+        let response = node.request(&post_request(
+            &format!("once-{request_count}"),
+            "pay",
+            "",
+            BODY,
+        ));
+        request_count += 1;
+        for (id, is_last) in reports.try_iter() {
+            assert_ne!(
+                response.status(),
+                200,
+                "request {id} was executed by the first server, which sent no response"
+            );
             all_cut |= is_last;
-            had.push(id);
+            received_ids.push(id);
         }
     }
-    let twice: Vec<_> = other
+    let duplicated_ids: Vec<_> = healthy_server
         .requests()
         .iter()
         .filter_map(|request| request.header("req-id").map(str::to_owned))
-        .filter(|id| had.contains(id))
+        .filter(|id| received_ids.contains(id))
         .collect();
-    assert!(twice.is_empty(), "{twice:?}");
-    let mut once = had.clone();
-    once.sort_unstable();
-    once.dedup();
+    assert!(
+        duplicated_ids.is_empty(),
+        "both servers received {duplicated_ids:?}"
+    );
+    let mut distinct_ids = received_ids.clone();
+    distinct_ids.sort_unstable();
+    distinct_ids.dedup();
     assert_eq!(
-        once.len(),
-        had.len(),
-        "nor does the first one get any again"
+        distinct_ids.len(),
+        received_ids.len(),
+        "the first server received a request twice"
     );
     assert!(
-        !other.requests().is_empty(),
-        "the other one was there to be sent to"
+        !healthy_server.requests().is_empty(),
+        "the healthy server received no request"
     );
 }
 
-/// More than a node holds of an answer: it is passed on as it comes.
+/// Length of a response that a node streams because it exceeds its buffers, in bytes.
 const STREAMED_BYTES: usize = 4 << 20;
 
-/// A server that sends half of a long response, and the rest once it is told to.
+/// A server that sends half of a long response, and the rest once the returned channel gets a message.
 fn server_that_pauses_within_response() -> (std::net::SocketAddr, std::sync::mpsc::Sender<()>) {
-    let listener = std::net::TcpListener::bind("127.0.0.1:0").expect("a port");
-    let address = listener.local_addr().expect("an address");
-    let (go_on, goes_on) = std::sync::mpsc::channel();
+    let listener = std::net::TcpListener::bind("127.0.0.1:0").expect("bind a loopback socket");
+    let address = listener.local_addr().expect("read the local address");
+    let (resume_sender, resume_receiver) = std::sync::mpsc::channel();
     std::thread::spawn(move || {
-        let (mut stream, _) = listener.accept().expect("a connection");
-        Message::read(&mut std::io::BufReader::new(&stream)).expect("a request");
+        let (mut stream, _) = listener.accept().expect("accept a connection");
+        Message::read(&mut std::io::BufReader::new(&stream)).expect("read the request");
         let body = vec![b'x'; STREAMED_BYTES];
         let head = format!("HTTP/1.1 200 OK\r\nContent-Length: {STREAMED_BYTES}\r\n\r\n");
         let half = [head.as_bytes(), &body[..STREAMED_BYTES / 2]].concat();
-        // A node that ends while this waits is what is provoked.
+        // The test shuts the node down while this server waits, so a write may fail.
         let _ = stream.write_all(&half);
-        if goes_on.recv().is_ok() {
+        if resume_receiver.recv().is_ok() {
             let _ = stream.write_all(&body[STREAMED_BYTES / 2..]);
         }
         let _ = stream.read(&mut [0; 1]);
     });
-    (address, go_on)
+    (address, resume_sender)
 }
 
-/// What a client has received of a response when its connection ends, and whether the end is graceful.
+/// Reads a response until the connection ends; returns the bytes and whether the connection was closed gracefully.
 fn read_until_closed(client: &mut TcpStream) -> (Vec<u8>, bool) {
     client
         .set_read_timeout(Some(WAIT_TIMEOUT))
-        .expect("a socket");
-    let mut read = Vec::new();
-    let in_order = client.read_to_end(&mut read).is_ok();
-    (read, in_order)
+        .expect("configure the socket");
+    let mut received = Vec::new();
+    let is_graceful = client.read_to_end(&mut received).is_ok();
+    (received, is_graceful)
 }
 
-/// A response of which a part has been forwarded when the node is told to stop: the rest is streamed while there is time.
-/// Where it does not arrive, the client can tell, and the node does not wait beyond its deadline.
+/// Guards against a shutdown that cuts off a partly forwarded response: the rest is streamed until the deadline. If the
+/// rest does not arrive, the client can detect it, and the node does not wait beyond its deadline.
 #[test]
-fn response_streaming_at_shutdown_is_complete_or_visibly_truncated() {
-    let played = [true, false].map(|comes| {
+fn response_at_shutdown_is_complete_or_visibly_truncated() {
+    let runs = [true, false].map(|rest_arrives| {
         std::thread::spawn(move || {
-            let (address, go_on) = server_that_pauses_within_response();
+            let (address, resume_sender) = server_that_pauses_within_response();
             let known = endpoint_list(1, true, &[endpoint_entry("s-0", address, "ready")]);
             let mut node = Node::start(&config(
                 Unreachable::reserve().address,
                 &known,
                 &settings(15_000),
             ));
-            let mut client = TcpStream::connect(node.address).expect("it listens");
+            let mut client = TcpStream::connect(node.address).expect("connect to the node");
             client
-                .write_all(read_request("passed", "15000m").as_bytes())
-                .expect("an open connection");
-            // A part of it has come: the answer has begun.
+                .write_all(read_request("streamed", "15000m").as_bytes())
+                .expect("write to the connection");
+            // The client has received a part of the response.
             let mut first = vec![0; STREAMED_BYTES / 4];
-            client.read_exact(&mut first).expect("a part of the answer");
-            let told = Instant::now();
+            client
+                .read_exact(&mut first)
+                .expect("read a part of the response");
+            let terminated_at = Instant::now();
             node.terminate();
-            if comes {
-                go_on.send(()).expect("it waits");
+            if rest_arrives {
+                resume_sender
+                    .send(())
+                    .expect("the server waits for the message");
             }
-            let (rest, in_order) = read_until_closed(&mut client);
-            let took = told.elapsed();
+            let (rest, is_graceful) = read_until_closed(&mut client);
+            let elapsed = terminated_at.elapsed();
             assert_eq!(node.wait().code(), Some(0));
-            let end = first
+            let head_length = first
                 .windows(4)
-                .position(|four| four == b"\r\n\r\n")
-                .expect("a head")
+                .position(|window| window == b"\r\n\r\n")
+                .expect("the first part contains the head")
                 + 4;
-            let body = first.len() - end + rest.len();
-            assert!(took < MAX_EXIT_TIME, "{took:?}");
+            let body_length = first.len() - head_length + rest.len();
+            assert!(elapsed < MAX_EXIT_TIME, "took {elapsed:?}");
             assert_eq!(
-                (body == STREAMED_BYTES, in_order || !comes),
-                (comes, true),
-                "{body} bytes"
+                (body_length == STREAMED_BYTES, is_graceful || !rest_arrives),
+                (rest_arrives, true),
+                "received {body_length} of {STREAMED_BYTES} bytes"
             );
         })
     });
-    played
-        .into_iter()
-        .for_each(|played| played.join().expect("as it should be"));
+    runs.into_iter()
+        .for_each(|run| run.join().expect("join the thread of the run"));
 }
 
-/// More than the system takes of an answer that nobody reads.
+/// Length of a response that exceeds the socket buffers of the kernel, in bytes.
 const UNREAD_BYTES: usize = 8 << 20;
 
-/// A client that does not read its response must delay neither the shutdown nor the responses of others.
+/// Guards against a client that does not read its response and thereby delays the shutdown or other responses.
 #[test]
 fn client_that_does_not_read_delays_neither_shutdown_nor_others() {
     let long = format!(
@@ -917,10 +994,20 @@
     let (mut unread, mut other) = (node.connect(), node.connect());
     unread.send(&read_request("unread", "15000m"));
     other.send(&post_request("other", "pay", "", "x"));
-    wait_until("both are out", || server.requests().len() == 2);
-    let told = Instant::now();
+    wait_until("both requests are sent", || server.requests().len() == 2);
+    let terminated_at = Instant::now();
     node.terminate();
-    assert_eq!(other.read_response().expect("a whole answer").status(), 502);
+    assert_eq!(
+        other
+            .read_response()
+            .expect("read the whole response")
+            .status(),
+        502
+    );
     assert_eq!(node.wait().code(), Some(0));
-    assert!(told.elapsed() < MAX_EXIT_TIME, "{:?}", told.elapsed());
+    assert!(
+        terminated_at.elapsed() < MAX_EXIT_TIME,
+        "took {:?}",
+        terminated_at.elapsed()
+    );
 }
