--- a/tests/watches.rs
+++ b/tests/watches.rs
@@ -1,5 +1,5 @@
-//! Watches on the endpoint list that fail in every way they can, and changes that must take effect
-//! in time all the same.
+//! Faults of the watch on the endpoint list. Changes of the list must take effect in time after each
+//! of them.
 
 use std::io::{BufReader, Read, Write};
 use std::net::{TcpListener, TcpStream};
@@ -50,13 +50,13 @@
         Self::Malformed,
     ];
 
-    /// Injects the fault into a watch and keeps it open for as long as the node does.
+    /// Injects the fault into a watch and keeps its connection open until the node closes it.
     fn inject(self, stream: &mut TcpStream) {
-        self.begin(stream);
+        self.send_initial_bytes(stream);
         self.continue_until_closed(stream);
     }
 
-    fn begin(self, stream: &mut TcpStream) {
+    fn send_initial_bytes(self, stream: &mut TcpStream) {
         let line = endpoint_list(2, false, &[]);
         let text = match self {
             Self::NoResponse => String::new(),
@@ -70,7 +70,7 @@
             }
             Self::Malformed => format!("{HEAD}{}", chunk("{\"generation\":}\n")),
         };
-        // The node may have closed it by now, if discovery has moved.
+        // The write fails if the node has already closed the watch because discovery has moved.
         let _ = stream.write_all(text.as_bytes());
         if self == Self::Reset {
             let _ = socket2::SockRef::from(&*stream).set_linger(Some(Duration::ZERO));
@@ -83,7 +83,7 @@
         }
         stream
             .set_read_timeout(Some(Duration::from_millis(100)))
-            .expect("a socket");
+            .expect("configure the socket");
         let since = Instant::now();
         while since.elapsed() < WAIT_TIMEOUT
             && matches!(stream.read(&mut [0; 1]), Err(e) if e.kind() == std::io::ErrorKind::WouldBlock)
@@ -95,14 +95,14 @@
     }
 }
 
-/// Two servers that respond with their number, and settings under which a change of the list must
-/// take effect within a grace.
-struct Site {
+/// Two servers that respond with their index, and settings with a grace period within which a
+/// change of the list must take effect.
+struct Cluster {
     servers: [Server; 2],
     settings: String,
 }
 
-impl Site {
+impl Cluster {
     fn new(subscribed: bool) -> Self {
         let servers = [0, 1].map(|n| Server::start(move |_| Reply::ok(&n.to_string())));
         let settings = settings(15_000).replace(
@@ -117,31 +117,35 @@
         Self { servers, settings }
     }
 
-    fn list(&self, generation: u64, is_whole: bool, first: &str) -> String {
+    fn list(&self, generation: u64, is_full: bool, first: &str) -> String {
         let lifecycles = [first, "ready"];
         let entries =
             [0, 1].map(|n| self.servers[n].endpoint_entry(&format!("s-{n}"), lifecycles[n]));
-        endpoint_list(generation, is_whole, &entries)
+        endpoint_list(generation, is_full, &entries)
     }
 
-    /// The configuration of a node that knows the list in this generation.
+    /// The configuration of a node that starts with the list at this generation.
     fn config(&self, discovery: &TcpListener, generation: u64) -> String {
-        let at = discovery.local_addr().expect("an address");
-        config(at, &self.list(generation, true, "ready"), &self.settings)
+        let address = discovery.local_addr().expect("read the local address");
+        config(
+            address,
+            &self.list(generation, true, "ready"),
+            &self.settings,
+        )
     }
 
-    /// Sends a list in which the first server drains, and waits until it gets no request.
+    /// Sends a list in which the first server drains, and waits until that server gets no requests.
     fn drain_first_server(
         &self,
         watch: &mut TcpStream,
         node: &Node,
         generation: u64,
-        is_whole: bool,
+        is_full: bool,
     ) {
-        let line = self.list(generation, is_whole, "draining") + "\n";
+        let line = self.list(generation, is_full, "draining") + "\n";
         watch
             .write_all(format!("{HEAD}{}", chunk(&line)).as_bytes())
-            .expect("an open connection");
+            .expect("write to the connection");
         let mut id = 0;
         wait_until("the change takes effect", || {
             (0..8).all(|_| {
@@ -156,40 +160,44 @@
 
 /// The node's next connection to discovery, and its request line.
 fn next_watch(discovery: &TcpListener) -> (TcpStream, String) {
-    discovery.set_nonblocking(true).expect("a socket");
+    discovery
+        .set_nonblocking(true)
+        .expect("configure the socket");
     let mut accepted = None;
     wait_until("the node opens a watch", || {
         accepted = discovery.accept().ok();
         accepted.is_some()
     });
-    let (stream, _) = accepted.expect("`until` has waited for it");
-    stream.set_nonblocking(false).expect("a socket");
+    let (stream, _) = accepted.expect("`wait_until` returns once a connection is accepted");
+    stream.set_nonblocking(false).expect("configure the socket");
     stream
         .set_read_timeout(Some(WAIT_TIMEOUT))
-        .expect("a socket");
-    let request = Message::read(&mut BufReader::new(&stream)).expect("a request");
+        .expect("configure the socket");
+    let request = Message::read(&mut BufReader::new(&stream)).expect("read the request");
     (stream, request.start_line)
 }
 
 /// Runs a node whose first watch fails and whose second one drains the first of two servers.
 /// Returns how long the drain takes to take effect, from the first watch on.
 fn propagation_after_fault(fault: Fault, subscribed: bool) -> Duration {
-    let site = Site::new(subscribed);
-    let discovery = TcpListener::bind("127.0.0.1:0").expect("a port");
-    let node = Node::start(&site.config(&discovery, 1));
+    let cluster = Cluster::new(subscribed);
+    let discovery = TcpListener::bind("127.0.0.1:0").expect("bind a loopback socket");
+    let node = Node::start(&cluster.config(&discovery, 1));
     let (mut first, _) = next_watch(&discovery);
     let since = Instant::now();
-    let injection = std::thread::spawn(move || fault.inject(&mut first));
+    let injector = std::thread::spawn(move || fault.inject(&mut first));
     let (mut second, request_line) = next_watch(&discovery);
     let requests_whole_list = !request_line.contains("from=");
     assert_eq!(
         requests_whole_list,
         fault == Fault::Malformed,
-        "only after a malformed list the whole one is requested: {request_line}"
+        "expected a request for the whole list only after a malformed one; got {request_line}"
     );
-    site.drain_first_server(&mut second, &node, 3, requests_whole_list);
+    cluster.drain_first_server(&mut second, &node, 3, requests_whole_list);
     let elapsed = since.elapsed();
-    injection.join().expect("the fault is injected");
+    injector
+        .join()
+        .expect("join the thread that injects the fault");
     elapsed
 }
 
@@ -201,13 +209,15 @@
         )
     });
     for (fault, run) in runs {
-        let elapsed = run.join().unwrap_or_else(|_| panic!("{fault:?}"));
+        let elapsed = run
+            .join()
+            .unwrap_or_else(|_| panic!("run with {fault:?} panicked"));
         assert!(elapsed < PROPAGATION_DEADLINE, "{fault:?}: {elapsed:?}");
     }
 }
 
 #[test]
-fn change_after_a_failed_pushed_watch_takes_effect_in_time() {
+fn change_after_a_failed_automatic_watch_takes_effect_in_time() {
     check_propagation_after_every_fault(false);
 }
 
@@ -220,18 +230,19 @@
 /// `fault_first` says which comes first. The new discovery drains the first of two servers. Returns
 /// how long the drain takes to take effect, from the signal on.
 fn propagation_after_move(fault: Fault, subscribed: bool, fault_first: bool) -> Duration {
-    let site = Site::new(subscribed);
-    let discoveries = [0; 2].map(|_| TcpListener::bind("127.0.0.1:0").expect("a port"));
+    let cluster = Cluster::new(subscribed);
+    let discoveries =
+        [0; 2].map(|_| TcpListener::bind("127.0.0.1:0").expect("bind a loopback socket"));
     let configs = discoveries
         .each_ref()
-        .map(|discovery| site.config(discovery, 7));
+        .map(|discovery| cluster.config(discovery, 7));
     let node = Node::start(&configs[0]);
     let (first, request_line) = next_watch(&discoveries[0]);
     assert!(request_line.contains("from=7"), "{request_line}");
-    // Whichever comes second waits until the first is done, and no longer.
+    // The second of the two events waits only until the first has happened.
     let barrier = Arc::new(Barrier::new(2));
     let injection_barrier = Arc::clone(&barrier);
-    let injection = std::thread::spawn(move || {
+    let injector = std::thread::spawn(move || {
         let mut first = Some(first);
         if !fault_first {
             injection_barrier.wait();
@@ -239,7 +250,7 @@
         first
             .as_mut()
             .into_iter()
-            .for_each(|stream| fault.begin(stream));
+            .for_each(|stream| fault.send_initial_bytes(stream));
         // Dropping the stream resets the connection.
         let mut first = first.filter(|_| fault != Fault::Reset);
         if fault_first {
@@ -261,19 +272,21 @@
     let (mut second, request_line) = next_watch(&discoveries[1]);
     assert!(
         !request_line.contains("from="),
-        "generations are one discovery's own: {request_line}"
+        "expected no generation in a request to the new discovery; got {request_line}"
     );
-    site.drain_first_server(&mut second, &node, 2, true);
+    cluster.drain_first_server(&mut second, &node, 2, true);
     let elapsed = since.elapsed();
     drop((second, discoveries, node));
-    injection.join().expect("the fault is injected");
+    injector
+        .join()
+        .expect("join the thread that injects the fault");
     elapsed
 }
 
-/// Guards against a node that is delayed by its old watch when discovery moves, however that watch
-/// fails just before or just after.
+/// Guards against a move of discovery that is delayed by the old watch, which fails just before or
+/// just after the move.
 #[test]
-fn move_of_discovery_beside_a_failed_watch_takes_effect_in_time() {
+fn discovery_move_around_a_watch_fault_takes_effect_in_time() {
     for subscribed in [false, true] {
         let cases = Fault::ALL
             .iter()
@@ -287,9 +300,9 @@
             })
             .collect();
         for (case, run) in runs {
-            let elapsed = run
-                .join()
-                .unwrap_or_else(|_| panic!("{case:?}, subscribed: {subscribed}"));
+            let elapsed = run.join().unwrap_or_else(|_| {
+                panic!("run with {case:?}, subscribed: {subscribed}, panicked")
+            });
             assert!(
                 elapsed < MOVE_DEADLINE,
                 "{case:?}, subscribed: {subscribed}: {elapsed:?}"
@@ -298,10 +311,10 @@
     }
 }
 
-/// Guards against a node whose discovery moves while it waits to subscribe again, and that requests
-/// from the new one the changes since a generation of the old one.
+/// Guards against requesting from a new discovery the changes since a generation of the old one, if
+/// discovery moves while the node waits to subscribe again.
 #[test]
-fn new_discovery_is_asked_for_the_whole_list() {
+fn new_discovery_receives_a_request_for_the_whole_list() {
     let settings = settings(15_000).replace("automatic", "subscribe").replace(
         "\"drain_grace_ms\":0.0",
         "\"drain_grace_ms\":0.0,\"ask_within_ms\":600000.0",
@@ -317,13 +330,13 @@
     );
     let (old, new) = (Discovery::start(), Discovery::start());
     let node = Node::start(&config(old.address, &known, &settings));
-    // Each watch fails at once, so that the node waits between two of them nearly all the time.
+    // Each watch fails immediately, so the node spends nearly all its time waiting to subscribe again.
     for _ in 0..6 {
         assert!(old.watch().request_line.contains("from=7"));
     }
     node.reload(&config(new.address, &known, &settings));
     assert!(
         !new.watch().request_line.contains("from="),
-        "generations are one discovery's own"
+        "a generation of the old discovery was sent to the new one"
     );
 }
