--- a/tests/clients.rs
+++ b/tests/clients.rs
@@ -1,8 +1,8 @@
-//! Clients that violate the protocol or hold resources, over loopback sockets.
+//! Clients that violate the protocol or occupy connections, over loopback sockets.
 
 #![allow(
     clippy::needless_for_each,
-    reason = "this file is still to be rewritten: docs/ROADMAP.md, Readability"
+    reason = "short loop bodies stand at the end of their iterator chain"
 )]
 
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -11,7 +11,7 @@
 
 use testkit::*;
 
-/// A node with few places for clients, and a list of no servers.
+/// A node with few connection slots for clients, and an empty endpoint list.
 fn small_node() -> (Node, Discovery) {
     let discovery = Discovery::start();
     let text = config(
@@ -23,17 +23,17 @@
     (Node::start(&text), discovery)
 }
 
-/// Request smuggling: a request that hides in the body of another, where two parsers see different messages.
+/// Guards against request smuggling: a request hidden in the body of another is seen by one parser and not by the next.
 #[test]
-fn request_with_ambiguous_length_is_rejected_and_nothing_after_it_is_read() {
+fn ambiguous_length_is_rejected_and_closes_the_connection() {
     let server = Server::start(|_| Reply::ok("yes"));
     let (node, _discovery, _watch) = Node::start_with_servers(&[&server], 15_000);
     let hidden = read_request("hidden", "15000m");
-    let with = |headers: &str| {
-        let whole = post_request("a", "pay", "", "");
+    let with_headers = |headers: &str| {
+        let request = post_request("a", "pay", "", "");
         format!(
             "{}{hidden}",
-            whole.replace(
+            request.replace(
                 "Content-Length: 0\r\n\r\n",
                 &format!("{headers}\r\n\r\n0\r\n\r\n")
             )
@@ -52,19 +52,22 @@
         "Transfer-Encoding: chunked, identity",
     ] {
         let mut client = node.connect();
-        client.send(&with(headers));
+        client.send(&with_headers(headers));
         assert_eq!(
-            client.read_response().expect("an answer").status(),
+            client.read_response().expect("read the response").status(),
             400,
             "{headers}"
         );
         assert!(client.is_closed(), "{headers}");
     }
     assert!(server.requests().is_empty());
-    // Where only its end shows how long a body is, it is the last thing read.
+    // Only its last chunk shows the length of a chunked body, so nothing after it is read from the connection.
     let mut client = node.connect();
-    client.send(&with("Transfer-Encoding: chunked"));
-    assert_eq!(client.read_response().expect("an answer").status(), 200);
+    client.send(&with_headers("Transfer-Encoding: chunked"));
+    assert_eq!(
+        client.read_response().expect("read the response").status(),
+        200
+    );
     assert!(client.is_closed());
     assert_eq!(server.requests().len(), 1);
 }
@@ -74,12 +77,12 @@
     let server = Server::start(|_| Reply::ok("yes"));
     let (node, _discovery, _watch) = Node::start_with_servers(&[&server], 15_000);
     let good = read_request("a", "480m");
-    let twice = |header: &str| good.replace("Req-Id", &format!("{header}\r\nReq-Id"));
+    let with_extra_header = |header: &str| good.replace("Req-Id", &format!("{header}\r\nReq-Id"));
     let mut cases: Vec<_> = ["Req-Id: a", "Req-Kind: read", "Req-Deadline: 480m"]
         .into_iter()
-        .map(twice)
+        .map(with_extra_header)
         .collect();
-    cases.push(twice("Req-Retry: 1\r\nReq-Retry: 1"));
+    cases.push(with_extra_header("Req-Retry: 1\r\nReq-Retry: 1"));
     cases.push(good.replace("Req-Id: a", "Req-Id: "));
     cases.push(good.replace("Req-Id: a", "Req-Id: \u{e9}"));
     cases.push(post_request("a", "hold", "Idempotency-Key: \r\n", "x"));
@@ -109,7 +112,7 @@
     assert!(server.requests().is_empty());
 }
 
-/// A server would take a second request with the id of an open one for a retry of it.
+/// Guards against a second request with the id of an open one, which a server would treat as a retry.
 #[test]
 fn request_id_in_progress_is_rejected_until_answered() {
     let open = Arc::new(AtomicBool::new(false));
@@ -121,10 +124,13 @@
     let (node, _discovery, _watch) = Node::start_with_servers(&[&server], 15_000);
     let mut first = node.connect();
     first.send(&read_request("a", "15000m"));
-    wait_until("it was sent", || server.requests().len() == 1);
+    wait_until("the request is sent", || server.requests().len() == 1);
     assert_eq!(node.request(&read_request("a", "15000m")).status(), 409);
     open.store(true, Ordering::SeqCst);
-    assert_eq!(first.read_response().expect("an answer").status(), 200);
+    assert_eq!(
+        first.read_response().expect("read the response").status(),
+        200
+    );
     assert_eq!(
         node.request_until_accepted(&read_request("a", "15000m"))
             .status(),
@@ -132,24 +138,32 @@
     );
 }
 
-/// Clients that send nothing, or a part of a request, may not hold a connection for long.
+/// Guards against clients that occupy a connection for long while they send nothing or only a part of a request.
 #[test]
 fn client_with_incomplete_request_is_disconnected() {
     let (node, _discovery) = small_node();
-    let whole = post_request("a", "pay", "", "xx");
-    let (mut silent, mut half, mut body) = (node.connect(), node.connect(), node.connect());
-    half.send(&whole[..whole.len() / 2]);
-    body.send(&whole[..whole.len() - 1]);
+    let request = post_request("a", "pay", "", "xx");
+    let (mut silent, mut partial_head, mut partial_body) =
+        (node.connect(), node.connect(), node.connect());
+    partial_head.send(&request[..request.len() / 2]);
+    partial_body.send(&request[..request.len() - 1]);
     let start = Instant::now();
-    assert_eq!(body.read_response().expect("an answer").status(), 408);
-    assert!(silent.is_closed() && half.is_closed() && body.is_closed());
+    assert_eq!(
+        partial_body
+            .read_response()
+            .expect("read the response")
+            .status(),
+        408
+    );
+    assert!(silent.is_closed() && partial_head.is_closed() && partial_body.is_closed());
     assert!(
         start.elapsed() < Duration::from_secs(12),
-        "it takes about 2 s, and a body has no longer"
+        "expected about 2 s, the time limit for a body; took {:?}",
+        start.elapsed()
     );
 }
 
-/// A crowd that sends heads without an end must not exclude clients with requests.
+/// Guards against many clients that send incomplete heads and thereby exclude clients with requests.
 #[test]
 fn connections_with_incomplete_heads_are_evicted_for_requests() {
     let (node, _discovery) = small_node();
@@ -162,82 +176,98 @@
         .collect();
     let mut client = node.connect();
     client.send("GET /up HTTP/1.1\r\nHost: a\r\n\r\n");
-    assert_eq!(client.read_response().expect("an answer").status(), 200);
+    assert_eq!(
+        client.read_response().expect("read the response").status(),
+        200
+    );
     assert!(crowd.iter_mut().all(Client::is_closed));
 }
 
-/// Closing the connection over unread bytes would reset it, and the client would lose the response.
+/// Guards against closing a connection with unread bytes: the kernel would reset it, and the client would lose the
+/// response.
 #[test]
 fn oversized_request_receives_its_rejection() {
     let (node, _discovery) = small_node();
     let large = "x".repeat(1 << 20);
-    let told =
+    let oversized =
         post_request("a", "pay", "", "").replace("Content-Length: 0", "Content-Length: 60000000");
-    for request in [format!("{told}{large}"), format!("nonsense\r\n\r\n{large}")] {
+    for request in [
+        format!("{oversized}{large}"),
+        format!("nonsense\r\n\r\n{large}"),
+    ] {
         let mut client = node.connect();
         client.send(&request);
-        let status = client.read_response().expect("an answer").status();
-        assert!(status == 413 || status == 400, "{status}");
+        let status = client.read_response().expect("read the response").status();
+        assert!(
+            status == 413 || status == 400,
+            "expected 413 or 400, got {status}"
+        );
         assert!(
             client.is_closed_without_reset(),
-            "no reset overtakes the answer"
+            "the connection was reset after the response"
         );
     }
 }
 
-const UP: &str = "GET /up HTTP/1.1\r\nHost: a\r\n\r\n";
+const UP_REQUEST: &str = "GET /up HTTP/1.1\r\nHost: a\r\n\r\n";
 
-/// Sends a request; returns whether the connection may be used again.
+/// Sends a request; returns whether the connection may be reused.
 fn send_and_check_keep_alive(client: &mut Client) -> bool {
-    client.send(UP);
-    let answer = client.read_response().expect("it is open");
-    assert_eq!(answer.status(), 200);
-    answer.header("connection") != Some("close")
+    client.send(UP_REQUEST);
+    let response = client
+        .read_response()
+        .expect("read the response on an open connection");
+    assert_eq!(response.status(), 200);
+    response.header("connection") != Some("close")
 }
 
-/// Clients that send one request and keep their connection would together hold all that clients may, and the next one
-/// would find none free. Their responses close the connection; a reused connection stays.
+/// Guards against clients that send one request each and keep their connections, which would together occupy all slots
+/// for clients. The response to such a request closes the connection; a reused connection stays open.
 #[test]
 fn idle_single_use_connections_leave_slots_free() {
-    let (node, _discovery) = small_node(); // 16 descriptors: clients have 5 for requests.
-    let mut again = node.connect();
-    assert!(send_and_check_keep_alive(&mut again) && send_and_check_keep_alive(&mut again));
-    let mut once: Vec<_> = (0..12)
+    let (node, _discovery) = small_node(); // Of 16 descriptors, clients get 5 for requests.
+    let mut reused = node.connect();
+    assert!(send_and_check_keep_alive(&mut reused) && send_and_check_keep_alive(&mut reused));
+    let mut single_use: Vec<_> = (0..12)
         .map(|_| {
             let mut client = node.connect();
-            let stays = send_and_check_keep_alive(&mut client);
-            (client, stays)
+            let stays_open = send_and_check_keep_alive(&mut client);
+            (client, stays_open)
         })
         .collect();
     assert_eq!(
-        once.iter().filter(|(_, stays)| *stays).count(),
+        single_use
+            .iter()
+            .filter(|(_, stays_open)| *stays_open)
+            .count(),
         2,
-        "three of five places are used"
+        "with the reused connection, 3 of 5 slots stay in use"
     );
-    assert!(once
+    assert!(single_use
         .iter_mut()
-        .filter(|(_, stays)| !stays)
+        .filter(|(_, stays_open)| !stays_open)
         .all(|(client, _)| client.is_closed()));
-    once.iter_mut()
-        .filter(|(_, stays)| *stays)
+    single_use
+        .iter_mut()
+        .filter(|(_, stays_open)| *stays_open)
         .for_each(|(client, _)| assert!(send_and_check_keep_alive(client)));
-    assert!(send_and_check_keep_alive(&mut again));
+    assert!(send_and_check_keep_alive(&mut reused));
 }
 
-/// Makes the node expect that clients reuse their connections, as most have done recently.
+/// Sends two requests on each of several connections, so that the node expects clients to reuse their connections.
 fn record_reused_connections(node: &Node) {
     for _ in 0..16 {
         let mut client = node.connect();
-        // One in many may be told to go before the node has seen enough.
+        // A response may close the connection until the node has recorded enough reuse.
         let _ = send_and_check_keep_alive(&mut client) && send_and_check_keep_alive(&mut client);
     }
 }
 
-/// The node must not close a connection that its client is about to use. Where clients reuse connections, only one that
-/// has been idle for a second is closed without notice, the longest idle first, and only until enough are free.
+/// Guards against closing a connection that its client is about to use. If clients reuse connections, only connections
+/// idle for a second are closed without notice, the longest idle first, and only until enough slots are free.
 #[test]
 fn only_connections_idle_for_a_second_are_closed_without_notice() {
-    let (node, _discovery) = small_node(); // 16 descriptors: clients have 5 for requests, and 8 places.
+    let (node, _discovery) = small_node(); // Of 16 descriptors, clients get 5 for requests and 8 in all.
     record_reused_connections(&node);
     let mut clients: Vec<_> = (0..7).map(|_| node.connect()).collect();
     for _ in 0..5 {
@@ -245,23 +275,23 @@
         clients.iter_mut().for_each(|client| {
             assert!(
                 send_and_check_keep_alive(client),
-                "seven of five are there, and all in use"
+                "a connection in use was closed, with 7 connections for 5 slots"
             );
         });
     }
-    // The first two have stood for longest.
+    // The first two connections have been idle for longest.
     clients[2..]
         .iter_mut()
         .for_each(|client| assert!(send_and_check_keep_alive(client)));
     assert!(clients[0].is_closed() && clients[1].is_closed());
     assert!(
         clients[2..].iter_mut().all(send_and_check_keep_alive),
-        "with five there is room enough"
+        "a connection was closed with 5 connections for 5 slots"
     );
 }
 
-/// Where every connection is reused immediately, the next response closes its connection for a new one, and no request is
-/// lost.
+/// If every connection is reused immediately, the next response closes its connection to free a slot for a new one, and
+/// no request is lost.
 #[test]
 fn new_connection_gets_slot_from_next_response() {
     let server = Server::start(|_| Reply::ok("yes")).without_recording();
@@ -273,15 +303,21 @@
     let load = Load::start(node.address, 8, Duration::from_millis(100));
     for _ in 0..10 {
         let mut newcomer = node.connect();
-        newcomer.send(UP);
-        assert_eq!(newcomer.read_response().expect("a place").status(), 200);
+        newcomer.send(UP_REQUEST);
+        assert_eq!(
+            newcomer
+                .read_response()
+                .expect("read the response on a new connection")
+                .status(),
+            200
+        );
     }
     let totals = load.finish();
-    assert_eq!(totals.lost, 0, "of {} that were sent", totals.sent);
+    assert_eq!(totals.lost, 0, "requests lost, of {} sent", totals.sent);
 }
 
-/// Clients that send again as soon as they are answered, on most of the slots: their next requests must not cross a
-/// close.
+/// Guards against closing a connection while its client sends the next request. The clients use most of the slots and
+/// send again as soon as they get a response.
 #[test]
 fn busy_connections_near_limit_lose_no_request() {
     let servers: Vec<_> = (0..4)
@@ -292,26 +328,33 @@
     let load = Load::start(node.address, 300, Duration::from_millis(200));
     std::thread::sleep(Duration::from_secs(3));
     let totals = load.finish();
-    assert!(totals.sent > 600, "{} were sent", totals.sent);
-    assert_eq!(totals.lost, 0, "of {} that were sent", totals.sent);
+    assert!(
+        totals.sent > 600,
+        "expected more than 600 requests, sent {}",
+        totals.sent
+    );
+    assert_eq!(totals.lost, 0, "requests lost, of {} sent", totals.sent);
 }
 
-/// Clients that write slowly keep their connection, however many others connect and send nothing.
+/// Guards against evicting a client that writes its request slowly, while many others connect and send nothing.
 #[test]
 fn slowly_written_request_is_not_evicted_by_silent_connections() {
     let (node, _discovery) = small_node();
     let mut slow = node.connect();
     let mut crowd = Vec::new();
-    for piece in "GET /up HTTP/1.1\r\nHost: a\r\n\r\n".as_bytes().chunks(6) {
-        slow.send(std::str::from_utf8(piece).expect("text"));
+    for chunk in "GET /up HTTP/1.1\r\nHost: a\r\n\r\n".as_bytes().chunks(6) {
+        slow.send(std::str::from_utf8(chunk).expect("ASCII text"));
         crowd.extend((0..20).map(|_| node.connect()));
-        std::thread::sleep(Duration::from_millis(40)); // Far less than what makes it one that has stopped.
+        std::thread::sleep(Duration::from_millis(40)); // Far below the pause after which a client counts as stalled.
     }
-    assert_eq!(slow.read_response().expect("an answer").status(), 200);
-    let gone = crowd
+    assert_eq!(
+        slow.read_response().expect("read the response").status(),
+        200
+    );
+    let evicted = crowd
         .iter_mut()
         .take(80)
         .filter_map(|client| client.is_closed().then_some(()))
         .count();
-    assert_eq!(gone, 80, "they made room");
+    assert_eq!(evicted, 80, "number of evicted silent connections");
 }
