--- a/tests/pressure.rs
+++ b/tests/pressure.rs
@@ -1,9 +1,9 @@
-//! Clients that exhaust a node's descriptors or memory, and many processes that start at once: limits hold, and others are
-//! served.
+//! Clients that use up a node's descriptors or memory, and many processes that start at once: limits hold, and other
+//! clients are served.
 
 #![allow(
     clippy::needless_for_each,
-    reason = "this file is still to be rewritten: docs/ROADMAP.md, Readability"
+    reason = "short loop bodies stand at the end of their iterator chain"
 )]
 
 use std::io::{BufReader, Write};
@@ -14,136 +14,148 @@
 
 use testkit::*;
 
-fn descriptors(node: &Node) -> usize {
+fn open_descriptors(node: &Node) -> usize {
     std::fs::read_dir(format!("/proc/{}/fd", node.process_id()))
-        .expect("it runs")
+        .expect("read the file in /proc")
         .count()
 }
 
-fn resident_kb(node: &Node) -> usize {
-    let status =
-        std::fs::read_to_string(format!("/proc/{}/status", node.process_id())).expect("it runs");
+fn resident_kib(node: &Node) -> usize {
+    let status = std::fs::read_to_string(format!("/proc/{}/status", node.process_id()))
+        .expect("read the file in /proc");
     let line = status
         .lines()
         .find_map(|line| line.strip_prefix("VmRSS:"))
-        .expect("a figure");
+        .expect("a VmRSS line");
     line.trim()
         .trim_end_matches(" kB")
         .parse()
-        .expect("a number")
+        .expect("parse the number")
 }
 
-/// Idle clients must not take the descriptors that a node needs for discovery, and the node may not exceed its limit
-/// meanwhile: discovery is unreachable, comes back, and is heard.
+/// Guards against idle clients that occupy the descriptors that a node needs for discovery, and against exceeding the
+/// limit of descriptors. Discovery does not respond at first; once it does, the node uses its list.
 #[test]
 fn idle_clients_leave_descriptors_for_discovery_and_servers() {
     const LIMIT: usize = 64;
     let server = Server::start(|_| Reply::ok("yes"));
-    let discovery = TcpListener::bind("127.0.0.1:0").expect("a port");
-    let address = discovery.local_addr().expect("an address");
+    let discovery = TcpListener::bind("127.0.0.1:0").expect("bind a loopback socket");
+    let address = discovery.local_addr().expect("read the local address");
     let text = config(address, &endpoint_list(1, true, &[]), &settings(15_000))
         .replace("1024", &LIMIT.to_string());
     let node = Node::start(&text);
-    // Nobody takes the node's calls; four times as many clients come as it may have descriptors, and say nothing.
+    // Discovery accepts no connection yet. Four times as many clients as descriptors connect and send nothing.
     let mut idle: Vec<_> = (0..4 * LIMIT)
         .filter_map(|_| TcpStream::connect(node.address).ok())
         .collect();
-    let mut most = 0;
+    let mut max_descriptors = 0;
     let since = Instant::now();
     while since.elapsed() < Duration::from_secs(1) {
-        most = most.max(descriptors(&node));
+        max_descriptors = max_descriptors.max(open_descriptors(&node));
         std::thread::sleep(Duration::from_millis(5));
     }
-    let said = endpoint_list(2, true, &[server.endpoint_entry("s-0", "ready")]) + "\n";
-    let taking = std::thread::spawn(move || {
-        let mut held = Vec::new();
+    let line = endpoint_list(2, true, &[server.endpoint_entry("s-0", "ready")]) + "\n";
+    let accept_loop = std::thread::spawn(move || {
+        let mut watches = Vec::new();
         while let Ok((mut stream, _)) = discovery.accept() {
-            let Some(_call) = Message::read(&mut BufReader::new(&stream)) else {
+            let Some(_request) = Message::read(&mut BufReader::new(&stream)) else {
                 continue;
             };
             let head = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
-            // Calls that were given up meanwhile lie before the one that the node waits for.
-            let _ = stream.write_all(format!("{head}{:x}\r\n{said}\r\n", said.len()).as_bytes());
-            held.push(stream);
+            // The backlog holds abandoned requests of the node ahead of the one it waits for.
+            let _ = stream.write_all(format!("{head}{:x}\r\n{line}\r\n", line.len()).as_bytes());
+            watches.push(stream);
         }
     });
     wait_until("a request is served", || {
-        most = most.max(descriptors(&node));
+        max_descriptors = max_descriptors.max(open_descriptors(&node));
         let mut client = node.connect();
         client.try_send(&read_request(
             &format!("{}", since.elapsed().as_micros()),
             "15000m",
         )) && client
             .read_response()
-            .is_some_and(|answer| answer.status() == 200)
+            .is_some_and(|response| response.status() == 200)
     });
-    assert!(most <= LIMIT, "{most} of {LIMIT} descriptors");
+    assert!(
+        max_descriptors <= LIMIT,
+        "{max_descriptors} open descriptors, limit {LIMIT}"
+    );
     idle.clear();
-    drop(taking); // It ends with the process.
+    drop(accept_loop); // The thread ends with the process.
 }
 
-/// A node may not exit, spin or stop accepting once the system provides no more descriptors, fewer than it was configured
-/// for: clients take them all, then leave, and the next one is served.
+/// Guards against a node that exits, spins or stops accepting when the system provides fewer descriptors than
+/// configured: clients use them all, then leave, and the next client is served.
 #[test]
 fn node_out_of_descriptors_serves_again_once_some_are_free() {
-    const GIVEN: usize = 48;
+    const DESCRIPTOR_LIMIT: usize = 48;
     let server = Server::start(|_| Reply::ok("yes"));
     let discovery = Discovery::start();
     let known = endpoint_list(1, true, &[server.endpoint_entry("s-0", "ready")]);
     let node = Node::start_with_descriptor_limit(
         &config(discovery.address, &known, &settings(15_000)),
-        GIVEN,
+        DESCRIPTOR_LIMIT,
     );
-    let mut idle: Vec<_> = (0..3 * GIVEN)
-        .map(|_| TcpStream::connect(node.address).expect("a queue"))
+    let mut idle: Vec<_> = (0..3 * DESCRIPTOR_LIMIT)
+        .map(|_| TcpStream::connect(node.address).expect("connect to the node or its backlog"))
         .collect();
-    wait_until("it finds none", || {
+    wait_until("the node fails to accept a connection", || {
         node.log()
             .iter()
             .any(|line| line.contains("cannot accept a connection"))
     });
-    // It waits between two tries: a node that spins would be at it all the time.
-    let spent =
-        || std::fs::read_to_string(format!("/proc/{}/stat", node.process_id())).expect("it runs");
-    let ticks = |stat: &str| -> u64 {
+    // The node waits between two attempts to accept; a node that spins would use all of the CPU time.
+    let read_stat = || {
+        std::fs::read_to_string(format!("/proc/{}/stat", node.process_id()))
+            .expect("read the file in /proc")
+    };
+    let cpu_ticks = |stat: &str| -> u64 {
         let fields: Vec<_> = stat
             .rsplit_once(')')
-            .expect("a name")
+            .expect("the process name in parentheses")
             .1
             .split_whitespace()
             .collect();
-        fields[11].parse::<u64>().expect("ticks") + fields[12].parse::<u64>().expect("ticks")
+        fields[11]
+            .parse::<u64>()
+            .expect("parse the CPU time in ticks")
+            + fields[12]
+                .parse::<u64>()
+                .expect("parse the CPU time in ticks")
     };
-    let before = ticks(&spent());
+    let ticks_before = cpu_ticks(&read_stat());
     std::thread::sleep(Duration::from_millis(500));
     assert!(
-        ticks(&spent()) - before < 25,
-        "{} of 50 ticks",
-        ticks(&spent()) - before
+        cpu_ticks(&read_stat()) - ticks_before < 25,
+        "expected less than 25 of 50 CPU ticks, used {}",
+        cpu_ticks(&read_stat()) - ticks_before
     );
     idle.clear();
-    wait_until("it serves again", || {
+    wait_until("the node serves again", || {
         let mut client = node.connect();
         client.try_send(&read_request("again", "15000m"))
             && client
                 .read_response()
-                .is_some_and(|answer| answer.status() == 200)
+                .is_some_and(|response| response.status() == 200)
     });
 }
 
-/// Readiness must not wait for discovery: many processes start at once, while it answers none.
+/// Guards against readiness that waits for discovery: many processes start at once while discovery does not respond.
 #[test]
 fn processes_are_ready_at_once_without_discovery() {
-    let nobody = TcpListener::bind("127.0.0.1:0").expect("a port");
+    let silent_discovery = TcpListener::bind("127.0.0.1:0").expect("bind a loopback socket");
     let server = Server::start(|_| Reply::ok("yes"));
     let known = endpoint_list(1, true, &[server.endpoint_entry("s-0", "ready")]);
     let text = config(
-        nobody.local_addr().expect("an address"),
+        silent_discovery
+            .local_addr()
+            .expect("read the local address"),
         &known,
         &settings(15_000),
     );
     let since = Instant::now();
-    let started: Vec<_> = (0..20)
+    let starts: Vec<_> = (0..20)
         .map(|_| {
             let text = text.clone();
             std::thread::spawn(move || {
@@ -155,65 +167,69 @@
             })
         })
         .collect();
-    let up = started
+    let ready_count = starts
         .into_iter()
-        .map(|node| node.join().expect("it starts"))
-        .filter(|up| up.0 == 200)
+        .map(|start| start.join().expect("join the starting thread"))
+        .filter(|start| start.0 == 200)
         .count();
-    assert_eq!(up, 20);
+    assert_eq!(ready_count, 20);
     assert!(
         since.elapsed() < Duration::from_secs(10),
-        "{:?}",
+        "starts took {:?}",
         since.elapsed()
     );
 }
 
-/// Memory must not grow with what clients send and do not read, their requests must not be sent once they have left, and
-/// other clients are served meanwhile.
+/// Guards against memory that grows with what clients send and do not read, against sending requests of clients that
+/// have left, and against other clients that are not served meanwhile.
 #[test]
 fn floods_and_slow_clients_use_bounded_memory() {
-    const MOST_KB: usize = 64 * 1024;
+    const MAX_RESIDENT_KIB: usize = 64 * 1024;
     let server = Server::start(|_| Reply::ok("yes"));
     let (node, _discovery, _watch) = Node::start_with_servers(&[&server], 15_000);
-    let ends = Arc::new(AtomicBool::new(false));
-    let mut peers = Vec::new();
+    let stop = Arc::new(AtomicBool::new(false));
+    let mut clients = Vec::new();
     let flood = read_request("flood", "15000m").repeat(50);
-    for at in 0..24 {
-        let (address, ends) = (node.address, Arc::clone(&ends));
-        // A third writes requests and reads nothing, a third what is no request, a third one byte at a time.
-        let piece = match at % 3 {
+    for index in 0..24 {
+        let (address, stop) = (node.address, Arc::clone(&stop));
+        // A third of the clients writes requests and reads nothing, a third writes invalid bytes, a third one byte at a
+        // time.
+        let bytes = match index % 3 {
             0 => flood.clone().into_bytes(),
             1 => vec![b'x'; 64 * 1024],
             _ => b"G".to_vec(),
         };
-        peers.push(std::thread::spawn(move || {
-            while !ends.load(Ordering::SeqCst) {
+        clients.push(std::thread::spawn(move || {
+            while !stop.load(Ordering::SeqCst) {
                 let Ok(mut stream) = TcpStream::connect(address) else {
                     continue;
                 };
                 let _ = stream.set_write_timeout(Some(Duration::from_millis(100)));
-                while !ends.load(Ordering::SeqCst) && stream.write_all(&piece).is_ok() {
-                    if piece.len() == 1 {
+                while !stop.load(Ordering::SeqCst) && stream.write_all(&bytes).is_ok() {
+                    if bytes.len() == 1 {
                         std::thread::sleep(Duration::from_millis(20));
                     }
                 }
             }
         }));
     }
-    let mut most = 0;
+    let mut max_resident_kib = 0;
     for n in 0..100 {
-        let answer = node.request_until_accepted(&post_request(
+        let response = node.request_until_accepted(&post_request(
             &format!("fair-{n}"),
             "hold",
             "Idempotency-Key: 5c0f\r\n",
             "x",
         ));
-        assert_eq!(answer.status(), 200, "request {n}");
-        most = most.max(resident_kb(&node));
+        assert_eq!(response.status(), 200, "request {n}");
+        max_resident_kib = max_resident_kib.max(resident_kib(&node));
     }
-    ends.store(true, Ordering::SeqCst);
-    peers
+    stop.store(true, Ordering::SeqCst);
+    clients
         .into_iter()
-        .for_each(|peer| peer.join().expect("it ends"));
-    assert!(most < MOST_KB, "{most} kB");
+        .for_each(|client| client.join().expect("join the client thread"));
+    assert!(
+        max_resident_kib < MAX_RESIDENT_KIB,
+        "resident memory reached {max_resident_kib} KiB"
+    );
 }
