--- a/tests/long.rs
+++ b/tests/long.rs
@@ -1,8 +1,8 @@
-//! Messages that are longer than a node buffers, and slow peers, over loopback sockets.
+//! Messages longer than the buffers of a node, and slow peers, over loopback sockets.
 
 #![allow(
     clippy::large_stack_arrays,
-    reason = "this file is still to be rewritten: docs/ROADMAP.md, Readability"
+    reason = "test bodies of 400 kB fit on the stack of a test thread"
 )]
 
 use std::io::{Read, Write};
@@ -14,13 +14,14 @@
 
 use testkit::*;
 
-/// Far more than a node may keep of one message.
-const LONG: usize = 24 << 20;
-/// What a node's memory may grow by while one passes: its own buffers on both sides, several times over.
-const MOST_GROWTH_KB: u64 = 8 << 10;
+/// Length of a message far above what a node may buffer of one, in bytes.
+const LONG_BODY_BYTES: usize = 24 << 20;
+/// Limit on the growth of a node's peak memory while it streams such a message, in KiB: several times its buffers on
+/// both sides.
+const MAX_GROWTH_KIB: u64 = 8 << 10;
 
-/// A node with an address for operators and these servers.
-fn node(servers: &[&Server]) -> (Node, Discovery) {
+/// A node with an admin interface and these servers.
+fn start_node(servers: &[&Server]) -> (Node, Discovery) {
     let discovery = Discovery::start();
     let entries: Vec<_> = servers
         .iter()
@@ -38,27 +39,29 @@
     )
 }
 
-/// The most memory that a process has had, in KiB.
-fn peak_kb(node: &Node) -> u64 {
-    let status =
-        std::fs::read_to_string(format!("/proc/{}/status", node.process_id())).expect("a process");
+/// Peak resident memory of the process, in KiB.
+fn peak_kib(node: &Node) -> u64 {
+    let status = std::fs::read_to_string(format!("/proc/{}/status", node.process_id()))
+        .expect("read the status in /proc");
     let line = status
         .lines()
         .find_map(|line| line.strip_prefix("VmHWM:"))
-        .expect("its peak");
+        .expect("a VmHWM line");
     line.trim()
         .trim_end_matches(" kB")
         .parse()
-        .expect("a number")
+        .expect("parse the number")
 }
 
 fn long_body() -> Vec<u8> {
-    (0..LONG).map(|at| (at / 7 % 251) as u8).collect()
+    (0..LONG_BODY_BYTES)
+        .map(|index| (index / 7 % 251) as u8)
+        .collect()
 }
 
-fn chunked(body: &[u8], piece: usize) -> Vec<u8> {
+fn chunked(body: &[u8], chunk_bytes: usize) -> Vec<u8> {
     let mut text = Vec::new();
-    for chunk in body.chunks(piece) {
+    for chunk in body.chunks(chunk_bytes) {
         text.extend(format!("{:x}\r\n", chunk.len()).bytes());
         text.extend(chunk);
         text.extend(b"\r\n");
@@ -84,11 +87,11 @@
         .replace("Content-Length: 0", &format!("Content-Length: {length}"))
 }
 
-/// The limit on memory holds, and the body arrives completely, with a content length and chunked.
+/// Guards against buffering a long response and against losing a part of it, both with a content length and chunked.
 #[test]
 fn long_response_is_streamed_completely_without_buffering() {
     let body = long_body();
-    let answers = [
+    let responses = [
         with_content_length(&body),
         [
             &b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"[..],
@@ -96,29 +99,34 @@
         ]
         .concat(),
     ];
-    for answer in answers {
-        let server = Server::start(move |_| Reply::Send(answer.clone())).without_recording();
-        let (node, _discovery) = node(&[&server]);
-        let before = peak_kb(&node);
+    for response in responses {
+        let server = Server::start(move |_| Reply::Send(response.clone())).without_recording();
+        let (node, _discovery) = start_node(&[&server]);
+        let peak_before_kib = peak_kib(&node);
         let mut client = node.connect();
         for id in ["a", "b"] {
             client.send(&read_request(id, "60000m"));
-            let served = client.read_response().expect("all of it");
-            assert_eq!((served.status(), served.body.len()), (200, LONG));
-            assert!(served.body == body, "it is the same");
+            let response = client.read_response().expect("read the whole response");
+            assert_eq!(
+                (response.status(), response.body.len()),
+                (200, LONG_BODY_BYTES)
+            );
+            assert!(response.body == body, "the body differs from the one sent");
         }
         assert!(
-            peak_kb(&node) - before < MOST_GROWTH_KB,
-            "{} to {} KiB",
-            before,
-            peak_kb(&node)
+            peak_kib(&node) - peak_before_kib < MAX_GROWTH_KIB,
+            "peak memory grew from {} to {} KiB",
+            peak_before_kib,
+            peak_kib(&node)
         );
         assert_eq!(
             (server.request_count(), server.accepted_connections()),
             (2, 1),
-            "the connection is used again"
+            "the connection to the server is reused"
         );
-        wait_until("both are counted", || node.metric("served.read") == 2);
+        wait_until("both requests are counted", || {
+            node.metric("served.read") == 2
+        });
     }
 }
 
@@ -130,134 +138,161 @@
         let server =
             Server::start(move |request| Reply::ok(&(request.body == expected).to_string()))
                 .without_recording();
-        let (node, _discovery) = node(&[&server]);
-        let before = peak_kb(&node);
-        let head = upload_head("a", LONG);
+        let (node, _discovery) = start_node(&[&server]);
+        let peak_before_kib = peak_kib(&node);
+        let head = upload_head("a", LONG_BODY_BYTES);
         let request = if is_chunked {
             let head = head.replace(
-                &format!("Content-Length: {LONG}"),
+                &format!("Content-Length: {LONG_BODY_BYTES}"),
                 "Transfer-Encoding: chunked",
             );
             with_body(&head, &chunked(&body, 50_000))
         } else {
             with_body(&head, &body)
         };
-        let mut stream = TcpStream::connect(node.address).expect("it listens");
-        stream.write_all(&request).expect("it is taken");
-        let served = Message::read(&mut std::io::BufReader::new(stream)).expect("an answer");
+        let mut stream = TcpStream::connect(node.address).expect("connect to the node");
+        stream.write_all(&request).expect("write the request");
+        let response =
+            Message::read(&mut std::io::BufReader::new(stream)).expect("read the response");
         assert_eq!(
-            (served.status(), served.body.as_slice()),
+            (response.status(), response.body.as_slice()),
             (200, &b"true"[..])
         );
         assert!(
-            peak_kb(&node) - before < MOST_GROWTH_KB,
-            "{} to {} KiB",
-            before,
-            peak_kb(&node)
+            peak_kib(&node) - peak_before_kib < MAX_GROWTH_KIB,
+            "peak memory grew from {} to {} KiB",
+            peak_before_kib,
+            peak_kib(&node)
         );
         assert_eq!(node.metric("attempts.pay"), 1);
     }
 }
 
-/// The node must not wait for the complete response.
+/// Guards against a node that waits for the complete response before it forwards the first bytes.
 #[test]
 fn first_chunk_of_long_response_is_forwarded_immediately() {
     let (first, rest) = (vec![b'a'; 100_000], vec![b'b'; 100_000]);
     let head = b"HTTP/1.1 200 OK\r\nContent-Length: 200000\r\n\r\n";
-    let now = [&head[..], &first].concat();
-    let wait = Duration::from_secs(2);
-    let server = Server::start(move |_| Reply::SendInTwoParts(now.clone(), wait, rest.clone()));
-    let (node, _discovery) = node(&[&server]);
-    let mut stream = TcpStream::connect(node.address).expect("it listens");
+    let first_part = [&head[..], &first].concat();
+    let delay = Duration::from_secs(2);
+    let server =
+        Server::start(move |_| Reply::SendInTwoParts(first_part.clone(), delay, rest.clone()));
+    let (node, _discovery) = start_node(&[&server]);
+    let mut stream = TcpStream::connect(node.address).expect("connect to the node");
     let start = Instant::now();
     stream
         .write_all(read_request("a", "60000m").as_bytes())
-        .expect("an open connection");
+        .expect("write to the connection");
     stream
         .read_exact(&mut vec![0; 60_000])
-        .expect("the first bytes");
-    assert!(start.elapsed() < wait, "{:?}", start.elapsed());
-    assert_eq!(node.metric("in_flight"), 1, "it has not ended");
+        .expect("read the first bytes");
+    assert!(
+        start.elapsed() < delay,
+        "first bytes took {:?}",
+        start.elapsed()
+    );
+    assert_eq!(
+        node.metric("in_flight"),
+        1,
+        "the request is still in flight"
+    );
     let mut rest = vec![0; 140_000];
-    stream.read_exact(&mut rest).expect("and the others");
+    stream
+        .read_exact(&mut rest)
+        .expect("read the remaining bytes");
     assert!(rest.ends_with(&[b'b'; 90_000]));
 }
 
-/// A part must not be taken for the whole, and what may have been executed must not be sent again.
+/// Guards against presenting a truncated response as complete, and against retrying a request that may have run.
 #[test]
 fn truncated_long_response_fails_visibly_to_client() {
     let part = vec![b'a'; 200_000];
-    let told = [
+    let with_length = [
         &b"HTTP/1.1 200 OK\r\nContent-Length: 400000\r\n\r\n"[..],
         &part,
     ]
     .concat();
     let head = &b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n30d40\r\n"[..];
-    let unended = [head, &part, b"\r\n"].concat();
-    for cut in [told, unended] {
-        let server = Server::start(move |_| Reply::SendAndClose(cut.clone()));
-        let (node, _discovery) = node(&[&server]);
+    let without_last_chunk = [head, &part, b"\r\n"].concat();
+    for truncated in [with_length, without_last_chunk] {
+        let server = Server::start(move |_| Reply::SendAndClose(truncated.clone()));
+        let (node, _discovery) = start_node(&[&server]);
         let mut client = node.connect();
         client.send(&read_request("a", "60000m"));
-        assert!(client.read_response().is_none(), "its end does not come");
-        wait_until("it is counted", || node.metric("failed.read") == 1);
+        assert!(
+            client.read_response().is_none(),
+            "a truncated response was read as complete"
+        );
+        wait_until("the failure is counted", || node.metric("failed.read") == 1);
         assert_eq!((server.request_count(), node.metric("in_flight")), (1, 0));
-        assert_eq!(node.request(UP).status(), 200);
+        assert_eq!(node.request(UP_REQUEST).status(), 200);
     }
 }
 
-const UP: &str = "GET /up HTTP/1.1\r\nHost: a\r\n\r\n";
+const UP_REQUEST: &str = "GET /up HTTP/1.1\r\nHost: a\r\n\r\n";
 
-/// Both peers write in chunks, with pauses that exceed the stall timeout of responses that can be retried, and the client
-/// reads after a while.
+/// Guards against disconnecting slow peers: both write in pieces, with pauses longer than the stall timeout of
+/// responses that can be retried, and the client starts to read late.
 #[test]
 fn slow_peers_are_not_disconnected() {
     let server = Server::start(|request| {
         let body = "y".repeat(request.body.len());
-        let whole = response("200 OK", "", &body);
-        let (now, then) = whole.split_at(20);
-        Reply::SendInTwoParts(now.to_vec(), Duration::from_millis(600), then.to_vec())
+        let message = response("200 OK", "", &body);
+        let (first, rest) = message.split_at(20);
+        Reply::SendInTwoParts(first.to_vec(), Duration::from_millis(600), rest.to_vec())
     });
-    let (node, _discovery) = node(&[&server]);
+    let (node, _discovery) = start_node(&[&server]);
     let node = &node;
-    thread::scope(|all| {
+    thread::scope(|scope| {
         for length in [10, 60_000, 500_000] {
-            all.spawn(move || {
+            scope.spawn(move || {
                 let id = length.to_string();
-                let mut stream = TcpStream::connect(node.address).expect("it listens");
+                let mut stream = TcpStream::connect(node.address).expect("connect to the node");
                 let request = with_body(&upload_head(&id, length), &vec![b'x'; length]);
                 for piece in request.chunks(request.len() / 3 + 1) {
                     thread::sleep(Duration::from_millis(800));
-                    stream.write_all(piece).expect("it is waited for");
+                    stream
+                        .write_all(piece)
+                        .expect("write a piece of the request");
                 }
                 thread::sleep(Duration::from_millis(1_500));
-                let served =
-                    Message::read(&mut std::io::BufReader::new(stream)).expect("an answer");
-                assert_eq!((served.status(), served.body.len()), (200, length));
+                let response =
+                    Message::read(&mut std::io::BufReader::new(stream)).expect("read the response");
+                assert_eq!((response.status(), response.body.len()), (200, length));
             });
         }
     });
 }
 
-/// A client may not hold a connection, and one to a server, with a body that does not arrive.
+/// Guards against a client that occupies its connection and one to a server with a body that does not arrive.
 #[test]
 fn stalled_long_request_times_out_and_is_not_executed() {
     let server = Server::start(|_| Reply::ok("yes"));
-    let (node, _discovery) = node(&[&server]);
-    let mut stops = TcpStream::connect(node.address).expect("it listens");
-    let mut leaves = TcpStream::connect(node.address).expect("it listens");
-    for (id, stream) in [("stops", &mut stops), ("leaves", &mut leaves)] {
+    let (node, _discovery) = start_node(&[&server]);
+    let mut stalled = TcpStream::connect(node.address).expect("connect to the node");
+    let mut disconnected = TcpStream::connect(node.address).expect("connect to the node");
+    for (id, stream) in [
+        ("stalled", &mut stalled),
+        ("disconnected", &mut disconnected),
+    ] {
         stream
-            .write_all(&with_body(&upload_head(id, LONG), &[b'x'; 400_000]))
-            .expect("an open connection");
+            .write_all(&with_body(
+                &upload_head(id, LONG_BODY_BYTES),
+                &[b'x'; 400_000],
+            ))
+            .expect("write to the connection");
     }
-    wait_until("both are passed on", || server.accepted_connections() == 2);
-    drop(leaves);
-    let told = Message::read(&mut std::io::BufReader::new(&stops)).expect("an answer");
-    assert_eq!(told.status(), 408);
-    wait_until("nothing is held", || {
-        server.closed_connections() == 2 && node.metric("in_flight") == 0
+    wait_until("both requests reach the server", || {
+        server.accepted_connections() == 2
     });
+    drop(disconnected);
+    let rejection =
+        Message::read(&mut std::io::BufReader::new(&stalled)).expect("read the response");
+    assert_eq!(rejection.status(), 408);
+    wait_until(
+        "both connections to the server are closed and no request is in flight",
+        || server.closed_connections() == 2 && node.metric("in_flight") == 0,
+    );
     assert_eq!(
         (server.request_count(), node.metric("attempts.pay")),
         (0, 0)
@@ -265,16 +300,16 @@
     assert_eq!(node.request(&read_request("a", "15000m")).status(), 200);
 }
 
-/// A body of which a server took a part must not be sent to another without that part, and what was never executed must
-/// not be taken for what may have been.
+/// Guards against retrying a request without the part of its body that a server has already read, and against treating
+/// a request that was never executed as one that may have run.
 #[test]
 fn long_request_is_retried_only_while_completely_buffered() {
-    // Nobody is there: none of it was taken, so it goes on elsewhere, whatever its class.
+    // The first server is unreachable and has read nothing, so every class of request is retried on the other.
     let server = Server::start(|request| Reply::ok(&request.body.len().to_string()));
-    let nobody = Unreachable::reserve();
+    let unreachable = Unreachable::reserve();
     let discovery = Discovery::start();
     let entries = [
-        endpoint_entry("s-dead", nobody.address, "ready"),
+        endpoint_entry("s-dead", unreachable.address, "ready"),
         server.endpoint_entry("s-live", "ready"),
     ];
     let text = config(
@@ -285,23 +320,24 @@
     let node = Node::start(&text);
     for id in 0..6 {
         let head = upload_head(&id.to_string(), 400_000);
-        let mut stream = TcpStream::connect(node.address).expect("it listens");
+        let mut stream = TcpStream::connect(node.address).expect("connect to the node");
         stream
             .write_all(&with_body(&head, &[b'x'; 400_000]))
-            .expect("it is taken");
-        let served = Message::read(&mut std::io::BufReader::new(stream)).expect("an answer");
+            .expect("write the request");
+        let response =
+            Message::read(&mut std::io::BufReader::new(stream)).expect("read the response");
         assert_eq!(
-            (served.status(), served.body.as_slice()),
+            (response.status(), response.body.as_slice()),
             (200, &b"400000"[..])
         );
     }
     assert_eq!(server.request_count(), 6);
-    // It was turned away unseen, and has gone: it is refused, which is true, and goes nowhere else.
-    let seen = Arc::<AtomicUsize>::default();
-    let declining = |seen: &Arc<AtomicUsize>| {
-        let seen = Arc::clone(seen);
+    // A server declines the request after its body has left the buffers: the request is rejected and not retried.
+    let request_count = Arc::<AtomicUsize>::default();
+    let start_declining_server = |request_count: &Arc<AtomicUsize>| {
+        let request_count = Arc::clone(request_count);
         Server::start(move |_| {
-            seen.fetch_add(1, Ordering::SeqCst);
+            request_count.fetch_add(1, Ordering::SeqCst);
             Reply::Send(response(
                 "503 Service Unavailable",
                 "Srv-Declined: 1\r\n",
@@ -309,92 +345,107 @@
             ))
         })
     };
-    let servers = [declining(&seen), declining(&seen)];
-    let (node, _discovery) = self::node(&[&servers[0], &servers[1]]);
-    let mut stream = TcpStream::connect(node.address).expect("it listens");
+    let servers = [
+        start_declining_server(&request_count),
+        start_declining_server(&request_count),
+    ];
+    let (node, _discovery) = start_node(&[&servers[0], &servers[1]]);
+    let mut stream = TcpStream::connect(node.address).expect("connect to the node");
     stream
         .write_all(&with_body(&upload_head("a", 400_000), &[b'x'; 400_000]))
-        .expect("it is taken");
-    let told = Message::read(&mut std::io::BufReader::new(stream)).expect("an answer");
-    assert_eq!((told.status(), seen.load(Ordering::SeqCst)), (503, 1));
+        .expect("write the request");
+    let rejection = Message::read(&mut std::io::BufReader::new(stream)).expect("read the response");
+    assert_eq!(
+        (rejection.status(), request_count.load(Ordering::SeqCst)),
+        (503, 1)
+    );
 }
 
-/// Descriptors, slots and counts are released, whichever peer leaves at whichever stage.
+/// Guards against leaks of descriptors, connection slots and in-flight counts when a client disconnects at any stage of
+/// a response.
 #[test]
-fn peer_leaving_during_long_response_releases_all_resources() {
-    let answer = with_content_length(&vec![b'z'; 4 << 20]);
-    let server = Server::start(move |_| Reply::Send(answer.clone())).without_recording();
-    let (node, _discovery) = node(&[&server]);
-    for (at, bytes) in [0, 1, 100, 65_536, 65_700, 1 << 20, 3 << 20]
+fn client_leaving_during_long_response_releases_all_resources() {
+    let response = with_content_length(&vec![b'z'; 4 << 20]);
+    let server = Server::start(move |_| Reply::Send(response.clone())).without_recording();
+    let (node, _discovery) = start_node(&[&server]);
+    for (index, bytes) in [0, 1, 100, 65_536, 65_700, 1 << 20, 3 << 20]
         .into_iter()
         .cycle()
         .take(35)
         .enumerate()
     {
-        let mut stream = TcpStream::connect(node.address).expect("it listens");
+        let mut stream = TcpStream::connect(node.address).expect("connect to the node");
         stream
-            .write_all(read_request(&at.to_string(), "60000m").as_bytes())
-            .expect("an open connection");
+            .write_all(read_request(&index.to_string(), "60000m").as_bytes())
+            .expect("write to the connection");
         stream
             .read_exact(&mut vec![0; bytes])
-            .expect("so much of it");
+            .expect("read a part of the response");
     }
-    wait_until("nothing is open", || node.metric("in_flight") == 0);
-    wait_until("no connection is held for them", || {
+    wait_until("no request is in flight", || node.metric("in_flight") == 0);
+    wait_until("at most one connection to the server stays open", || {
         server.accepted_connections() - server.closed_connections() <= 1
     });
     let mut client = node.connect();
     client.send(&read_request("last", "60000m"));
     assert_eq!(
-        client.read_response().expect("an answer").body.len(),
+        client
+            .read_response()
+            .expect("read the response")
+            .body
+            .len(),
         4 << 20
     );
 }
 
-/// The overhead of many small chunks must not be taken for a response without an end.
+/// Guards against treating the framing overhead of many small chunks as a response that does not end.
 #[test]
 fn response_in_one_byte_chunks_is_complete() {
     for length in [64 * 1024, 100_000] {
         let body = long_body()[..length].to_vec();
         let head = &b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"[..];
-        let answer = [head, &chunked(&body, 1)].concat();
-        let server = Server::start(move |_| Reply::Send(answer.clone()));
-        let (node, _discovery) = node(&[&server]);
+        let response = [head, &chunked(&body, 1)].concat();
+        let server = Server::start(move |_| Reply::Send(response.clone()));
+        let (node, _discovery) = start_node(&[&server]);
         let mut client = node.connect();
         client.send(&read_request("a", "60000m"));
         assert!(
-            client.read_response().expect("all of it").body == body,
-            "{length}"
+            client
+                .read_response()
+                .expect("read the whole response")
+                .body
+                == body,
+            "body of {length} bytes differs from the one sent"
         );
     }
 }
 
-/// A server that reads this many bytes of what arrives, sends `says`, and reads no more.
-fn server_that_reads_a_prefix(bytes: usize, says: &'static [u8]) -> std::net::SocketAddr {
-    let listener = std::net::TcpListener::bind("127.0.0.1:0").expect("a port");
-    let address = listener.local_addr().expect("an address");
+/// A server that reads this many bytes of each connection, sends `reply`, and reads no more.
+fn server_that_reads_a_prefix(bytes: usize, reply: &'static [u8]) -> std::net::SocketAddr {
+    let listener = std::net::TcpListener::bind("127.0.0.1:0").expect("bind a loopback socket");
+    let address = listener.local_addr().expect("read the local address");
     thread::spawn(move || {
         let mut held = Vec::new();
         for mut stream in listener.incoming().map_while(Result::ok) {
             let _ = stream.read_exact(&mut vec![0; bytes]);
-            let _ = stream.write_all(says);
+            let _ = stream.write_all(reply);
             held.push(stream);
         }
     });
     address
 }
 
-/// A request must not be forwarded without the part that a server has read, whether that server rejected it before its
-/// last byte or stopped reading: it was never executed, and its client is told so, once and in time.
+/// Guards against retrying a request without the part that a server has read, whether that server declined it before
+/// its last byte or stopped reading. The request was never executed, and its client gets one rejection in time.
 #[test]
-fn long_request_partially_read_by_server_is_rejected_and_not_executed() {
+fn partially_read_long_request_is_rejected_without_execution() {
     let declines =
         &b"HTTP/1.1 503 Service Unavailable\r\nSrv-Declined: 1\r\nContent-Length: 0\r\n\r\n"[..];
-    for says in [declines, b""] {
+    for reply in [declines, b""] {
         let discovery = Discovery::start();
         let entries = [endpoint_entry(
             "s-part",
-            server_that_reads_a_prefix(10_000, says),
+            server_that_reads_a_prefix(10_000, reply),
             "ready",
         )];
         let text = config(
@@ -404,22 +455,26 @@
         );
         let node =
             Node::start(&text.replace("\"listen\"", "\"control\":\"127.0.0.1:0\",\"listen\""));
-        let mut stream = TcpStream::connect(node.address).expect("it listens");
-        let mut sending = stream.try_clone().expect("a socket");
-        let sends = thread::spawn(move || {
-            let _ = sending.write_all(&with_body(&upload_head("a", LONG), &vec![b'x'; LONG]));
+        let mut stream = TcpStream::connect(node.address).expect("connect to the node");
+        let mut upload_stream = stream.try_clone().expect("clone the socket");
+        let upload = thread::spawn(move || {
+            let _ = upload_stream.write_all(&with_body(
+                &upload_head("a", LONG_BODY_BYTES),
+                &vec![b'x'; LONG_BODY_BYTES],
+            ));
         });
         stream
             .set_read_timeout(Some(WAIT_TIMEOUT))
-            .expect("a socket");
-        let told = Message::read(&mut std::io::BufReader::new(&mut stream)).expect("an answer");
-        assert_eq!(told.status(), 503);
+            .expect("configure the socket");
+        let rejection =
+            Message::read(&mut std::io::BufReader::new(&mut stream)).expect("read the response");
+        assert_eq!(rejection.status(), 503);
         drop(stream);
-        sends.join().expect("it ends");
+        upload.join().expect("join the uploading thread");
         assert_eq!(
             node.metric("attempts.pay"),
             0,
-            "its last byte never went out"
+            "an attempt was counted, but its last byte was never sent"
         );
     }
 }
