--- a/tests/servers.rs
+++ b/tests/servers.rs
@@ -6,42 +6,48 @@
 use testkit::*;
 
 /// A response whose body is the id of its request.
-fn own(request: &Message) -> Vec<u8> {
-    response("200 OK", "", request.header("req-id").expect("an id"))
+fn response_with_request_id(request: &Message) -> Vec<u8> {
+    response(
+        "200 OK",
+        "",
+        request.header("req-id").expect("the request has an id"),
+    )
 }
 
-/// Otherwise they would reach the client of the next request. The connection is closed, whether the bytes arrive with
-/// the response or some time later.
+/// Guards against unsolicited bytes that reach the client of the next request. The node closes the connection, whether
+/// the bytes arrive with the response or later.
 #[test]
 fn unsolicited_bytes_after_a_response_reach_no_client() {
-    let copy: fn(&Message) -> Vec<u8> = own;
+    let duplicate: fn(&Message) -> Vec<u8> = response_with_request_id;
     let noise: fn(&Message) -> Vec<u8> = |_| b"\x00\xff noise \r\n\r\n".to_vec();
-    let half: fn(&Message) -> Vec<u8> =
+    let partial: fn(&Message) -> Vec<u8> =
         |_| b"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nroo".to_vec();
-    std::thread::scope(|all| {
-        for behind in [copy, noise, half] {
-            for after in
+    std::thread::scope(|scope| {
+        for trailing in [duplicate, noise, partial] {
+            for delay in
                 [None, Some(0), Some(1), Some(4), Some(50)].map(|ms| ms.map(Duration::from_millis))
             {
-                all.spawn(move || check_unsolicited_bytes(behind, after));
+                scope.spawn(move || check_unsolicited_bytes(trailing, delay));
             }
         }
     });
 }
 
-fn check_unsolicited_bytes(behind: fn(&Message) -> Vec<u8>, after: Option<Duration>) {
-    let server = Server::start(move |request| match after {
-        None => Reply::Send([own(request), behind(request)].concat()),
-        Some(after) => Reply::SendInTwoParts(own(request), after, behind(request)),
+fn check_unsolicited_bytes(trailing: fn(&Message) -> Vec<u8>, delay: Option<Duration>) {
+    let server = Server::start(move |request| match delay {
+        None => Reply::Send([response_with_request_id(request), trailing(request)].concat()),
+        Some(delay) => {
+            Reply::SendInTwoParts(response_with_request_id(request), delay, trailing(request))
+        }
     });
     let (node, _discovery, _watch) = Node::start_with_servers(&[&server], 15_000);
     for n in 0..4 {
         let id = format!("r{n}");
-        let served = node.request_until_accepted(&post_request(&id, "pay", "", "x"));
+        let response = node.request_until_accepted(&post_request(&id, "pay", "", "x"));
         assert_eq!(
-            (served.status(), served.body),
+            (response.status(), response.body),
             (200, id.into_bytes()),
-            "{after:?}"
+            "delay: {delay:?}"
         );
         wait_until("the node closes the connection", || {
             server.closed_connections() == server.accepted_connections()
@@ -49,24 +55,27 @@
     }
 }
 
-/// Nothing on the wire distinguishes a complete response that arrives after the next request's first byte and before
-/// its real response. It is taken for that once: the bytes left over end the connection.
+/// A complete extra response that arrives between the first byte of the next request and its real response looks like
+/// that response. It is forwarded in its place once: the bytes that follow make the node close the connection.
 #[test]
-fn unsolicited_response_within_the_next_request_is_misattributed_only_once() {
+fn response_within_next_request_is_misattributed_only_once() {
     let last = std::sync::Mutex::new(None);
     let server = Server::start(move |request| {
-        let before = last.lock().expect("sound").replace(own(request));
-        let own = own(request);
-        match before.filter(|_| request.header("req-id") == Some("r1")) {
-            Some(before) => Reply::Send([before, own].concat()),
-            None => Reply::Send(own),
+        let previous = last
+            .lock()
+            .expect("no thread panics with the lock held")
+            .replace(response_with_request_id(request));
+        let own_response = response_with_request_id(request);
+        match previous.filter(|_| request.header("req-id") == Some("r1")) {
+            Some(previous) => Reply::Send([previous, own_response].concat()),
+            None => Reply::Send(own_response),
         }
     });
     let (node, _discovery, _watch) = Node::start_with_servers(&[&server], 15_000);
     for (id, body) in [("r0", "r0"), ("r1", "r0"), ("r2", "r2"), ("r3", "r3")] {
-        let served = node.request_until_accepted(&post_request(id, "pay", "", "x"));
+        let response = node.request_until_accepted(&post_request(id, "pay", "", "x"));
         assert_eq!(
-            (served.status(), served.body.as_slice()),
+            (response.status(), response.body.as_slice()),
             (200, body.as_bytes()),
             "{id}"
         );
@@ -79,13 +88,13 @@
     assert_eq!(
         server.accepted_connections(),
         2,
-        "one connection before it, and one since"
+        "one connection up to the misattributed response, and one after it"
     );
 }
 
-/// A response that can never be valid must not use up the request's time.
+/// Guards against waiting until the deadline for the rest of a response that cannot become valid.
 #[test]
-fn malformed_response_is_abandoned_early_and_the_request_retried() {
+fn malformed_response_is_abandoned_early_and_retried() {
     let large = format!("HTTP/1.1 200 OK\r\nX-Endless: {}", "x".repeat(64 * 1024));
     let flood = "HTTP/1.1 103 Early Hints\r\nLink: <a>\r\n\r\n".repeat(10_000);
     for malformed in [
@@ -101,29 +110,32 @@
         &large,
         &flood,
     ] {
-        let (seen, malformed) = (AtomicUsize::new(0), malformed.to_owned());
-        let server = Server::start(move |_| match seen.fetch_add(1, Ordering::SeqCst) {
-            0 => Reply::Send(malformed.clone().into_bytes()),
-            _ => Reply::ok("yes"),
-        });
+        let (request_count, malformed) = (AtomicUsize::new(0), malformed.to_owned());
+        let server = Server::start(
+            move |_| match request_count.fetch_add(1, Ordering::SeqCst) {
+                0 => Reply::Send(malformed.clone().into_bytes()),
+                _ => Reply::ok("yes"),
+            },
+        );
         let (node, _discovery, _watch) = Node::start_with_servers(&[&server], 15_000);
         let start = Instant::now();
-        let served = node.request(&post_request("a", "hold", "Idempotency-Key: 5c0f\r\n", "x"));
+        let response = node.request(&post_request("a", "hold", "Idempotency-Key: 5c0f\r\n", "x"));
         assert_eq!(
-            (served.status(), served.body.as_slice()),
+            (response.status(), response.body.as_slice()),
             (200, b"yes".as_slice())
         );
         assert!(
             start.elapsed() < Duration::from_secs(10),
-            "it is not waited for until the deadline"
+            "expected a retry well before the deadline; took {:?}",
+            start.elapsed()
         );
         assert_eq!(server.requests().len(), 2);
     }
 }
 
-/// The server has received the request completely, so it may have run.
+/// Guards against executing a request twice: the server has received it completely, so it may have run.
 #[test]
-fn non_idempotent_request_with_malformed_response_is_not_retried() {
+fn non_idempotent_request_after_bad_response_is_not_retried() {
     let server =
         Server::start(|_| Reply::Send(b"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nroo".to_vec()));
     let (node, _discovery, _watch) = Node::start_with_servers(&[&server], 15_000);
@@ -134,46 +146,51 @@
     assert_eq!(server.requests().len(), 1);
 }
 
-/// A server that reports progress early may take its time for the final response.
+/// Guards against a shorter time limit for the final response after interim responses.
 #[test]
 fn interim_responses_are_skipped_and_the_final_one_is_awaited() {
     let server = Server::start(|request| {
         let early = b"HTTP/1.1 103 Early Hints\r\nLink: <a>\r\n\r\nHTTP/1.1 102 Processing\r\n\r\n";
-        Reply::SendInTwoParts(early.to_vec(), Duration::from_millis(700), own(request))
+        Reply::SendInTwoParts(
+            early.to_vec(),
+            Duration::from_millis(700),
+            response_with_request_id(request),
+        )
     });
     let (node, _discovery, _watch) = Node::start_with_servers(&[&server], 15_000);
-    let served = node.request(&post_request("a", "pay", "", "x"));
+    let response = node.request(&post_request("a", "pay", "", "x"));
     assert_eq!(
-        (served.status(), served.body.as_slice()),
+        (response.status(), response.body.as_slice()),
         (200, b"a".as_slice())
     );
 }
 
-/// Retrying it would have every server reject it, and each be ejected for it.
+/// Guards against ejecting every server for rejecting the same invalid request, one retry after the other.
 #[test]
 fn client_error_from_a_server_is_forwarded_without_retry() {
-    let server =
-        Server::start(|_| Reply::Send(response("400 Bad Request", "", "an id of nobody\n")));
+    let server = Server::start(|_| Reply::Send(response("400 Bad Request", "", "unknown id\n")));
     let (node, _discovery, _watch) = Node::start_with_servers(&[&server], 15_000);
     let rejected = node.request(&read_request("a", "15000m"));
     assert_eq!(
         (rejected.status(), rejected.body.as_slice()),
-        (400, b"an id of nobody\n".as_slice())
+        (400, b"unknown id\n".as_slice())
     );
     assert_eq!(server.requests().len(), 1);
 }
 
-/// One broken connection does not eject a server for good.
+/// Guards against a permanent ejection of a server after one broken connection.
 #[test]
 fn server_gets_requests_again_after_one_broken_connection() {
-    let first = std::sync::Arc::new(AtomicUsize::new(0));
+    let request_count = std::sync::Arc::new(AtomicUsize::new(0));
     let servers: Vec<_> = (0..2)
         .map(|_| {
-            let first = std::sync::Arc::clone(&first);
-            Server::start(move |_| match first.fetch_add(1, Ordering::SeqCst) {
-                0 => Reply::Close,
-                _ => Reply::ok("yes"),
-            })
+            let request_count = std::sync::Arc::clone(&request_count);
+            Server::start(
+                move |_| match request_count.fetch_add(1, Ordering::SeqCst) {
+                    0 => Reply::Close,
+                    _ => Reply::ok("yes"),
+                },
+            )
         })
         .collect();
     let (node, _discovery, _watch) = Node::start_with_servers(&[&servers[0], &servers[1]], 15_000);
