--- a/tests/discovery_requests.rs
+++ b/tests/discovery_requests.rs
@@ -5,30 +5,34 @@
 
 use testkit::*;
 
-/// The next connection to a listener, and the bytes of its first request's head.
+/// Accepts the next connection to a listener and returns it with the head of its first request.
 fn next_request(listener: &TcpListener) -> (TcpStream, String) {
-    let (mut stream, _) = listener.accept().expect("a connection of the node's");
-    let head = request_head(&mut stream);
+    let (mut stream, _) = listener
+        .accept()
+        .expect("accept a connection from the node");
+    let head = read_request_head(&mut stream);
     (stream, head)
 }
 
-/// The next request's head, with the empty line that ends it.
-fn request_head(stream: &mut TcpStream) -> String {
+/// Reads the head of the next request, including the empty line that ends it.
+fn read_request_head(stream: &mut TcpStream) -> String {
     stream
         .set_read_timeout(Some(WAIT_TIMEOUT))
-        .expect("a socket");
+        .expect("configure the socket");
     let mut head = Vec::new();
     while !head.ends_with(b"\r\n\r\n") {
         let mut byte = [0];
-        stream.read_exact(&mut byte).expect("a whole head");
+        stream
+            .read_exact(&mut byte)
+            .expect("read a byte of the head");
         head.push(byte[0]);
     }
-    String::from_utf8(head).expect("a head in ASCII")
+    String::from_utf8(head).expect("a head in UTF-8")
 }
 
-fn listener() -> (TcpListener, SocketAddr) {
-    let listener = TcpListener::bind("127.0.0.1:0").expect("a free port");
-    let address = listener.local_addr().expect("a bound address");
+fn bind_listener() -> (TcpListener, SocketAddr) {
+    let listener = TcpListener::bind("127.0.0.1:0").expect("bind a loopback socket");
+    let address = listener.local_addr().expect("read the local address");
     (listener, address)
 }
 
@@ -37,7 +41,7 @@
     let headers = format!("X-Consul-Index: {index}\r\nX-Consul-KnownLeader: true\r\n");
     stream
         .write_all(&response("200 OK", &headers, "[]"))
-        .expect("an open connection");
+        .expect("write to the connection");
 }
 
 fn node_config(discovery: SocketAddr, settings: &str) -> String {
@@ -62,7 +66,7 @@
             "\"drain_grace_ms\":0.0,\"ask_within_ms\":1000.0",
         ),
     ] {
-        let (discovery, address) = listener();
+        let (discovery, address) = bind_listener();
         let _node = Node::start(&node_config(address, &settings));
         let (mut stream, head) = next_request(&discovery);
         assert_eq!(
@@ -73,7 +77,7 @@
             .write_all(
                 b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n12\r\n{\"generation\":x}\r\n\n\r\n",
             )
-            .expect("an open connection");
+            .expect("write to the connection");
         let (_stream, head) = next_request(&discovery);
         assert_eq!(
             head,
@@ -84,8 +88,8 @@
 
 #[test]
 fn consul_requests_with_default_options_match_recorded_bytes() {
-    let (agent, address) = listener();
-    let (_discovery, discovery_address) = listener();
+    let (agent, address) = bind_listener();
+    let (_discovery, discovery_address) = bind_listener();
     let operators =
         format!("[[consul]]\nname = \"consul\"\nservice = \"holds\"\nagents = [\"{address}\"]\n");
     let config = node_config(discovery_address, &settings(15_000));
@@ -99,9 +103,9 @@
         )
     );
     respond(&mut stream, 41);
-    // On the same connection.
+    // The second query arrives on the same connection.
     assert_eq!(
-        request_head(&mut stream),
+        read_request_head(&mut stream),
         format!(
             "GET /v1/health/service/holds?index=41&wait=60s HTTP/1.1\r\n\
              host: {address}\r\naccept: application/json\r\n\r\n"
@@ -111,8 +115,8 @@
 
 #[test]
 fn consul_requests_with_every_option_match_recorded_bytes() {
-    let (agent, address) = listener();
-    let (_discovery, discovery_address) = listener();
+    let (agent, address) = bind_listener();
+    let (_discovery, discovery_address) = bind_listener();
     let token_file = write_temp_file("c0ffee-token\n");
     for (api, consistency) in [
         ("catalog", "stale"),
@@ -141,11 +145,11 @@
         );
         respond(&mut stream, 41);
         assert_eq!(
-            request_head(&mut stream),
+            read_request_head(&mut stream),
             format!(
                 "GET /v1/{api}/service/a%2Fb%20c?index=41&wait=7s&{parameters} HTTP/1.1\r\n{headers}"
             )
         );
     }
-    std::fs::remove_file(token_file).expect("the test's own file");
+    std::fs::remove_file(token_file).expect("remove the token file");
 }
