--- a/tests/close_range.rs
+++ b/tests/close_range.rs
@@ -403,7 +403,8 @@
     for (is_idle, bytes_ahead) in [(false, 0), (false, request.len() / 2), (true, 0)] {
         let (mut open_cases, mut closed_cases) = (0, 0);
         for iterations in 0..MAX_ITERATIONS {
-            // A process started meanwhile could inherit the socket and delay the end of the connection for the client.
+            // A process started meanwhile would hold copies of the sockets, and a closed connection would look open to
+            // the client.
             let _process_starts_paused = pause_process_starts();
             let node = InProcessNode::start();
             let mut client = node.connect();
@@ -728,11 +729,11 @@
         .map(|_| {
             let stop = Arc::clone(&stop);
             std::thread::spawn(move || {
-                let mut held = std::collections::VecDeque::new();
+                let mut connections = std::collections::VecDeque::new();
                 while !stop.load(Ordering::SeqCst) {
-                    held.extend(TcpStream::connect_timeout(&address, CONNECT_TIMEOUT));
-                    if held.len() > CONNECTIONS_PER_THREAD {
-                        held.pop_front();
+                    connections.extend(TcpStream::connect_timeout(&address, CONNECT_TIMEOUT));
+                    if connections.len() > CONNECTIONS_PER_THREAD {
+                        connections.pop_front();
                     }
                 }
             })
@@ -843,9 +844,9 @@
         &known,
         &settings_with_latency_objective(20, 15_000),
     ));
-    let (mut received_ids, mut all_cut, mut request_count, since) =
+    let (mut received_ids, mut all_cuts_tested, mut request_count, since) =
         (Vec::new(), false, 0, Instant::now());
-    while !all_cut {
+    while !all_cuts_tested {
         assert!(
             since.elapsed() < 3 * WAIT_TIMEOUT,
             "timed out after {} requests to the resetting server",
@@ -858,13 +859,13 @@
             BODY,
         ));
         request_count += 1;
-        for (id, is_last) in reports.try_iter() {
+        for (id, is_last_cut) in reports.try_iter() {
             assert_ne!(
                 response.status(),
                 200,
                 "request {id} was executed by the first server, which sent no response"
             );
-            all_cut |= is_last;
+            all_cuts_tested |= is_last_cut;
             received_ids.push(id);
         }
     }
--- a/tests/long.rs
+++ b/tests/long.rs
@@ -425,11 +425,11 @@
     let listener = std::net::TcpListener::bind("127.0.0.1:0").expect("bind a loopback socket");
     let address = listener.local_addr().expect("read the local address");
     thread::spawn(move || {
-        let mut held = Vec::new();
+        let mut connections = Vec::new();
         for mut stream in listener.incoming().map_while(Result::ok) {
             let _ = stream.read_exact(&mut vec![0; bytes]);
             let _ = stream.write_all(reply);
-            held.push(stream);
+            connections.push(stream);
         }
     });
     address
@@ -439,9 +439,9 @@
 /// its last byte or stopped reading. The request was never executed, and its client gets one rejection in time.
 #[test]
 fn partially_read_long_request_is_rejected_without_execution() {
-    let declines =
+    let declining_response =
         &b"HTTP/1.1 503 Service Unavailable\r\nSrv-Declined: 1\r\nContent-Length: 0\r\n\r\n"[..];
-    for reply in [declines, b""] {
+    for reply in [declining_response, b""] {
         let discovery = Discovery::start();
         let entries = [endpoint_entry(
             "s-part",
--- a/tests/node.rs
+++ b/tests/node.rs
@@ -16,7 +16,7 @@
 use tokio::sync::watch;
 use tokio::task::JoinHandle;
 
-const KEY: &str = "Idempotency-Key: 5c0f\r\n";
+const IDEMPOTENCY_KEY_HEADER: &str = "Idempotency-Key: 5c0f\r\n";
 
 #[test]
 fn request_and_response_are_forwarded_unchanged() {
@@ -28,7 +28,12 @@
         ))
     });
     let (node, _discovery, _watch) = Node::start_with_servers(&[&server], 15_000);
-    let response = node.request(&post_request("r1", "hold", KEY, "a guest"));
+    let response = node.request(&post_request(
+        "r1",
+        "hold",
+        IDEMPOTENCY_KEY_HEADER,
+        "a guest",
+    ));
     assert_eq!(
         (response.status(), response.body.as_slice()),
         (200, b"rooms: 3\n".as_slice())
@@ -86,22 +91,25 @@
 fn invalid_request_is_rejected_and_not_forwarded() {
     let server = Server::start(|_| Reply::ok("yes"));
     let (node, _discovery, _watch) = Node::start_with_servers(&[&server], 15_000);
-    let good = read_request("a", "480m");
+    let valid = read_request("a", "480m");
     let cases = [
         (400, "nonsense\r\n\r\n".to_owned()),
-        (400, good.replace("Req-Id: a\r\n", "")),
-        (400, good.replace("Req-Kind: read", "Req-Kind: other")),
-        (400, good.replace("Req-Kind: read\r\n", "")),
-        (400, good.replace("480m", "480")),
-        (400, good.replace("480m", "m")),
-        (400, good.replace("480m", "-1m")),
-        (400, good.replace("480m", "NaNm")),
-        (400, good.replace("480m", "12é")),
-        (400, good.replace("Req-Deadline: 480m\r\n", "")),
-        (400, good.replace("GET", "POST")),
+        (400, valid.replace("Req-Id: a\r\n", "")),
+        (400, valid.replace("Req-Kind: read", "Req-Kind: other")),
+        (400, valid.replace("Req-Kind: read\r\n", "")),
+        (400, valid.replace("480m", "480")),
+        (400, valid.replace("480m", "m")),
+        (400, valid.replace("480m", "-1m")),
+        (400, valid.replace("480m", "NaNm")),
+        (400, valid.replace("480m", "12é")),
+        (400, valid.replace("Req-Deadline: 480m\r\n", "")),
+        (400, valid.replace("GET", "POST")),
         (400, post_request("a", "hold", "", "no key")),
-        (400, post_request("a", "pay", KEY, "a key")),
-        (404, good.replace("/api", "/other")),
+        (
+            400,
+            post_request("a", "pay", IDEMPOTENCY_KEY_HEADER, "a key"),
+        ),
+        (404, valid.replace("/api", "/other")),
         (
             413,
             post_request("a", "pay", "", "")
@@ -213,10 +221,10 @@
 
 #[test]
 fn truncated_or_oversized_response_is_not_forwarded() {
-    let mut cut = response("200 OK", "", "rooms: 3\n");
-    cut.pop();
+    let mut truncated = response("200 OK", "", "rooms: 3\n");
+    truncated.pop();
     let large = b"HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\nyyy".to_vec();
-    for reply in [Reply::SendAndClose(cut), Reply::Send(large)] {
+    for reply in [Reply::SendAndClose(truncated), Reply::Send(large)] {
         let server = Server::start(move |_| reply.clone());
         let (node, _discovery, _watch) = Node::start_with_servers(&[&server], 15_000);
         assert_eq!(
@@ -510,7 +518,7 @@
         Server::start(|_| Reply::ok("new")),
     );
     let (node, _discovery, mut watch) = Node::start_with_servers(&[&old], 15_000);
-    let bad = [
+    let entries = [
         "7".to_owned(),
         r#"{"instanceId":"s-7"}"#.to_owned(),
         new.endpoint_entry("s-8", "asleep"),
@@ -518,7 +526,7 @@
             .replace(&new.address.to_string(), "nowhere"),
         new.endpoint_entry("s-9", "ready"),
     ];
-    watch.send(&format!("{}\n", endpoint_list(2, true, &bad)));
+    watch.send(&format!("{}\n", endpoint_list(2, true, &entries)));
     let mut n = 0;
     wait_until("requests go to the new server", || {
         n += 1;
@@ -683,7 +691,7 @@
     }
 }
 
-/// Guards against requests that are lost between SIGTERM and the moment at which the platform stops routing to the
+/// Guards against requests that are lost between SIGTERM and the moment from which no new connections arrive at the
 /// node: until then it accepts new connections and answers their requests. Guards also against disconnecting clients
 /// that have no other node to use. The test sets the phases itself, so that it does not depend on a clock.
 #[test]
@@ -905,7 +913,7 @@
 
 #[test]
 fn invalid_configuration_ends_the_process_with_one_line() {
-    let good = config(
+    let valid = config(
         "127.0.0.1:1".parse().expect("a valid address"),
         &endpoint_list(1, true, &[]),
         &settings(1_000),
@@ -913,14 +921,14 @@
     let invalid = [
         "{".to_owned(),
         "[]".to_owned(),
-        good.replace("\"127.0.0.1:0\"", "\"here\""),
-        good.replace("\"0f\"", "\"seed\""),
-        good.replace("1000.0", "-1.0"),
-        good.replace("\"max_attempts\":3", "\"max_attempts\":0"),
-        good.replace("60000.0}", "\"long\"}"),
+        valid.replace("\"127.0.0.1:0\"", "\"here\""),
+        valid.replace("\"0f\"", "\"seed\""),
+        valid.replace("1000.0", "-1.0"),
+        valid.replace("\"max_attempts\":3", "\"max_attempts\":0"),
+        valid.replace("60000.0}", "\"long\"}"),
     ];
     for text in invalid {
-        assert_ne!(text, good);
+        assert_ne!(text, valid);
         let path = write_temp_file(&text);
         assert_fails_with_one_line(program_command().env("ROUTER_CONFIG", &path));
         std::fs::remove_file(path).expect("remove the file");
--- a/tests/watches.rs
+++ b/tests/watches.rs
@@ -10,7 +10,7 @@
 use testkit::*;
 
 const HEAD: &str = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
-/// A change must take effect this long after a signal that moves discovery.
+/// Time within which a change must take effect after a signal that moves discovery.
 const MOVE_DEADLINE: Duration = Duration::from_secs(4);
 
 fn chunk(text: &str) -> String {
@@ -178,7 +178,7 @@
 }
 
 /// Runs a node whose first watch fails and whose second one drains the first of two servers.
-/// Returns how long the drain takes to take effect, from the first watch on.
+/// Returns the time from the first watch until the drain takes effect.
 fn propagation_after_fault(fault: Fault, subscribed: bool) -> Duration {
     let cluster = Cluster::new(subscribed);
     let discovery = TcpListener::bind("127.0.0.1:0").expect("bind a loopback socket");
@@ -227,8 +227,8 @@
 }
 
 /// Runs a node whose first watch fails and whose discovery moves, one right after the other:
-/// `fault_first` says which comes first. The new discovery drains the first of two servers. Returns
-/// how long the drain takes to take effect, from the signal on.
+/// `fault_first` selects the order. The new discovery drains the first of two servers. Returns the
+/// time from the signal until the drain takes effect.
 fn propagation_after_move(fault: Fault, subscribed: bool, fault_first: bool) -> Duration {
     let cluster = Cluster::new(subscribed);
     let discoveries =
