--- a/tests/close_range.rs
+++ b/tests/close_range.rs
@@ -298,10 +298,14 @@
             );
             assert!(
                 response.to_ascii_lowercase().contains("connection: close"),
-                "{case}"
+                "{case}: expected Connection: close; got {response:?}"
+            );
+            assert!(is_graceful, "{case}: the connection was reset");
+            assert_eq!(
+                node.server.requests().len(),
+                1,
+                "{case}: number of forwarded requests"
             );
-            assert!(is_graceful, "{case}");
-            assert_eq!(node.server.requests().len(), 1, "{case}");
             drop(client);
             node.run_until("the node shuts down", || node.serving.is_finished());
         }
@@ -326,14 +330,14 @@
     let (response, is_graceful) = node.read_to_end(&mut queued);
     assert!(
         response.starts_with("HTTP/1.1 200 OK") && is_graceful,
-        "{response:?}"
+        "expected 200 and a graceful close; got {response:?}"
     );
     slow.write_all(&request.as_bytes()[request.len() - 5..])
         .expect("write to the connection");
     let (response, is_graceful) = node.read_to_end(&mut slow);
     assert!(
         response.starts_with("HTTP/1.1 200 OK") && is_graceful,
-        "{response:?}"
+        "expected 200 and a graceful close; got {response:?}"
     );
     let ids: Vec<_> = node
         .server
@@ -380,7 +384,7 @@
     for ((response, is_graceful), status) in responses.iter().zip(["502", "502", "503"]) {
         assert!(
             response.starts_with(&format!("HTTP/1.1 {status}")) && *is_graceful,
-            "{response:?}"
+            "expected {status} and a graceful close; got {response:?}"
         );
     }
     node.run_until("the node shuts down", || node.serving.is_finished());
@@ -476,7 +480,7 @@
         let (response, is_graceful) = node.read_to_end(&mut client);
         assert!(
             response.starts_with("HTTP/1.1 200 OK") && is_graceful,
-            "cut at {cut}: {response:?}"
+            "cut at {cut}: expected 200 and a graceful close; got {response:?}"
         );
     }
 }
--- a/tests/node.rs
+++ b/tests/node.rs
@@ -719,7 +719,7 @@
                 send_and_read_head(&mut client, "GET /up HTTP/1.1\r\nHost: a\r\n\r\n").await;
             assert!(
                 response.starts_with("HTTP/1.1 200 OK") && !response.contains("close"),
-                "{response}"
+                "expected 200 without Connection: close; got {response}"
             );
         }
         phase.send_replace(Phase::ShuttingDown(deadline));
@@ -944,9 +944,9 @@
         .output()
         .expect("run the program");
     let log = String::from_utf8(output.stderr).expect("UTF-8 text");
-    assert_eq!(output.status.code(), Some(1), "{log}");
+    assert_eq!(output.status.code(), Some(1), "log: {log}");
     assert!(
         log.starts_with("silverthread: ") && log.lines().count() == 1,
-        "{log}"
+        "expected one line from the program; got {log}"
     );
 }
