--- a/crates/admin/src/command.rs
+++ b/crates/admin/src/command.rs
@@ -69,7 +69,7 @@
     }
 }
 
-/// Why a line is not a valid command. The display form is the reason in the `400` response.
+/// Error in a command line. The display form is the reason in the `400` response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CommandError {
     /// The line does not begin with a known command.
--- a/crates/admin/src/drain.rs
+++ b/crates/admin/src/drain.rs
@@ -6,11 +6,12 @@
 pub const CLOSE_AFTER_RESPONSE_DELAY_MS: f64 = 400.0;
 
 /// Time from the start of a drain until idle connections are closed as well, in milliseconds. By then, every client
-/// that sends requests has received its last response. Requests on old connections must not be accepted later than 2 s
-/// after the start; the difference is a margin.
+/// that keeps sending requests has received a response that closes its connection. Requests on old connections must not
+/// be accepted later than 2 s after the start; the difference is a margin.
 pub const CLOSE_IDLE_DELAY_MS: f64 = 1_400.0;
 
-/// How long a client's connection may stay open. Variants are ordered: a greater policy closes connections sooner.
+/// Limit on the time for which a client's connection stays open. Variants are ordered: a greater policy closes
+/// connections sooner.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum ConnectionPolicy {
     /// As long as the client keeps it open.
--- a/crates/admin/src/metrics.rs
+++ b/crates/admin/src/metrics.rs
@@ -29,7 +29,7 @@
     }
 }
 
-/// How a request ended for its client.
+/// Outcome of a request for its client.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RequestOutcome {
     /// A server's response was returned.
--- a/crates/admin/src/metrics/tests.rs
+++ b/crates/admin/src/metrics/tests.rs
@@ -43,7 +43,7 @@
                     _ => drop(request),
                 }
             }
-            prop_assert!(metrics.is_balanced(), "accepted requests are not ended plus in flight: {metrics:?}");
+            prop_assert!(metrics.is_balanced(), "accepted requests differ from ended plus in flight: {metrics:?}");
             prop_assert_eq!(metrics.in_flight(), in_flight.len() as u64);
         }
     }
--- a/src/node/admin/client.rs
+++ b/src/node/admin/client.rs
@@ -20,7 +20,7 @@
 /// Columns whose values are text even if they consist of digits.
 const TEXT_COLUMNS: [&str; 2] = ["name", "owner"];
 
-/// Why a query has no result.
+/// Error of a query.
 #[derive(Debug)]
 pub enum QueryError {
     /// The node cannot be reached, or the connection fails before the end of the response.
--- a/src/node/admin/config_file.rs
+++ b/src/node/admin/config_file.rs
@@ -28,7 +28,7 @@
 use crate::node::upstream::addresses::ConfiguredAddresses;
 use crate::node::upstream::servers::PoolLimits;
 
-/// Maximum size of the file, in bytes; sufficient for the addresses of the maximum number of servers.
+/// Maximum size of the file, in bytes: 256 bytes for each of the maximum number of servers with addresses.
 const MAX_FILE_BYTES: u64 = 4 * 1024 * 1024;
 
 /// The settings in an operators' file. The default applies without a file and enables nothing.
@@ -88,8 +88,8 @@
                 None => ConfigFileError::of_file(file, problem),
             }
         })?;
-        raw.validate().map_err(|invalid| {
-            ConfigFileError::at_offset(file, text, invalid.span.start, invalid.problem)
+        raw.validate().map_err(|located| {
+            ConfigFileError::at_offset(file, text, located.span.start, located.problem)
         })
     }
 }
--- a/src/node/admin/config_file/bounded_value.rs
+++ b/src/node/admin/config_file/bounded_value.rs
@@ -111,7 +111,7 @@
     }
 }
 
-/// What identifies the server of an instance in Consul: a field or the instance's address.
+/// The identifier of an instance's server in Consul: a field or the instance's address.
 pub struct ServerIdText(pub KeySource);
 
 impl<'de> Deserialize<'de> for ServerIdText {
--- a/src/node/admin/config_file/consul_source.rs
+++ b/src/node/admin/config_file/consul_source.rs
@@ -8,7 +8,7 @@
 use endpoint_discovery::{FlapDamping, MatchBy, SourcePolicy};
 
 use super::bounded_value::{FieldText, Seconds};
-use super::error::{InvalidValue, Problem};
+use super::error::{LocatedProblem, Problem};
 use super::raw::{RawApi, RawConsistency, RawConsul, RawDamping, RawState, RawStates};
 use super::validation::{check_name_length, override_policy};
 use crate::node::discovery::consul::ConsulSource;
@@ -21,10 +21,13 @@
 const MIN_DAMPING_HALF_LIFE_MS: f64 = 1.0;
 
 impl RawConsul {
-    pub fn validate(self) -> Result<ConsulSource, InvalidValue> {
+    pub fn validate(self) -> Result<ConsulSource, LocatedProblem> {
         check_name_length("source", &self.name)?;
         if self.service.get_ref().is_empty() {
-            return Err(InvalidValue::new(&self.service, Problem::EmptyServiceName));
+            return Err(LocatedProblem::new(
+                &self.service,
+                Problem::EmptyServiceName,
+            ));
         }
         self.check_agent_count()?;
         self.check_server_ids()?;
@@ -41,7 +44,7 @@
         })
     }
 
-    fn check_agent_count(&self) -> Result<(), InvalidValue> {
+    fn check_agent_count(&self) -> Result<(), LocatedProblem> {
         if (1..=MAX_AGENTS).contains(&self.agents.get_ref().len()) {
             return Ok(());
         }
@@ -50,14 +53,14 @@
             min: 1,
             max: MAX_AGENTS,
         };
-        Err(InvalidValue::new(&self.agents, problem))
+        Err(LocatedProblem::new(&self.agents, problem))
     }
 
     /// Checks that a source that adds servers identifies them by id.
-    fn check_server_ids(&self) -> Result<(), InvalidValue> {
+    fn check_server_ids(&self) -> Result<(), LocatedProblem> {
         match &self.names_servers {
             Some(flag) if *flag.get_ref() && self.identifies_by_address() => {
-                Err(InvalidValue::new(flag, Problem::NamesServersByAddress))
+                Err(LocatedProblem::new(flag, Problem::NamesServersByAddress))
             }
             _ => Ok(()),
         }
--- a/src/node/admin/config_file/error.rs
+++ b/src/node/admin/config_file/error.rs
@@ -8,7 +8,7 @@
 
 use toml::Spanned;
 
-/// Why an operators' file cannot be used.
+/// Error in an operators' file, with its location if it is known.
 #[derive(Debug)]
 pub struct ConfigFileError {
     file: PathBuf,
@@ -49,7 +49,7 @@
     InvalidNodeName(String),
     /// A name is empty or too long.
     NameLength {
-        /// The kind of thing that has the name.
+        /// The kind of the item that has the name.
         subject: &'static str,
         /// The maximum length of a name, in bytes.
         max_bytes: usize,
@@ -65,7 +65,7 @@
     },
     /// The file has too many sections of one kind.
     TooManySections {
-        /// The kind of thing that a section describes, in the plural.
+        /// The kind of the items that the sections describe, in the plural.
         subjects: &'static str,
         /// The maximum number of sections.
         max: usize,
@@ -81,9 +81,9 @@
     },
     /// The service name of a source is empty.
     EmptyServiceName,
-    /// A source adds servers but identifies them by address.
+    /// A source with `names_servers` identifies servers by address instead of by id.
     NamesServersByAddress,
-    /// `suspect_ms` is shorter than the minimum number of probe intervals.
+    /// `suspect_ms` is shorter than three probe intervals.
     SuspicionTooShort,
     /// The file has a section `[leases]` but no `[instances]`.
     LeasesNeedInstances,
@@ -97,12 +97,12 @@
 
 /// A problem and its byte range in the file's text.
 #[derive(Debug)]
-pub(super) struct InvalidValue {
+pub(super) struct LocatedProblem {
     pub(super) span: Range<usize>,
     pub(super) problem: Problem,
 }
 
-impl InvalidValue {
+impl LocatedProblem {
     pub(super) fn new<T>(value: &Spanned<T>, problem: Problem) -> Self {
         Self {
             span: value.span(),
@@ -141,7 +141,7 @@
         self.location.as_ref()?.key.as_deref()
     }
 
-    /// The problem at that location.
+    /// The problem, without its location.
     #[must_use]
     pub fn problem(&self) -> &Problem {
         &self.problem
@@ -210,7 +210,7 @@
             ),
             Self::InvalidNodeName(name) => write!(f, "{name:?} cannot be a node's name"),
             Self::NameLength { subject, max_bytes } => {
-                write!(f, "a {subject}'s name must have 1 to {max_bytes} bytes")
+                write!(f, "a {subject}'s name must be 1 to {max_bytes} bytes long")
             }
             Self::ItemCount { items, min: 0, max } => write!(f, "at most {max} {items} allowed"),
             Self::ItemCount { items, min, max } => write!(f, "{min} to {max} {items} required"),
@@ -223,9 +223,9 @@
                 write!(f, "the address already belongs to server {server:?}")
             }
             Self::EmptyServiceName => f.write_str("the service name is empty"),
-            Self::NamesServersByAddress => {
-                f.write_str("a source that names servers must identify them by id, not by address")
-            }
+            Self::NamesServersByAddress => f.write_str(
+                "a source with `names_servers` must identify servers by id, not by address",
+            ),
             Self::SuspicionTooShort => {
                 f.write_str("the suspicion timeout must be at least three probe intervals")
             }
--- a/src/node/admin/config_file/raw.rs
+++ b/src/node/admin/config_file/raw.rs
@@ -31,7 +31,7 @@
     pub outlier_detection: Option<Spanned<RawOutlierDetection>>,
 }
 
-/// `[membership]`: the policy of the platform's endpoint list against other sources.
+/// `[membership]`: the policy for merging the platform's endpoint list with other sources.
 #[derive(Deserialize, Default)]
 #[serde(deny_unknown_fields)]
 pub struct RawMembership {
--- a/src/node/admin/config_file/validation.rs
+++ b/src/node/admin/config_file/validation.rs
@@ -8,7 +8,7 @@
 use toml::Spanned;
 
 use super::bounded_value::{Fraction, Seconds};
-use super::error::{InvalidValue, Problem};
+use super::error::{LocatedProblem, Problem};
 use super::raw::{
     RawConfig, RawConsul, RawInstances, RawLeases, RawMembership, RawOutlierDetection, RawPool,
     RawRoute, RawServer,
@@ -33,13 +33,13 @@
 const MIN_SUSPICION_PROBES: f64 = 3.0;
 
 impl RawConfig {
-    pub fn validate(self) -> Result<OperatorConfig, InvalidValue> {
+    pub fn validate(self) -> Result<OperatorConfig, LocatedProblem> {
         let endpoint_list = self.membership.endpoint_list_policy();
         let consul = validate_sources(self.consul)?;
         let addresses = validate_addresses(self.server)?;
         let cluster = self.instances.map(RawInstances::validate).transpose()?;
         if let (Some(leases), None) = (&self.leases, &cluster) {
-            return Err(InvalidValue::new(leases, Problem::LeasesNeedInstances));
+            return Err(LocatedProblem::new(leases, Problem::LeasesNeedInstances));
         }
         let leases = self
             .leases
@@ -47,7 +47,7 @@
             .transpose()?;
         if let (Some(section), None) = (&self.outlier_detection, &cluster) {
             let problem = Problem::OutlierDetectionNeedsInstances;
-            return Err(InvalidValue::new(section, problem));
+            return Err(LocatedProblem::new(section, problem));
         }
         let outlier_detection = self
             .outlier_detection
@@ -92,38 +92,38 @@
     policy.confirm_ms = confirm.map_or(policy.confirm_ms, Seconds::as_ms);
 }
 
-fn validate_sources(sections: Vec<RawConsul>) -> Result<Vec<ConsulSource>, InvalidValue> {
+fn validate_sources(sections: Vec<RawConsul>) -> Result<Vec<ConsulSource>, LocatedProblem> {
     let mut sources: Vec<ConsulSource> = Vec::new();
     for section in sections {
         let name = section.name.get_ref();
         if name == ENDPOINT_LIST_NAME || sources.iter().any(|source| source.policy.name == *name) {
-            return Err(InvalidValue::new(&section.name, Problem::DuplicateSource));
+            return Err(LocatedProblem::new(&section.name, Problem::DuplicateSource));
         }
         if sources.len() >= MAX_SOURCES {
             let problem = Problem::TooManySections {
                 subjects: "sources",
                 max: MAX_SOURCES,
             };
-            return Err(InvalidValue::new(&section.name, problem));
+            return Err(LocatedProblem::new(&section.name, problem));
         }
         sources.push(section.validate()?);
     }
     Ok(sources)
 }
 
-fn validate_addresses(sections: Vec<RawServer>) -> Result<ConfiguredAddresses, InvalidValue> {
+fn validate_addresses(sections: Vec<RawServer>) -> Result<ConfiguredAddresses, LocatedProblem> {
     let mut servers = ConfiguredAddresses::new();
     let mut owners: HashMap<Address, String> = HashMap::new();
     for section in sections {
         if servers.contains_key(section.id.get_ref()) {
-            return Err(InvalidValue::new(&section.id, Problem::DuplicateServer));
+            return Err(LocatedProblem::new(&section.id, Problem::DuplicateServer));
         }
         if servers.len() >= MAX_SERVERS {
             let problem = Problem::TooManySections {
                 subjects: "servers",
                 max: MAX_SERVERS,
             };
-            return Err(InvalidValue::new(&section.id, problem));
+            return Err(LocatedProblem::new(&section.id, problem));
         }
         let addresses = ServerAddresses {
             exclusive: section.only,
@@ -134,27 +134,27 @@
     Ok(servers)
 }
 
-/// Validates the routes of one server. `owners` maps the addresses of all sections so far to their server, because an
-/// address must belong to only one server.
+/// Validates the routes of one server. `owners` maps the addresses in the sections validated so far to their servers,
+/// because an address must belong to only one server.
 fn validate_routes(
     server: &str,
     addresses: Spanned<Vec<Spanned<RawRoute>>>,
     owners: &mut HashMap<Address, String>,
-) -> Result<Vec<Route>, InvalidValue> {
+) -> Result<Vec<Route>, LocatedProblem> {
     if !(1..=MAX_ADDRESSES).contains(&addresses.get_ref().len()) {
         let problem = Problem::ItemCount {
             items: "addresses",
             min: 1,
             max: MAX_ADDRESSES,
         };
-        return Err(InvalidValue::new(&addresses, problem));
+        return Err(LocatedProblem::new(&addresses, problem));
     }
     let mut routes = Vec::new();
     for route in addresses.into_inner() {
         let address = route.get_ref().address.0.clone();
         if let Some(owner) = owners.insert(address, server.to_owned()) {
             let problem = Problem::DuplicateAddress { server: owner };
-            return Err(InvalidValue::new(&route, problem));
+            return Err(LocatedProblem::new(&route, problem));
         }
         routes.push(route.into_inner().into());
     }
@@ -183,7 +183,7 @@
 }
 
 impl RawInstances {
-    fn validate(self) -> Result<ClusterSettings, InvalidValue> {
+    fn validate(self) -> Result<ClusterSettings, LocatedProblem> {
         self.check_names()?;
         self.check_peer_count()?;
         let probe_ms = self
@@ -193,7 +193,7 @@
             });
         let suspect_ms = match &self.suspect_ms {
             Some(timeout) if timeout.get_ref().0 < MIN_SUSPICION_PROBES * probe_ms => {
-                return Err(InvalidValue::new(timeout, Problem::SuspicionTooShort));
+                return Err(LocatedProblem::new(timeout, Problem::SuspicionTooShort));
             }
             Some(timeout) => timeout.get_ref().0,
             None => DEFAULT_SUSPICION_PROBES * probe_ms,
@@ -210,19 +210,19 @@
         })
     }
 
-    fn check_names(&self) -> Result<(), InvalidValue> {
+    fn check_names(&self) -> Result<(), LocatedProblem> {
         if let Some(name) = &self.name {
             if !gossip::is_valid_node_name(name.get_ref()) {
                 let problem = Problem::InvalidOwnName {
                     max_bytes: gossip::MAX_NAME_BYTES,
                 };
-                return Err(InvalidValue::new(name, problem));
+                return Err(LocatedProblem::new(name, problem));
             }
         }
         check_name_length("cluster", &self.fleet)
     }
 
-    fn check_peer_count(&self) -> Result<(), InvalidValue> {
+    fn check_peer_count(&self) -> Result<(), LocatedProblem> {
         match &self.peers {
             Some(peers) if peers.get_ref().len() > gossip::MAX_MEMBERS => {
                 let problem = Problem::ItemCount {
@@ -230,7 +230,7 @@
                     min: 0,
                     max: gossip::MAX_MEMBERS,
                 };
-                Err(InvalidValue::new(peers, problem))
+                Err(LocatedProblem::new(peers, problem))
             }
             _ => Ok(()),
         }
@@ -240,7 +240,7 @@
 pub(super) fn check_name_length(
     subject: &'static str,
     name: &Spanned<String>,
-) -> Result<(), InvalidValue> {
+) -> Result<(), LocatedProblem> {
     if (1..=MAX_NAME_BYTES).contains(&name.get_ref().len()) {
         return Ok(());
     }
@@ -248,11 +248,11 @@
         subject,
         max_bytes: MAX_NAME_BYTES,
     };
-    Err(InvalidValue::new(name, problem))
+    Err(LocatedProblem::new(name, problem))
 }
 
 impl RawLeases {
-    fn validate(self) -> Result<LeaseSettings, InvalidValue> {
+    fn validate(self) -> Result<LeaseSettings, LocatedProblem> {
         for names in self.before.iter().chain([&self.keepers]) {
             check_node_names(names)?;
         }
@@ -268,11 +268,11 @@
             fence_file: self.fence_file,
             fleet_log: self.fleet_log,
         };
-        // The result of the check does not depend on the node's name or process, so any values will do.
+        // The result of the check does not depend on the node's name or process, so any valid values suffice.
         let (any_name, any_process) = ("-", 1);
         match leases.for_process(any_name, any_process).validate() {
             Ok(()) => Ok(leases),
-            Err(error) => Err(InvalidValue::new(
+            Err(error) => Err(LocatedProblem::new(
                 &acceptors,
                 Problem::LeaseSettings(error.into()),
             )),
@@ -280,13 +280,13 @@
     }
 }
 
-fn check_node_names(names: &Spanned<Vec<String>>) -> Result<(), InvalidValue> {
+fn check_node_names(names: &Spanned<Vec<String>>) -> Result<(), LocatedProblem> {
     match names
         .get_ref()
         .iter()
         .find(|name| !gossip::is_valid_node_name(name))
     {
-        Some(name) => Err(InvalidValue::new(
+        Some(name) => Err(LocatedProblem::new(
             names,
             Problem::InvalidNodeName(name.clone()),
         )),
@@ -295,7 +295,7 @@
 }
 
 impl RawOutlierDetection {
-    fn validate(section: &Spanned<Self>) -> Result<outlier_detection::Settings, InvalidValue> {
+    fn validate(section: &Spanned<Self>) -> Result<outlier_detection::Settings, LocatedProblem> {
         let (raw, default) = (section.get_ref(), outlier_detection::Settings::default());
         let settings = outlier_detection::Settings {
             interval_ms: raw.turn_ms.unwrap_or(default.interval_ms),
@@ -307,7 +307,7 @@
         };
         match settings.check() {
             Ok(()) => Ok(settings),
-            Err(error) => Err(InvalidValue::new(
+            Err(error) => Err(LocatedProblem::new(
                 section,
                 Problem::OutlierDetectionSettings(error),
             )),
--- a/src/node/admin/reload.rs
+++ b/src/node/admin/reload.rs
@@ -30,7 +30,8 @@
 /// change. If a file is invalid, logs the error and keeps the previous settings, so that a typing error does not stop a
 /// running node.
 ///
-/// Runs as long as it is polled. Dropping it only ends the handling of signals.
+/// The future completes only if no further signals can be received. Dropping it ends the handling of signals and
+/// changes nothing else.
 pub async fn reload_on_signal(
     mut signals: Signal,
     discovery: watch::Sender<SocketAddr>,
@@ -72,7 +73,9 @@
 ) {
     match OperatorConfig::read(&file.path) {
         Ok(config) => apply(config, &file.sources, cluster, platform),
-        Err(error) => log::line(format_args!("the operators' file is not used: {error}")),
+        Err(error) => log::line(format_args!(
+            "the operators' file is not used, the previous settings stay in effect: {error}"
+        )),
     }
 }
 
--- a/src/node/admin/server.rs
+++ b/src/node/admin/server.rs
@@ -19,13 +19,13 @@
 use crate::node::dispatcher::Dispatcher;
 use crate::node::downstream::server::{Phase, ServerOptions, ACCEPT_RETRY_INTERVAL};
 
-/// Maximum duration of a connection, many times what a command needs. It limits how long a client that does not finish
-/// occupies a descriptor.
+/// Maximum duration of a connection, many times the duration of a command. It limits the time for which a client that
+/// does not close its connection occupies a descriptor.
 const CONNECTION_TIMEOUT: Duration = Duration::from_secs(5);
-/// Maximum number of open connections, because each occupies a descriptor in addition to those of clients and servers.
-/// At the limit, the oldest connection is closed for a new one.
+/// Maximum number of open connections. Each occupies a descriptor in addition to those of the connections to clients
+/// and servers. At the limit, the oldest connection is closed for a new one.
 const MAX_CONNECTIONS: usize = 16;
-/// The last line of a response of several lines.
+/// The last line of a response that consists of rows.
 const END_OF_ROWS: &str = "EOF\n";
 
 /// Executes admin commands.
@@ -37,8 +37,8 @@
 }
 
 impl AdminServer {
-    /// Creates a server for the node of this dispatcher. `options` are those of the node's accept loop, whose drain the
-    /// server starts and cancels. `cluster` is the node's membership of a cluster, if it takes part in one.
+    /// Creates a server for the node of this dispatcher. `options` are those of the node's server for clients; the
+    /// admin server begins and cancels their drain. `cluster` is the node's membership of a cluster, if it has one.
     #[must_use]
     pub fn new(
         dispatcher: Rc<Dispatcher>,
@@ -82,7 +82,7 @@
     fn ready(&self) -> Result<String, Rejection> {
         match *self.options.phases.borrow() {
             Phase::Serving => Ok("200 ready\n".to_owned()),
-            _ => Err(Rejection::ShuttingDown),
+            _ => Err(Rejection::NotServing),
         }
     }
 
@@ -147,13 +147,13 @@
     rows + END_OF_ROWS
 }
 
-/// Why a command is not executed. The display form is the reason in the `400` response.
+/// Reason for which a command is rejected. The display form is the reason in the `400` response.
 #[derive(Debug)]
 enum Rejection {
     /// The line is not a valid command.
     Command(CommandError),
-    /// The process no longer accepts requests.
-    ShuttingDown,
+    /// The node has received a stop signal.
+    NotServing,
     /// The node takes no part in a cluster.
     NoCluster,
     /// The node takes no part in leases.
@@ -168,7 +168,7 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             Self::Command(error) => error.fmt(f),
-            Self::ShuttingDown => f.write_str("not ready: it is on its way out"),
+            Self::NotServing => f.write_str("not ready: it is on its way out"),
             Self::NoCluster => f.write_str("this node looks for no others"),
             Self::NoLeases => f.write_str("this node takes no part in leases"),
             Self::NoOutlierDetection => f.write_str("this node takes no word of servers"),
@@ -177,7 +177,8 @@
     }
 }
 
-/// Serves admin connections as long as it is polled. Dropping it leaves open connections to end or time out.
+/// Accepts and serves admin connections; never completes. Dropping the future stops accepting; open connections
+/// continue until they end or time out.
 pub async fn serve(listener: TcpListener, server: AdminServer) {
     let mut connections: VecDeque<AbortHandle> = VecDeque::new();
     loop {
@@ -205,7 +206,7 @@
 }
 
 async fn serve_connection(stream: TcpStream, server: AdminServer) {
-    // A client that disconnects or exceeds the timeout notices the missing response itself, so the result is ignored.
+    // An I/O error or a timeout affects only this client, so the result is ignored.
     let _ = tokio::time::timeout(CONNECTION_TIMEOUT, exchange(stream, &server)).await;
 }
 
@@ -218,8 +219,8 @@
     discard_rest(&mut stream).await
 }
 
-/// Reads up to and including the first line end. Stops at the end of the stream, or at one byte more than the longest
-/// line.
+/// Reads up to and including the first line end. Stops at the end of the stream, or after one byte more than the
+/// maximum length of a line.
 async fn read_line(stream: &mut TcpStream) -> io::Result<Vec<u8>> {
     let mut line = Vec::with_capacity(MAX_LINE_BYTES + 1);
     while !line.contains(&b'\n') && line.len() <= MAX_LINE_BYTES {
