--- a/src/node/config.rs
+++ b/src/node/config.rs
@@ -25,7 +25,7 @@
 /// The radix of the seed, which is written as text.
 const SEED_RADIX: u32 = 16;
 
-/// Why a configuration cannot be used.
+/// Error in the platform's configuration, or in reading it.
 #[derive(Debug)]
 pub enum ConfigError {
     /// The environment variable that names the file is not set or is empty.
@@ -100,7 +100,7 @@
     /// Maximum number of open file descriptors.
     #[serde(rename = "sockets")]
     pub file_descriptors: usize,
-    /// Maximum memory, in MB.
+    /// Maximum memory, in MiB.
     pub memory_mb: usize,
 }
 
--- a/src/node/discovery/consul/exchange.rs
+++ b/src/node/discovery/consul/exchange.rs
@@ -29,10 +29,10 @@
 const KEEPALIVE_RETRIES: u32 = 2;
 const TOKEN_HEADER: &str = "x-consul-token";
 
-/// Why a query failed.
+/// Error of a query.
 #[derive(Debug)]
 pub enum QueryError {
-    /// The token cannot be read.
+    /// The token cannot be read or is invalid.
     Token(TokenError),
     /// The request could not be built.
     Request(hyper::http::Error),
--- a/src/node/discovery/consul/mod.rs
+++ b/src/node/discovery/consul/mod.rs
@@ -31,8 +31,8 @@
     pub watch: WatchSettings,
 }
 
-/// Follows a service as long as the future is polled. Dropping the future only closes the
-/// connection.
+/// Follows a service; never completes. Dropping the future closes the connection and leaves the
+/// source in the merged view.
 pub async fn follow(
     updates: Rc<EndpointUpdates>,
     source: SourceId,
@@ -70,7 +70,7 @@
     agents: Vec<SocketAddr>,
     updates: Rc<EndpointUpdates>,
     source: SourceId,
-    /// When the watch's timer expires, in milliseconds of the dispatcher's clock.
+    /// The time at which the watch's timer expires, in milliseconds of the dispatcher's clock.
     timer_ms: f64,
 }
 
--- a/src/node/discovery/consul/token.rs
+++ b/src/node/discovery/consul/token.rs
@@ -10,7 +10,7 @@
 /// Maximum length of a token, in bytes. Tokens that Consul generates have 36 characters.
 const MAX_TOKEN_BYTES: usize = 4 * 1024;
 
-/// Why a token cannot be used.
+/// Error in a token file, or in reading it.
 #[derive(Debug)]
 pub enum TokenError {
     /// The file cannot be read.
--- a/src/node/discovery/endpoint_list/decode.rs
+++ b/src/node/discovery/endpoint_list/decode.rs
@@ -32,7 +32,7 @@
     weight: Value,
 }
 
-/// Why an entry of the endpoint list cannot be used.
+/// Error in an entry of the endpoint list.
 #[derive(Debug)]
 pub enum EntryError {
     /// The entry is not an object with the required fields, or a field has the wrong type.
--- a/src/node/discovery/endpoint_list/decode/tests.rs
+++ b/src/node/discovery/endpoint_list/decode/tests.rs
@@ -55,7 +55,7 @@
         .iter()
         .map(|entry| {
             decode_endpoint(entry)
-                .expect_err("invalid entry")
+                .expect_err("reject an invalid entry")
                 .to_string()
         })
         .collect();
--- a/src/node/discovery/endpoint_list/lines.rs
+++ b/src/node/discovery/endpoint_list/lines.rs
@@ -2,7 +2,7 @@
 
 use bytes::{Buf, Bytes, BytesMut};
 
-/// Maximum length of a line, in bytes. A watch that receives a longer line is closed.
+/// Maximum length of an incomplete line, in bytes. A watch that exceeds it is closed.
 pub const MAX_LINE_BYTES: usize = 4 << 20;
 
 /// Buffers the pieces of a stream until a line is complete. The caller checks
--- a/src/node/discovery/endpoint_list/mod.rs
+++ b/src/node/discovery/endpoint_list/mod.rs
@@ -19,7 +19,7 @@
 
 pub use timing::PROPAGATION_DEADLINE;
 
-/// How changes of the endpoint list reach the node.
+/// Mode in which changes of the endpoint list reach the node.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Delivery {
     /// Discovery pushes changes, and the client keeps a watch open.
@@ -32,8 +32,8 @@
     Subscribed,
 }
 
-/// Follows the endpoint list at the latest address as long as the future is polled. Dropping the
-/// future closes the watch.
+/// Follows the endpoint list at the latest address; never completes. Dropping the future closes the
+/// watch.
 pub async fn follow(
     updates: Rc<EndpointUpdates>,
     addresses: Receiver<SocketAddr>,
@@ -54,7 +54,7 @@
     follower.run(generation).await;
 }
 
-/// When and where the next watch is opened.
+/// Time and address of the next watch.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum NextWatch {
     /// At the latest address: when the balancer subscribes, or at once if lists are pushed.
@@ -68,7 +68,7 @@
     addresses: Receiver<SocketAddr>,
     delivery: Delivery,
     timing: WatchTiming,
-    /// The delay before the next attempt, if lists are pushed.
+    /// The latest delay before an attempt; used only if lists are pushed.
     retry_delay: Duration,
 }
 
--- a/src/node/discovery/endpoint_list/timing.rs
+++ b/src/node/discovery/endpoint_list/timing.rs
@@ -5,12 +5,14 @@
 
 use balancer::MAX_RESUBSCRIBE_DELAY_MS;
 
-/// Maximum time until a change takes effect, counted from when discovery has it and is reachable.
+/// Maximum time until a change takes effect, from the moment at which discovery has it and is
+/// reachable.
 pub const PROPAGATION_DEADLINE: Duration = Duration::from_secs(6);
-/// Time after which a watch counts as broken if it receives nothing, or if a line that has begun
-/// does not end. Discovery sends an empty line every 2 s while nothing changes.
+/// Time after which a watch is closed if it receives nothing, or if a line that has begun does not
+/// end. Discovery sends an empty line every 2 s while nothing changes.
 pub const SILENCE_TIMEOUT: Duration = Duration::from_millis(2_800);
-/// The delay before the first attempt to reopen a watch.
+/// The delay before a watch that received data is reopened. After each attempt that receives nothing,
+/// the delay doubles.
 pub const FIRST_RETRY_DELAY: Duration = Duration::from_millis(50);
 
 /// Timeout for opening a subscribed watch. Discovery queues such requests for up to 2 s.
@@ -45,9 +47,10 @@
 
 /// The time limits of opening and reopening a watch.
 ///
-/// With pushed lists, the time until a change takes effect is counted from when the discovery agent
-/// is reachable again. An attempt that hangs, the delay and the next attempt must therefore fit into
-/// the drain grace. With subscribed lists, the balancer decides when to subscribe again.
+/// With pushed lists, the time until a change takes effect is counted from the moment at which the
+/// discovery agent is reachable again. An attempt that hangs, the delay and the next attempt must
+/// therefore fit into the drain grace. With subscribed lists, the balancer decides when to subscribe
+/// again.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct WatchTiming {
     /// Timeout for opening a watch.
--- a/src/node/discovery/endpoint_list/timing/tests.rs
+++ b/src/node/discovery/endpoint_list/timing/tests.rs
@@ -20,7 +20,7 @@
     for drain_grace_ms in [0, 300, 1_000, 1_500, 2_000, 10_000, 600_000] {
         let drain_grace = Duration::from_millis(drain_grace_ms);
         let pushed = WatchTiming::pushed(drain_grace);
-        // A change counts from when the agent has it, so the node must apply it within the grace.
+        // The grace begins when the agent has the change, so the node must apply it within the grace.
         if drain_grace >= Duration::from_secs(1) {
             assert!(
                 pushed.max_recovery() < drain_grace,
@@ -47,6 +47,6 @@
     }
     assert!(
         SILENCE_TIMEOUT > Duration::from_millis(2_500),
-        "an empty line is sent every 2 s and may arrive late"
+        "the silence timeout must leave a margin over the 2 s between empty lines"
     );
 }
--- a/src/node/discovery/endpoint_list/watch.rs
+++ b/src/node/discovery/endpoint_list/watch.rs
@@ -20,7 +20,7 @@
 use crate::node::discovery::connection::Connection;
 use crate::node::discovery::updates::EndpointUpdates;
 
-/// Why a watch ended.
+/// Reason for the end of a watch.
 #[derive(Debug)]
 pub enum WatchError {
     /// The connection could not be established.
@@ -44,7 +44,7 @@
     Invalid(ListError),
 }
 
-/// Why a list from discovery is invalid.
+/// Error in a list from discovery.
 #[derive(Debug)]
 pub enum ListError {
     /// The line is not an endpoint list in JSON.
@@ -133,7 +133,7 @@
     let opened = tokio::time::timeout(open_timeout, open(address, state.generation)).await;
     let (mut body, _connection) = opened.map_err(|_| WatchError::OpenTimeout)??;
     let mut lines = LineBuffer::default();
-    // When the current, incomplete line began.
+    // Start time of the current incomplete line.
     let mut line_started_at = None::<Instant>;
     loop {
         let piece = next_piece(&mut body, line_started_at).await?;
--- a/src/node/discovery/updates.rs
+++ b/src/node/discovery/updates.rs
@@ -16,7 +16,7 @@
 use crate::node::discovery::endpoint_list::decode::decode_endpoints;
 use crate::node::dispatcher::Dispatcher;
 
-/// The endpoint list's id as a source.
+/// The source id of the endpoint list.
 const ENDPOINT_LIST: SourceId = 0;
 
 /// Receives the updates of all sources and passes changes to the dispatcher.
@@ -31,7 +31,7 @@
     list: ListState,
 }
 
-/// State of earlier endpoint lists, from which the next list is converted to an update of the view.
+/// State from earlier endpoint lists that is needed to convert the next list to an update of the view.
 #[derive(Default)]
 struct ListState {
     /// The ids in the list after its latest update.
@@ -94,7 +94,7 @@
         }
     }
 
-    /// Reports to the merged view that discovery is unreachable.
+    /// Reports to the merged view that the endpoint list is no longer received.
     pub fn mark_list_lost(&self) {
         self.handle(Event::SourceLost {
             source: ENDPOINT_LIST,
