--- a/crates/balancer/src/event.rs
+++ b/crates/balancer/src/event.rs
@@ -49,7 +49,7 @@
     pub queued: Option<f64>,
 }
 
-/// How an attempt ended.
+/// Result of an attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AttemptResult {
     /// A successful response.
@@ -96,7 +96,7 @@
     pub attempt: usize,
     /// Milliseconds since the attempt was sent.
     pub elapsed_ms: f64,
-    /// How it ended.
+    /// The result of the attempt.
     pub result: AttemptResult,
     /// Whether the client has its final answer, from this outcome or from an earlier one.
     pub complete: bool,
@@ -137,7 +137,7 @@
         server: ServerId,
         /// Milliseconds since the health check was sent.
         elapsed_ms: f64,
-        /// How it ended.
+        /// The result of the health check.
         result: AttemptResult,
         /// The server's load report, if there was one.
         report: Option<LoadReport>,
--- a/crates/balancer/src/settings.rs
+++ b/crates/balancer/src/settings.rs
@@ -102,7 +102,7 @@
     }
 }
 
-/// How the server list reaches a node.
+/// Mode in which the server list reaches a node.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DiscoveryMode {
     /// Changes arrive without a subscription.
@@ -122,7 +122,7 @@
     Off,
 }
 
-/// How many retries a node may send.
+/// Limit on the number of retries that a node sends.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct RetryBudget {
     /// Retries allowed in any window, regardless of the number of accepted requests.
@@ -148,7 +148,7 @@
     pub zone: usize,
     /// Number of machine kinds.
     pub machine_kinds: usize,
-    /// How the server list arrives.
+    /// Mode in which the server list reaches the node.
     pub discovery: DiscoveryMode,
     /// Where load reports come from.
     pub report_source: ReportSource,
--- a/crates/balancer/src/timer.rs
+++ b/crates/balancer/src/timer.rs
@@ -12,7 +12,7 @@
 const KIND_MASK: u64 = (1 << KIND_BITS) - 1;
 const RESUBSCRIBE: u64 = 0;
 
-/// What the expiry of a request's timer means.
+/// Event that the expiry of a request's timer stands for.
 #[derive(Clone, Copy, PartialEq, Eq)]
 pub(crate) enum TimerKind {
     /// A queued request has run out of time.
--- a/crates/balancer/src/traffic.rs
+++ b/crates/balancer/src/traffic.rs
@@ -1,5 +1,5 @@
-//! How often this node uses each server, from the interval between its requests and the number of
-//! servers.
+//! Frequency with which this node uses each server, computed from the interval between its requests
+//! and the number of servers.
 
 use crate::balancer::Balancer;
 use crate::health_check::POLLED_SERVERS;
--- a/crates/consul/src/mapping.rs
+++ b/crates/consul/src/mapping.rs
@@ -135,7 +135,7 @@
     pub lifecycle: Lifecycle,
 }
 
-/// How instances are mapped to endpoints.
+/// Rules for mapping instances to endpoints.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Mapping {
     /// The source of the endpoint's key.
--- a/crates/consul/src/query/mod.rs
+++ b/crates/consul/src/query/mod.rs
@@ -45,7 +45,7 @@
     pub tags: Vec<String>,
     /// `filter`, in Consul's filter language.
     pub filter: Option<String>,
-    /// How current the response must be.
+    /// The consistency mode.
     pub consistency: Consistency,
     /// `wait`, in seconds: how long a blocking query may block while nothing changes.
     pub wait_s: u32,
--- a/crates/consul/src/watch/failover.rs
+++ b/crates/consul/src/watch/failover.rs
@@ -11,7 +11,7 @@
 /// Number of consecutive stale responses after which another agent is queried.
 const MAX_STALE_RESPONSES: u32 = 3;
 
-/// How to continue after a failure.
+/// The retry after a failure.
 pub(super) struct Retry {
     /// Delay before the next query, in milliseconds.
     pub delay_ms: f64,
--- a/crates/consul/src/watch/mod.rs
+++ b/crates/consul/src/watch/mod.rs
@@ -47,7 +47,7 @@
 pub struct WatchSettings {
     /// The query.
     pub query: Query,
-    /// How instances are mapped to endpoints.
+    /// The mapping of instances to endpoints.
     pub mapping: Mapping,
     /// The number of agents; at least one.
     pub agent_count: usize,
--- a/crates/endpoint-discovery/src/merge.rs
+++ b/crates/endpoint-discovery/src/merge.rs
@@ -46,7 +46,7 @@
     Unlisted,
 }
 
-/// What one assertion contributes to the outcome.
+/// Contribution of one assertion to the outcome.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum Contribution {
     /// Ready, from a source that may add endpoints.
--- a/crates/lease/src/action.rs
+++ b/crates/lease/src/action.rs
@@ -23,7 +23,7 @@
         shard: Shard,
         /// The token of the ownership that began or ended.
         token: FencingToken,
-        /// What happened.
+        /// The change of ownership.
         change: OwnershipChange,
     },
     /// Log an event for the operators.
@@ -45,7 +45,7 @@
     ReserveTokens(FencingToken),
 }
 
-/// How the ownership of a shard changed at this process.
+/// Change of the ownership of a shard at this process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum OwnershipChange {
     /// This process owns the shard.
--- a/crates/pool/src/recovery.rs
+++ b/crates/pool/src/recovery.rs
@@ -14,7 +14,7 @@
     Complete,
 }
 
-/// How a connection failed during an exchange.
+/// Failure of a connection during an exchange.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub enum ConnectionError {
     /// The connection was closed, or turned out to be closed already.
--- a/src/node/mod.rs
+++ b/src/node/mod.rs
@@ -41,7 +41,7 @@
 use self::downstream::server::{self, Phase, ServerOptions};
 use self::shutdown::{ShutdownSchedule, StopSignals};
 
-/// Why a node could not start.
+/// Error that prevents a node from starting.
 #[derive(Debug)]
 pub enum NodeError {
     /// The platform's configuration is missing or invalid.
--- a/src/node/upstream/http1/progress.rs
+++ b/src/node/upstream/http1/progress.rs
@@ -74,7 +74,7 @@
         self.is_body_complete.set(is_complete);
     }
 
-    /// How much of the request has been sent.
+    /// The amount of the request that has been sent.
     pub fn bytes_sent(&self) -> BytesSent {
         match self.written_bytes.get() {
             _ if self.is_sent.get() => BytesSent::Complete,
--- a/src/node/upstream/mod.rs
+++ b/src/node/upstream/mod.rs
@@ -110,9 +110,9 @@
 /// An exchange that failed before a response head arrived.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ExchangeError {
-    /// How much of the request was sent. It decides whether the request may have run.
+    /// The amount of the request that was sent. It decides whether the request may have run.
     pub bytes_sent: BytesSent,
-    /// How the connection failed.
+    /// The failure of the connection.
     pub error: ConnectionError,
     /// Whether bytes arrived that are not part of a response to a request, or the response is invalid.
     pub has_unsolicited_bytes: bool,
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -10,7 +10,7 @@
 };
 use serde_json::Value;
 
-/// Why settings cannot be used.
+/// Error in the settings.
 #[derive(Debug)]
 pub enum SettingsFormatError {
     /// The text is not JSON.
--- a/src/simulator/error.rs
+++ b/src/simulator/error.rs
@@ -4,7 +4,7 @@
 
 use crate::settings::SettingsFormatError;
 
-/// Why a line was not accepted.
+/// Error in a line of the simulator's protocol.
 #[derive(Debug)]
 pub enum ProtocolError {
     /// The line does not begin with a message type.
