--- a/crates/admin/src/command.rs
+++ b/crates/admin/src/command.rs
@@ -11,7 +11,7 @@
 /// A command that an operator sends to a node.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Command {
-    /// `READY`: report whether this process accepts requests.
+    /// `READY`: report whether this process serves and has received no stop signal.
     Ready,
     /// `STATS`: report the node's metrics.
     Stats,
@@ -69,7 +69,7 @@
     }
 }
 
-/// Why a line is not a valid command. The display form is the reason in the `400` response.
+/// Error in a command line. The display form is the reason in the `400` response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CommandError {
     /// The line does not begin with a known command.
