--- a/crates/outlier-detection/src/detector.rs
+++ b/crates/outlier-detection/src/detector.rs
@@ -14,17 +14,17 @@
 
 /// Maximum number of servers whose state is kept. Further servers of the endpoint list are not evaluated.
 const MAX_SERVERS: usize = 8_192;
-/// Sum of an outlier's weights on all nodes, high enough that many nodes notice its recovery; by chance alone few
-/// would. A fixed weight of 0.05 on each node caused more failed requests than nodes that evaluate only their own
-/// attempts (`docs/outlier-detection/measured.md`).
+/// Sum of an outlier's weights on all nodes, high enough that attempts of many nodes show its recovery; with a lower
+/// sum, random selection would lead few nodes to it. A fixed weight of 0.05 on each node caused more failed requests
+/// than nodes that evaluate only their own attempts (`docs/outlier-detection/measured.md`).
 const TOTAL_OUTLIER_WEIGHT: f64 = 0.9;
 /// Lower bound of an outlier's weight on one node, unless [`Settings::max_outlier_weight`] is lower.
 const MIN_OUTLIER_WEIGHT: f64 = 0.003;
 /// Duration of a panic, in intervals. During a panic no server is treated as an outlier, because too many would be. The
 /// duration keeps servers from alternating between a reduced and the full weight.
 const PANIC_INTERVALS: f64 = 30.0;
-/// Number of failing servers that is always plausible, whatever fraction of the servers it is.
-const ALWAYS_PLAUSIBLE_FAILING: f64 = 1.0;
+/// Maximum number of failing servers that is plausible whatever fraction of the servers it is.
+const MAX_ALWAYS_PLAUSIBLE_FAILING_SERVERS: f64 = 1.0;
 /// Number of nodes that have to report a server as failing even in the smallest cluster.
 const MIN_REPORTERS: usize = 2;
 
@@ -95,7 +95,8 @@
     pub reports_sent: u64,
     /// Reports of other nodes that were accepted.
     pub reports_accepted: u64,
-    /// Reports that could not be decoded, and report entries about servers that are not in this node's endpoint list.
+    /// Sum of the reports that could not be decoded and the entries of accepted reports about servers that are not in
+    /// this node's endpoint list.
     pub unknown: u64,
     /// Rejected reports of other nodes that found too many servers failing, and reports that this node did not send for
     /// the same reason.
@@ -148,8 +149,8 @@
         })
     }
 
-    /// Handles an event that occurs at `now_ms`, and appends the resulting actions. A `now_ms` before that of an
-    /// earlier event is replaced by the latter.
+    /// Handles an event that occurs at `now_ms`, and appends the resulting actions. If `now_ms` is before the time of
+    /// an earlier event, that event's time is used instead.
     pub fn handle(&mut self, now_ms: f64, event: Event<'_>, actions: &mut Vec<Action>) {
         self.now_ms = self.now_ms.max(now_ms);
         match event {
@@ -227,12 +228,12 @@
     /// likely at fault than the servers.
     fn is_implausible(&self, failing: usize, tried: usize) -> bool {
         let max_failing = self.settings.max_outlier_fraction * tried as f64;
-        failing as f64 > max_failing.max(ALWAYS_PLAUSIBLE_FAILING)
+        failing as f64 > max_failing.max(MAX_ALWAYS_PLAUSIBLE_FAILING_SERVERS)
     }
 
     fn accept_report(&mut self, from: NodeKey, report: &Report) {
         let failing = report.entries.iter().filter(|entry| entry.is_failing());
-        // The reported number is not trusted beyond the number of servers that there are.
+        // The reported number is not trusted beyond the number of servers that this node knows of.
         let tried = usize::from(report.tried_servers).min(self.servers.len());
         if self.is_implausible(failing.count(), tried) {
             self.counters.implausible_reports += 1;
--- a/crates/outlier-detection/src/lib.rs
+++ b/crates/outlier-detection/src/lib.rs
@@ -5,7 +5,7 @@
 //! reports each node independently determines which servers are outliers and sets their weights. The weight of a server
 //! is the fraction of its ordinary share of requests that it should get. Weights only reduce or reorder the use of
 //! servers: they never add a server, and no weight is reduced while more than a certain fraction of all servers would
-//! be outliers, because the reporter is then more likely at fault than the servers.
+//! be outliers, because the reporters are then more likely at fault than the servers.
 //!
 //! - [`OutlierDetector`] is the state machine of one node: its inputs are [`Event`]s with their time, its outputs
 //!   [`Action`]s.
--- a/crates/outlier-detection/src/server_state.rs
+++ b/crates/outlier-detection/src/server_state.rs
@@ -29,7 +29,7 @@
 const BASE_EJECTION_INTERVALS: f64 = 2.0;
 /// Upper bound of the minimum duration of an ejection, in intervals.
 const MAX_EJECTION_INTERVALS: f64 = 32.0;
-/// Upper bound of the count of recent ejections, above which the duration of an ejection would not grow any more.
+/// Upper bound of the count of recent ejections. From a count of 4 the duration of an ejection no longer grows.
 const MAX_COUNTED_EJECTIONS: i32 = 8;
 /// Time without being an outlier after which earlier ejections no longer count, in intervals.
 const EJECTION_MEMORY_INTERVALS: f64 = 120.0;
@@ -64,9 +64,10 @@
     /// Time at which the first node began to report it as failing. Earlier successes are not evidence against the
     /// reports.
     first_failing_ms: f64,
-    /// Time of its last change of status between reported as failing, outlier, and neither.
+    /// Time at which it last became an outlier, or at which nodes began or ceased to report it as failing while it had
+    /// its full weight.
     pub status_since_ms: f64,
-    /// Time until which its weight is not raised step by step.
+    /// Time before which its weight is not raised, except by a panic.
     ejected_until_ms: f64,
     /// Number of recent ejections, at most [`MAX_COUNTED_EJECTIONS`].
     recent_ejections: i32,
@@ -136,7 +137,7 @@
 pub enum Trigger {
     /// An interval ended. Only this trigger raises the weights of recovering servers.
     IntervalEnd,
-    /// A report or a failure arrived within an interval.
+    /// Within an interval, a report of another node was accepted or an attempt of this node failed.
     NewEvidence,
 }
 
--- a/crates/outlier-detection/src/settings.rs
+++ b/crates/outlier-detection/src/settings.rs
@@ -18,8 +18,8 @@
     pub min_failed_fraction: f64,
     /// Maximum weight of an outlier; in large clusters the weight is lower. `floor` in the operators' file.
     pub max_outlier_weight: f64,
-    /// Maximum fraction of servers that may be outliers. The report of a node that finds a larger fraction failing is
-    /// rejected. `panic_share` in the operators' file.
+    /// Maximum fraction of servers that may be outliers; one outlier is always allowed. The report of a node that finds
+    /// a larger fraction failing is rejected. `panic_share` in the operators' file.
     pub max_outlier_fraction: f64,
 }
 
--- a/crates/outlier-detection/tests/detector.rs
+++ b/crates/outlier-detection/tests/detector.rs
@@ -160,7 +160,7 @@
         });
         assert!(
             cluster.ejecting_nodes(3) * 10 >= nodes * 9,
-            "{nodes} nodes: 90 % should eject the failing server, not {}",
+            "{nodes} nodes: at least 90 % of them should eject the failing server, but {} did",
             cluster.ejecting_nodes(3)
         );
         let before = cluster.attempts[3];
@@ -168,28 +168,29 @@
             (server == 3).then_some(FailureKind::ErrorResponse)
         });
         let attempts = cluster.attempts[3] - before;
-        let fair = nodes as f64 * attempts_per_s * 20.0 / SERVERS as f64;
+        let usual_attempts = nodes as f64 * attempts_per_s * 20.0 / SERVERS as f64;
         assert!(
-            (attempts as f64) < fair / 5.0,
-            "{nodes} nodes: an ejected server should get few attempts, not {attempts} (fair: {fair:.0})"
+            (attempts as f64) < usual_attempts / 5.0,
+            "{nodes} nodes: an ejected server should get under a fifth of {usual_attempts:.0} attempts, not {attempts}"
         );
         assert_gradual_recovery(&mut cluster, attempts_per_s);
     }
 }
 
-/// Asserts that server 3, which succeeds from now on, recovers gradually: in no second does it get a multiple of its
-/// fair share, or its share from all nodes at once, and after 90 s it has nearly all of its share.
+/// Asserts that server 3, whose attempts succeed from now on, recovers gradually: in each second it gets at most 6
+/// attempts more than three times its usual number, its mean weight at most doubles, plus 0.02,
+/// and after 90 s that exceeds 0.95.
 fn assert_gradual_recovery(cluster: &mut Cluster, attempts_per_s: f64) {
     let nodes = cluster.nodes.len();
-    let fair = nodes as f64 * attempts_per_s / SERVERS as f64;
+    let usual_attempts = nodes as f64 * attempts_per_s / SERVERS as f64;
     let mut weight = mean_weight(cluster);
     for _ in 0..90 {
         let before = cluster.attempts[3];
         cluster.run(1_000.0, attempts_per_s, |_, _| None);
         let attempts = (cluster.attempts[3] - before) as f64;
         assert!(
-            attempts <= 3.0 * fair + 6.0,
-            "{nodes} nodes: at most thrice {fair} and 6 attempts should come in 1 s, not {attempts}"
+            attempts <= 3.0 * usual_attempts + 6.0,
+            "{nodes} nodes: the server should get at most 3 * {usual_attempts} + 6 attempts in 1 s, not {attempts}"
         );
         let next = mean_weight(cluster);
         assert!(
@@ -200,7 +201,7 @@
     }
     assert!(
         weight > 0.95,
-        "{nodes} nodes: mean weight after 90 s should be nearly 1, not {weight}"
+        "{nodes} nodes: mean weight after 90 s should exceed 0.95, not be {weight}"
     );
 }
 
@@ -327,10 +328,10 @@
     /// Runs an interval in which the server fails, and 100 in which it succeeds. Returns the index of the interval in
     /// which its weight begins to rise, and of that in which it has its full weight again.
     fn relapse(&mut self) -> (usize, usize) {
-        let floor = self.interval(Some((8, 0)));
+        let reduced_weight = self.interval(Some((8, 0)));
         assert!(
-            floor <= 0.05,
-            "a failing server should have a low weight, not {floor}"
+            reduced_weight <= 0.05,
+            "a failing server should have a weight of at most 0.05, not {reduced_weight}"
         );
         let weights: Vec<_> = std::iter::from_fn(|| Some(self.interval(Some((0, 8)))))
             .take(100)
@@ -342,7 +343,7 @@
                 .expect("the weight rises to 1 within 100 intervals")
         };
         (
-            first(&|weight| weight > floor),
+            first(&|weight| weight > reduced_weight),
             first(&|weight| weight >= 1.0),
         )
     }
@@ -355,7 +356,7 @@
     let ejected = relapses.map(|(ejected, _)| ejected);
     assert!(
         ejected.windows(2).all(|pair| pair[1] >= 2 * pair[0] - 1),
-        "ejections should double: {ejected:?}"
+        "each ejection should last about twice as many intervals as the previous one: {ejected:?}"
     );
     assert!(
         ejected[0] <= 2 && ejected[4] >= 24,
@@ -376,27 +377,27 @@
     );
 }
 
-/// Without attempts there is no evidence of a server's recovery, so its weight rises anyway, but slowly.
+/// Without attempts there is no evidence of a server's recovery, so its weight rises without it, but slowly.
 #[test]
 fn server_without_reports_recovers_slowly() {
     let mut receiver = Receiver::new();
-    let floor = receiver.interval(Some((8, 0)));
+    let reduced_weight = receiver.interval(Some((8, 0)));
     let weights: Vec<_> = (0..100).map(|_| receiver.interval(None)).collect();
     assert!(
-        weights[..8].iter().all(|weight| *weight == floor),
+        weights[..8].iter().all(|weight| *weight == reduced_weight),
         "the weight should not rise within 8 intervals: {weights:?}"
     );
-    let grown = weights.windows(2).filter(|pair| pair[1] > pair[0]).count();
+    let increases = weights.windows(2).filter(|pair| pair[1] > pair[0]).count();
     assert!(
-        (5..=10).contains(&grown) && weights[99] > floor,
-        "the weight should rise in 5 to 10 intervals, not {grown}: {weights:?}"
+        (5..=10).contains(&increases) && weights[99] > reduced_weight,
+        "the weight should rise in 5 to 10 intervals, not {increases}: {weights:?}"
     );
     // While as many attempts fail as succeed, the weight does not rise.
     let mut receiver = Receiver::new();
     receiver.interval(Some((8, 0)));
     let weights: Vec<_> = (0..40).map(|_| receiver.interval(Some((3, 3)))).collect();
     assert!(
-        weights.iter().all(|weight| *weight <= floor),
+        weights.iter().all(|weight| *weight <= reduced_weight),
         "the weight should not rise while half of the attempts fail: {weights:?}"
     );
 }
@@ -462,7 +463,7 @@
             .sum();
         assert_eq!(
             ejections, 0,
-            "lies about servers {servers:?} should eject none"
+            "no node should eject a server while one node falsely reports {servers:?}"
         );
     }
 }
