--- a/src/node/cluster/error.rs
+++ b/src/node/cluster/error.rs
@@ -7,12 +7,12 @@
 
 use super::KeyFileError;
 
-/// Why a node cannot take part in its cluster.
+/// An error that prevents a node from joining its cluster.
 #[derive(Debug)]
 pub enum ClusterError {
     /// Neither the operators' file nor the platform sets this key.
     MissingSetting(&'static str),
-    /// The name is not valid for a node.
+    /// The name is not a valid node name.
     InvalidName(String),
     /// The key file is not usable.
     KeyFile(KeyFileError),
--- a/src/node/cluster/fence_file.rs
+++ b/src/node/cluster/fence_file.rs
@@ -19,7 +19,7 @@
 /// Delay between a failed write and the next attempt.
 const WRITE_RETRY_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Why a fence file cannot be used.
+/// An error that makes a fence file unusable.
 #[derive(Debug)]
 pub enum FenceFileReadError {
     /// The file cannot be read.
--- a/src/node/cluster/fleet_log.rs
+++ b/src/node/cluster/fleet_log.rs
@@ -36,7 +36,7 @@
     LeaseExpired,
 }
 
-/// Why a line may not have been appended.
+/// An error while a line was being appended. The register may have accepted the line nevertheless.
 #[derive(Debug)]
 enum AppendError {
     Io(io::Error),
--- a/src/node/cluster/leases.rs
+++ b/src/node/cluster/leases.rs
@@ -25,12 +25,12 @@
 
 pub use settings::LeaseSettings;
 
-/// Why a node cannot take part in leases.
+/// An error that prevents a node from taking part in leases.
 #[derive(Debug)]
 pub enum LeaseStartError {
     /// Its fence file cannot be used.
     FenceFile(FenceFileReadError),
-    /// Its settings are out of bounds.
+    /// A setting is out of its range.
     Settings(SettingsError),
 }
 
@@ -57,7 +57,7 @@
     /// `None` once another process of the same name has superseded this one.
     manager: RefCell<Option<LeaseManager>>,
     timer: Timer,
-    /// Known names of nodes.
+    /// Names of the nodes that are configured as acceptors or were members of the cluster.
     names: RefCell<BTreeMap<NodeId, String>>,
     /// Payload of the latest effect that an owner of each shard has published.
     effects: RefCell<BTreeMap<Shard, Vec<u8>>>,
@@ -69,7 +69,7 @@
     ///
     /// # Errors
     ///
-    /// The fence file cannot be used, or the settings are out of bounds.
+    /// The fence file cannot be used, or a setting is out of its range.
     pub fn new(
         now_ms: f64,
         lease_settings: &LeaseSettings,
@@ -256,7 +256,7 @@
         self.handle_lease_event(Event::Leave);
         if participant.manager.borrow_mut().take().is_some() {
             log::line(
-                "leases: this process takes no part any more, another process has this node's name",
+                "leases: this process no longer takes part, another process has this node's name",
             );
         }
     }
@@ -316,7 +316,7 @@
         Some(act(&permit, now_ms))
     }
 
-    /// The number of shards; 0 if this node takes no part in leases.
+    /// The number of shards; 0 if this node does not take part in leases.
     #[must_use]
     pub fn shards(&self) -> Shard {
         let Some(participant) = &self.leases else {
--- a/src/node/cluster/leases/admin.rs
+++ b/src/node/cluster/leases/admin.rs
@@ -10,7 +10,7 @@
 use super::settings::node_id;
 use crate::node::cluster::{boot_ms, metric_lines, Cluster};
 
-/// Why an operator's transfer (`GIVE`) is rejected. The texts are part of the admin protocol.
+/// An error for which an operator's transfer (`GIVE`) is rejected. The texts are part of the admin protocol.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum TransferError {
     /// This process does not own the shard.
@@ -31,7 +31,7 @@
 impl std::error::Error for TransferError {}
 
 impl Cluster {
-    /// The response to `OWNERS` without its last line; `None` if this node takes no part in leases.
+    /// The response to `OWNERS` without its last line; `None` if this node does not take part in leases.
     #[must_use]
     pub fn owners(&self) -> Option<String> {
         let participant = self.leases.as_ref()?;
@@ -97,7 +97,7 @@
         is_alive && name != self.name
     }
 
-    /// The metric lines of leases; empty if this node takes no part in them.
+    /// The metric lines of leases; empty if this node does not take part in them.
     pub(in crate::node::cluster) fn lease_metrics(&self) -> String {
         let Some(participant) = &self.leases else {
             return String::new();
--- a/src/node/cluster/mod.rs
+++ b/src/node/cluster/mod.rs
@@ -2,7 +2,7 @@
 //! decisions, and the subsystems whose messages are payloads of its datagrams.
 //!
 //! It runs only if the operators' file has a section `[instances]` and the platform's settings allow it. [`Cluster`]
-//! owns the gossip state, the socket and the numbers of the peers' addresses.
+//! owns the gossip state, the socket and the address book, which assigns an id to each peer address.
 
 mod address_book;
 mod error;
@@ -45,8 +45,8 @@
     lines
 }
 
-/// Milliseconds since boot, including the time in which the system was suspended: a process has to notice that it was
-/// suspended.
+/// Milliseconds since boot, including the time in which the system was suspended, so that a process detects its own
+/// suspension.
 fn boot_ms() -> f64 {
     let now = clock_gettime(ClockId::Boottime);
     now.tv_sec as f64 * 1e3 + now.tv_nsec as f64 / 1e6
@@ -72,7 +72,8 @@
     addresses: RefCell<AddressBook>,
     timer: Timer,
     name: String,
-    /// Whether the operators' file lists the peers, so that the platform's list is ignored.
+    /// Whether the operators' file lists the peers, according to the latest settings. Nothing reads it: the settings
+    /// themselves determine whose list is used.
     has_configured_peers: Cell<bool>,
     leases: Option<leases::LeaseParticipant>,
     outlier_detection: Option<outlier_detection::OutlierDetection>,
--- a/src/node/cluster/outlier_detection.rs
+++ b/src/node/cluster/outlier_detection.rs
@@ -129,8 +129,7 @@
             ));
         } else if weight <= self.max_outlier_weight {
             log::line(format_args!(
-                "outlier detection: {name} is an outlier according to the reports of several nodes; \
-                 its share of requests is reduced"
+                "outlier detection: several nodes report {name} as failing; it gets fewer requests"
             ));
         }
     }
--- a/src/node/cluster/settings.rs
+++ b/src/node/cluster/settings.rs
@@ -87,7 +87,7 @@
     }
 }
 
-/// Why the key file is not usable.
+/// An error that makes the key file unusable.
 #[derive(Debug)]
 pub enum KeyFileError {
     /// It cannot be read.
@@ -152,7 +152,8 @@
     ///
     /// # Errors
     ///
-    /// A setting is in neither place, the name is not valid, or the key file is not usable.
+    /// Neither the operators' file nor the platform sets the name or the address, the name is not valid, or the key
+    /// file is not usable.
     pub fn new(config: &Config, settings: &ClusterSettings) -> Result<Self, ClusterError> {
         let name = settings
             .name
--- a/tests/lease_processes.rs
+++ b/tests/lease_processes.rs
@@ -621,7 +621,7 @@
             fleet
                 .log(node)
                 .iter()
-                .any(|line| line.contains("takes no part any more"))
+                .any(|line| line.contains("no longer takes part"))
         };
         (logged(3) || logged(4))
             .then_some(())
