--- a/crates/balancer/src/selection.rs
+++ b/crates/balancer/src/selection.rs
@@ -40,7 +40,7 @@
 )]
 pub(crate) struct Candidate {
     pub server: ServerId,
-    /// Expected latency at the server, in milliseconds.
+    /// Expected wait for the server's response, in milliseconds.
     wait_ms: f64,
     /// The count, multiplied by the latency per request unless servers are polled.
     rank: f64,
@@ -131,7 +131,7 @@
     /// Mean count per unit of capacity, from which a server without a count starts.
     mean_count: f64,
     total_capacity: f64,
-    /// Number of requests that this node served within the slow-start window.
+    /// Number of requests that this node served within the last `collapse_after_ms`.
     served: f64,
     slow_start_multiple: f64,
     /// The server of the first attempt that may have run.
@@ -169,7 +169,7 @@
             warm_fraction.is_some() && !self.has_recent_reports && !self.servers_are_polled;
         Some(Candidate {
             server: server_id,
-            wait_ms: self.requests_ahead(server, count) * latency_per_request,
+            wait_ms: self.requests_once_sent(server, count) * latency_per_request,
             rank: if self.servers_are_polled {
                 count
             } else {
@@ -198,7 +198,7 @@
 
     /// Number of requests at the server once this one is sent.
     #[inline]
-    fn requests_ahead(&self, server: &Server, count: f64) -> f64 {
+    fn requests_once_sent(&self, server: &Server, count: f64) -> f64 {
         if self.servers_are_polled {
             count + 1.0
         } else {
@@ -217,11 +217,11 @@
         warm_fraction: f64,
         capacity: f64,
     ) -> bool {
-        let window_ms = self.now_ms - self.settings.collapse_after_ms;
+        let window_start_ms = self.now_ms - self.settings.collapse_after_ms;
         let share = warm_fraction * capacity / self.total_capacity;
         let budget = self.slow_start_multiple * share * self.served;
         let min_budget = 1.0 / self.settings.nodes as f64;
-        let sent = server.slow_start_sends.count_since(window_ms);
+        let sent = server.slow_start_sends.count_since(window_start_ms);
         sent + server.slow_start_threshold >= budget.max(min_budget)
     }
 
--- a/crates/testkit/src/fleet.rs
+++ b/crates/testkit/src/fleet.rs
@@ -509,8 +509,8 @@
             .collect()
     }
 
-    /// All log entries by which a node itself confirmed another as gone by quorum, rather than on the report of a third:
-    /// the node that logged it, and the name of the one gone.
+    /// All log entries by which a node itself confirmed by quorum that another node is gone, rather than accepting the
+    /// verdict of a third node: the index of the logging node, and the name of the node that is gone.
     #[must_use]
     pub fn quorum_verdicts(&self) -> Vec<(usize, String)> {
         let confirmed = self
@@ -522,7 +522,8 @@
             .collect()
     }
 
-    /// All log entries by which a node reported another as gone: the node that logged it, and the name of the one gone.
+    /// All log entries by which a node reported another as gone: the index of the logging node, and the name of the
+    /// node that is gone.
     #[must_use]
     pub fn gone_reports(&self) -> Vec<(usize, String)> {
         self.gone_log_entries()
--- a/crates/testkit/src/lib.rs
+++ b/crates/testkit/src/lib.rs
@@ -18,7 +18,7 @@
     clippy::items_after_statements,
     clippy::needless_for_each,
     clippy::needless_pass_by_value,
-    reason = "this file is still to be rewritten: docs/ROADMAP.md, Readability"
+    reason = "fleet declares a static next to its use and resumes nodes by for_each; lease_model passes states by value"
 )]
 // Helpers panic when an operation fails, so that the calling test fails at the cause.
 #![allow(clippy::missing_panics_doc)]
--- a/crates/testkit/src/server.rs
+++ b/crates/testkit/src/server.rs
@@ -100,8 +100,8 @@
                 thread::spawn(move || {
                     let handle = stream.clone_handle();
                     Self::serve(stream, &traffic, &*reply);
-                    // Between fork and exec, a process that another test starts has a copy of every socket. The copy
-                    // would keep a connection open that is only dropped here.
+                    // Between fork and exec, a process that another test starts has a copy of every socket. If this
+                    // stream were only dropped, that copy would keep the connection open.
                     handle.shutdown(Shutdown::Both);
                     lock(&traffic).closed_connections += 1;
                 });
--- a/src/bin/silverthread-simulator-adapter.rs
+++ b/src/bin/silverthread-simulator-adapter.rs
@@ -103,7 +103,7 @@
     }
 }
 
-/// Why the adapter exits before the end of its input.
+/// An error for which the adapter exits before the end of its input.
 struct AdapterError {
     /// Number of the line, from one, at which the error occurred.
     line_number: u64,
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -4,7 +4,7 @@
 
 #![allow(
     clippy::match_same_arms,
-    reason = "only node::downstream, which is still to be rewritten: docs/ROADMAP.md, Readability"
+    reason = "node::downstream::shutdown decides about each connection stage in arms of its own"
 )]
 
 pub mod node;
--- a/src/simulator/error.rs
+++ b/src/simulator/error.rs
@@ -4,7 +4,7 @@
 
 use crate::settings::SettingsFormatError;
 
-/// Why a line was not accepted.
+/// An error in a line of the protocol, for which the line is rejected.
 #[derive(Debug)]
 pub enum ProtocolError {
     /// The line does not begin with a message type.
--- a/src/simulator/instance.rs
+++ b/src/simulator/instance.rs
@@ -118,7 +118,8 @@
         append_action_line(node, &self.servers, action, out);
     }
 
-    /// Parses a line into an event; `Ok(None)` if its message type is not an event's, or its timer token is not a number.
+    /// Parses a line into an event; `Ok(None)` if its message type is not that of an event, or its nonce is not an
+    /// unsigned integer.
     ///
     /// # Errors
     ///
@@ -139,7 +140,7 @@
             "HANGUP" => Event::ClientGone(parse_request_id(line)?),
             "FIRED" => match line.required_text("nonce")?.parse() {
                 Ok(timer) => Event::Timer(timer),
-                // The balancer's timers are numbers: any other token was not set by this instance.
+                // The balancer's timers are numbers: any other nonce was not set by this instance.
                 Err(_) => return Ok(None),
             },
             "HEALTH" => Event::HealthChecked {
