--- a/tests/lease_processes.rs
+++ b/tests/lease_processes.rs
@@ -705,14 +705,14 @@
     fleet.rename(4, "n3");
     fleet.start_node(4);
     fleet.wait_for(
-        "one process logs that it takes no part any more",
+        "one process logs that it no longer takes part",
         TIMEOUT,
         |fleet| {
             let has_stopped = |node| {
                 fleet
                     .log(node)
                     .iter()
-                    .any(|line| line.contains("takes no part any more"))
+                    .any(|line| line.contains("no longer takes part"))
             };
             (has_stopped(3) || has_stopped(4))
                 .then_some(())
