--- a/crates/measure/src/cold.rs
+++ b/crates/measure/src/cold.rs
@@ -33,6 +33,7 @@
 const SEEDS: usize = 5;
 
 enum Scheduled {
+    /// A request arrives at a node.
     Arrive(usize),
     /// The response to an attempt reaches its node.
     Response {
@@ -40,17 +41,18 @@
         request: u64,
         attempt: usize,
         server: usize,
-        sent: f64,
+        sent_at_ms: f64,
     },
-    /// The deadline of a request is reached.
+    /// The deadline of a request is reached: its node and identifier.
     DeadlineReached(usize, u64),
+    /// A timer of a balancer expires: its node and identifier.
     Timer(usize, u64),
     /// The cold servers restart.
     Restart,
 }
 
 struct OpenRequest {
-    arrived: f64,
+    arrived_at_ms: f64,
     attempts: usize,
     /// Number of the attempt in flight and the time at which it was sent.
     in_flight: Option<(usize, f64)>,
@@ -63,10 +65,10 @@
 
 #[derive(Default)]
 struct Server {
-    /// Time of the restart, if the server has restarted.
-    restarted_at: Option<f64>,
-    /// Time at which it will have completed all its requests.
-    free_at: f64,
+    /// Time of the restart in milliseconds, if the server has restarted.
+    restarted_at_ms: Option<f64>,
+    /// Time at which all queued requests are completed, in milliseconds.
+    free_at_ms: f64,
     /// Completion times of the requests in flight.
     completions: Vec<f64>,
     /// Arrival times of all requests.
@@ -75,18 +77,18 @@
 
 impl Server {
     fn speed(&self, now: f64) -> f64 {
-        let warming_speed = |restarted_at: f64| {
-            INITIAL_SPEED + (1.0 - INITIAL_SPEED) * ((now - restarted_at) / WARM_UP_MS).min(1.0)
+        let warming_speed = |restarted_at_ms: f64| {
+            INITIAL_SPEED + (1.0 - INITIAL_SPEED) * ((now - restarted_at_ms) / WARM_UP_MS).min(1.0)
         };
-        self.restarted_at.map_or(1.0, warming_speed)
+        self.restarted_at_ms.map_or(1.0, warming_speed)
     }
 
     /// Adds a request to the queue and returns the time at which its response is sent.
     fn enqueue(&mut self, now: f64, work_ms: f64) -> f64 {
         self.arrivals.push(now);
-        self.free_at = self.free_at.max(now) + work_ms / self.speed(now);
-        self.completions.push(self.free_at);
-        self.free_at
+        self.free_at_ms = self.free_at_ms.max(now) + work_ms / self.speed(now);
+        self.completions.push(self.free_at_ms);
+        self.free_at_ms
     }
 
     fn in_flight(&mut self, now: f64) -> f64 {
@@ -94,7 +96,7 @@
         self.completions.len() as f64
     }
 
-    /// Maximum number of requests received within the time after which an overloaded server collapses.
+    /// Maximum number of requests received in any period of `COLLAPSE_AFTER_MS`.
     fn peak_requests(&self) -> usize {
         let requests_within = |from: &f64| {
             self.arrivals
@@ -113,7 +115,7 @@
     rejected: f64,
     /// Requests served within the latency objective.
     within_objective: f64,
-    /// Maximum number of requests that a cold server received within the time after which it collapses under overload.
+    /// Maximum number of requests that a cold server received in any period of `COLLAPSE_AFTER_MS`.
     peak_requests: usize,
 }
 
@@ -176,9 +178,9 @@
     /// Sends the list of all servers to all nodes. A restarted server has a new identity.
     fn update_server_lists(&mut self) {
         let entry = |(at, server): (usize, &Server)| ServerEntry {
-            started_at_ms: server.restarted_at,
+            started_at_ms: server.restarted_at_ms,
             ..ServerEntry::new(
-                ServerId(at + usize::from(server.restarted_at.is_some()) * SERVERS),
+                ServerId(at + usize::from(server.restarted_at_ms.is_some()) * SERVERS),
                 Availability::Ready,
             )
         };
@@ -192,14 +194,14 @@
     }
 
     /// Whether a request that arrived at this time is measured.
-    fn is_measured(arrived: f64) -> bool {
-        (RESTART_MS..RESTART_MS + WARM_UP_MS).contains(&arrived)
+    fn is_measured(arrived_at_ms: f64) -> bool {
+        (RESTART_MS..RESTART_MS + WARM_UP_MS).contains(&arrived_at_ms)
     }
 
     fn run(mut self) -> Totals {
         while let Some(scheduled) = self
             .event_queue
-            .next_before(RESTART_MS + WARM_UP_MS + DEADLINE_MS)
+            .next_until(RESTART_MS + WARM_UP_MS + DEADLINE_MS)
         {
             let now = self.event_queue.now_ms;
             match scheduled {
@@ -212,7 +214,7 @@
                     self.nodes[node].open.insert(
                         id,
                         OpenRequest {
-                            arrived: now,
+                            arrived_at_ms: now,
                             attempts: 0,
                             in_flight: None,
                         },
@@ -229,7 +231,7 @@
                     let cold = SERVERS - COLD_SERVERS;
                     self.servers[cold..].iter_mut().for_each(|server| {
                         *server = Server {
-                            restarted_at: Some(now),
+                            restarted_at_ms: Some(now),
                             ..Server::default()
                         };
                     });
@@ -240,26 +242,33 @@
                     request,
                     attempt,
                     server,
-                    sent,
+                    sent_at_ms,
                 } => {
                     let report =
                         Some(self.servers[server].in_flight(now)).map(|in_flight| LoadReport {
                             in_flight: Some(in_flight),
                             ..LoadReport::default()
                         });
-                    self.attempt_ended(node, request, attempt, sent, AttemptResult::Served, report);
+                    self.attempt_ended(
+                        node,
+                        request,
+                        attempt,
+                        sent_at_ms,
+                        AttemptResult::Served,
+                        report,
+                    );
                 }
                 Scheduled::DeadlineReached(node, request) => {
                     let in_flight = self.nodes[node]
                         .open
                         .get(&request)
                         .and_then(|open| open.in_flight);
-                    if let Some((attempt, sent)) = in_flight {
+                    if let Some((attempt, sent_at_ms)) = in_flight {
                         self.attempt_ended(
                             node,
                             request,
                             attempt,
-                            sent,
+                            sent_at_ms,
                             AttemptResult::TimedOut,
                             None,
                         );
@@ -284,7 +293,7 @@
         node: usize,
         request: u64,
         attempt: usize,
-        sent: f64,
+        sent_at_ms: f64,
         result: AttemptResult,
         report: Option<LoadReport>,
     ) {
@@ -301,13 +310,13 @@
         }
         let complete = result == AttemptResult::Served;
         if complete {
-            let is_timely =
-                Self::is_measured(open.arrived) && now - open.arrived <= LATENCY_OBJECTIVE_MS;
+            let is_timely = Self::is_measured(open.arrived_at_ms)
+                && now - open.arrived_at_ms <= LATENCY_OBJECTIVE_MS;
             self.totals.within_objective += f64::from(u8::from(is_timely));
             self.nodes[node].open.remove(&request);
         }
         let request = RequestId(request);
-        let elapsed_ms = now - sent;
+        let elapsed_ms = now - sent_at_ms;
         self.handle_event(
             node,
             Event::Outcome(Outcome {
@@ -341,14 +350,15 @@
                         request: request.0,
                         attempt,
                         server,
-                        sent: now,
+                        sent_at_ms: now,
                     };
                     self.event_queue
                         .push(completed_at - now + RESPONSE_DELAY_MS, response);
                 }
                 Action::Reject { request, .. } | Action::Fail { request } => {
                     if let Some(open) = self.nodes[node].open.remove(&request.0) {
-                        let is_measured = Self::is_measured(open.arrived) && open.attempts == 0;
+                        let is_measured =
+                            Self::is_measured(open.arrived_at_ms) && open.attempts == 0;
                         self.totals.rejected += f64::from(u8::from(is_measured));
                     }
                 }
@@ -366,7 +376,7 @@
 pub fn measure() {
     let sustained_requests = COLLAPSE_MULTIPLE * INITIAL_SPEED * COLLAPSE_AFTER_MS / WORK_MS;
     println!(
-        "\nbalancers in virtual time, {SERVERS} servers of which {COLD_SERVERS} restart cold at once; {SEEDS} seeds, the {:.0} s after the restart; a cold server collapses beyond {:.0} requests in {:.1} s",
+        "\nbalancers in virtual time, {SERVERS} servers of which {COLD_SERVERS} restart cold at once; {SEEDS} seeds, the {:.0} s after the restart; a cold server collapses beyond {:.0} requests in {:.1} s; peak: most requests of a cold server in that time",
         WARM_UP_MS / 1e3,
         sustained_requests + 2.0 * sustained_requests.sqrt() + 2.0,
         COLLAPSE_AFTER_MS / 1e3,
--- a/crates/measure/src/event_queue.rs
+++ b/crates/measure/src/event_queue.rs
@@ -61,9 +61,9 @@
         }));
     }
 
-    /// Takes the next event and advances the time to it. `None` if there is none up to and including `end_ms`; a later event
-    /// is dropped, so the queue is not used after that.
-    pub fn next_before(&mut self, end_ms: f64) -> Option<T> {
+    /// Takes the next event that is due at or before `end_ms` and advances the time to it. Returns `None` if there is no such
+    /// event; a later event may then have been dropped, so the queue must not be used any more.
+    pub fn next_until(&mut self, end_ms: f64) -> Option<T> {
         let Reverse(next) = self.events.pop()?;
         if next.at_ms > end_ms {
             return None;
--- a/crates/measure/src/outlier_detection.rs
+++ b/crates/measure/src/outlier_detection.rs
@@ -88,18 +88,20 @@
 }
 
 enum Scheduled {
+    /// A request arrives at a node.
     Arrive(usize),
     AttemptEnd {
         node: usize,
         request: u64,
         attempt: usize,
         server: usize,
-        sent: f64,
+        sent_at_ms: f64,
         /// Index into `RESULTS`.
         result: u8,
     },
+    /// A timer of a balancer expires: its node and identifier.
     Timer(usize, u64),
-    /// A node's detector checks its timer.
+    /// The timer of a node's outlier detector fires.
     DetectorTimer(usize),
 }
 
@@ -120,7 +122,7 @@
     open: HashMap<u64, OpenRequest>,
 }
 
-struct FleetSimulation {
+struct ClusterSimulation {
     server_fault: ServerFault,
     with_detection: bool,
     event_queue: EventQueue<Scheduled>,
@@ -135,11 +137,11 @@
     affected_attempts: u64,
 }
 
-fn key(server: usize) -> ServerKey {
+fn server_key(server: usize) -> ServerKey {
     ServerKey(server as u64 + 100)
 }
 
-impl FleetSimulation {
+impl ClusterSimulation {
     fn new(server_fault: ServerFault, with_detection: bool, nodes: usize, seed: u64) -> Self {
         let mut rng = Rng::with_seed(seed);
         let entries = || {
@@ -147,7 +149,7 @@
                 .map(|at| ServerEntry::new(ServerId(at), Availability::Ready))
                 .collect()
         };
-        let keys: Vec<_> = (0..SERVERS).map(key).collect();
+        let keys: Vec<_> = (0..SERVERS).map(server_key).collect();
         let node = |me| {
             let mut settings = Settings::new(vec![Class::new(
                 LATENCY_OBJECTIVE_MS,
@@ -156,7 +158,7 @@
             )]);
             (settings.nodes, settings.node_index) = (nodes, me);
             let mut balancer =
-                Balancer::new(settings, seed * 1_000 + me as u64).expect("valid settings");
+                Balancer::new(settings, seed * 1_000 + me as u64).expect("the settings are valid");
             balancer.handle(
                 0.0,
                 Event::ServerList(ServerListUpdate::Full(entries())),
@@ -164,7 +166,7 @@
             );
             let settings = outlier_detection::Settings::default();
             let mut detector =
-                OutlierDetector::new(0.0, settings, rng.f64()).expect("valid settings");
+                OutlierDetector::new(0.0, settings, rng.f64()).expect("the settings are valid");
             detector.handle(0.0, DetectorEvent::ServersChanged(&keys), &mut Vec::new());
             detector.handle(0.0, DetectorEvent::ClusterSize(nodes), &mut Vec::new());
             Node {
@@ -202,7 +204,7 @@
     /// Runs to the end. Returns the fraction of the requests served within the latency objective, and the attempts at affected
     /// servers per 1,000 requests.
     fn run(mut self) -> (f64, f64) {
-        while let Some(scheduled) = self.event_queue.next_before(SIMULATION_END_MS) {
+        while let Some(scheduled) = self.event_queue.next_until(SIMULATION_END_MS) {
             match scheduled {
                 Scheduled::Arrive(node) => {
                     let interval_ms = -self.rng.f64().max(1e-9).ln() * 1_000.0 / REQUESTS_PER_S;
@@ -224,7 +226,7 @@
                     request,
                     attempt,
                     server,
-                    sent,
+                    sent_at_ms,
                     result,
                 } => {
                     self.end_attempt(
@@ -232,7 +234,7 @@
                         request,
                         attempt,
                         server,
-                        sent,
+                        sent_at_ms,
                         RESULTS[usize::from(result)],
                     );
                 }
@@ -261,7 +263,7 @@
     }
 
     fn attempt_ended(&mut self, node: usize, server: usize, failure: Option<FailureKind>) {
-        let server = key(server);
+        let server = server_key(server);
         self.detect(node, DetectorEvent::AttemptEnded { server, failure });
     }
 
@@ -297,7 +299,7 @@
         request: u64,
         attempt: usize,
         server: usize,
-        sent: f64,
+        sent_at_ms: f64,
         result: AttemptResult,
     ) {
         let Some(open) = self.nodes[node].open.get_mut(&request) else {
@@ -307,14 +309,14 @@
             return;
         }
         open.2 = None;
-        let arrived_at = open.0;
+        let arrived_at_ms = open.0;
         let is_served = result == AttemptResult::Served;
         if is_served {
             self.nodes[node].open.remove(&request);
             let is_measured =
-                (FAULT_START_MS..SIMULATION_END_MS - DEADLINE_MS).contains(&arrived_at);
+                (FAULT_START_MS..SIMULATION_END_MS - DEADLINE_MS).contains(&arrived_at_ms);
             self.within_objective += f64::from(u8::from(
-                is_measured && self.event_queue.now_ms - arrived_at <= LATENCY_OBJECTIVE_MS,
+                is_measured && self.event_queue.now_ms - arrived_at_ms <= LATENCY_OBJECTIVE_MS,
             ));
         }
         if self.with_detection {
@@ -333,7 +335,7 @@
         let outcome = Outcome {
             request: RequestId(request),
             attempt,
-            elapsed_ms: self.event_queue.now_ms - sent,
+            elapsed_ms: self.event_queue.now_ms - sent_at_ms,
             result,
             complete: is_served,
             report,
@@ -380,7 +382,7 @@
                             request: request.0,
                             attempt,
                             server,
-                            sent: now,
+                            sent_at_ms: now,
                             result,
                         },
                     );
@@ -390,8 +392,10 @@
                         .open
                         .get(&request.0)
                         .and_then(|open| open.2);
-                    if let Some((_, sent)) = in_flight.filter(|(number, ..)| *number == attempt) {
-                        self.confirm_cancellation(node, request.0, attempt, sent);
+                    if let Some((_, sent_at_ms)) =
+                        in_flight.filter(|(number, ..)| *number == attempt)
+                    {
+                        self.confirm_cancellation(node, request.0, attempt, sent_at_ms);
                     }
                 }
                 Action::Reject { request, .. } | Action::Fail { request } => {
@@ -406,11 +410,11 @@
         }
     }
 
-    fn confirm_cancellation(&mut self, node: usize, request: u64, attempt: usize, sent: f64) {
+    fn confirm_cancellation(&mut self, node: usize, request: u64, attempt: usize, sent_at_ms: f64) {
         if let Some(open) = self.nodes[node].open.get_mut(&request) {
             open.2 = None;
         }
-        let elapsed_ms = self.event_queue.now_ms - sent;
+        let elapsed_ms = self.event_queue.now_ms - sent_at_ms;
         let (request, result) = (RequestId(request), AttemptResult::Cancelled);
         self.handle_event(
             node,
@@ -441,7 +445,7 @@
             let seeds = count(SEEDS, 1) as u64;
             let mean = |with_detection| {
                 let runs = (0..seeds).map(|seed| {
-                    FleetSimulation::new(server_fault, with_detection, nodes, seed).run()
+                    ClusterSimulation::new(server_fault, with_detection, nodes, seed).run()
                 });
                 let (timely, affected) =
                     runs.fold((0.0, 0.0), |sum, run| (sum.0 + run.0, sum.1 + run.1));
