--- a/crates/measure/src/connections.rs
+++ b/crates/measure/src/connections.rs
@@ -68,23 +68,23 @@
         .collect();
     let (node, proxy) = (start_node(&servers), Proxy::start(&servers));
     for connections in CONNECTIONS {
-        let mut all = [(); 2].map(|()| [(); 4].map(|()| Vec::new()));
+        let mut samples = [(); 2].map(|()| [(); 4].map(|()| Vec::new()));
         for _ in 0..count(ROUNDS, 1) {
-            let [node_figures, proxy_figures] = &mut all;
-            round(
+            let [node_figures, proxy_figures] = &mut samples;
+            measure_round(
                 node.0.address,
                 node.0.process_id(),
                 connections,
                 node_figures,
             );
-            round(proxy.address, proxy.child.id(), connections, proxy_figures);
+            measure_round(proxy.address, proxy.child.id(), connections, proxy_figures);
         }
         let [node, proxy] =
-            all.map(|mut figures| figures.each_mut().map(|values| quantile(values, 0.5)));
+            samples.map(|mut figures| figures.each_mut().map(|values| quantile(values, 0.5)));
         for (subject, figures) in [("node", node), ("plain proxy", proxy)] {
-            row(connections, subject, figures, 0);
+            print_row(connections, subject, figures, 0);
         }
-        row(
+        print_row(
             connections,
             "ratio",
             [0, 1, 2, 3].map(|figure| node[figure] / proxy[figure]),
@@ -106,12 +106,12 @@
         "", "requests/s", "p50 ms", "p99 ms", "CPU us"
     );
     let all_correct: Vec<_> = (0..10).map(|_| start_server()).collect();
-    let nine: Vec<_> = (0..9).map(|_| start_server()).collect();
+    let nine_correct: Vec<_> = (0..9).map(|_| start_server()).collect();
     let faulty = Server::start(|_| {
         let response = testkit::response("200 OK", "", "rooms: 3\n");
         Reply::SendInTwoParts(response, Duration::from_millis(1), b"x".to_vec())
     });
-    let with_faulty: Vec<_> = nine
+    let with_faulty: Vec<_> = nine_correct
         .into_iter()
         .chain([faulty.without_recording()])
         .collect();
@@ -134,12 +134,12 @@
             servers,
         )
     });
-    let mut all = [(); 3].map(|()| [(); 4].map(|()| Vec::new()));
+    let mut samples = [(); 3].map(|()| [(); 4].map(|()| Vec::new()));
     let mut shares = Vec::new();
     for _ in 0..count(ROUNDS, 1) {
-        for ((subject, (node, ..), servers), figures) in nodes.iter().zip(&mut all) {
+        for ((subject, (node, ..), servers), figures) in nodes.iter().zip(&mut samples) {
             let before: Vec<_> = servers.iter().map(Server::request_count).collect();
-            round(node.address, node.process_id(), CONNECTIONS, figures);
+            measure_round(node.address, node.process_id(), CONNECTIONS, figures);
             if *subject == "one faulty" {
                 let received: Vec<_> = servers
                     .iter()
@@ -151,12 +151,12 @@
             }
         }
     }
-    let medians = all.map(|mut figures| figures.each_mut().map(|values| quantile(values, 0.5)));
+    let medians = samples.map(|mut figures| figures.each_mut().map(|values| quantile(values, 0.5)));
     for ((subject, ..), figures) in nodes.iter().zip(medians) {
-        kind_row(subject, figures, 0);
+        print_kind_row(subject, figures, 0);
     }
     for (subject, variant) in [("one faulty / TCP", 1), ("Unix / TCP", 2)] {
-        kind_row(
+        print_kind_row(
             subject,
             [0, 1, 2, 3].map(|figure| medians[variant][figure] / medians[0][figure]),
             3,
@@ -168,12 +168,14 @@
     );
 }
 
-fn kind_row(subject: &str, [rate, p50, p99, cpu]: [f64; 4], digits: usize) {
-    println!("{subject:<20} {rate:>10.digits$} {p50:>8.2} {p99:>8.2} {cpu:>8.2}");
+fn print_kind_row(subject: &str, [rate, p50, p99, cpu]: [f64; 4], decimals: usize) {
+    println!("{subject:<20} {rate:>10.decimals$} {p50:>8.2} {p99:>8.2} {cpu:>8.2}");
 }
 
-fn row(connections: usize, subject: &str, [rate, p50, p99, cpu]: [f64; 4], digits: usize) {
-    println!("{connections:<12} {subject:<18} {rate:>10.digits$} {p50:>8.2} {p99:>8.2} {cpu:>8.2}");
+fn print_row(connections: usize, subject: &str, [rate, p50, p99, cpu]: [f64; 4], decimals: usize) {
+    println!(
+        "{connections:<12} {subject:<18} {rate:>10.decimals$} {p50:>8.2} {p99:>8.2} {cpu:>8.2}"
+    );
 }
 
 fn start_node(servers: &[Server]) -> (Node, Discovery, testkit::Watch) {
@@ -192,12 +194,17 @@
     (node, discovery, watch)
 }
 
-fn round(address: SocketAddr, process: u32, connections: usize, figures: &mut [Vec<f64>; 4]) {
-    let (start, before) = (Instant::now(), cpu_time(process));
+fn measure_round(
+    address: SocketAddr,
+    process_id: u32,
+    connections: usize,
+    figures: &mut [Vec<f64>; 4],
+) {
+    let (start, before) = (Instant::now(), cpu_time(process_id));
     let load = Load::start(address, connections, Duration::ZERO);
     thread::sleep(duration(ROUND_DURATION));
     let totals = load.finish();
-    let cpu = (cpu_time(process) - before).as_secs_f64();
+    let cpu = (cpu_time(process_id) - before).as_secs_f64();
     assert_eq!(totals.lost, 0, "the node or the proxy lost requests");
     figures[0].push(totals.sent as f64 / start.elapsed().as_secs_f64());
     figures[1].push(totals.latency_quantile(0.5).as_secs_f64() * 1e3);
--- a/crates/measure/src/decisions.rs
+++ b/crates/measure/src/decisions.rs
@@ -31,7 +31,7 @@
     for servers in SERVERS {
         let mut figures = [(); 4].map(|()| Vec::new());
         for seed in 0..count(ROUNDS, 1) {
-            let row = round(servers, seed as u64);
+            let row = measure_round(servers, seed as u64);
             figures
                 .iter_mut()
                 .zip(row)
@@ -69,12 +69,12 @@
             Event::Request(Request::new(id, 0, 750.0)),
             &mut self.actions,
         );
-        let sent = self
+        let is_sent = self
             .actions
             .iter()
             .any(|action| matches!(action, Action::Send { .. }));
         self.actions.clear();
-        if sent {
+        if is_sent {
             let elapsed_ms = 40.0 + (self.next_request % 80) as f64;
             let result = AttemptResult::Served;
             let outcome = Outcome {
@@ -98,7 +98,7 @@
     }
 }
 
-fn round(servers: usize, seed: u64) -> [f64; 4] {
+fn measure_round(servers: usize, seed: u64) -> [f64; 4] {
     let mut settings = Settings::new(vec![Class::new(300.0, 750.0, Idempotency::Idempotent)]);
     (settings.nodes, settings.node_index, settings.machine_kinds) = (300, 7, 2);
     let balancer = Balancer::new(settings, seed).expect("the settings are valid");
--- a/crates/measure/src/stable_hash.rs
+++ b/crates/measure/src/stable_hash.rs
@@ -43,7 +43,7 @@
     start.elapsed().as_secs_f64() * 1e9 / calls as f64
 }
 
-/// Shards of the node with the most shards under rendezvous hashing, as a multiple of the mean.
+/// Number of shards of the node with the most shards under rendezvous hashing, as a multiple of the mean.
 fn peak_share(hash: HashFunction, nodes: usize) -> f64 {
     let ids: Vec<_> = (0..nodes)
         .map(|node| MemberId::of(&format!("n{node}")).0)
@@ -72,7 +72,7 @@
 
 /// Prints the table of the hash functions.
 pub fn measure() {
-    println!("\n{SHARDS} shards by rendezvous hashing; peak: shards of the node with the most, as a multiple of the mean; medians of {ROUNDS} rounds");
+    println!("\n{SHARDS} shards by rendezvous hashing; peak: shards of the node with the most, as a multiple of the mean; ns/call: median of {ROUNDS} rounds");
     println!(
         "{:>14} {:>10} {:>14} {:>12} {:>12} {:>12}",
         "function", "ns/call", "bits changed", "peak of 5", "peak of 30", "peak of 300"
@@ -80,7 +80,8 @@
     for (name, hash) in HASH_FUNCTIONS {
         let mut costs: Vec<_> = (0..count(ROUNDS, 1)).map(|_| call_cost_ns(hash)).collect();
         let (cost, changed) = (quantile(&mut costs, 0.5), changed_bits(hash));
-        let [few, some, many] = [5, 30, 300].map(|nodes| peak_share(hash, nodes));
-        println!("{name:>14} {cost:>10.1} {changed:>14.2} {few:>12.2} {some:>12.2} {many:>12.2}");
+        let [peak_of_5, peak_of_30, peak_of_300] =
+            [5, 30, 300].map(|nodes| peak_share(hash, nodes));
+        println!("{name:>14} {cost:>10.1} {changed:>14.2} {peak_of_5:>12.2} {peak_of_30:>12.2} {peak_of_300:>12.2}");
     }
 }
