--- a/crates/measure/src/detectors.rs
+++ b/crates/measure/src/detectors.rs
@@ -297,7 +297,7 @@
     }
 }
 
-/// Results of one detector at one number of nodes.
+/// Measurements of one detector at one cluster size.
 #[derive(Default)]
 struct Row {
     /// Bytes sent per second and node.
@@ -498,7 +498,7 @@
 }
 
 /// Prints the table for 3,000 nodes, which takes many minutes.
-pub fn large() {
+pub fn measure_large() {
     table("detectors-large");
 }
 
@@ -523,12 +523,12 @@
     let Row {
         bytes,
         detection_s: [p50, tail],
-        false_verdicts: [ten, thirty],
+        false_verdicts: [false_10, false_30],
         cut_node_deaths,
         pair_deaths,
     } = measure_row(detector, nodes);
     format!(
-        "{name:>18} {nodes:>6} {bytes:>9.0} {p50:>10.2} {tail:>11.2} {ten:>14.1} {thirty:>14.1} {cut_node_deaths:>10} {pair_deaths:>10}"
+        "{name:>18} {nodes:>6} {bytes:>9.0} {p50:>10.2} {tail:>11.2} {false_10:>14.1} {false_30:>14.1} {cut_node_deaths:>10} {pair_deaths:>10}"
     )
 }
 
--- a/crates/measure/src/following.rs
+++ b/crates/measure/src/following.rs
@@ -13,11 +13,11 @@
     Watch as DiscoveryWatch,
 };
 
-use crate::system::{count, cpu_time, duration, memory_mb, quantile};
+use crate::system::{count, cpu_time, duration, memory_mib, quantile};
 use crate::ALLOCATOR;
 
 const CHANGES: usize = 50;
-/// The pause between two changes: longer than the interval between responses.
+/// Pause between two changes: longer than the interval between responses.
 const CHANGE_INTERVAL: Duration = Duration::from_millis(300);
 const INSTANCES: usize = 5_000;
 const CHANGES_PER_S: u64 = 100;
@@ -27,11 +27,11 @@
 
 /// Prints all measurements of this module.
 pub fn measure() {
-    propagation_delay();
-    allocations();
-    merging();
-    many_instances();
-    request_path();
+    measure_propagation_delay();
+    measure_allocations();
+    measure_merging();
+    measure_many_instances();
+    measure_request_path();
 }
 
 struct TestSite {
@@ -91,8 +91,8 @@
     )
 }
 
-/// Time from a drain at the source to the last request that the server received.
-fn propagation_delay() {
+/// Measures the time from a drain at the source to the last request that the server received.
+fn measure_propagation_delay() {
     println!("\nfrom a drain to the last request that reached the server ({CHANGES} drains, 16 clients), ms");
     println!("{:<44} {:>8} {:>8}", "", "median", "p99");
     let list_only = drain_delays(false, Duration::ZERO);
@@ -201,8 +201,8 @@
     updated_counts.sum()
 }
 
-/// Allocations and time of parsing a response.
-fn allocations() {
+/// Measures allocations and time of parsing a response.
+fn measure_allocations() {
     let mut watch = Watch::new(
         WatchSettings::new(Query::health("holds"), Mapping::default(), 1),
         1,
@@ -234,8 +234,8 @@
     }
 }
 
-/// Allocations and time of merging the endpoints of two sources.
-fn merging() {
+/// Measures allocations and time of merging the endpoints of two sources.
+fn measure_merging() {
     println!("\nmerging {INSTANCES} endpoints of two sources");
     println!(
         "{:<44} {:>12} {:>10} {:>8}",
@@ -293,15 +293,15 @@
     }
 }
 
-/// CPU and memory of a node that follows many instances while they change.
-fn many_instances() {
+/// Measures CPU, memory and Consul queries of a node that follows many instances while they change.
+fn measure_many_instances() {
     println!(
         "\nfollowing {INSTANCES} instances for {} s",
         FOLLOW_DURATION.as_secs()
     );
     println!(
         "{:<44} {:>8} {:>10} {:>12}",
-        "", "CPU %", "memory MB", "responses/s"
+        "", "CPU %", "memory MiB", "queries/s"
     );
     let unused = std::net::SocketAddr::from(([127, 0, 0, 1], 9));
     for (label, with_consul, changes) in [
@@ -340,25 +340,25 @@
         }
         let cpu_share = (cpu_time(site.node.process_id()) - cpu_before).as_secs_f64()
             / start.elapsed().as_secs_f64();
-        let responses =
+        let query_rate =
             (site.consul.query_count() - queries_before) as f64 / start.elapsed().as_secs_f64();
         println!(
-            "{label:<44} {:>8.1} {:>10.1} {responses:>12.1}",
+            "{label:<44} {:>8.1} {:>10.1} {query_rate:>12.1}",
             cpu_share * 100.0,
-            memory_mb(site.node.process_id())
+            memory_mib(site.node.process_id())
         );
     }
 }
 
-/// Figures of the nodes of a round: requests per second, median and 99th percentile of the latency in milliseconds, and
-/// CPU time per request in microseconds.
+/// Figures of the three nodes of a round (without Consul, with Consul, and again without): requests per second, median and
+/// 99th percentile of the latency in milliseconds, and CPU time per request in microseconds.
 type Round = [[f64; 4]; 3];
-/// Computes a value of a round from one of the figures of its nodes.
+/// Computes a value of a round for the figure with the given index.
 type RoundValue<'a> = &'a dyn Fn(&Round, usize) -> f64;
 
-/// Cost of following Consul for a request. Two processes of the same program differ by a few percent throughout their
-/// lifetime. Each round therefore starts new processes in a different order, and compares two identical nodes as well.
-pub fn request_path() {
+/// Measures the cost per request of following Consul. Two processes of the same program differ by a few percent throughout
+/// their lifetime. Each round therefore starts new processes in a different order, and compares two identical nodes as well.
+pub fn measure_request_path() {
     println!(
         "\nrequest path, {ROUNDS} rounds of newly started nodes, {} s each, 8 clients, 4 servers",
         ROUND_DURATION.as_secs_f64()
@@ -431,8 +431,8 @@
     ];
     for (index, (label, value_of, fraction)) in rows.into_iter().enumerate() {
         let [rate, p50, p99, cpu] = row_figures(value_of, fraction);
-        let digits = if index < 2 { 0 } else { 3 };
-        println!("{label:<44} {rate:>10.digits$} {p50:>8.3} {p99:>8.3} {cpu:>10.3}");
+        let decimals = if index < 2 { 0 } else { 3 };
+        println!("{label:<44} {rate:>10.decimals$} {p50:>8.3} {p99:>8.3} {cpu:>10.3}");
     }
 }
 
--- a/crates/measure/src/main.rs
+++ b/crates/measure/src/main.rs
@@ -5,7 +5,7 @@
 #![allow(
     clippy::needless_for_each,
     clippy::too_many_lines,
-    reason = "a scenario and the table that it prints stand in one function; short loops end iterator chains"
+    reason = "one function runs a scenario and prints its table; short loops end iterator chains"
 )]
 
 mod cold;
@@ -32,28 +32,29 @@
 #[global_allocator]
 static ALLOCATOR: &StatsAlloc<System> = &INSTRUMENTED_SYSTEM;
 
-/// First argument with which the subject `pool` starts this program again, as the proxy to compare the node with.
+/// First argument that makes this program run as a plain proxy. The subject `pool` starts it as a child process, to compare
+/// the node with it.
 const PLAIN_PROXY: &str = "plain-proxy";
 
 const SUBJECTS: [(&str, fn()); 20] = [
     ("decisions", decisions::measure),
-    ("members-drawn", members::random_faults),
-    ("members-days", members::node_days),
-    ("members-sizes", members::sizes),
-    ("members-large", members::large),
-    ("members", members::processes),
-    ("members-cost", members::cost),
+    ("members-drawn", members::measure_random_faults),
+    ("members-days", members::measure_node_days),
+    ("members-sizes", members::measure_sizes),
+    ("members-large", members::measure_large),
+    ("members", members::measure_process_faults),
+    ("members-cost", members::measure_cost),
     ("detectors", detectors::measure),
-    ("detectors-large", detectors::large),
-    ("owners", owners::processes),
-    ("owners-drawn", owners::random_faults),
-    ("owners-sizes", owners::sizes),
-    ("owners-model", owners::model),
+    ("detectors-large", detectors::measure_large),
+    ("owners", owners::measure_process_faults),
+    ("owners-drawn", owners::measure_random_faults),
+    ("owners-sizes", owners::measure_sizes),
+    ("owners-model", owners::measure_model_search),
     ("spread", stable_hash::measure),
     ("word", outlier_detection::measure),
     ("cold", cold::measure),
     ("membership", following::measure),
-    ("membership-path", following::request_path),
+    ("membership-path", following::measure_request_path),
     ("pool", connections::measure),
     ("pool-kinds", connections::measure_endpoint_kinds),
 ];
@@ -67,13 +68,13 @@
     /// Shorten every subject to a check that it still runs; the figures are meaningless then.
     #[arg(long)]
     brief: bool,
-    /// Duration of each cluster size of `owners`, instead of ten minutes.
+    /// Duration of the measurement of `owners` at each cluster size; ten minutes by default.
     #[arg(long, value_name = "SECONDS")]
     seconds: Option<u64>,
-    /// Run only this part of a subject that runs in parts, and print its details.
+    /// Run only parts of a subject that is divided into parts, from this one on; the parts of random trials are seeds.
     #[arg(long, value_name = "SEED")]
     seed: Option<u64>,
-    /// Number of parts to run, beginning with `--seed`; each prints one line.
+    /// Number of parts to run, beginning with `--seed`.
     #[arg(long, requires = "seed", default_value_t = 1)]
     seeds: u64,
 }
@@ -95,7 +96,7 @@
     if let Some(seconds) = command_line.seconds {
         system::set_duration(seconds);
     }
-    system::describe();
+    system::print_machine();
     if let Some(seed) = command_line.seed {
         print_parts(&command_line.subject, seed, command_line.seeds);
         return ExitCode::SUCCESS;
@@ -107,8 +108,8 @@
     ExitCode::SUCCESS
 }
 
-/// Prints some parts of a subject that runs in parts, a line each. A single seed that failed is printed with its fault
-/// schedule.
+/// Prints the rows of `count` parts of a subject, beginning with the part `first`. Subjects without a row function here run
+/// the trials of `members-drawn`; if a single trial fails, its fault schedule follows.
 fn print_parts(subject: &str, first: u64, count: u64) {
     for part in first..first + count {
         let line = match subject {
--- a/crates/measure/src/members.rs
+++ b/crates/measure/src/members.rs
@@ -1,5 +1,5 @@
-//! Cluster membership: in virtual time under random fault schedules and by cluster size, and with processes under the same
-//! faults.
+//! Measurements of cluster membership: random fault schedules in virtual time and with node processes, detection time and
+//! cost by cluster size, and the cost for a node process.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::{SocketAddr, UdpSocket};
@@ -14,7 +14,7 @@
 use testkit::{Fleet, Load};
 
 use crate::parts::{run_in_processes, SEEDS_PER_PROCESS};
-use crate::system::{count, cpu_time, duration, is_brief, memory_mb, quantile};
+use crate::system::{count, cpu_time, duration, is_brief, memory_mib, quantile};
 
 const SEEDS: usize = 10_000;
 const MAX_NODES: usize = 50;
@@ -37,8 +37,9 @@
 /// correct death verdicts follow.
 const AGREED: &str = "agreed";
 
-/// Random fault schedules in virtual time, `SEEDS_PER_PROCESS` seeds in each process.
-pub fn random_faults() {
+/// Measures the time until nodes agree after random fault schedules in virtual time, with up to `SEEDS_PER_PROCESS` seeds in
+/// each process.
+pub fn measure_random_faults() {
     let seeds = count(SEEDS, 4) as u64;
     let start = Instant::now();
     let outputs = run_in_processes("members-drawn", seeds, SEEDS_PER_PROCESS);
@@ -55,7 +56,7 @@
     let passed = convergence_times.len();
     let failed: Vec<_> = lines().filter(|line| line.starts_with("seed ")).collect();
     println!(
-        "\n{seeds} seeds of random faults, 5 to {MAX_NODES} nodes, a minute each; {:.0?}",
+        "\n{seeds} seeds of random faults, 5 to {MAX_NODES} nodes, a minute each; run time {:.0?}",
         start.elapsed()
     );
     let [p50, p99, max] =
@@ -70,8 +71,9 @@
 const NODE_DAYS_NODES: usize = 50;
 const NODE_DAYS_HOURS: f64 = 8.0;
 
-/// False death verdicts in virtual time: nodes that pause for a second now and then, on links with 10 % loss.
-pub fn node_days() {
+/// Counts false death verdicts in virtual time: each node pauses for a second about once in two minutes, on links with 10 %
+/// loss.
+pub fn measure_node_days() {
     let simulations = count(6, 1) as u64;
     let start = Instant::now();
     let outputs = run_in_processes("members-days", simulations, 1);
@@ -82,7 +84,7 @@
     };
     let [days, pauses, false_verdicts] = [0, 1, 2].map(sum);
     println!(
-        "\n{days:.1} node-days at 10 % loss, {pauses} pauses of 1 s; {:.0?}",
+        "\n{days:.1} node-days at 10 % loss, {pauses} pauses of 1 s; run time {:.0?}",
         start.elapsed()
     );
     println!("false verdicts: {false_verdicts}");
@@ -126,21 +128,22 @@
     times
 }
 
-/// Numbers of nodes, and of kills in each run.
+/// Cluster sizes of `members-sizes`, each with its number of kills at each loss.
 const SIZES: [(usize, usize); 3] = [(4, 40), (30, 40), (300, 6)];
+/// Cluster size of `members-large`, with its number of kills at each loss.
 const LARGE: [(usize, usize); 1] = [(3_000, 2)];
 
-/// Detection time and cost by number of nodes and loss, in virtual time.
-pub fn sizes() {
+/// Measures detection time and cost by number of nodes and loss, in virtual time.
+pub fn measure_sizes() {
     table("members-sizes", &SIZES);
 }
 
-/// The same for 3,000 nodes, which takes many minutes.
-pub fn large() {
+/// Measures detection time and cost of 3,000 nodes by loss, and partitions, in virtual time. Takes many minutes.
+pub fn measure_large() {
     table("members-large", &LARGE);
 }
 
-/// Parts of such a table: nodes, loss and kills.
+/// Number of nodes, loss and number of kills of each row, without sizes that are too large for a shortened measurement.
 fn parts_of(sizes: &[(usize, usize)]) -> Vec<(usize, f64, usize)> {
     let by_loss =
         |&(nodes, kills): &(usize, usize)| [0.0, 0.1, 0.3].map(|loss| (nodes, loss, kills));
@@ -151,12 +154,12 @@
         .collect()
 }
 
-/// Measures one part of `sizes` and returns its row.
+/// Measures one part of `members-sizes` and returns its row.
 pub fn size_row(part: u64) -> String {
     part_row(&SIZES, part)
 }
 
-/// Measures one part of `large` and returns its row.
+/// Measures one part of `members-large` and returns its row.
 pub fn large_row(part: u64) -> String {
     part_row(&LARGE, part)
 }
@@ -186,7 +189,7 @@
         "false",
         "CPU us/s"
     );
-    // The last part of `large` measures partitions.
+    // The last part of `members-large` measures partitions.
     let parts = parts_of(sizes).len() as u64 + u64::from(subject == "members-large");
     let outputs = run_in_processes(subject, parts, 1);
     outputs
@@ -195,8 +198,8 @@
         .for_each(|row| println!("{row}"));
 }
 
-/// Death verdicts of other nodes about any node while one node receives nothing, and all death verdicts while two nodes
-/// receive nothing from each other.
+/// Measures partitions and returns the row: the number of nodes that others declare dead while one node receives nothing, and
+/// the number of death verdicts while two nodes receive nothing from each other.
 fn partitions_row(nodes: usize) -> String {
     let mut fleet = VirtualCluster::new(nodes as u64, nodes);
     fleet.start_all(1_000.0);
@@ -227,13 +230,13 @@
         ..Link::default()
     });
     fleet.start_all(1_000.0);
-    // Until the starts of the nodes are no longer disseminated.
+    // Long enough that updates about the start of the nodes are no longer disseminated.
     fleet.run(if nodes > 1_000 { 90_000.0 } else { 60_000.0 });
     let (before, since) = (fleet.simulation.totals(), fleet.simulation.now_ms());
     let idle_ms = if nodes > 1_000 { 20_000.0 } else { 60_000.0 };
     let start = Instant::now();
     fleet.run(idle_ms);
-    // Includes the work of the simulation itself and the effect of parts that run at the same time.
+    // Elapsed time, which includes the work of the simulation itself and the effect of parts that run at the same time.
     let cpu_us = start.elapsed().as_secs_f64() * 1e6 / (idle_ms / 1e3) / nodes as f64;
     let after = fleet.simulation.totals();
     let false_verdicts = fleet.deaths_since(since).len();
@@ -272,8 +275,8 @@
     )
 }
 
-/// Processes of the node under random fault schedules, while six of them serve requests.
-pub fn processes() {
+/// Measures a cluster of node processes under random fault schedules, while up to six nodes serve requests.
+pub fn measure_process_faults() {
     const SERVING: usize = 6;
     let (nodes, run_duration) = (count(30, 5), duration(Duration::from_secs(600)));
     let serving = SERVING.min(nodes);
@@ -335,11 +338,11 @@
     let served: u64 = totals.iter().map(|totals| totals.with_status(200)).sum();
     let relayed = fleet.relay_totals();
     println!(
-        "\n{nodes} processes, {rounds} rounds of random faults, {:.0?}",
+        "\n{nodes} processes, {rounds} rounds of random faults, run time {:.0?}",
         start.elapsed()
     );
     println!(
-        "agreement after a round and 8 s: at most {:.2} s later",
+        "all nodes agreed at most {:.2} s after the wait of 8 s that follows each round",
         convergence_times.iter().copied().fold(0.0, f64::max)
     );
     println!(
@@ -360,12 +363,15 @@
     );
 }
 
-/// Cost of membership for a node: its processor time and memory, and request latencies in alternating rounds with
+/// Measures the cost of membership for a node: its processor time and memory, and request latencies in alternating rounds with
 /// membership off, on, and under a datagram flood.
-pub fn cost() {
+pub fn measure_cost() {
     const FLOOD_PER_S: u32 = 50_000;
-    println!("\nan idle node for {:?}", duration(IDLE_DURATION));
-    println!("{:>10} {:>10} {:>8}", "processes", "CPU ms/s", "MB");
+    println!(
+        "\nprocessor time and memory of an idle node, over {:?}",
+        duration(IDLE_DURATION)
+    );
+    println!("{:>10} {:>10} {:>8}", "processes", "CPU ms/s", "MiB");
     let single = Fleet::prepare(1, 3, "");
     let without = testkit::Node::start(
         &single
@@ -386,11 +392,11 @@
 
 const IDLE_DURATION: Duration = Duration::from_secs(10);
 
-fn print_idle_cost(nodes: usize, process: u32) {
-    let (before, elapsed) = (cpu_time(process), duration(IDLE_DURATION));
+fn print_idle_cost(nodes: usize, process_id: u32) {
+    let (before, elapsed) = (cpu_time(process_id), duration(IDLE_DURATION));
     thread::sleep(elapsed);
-    let used = (cpu_time(process) - before).as_secs_f64() * 1e3 / elapsed.as_secs_f64();
-    println!("{nodes:>10} {used:>10.2} {:>8.1}", memory_mb(process));
+    let used = (cpu_time(process_id) - before).as_secs_f64() * 1e3 / elapsed.as_secs_f64();
+    println!("{nodes:>10} {used:>10.2} {:>8.1}", memory_mib(process_id));
 }
 
 fn print_request_cost(fleet: &Fleet, without: &testkit::Node, flood_per_s: u32) {
--- a/crates/measure/src/owners.rs
+++ b/crates/measure/src/owners.rs
@@ -1,5 +1,5 @@
-//! Leases: random faults in virtual time, bounded searches, message costs, and processes of owners that are stopped,
-//! killed and partitioned.
+//! Measurements of leases: random faults in virtual time, bounded searches, message costs, and takeover after node processes
+//! are stopped, killed or partitioned.
 
 use std::time::{Duration, Instant};
 
@@ -42,8 +42,8 @@
     }
 }
 
-/// Random faults in virtual time.
-pub fn random_faults() {
+/// Counts violations of the lease invariants under random faults in virtual time.
+pub fn measure_random_faults() {
     let seeds = count(SEEDS, 4) as u64;
     let start = Instant::now();
     let outputs = run_in_processes("owners-drawn", seeds, SEEDS_PER_PROCESS);
@@ -57,7 +57,7 @@
     let passed = lines().filter(|line| line.starts_with(PASSED)).count();
     let failed: Vec<_> = lines().filter(|line| line.starts_with("seed ")).collect();
     println!(
-        "\n{seeds} seeds of random faults, 5 to 8 nodes (one in sixteen 15 to 30), 3 or 5 acceptors; {:.0?}",
+        "\n{seeds} seeds of random faults, 5 to 8 nodes (one in sixteen 15 to 30), 3 or 5 acceptors; run time {:.0?}",
         start.elapsed()
     );
     println!(
@@ -69,8 +69,9 @@
     failed.iter().take(10).for_each(|line| println!("  {line}"));
 }
 
-/// Searches of all event orders within bounds, and of injected faults that have to be found: see `testkit::lease_model`.
-pub fn model() {
+/// Searches all event orders within bounds for violations, first without a fault, then with injected faults that the search
+/// has to find: see `testkit::lease_model`.
+pub fn measure_model_search() {
     let max_states = count(MAX_STATES, 20_000);
     println!(
         "\nthree acceptors, two requesters; steps of a fifth of a lease; at most {max_states} states each"
@@ -101,8 +102,8 @@
     }
 }
 
-/// Cost of lease messages by the number of nodes, with 64 shards and five acceptors, in a minute of steady state.
-pub fn sizes() {
+/// Measures the cost of lease messages by the number of nodes, with 64 shards and five acceptors, in a minute of steady state.
+pub fn measure_sizes() {
     println!(
         "\n{SHARDS} shards, 5 acceptors, a minute of virtual time; messages include 16 bytes in place of the seal"
     );
@@ -149,17 +150,18 @@
     }
 }
 
-/// Owners that are stopped, killed and partitioned, while six nodes serve requests.
-pub fn processes() {
+/// Measures the time until a shard has a new owner after a node process is stopped, killed or partitioned, while up to six
+/// nodes serve requests.
+pub fn measure_process_faults() {
     for nodes in [9, 30] {
-        run_processes(
+        run_process_faults(
             count(nodes, 4),
             configured_duration(Duration::from_secs(600)),
         );
     }
 }
 
-fn run_processes(nodes: usize, run_duration: Duration) {
+fn run_process_faults(nodes: usize, run_duration: Duration) {
     const SERVING: usize = 6;
     const TAKEOVER_TIMEOUT: Duration = Duration::from_secs(30);
     let register = Register::start();
@@ -192,7 +194,7 @@
         } else {
             rng.usize(..nodes)
         };
-        // Half of the stopped nodes are the one that wrote last: of other nodes, hardly any would have a line in flight.
+        // Half of the stops hit the node that wrote last, because other nodes rarely have a line in flight.
         let last_writer = register
             .last()
             .and_then(|line| (0..nodes).find(|node| fleet.name(*node) == line.node));
@@ -201,7 +203,7 @@
             .unwrap_or(node);
         let owned_shard = fleet.owners(node).iter().position(|(_, left)| *left > 0);
         if kind == 0 {
-            // Lines written just before the stop arrive after its successor has written.
+            // Delays the lines of the node, so that those written just before the stop arrive after its successor has written.
             register.delay(fleet.name(node), duration(Duration::from_secs(6)));
             fleet.wait(duration(Duration::from_millis(1_200)));
         }
@@ -251,7 +253,7 @@
     let sent: u64 = totals.iter().map(|totals| totals.sent).sum();
     let lost: u64 = totals.iter().map(|totals| totals.lost).sum();
     println!(
-        "\n{nodes} processes, {SHARDS} shards, {rounds} stopped, killed or partitioned nodes, {:.0?}",
+        "\n{nodes} processes, {SHARDS} shards, {rounds} stopped, killed or partitioned nodes, run time {:.0?}",
         start.elapsed()
     );
     for (name, mut times) in [
@@ -263,7 +265,7 @@
             let n = times.len();
             let [p50, p99, max] = [0.5, 0.99, 1.0].map(|fraction| quantile(&mut times, fraction));
             println!(
-                "{name:>12}: {n} times, takeover after s: p50 {p50:.2}, p99 {p99:.2}, max {max:.2}"
+                "{name:>12}: {n} times, takeover time in s: p50 {p50:.2}, p99 {p99:.2}, max {max:.2}"
             );
         }
     }
--- a/crates/measure/src/parts.rs
+++ b/crates/measure/src/parts.rs
@@ -9,7 +9,7 @@
 
 use crate::system::is_brief;
 
-/// Seeds that one process runs.
+/// Maximum number of seeds that one process runs.
 pub const SEEDS_PER_PROCESS: u64 = 50;
 
 /// Calls `run` once with each number below `count`, on all cores.
--- a/crates/measure/src/system.rs
+++ b/crates/measure/src/system.rs
@@ -1,4 +1,4 @@
-//! Figures of the operating system about the machine and a process, quantiles, and the length of a measurement.
+//! Description of the machine, processor time and memory of a process, quantiles, and the length of a measurement.
 
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::time::Duration;
@@ -7,7 +7,7 @@
 const TICKS_PER_S: f64 = 100.0;
 
 /// Prints the number of cores and the processor model of the machine.
-pub fn describe() {
+pub fn print_machine() {
     let info = std::fs::read_to_string("/proc/cpuinfo").unwrap_or_default();
     let model = info
         .lines()
@@ -22,8 +22,8 @@
 
 /// Processor time used by a process so far.
 #[must_use]
-pub fn cpu_time(process: u32) -> Duration {
-    let stat = std::fs::read_to_string(format!("/proc/{process}/stat")).unwrap_or_default();
+pub fn cpu_time(process_id: u32) -> Duration {
+    let stat = std::fs::read_to_string(format!("/proc/{process_id}/stat")).unwrap_or_default();
     // The process name is parenthesized and may contain spaces; user and system time are the 12th and 13th fields after it.
     let fields = stat.rsplit_once(')').map_or("", |(_, fields)| fields);
     let ticks: f64 = fields
@@ -35,17 +35,17 @@
     Duration::from_secs_f64(ticks / TICKS_PER_S)
 }
 
-/// Resident memory of a process, in MB.
+/// Resident memory of a process, in MiB.
 #[must_use]
-pub fn memory_mb(process: u32) -> f64 {
-    let status = std::fs::read_to_string(format!("/proc/{process}/status")).unwrap_or_default();
+pub fn memory_mib(process_id: u32) -> f64 {
+    let status = std::fs::read_to_string(format!("/proc/{process_id}/status")).unwrap_or_default();
     let line = status
         .lines()
         .find_map(|line| line.strip_prefix("VmRSS:"))
         .unwrap_or("0");
     line.split_whitespace()
         .next()
-        .and_then(|kb| kb.parse::<f64>().ok())
+        .and_then(|kib| kib.parse::<f64>().ok())
         .unwrap_or(0.0)
         / 1024.0
 }
@@ -99,7 +99,7 @@
     let _ = CONFIGURED_S.set(seconds); // Called at most once, at the start.
 }
 
-/// Configured duration of such a subject, or the default, which a shortened measurement reduces.
+/// The duration given to `set_duration`, or else `default`, which is reduced in a shortened measurement.
 pub fn configured_duration(default: Duration) -> Duration {
     CONFIGURED_S
         .get()
