--- a/crates/measure/src/connections.rs
+++ b/crates/measure/src/connections.rs
@@ -56,7 +56,7 @@
 /// Prints the table by number of client connections.
 pub fn measure() {
     println!(
-        "\n{SERVERS} servers that respond without delay; {ROUNDS} alternating rounds of {} s each; medians",
+        "\n{SERVERS} servers that respond without delay; {ROUNDS} alternating rounds of {} s each; medians; CPU time per request",
         ROUND_DURATION.as_secs()
     );
     println!(
@@ -98,7 +98,7 @@
     const CONNECTIONS: usize = 32;
     let start_server = || Server::start(|_| Reply::ok("rooms: 3\n")).without_recording();
     println!(
-        "\nten servers, {CONNECTIONS} connections; {ROUNDS} alternating rounds of {} s each; medians",
+        "\nten servers, {CONNECTIONS} connections; {ROUNDS} alternating rounds of {} s each; medians; CPU time per request",
         ROUND_DURATION.as_secs()
     );
     println!(
--- a/crates/measure/src/detectors.rs
+++ b/crates/measure/src/detectors.rs
@@ -95,6 +95,8 @@
         }
     }
 
+    /// Sends a message about a node, with the updates that are disseminated. Kinds: 1 is a probe or heartbeat, 2 an
+    /// acknowledgement, 3 a request for an indirect probe.
     fn send(&mut self, out: &mut Outbox, to: NodeId, kind: u8, about: NodeId) {
         let mut bytes = vec![0; HEADER_BYTES];
         bytes[0] = kind;
@@ -534,7 +536,7 @@
 
 fn table(subject: &str) {
     println!(
-        "\nfailure detectors that tolerate pauses of {SUSPECT_MS} ms; detection times at 10 % loss\nfalse: verdicts per hour; one cut: nodes declared dead while one node receives nothing for 30 s; pair cut: verdicts while two nodes are cut off from each other for 60 s"
+        "\nfailure detectors that tolerate pauses of {SUSPECT_MS} ms; bytes sent per node; detection times at 10 % loss\nfalse: verdicts per hour; one cut: nodes declared dead while one node receives nothing for 30 s; pair cut: verdicts while two nodes are cut off from each other for 60 s"
     );
     println!(
         "{:>18} {:>6} {:>9} {:>10} {:>11} {:>14} {:>14} {:>10} {:>10}",
--- a/crates/measure/src/following.rs
+++ b/crates/measure/src/following.rs
@@ -360,7 +360,7 @@
 /// their lifetime. Each round therefore starts new processes in a different order, and compares two identical nodes as well.
 pub fn measure_request_path() {
     println!(
-        "\nrequest path, {ROUNDS} rounds of newly started nodes, {} s each, 8 clients, 4 servers",
+        "\nrequest path, {ROUNDS} rounds of newly started nodes, {} s each, 8 clients, 4 servers; CPU time per request",
         ROUND_DURATION.as_secs_f64()
     );
     println!(
--- a/crates/measure/src/members.rs
+++ b/crates/measure/src/members.rs
@@ -174,7 +174,7 @@
 
 fn table(subject: &str, sizes: &[(usize, usize)]) {
     println!(
-        "\nby nodes and loss; detection times of consecutive kills at all nodes; traffic and false verdicts without kills"
+        "\nby nodes and loss; detection times of consecutive kills at all nodes; traffic per node and false verdicts of the cluster without kills"
     );
     println!(
         "{:>6} {:>6} {:>11} {:>11} {:>11} {:>9} {:>11} {:>8} {:>6} {:>9}",
--- a/crates/measure/src/owners.rs
+++ b/crates/measure/src/owners.rs
@@ -105,7 +105,7 @@
 /// Measures the cost of lease messages by the number of nodes, with 64 shards and five acceptors, in a minute of steady state.
 pub fn measure_sizes() {
     println!(
-        "\n{SHARDS} shards, 5 acceptors, a minute of virtual time; messages include 16 bytes in place of the seal"
+        "\n{SHARDS} shards, 5 acceptors, a minute of virtual time; means per node; messages include 16 bytes in place of the seal"
     );
     println!(
         "{:>6} {:>16} {:>16} {:>16} {:>16} {:>20}",
