--- a/tests/watches.rs
+++ b/tests/watches.rs
@@ -1,5 +1,5 @@
-//! Faults of the watch on the endpoint list. Changes of the list must take effect in time after each
-//! of them.
+//! Faults of the watch on the endpoint list. After each of them, changes of the list must take effect
+//! in time.
 
 use std::io::{BufReader, Read, Write};
 use std::net::{TcpListener, TcpStream};
@@ -10,31 +10,31 @@
 use testkit::*;
 
 const HEAD: &str = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
-/// Time within which a change must take effect after a signal that moves discovery.
-const MOVE_DEADLINE: Duration = Duration::from_secs(4);
+/// Time within which a change must take effect after a SIGHUP that changes the address of discovery.
+const ADDRESS_CHANGE_DEADLINE: Duration = Duration::from_secs(4);
 
-fn chunk(text: &str) -> String {
-    format!("{:x}\r\n{text}\r\n", text.len())
+fn chunk(data: &str) -> String {
+    format!("{:x}\r\n{data}\r\n", data.len())
 }
 
 /// How a watch fails.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Fault {
-    /// The connection is accepted, and nothing is received.
+    /// The service accepts the connection and sends nothing.
     NoResponse,
-    /// The response's head is received, and then nothing.
+    /// The service sends the head of the response and then nothing.
     HeadOnly,
-    /// Empty lines are received, and then nothing.
+    /// The service sends two empty lines and then nothing.
     Silent,
-    /// A part of a line is received, and then nothing.
+    /// The service sends a part of a line and then nothing.
     PartialLine,
-    /// A line continues and does not end.
+    /// The service continues to send a line that does not end.
     EndlessLine,
     /// The service responds with 503.
     Unavailable,
-    /// The connection is reset within a line.
+    /// The service resets the connection within a line.
     Reset,
-    /// A line is not JSON.
+    /// The service sends a line that is not JSON.
     Malformed,
 }
 
@@ -50,7 +50,8 @@
         Self::Malformed,
     ];
 
-    /// Injects the fault into a watch and keeps its connection open until the node closes it.
+    /// Sends the bytes of the fault. `Reset` then returns, and the connection is reset when the caller
+    /// drops it; the other faults keep it open until the node closes it, for at most `WAIT_TIMEOUT`.
     fn inject(self, stream: &mut TcpStream) {
         self.send_initial_bytes(stream);
         self.continue_until_closed(stream);
@@ -58,7 +59,7 @@
 
     fn send_initial_bytes(self, stream: &mut TcpStream) {
         let line = endpoint_list(2, false, &[]);
-        let text = match self {
+        let initial_bytes = match self {
             Self::NoResponse => String::new(),
             Self::HeadOnly => HEAD.to_owned(),
             Self::Silent => format!("{HEAD}{}{}", chunk("\n"), chunk("\n")),
@@ -70,8 +71,8 @@
             }
             Self::Malformed => format!("{HEAD}{}", chunk("{\"generation\":}\n")),
         };
-        // The write fails if the node has already closed the watch because discovery has moved.
-        let _ = stream.write_all(text.as_bytes());
+        // The write fails if the node has already closed the watch because the address of discovery has changed.
+        let _ = stream.write_all(initial_bytes.as_bytes());
         if self == Self::Reset {
             let _ = socket2::SockRef::from(&*stream).set_linger(Some(Duration::ZERO));
         }
@@ -95,8 +96,8 @@
     }
 }
 
-/// Two servers that respond with their index, and settings with a grace period within which a
-/// change of the list must take effect.
+/// Two servers that respond with their index, and settings with a drain grace period of 2 s and an
+/// `ask_within_ms` of 10 s.
 struct Cluster {
     servers: [Server; 2],
     settings: String,
@@ -191,7 +192,7 @@
     assert_eq!(
         requests_whole_list,
         fault == Fault::Malformed,
-        "expected a request for the whole list only after a malformed one; got {request_line}"
+        "expected a request for the whole list only after a malformed line; got {request_line}"
     );
     cluster.drain_first_server(&mut second, &node, 3, requests_whole_list);
     let elapsed = since.elapsed();
@@ -212,7 +213,10 @@
         let elapsed = run
             .join()
             .unwrap_or_else(|_| panic!("run with {fault:?} panicked"));
-        assert!(elapsed < PROPAGATION_DEADLINE, "{fault:?}: {elapsed:?}");
+        assert!(
+            elapsed < PROPAGATION_DEADLINE,
+            "{fault:?}: the change took {elapsed:?}"
+        );
     }
 }
 
@@ -226,10 +230,10 @@
     check_propagation_after_every_fault(true);
 }
 
-/// Runs a node whose first watch fails and whose discovery moves, one right after the other:
-/// `fault_first` selects the order. The new discovery drains the first of two servers. Returns the
-/// time from the signal until the drain takes effect.
-fn propagation_after_move(fault: Fault, subscribed: bool, fault_first: bool) -> Duration {
+/// Runs a node whose first watch fails and whose configured address of discovery changes, one right
+/// after the other: `fault_first` selects the order. The new discovery drains the first of two
+/// servers. Returns the time from the signal until the drain takes effect.
+fn propagation_after_address_change(fault: Fault, subscribed: bool, fault_first: bool) -> Duration {
     let cluster = Cluster::new(subscribed);
     let discoveries =
         [0; 2].map(|_| TcpListener::bind("127.0.0.1:0").expect("bind a loopback socket"));
@@ -283,8 +287,8 @@
     elapsed
 }
 
-/// Guards against a move of discovery that is delayed by the old watch, which fails just before or
-/// just after the move.
+/// Guards against a change of the address of discovery that is delayed by the old watch, which fails
+/// just before or just after the change.
 #[test]
 fn discovery_move_around_a_watch_fault_takes_effect_in_time() {
     for subscribed in [false, true] {
@@ -295,7 +299,9 @@
             .map(|case| {
                 (
                     case,
-                    std::thread::spawn(move || propagation_after_move(case.0, subscribed, case.1)),
+                    std::thread::spawn(move || {
+                        propagation_after_address_change(case.0, subscribed, case.1)
+                    }),
                 )
             })
             .collect();
@@ -304,15 +310,15 @@
                 panic!("run with {case:?}, subscribed: {subscribed}, panicked")
             });
             assert!(
-                elapsed < MOVE_DEADLINE,
-                "{case:?}, subscribed: {subscribed}: {elapsed:?}"
+                elapsed < ADDRESS_CHANGE_DEADLINE,
+                "{case:?}, subscribed: {subscribed}: the change took {elapsed:?}"
             );
         }
     }
 }
 
 /// Guards against requesting from a new discovery the changes since a generation of the old one, if
-/// discovery moves while the node waits to subscribe again.
+/// the address changes while the node waits to subscribe again.
 #[test]
 fn new_discovery_receives_a_request_for_the_whole_list() {
     let settings = settings(15_000).replace("automatic", "subscribe").replace(
