--- a/tests/close_range.rs
+++ b/tests/close_range.rs
@@ -18,8 +18,8 @@
 use testkit::*;
 use tokio::sync::watch;
 
-/// Maximum time from SIGTERM to the last response, for classes with a deadline of 3 s or more: SIGKILL may follow after
-/// it.
+/// Maximum time from SIGTERM to the last response, for classes with a deadline of 3 s or more. SIGKILL may follow
+/// when it has passed.
 const MAX_EXIT_TIME: Duration = Duration::from_millis(3_700);
 
 /// Guards against a node that exits before it has answered the requests that arrived before SIGTERM, even if their
@@ -46,7 +46,7 @@
         .collect();
     assert!(
         terminated_at.elapsed() < MAX_EXIT_TIME,
-        "took {:?}",
+        "the responses took {:?}",
         terminated_at.elapsed()
     );
     assert_eq!(
@@ -90,7 +90,8 @@
         client.send(&format!("{}{extra}", read_request("first", "600000m")));
         wait_until("the attempt is sent", || server.requests().len() == 1);
         assert_eq!(server.closed_connections(), 0);
-        // A half-close also counts as a disconnection: the protocol defines no other way for a client to leave.
+        // A half-close also counts as a disconnection: the protocol defines no other way for a client to abandon a
+        // request.
         let half_closed = half_closes.then(|| client.shutdown_write());
         let half_closed = half_closed.map(|()| client);
         wait_until("the attempt is cancelled", || {
@@ -165,7 +166,7 @@
 
     fn with_server(server: Server) -> Self {
         let known = endpoint_list(1, true, &[server.endpoint_entry("s-0", "ready")]);
-        let text = config(Unreachable::reserve().address, &known, &settings(60_000));
+        let config_text = config(Unreachable::reserve().address, &known, &settings(60_000));
         let runtime = tokio::runtime::Builder::new_current_thread()
             .enable_all()
             .build()
@@ -174,8 +175,8 @@
         let (phase, phases) = watch::channel(Phase::Serving);
         let (address, serving) = local.block_on(&runtime, async {
             let dispatcher =
-                Dispatcher::start(&Config::parse(&text).expect("a valid configuration"))
-                    .expect("valid settings");
+                Dispatcher::start(&Config::parse(&config_text).expect("parse the configuration"))
+                    .expect("start the dispatcher");
             let listener = tokio::net::TcpListener::bind("127.0.0.1:0")
                 .await
                 .expect("bind a loopback socket");
@@ -253,8 +254,8 @@
         let mut received = Vec::new();
         self.run_until("the readiness endpoint responds", || {
             let mut buffer = [0; 4096];
-            let bytes = client.read(&mut buffer).unwrap_or(0);
-            received.extend_from_slice(&buffer[..bytes]);
+            let length = client.read(&mut buffer).unwrap_or(0);
+            received.extend_from_slice(&buffer[..length]);
             received.ends_with(b"\r\n\r\n")
         });
     }
@@ -269,7 +270,7 @@
 /// answered completely, on an idle connection and on a new one, whichever event the loop handles first.
 #[test]
 fn request_in_same_loop_iteration_as_shutdown_is_answered() {
-    let request = read_request("crossing", "15000m");
+    let request = read_request("concurrent", "15000m");
     for is_idle in [true, false] {
         for bytes_ahead in [0, 1, request.len() / 2, request.len() - 1, request.len()] {
             let node = InProcessNode::start();
@@ -403,7 +404,7 @@
 /// except for two steps, so that every iteration in which the bytes can arrive is tried.
 #[test]
 fn request_in_same_loop_iteration_as_timeout_is_answered() {
-    let request = read_request("crossing", "15000m");
+    let request = read_request("concurrent", "15000m");
     for (is_idle, bytes_ahead) in [(false, 0), (false, request.len() / 2), (true, 0)] {
         let (mut open_cases, mut closed_cases) = (0, 0);
         for iterations in 0..MAX_ITERATIONS {
@@ -431,8 +432,7 @@
                 for _ in 0..iterations {
                     tokio::task::yield_now().await;
                 }
-                // The node runs in this thread: a connection that it has closed shows here, and it does nothing until
-                // the bytes are written.
+                // The node runs in this thread, so its state does not change between this check and the write below.
                 let was_open =
                     matches!(client.peek(&mut [0; 1]), Err(e) if e.kind() == std::io::ErrorKind::WouldBlock);
                 let _ = client.write_all(&request.as_bytes()[bytes_ahead..]);
@@ -500,12 +500,12 @@
         let (received, is_graceful) = node.read_to_end(client);
         assert!(
             received.is_empty() && is_graceful,
-            "client {index} got no graceful close; received {received:?}"
+            "client {index}: expected a graceful close and no bytes; received {received:?}"
         );
         // The client sends a request before it notices the close. If the node no longer reads, the first write causes a
         // reset and the second one fails.
         for _ in 0..2 {
-            let request = post_request("behind", "pay", "", "x");
+            let request = post_request("late", "pay", "", "x");
             client
                 .write_all(request.as_bytes())
                 .expect("the node still reads");
@@ -536,14 +536,16 @@
     fn start() -> Self {
         let listener = socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None)
             .expect("create a socket");
-        let any = std::net::SocketAddr::from(([127, 0, 0, 1], 0));
-        listener.bind(&any.into()).expect("bind a loopback socket");
+        let bind_address = std::net::SocketAddr::from(([127, 0, 0, 1], 0));
+        listener
+            .bind(&bind_address.into())
+            .expect("bind a loopback socket");
         listener.listen(0).expect("listen on the socket");
         let address = listener
             .local_addr()
             .expect("read the local address")
             .as_socket()
-            .expect("an IPv4 address");
+            .expect("the listener has an IPv4 address");
         Self {
             _backlog_filler: TcpStream::connect(address).expect("the backlog holds one connection"),
             listener,
@@ -569,9 +571,9 @@
         connection
             .set_read_timeout(Some(Duration::from_millis(500)))
             .expect("configure the socket");
-        let (mut stream, mut read) = (TcpStream::from(connection), [0; 4096]);
-        let bytes = stream.read(&mut read).unwrap_or(0);
-        Some(read[..bytes].to_vec())
+        let (mut stream, mut buffer) = (TcpStream::from(connection), [0; 4096]);
+        let length = stream.read(&mut buffer).unwrap_or(0);
+        Some(buffer[..length].to_vec())
     }
 }
 
@@ -589,10 +591,10 @@
             true,
             &[endpoint_entry("s-0", slow_server.address, "ready")],
         );
-        let text = settings(600_000).replace("\"cancel\":true", "\"cancel\":false");
-        let node = Node::start(&config(Unreachable::reserve().address, &known, &text));
+        let settings = settings(600_000).replace("\"cancel\":true", "\"cancel\":false");
+        let node = Node::start(&config(Unreachable::reserve().address, &known, &settings));
         let mut client = node.connect();
-        client.send(&read_request("left", "600000m"));
+        client.send(&read_request("disconnected", "600000m"));
         std::thread::sleep(REACTION_TIME);
         drop(client);
         std::thread::sleep(REACTION_TIME);
@@ -616,9 +618,9 @@
         let slow_server = SlowToConnectServer::start();
         let discovery = Discovery::start();
         let known = endpoint_list(1, true, &[closing_server.endpoint_entry("s-0", "ready")]);
-        let text =
+        let settings =
             settings(15_000).replace("\"dedup_window_ms\":60000.0", "\"dedup_window_ms\":900.0");
-        let node = Node::start(&config(discovery.address, &known, &text));
+        let node = Node::start(&config(discovery.address, &known, &settings));
         let mut watch = discovery.watch();
         let mut client = node.connect();
         client.send(&post_request(
@@ -755,7 +757,10 @@
     threads
         .into_iter()
         .for_each(|thread| thread.join().expect("join the connecting thread"));
-    assert!(elapsed < Duration::from_secs(3), "took {elapsed:?}");
+    assert!(
+        elapsed < Duration::from_secs(3),
+        "shutdown took {elapsed:?}"
+    );
 }
 
 /// Guards against forwarding a request whose client sends only a part of it and closes gracefully or with a reset.
@@ -820,7 +825,7 @@
             wait_until("the whole request arrives", || {
                 stream
                     .peek(&mut received)
-                    .is_ok_and(|bytes| received[..bytes].ends_with(BODY.as_bytes()))
+                    .is_ok_and(|length| received[..length].ends_with(BODY.as_bytes()))
             });
             let length = stream.peek(&mut received).expect("peek at the request");
             let id = request_id_in(&received[..length]).expect("the request has an id");
@@ -966,10 +971,13 @@
             let head_length = first
                 .windows(4)
                 .position(|window| window == b"\r\n\r\n")
-                .expect("the first part contains the head")
+                .expect("the first part contains the whole head")
                 + 4;
             let body_length = first.len() - head_length + rest.len();
-            assert!(elapsed < MAX_EXIT_TIME, "took {elapsed:?}");
+            assert!(
+                elapsed < MAX_EXIT_TIME,
+                "the rest of the response took {elapsed:?}"
+            );
             assert_eq!(
                 (body_length == STREAMED_BYTES, is_graceful || !rest_arrives),
                 (rest_arrives, true),
@@ -1012,7 +1020,7 @@
     assert_eq!(node.wait().code(), Some(0));
     assert!(
         terminated_at.elapsed() < MAX_EXIT_TIME,
-        "took {:?}",
+        "shutdown took {:?}",
         terminated_at.elapsed()
     );
 }
