--- a/tests/clients.rs
+++ b/tests/clients.rs
@@ -14,13 +14,13 @@
 /// A node with few connection slots for clients, and an empty endpoint list.
 fn small_node() -> (Node, Discovery) {
     let discovery = Discovery::start();
-    let text = config(
+    let small_config = config(
         discovery.address,
         &endpoint_list(1, true, &[]),
         &settings(15_000),
     )
     .replace("1024", "16");
-    (Node::start(&text), discovery)
+    (Node::start(&small_config), discovery)
 }
 
 /// Guards against request smuggling: a request hidden in the body of another is seen by one parser and not by the next.
@@ -61,7 +61,8 @@
         assert!(client.is_closed(), "{headers}");
     }
     assert!(server.requests().is_empty());
-    // Only its last chunk shows the length of a chunked body, so nothing after it is read from the connection.
+    // The length of a chunked body is known only from its last chunk; the node closes the connection after it and does
+    // not read the hidden request.
     let mut client = node.connect();
     client.send(&with_headers("Transfer-Encoding: chunked"));
     assert_eq!(
@@ -115,10 +116,10 @@
 /// Guards against a second request with the id of an open one, which a server would treat as a retry.
 #[test]
 fn request_id_in_progress_is_rejected_until_answered() {
-    let open = Arc::new(AtomicBool::new(false));
-    let gate = Arc::clone(&open);
+    let gate = Arc::new(AtomicBool::new(false));
+    let server_gate = Arc::clone(&gate);
     let server = Server::start(move |_| {
-        wait_until("the gate opens", || gate.load(Ordering::SeqCst));
+        wait_until("the gate opens", || server_gate.load(Ordering::SeqCst));
         Reply::ok("yes")
     });
     let (node, _discovery, _watch) = Node::start_with_servers(&[&server], 15_000);
@@ -126,7 +127,7 @@
     first.send(&read_request("a", "15000m"));
     wait_until("the request is sent", || server.requests().len() == 1);
     assert_eq!(node.request(&read_request("a", "15000m")).status(), 409);
-    open.store(true, Ordering::SeqCst);
+    gate.store(true, Ordering::SeqCst);
     assert_eq!(
         first.read_response().expect("read the response").status(),
         200
@@ -138,7 +139,7 @@
     );
 }
 
-/// Guards against clients that occupy a connection for long while they send nothing or only a part of a request.
+/// Guards against clients that keep a connection slot occupied while they send nothing or only a part of a request.
 #[test]
 fn client_with_incomplete_request_is_disconnected() {
     let (node, _discovery) = small_node();
@@ -163,11 +164,12 @@
     );
 }
 
-/// Guards against many clients that send incomplete heads and thereby exclude clients with requests.
+/// Guards against many clients that send incomplete heads and occupy the connection slots that clients with requests
+/// need.
 #[test]
 fn connections_with_incomplete_heads_are_evicted_for_requests() {
     let (node, _discovery) = small_node();
-    let mut crowd: Vec<_> = (0..40)
+    let mut incomplete_clients: Vec<_> = (0..40)
         .map(|_| {
             let mut client = node.connect();
             client.send("GET /up HTTP/1.1\r\nHost: a\r\nX-");
@@ -180,13 +182,13 @@
         client.read_response().expect("read the response").status(),
         200
     );
-    assert!(crowd.iter_mut().all(Client::is_closed));
+    assert!(incomplete_clients.iter_mut().all(Client::is_closed));
 }
 
 /// Guards against closing a connection with unread bytes: the kernel would reset it, and the client would lose the
 /// response.
 #[test]
-fn oversized_request_receives_its_rejection() {
+fn rejection_is_received_despite_unread_bytes() {
     let (node, _discovery) = small_node();
     let large = "x".repeat(1 << 20);
     let oversized =
@@ -302,10 +304,10 @@
     record_reused_connections(&node);
     let load = Load::start(node.address, 8, Duration::from_millis(100));
     for _ in 0..10 {
-        let mut newcomer = node.connect();
-        newcomer.send(UP_REQUEST);
+        let mut new_client = node.connect();
+        new_client.send(UP_REQUEST);
         assert_eq!(
-            newcomer
+            new_client
                 .read_response()
                 .expect("read the response on a new connection")
                 .status(),
@@ -341,17 +343,17 @@
 fn slowly_written_request_is_not_evicted_by_silent_connections() {
     let (node, _discovery) = small_node();
     let mut slow = node.connect();
-    let mut crowd = Vec::new();
+    let mut silent_clients = Vec::new();
     for chunk in "GET /up HTTP/1.1\r\nHost: a\r\n\r\n".as_bytes().chunks(6) {
-        slow.send(std::str::from_utf8(chunk).expect("ASCII text"));
-        crowd.extend((0..20).map(|_| node.connect()));
+        slow.send(std::str::from_utf8(chunk).expect("the request is ASCII"));
+        silent_clients.extend((0..20).map(|_| node.connect()));
         std::thread::sleep(Duration::from_millis(40)); // Far below the pause after which a client counts as stalled.
     }
     assert_eq!(
         slow.read_response().expect("read the response").status(),
         200
     );
-    let evicted = crowd
+    let evicted = silent_clients
         .iter_mut()
         .take(80)
         .filter_map(|client| client.is_closed().then_some(()))
--- a/tests/node.rs
+++ b/tests/node.rs
@@ -48,7 +48,7 @@
         .header("req-deadline")
         .and_then(|d| d.strip_suffix('u'));
     let remaining: u64 = remaining
-        .expect("a deadline in microseconds")
+        .expect("the forwarded deadline is in microseconds")
         .parse()
         .expect("parse the number");
     assert!(
@@ -148,15 +148,17 @@
 /// retry.
 #[test]
 fn declined_request_is_retried_even_if_not_idempotent() {
-    let seen = AtomicUsize::new(0);
-    let server = Server::start(move |_| match seen.fetch_add(1, Ordering::SeqCst) {
-        0 => Reply::Send(response(
-            "503 Service Unavailable",
-            "Srv-Declined: 1\r\n",
-            "",
-        )),
-        _ => Reply::ok("yes"),
-    });
+    let request_count = AtomicUsize::new(0);
+    let server = Server::start(
+        move |_| match request_count.fetch_add(1, Ordering::SeqCst) {
+            0 => Reply::Send(response(
+                "503 Service Unavailable",
+                "Srv-Declined: 1\r\n",
+                "",
+            )),
+            _ => Reply::ok("yes"),
+        },
+    );
     let (node, _discovery, _watch) = Node::start_with_servers(&[&server], 15_000);
     assert_eq!(
         node.request(&post_request("a", "pay", "", "x")).status(),
@@ -168,10 +170,10 @@
 #[test]
 fn request_to_unreachable_server_is_retried_elsewhere() {
     let server = Server::start(|_| Reply::ok("yes"));
-    let nobody = Unreachable::reserve();
+    let unreachable = Unreachable::reserve();
     let discovery = Discovery::start();
     let entries = [
-        endpoint_entry("s-dead", nobody.address, "ready"),
+        endpoint_entry("s-dead", unreachable.address, "ready"),
         server.endpoint_entry("s-live", "ready"),
     ];
     let node = Node::start(&config(
@@ -361,7 +363,7 @@
     assert_eq!(node.request(&request[..request.len() - 1]).status(), 408);
 }
 
-/// Guards against rejections that do not tell the client when to retry.
+/// Guards against rejections without the time after which the client may retry.
 #[test]
 fn rejection_for_lack_of_capacity_has_retry_after() {
     let slow = Server::start(|_| {
@@ -383,9 +385,9 @@
         .as_ref()
         .and_then(|response| response.header("retry-after"));
     let retry_after: f64 = retry_after
-        .expect("a Retry-After header")
+        .expect("the rejection has a Retry-After header")
         .parse()
-        .expect("a number of seconds");
+        .expect("parse the number of seconds");
     assert!(
         retry_after > 0.0 && retry_after < 15.0,
         "Retry-After: {retry_after} s"
@@ -396,13 +398,13 @@
 /// latency objective, but it can serve more than one request at a time.
 #[test]
 fn server_with_high_latency_gets_concurrent_requests() {
-    let seen = Arc::new(AtomicUsize::new(0));
-    let counted = Arc::clone(&seen);
+    let request_count = Arc::new(AtomicUsize::new(0));
+    let server_request_count = Arc::clone(&request_count);
     let server = Server::start(move |_| {
-        match counted.fetch_add(1, Ordering::SeqCst) {
+        match server_request_count.fetch_add(1, Ordering::SeqCst) {
             0 => std::thread::sleep(Duration::from_millis(2_600)),
             _ => wait_until("two requests are at the server at once", || {
-                counted.load(Ordering::SeqCst) == 3
+                server_request_count.load(Ordering::SeqCst) == 3
             }),
         }
         Reply::Send(response(
@@ -416,7 +418,7 @@
     let (mut first, mut second) = (node.connect(), node.connect());
     first.send(&read_request("b", "10000m"));
     wait_until("the first request reaches the server", || {
-        seen.load(Ordering::SeqCst) == 2
+        request_count.load(Ordering::SeqCst) == 2
     });
     second.send(&read_request("c", "10000m"));
     assert_eq!(
@@ -675,8 +677,8 @@
 
 impl LocalNode {
     async fn start(config: &str, max_connections: usize) -> Self {
-        let config = Config::parse(config).expect("a valid configuration");
-        let dispatcher = Dispatcher::start(&config).expect("valid settings");
+        let config = Config::parse(config).expect("parse the configuration");
+        let dispatcher = Dispatcher::start(&config).expect("start the dispatcher");
         let listener = tokio::net::TcpListener::bind("127.0.0.1:0")
             .await
             .expect("bind a loopback socket");
@@ -697,7 +699,7 @@
 #[test]
 fn draining_node_accepts_and_keeps_connections_until_shutdown() {
     let unreachable = Unreachable::reserve();
-    let text = config(
+    let config_text = config(
         unreachable.address,
         &endpoint_list(1, true, &[]),
         &settings(15_000),
@@ -707,7 +709,7 @@
             address,
             phase,
             serving,
-        } = LocalNode::start(&text, 16).await;
+        } = LocalNode::start(&config_text, 16).await;
         let deadline = Instant::now() + WAIT_TIMEOUT;
         phase.send_replace(Phase::Draining(deadline));
         let mut client = tokio::net::TcpStream::connect(address)
@@ -760,9 +762,9 @@
 fn draining_node_rejects_requests_to_keep_connections_free() {
     let (gate, server) = gated_server();
     let known = endpoint_list(1, true, &[server.endpoint_entry("s-0", "ready")]);
-    let text = config(Unreachable::reserve().address, &known, &settings(60_000));
+    let config_text = config(Unreachable::reserve().address, &known, &settings(60_000));
     run_locally(async {
-        let LocalNode { address, phase, .. } = LocalNode::start(&text, 64).await;
+        let LocalNode { address, phase, .. } = LocalNode::start(&config_text, 64).await;
         let mut clients = Vec::new();
         for _ in 0..12 {
             let mut client = tokio::net::TcpStream::connect(address)
@@ -816,13 +818,13 @@
 #[test]
 fn draining_node_closes_no_idle_connection() {
     let unreachable = Unreachable::reserve();
-    let text = config(
+    let config_text = config(
         unreachable.address,
         &endpoint_list(1, true, &[]),
         &settings(15_000),
     );
     run_locally(async {
-        let LocalNode { address, phase, .. } = LocalNode::start(&text, 8).await;
+        let LocalNode { address, phase, .. } = LocalNode::start(&config_text, 8).await;
         tokio::task::yield_now().await; // Lets the node subscribe to its phases.
         phase.send_replace(Phase::Draining(Instant::now() + 3 * WAIT_TIMEOUT));
         let mut clients = Vec::new();
@@ -846,7 +848,8 @@
     });
 }
 
-/// Guards against a SIGHUP that ends the process, and against a node that stays with the previous discovery endpoint.
+/// Guards against a SIGHUP that ends the process, and against a node that continues to watch the previous
+/// discovery endpoint.
 #[test]
 fn sighup_moves_the_watch_to_the_newly_configured_discovery() {
     let servers: Vec<_> = (0..3)
@@ -857,12 +860,12 @@
     let mut watches = vec![(old, watch)];
     for n in [1, 2, 0] {
         let discovery = Discovery::start();
-        let text = config(
+        let new_config = config(
             discovery.address,
             &endpoint_list(1, true, &[]),
             &settings(15_000),
         );
-        node.reload(&text);
+        node.reload(&new_config);
         let mut watch = discovery.watch();
         assert!(
             !watch.request_line.contains("from="),
@@ -877,14 +880,14 @@
         wait_until("requests go to the server of the new list", || {
             node.request(&read_request("a", "15000m")).body == n.to_string().as_bytes()
         });
-        let (_, previous) = watches.last_mut().expect("at least one watch");
+        let (_, previous) = watches.last_mut().expect("the list has at least one watch");
         assert!(previous.is_closed(), "the previous watch is closed");
         watches.push((discovery, watch));
         // An invalid file changes nothing, whatever is wrong with it.
         for invalid in [
             "{".to_owned(),
-            text.replace("\"0f\"", "7"),
-            text.replace("127.0.0.1:0", "here"),
+            new_config.replace("\"0f\"", "7"),
+            new_config.replace("127.0.0.1:0", "here"),
         ] {
             node.reload(&invalid);
             assert_eq!(
@@ -893,7 +896,7 @@
                 n.to_string().as_bytes()
             );
         }
-        let (_, watch) = watches.last_mut().expect("at least one watch");
+        let (_, watch) = watches.last_mut().expect("the list has at least one watch");
         watch.send(&format!(
             "{}\n",
             endpoint_list(4, true, &[servers[n].endpoint_entry(&id, "ready")])
@@ -903,7 +906,7 @@
 
 /// Guards against applying changes to a list of another generation than the one they are based on.
 #[test]
-fn generation_that_goes_back_triggers_a_full_list_request() {
+fn decreasing_generation_triggers_a_full_list_request() {
     let server = Server::start(|_| Reply::ok("yes"));
     let (_node, discovery, mut watch) = Node::start_with_servers(&[&server], 15_000);
     watch.send(&format!("{}\n", endpoint_list(9, false, &[])));
@@ -914,7 +917,7 @@
 #[test]
 fn invalid_configuration_ends_the_process_with_one_line() {
     let valid = config(
-        "127.0.0.1:1".parse().expect("a valid address"),
+        "127.0.0.1:1".parse().expect("parse the address"),
         &endpoint_list(1, true, &[]),
         &settings(1_000),
     );
@@ -927,9 +930,9 @@
         valid.replace("\"max_attempts\":3", "\"max_attempts\":0"),
         valid.replace("60000.0}", "\"long\"}"),
     ];
-    for text in invalid {
-        assert_ne!(text, valid);
-        let path = write_temp_file(&text);
+    for invalid_config in invalid {
+        assert_ne!(invalid_config, valid);
+        let path = write_temp_file(&invalid_config);
         assert_fails_with_one_line(program_command().env("ROUTER_CONFIG", &path));
         std::fs::remove_file(path).expect("remove the file");
     }
@@ -943,7 +946,7 @@
         .stderr(Stdio::piped())
         .output()
         .expect("run the program");
-    let log = String::from_utf8(output.stderr).expect("UTF-8 text");
+    let log = String::from_utf8(output.stderr).expect("decode the log as UTF-8");
     assert_eq!(output.status.code(), Some(1), "log: {log}");
     assert!(
         log.starts_with("silverthread: ") && log.lines().count() == 1,
