--- a/tests/discovery_requests.rs
+++ b/tests/discovery_requests.rs
@@ -27,7 +27,7 @@
             .expect("read a byte of the head");
         head.push(byte[0]);
     }
-    String::from_utf8(head).expect("a head in UTF-8")
+    String::from_utf8(head).expect("decode the head as UTF-8")
 }
 
 fn bind_listener() -> (TcpListener, SocketAddr) {
--- a/tests/long.rs
+++ b/tests/long.rs
@@ -42,11 +42,11 @@
 /// Peak resident memory of the process, in KiB.
 fn peak_kib(node: &Node) -> u64 {
     let status = std::fs::read_to_string(format!("/proc/{}/status", node.process_id()))
-        .expect("read the status in /proc");
+        .expect("read the status file in /proc");
     let line = status
         .lines()
         .find_map(|line| line.strip_prefix("VmHWM:"))
-        .expect("a VmHWM line");
+        .expect("the status file has a VmHWM line");
     line.trim()
         .trim_end_matches(" kB")
         .parse()
@@ -60,14 +60,14 @@
 }
 
 fn chunked(body: &[u8], chunk_bytes: usize) -> Vec<u8> {
-    let mut text = Vec::new();
+    let mut encoded = Vec::new();
     for chunk in body.chunks(chunk_bytes) {
-        text.extend(format!("{:x}\r\n", chunk.len()).bytes());
-        text.extend(chunk);
-        text.extend(b"\r\n");
+        encoded.extend(format!("{:x}\r\n", chunk.len()).bytes());
+        encoded.extend(chunk);
+        encoded.extend(b"\r\n");
     }
-    text.extend(b"0\r\n\r\n");
-    text
+    encoded.extend(b"0\r\n\r\n");
+    encoded
 }
 
 fn with_content_length(body: &[u8]) -> Vec<u8> {
@@ -364,7 +364,7 @@
 /// Guards against leaks of descriptors, connection slots and in-flight counts when a client disconnects at any stage of
 /// a response.
 #[test]
-fn client_leaving_during_long_response_releases_all_resources() {
+fn client_disconnect_in_long_response_releases_all_resources() {
     let response = with_content_length(&vec![b'z'; 4 << 20]);
     let server = Server::start(move |_| Reply::Send(response.clone())).without_recording();
     let (node, _discovery) = start_node(&[&server]);
@@ -436,7 +436,8 @@
 }
 
 /// Guards against retrying a request without the part that a server has read, whether that server declined it before
-/// its last byte or stopped reading. The request was never executed, and its client gets one rejection in time.
+/// its last byte or stopped reading. The request is not executed, and its client receives 503 before its read
+/// times out.
 #[test]
 fn partially_read_long_request_is_rejected_without_execution() {
     let declining_response =
--- a/tests/pressure.rs
+++ b/tests/pressure.rs
@@ -16,17 +16,17 @@
 
 fn open_descriptors(node: &Node) -> usize {
     std::fs::read_dir(format!("/proc/{}/fd", node.process_id()))
-        .expect("read the file in /proc")
+        .expect("list the open descriptors in /proc")
         .count()
 }
 
 fn resident_kib(node: &Node) -> usize {
     let status = std::fs::read_to_string(format!("/proc/{}/status", node.process_id()))
-        .expect("read the file in /proc");
+        .expect("read the status file in /proc");
     let line = status
         .lines()
         .find_map(|line| line.strip_prefix("VmRSS:"))
-        .expect("a VmRSS line");
+        .expect("the status file has a VmRSS line");
     line.trim()
         .trim_end_matches(" kB")
         .parse()
@@ -41,9 +41,9 @@
     let server = Server::start(|_| Reply::ok("yes"));
     let discovery = TcpListener::bind("127.0.0.1:0").expect("bind a loopback socket");
     let address = discovery.local_addr().expect("read the local address");
-    let text = config(address, &endpoint_list(1, true, &[]), &settings(15_000))
+    let config_text = config(address, &endpoint_list(1, true, &[]), &settings(15_000))
         .replace("1024", &LIMIT.to_string());
-    let node = Node::start(&text);
+    let node = Node::start(&config_text);
     // Discovery accepts no connection yet. Four times as many clients as descriptors connect and send nothing.
     let mut idle: Vec<_> = (0..4 * LIMIT)
         .filter_map(|_| TcpStream::connect(node.address).ok())
@@ -62,7 +62,7 @@
                 continue;
             };
             let head = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
-            // The backlog holds abandoned requests of the node ahead of the one it waits for.
+            // The write may fail: connections that the node has abandoned precede its current one in the backlog.
             let _ = stream.write_all(format!("{head}{:x}\r\n{line}\r\n", line.len()).as_bytes());
             watches.push(stream);
         }
@@ -86,7 +86,7 @@
 }
 
 /// Guards against a node that exits, spins or stops accepting when the system provides fewer descriptors than
-/// configured: clients use them all, then leave, and the next client is served.
+/// configured. Clients use up all descriptors and then disconnect; after that, the next client is served.
 #[test]
 fn node_out_of_descriptors_serves_again_once_some_are_free() {
     const DESCRIPTOR_LIMIT: usize = 48;
@@ -108,12 +108,12 @@
     // The node waits between two attempts to accept; a node that spins would use all of the CPU time.
     let read_stat = || {
         std::fs::read_to_string(format!("/proc/{}/stat", node.process_id()))
-            .expect("read the file in /proc")
+            .expect("read the stat file in /proc")
     };
     let cpu_ticks = |stat: &str| -> u64 {
         let fields: Vec<_> = stat
             .rsplit_once(')')
-            .expect("the process name in parentheses")
+            .expect("the process name in the stat file ends with a parenthesis")
             .1
             .split_whitespace()
             .collect();
@@ -147,7 +147,7 @@
     let silent_discovery = TcpListener::bind("127.0.0.1:0").expect("bind a loopback socket");
     let server = Server::start(|_| Reply::ok("yes"));
     let known = endpoint_list(1, true, &[server.endpoint_entry("s-0", "ready")]);
-    let text = config(
+    let config_text = config(
         silent_discovery
             .local_addr()
             .expect("read the local address"),
@@ -157,9 +157,9 @@
     let since = Instant::now();
     let starts: Vec<_> = (0..20)
         .map(|_| {
-            let text = text.clone();
+            let config_text = config_text.clone();
             std::thread::spawn(move || {
-                let node = Node::start(&text);
+                let node = Node::start(&config_text);
                 (
                     node.request("GET /up HTTP/1.1\r\nHost: a\r\n\r\n").status(),
                     node,
@@ -172,7 +172,7 @@
         .map(|start| start.join().expect("join the starting thread"))
         .filter(|start| start.0 == 200)
         .count();
-    assert_eq!(ready_count, 20);
+    assert_eq!(ready_count, 20, "number of ready processes");
     assert!(
         since.elapsed() < Duration::from_secs(10),
         "starts took {:?}",
@@ -180,8 +180,8 @@
     );
 }
 
-/// Guards against memory that grows with what clients send and do not read, against sending requests of clients that
-/// have left, and against other clients that are not served meanwhile.
+/// Guards against memory that grows with requests or with responses that clients do not read, and against failing to
+/// serve other clients meanwhile, for example because the node still sends the requests of disconnected clients.
 #[test]
 fn floods_and_slow_clients_use_bounded_memory() {
     const MAX_RESIDENT_KIB: usize = 64 * 1024;
@@ -192,7 +192,7 @@
     let flood = read_request("flood", "15000m").repeat(50);
     for index in 0..24 {
         let (address, stop) = (node.address, Arc::clone(&stop));
-        // A third of the clients writes requests and reads nothing, a third writes invalid bytes, a third one byte at a
+        // No client reads. One third send requests, one third send invalid bytes, and one third send one byte at a
         // time.
         let bytes = match index % 3 {
             0 => flood.clone().into_bytes(),
--- a/tests/servers.rs
+++ b/tests/servers.rs
@@ -59,9 +59,9 @@
 /// that response. It is forwarded in its place once: the bytes that follow make the node close the connection.
 #[test]
 fn response_within_next_request_is_misattributed_only_once() {
-    let last = std::sync::Mutex::new(None);
+    let last_response = std::sync::Mutex::new(None);
     let server = Server::start(move |request| {
-        let previous = last
+        let previous = last_response
             .lock()
             .expect("no thread panics with the lock held")
             .replace(response_with_request_id(request));
