--- a/crates/lease/src/manager/reconfiguration.rs
+++ b/crates/lease/src/manager/reconfiguration.rs
@@ -40,7 +40,7 @@
 pub enum ReconfigurationOutcome {
     /// The node has this configuration already.
     Unchanged,
-    /// The node has this configuration from now on, at first jointly with the previous one.
+    /// The node has adopted this configuration, which at first applies jointly with the previous one.
     Started,
 }
 
--- a/crates/lease/src/message.rs
+++ b/crates/lease/src/message.rs
@@ -42,7 +42,7 @@
     pub const EFFECT: u8 = 17;
 }
 
-/// The bits of an encoded [`ConfigurationStatus`].
+/// The bits of the flags byte in an encoded [`ConfigurationStatus`].
 mod status_flag {
     pub const SEALED: u8 = 1;
     pub const SETTLED: u8 = 2;
--- a/crates/lease/tests/lease_model_checking.rs
+++ b/crates/lease/tests/lease_model_checking.rs
@@ -29,7 +29,7 @@
         let found = search_within(InjectedFault::None, is_owned, depth);
         assert!(
             found.is_exhaustive && found.violation.is_none(),
-            "search of depth {depth:?}: {found:?}"
+            "search of depth {depth:?} must be exhaustive and find no violation: {found:?}"
         );
         searches_with_owner_changes += usize::from(found.changed_owners);
     }
--- a/crates/testkit/src/fleet.rs
+++ b/crates/testkit/src/fleet.rs
@@ -482,9 +482,9 @@
         loop {
             match condition(self) {
                 Ok(()) => return start.elapsed(),
-                Err(why) => assert!(
+                Err(reason) => assert!(
                     start.elapsed() < time,
-                    "condition not met within {time:?}: {description}: {why}"
+                    "condition not met within {time:?}: {description}: {reason}"
                 ),
             }
             self.wait(Duration::from_millis(50));
@@ -516,7 +516,7 @@
         let confirmed = self
             .gone_log_entries()
             .into_iter()
-            .filter(|(.., why)| why.contains("confirmed by quorum"));
+            .filter(|(.., reason)| reason.contains("confirmed by quorum"));
         confirmed
             .map(|(observer, _, name, _)| (observer, name))
             .collect()
@@ -541,8 +541,8 @@
         });
         let parse = |(observer, (time, line)): (usize, (Instant, String))| {
             let rest = line.split_once("gossip: ")?.1;
-            let (name, why) = rest.split_once(" is gone")?;
-            (name != "this node").then(|| (observer, time, name.to_owned(), why.to_owned()))
+            let (name, reason) = rest.split_once(" is gone")?;
+            (name != "this node").then(|| (observer, time, name.to_owned(), reason.to_owned()))
         };
         lines.filter_map(parse).collect()
     }
--- a/crates/testkit/src/nodes/checker.rs
+++ b/crates/testkit/src/nodes/checker.rs
@@ -67,15 +67,15 @@
     #[must_use]
     pub fn new(schedule: &FaultSchedule, nodes: usize) -> Self {
         let mut history = FaultHistory::new(pauses(schedule, nodes));
-        let mut steps: Vec<_> = schedule
+        let mut events: Vec<_> = schedule
             .faults
             .iter()
             .map(|scheduled| (scheduled.at_ms, Some(&scheduled.fault)))
             .collect();
         let pause_ends = history.pauses.iter().flatten();
-        steps.extend(pause_ends.map(|pause| (pause.end_ms, None)));
-        steps.sort_by(|(a, _), (b, _)| a.total_cmp(b));
-        for (at_ms, fault) in steps {
+        events.extend(pause_ends.map(|pause| (pause.end_ms, None)));
+        events.sort_by(|(a, _), (b, _)| a.total_cmp(b));
+        for (at_ms, fault) in events {
             if let Some(fault) = fault {
                 history.apply(at_ms, fault);
             }
--- a/src/bin/silverthread-simulator-adapter.rs
+++ b/src/bin/silverthread-simulator-adapter.rs
@@ -14,7 +14,7 @@
 use silverthread::text::one_line;
 use silverthread::Action;
 
-const PROGRAM: &str = "silverthread-simulator-adapter";
+const PROGRAM_NAME: &str = "silverthread-simulator-adapter";
 
 /// Whether the batch is complete after a line.
 enum BatchStatus {
@@ -98,7 +98,7 @@
     /// Reports a message type or a node whose messages are ignored, once for each.
     fn report_ignored(&mut self, name: &str, reason: &str) {
         if self.reported_as_ignored.insert(name.to_owned()) {
-            eprintln!("{PROGRAM}: {reason}: {}", one_line(name));
+            eprintln!("{PROGRAM_NAME}: {reason}: {}", one_line(name));
         }
     }
 }
@@ -169,7 +169,7 @@
     match run(io::stdin().lock(), io::stdout().lock()) {
         Ok(()) => ExitCode::SUCCESS,
         Err(error) => {
-            eprintln!("{PROGRAM}: {error}");
+            eprintln!("{PROGRAM_NAME}: {error}");
             ExitCode::FAILURE
         }
     }
--- a/src/simulator/error.rs
+++ b/src/simulator/error.rs
@@ -9,7 +9,7 @@
 pub enum ProtocolError {
     /// The line does not begin with a message type.
     NoMessageType,
-    /// The rest of the line has no `=` and therefore no further field.
+    /// The remainder of the line, given here, contains no `=`.
     MalformedField(String),
     /// A field's name is empty or contains a space.
     InvalidName(String),
