--- a/crates/admin/src/command.rs
+++ b/crates/admin/src/command.rs
@@ -17,7 +17,7 @@
     Stats,
     /// `DRAIN`: start to move clients to other nodes.
     Drain,
-    /// `UNDRAIN`: cancel the drain and accept new clients again.
+    /// `UNDRAIN`: cancel the drain: report readiness to load balancers again and keep connections open.
     Undrain,
     /// `MEMBERS`: list the other nodes of the cluster, as seen by this node.
     Members,
--- a/crates/admin/src/drain.rs
+++ b/crates/admin/src/drain.rs
@@ -34,7 +34,8 @@
         self.began_ms.get_or_insert(now_ms);
     }
 
-    /// Cancels the drain: new clients are accepted again.
+    /// Cancels the drain: load balancers in front of the node should send new clients to it again, and connections are
+    /// kept open.
     pub fn cancel(&mut self) {
         self.began_ms = None;
     }
--- a/src/node/admin/config_file/bounded_value.rs
+++ b/src/node/admin/config_file/bounded_value.rs
@@ -28,7 +28,7 @@
 }
 
 bounded_number!(
-    /// A fraction.
+    /// A fraction from 0 to 1.
     Fraction(f64),
     0.0..=1.0,
     "a fraction must be between 0 and 1"
@@ -63,7 +63,7 @@
 );
 
 bounded_number!(
-    /// A number of events per second.
+    /// A rate from 0.1 to 100,000 events per second.
     RatePerSecond(f64),
     0.1..=100_000.0,
     "a rate must be between 0.1 and 100000 per second"
--- a/src/node/admin/config_file/raw.rs
+++ b/src/node/admin/config_file/raw.rs
@@ -102,7 +102,7 @@
     pub fleet_log: Option<SocketAddr>,
 }
 
-/// `[word]`: outlier detection, for which nodes report servers to each other.
+/// `[word]`: outlier detection, based on reports of failing servers that the nodes exchange.
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct RawOutlierDetection {
--- a/src/node/admin/config_file/summary.rs
+++ b/src/node/admin/config_file/summary.rs
@@ -26,7 +26,7 @@
             .values()
             .map(|server| server.routes.len())
             .sum();
-        (addresses > 0).then(|| format!("{addresses} addresses of {servers} servers"))
+        (addresses > 0).then(|| format!("{addresses} address(es) of {servers} server(s)"))
     }
 }
 
@@ -34,16 +34,16 @@
     let (name, agents) = (&source.policy.name, source.agents.len());
     let service = &source.watch.query.service;
     let role = if source.policy.may_add_endpoints {
-        "names servers"
+        "can add servers"
     } else {
-        "advises on the roster's servers"
+        "cannot add servers"
     };
-    format!("consul {name:?}: service {service:?} through {agents} agents, {role}")
+    format!("consul {name:?}: service {service:?}, {agents} agent(s), {role}")
 }
 
 fn cluster_line(settings: &ClusterSettings) -> String {
     let peers = match &settings.peers {
-        Some(peers) => format!("{} peers", peers.len()),
+        Some(peers) => format!("{} peer(s)", peers.len()),
         None => "the platform's peers".to_owned(),
     };
     format!(
@@ -64,7 +64,7 @@
 
 fn outlier_detection_line(settings: &outlier_detection::Settings) -> String {
     format!(
-        "outlier detection: {} nodes have to report a server, reports every {} ms",
+        "outlier detection: at least {} nodes must report a server, reports sent every {} ms",
         settings.min_reporters, settings.interval_ms
     )
 }
--- a/src/node/admin/log.rs
+++ b/src/node/admin/log.rs
@@ -44,7 +44,7 @@
         }
         if window.requested_lines > MAX_LINES_PER_SECOND {
             let suppressed = window.requested_lines - MAX_LINES_PER_SECOND;
-            eprintln!("silverthread: {suppressed} more lines were suppressed");
+            eprintln!("silverthread: log rate limit exceeded: {suppressed} lines suppressed");
         }
     }
     Window {
--- a/src/node/admin/server.rs
+++ b/src/node/admin/server.rs
@@ -128,7 +128,7 @@
         drain.begin(self.dispatcher.now_ms());
         if drain != previous {
             self.options.drain.set(drain);
-            log::line("drain begins: clients are sent to other nodes");
+            log::line("drain started: answering 503 on /up, closing client connections");
         }
     }
 
@@ -138,7 +138,7 @@
         drain.cancel();
         if drain != previous {
             self.options.drain.set(drain);
-            log::line("drain is cancelled: clients are accepted again");
+            log::line("drain cancelled: answering 200 on /up, keeping client connections open");
         }
     }
 }
--- a/src/node/discovery/consul/exchange.rs
+++ b/src/node/discovery/consul/exchange.rs
@@ -19,7 +19,7 @@
 use super::token::{read_token, TokenError};
 use crate::node::discovery::connection::Connection;
 
-/// Timeout for connecting to an agent, which is close in the network.
+/// Timeout for connecting to an agent. Agents are assumed to be reachable with low network latency.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(2);
 /// If an agent's machine disappears without closing the connection, the node detects it after 20 s
 /// rather than at the end of the blocking query: the connection is idle for `KEEPALIVE_IDLE`, and then
--- a/src/node/discovery/mod.rs
+++ b/src/node/discovery/mod.rs
@@ -76,7 +76,7 @@
         let follow = consul::follow(Rc::clone(&self.updates), source, settings.clone(), seed);
         let task = tokio::task::spawn_local(follow).abort_handle();
         log::line(format_args!(
-            "{}: following service {:?}",
+            "source {:?}: following service {:?}",
             settings.policy.name, settings.watch.query.service
         ));
         Follower {
@@ -91,6 +91,8 @@
         self.updates.handle(Event::SourceRemoved {
             source: follower.source,
         });
-        log::line(format_args!("{name}: no longer followed"));
+        log::line(format_args!(
+            "source {name:?}: stopped following its service"
+        ));
     }
 }
--- a/tests/admin_interface.rs
+++ b/tests/admin_interface.rs
@@ -414,7 +414,17 @@
 fn operators_file_with_every_key_has_recorded_summary() {
     let parsed =
         OperatorConfig::parse(Path::new("file"), FILE_WITH_EVERY_KEY).expect("the file is valid");
-    assert_eq!(parsed.summary(), ["consul \"dc2\": service \"stays\" through 2 agents, names servers", "consul \"by-address\": service \"by-address\" through 1 agents, advises on the roster's servers", "2 addresses of 1 servers", "cluster \"stays\": 2 peers, probed every 501 ms", "leases of 65 shards, granted by acceptors k0, k1, k2 (set 5), 2504 ms long", "outlier detection: 4 nodes have to report a server, reports every 1001 ms"]);
+    assert_eq!(
+        parsed.summary(),
+        [
+            "consul \"dc2\": service \"stays\", 2 agent(s), can add servers",
+            "consul \"by-address\": service \"by-address\", 1 agent(s), cannot add servers",
+            "2 address(es) of 1 server(s)",
+            "cluster \"stays\": 2 peer(s), probed every 501 ms",
+            "leases of 65 shards, granted by acceptors k0, k1, k2 (set 5), 2504 ms long",
+            "outlier detection: at least 4 nodes must report a server, reports sent every 1001 ms"
+        ]
+    );
     assert!(OperatorConfig::default().summary().is_empty());
     let empty = write_temp_file("");
     let output = program_command().arg("check").arg(&empty).output();
--- a/tests/operators.rs
+++ b/tests/operators.rs
@@ -71,7 +71,7 @@
     );
     assert!(
         text(&output.stdout)
-            .contains("consul \"consul\": service \"holds\" through 1 agents, advises"),
+            .contains("consul \"consul\": service \"holds\", 1 agent(s), cannot add servers"),
         "{}",
         text(&output.stdout)
     );
