--- a/crates/outlier-detection/src/attempt_stats.rs
+++ b/crates/outlier-detection/src/attempt_stats.rs
@@ -7,8 +7,8 @@
 /// would not be reported as failing.
 const EARLIER_ATTEMPTS_FACTOR: f64 = 0.5;
 
-/// Decaying counts of succeeded and failed attempts. The count of an attempt halves with each half-life and with each
-/// later attempt.
+/// Decaying counts of succeeded and failed attempts. The contribution of an attempt to them halves
+/// with each half-life, and with each later attempt.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct AttemptStats {
     succeeded: f64,
--- a/crates/outlier-detection/src/detector.rs
+++ b/crates/outlier-detection/src/detector.rs
@@ -82,7 +82,8 @@
     pub failure_kind: FailureKind,
     /// Number of nodes that currently report it as failing, including this one.
     pub reporters: usize,
-    /// Time since it was first reported as failing or last became an outlier, in milliseconds.
+    /// Time since its last ejection began, or since nodes began to report it as failing while it had its full weight,
+    /// whichever is later, in milliseconds.
     pub age_ms: f64,
     /// The fraction of its ordinary share of requests that it should get.
     pub weight: f64,
@@ -101,9 +102,9 @@
     /// Rejected reports of other nodes that found too many servers failing, and reports that this node did not send for
     /// the same reason.
     pub implausible_reports: u64,
-    /// Number of times that a server became an outlier.
+    /// Number of ejections that began.
     pub ejections: u64,
-    /// Evaluations in which too many servers would have been outliers.
+    /// Evaluations that started or extended a panic.
     pub panics: u64,
 }
 
@@ -131,7 +132,7 @@
     ///
     /// # Errors
     ///
-    /// A setting is out of its range.
+    /// Returns the first setting that is out of range.
     pub fn new(now_ms: f64, settings: Settings, phase: f64) -> Result<Self, SettingsError> {
         settings.check()?;
         Ok(Self {
@@ -391,7 +392,8 @@
 
     /// Starts or extends a panic if too many servers would be outliers. Returns whether a panic is in effect.
     fn update_panic(&mut self, outliers: &BTreeSet<ServerKey>) -> bool {
-        // Servers with a low weight count, too: they may still be failing, with hardly any node left to report that.
+        // Servers with a low weight count, too: they may still be failing, but get so few attempts that too few nodes
+        // report it.
         let recovering = self
             .watched
             .iter()
--- a/crates/outlier-detection/src/server_state.rs
+++ b/crates/outlier-detection/src/server_state.rs
@@ -33,7 +33,8 @@
 const MAX_COUNTED_EJECTIONS: i32 = 8;
 /// Time without being an outlier after which earlier ejections no longer count, in intervals.
 const EJECTION_MEMORY_INTERVALS: f64 = 120.0;
-/// A server with a weight below this gets so few attempts that hardly any node is left to report its failures.
+/// Weight below which a server counts towards a panic even if it is not an outlier: it gets so few attempts that too few
+/// nodes may report it as failing for it to be one.
 const LOW_WEIGHT: f64 = 0.5;
 
 /// The last report of another node about the server.
@@ -64,10 +65,10 @@
     /// Time at which the first node began to report it as failing. Earlier successes are not evidence against the
     /// reports.
     first_failing_ms: f64,
-    /// Time at which it last became an outlier, or at which nodes began or ceased to report it as failing while it had
+    /// Time at which its last ejection began, or at which nodes began or ceased to report it as failing while it had
     /// its full weight.
     pub status_since_ms: f64,
-    /// Time before which its weight is not raised, except by a panic.
+    /// Time before which its weight does not rise step by step. A panic sets the weight to 1 even earlier.
     ejected_until_ms: f64,
     /// Number of recent ejections, at most [`MAX_COUNTED_EJECTIONS`].
     recent_ejections: i32,
@@ -144,7 +145,7 @@
 /// Result of an update of a weight.
 pub struct WeightUpdate {
     pub is_changed: bool,
-    /// Whether the server became an outlier.
+    /// Whether the update began a new ejection.
     pub is_ejection: bool,
 }
 
--- a/crates/outlier-detection/src/settings.rs
+++ b/crates/outlier-detection/src/settings.rs
@@ -36,7 +36,7 @@
     }
 }
 
-/// A setting that is out of its range.
+/// A setting that is out of range.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct SettingsError {
     key: &'static str,
@@ -63,7 +63,7 @@
     ///
     /// # Errors
     ///
-    /// Returns the first setting that is out of its range.
+    /// Returns the first setting that is out of range.
     pub fn check(&self) -> Result<(), SettingsError> {
         let Self {
             interval_ms,
--- a/crates/outlier-detection/tests/detector.rs
+++ b/crates/outlier-detection/tests/detector.rs
@@ -131,7 +131,7 @@
         }
     }
 
-    /// Number of nodes that send a server hardly any requests.
+    /// Number of nodes on which a server has a weight below 0.1.
     fn ejecting_nodes(&self, server: u64) -> usize {
         self.weights
             .iter()
@@ -440,7 +440,7 @@
         });
         assert!(
             cluster.no_server_is_ejected(),
-            "{partitioned} partitioned nodes should not eject a server"
+            "no node should eject a server while {partitioned} of 30 nodes are partitioned"
         );
         assert!(
             cluster.nodes[0].counters().implausible_reports > 10,
