--- a/src/node/cluster/error.rs
+++ b/src/node/cluster/error.rs
@@ -60,7 +60,7 @@
             Self::Bind { address, source } => {
                 write!(
                     f,
-                    "cannot bind the UDP socket for other nodes to {address}: {source}"
+                    "cannot bind the cluster's UDP socket to {address}: {source}"
                 )
             }
         }
--- a/src/node/cluster/fence_file.rs
+++ b/src/node/cluster/fence_file.rs
@@ -50,7 +50,7 @@
 ///
 /// # Errors
 ///
-/// The file exists and cannot be used.
+/// The file exists but cannot be read, is corrupt, or is from another node.
 pub fn read(path: &Path, node: &str) -> Result<FencingToken, FenceFileReadError> {
     let io_error = |error| FenceFileReadError::Io(path.to_owned(), error);
     let file = match File::open(path) {
--- a/src/node/cluster/fleet_log.rs
+++ b/src/node/cluster/fleet_log.rs
@@ -126,7 +126,7 @@
         if !self.is_error_logged {
             self.is_error_logged = true;
             log::line(format_args!(
-                "{LOG_NAME}: cannot append to the register at {}: {error}",
+                "{LOG_NAME}: append to the register at {} failed: {error}",
                 self.register
             ));
         }
--- a/src/node/cluster/leases.rs
+++ b/src/node/cluster/leases.rs
@@ -30,7 +30,7 @@
 pub enum LeaseStartError {
     /// Its fence file cannot be used.
     FenceFile(FenceFileReadError),
-    /// A setting is out of its range.
+    /// A setting is out of range.
     Settings(SettingsError),
 }
 
@@ -69,7 +69,7 @@
     ///
     /// # Errors
     ///
-    /// The fence file cannot be used, or a setting is out of its range.
+    /// The fence file cannot be used, or a setting is out of range.
     pub fn new(
         now_ms: f64,
         lease_settings: &LeaseSettings,
--- a/src/node/cluster/leases/admin.rs
+++ b/src/node/cluster/leases/admin.rs
@@ -73,12 +73,13 @@
     ///
     /// # Errors
     ///
-    /// This process does not own the shard, or `to` is not another live node.
+    /// This process does not own the shard, or `to` is this node, a suspect, or otherwise not a member in state
+    /// [`State::Alive`].
     pub fn transfer_shard(self: &Rc<Self>, shard: Shard, to: &str) -> Result<(), TransferError> {
         if self.with_permit(shard, |_, _| ()).is_none() {
             return Err(TransferError::NotOwned(shard));
         }
-        if !self.is_other_live_node(to) {
+        if !self.is_other_alive_node(to) {
             return Err(TransferError::NoOtherLiveNode(to.to_owned()));
         }
         self.handle_lease_event(Event::TransferShard {
@@ -88,7 +89,7 @@
         Ok(())
     }
 
-    fn is_other_live_node(&self, name: &str) -> bool {
+    fn is_other_alive_node(&self, name: &str) -> bool {
         let is_alive = self
             .gossip
             .borrow()
--- a/src/node/cluster/mod.rs
+++ b/src/node/cluster/mod.rs
@@ -98,7 +98,7 @@
         };
         if !config.peers_allowed {
             log::line(
-                "the platform's settings do not allow datagrams between nodes: [instances] stays off",
+                "[instances]: ignored, because the platform's settings do not allow datagrams between nodes",
             );
             return Ok(None);
         }
--- a/src/node/cluster/outlier_detection.rs
+++ b/src/node/cluster/outlier_detection.rs
@@ -65,7 +65,7 @@
     ///
     /// # Errors
     ///
-    /// A setting is out of its range.
+    /// Returns an error if a setting is out of range.
     pub fn new(
         now_ms: f64,
         settings: Settings,
@@ -120,12 +120,13 @@
         self.dispatcher.set_weight_hint(server, weight);
     }
 
-    /// Logs when a weight is reduced and when it is full again, but not the steps of its rise.
+    /// Logs each change of a weight to at most `max_outlier_weight`, and each change to full weight. In a cluster so large
+    /// that an outlier's weight is lower than that, the first steps of its rise are logged, too.
     fn log_weight(&self, server: ServerId, weight: f64) {
         let name = self.dispatcher.server_name(server).unwrap_or_default();
         if weight >= 1.0 {
             log::line(format_args!(
-                "outlier detection: {name} has recovered and gets its full share of requests again"
+                "outlier detection: {name} gets its full share of requests again"
             ));
         } else if weight <= self.max_outlier_weight {
             log::line(format_args!(
--- a/src/node/cluster/socket.rs
+++ b/src/node/cluster/socket.rs
@@ -18,8 +18,9 @@
 const MAX_READ_BURST: f64 = 250.0;
 /// Maximum number of datagrams that are read in a row before requests are handled again.
 const READS_PER_BATCH: usize = 16;
-/// Duration of a pause in reading once the budget is exhausted. The system wakes this thread for each datagram that the
-/// socket's buffer has room for, so the buffer is emptied rarely and in large steps.
+/// Duration of a pause in reading, once the budget is exhausted or after waiting for a datagram failed. The system wakes
+/// this thread for each datagram that it adds to the socket's buffer. During a pause the buffer can fill up, and the
+/// system then drops further datagrams without waking the thread.
 const READ_PAUSE: Duration = Duration::from_millis(100);
 
 /// Token bucket that limits the rate at which datagrams are read.
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -585,10 +585,10 @@
         0,
         "not allowed by the platform"
     );
-    wait_until("the node logs that [instances] stays off", || {
-        node.log()
-            .iter()
-            .any(|line| line.contains("[instances] stays off"))
+    wait_until("the node logs that [instances] is ignored", || {
+        node.log().iter().any(|line| {
+            line.contains("[instances]: ignored, because the platform's settings do not allow")
+        })
     });
     assert!(
         node.admin_command("MEMBERS\n").starts_with("400 "),
--- a/tests/lease_processes.rs
+++ b/tests/lease_processes.rs
@@ -734,10 +734,10 @@
     let fleet = Fleet::prepare(3, 8, &lease_section);
     let forbidden = fleet.config(0).replace("\"peers\":true", "\"peers\":false");
     let node = Node::start_with_operators_file(&forbidden, Some(fleet.operators_file(0)));
-    wait_until("the node logs that [instances] stays off", || {
-        node.log()
-            .iter()
-            .any(|line| line.contains("[instances] stays off"))
+    wait_until("the node logs that [instances] is ignored", || {
+        node.log().iter().any(|line| {
+            line.contains("[instances]: ignored, because the platform's settings do not allow")
+        })
     });
     assert!(
         node.admin_command("OWNERS\n")
