--- a/crates/gossip/src/event.rs
+++ b/crates/gossip/src/event.rs
@@ -206,9 +206,9 @@
                 is_superseded,
             } => {
                 let outcome = if *is_superseded {
-                    "this process stops using it"
+                    "this process stops using the name"
                 } else {
-                    "this process keeps it"
+                    "this process keeps the name"
                 };
                 write!(
                     f,
--- a/crates/gossip/src/local_health.rs
+++ b/crates/gossip/src/local_health.rs
@@ -81,8 +81,9 @@
     /// [`RECEIVED_WINDOW_IN_PROBES`].
     fn received_fraction(&self) -> f64 {
         let window_ms = self.probe_intervals_ms(RECEIVED_WINDOW_IN_PROBES);
-        let is_received = |entry: &MemberEntry| entry.was_received_within(self.now_ms, window_ms);
-        self.healthy_fraction_of(&self.detector.subjects, is_received)
+        let has_sent_datagram =
+            |entry: &MemberEntry| entry.was_received_within(self.now_ms, window_ms);
+        self.healthy_fraction_of(&self.detector.subjects, has_sent_datagram)
     }
 
     /// The fraction of observers that acknowledged a probe within [`ACK_WINDOW_IN_PROBES`].
--- a/crates/gossip/src/member.rs
+++ b/crates/gossip/src/member.rs
@@ -64,8 +64,8 @@
     pub state: State,
     /// Incarnation of the node.
     pub incarnation: u64,
-    /// Time since which the node has had this state and its current process in this node's member
-    /// table, in milliseconds since boot.
+    /// When this node's member table last recorded a change of the node's state or process, in
+    /// milliseconds since boot.
     pub since_ms: f64,
     /// Time of the last datagram that this node received from it, in milliseconds since boot;
     /// `None` if there was none.
--- a/crates/gossip/tests/drawn_faults.rs
+++ b/crates/gossip/tests/drawn_faults.rs
@@ -10,7 +10,7 @@
 const SEEDS: u64 = 300;
 
 #[test]
-fn random_faults_kill_no_healthy_node_and_views_converge() {
+fn random_faults_cause_no_false_death_and_views_converge() {
     let mut declared_dead = 0;
     for seed in 0..SEEDS {
         match run_trial(seed, schedule_limits(seed, 16), InjectedFault::None) {
--- a/crates/gossip/tests/scenarios/links.rs
+++ b/crates/gossip/tests/scenarios/links.rs
@@ -119,7 +119,7 @@
 /// Every datagram is corrupted, so that no node receives anything: no node may vote, and none is
 /// declared dead.
 #[test]
-fn total_corruption_isolates_all_nodes_and_kills_none() {
+fn total_corruption_isolates_all_nodes_without_deaths() {
     let mut cluster = VirtualCluster::started(1, 7);
     let since_ms = cluster.simulation.now_ms();
     cluster.set_all_links(Link {
--- a/crates/gossip/tests/scenarios/partitions.rs
+++ b/crates/gossip/tests/scenarios/partitions.rs
@@ -65,7 +65,7 @@
 }
 
 #[test]
-fn partial_partitions_kill_no_node() {
+fn no_node_is_declared_dead_in_partial_partitions() {
     type Cuts = fn(&mut VirtualCluster);
     let cases: [(&str, Cuts); 4] = [
         ("two nodes receive nothing from each other", |cluster| {
