--- a/tests/addresses.rs
+++ b/tests/addresses.rs
@@ -26,7 +26,7 @@
     servers.iter().map(server_section).collect()
 }
 
-/// Starts a node with these servers at these addresses, which makes at most `max_attempts` attempts per request.
+/// Starts a node with these servers at these addresses. The node makes at most `max_attempts` attempts per request.
 fn start_node(
     servers: &[(&str, &[String])],
     deadline_ms: u64,
--- a/tests/admin_interface.rs
+++ b/tests/admin_interface.rs
@@ -347,7 +347,7 @@
     );
 }
 
-/// Words of a debug form that are values of the operators' file, not names of types or fields.
+/// Identifiers in `Debug` output that are values (keywords and enum variants) rather than type or field names.
 const VALUE_NAMES: [&str; 10] = [
     "true",
     "false",
@@ -361,7 +361,7 @@
     "Gone",
 ];
 
-/// Numbers, strings, booleans and enum values in a debug form, in order. They stay the same when types and fields are
+/// Numbers, strings, booleans and enum variants in `Debug` output, in order. They stay the same when types and fields are
 /// renamed.
 fn literals(debug: &str) -> Vec<String> {
     let mut literals = Vec::new();
@@ -370,7 +370,7 @@
         let length = if first == '"' {
             rest[1..]
                 .find('"')
-                .expect("a string in a debug form has a closing quote")
+                .expect("a string in `Debug` output has a closing quote")
                 + 2
         } else if first.is_ascii_alphanumeric() || "_.:-".contains(first) {
             rest.find(|c: char| !c.is_ascii_alphanumeric() && !"_.:-".contains(c))
--- a/tests/consul.rs
+++ b/tests/consul.rs
@@ -497,7 +497,8 @@
     assert!(consul.queries().is_empty(), "the agent got no query");
 }
 
-/// Time span in which a server drains; it must get no request from [`DRAIN_DEADLINE`] after the start on.
+/// Time span in which a server drains. Once [`DRAIN_DEADLINE`] has passed since its start, the server must get no request
+/// until its end.
 struct DrainSpan {
     server: usize,
     since: Instant,
@@ -537,7 +538,7 @@
             11 => snapshots.push(env.consul.catalog()),
             12 => env
                 .consul
-                .restore(rng.choice(&snapshots).expect("not empty").clone()),
+                .restore(rng.choice(&snapshots).expect("choose a snapshot").clone()),
             13 => env.consul.set_unreachable(rng.bool()),
             14 => env.consul.set_fault(Fault::Truncate(rng.usize(..2_000))),
             15 => {
@@ -547,7 +548,8 @@
                     Fault::Body("[]".into()),
                     Fault::Immediate,
                 ];
-                env.consul.set_fault(rng.choice(faults).expect("not empty"));
+                env.consul
+                    .set_fault(rng.choice(faults).expect("choose a fault"));
             }
             16 | 17 => env.consul.set_fault(Fault::None),
             18 => {
--- a/tests/operators.rs
+++ b/tests/operators.rs
@@ -33,7 +33,7 @@
 const CONSUL: &str =
     "[[consul]]\nname = \"c\"\nservice = \"holds\"\nagents = [\"127.0.0.1:8500\"]\n";
 
-/// The line without its leading `# ` if the rest is a key, a section, or part of a value.
+/// The line without its leading `# ` if the rest is a key, a section, or part of a value; otherwise the line unchanged.
 fn uncommented(line: &str) -> &str {
     let content = line.strip_prefix("# ").unwrap_or(line);
     let is_toml = content.starts_with(['[', ']'])
--- a/tests/outlier_detection.rs
+++ b/tests/outlier_detection.rs
@@ -20,7 +20,7 @@
 const SLOW_RESPONSES: usize = 12;
 const SLOW_RESPONSE_DELAY: Duration = Duration::from_millis(40);
 
-/// Starts a cluster with five servers, the first of which fails while the returned flag is set.
+/// Starts a cluster with five servers. The first extra server, `s-1`, fails while the returned flag is set.
 fn start_cluster(seed: u64, operators_file: &str) -> (Fleet, Arc<AtomicBool>) {
     let is_failing = Arc::new(AtomicBool::new(false));
     let mut fleet = Fleet::prepare(NODES, seed, operators_file);
@@ -161,7 +161,7 @@
     );
 }
 
-/// The `hints` command lists the server while it is ejected.
+/// Also checks that the `hints` command lists the server while it is ejected.
 #[test]
 fn recovered_server_gets_its_full_weight_and_requests_again() {
     let (mut fleet, is_failing) =
@@ -214,7 +214,7 @@
             .extra_servers
             .iter()
             .all(|server| server.request_count() > 0),
-        "every server got requests"
+        "every extra server must get requests"
     );
 }
 
--- a/tests/wire.rs
+++ b/tests/wire.rs
@@ -63,9 +63,9 @@
     format!("CLOCK wall_ms=1.0\n{BOOT}\n{LIST}EOB\n\n")
 }
 
-/// Sends events of every type and checks the actions that they lead to.
+/// Sends events of all types except `ENDED` and checks the resulting actions.
 #[test]
-fn events_of_every_type_are_parsed_and_actions_printed() {
+fn all_event_types_but_ended_are_parsed_and_actions_printed() {
     let boot = BOOT.replace(
         "\"n_instances\"",
         "\"discovery\": \"subscribe\", \"n_instances\"",
