--- a/src/node/downstream/body_stream.rs
+++ b/src/node/downstream/body_stream.rs
@@ -33,7 +33,7 @@
     ReceiverGone,
 }
 
-/// Error for a body that ended before it was complete. The peer that receives the body must be able to detect this.
+/// Error for a body that ended before it was complete, or that is longer than announced. The peer that receives the body must be able to detect this.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Truncated;
 
@@ -171,7 +171,8 @@
     ///
     /// # Errors
     ///
-    /// Currently none: a receiver that knows the length does not need the end marker, and may already be dropped.
+    /// Currently none: a dropped receiver and a timeout are ignored. A receiver that knows the length does not need the end
+    /// marker and may already be dropped; any other receiver reports a truncated body if it gets no marker.
     pub async fn finish(self) -> Result<(), StreamError> {
         let _ = tokio::time::timeout(FINISH_TIMEOUT, self.chunks.send(Chunk::End)).await;
         Ok(())
@@ -214,7 +215,7 @@
 pub enum StreamEnd {
     /// The whole body has been handed to the client's connection.
     Complete,
-    /// The server's response ended before the body was complete.
+    /// The server's response ended before the body was complete, or its body is longer than announced.
     Truncated,
     /// The client disconnected, or its connection was closed, before the body was complete.
     ClientDisconnected,
--- a/src/node/downstream/body_stream/tests.rs
+++ b/src/node/downstream/body_stream/tests.rs
@@ -158,5 +158,8 @@
         sent
     };
     let ((), sent) = tokio::join!(slow_reading, sending);
-    assert!(sent < 10, "{sent} chunks were sent at one per 4 s");
+    assert!(
+        sent < 10,
+        "expected fewer than 10 chunks to a receiver that reads one per 4 s, got {sent}"
+    );
 }
--- a/src/node/downstream/connection.rs
+++ b/src/node/downstream/connection.rs
@@ -51,16 +51,16 @@
 }
 
 async fn serve_requests(socket: &Socket, state: &ServerState) -> ConnectionEnd {
-    let (tracked, request_count) = (&socket.connection, Cell::new(0));
+    let (connection, request_count) = (&socket.connection, Cell::new(0));
     let service = service_fn(|request| {
         let number = request_count.get() + 1;
         request_count.set(number);
         async move { Ok::<_, Infallible>(serve_request(request, number, socket, state).await) }
     });
-    let connection = http1::Builder::new()
+    let http_connection = http1::Builder::new()
         .max_buf_size(MAX_BUFFER_BYTES)
         .serve_connection(TokioIo::new(socket.clone()), service);
-    let mut connection = pin!(connection);
+    let mut http_connection = pin!(http_connection);
     let mut phases = state.options.phases.clone();
     let mut shutdown = pin!(phases.wait_for(Phase::is_shutting_down));
     let mut client_disconnected = pin!(socket.client_disconnected());
@@ -68,7 +68,7 @@
     loop {
         tokio::select! {
             biased;
-            result = connection.as_mut() => {
+            result = http_connection.as_mut() => {
                 if let Some(error) = result.err().filter(hyper::Error::is_parse) {
                     log::line(format_args!("malformed request from a client: {error}"));
                 }
@@ -79,17 +79,17 @@
             // request that has arrived only in part is served once it is complete. Either response is the connection's last.
             _ = &mut shutdown, if !is_shutting_down => {
                 is_shutting_down = true;
-                if matches!(tracked.stage(), Stage::ServingRequest | Stage::SendingResponse) || socket.is_idle() {
-                    connection.as_mut().graceful_shutdown();
+                if matches!(connection.stage(), Stage::ServingRequest | Stage::SendingResponse) || socket.is_idle() {
+                    http_connection.as_mut().graceful_shutdown();
                 }
             }
-            () = tracked.close_requested() => {
-                if !tracked.is_close_requested() {
+            () = connection.close_requested() => {
+                if !connection.is_close_requested() {
                     continue;
                 }
-                match CloseMode::choose(tracked.stage(), || socket.is_idle(), || socket.has_unread_bytes()) {
+                match CloseMode::choose(connection.stage(), || socket.is_idle(), || socket.has_unread_bytes()) {
                     CloseMode::KeepOpen => {}
-                    CloseMode::Graceful => connection.as_mut().graceful_shutdown(),
+                    CloseMode::Graceful => http_connection.as_mut().graceful_shutdown(),
                     CloseMode::Abort => return ConnectionEnd::Aborted,
                 }
             }
@@ -104,7 +104,7 @@
     socket: &Socket,
     state: &ServerState,
 ) -> Response<ResponseStream> {
-    let tracked = &socket.connection;
+    let connection = &socket.connection;
     socket.guard.begin_request();
     let is_ambiguous = socket.framing.borrow().is_ambiguous(number);
     let mut response = if is_ambiguous {
@@ -113,13 +113,13 @@
             "the length is told in more than one way\n",
         )
     } else {
-        handle_request(request, state, tracked).await
+        handle_request(request, state, connection).await
     };
-    tracked.enter(Stage::SendingResponse);
-    tracked.set_streaming(matches!(response.body(), ResponseStream::Streamed(..)));
+    connection.enter(Stage::SendingResponse);
+    connection.set_streaming(matches!(response.body(), ResponseStream::Streamed(..)));
     let must_close = state.connection_policy() > ConnectionPolicy::KeepAlive
         || socket.framing.borrow().must_be_last(number);
-    if must_close || state.table.should_close_after_response(tracked) {
+    if must_close || state.table.should_close_after_response(connection) {
         response
             .headers_mut()
             .insert(header::CONNECTION, HeaderValue::from_static("close"));
--- a/src/node/downstream/connection_table.rs
+++ b/src/node/downstream/connection_table.rs
@@ -28,8 +28,8 @@
 /// Share of the table, as (numerator, denominator), that clients are assumed to occupy at most with connections that carry
 /// requests. The table has room for half as many connections as the node has file descriptors.
 const CLIENT_SHARE: (usize, usize) = (2, 3);
-/// One in this many of the connections that clients can occupy is kept free for the next request. This is several times the
-/// number of requests and responses in transit at a time. Free connections are needed because clients get no further
+/// Divisor of the number of connections that clients can occupy: the quotient is the number kept free for further requests,
+/// several times the number of requests and responses in transit at a time. Free connections are needed because clients get no further
 /// connections during a graceful shutdown, and at no time more than their share of the descriptors.
 const FREE_CONNECTION_DIVISOR: usize = 6;
 /// The divisor while connections with a single request are idle. It keeps more connections free: most of the idle ones are
@@ -153,7 +153,7 @@
         self.is_slot_awaited.take() || (is_crowded && connection.request_count() <= 1)
     }
 
-    /// Records connections in the reuse estimate that were not used again within [`eviction::MIN_IDLE_BEFORE_CLOSE`].
+    /// Records, in the reuse estimate, connections that were not used again within [`eviction::MIN_IDLE_BEFORE_CLOSE`].
     fn record_unused_connections(&self, now: Instant) {
         for connection in self.connections.borrow().values() {
             let is_single_use =
--- a/src/node/downstream/connection_table/eviction.rs
+++ b/src/node/downstream/connection_table/eviction.rs
@@ -61,7 +61,8 @@
     }
 }
 
-/// Returns whether the connection's idle time permits closing it without notice.
+/// Returns whether the connection may be closed without notice: it is not idle, or has been idle for at least
+/// [`MIN_IDLE_BEFORE_CLOSE`].
 pub(super) fn may_close_without_notice(connection: &TrackedConnection, now: Instant) -> bool {
     connection.stage() != Stage::Idle
         || now.saturating_duration_since(connection.stage_since()) >= MIN_IDLE_BEFORE_CLOSE
--- a/src/node/downstream/connection_table/tracked_connection.rs
+++ b/src/node/downstream/connection_table/tracked_connection.rs
@@ -39,9 +39,9 @@
 #[derive(Debug)]
 pub struct TrackedConnection {
     stage: Cell<Stage>,
-    /// When the stage began, or when a response last made progress.
+    /// When the stage began (for the first head, when the connection was accepted), or when a response last made progress.
     stage_since: Cell<Instant>,
-    /// When bytes of a head were last received.
+    /// When bytes of a head were last received or a stage was last entered.
     last_received: Cell<Instant>,
     /// Whether the response's body is still being streamed.
     is_streaming: Cell<bool>,
@@ -74,12 +74,13 @@
         self.stage.get()
     }
 
-    /// Returns when the stage began, or when a response last made progress.
+    /// Returns when the stage began (for the first head, when the connection was accepted), or when a response last made
+    /// progress.
     pub(super) fn stage_since(&self) -> Instant {
         self.stage_since.get()
     }
 
-    /// Returns when bytes of a head were last received.
+    /// Returns when bytes of a head were last received or a stage was last entered.
     pub(super) fn last_received(&self) -> Instant {
         self.last_received.get()
     }
@@ -89,7 +90,7 @@
         self.request_count.get()
     }
 
-    /// Enters a stage. This withdraws a request to close the connection, which has made progress since that request.
+    /// Enters a stage. This withdraws a request to close the connection, because the connection has made progress since.
     pub fn enter(&self, stage: Stage) {
         let now = Instant::now();
         // The timeout of the first head counts from the accept: a late first byte does not extend it.
--- a/src/node/downstream/framing/tests.rs
+++ b/src/node/downstream/framing/tests.rs
@@ -60,7 +60,7 @@
     );
     assert!(
         framing_of(&padded, 7).is_ambiguous(1),
-        "the length is beyond the kept bytes"
+        "a Content-Length whose value lies beyond MAX_KEPT_LINE_BYTES must be ambiguous"
     );
 }
 
--- a/src/node/downstream/inherited.rs
+++ b/src/node/downstream/inherited.rs
@@ -19,7 +19,7 @@
 ///
 /// # Errors
 ///
-/// The variable is not the number of a file descriptor, or the descriptor is not a listening TCP socket.
+/// The variable is not the number of a file descriptor, or the descriptor is not a TCP socket. Whether the socket listens is not checked.
 pub fn listener() -> io::Result<Option<TcpListener>> {
     let Some(descriptor) = env::var_os(DESCRIPTOR_VARIABLE).filter(|text| !text.is_empty()) else {
         return Ok(None);
@@ -34,9 +34,8 @@
     env::set_var(COUNT_VARIABLE, "1");
     env::remove_var(PROCESS_ID_VARIABLE); // If set, it is the id of another process, and listenfd would take no socket.
     let listener = ListenFd::from_env().take_tcp_listener(0)?;
-    let listener = listener.ok_or_else(|| {
-        io::Error::other(format!("{DESCRIPTOR_VARIABLE} does not refer to a socket"))
-    })?;
+    let listener = listener
+        .ok_or_else(|| io::Error::other(format!("{DESCRIPTOR_VARIABLE} provides no socket")))?;
     listener.set_nonblocking(true)?;
     Ok(Some(listener))
 }
--- a/src/node/downstream/request_body.rs
+++ b/src/node/downstream/request_body.rs
@@ -24,7 +24,7 @@
 pub(super) enum BufferedBody {
     /// The complete body.
     Complete(Bytes),
-    /// The beginning of a body that may not be buffered completely.
+    /// The beginning of a body; the rest is streamed.
     Prefix(Bytes),
 }
 
--- a/src/node/downstream/request_handler.rs
+++ b/src/node/downstream/request_handler.rs
@@ -34,11 +34,11 @@
 pub(super) async fn handle_request(
     request: Request<Incoming>,
     state: &ServerState,
-    tracked: &Rc<TrackedConnection>,
+    connection: &Rc<TrackedConnection>,
 ) -> Response<ResponseStream> {
     match request.uri().path() {
         "/up" => readiness_response(request.method(), state),
-        "/api" => handle_api_request(request, state, tracked)
+        "/api" => handle_api_request(request, state, connection)
             .await
             .unwrap_or_else(|invalid| text_response(invalid.status, invalid.reason)),
         _ => text_response(StatusCode::NOT_FOUND, "no such path\n"),
@@ -79,14 +79,14 @@
 async fn handle_api_request(
     request: Request<Incoming>,
     state: &ServerState,
-    tracked: &Rc<TrackedConnection>,
+    connection: &Rc<TrackedConnection>,
 ) -> Result<Response<ResponseStream>, InvalidRequest> {
     let (head, body) = request.into_parts();
     let metadata = RequestMetadata::parse(&head.method, &head.headers, &state.dispatcher.names)?;
     let in_flight = state.dispatcher.metrics.begin_request(metadata.class);
     let response = match dispatch(metadata, head, body, state).await {
         Ok(FinalResponse::Served(served)) => {
-            return Ok(forwarded_response(served, in_flight, tracked))
+            return Ok(forwarded_response(served, in_flight, connection))
         }
         Ok(FinalResponse::Rejected { retry_after_ms }) => Ok(rejection_response(retry_after_ms)),
         Ok(FinalResponse::Failed) => Ok(text_response(StatusCode::BAD_GATEWAY, "")),
@@ -120,11 +120,11 @@
     } = metadata;
     let _open_id =
         OpenRequestId::reserve(&state.open_request_ids, id).ok_or(InvalidRequest::DUPLICATE_ID)?;
-    let key = head.uri.query().and_then(sticky_key);
+    let sticky_key = head.uri.query().and_then(sticky_key);
     let mut upload = IncomingUpload::new(body, dispatcher.now_ms());
     let buffered = upload.buffer(state).await?;
     // The deadline counts from the last byte of the request; for a streamed body, `upload_completed` restarts it.
-    let arrived = Instant::now();
+    let received_at = Instant::now();
     if must_keep_connections_free(state) {
         return Ok(FinalResponse::Rejected {
             retry_after_ms: Some(FREE_CONNECTION_RETRY_MS),
@@ -142,9 +142,9 @@
     let new_request = NewRequest {
         class,
         tenant,
-        key,
+        key: sticky_key,
         message,
-        received_at: arrived,
+        received_at,
         timeout: deadline,
     };
     let Some(mut request) = dispatcher.accept_request(new_request) else {
--- a/src/node/downstream/response.rs
+++ b/src/node/downstream/response.rs
@@ -67,7 +67,7 @@
 pub(super) fn forwarded_response(
     served: UpstreamResponse,
     in_flight: InFlightRequest,
-    tracked: &Rc<TrackedConnection>,
+    connection: &Rc<TrackedConnection>,
 ) -> Response<ResponseStream> {
     let outcome = outcome_of(served.status);
     let body = match served.body {
@@ -76,9 +76,9 @@
             ResponseStream::buffered(body)
         }
         ResponseBody::Streamed(stream) => {
-            let tracked = Rc::clone(tracked);
+            let connection = Rc::clone(connection);
             ResponseStream::streamed(stream, move |end| {
-                tracked.set_streaming(false);
+                connection.set_streaming(false);
                 match end {
                     StreamEnd::Complete => in_flight.finish(outcome),
                     StreamEnd::Truncated => in_flight.finish(RequestOutcome::Failed),
--- a/src/node/downstream/server.rs
+++ b/src/node/downstream/server.rs
@@ -70,7 +70,7 @@
     pub(super) open_request_ids: RefCell<HashSet<HeaderValue>>,
 }
 
-/// Serves clients until the node stops accepting connections and every accepted request is answered.
+/// Serves clients until the node has stopped accepting connections and all connections are closed.
 ///
 /// Returns no later than [`FINAL_WRITE_TIMEOUT`] after the shutdown deadline, so that a client that does not read its
 /// response cannot delay the shutdown. Must run inside a [`tokio::task::LocalSet`]. Dropping the future stops accepting;
@@ -135,7 +135,7 @@
         accept_backlog(&listener, state).await;
     }
     drop(listener);
-    let deadline = state.phase().answer_by().unwrap_or_else(Instant::now);
+    let deadline = state.phase().deadline().unwrap_or_else(Instant::now);
     let all_closed = state.table.wait_until_empty();
     if tokio::time::timeout_at((deadline + FINAL_WRITE_TIMEOUT).into(), all_closed)
         .await
@@ -154,7 +154,7 @@
         .wait_for(|phase| *phase != Phase::Serving)
         .await
         .ok()
-        .and_then(|phase| phase.answer_by());
+        .and_then(|phase| phase.deadline());
     if let Some(deadline) = deadline {
         state.dispatcher.limit_deadlines(deadline);
     }
--- a/src/node/downstream/shutdown.rs
+++ b/src/node/downstream/shutdown.rs
@@ -15,9 +15,9 @@
 /// Time after the shutdown deadline in which responses that were produced just before it may still be written.
 pub const FINAL_WRITE_TIMEOUT: Duration = Duration::from_millis(50);
 
-/// How long a draining node accepts from a listening socket that it shares with its successor. The kernel distributes
-/// connections to both processes until this process closes its copy of the socket. After that, the connections that were
-/// accepted last must still have time to send a request.
+/// Time for which a draining node continues to accept connections on a listening socket that it shares with its successor.
+/// The kernel distributes connections to both processes until this process closes its copy of the socket. After that, the
+/// connections that were accepted last must still have time to send a request.
 pub(super) const SHARED_ACCEPT_PERIOD: Duration = Duration::from_millis(300);
 
 /// Maximum number of bytes that are read and discarded after the last response on a connection.
@@ -47,7 +47,7 @@
 
     /// Returns the instant by which every request must be answered; `None` during normal operation.
     #[must_use]
-    pub fn answer_by(&self) -> Option<Instant> {
+    pub fn deadline(&self) -> Option<Instant> {
         match self {
             Self::Serving => None,
             Self::Draining(deadline) | Self::ShuttingDown(deadline) => Some(*deadline),
@@ -58,7 +58,7 @@
 /// How a connection is handled when the connection table requests its close.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum CloseMode {
-    /// Keeps the connection open: a request is in progress or has just arrived.
+    /// Keeps the connection open: a request is in progress, or bytes of a request have just arrived.
     KeepOpen,
     /// Closes the connection gracefully and discards bytes that the client still sends.
     Graceful,
@@ -96,11 +96,11 @@
 /// Closing a connection with unread bytes resets it, and the client may lose the response.
 pub(super) async fn linger(socket: &Socket) {
     socket.connection.enter(Stage::Lingering);
-    let tracked = Rc::clone(&socket.connection);
+    let connection = Rc::clone(&socket.connection);
     tokio::select! {
         _ = discard_input(socket.clone()) => {}
         () = tokio::time::sleep(LINGER_TIMEOUT) => {}
-        () = tracked.close_requested() => {}
+        () = connection.close_requested() => {}
     }
 }
 
--- a/src/node/shutdown.rs
+++ b/src/node/shutdown.rs
@@ -14,9 +14,9 @@
 use super::cluster::Cluster;
 use super::downstream::server::Phase;
 
-/// Time beyond the longest timeout of a class within which, counted from the stop signal, all requests must have a
-/// response. The platform kills a node 700 ms beyond that timeout. The remaining time is for writing the last responses, in
-/// the worst case all at once, on the node's share of a core.
+/// Time that is added to the longest timeout of a class: all requests must have a response within the sum, counted from the
+/// stop signal. The platform kills a node 700 ms beyond that timeout. The remaining 100 ms are for writing the last
+/// responses, in the worst case all at once, on the node's share of a core.
 const COMPLETION_TIME: Duration = Duration::from_millis(600);
 /// Longest timeout of a class for which the platform waits before it kills a node.
 const MAX_REQUEST_TIME: Duration = Duration::from_secs(3);
@@ -59,8 +59,8 @@
     }
 }
 
-/// Waits for a signal, then leaves the cluster and publishes the phases of the shutdown one after the other. Never returns:
-/// the server ends once its last client is served.
+/// Waits for a signal, then leaves the cluster and publishes the phases of the shutdown one after the other. Never returns,
+/// because dropping `phase` would end every wait for a phase: the caller drops this future once the server has stopped.
 pub(super) async fn run_phases(
     mut signals: StopSignals,
     schedule: ShutdownSchedule,
@@ -75,7 +75,7 @@
     phase.send_replace(Phase::Draining(complete_by));
     tokio::time::sleep(schedule.stop_accepting_after).await;
     phase.send_replace(Phase::ShuttingDown(complete_by));
-    // The sender must not be dropped before all requests have a response: dropping it ends every wait for a phase.
+    // Keeps the sender, which must not be dropped before all requests have a response.
     std::future::pending::<()>().await;
 }
 
