--- a/src/node/downstream/body_stream.rs
+++ b/src/node/downstream/body_stream.rs
@@ -33,7 +33,8 @@
     ReceiverGone,
 }
 
-/// Error for a body that ended before it was complete, or that is longer than announced. The peer that receives the body must be able to detect this.
+/// Error for a body that ended before it was complete, or that is longer than announced. The peer that receives the body
+/// must be able to detect this.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Truncated;
 
--- a/src/node/downstream/connection_table.rs
+++ b/src/node/downstream/connection_table.rs
@@ -28,9 +28,9 @@
 /// Share of the table, as (numerator, denominator), that clients are assumed to occupy at most with connections that carry
 /// requests. The table has room for half as many connections as the node has file descriptors.
 const CLIENT_SHARE: (usize, usize) = (2, 3);
-/// Divisor of the number of connections that clients can occupy: the quotient is the number kept free for further requests,
-/// several times the number of requests and responses in transit at a time. Free connections are needed because clients get no further
-/// connections during a graceful shutdown, and at no time more than their share of the descriptors.
+/// Divisor of the number of connections that clients can occupy: the quotient is the number kept free for further requests.
+/// It is several times the number of requests and responses in transit at a time. Free connections are needed because
+/// clients get no further connections during a graceful shutdown, and at no time more than their share of the descriptors.
 const FREE_CONNECTION_DIVISOR: usize = 6;
 /// The divisor while connections with a single request are idle. It keeps more connections free: most of the idle ones are
 /// never used again, and they limit how many clients can send a request at a time.
--- a/src/node/downstream/inherited.rs
+++ b/src/node/downstream/inherited.rs
@@ -19,7 +19,8 @@
 ///
 /// # Errors
 ///
-/// The variable is not the number of a file descriptor, or the descriptor is not a TCP socket. Whether the socket listens is not checked.
+/// The variable is not the number of a file descriptor, or the descriptor is not a TCP socket. Whether the socket listens is
+/// not checked.
 pub fn listener() -> io::Result<Option<TcpListener>> {
     let Some(descriptor) = env::var_os(DESCRIPTOR_VARIABLE).filter(|text| !text.is_empty()) else {
         return Ok(None);
