--- a/tests/addresses.rs
+++ b/tests/addresses.rs
@@ -132,11 +132,15 @@
         );
     }
     assert_eq!(server.request_count(), 10);
-    let down_reports = node
-        .log()
-        .iter()
-        .filter(|line| line.contains("is down"))
-        .count();
+    let count_down_reports = || {
+        let lines = node.log();
+        lines.iter().filter(|line| line.contains("is down")).count()
+    };
+    // Another thread collects the log, and may do so after the last response has arrived.
+    testkit::wait_until("each address that is down is reported", || {
+        count_down_reports() >= 3
+    });
+    let down_reports = count_down_reports();
     assert_eq!(
         down_reports, 3,
         "each address that is down is reported once"
